--- a/Makefile
+++ b/Makefile
@@ -36,7 +36,7 @@
 # Regenerates the committed protobuf code; needs nothing outside the virtual environment.
 protobuf: setup
 	$(BIN)/python -m grpc_tools.protoc --proto_path=. --python_out=. \
-		--plugin=protoc-gen-mypy=$(BIN)/protoc-gen-mypy --mypy_out=. tinrudder/wire/*.proto
+		--plugin=protoc-gen-mypy=$(BIN)/protoc-gen-mypy --mypy_out=. $$(git ls-files '*.proto')
 
 demo: setup
 	$(BIN)/python -m tinrudder_lab.demo
--- a/bench/call_cost.py
+++ b/bench/call_cost.py
@@ -30,7 +30,7 @@
     single_requests,
 )
 from tinrudder.backends.http_transport import HttpBackendTransport
-from tinrudder.garbage_collection import tune_garbage_collection
+from tinrudder.common.garbage_collection import tune_garbage_collection
 
 FAN_OUT = 130
 PORTS = 20
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -18,9 +18,9 @@
 from functools import partial
 
 from bench.fair_queue import VirtualTime
+from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.routing.backend_observations import BackendObservations, RunningCall
 from tinrudder.routing.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
-from tinrudder.routing.latency_window import LatencyWindow
 from tinrudder.routing.load_forecast import admission_share
 from tinrudder.routing.load_news import (
     DATAGRAM_BYTES,
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -25,10 +25,10 @@
 from dataclasses import dataclass, field
 from functools import partial
 
+from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.routing.backend_observations import BackendObservations, RunningCall
 from tinrudder.routing.hedge_delay import hedge_delay_s, usual_latency_s
 from tinrudder.routing.hedge_moment import HedgeMoments
-from tinrudder.routing.latency_window import LatencyWindow
 from tinrudder.routing.repeat_budget import RepeatBudget
 from tinrudder.routing.zone_preference import LEAST_ADVANTAGE, is_slow, zone_advantage
 
--- a/tests/functional/test_peer_transport.py
+++ b/tests/functional/test_peer_transport.py
@@ -11,10 +11,8 @@
 import pytest
 import trustme
 
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
-from tinrudder.tls import Identity, TlsError, TlsFiles
-from tinrudder.wire import peer_server
-from tinrudder.wire.frames import (
+from tinrudder.common.transport import peer_server
+from tinrudder.common.transport.frames import (
     MAX_FRAME_BYTES,
     Frame,
     FrameType,
@@ -22,7 +20,9 @@
     read_header,
     read_payload,
 )
-from tinrudder.wire.peer_client import PeerClient
+from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
+from tinrudder.tls import Identity, TlsError, TlsFiles
 from tinrudder.wire.peer_transport import TcpPeerTransport
 
 HOST = "127.0.0.1"
--- a/tests/unit/test_event_loop.py
+++ b/tests/unit/test_event_loop.py
@@ -10,10 +10,10 @@
 
 import pytest
 
-from tinrudder import event_loop
-from tinrudder.event_loop import ElapsedTimeLoop, NoSuspensionClockError
+from tinrudder.common import event_loop
+from tinrudder.common.event_loop import ElapsedTimeLoop, NoSuspensionClockError
 
-PRODUCT = Path(event_loop.__file__).parent
+PRODUCT = Path(event_loop.__file__).parents[1]
 SUSPENDED_S = 30.0
 
 
--- a/tests/unit/test_gateway_decisions.py
+++ b/tests/unit/test_gateway_decisions.py
@@ -11,11 +11,11 @@
 from hypothesis import strategies as st
 
 from bench.share_admission import wait_of_shards
+from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.routes_in_force import FIRST_TURNS
 from tinrudder.routing.answer_moment import ScatterState, Verdict, decide, suffices
 from tinrudder.routing.backend_observations import BackendObservations
 from tinrudder.routing.hedge_delay import hedge_delay_s
-from tinrudder.routing.latency_window import LatencyWindow
 from tinrudder.routing.load_forecast import admission_share
 from tinrudder.routing.route_table import RouteTable
 from tinrudder.routing.weighted_rotation import WeightedRotation
--- a/tests/unit/test_poison_news_ends.py
+++ b/tests/unit/test_poison_news_ends.py
@@ -15,6 +15,7 @@
 import async_solipsism
 import pytest
 
+from tinrudder.common.poison_requests import KEPT_S, Crash, Evidence
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peer_list import PeerList
@@ -22,7 +23,6 @@
 from tinrudder.gateway.poison_watch import PoisonWatch
 from tinrudder.gateway.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.platform.headers import HEADERS
-from tinrudder.routing.poison_requests import KEPT_S, Crash, Evidence
 
 ORIGIN = b"o" * FINGERPRINT_BYTES
 REQUESTS = 10
--- a/tests/unit/test_poison_requests.py
+++ b/tests/unit/test_poison_requests.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.routing.poison_requests import (
+from tinrudder.common.poison_requests import (
     ALERT_S,
     CLEARED_KEPT_S,
     ENOUGH_CRASHES,
--- a/tests/unit/test_poison_watch.py
+++ b/tests/unit/test_poison_watch.py
@@ -13,6 +13,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tinrudder.common.poison_requests import ENOUGH_CRASHES, MOST_REQUESTS, Standing
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peer_list import PeerList
@@ -25,7 +26,6 @@
 )
 from tinrudder.gateway.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.platform.headers import HEADERS
-from tinrudder.routing.poison_requests import ENOUGH_CRASHES, MOST_REQUESTS, Standing
 from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
 from tinrudder.wire.snapshot_codec import MalformedPeerMessageError
 
--- a/tests/unit/test_routing_policies.py
+++ b/tests/unit/test_routing_policies.py
@@ -7,6 +7,7 @@
 
 import pytest
 
+from tinrudder.common.latency_window import PERIOD_CALLS, LatencyWindow
 from tinrudder.routing.backend_record import BackendRecord
 from tinrudder.routing.ejection import (
     FAILURES_TO_EJECT,
@@ -22,7 +23,6 @@
     QuantileHedge,
     is_widespread,
 )
-from tinrudder.routing.latency_window import PERIOD_CALLS, LatencyWindow
 from tinrudder.routing.registry import BASELINE, DEFAULTS, Role, names_by_role
 from tinrudder.routing.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
 from tinrudder.routing.retry_budget import BudgetedRetry, FractionBudget
--- a/tests/unit/test_shard_calls_machine.py
+++ b/tests/unit/test_shard_calls_machine.py
@@ -14,6 +14,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
+from tinrudder.common.poison_requests import PoisonRequests, RequestStanding
 from tinrudder.gateway.backend_directory import Backend
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.load_reports import LoadReports
@@ -32,7 +33,6 @@
 from tinrudder.gateway.run_guard import RunGuard
 from tinrudder.gateway.shard_calls import MAX_SENDS, NEVER, ShardCalls
 from tinrudder.platform.load_header import decode_load_report
-from tinrudder.routing.poison_requests import PoisonRequests, RequestStanding
 
 SERVICE = "shard-0"
 NAMES = HeaderNames(
--- a/tests/unit/test_uneven.py
+++ b/tests/unit/test_uneven.py
@@ -17,8 +17,8 @@
     Way,
     play,
 )
+from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.routing.hedge_moment import LEAST_OBSERVATIONS, HedgeMoments
-from tinrudder.routing.latency_window import LatencyWindow
 from tinrudder.routing.scatter_place import leaves_time
 
 LENGTH_S = 14.0
--- a/tinrudder/api/finished_query.py
+++ b/tinrudder/api/finished_query.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from tinrudder.logs import LogValue, log_event
+from tinrudder.common.logs import LogValue, log_event
 from tinrudder.outcomes import Complete, Outcome, reason_of
 
 
--- a/tinrudder/api/health.py
+++ b/tinrudder/api/health.py
@@ -14,7 +14,7 @@
 from starlette.routing import Route
 from starlette.types import ASGIApp, Message, Receive, Scope, Send
 
-from tinrudder.lifecycle import NodeLifecycle
+from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.resources.configuration import Configuration
 
 OK = 200
--- a/tinrudder/cli/gateway.py
+++ b/tinrudder/cli/gateway.py
@@ -13,14 +13,14 @@
 import sys
 from pathlib import Path
 
-from tinrudder import event_loop
 from tinrudder.cli.exit_codes import ExitCode
-from tinrudder.garbage_collection import tune_garbage_collection
+from tinrudder.common import event_loop
+from tinrudder.common.garbage_collection import tune_garbage_collection
+from tinrudder.common.logs import configure_logs, log_problem
 from tinrudder.gateway.model import Address, GatewaySettings, SettingsFileError
 from tinrudder.gateway.node import GatewayNode
 from tinrudder.gateway.stored_values import ValueDecoders
 from tinrudder.log_stream import BoundedLineStream
-from tinrudder.logs import configure_logs, log_problem
 from tinrudder.platform.documents import (
     decode_backend,
     decode_configuration,
--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -15,7 +15,6 @@
 import uvicorn
 from starlette.types import ASGIApp
 
-from tinrudder import event_loop
 from tinrudder.api.caller_app import CallerApplication
 from tinrudder.api.caller_protocol import CallerProtocol
 from tinrudder.api.cursor import CursorCodec
@@ -27,10 +26,11 @@
 from tinrudder.api.resource_routes import resource_routes
 from tinrudder.backends.http_transport import HttpBackendTransport
 from tinrudder.cli.tls_edges import build_edges, follow_files
+from tinrudder.common import event_loop
+from tinrudder.common.garbage_collection import tune_garbage_collection
+from tinrudder.common.logs import configure_logs, log_problem
 from tinrudder.configuration_service.client import PlatformClient
 from tinrudder.environment import DEVELOPMENT_CLUSTER_KEYS, Environment
-from tinrudder.garbage_collection import tune_garbage_collection
-from tinrudder.logs import configure_logs, log_problem
 from tinrudder.metrics import NodeMetrics
 from tinrudder.node import Node
 from tinrudder.node_explain import NodeExplanations
--- a/tinrudder/cli/tls_edges.py
+++ b/tinrudder/cli/tls_edges.py
@@ -5,7 +5,7 @@
 import asyncio
 from pathlib import Path
 
-from tinrudder.logs import log_event, log_problem
+from tinrudder.common.logs import log_event, log_problem
 from tinrudder.settings import NodeSettings
 from tinrudder.tls import Identity, TlsEdges, TlsError, TlsFiles
 
--- a/tinrudder/cluster/state_exchange.py
+++ b/tinrudder/cluster/state_exchange.py
@@ -15,7 +15,7 @@
 
 from tinrudder.cluster.replicated_state import MalformedUpdateError, ReplicatedState, StateHeader
 from tinrudder.cluster.state_pull import StateChangedError, answer_pull, pull_state
-from tinrudder.logs import log_problem
+from tinrudder.common.logs import log_problem
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 from tinrudder.timers import TimerHandle, Timers
 from tinrudder.wire.configuration_codec import decode_notice, encode_notice
--- a/tinrudder/wire/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -9,8 +9,7 @@
 
 from msgspec import Struct, field
 
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
-from tinrudder.wire.frames import (
+from tinrudder.common.transport.frames import (
     MAX_FRAME_BYTES,
     Frame,
     FrameError,
@@ -19,6 +18,7 @@
     read_header,
     read_payload,
 )
+from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
 
 LONGEST_CONNECT_S = 1.0
 CONNECT_SHARE = 0.5
--- a/tinrudder/wire/peer_server.py
+++ b/tinrudder/common/transport/peer_server.py
@@ -8,9 +8,8 @@
 
 from msgspec import Struct, field
 
-from tinrudder.logs import log_problem
-from tinrudder.peers import PeerAddress, RequestHandler
-from tinrudder.wire.frames import (
+from tinrudder.common.logs import log_problem
+from tinrudder.common.transport.frames import (
     MAX_ERROR_BYTES,
     MAX_FRAME_BYTES,
     Frame,
@@ -21,6 +20,7 @@
     read_header,
     read_payload,
 )
+from tinrudder.peers import PeerAddress, RequestHandler
 
 MAX_REQUESTS_IN_FLIGHT = 1024
 MAX_UNREAD_BYTES = MAX_FRAME_BYTES
--- a/tinrudder/gateway/backend_directory.py
+++ b/tinrudder/gateway/backend_directory.py
@@ -7,6 +7,7 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.held_bytes import HeldBytes
 from tinrudder.gateway.messages import (
     Answered,
@@ -25,7 +26,6 @@
 from tinrudder.routing.cold_pace import Callers, ColdPace, own_part
 from tinrudder.routing.coordinator_choice import CONNECTION_SAFETY
 from tinrudder.routing.memory_bound import body_bytes_on_the_way
-from tinrudder.routing.rendezvous import rendezvous_score
 
 WRONG_BACKEND_STATUS = 421
 FEWEST_REPLICAS = 2
--- a/tinrudder/gateway/evacuations.py
+++ b/tinrudder/gateway/evacuations.py
@@ -9,8 +9,8 @@
 
 from msgspec import Struct
 
+from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.stored_values import StoredValue
-from tinrudder.logs import LogValue, log_event
 
 STORE = "store"
 """Where what a gateway read itself comes from; else the address of the peer that told it."""
--- a/tinrudder/gateway/forwarding.py
+++ b/tinrudder/gateway/forwarding.py
@@ -9,6 +9,8 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.latency_window import LatencyWindow
+from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.backend_directory import Backend, BackendDirectory
 from tinrudder.gateway.load_reports import LoadReports
 from tinrudder.gateway.memory_account import MemoryAccount
@@ -21,8 +23,6 @@
     usual_latency_s,
 )
 from tinrudder.routing.hedge_moment import HedgeMoments
-from tinrudder.routing.latency_window import LatencyWindow
-from tinrudder.routing.rendezvous import rendezvous_score
 from tinrudder.routing.repeat_budget import RepeatBudget
 from tinrudder.routing.scatter_place import ScatterSizes
 from tinrudder.routing.shared_service import (
--- a/tinrudder/gateway/load_reports.py
+++ b/tinrudder/gateway/load_reports.py
@@ -4,9 +4,9 @@
 
 from collections.abc import Callable
 
+from tinrudder.common.logs import log_problem
 from tinrudder.gateway.messages import LoadReport
 from tinrudder.gateway.stored_values import UnreadableValueError
-from tinrudder.logs import log_problem
 
 LOG_PAUSE_S = 10.0
 """Between two log lines: a form that nobody can read comes with every answer."""
--- a/tinrudder/gateway/load_watch.py
+++ b/tinrudder/gateway/load_watch.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable, Iterable
 from zlib import crc32
 
+from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.backend_directory import Backend
 from tinrudder.gateway.model import Address, BackendEntry
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peer_list import PeerList
 from tinrudder.gateway.peer_messages import LoadNews
-from tinrudder.logs import LogValue, log_event
 from tinrudder.routing.load_news import (
     GATHER_S,
     MOST_AGE_S,
--- a/tinrudder/gateway/memory_account.py
+++ b/tinrudder/gateway/memory_account.py
@@ -5,9 +5,9 @@
 import math
 from collections.abc import Callable
 
+from tinrudder.common.logs import LogValue, log_problem
 from tinrudder.gateway.held_bytes import HeldBytes
 from tinrudder.gateway.outcomes import NotRun
-from tinrudder.logs import LogValue, log_problem
 from tinrudder.routing.memory_bound import (
     LARGEST_ANSWER_SHARE,
     PAUSE_FILL,
--- a/tinrudder/gateway/node.py
+++ b/tinrudder/gateway/node.py
@@ -8,6 +8,9 @@
 import socket
 from collections.abc import Callable
 
+from tinrudder.common.lifecycle import NodeLifecycle
+from tinrudder.common.logs import log_event
+from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.access import Access
 from tinrudder.gateway.backend_directory import BackendDirectory
 from tinrudder.gateway.client_connection import ClientConnection, RequestHandler
@@ -47,11 +50,8 @@
 from tinrudder.gateway.stored_values import MetadataStore, Topic, ValueDecoders
 from tinrudder.gateway.unreadable_values import UnreadableValues
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.lifecycle import NodeLifecycle
-from tinrudder.logs import log_event
 from tinrudder.routing.memory_bound import account_bytes
 from tinrudder.routing.stand_still import LOOK_S, StandStill
-from tinrudder.wire.peer_client import PeerClient
 
 HOUSEKEEPING_S = LOOK_S
 LEAVE_S = 2.6
--- a/tinrudder/gateway/node_log.py
+++ b/tinrudder/gateway/node_log.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
+from tinrudder.common.logs import LogValue, log_event, log_problem
 from tinrudder.gateway.coordinators import Coordination
 from tinrudder.gateway.shared_state import AcceptedConfiguration
 from tinrudder.gateway.stored_values import Topic
-from tinrudder.logs import LogValue, log_event, log_problem
 
 
 def log_configuration(accepted: AcceptedConfiguration) -> None:
--- a/tinrudder/gateway/peer_datagrams.py
+++ b/tinrudder/gateway/peer_datagrams.py
@@ -6,10 +6,10 @@
 from collections.abc import Callable
 from typing import Any, TypeVar, cast
 
+from tinrudder.common.logs import log_problem
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_messages import PeerDatagram
 from tinrudder.gateway.peer_traffic import PeerTraffic
-from tinrudder.logs import log_problem
 from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
 from tinrudder.wire.snapshot_codec import MalformedPeerMessageError
 
--- a/tinrudder/gateway/peer_exchange.py
+++ b/tinrudder/gateway/peer_exchange.py
@@ -6,6 +6,8 @@
 import random
 from collections.abc import Awaitable, Callable
 
+from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.common.transport.peer_server import PeerServer
 from tinrudder.gateway.knowledge import Knowledge
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
@@ -25,8 +27,6 @@
 from tinrudder.gateway.zone_watch import ZoneWatch
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
 from tinrudder.wire.gateway_relay_codec import decode_request, encode_answer, encode_request
-from tinrudder.wire.peer_client import PeerClient
-from tinrudder.wire.peer_server import PeerServer
 from tinrudder.wire.snapshot_codec import (
     MalformedPeerMessageError,
     decode_snapshot,
--- a/tinrudder/gateway/poison_watch.py
+++ b/tinrudder/gateway/poison_watch.py
@@ -13,15 +13,8 @@
 from collections.abc import Callable, Iterable
 from zlib import crc32
 
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address, HeaderNames, Route
-from tinrudder.gateway.outcomes import NotRun
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import PoisonReport, ToldCrash, ToldEvidence
-from tinrudder.gateway.request_fingerprint import fingerprint_of, origin_of
-from tinrudder.logs import LogValue, log_event
-from tinrudder.routing.poison_requests import (
+from tinrudder.common.logs import LogValue, log_event
+from tinrudder.common.poison_requests import (
     MOST_CRASHES_OF_A_KIND,
     NEVER,
     Crash,
@@ -30,6 +23,13 @@
     RequestStanding,
     Standing,
 )
+from tinrudder.gateway.messages import HttpRequest
+from tinrudder.gateway.model import Address, HeaderNames, Route
+from tinrudder.gateway.outcomes import NotRun
+from tinrudder.gateway.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peer_list import PeerList
+from tinrudder.gateway.peer_messages import PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.request_fingerprint import fingerprint_of, origin_of
 from tinrudder.routing.send_budget import SendBudget
 
 GATHER_S = 0.05
--- a/tinrudder/gateway/quota_home_choice.py
+++ b/tinrudder/gateway/quota_home_choice.py
@@ -6,10 +6,10 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_list import PeerList
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.routing.rendezvous import rendezvous_score
 
 AVOIDED_S = 3.0
 """How long a home that did not answer is passed over: one that stood still is not asked each time,
--- a/tinrudder/gateway/quotas.py
+++ b/tinrudder/gateway/quotas.py
@@ -12,6 +12,7 @@
 
 from msgspec import Struct
 
+from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.model import Address, QuotaBounds, Tenant
 from tinrudder.gateway.outcomes import NotRun, OverQuota
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
@@ -21,7 +22,6 @@
 from tinrudder.gateway.quota_home_choice import QuotaHomeChoice
 from tinrudder.gateway.quota_homes import TO_EVERYBODY, QuotaHomes
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.logs import LogValue, log_event
 from tinrudder.routing.quota_home import HeldTokens
 
 REPORT_PAUSE_S = 0.02
--- a/tinrudder/gateway/relaying.py
+++ b/tinrudder/gateway/relaying.py
@@ -6,13 +6,13 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.coordinators import Coordinators
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_traffic import PeerTraffic
 from tinrudder.gateway.zone_watch import ZoneWatch
 from tinrudder.routing.path_time import PathTime
-from tinrudder.wire.peer_client import PeerClient
 
 
 class Relaying(Struct, frozen=True):
--- a/tinrudder/gateway/request_log.py
+++ b/tinrudder/gateway/request_log.py
@@ -7,6 +7,7 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.model import Address, Route
 from tinrudder.gateway.outcomes import (
     Invalid,
@@ -20,7 +21,6 @@
     status_of,
 )
 from tinrudder.gateway.peer_messages import MissingShard, ScatterEnd, ScatterRequest
-from tinrudder.logs import LogValue, log_event
 
 CLIENT_LEFT = "client_left"
 MILLISECONDS = 1000.0
--- a/tinrudder/gateway/run_guard.py
+++ b/tinrudder/gateway/run_guard.py
@@ -5,9 +5,9 @@
 from enum import Enum, auto
 from typing import Protocol
 
+from tinrudder.common.poison_requests import RequestStanding, Standing
 from tinrudder.gateway.model import Route
 from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.routing.poison_requests import RequestStanding, Standing
 
 CANARY_PATIENCE = 0.3
 """After this part of the route's objective a second canary leaves beside the first, which may stand
--- a/tinrudder/gateway/unreadable_values.py
+++ b/tinrudder/gateway/unreadable_values.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from tinrudder.logs import LogValue, log_problem
+from tinrudder.common.logs import LogValue, log_problem
 
 LINES = 5
 """Log lines in one window, a choice: enough to see whether one entry or a whole writer is wrong."""
--- a/tinrudder/gateway/zone_watch.py
+++ b/tinrudder/gateway/zone_watch.py
@@ -12,11 +12,11 @@
 from collections import Counter
 from collections.abc import Callable
 
+from tinrudder.common.logs import LogValue, log_event, log_problem
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_list import PeerList
 from tinrudder.gateway.peer_messages import Digest, ProbeAnswer
 from tinrudder.gateway.probes import Probes, SentProbe
-from tinrudder.logs import LogValue, log_event, log_problem
 from tinrudder.routing.zone_paths import PathState, ZonePaths
 
 ROUND_S = 0.1
--- a/tinrudder/node.py
+++ b/tinrudder/node.py
@@ -6,10 +6,10 @@
 from dataclasses import replace
 
 from tinrudder.cluster.view import MemberStatus, MemberView, build_view
+from tinrudder.common.lifecycle import NodeLifecycle
+from tinrudder.common.logs import LogValue, log_event, log_problem
 from tinrudder.configuration_service.messages import PlatformUnavailableError
 from tinrudder.environment import Environment
-from tinrudder.lifecycle import NodeLifecycle
-from tinrudder.logs import LogValue, log_event, log_problem
 from tinrudder.node_claims import NodeClaims
 from tinrudder.node_configuration import NodeConfiguration
 from tinrudder.node_membership import NodeMembership
--- a/tinrudder/node_configuration.py
+++ b/tinrudder/node_configuration.py
@@ -7,10 +7,10 @@
 
 from tinrudder.cluster.state_exchange import StateExchange
 from tinrudder.cluster.view import MemberStatus, MemberView
+from tinrudder.common.logs import log_event, log_problem
 from tinrudder.configuration_service.messages import PlatformUnavailableError
 from tinrudder.configuration_service.poll_pace import poll_delay_s
 from tinrudder.environment import Environment
-from tinrudder.logs import log_event, log_problem
 from tinrudder.peers import PeerAddress
 from tinrudder.resources.accepted import AcceptedState
 from tinrudder.resources.exchange import ReplicatedConfiguration
--- a/tinrudder/node_membership.py
+++ b/tinrudder/node_membership.py
@@ -11,10 +11,10 @@
 from tinrudder.cluster.membership_messages import first_incarnation
 from tinrudder.cluster.membership_settings import MembershipSettings
 from tinrudder.cluster.view import Member, MemberStatus, MemberView
+from tinrudder.common.logs import log_event
 from tinrudder.configuration_service.member_view import listed_members
 from tinrudder.configuration_service.messages import MemberList
 from tinrudder.environment import Environment
-from tinrudder.logs import log_event
 from tinrudder.peers import PeerAddress
 from tinrudder.resources.status import NodeRevision
 from tinrudder.settings import NodeSettings, parse_seed_peers
--- a/tinrudder/node_observations.py
+++ b/tinrudder/node_observations.py
@@ -6,7 +6,7 @@
 
 from tinrudder.cluster.membership import Membership
 from tinrudder.cluster.membership_messages import Observation, ObservationKind
-from tinrudder.logs import log_event
+from tinrudder.common.logs import log_event
 from tinrudder.routing.backend_record import BackendRecord
 from tinrudder.routing.backend_table import BackendTable
 from tinrudder.routing.drain_signs import OWN_MARGIN_S, DrainSigns
--- a/tinrudder/query/fan_out.py
+++ b/tinrudder/query/fan_out.py
@@ -18,6 +18,7 @@
     Shed,
     VersionGone,
 )
+from tinrudder.common.poison_requests import ENOUGH_CRASHES
 from tinrudder.outcomes import MissingReason, Outcome
 from tinrudder.query.call_sender import CallSender
 from tinrudder.query.dispatcher import Dispatcher, SentCall
@@ -28,7 +29,6 @@
 from tinrudder.query.shard_progress import ShardProgress
 from tinrudder.resources.model import Preference
 from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.poison_requests import ENOUGH_CRASHES
 from tinrudder.routing.tenant_usage import QueryPermit
 from tinrudder.timers import TimerHandle, Timers
 
--- a/tinrudder/routing/cold_pace.py
+++ b/tinrudder/routing/cold_pace.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct, field
 
-from tinrudder.routing.rendezvous import rendezvous_score
+from tinrudder.common.rendezvous import rendezvous_score
 
 WINDOW_S = 1.1
 """Calls sent within this time may arrive within one second: paths differ by less than 0.1 s."""
--- a/tinrudder/routing/coordinator_choice.py
+++ b/tinrudder/routing/coordinator_choice.py
@@ -14,7 +14,7 @@
 
 from msgspec import Struct
 
-from tinrudder.routing.rendezvous import weighted_score
+from tinrudder.common.rendezvous import weighted_score
 
 CONNECTION_SAFETY = 0.9
 LEAST_CONNECTIONS_A_SHARD = 4.0
--- a/tinrudder/routing/coordinator_ranking.py
+++ b/tinrudder/routing/coordinator_ranking.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from tinrudder.cluster.view import Member, MemberStatus
-from tinrudder.routing.rendezvous import rendezvous_score
+from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.timers import Timers
 
 CROSS_ZONE_COST = 4
--- a/tinrudder/routing/coordinator_set.py
+++ b/tinrudder/routing/coordinator_set.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from tinrudder.cluster.view import Member, MemberStatus
-from tinrudder.routing.rendezvous import rendezvous_score
+from tinrudder.common.rendezvous import rendezvous_score
 
 MAX_SLOTS_HELD = 32
 """Slots of all back ends together that one coordinator holds, so that one process can carry
--- a/tinrudder/routing/hedge_delay.py
+++ b/tinrudder/routing/hedge_delay.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tinrudder.routing.latency_window import LatencyWindow
+from tinrudder.common.latency_window import LatencyWindow
 
 MINIMUM_OBSERVATIONS = 20
 FACTOR_FULL = 1.9
--- a/tinrudder/routing/hedge_moment.py
+++ b/tinrudder/routing/hedge_moment.py
@@ -8,7 +8,7 @@
 
 from __future__ import annotations
 
-from tinrudder.routing.latency_window import LatencyWindow
+from tinrudder.common.latency_window import LatencyWindow
 
 LEAST_OBSERVATIONS = 200
 """Calls of a route from which on their latencies tell how many are late, a choice: with 200, four
--- a/tinrudder/routing/hedging.py
+++ b/tinrudder/routing/hedging.py
@@ -6,7 +6,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from tinrudder.routing.latency_window import LatencyWindow
+from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.routing.retry_budget import FractionBudget
 
 HEDGE_FRACTION = 0.027
--- a/tinrudder/routing/scatter_place.py
+++ b/tinrudder/routing/scatter_place.py
@@ -11,7 +11,7 @@
 
 from msgspec import Struct
 
-from tinrudder.routing.latency_window import LatencyWindow
+from tinrudder.common.latency_window import LatencyWindow
 
 CALL_OVERHEAD_BYTES = 400.0
 """Heads of one call and of its answer."""
--- a/tinrudder/routing/service_routing.py
+++ b/tinrudder/routing/service_routing.py
@@ -7,10 +7,10 @@
 from dataclasses import dataclass, field
 from typing import Generic
 
+from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.routing.backend_record import BackendRecord
 from tinrudder.routing.ejection import EjectionPolicy
 from tinrudder.routing.hedging import HedgePolicy
-from tinrudder.routing.latency_window import LatencyWindow
 from tinrudder.routing.registry import (
     DEFAULTS,
     EJECTION_POLICIES,
--- a/tinrudder/wire/peer_transport.py
+++ b/tinrudder/wire/peer_transport.py
@@ -1,8 +1,8 @@
 """Messages between nodes over TCP (requests) and UDP (datagrams).
 
-Requests are framed as in :mod:`tinrudder.wire.frames`; with an identity, every connection is
-TLS and both sides show a certificate.  A closed connection fails the requests it carried as
-lost, for the peer may have received them.
+Requests are framed as in :mod:`tinrudder.common.transport.frames`; with an identity, every
+connection is TLS and both sides show a certificate.  A closed connection fails the requests it
+carried as lost, for the peer may have received them.
 """
 
 from __future__ import annotations
@@ -10,10 +10,10 @@
 import asyncio
 import ssl
 
+from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.common.transport.peer_server import PeerServer
 from tinrudder.peers import MAX_DATAGRAM_BYTES, DatagramHandler, PeerAddress, RequestHandler
 from tinrudder.tls import Identity
-from tinrudder.wire.peer_client import PeerClient
-from tinrudder.wire.peer_server import PeerServer
 
 HANDSHAKE_TIMEOUT_S = 5.0
 
