--- a/bench/claim_cost.py
+++ b/bench/claim_cost.py
@@ -19,9 +19,9 @@
 
 import msgspec
 
-from tinrudder.cluster.claim_proposer import DispatchWindow
-from tinrudder.cluster.claim_voter import ClaimVoter
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claim_proposer import DispatchWindow
+from tinrudder.cluster.claims.claim_voter import ClaimVoter
+from tinrudder.cluster.claims.claims import (
     AnswerQuestion,
     AnswerStatus,
     ClaimLimits,
@@ -30,9 +30,9 @@
     VoteRequest,
     make_claim_key,
 )
-from tinrudder.cluster.claims_service import ClaimNode, ClaimsService
-from tinrudder.cluster.electorate import Voter, VoterList, VoterRanking
-from tinrudder.cluster.electorate_history import ListedVoter
+from tinrudder.cluster.claims.claims_service import ClaimNode, ClaimsService
+from tinrudder.cluster.claims.electorate import Voter, VoterList, VoterRanking
+from tinrudder.cluster.claims.electorate_history import ListedVoter
 from tinrudder.peers import DatagramHandler, PeerAddress, RequestHandler
 
 REGION = "region"
--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -15,17 +15,17 @@
 import msgspec
 
 from bench.state_slopes import build_document
-from tinrudder.cluster.replicated_state import StateUpdate
-from tinrudder.cluster.state_pull import answer_pull
-from tinrudder.resources.exchange import ReplicatedConfiguration
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.wire.configuration_codec import (
+from tinrudder.cluster.replication.replicated_state import StateUpdate
+from tinrudder.cluster.replication.state_pull import answer_pull
+from tinrudder.cluster.wire.configuration_codec import (
     PullAnswer,
     PullRequest,
     decode_answer,
     encode_request,
     short_digests,
 )
+from tinrudder.resources.exchange import ReplicatedConfiguration
+from tinrudder.resources.store import ConfigurationStore
 
 SERVICES = 35
 CHANGES = 5
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -18,7 +18,7 @@
 import msgspec
 
 from bench.state_slopes import build_document
-from tinrudder.cluster.state_exchange import ExchangeSettings, StateExchange
+from tinrudder.cluster.replication.state_exchange import ExchangeSettings, StateExchange
 from tinrudder.configuration_service.messages import ResourceDocument
 from tinrudder.configuration_service.poll_pace import poll_delay_s
 from tinrudder.peers import DatagramHandler, PeerAddress, RequestHandler
--- a/tests/functional/test_configuration_exchange.py
+++ b/tests/functional/test_configuration_exchange.py
@@ -13,14 +13,18 @@
 
 from tests.support.documents import document, tenant
 from tests.support.peer_network import MemoryPeerTransport, PeerNetwork
-from tinrudder.cluster import state_pull
-from tinrudder.cluster.replicated_state import MalformedUpdateError, StateHeader, StateUpdate
-from tinrudder.cluster.state_exchange import StateExchange
+from tinrudder.cluster.replication import state_pull
+from tinrudder.cluster.replication.replicated_state import (
+    MalformedUpdateError,
+    StateHeader,
+    StateUpdate,
+)
+from tinrudder.cluster.replication.state_exchange import StateExchange
+from tinrudder.cluster.wire import configuration_pb2
+from tinrudder.cluster.wire.configuration_codec import decode_answer, decode_notice, decode_request
 from tinrudder.configuration_service.messages import ResourceDocument
 from tinrudder.resources.exchange import ReplicatedConfiguration
 from tinrudder.resources.store import ConfigurationStore
-from tinrudder.wire import configuration_pb2
-from tinrudder.wire.configuration_codec import decode_answer, decode_notice, decode_request
 
 ENTRIES = tuple(
     configuration_pb2.ResourceEntry(kind=kind, name=name, raw_spec=spec).SerializeToString()
--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -18,10 +18,10 @@
     SearchAnswer,
     ShardRows,
 )
-from tinrudder.cluster.claims import ClaimLimits
-from tinrudder.cluster.claims_service import ClaimNode, ClaimsService
-from tinrudder.cluster.electorate import Voter
-from tinrudder.cluster.electorate_history import ListedVoter
+from tinrudder.cluster.claims.claims import ClaimLimits
+from tinrudder.cluster.claims.claims_service import ClaimNode, ClaimsService
+from tinrudder.cluster.claims.electorate import Voter
+from tinrudder.cluster.claims.electorate_history import ListedVoter
 from tinrudder.environment import ReplyListener
 from tinrudder.outcomes import Outcome
 from tinrudder.query.admission_gate import AdmissionGate
--- a/tests/unit/test_claims.py
+++ b/tests/unit/test_claims.py
@@ -16,9 +16,9 @@
     rule,
 )
 
-from tinrudder.cluster.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
-from tinrudder.cluster.claim_voter import ClaimVoter
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
+from tinrudder.cluster.claims.claim_voter import ClaimVoter
+from tinrudder.cluster.claims.claims import (
     Abstained,
     AbstainReason,
     ClaimLimits,
@@ -30,8 +30,8 @@
     VoteRequest,
     make_claim_key,
 )
-from tinrudder.cluster.electorate import Voter, VoterList, VoterRanking, make_electorate
-from tinrudder.cluster.electorate_history import ElectorateHistory, ListedVoter
+from tinrudder.cluster.claims.electorate import Voter, VoterList, VoterRanking, make_electorate
+from tinrudder.cluster.claims.electorate_history import ElectorateHistory, ListedVoter
 from tinrudder.peers import PeerAddress
 from tinrudder_lab.claim_model import SMALL_SETUPS, Plant, explore
 
--- a/tests/unit/test_claims_codec.py
+++ b/tests/unit/test_claims_codec.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claims import (
     KEY_BYTES,
     Abstained,
     AbstainReason,
@@ -24,9 +24,8 @@
     VoteRelease,
     VoteRequest,
 )
-from tinrudder.cluster.electorate import Voter, make_electorate
-from tinrudder.peers import PeerAddress
-from tinrudder.wire.claims_codec import (
+from tinrudder.cluster.claims.electorate import Voter, make_electorate
+from tinrudder.cluster.wire.claims_codec import (
     MalformedClaimError,
     SentReply,
     SentRequest,
@@ -35,6 +34,7 @@
     encode_reply,
     encode_request,
 )
+from tinrudder.peers import PeerAddress
 
 NUMBERS = st.integers(0, 2**64 - 1)
 ADDRESSES = st.builds(PeerAddress, st.text(max_size=20), st.integers(0, 65535))
--- a/tests/unit/test_datagrams.py
+++ b/tests/unit/test_datagrams.py
@@ -26,18 +26,18 @@
 )
 from tinrudder.cluster.membership_table import BUCKETS
 from tinrudder.cluster.view import MemberStatus
-from tinrudder.peers import PeerAddress
-from tinrudder.wire.datagram_seal import (
+from tinrudder.cluster.wire.datagram_seal import (
     MAX_CLOCK_DIFFERENCE_S,
     DatagramSeal,
     RefusalReason,
     RefusedDatagramError,
 )
-from tinrudder.wire.membership_codec import (
+from tinrudder.cluster.wire.membership_codec import (
     MalformedDatagramError,
     decode_envelope,
     encode_envelope,
 )
+from tinrudder.peers import PeerAddress
 
 names = st.text(min_size=1, max_size=30)
 numbers = st.integers(0, 2**32 - 1)
--- a/tinrudder/cluster/claim.py
+++ b/tinrudder/cluster/claims/claim.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Callable
 
-from tinrudder.cluster.claim_proposer import ClaimPhase, ClaimProposer
-from tinrudder.cluster.claims import ProposerId
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase, ClaimProposer
+from tinrudder.cluster.claims.claims import ProposerId
 from tinrudder.timers import Timers, WallClock
 
 
--- a/tinrudder/cluster/claim_identity.py
+++ b/tinrudder/cluster/claims/claim_identity.py
@@ -7,7 +7,7 @@
 
 import xxhash
 
-from tinrudder.cluster.electorate_history import ListedVoter
+from tinrudder.cluster.claims.electorate_history import ListedVoter
 
 INSTANCE_RANDOM_BITS = 12
 MICROSECONDS = 1_000_000
--- a/tinrudder/cluster/claim_proposer.py
+++ b/tinrudder/cluster/claims/claim_proposer.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claims import (
     Abstained,
     ClaimKey,
     Granted,
@@ -20,7 +20,7 @@
     VoteReply,
     VoteRequest,
 )
-from tinrudder.cluster.electorate import Electorate, Voter
+from tinrudder.cluster.claims.electorate import Electorate, Voter
 
 
 class ClaimPhase(enum.StrEnum):
--- a/tinrudder/cluster/claim_voter.py
+++ b/tinrudder/cluster/claims/claim_voter.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claims import (
     Abstained,
     AbstainReason,
     ClaimKey,
@@ -23,7 +23,7 @@
     VoteReply,
     VoteRequest,
 )
-from tinrudder.cluster.electorate import Electorate
+from tinrudder.cluster.claims.electorate import Electorate
 
 MAX_GRANTS = 50_000
 """Grants of one window, released ones included; bounds a voter's memory."""
@@ -40,7 +40,7 @@
 class ClaimVoter:
     """One process's votes.  All times are wall-clock seconds of this node.
 
-    >>> from tinrudder.cluster.claims import make_claim_key
+    >>> from tinrudder.cluster.claims.claims import make_claim_key
     >>> from tinrudder.peers import PeerAddress
     >>> one, two = (ProposerId(name, 1, 1, PeerAddress("10.0.0.1", 8081)) for name in ("a", "b"))
     >>> key = make_claim_key("tenant", "order-1")
--- a/tinrudder/cluster/claims.py
+++ b/tinrudder/cluster/claims/claims.py
@@ -10,7 +10,7 @@
 import hashlib
 from dataclasses import dataclass
 
-from tinrudder.cluster.electorate import Electorate, Voter
+from tinrudder.cluster.claims.electorate import Electorate, Voter
 from tinrudder.peers import PeerAddress
 
 KEY_BYTES = 16
--- a/tinrudder/cluster/claims_service.py
+++ b/tinrudder/cluster/claims/claims_service.py
@@ -20,11 +20,11 @@
 from collections.abc import Awaitable, Callable, Mapping, Sequence
 from dataclasses import dataclass
 
-from tinrudder.cluster.claim import Claim
-from tinrudder.cluster.claim_identity import list_digest, new_instance
-from tinrudder.cluster.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
-from tinrudder.cluster.claim_voter import ClaimVoter
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claim import Claim
+from tinrudder.cluster.claims.claim_identity import list_digest, new_instance
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
+from tinrudder.cluster.claims.claim_voter import ClaimVoter
+from tinrudder.cluster.claims.claims import (
     Abstained,
     AbstainReason,
     AnswerQuestion,
@@ -38,11 +38,9 @@
     VoteReply,
     VoteRequest,
 )
-from tinrudder.cluster.electorate import Electorate, Voter
-from tinrudder.cluster.electorate_history import ElectorateHistory, ListedVoter
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
-from tinrudder.timers import TimerHandle, Timers, WallClock
-from tinrudder.wire.claims_codec import (
+from tinrudder.cluster.claims.electorate import Electorate, Voter
+from tinrudder.cluster.claims.electorate_history import ElectorateHistory, ListedVoter
+from tinrudder.cluster.wire.claims_codec import (
     ClaimReply,
     MalformedClaimError,
     SentReply,
@@ -52,6 +50,8 @@
     encode_reply,
     encode_request,
 )
+from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
+from tinrudder.timers import TimerHandle, Timers, WallClock
 
 TELL_INTERVAL_S = 1.0
 TELL_EVERYONE_S = 60.0
--- a/tinrudder/cluster/electorate_history.py
+++ b/tinrudder/cluster/claims/electorate_history.py
@@ -11,8 +11,8 @@
 from collections.abc import Sequence
 from dataclasses import dataclass
 
-from tinrudder.cluster.claims import ClaimKey, ClaimLimits
-from tinrudder.cluster.electorate import Electorate, Voter, VoterList, VoterRanking
+from tinrudder.cluster.claims.claims import ClaimKey, ClaimLimits
+from tinrudder.cluster.claims.electorate import Electorate, Voter, VoterList, VoterRanking
 
 MAX_UNSEALED_LISTS = 512
 
--- a/tinrudder/cluster/membership.py
+++ b/tinrudder/cluster/membership.py
@@ -25,14 +25,14 @@
 from tinrudder.cluster.observations import Hint
 from tinrudder.cluster.pause_detector import PauseDetector
 from tinrudder.cluster.view import Member, MemberView
-from tinrudder.peers import MAX_DATAGRAM_BYTES, PeerAddress, PeerTransport
-from tinrudder.timers import TimerHandle, Timers, WallClock
-from tinrudder.wire.datagram_seal import SEAL_BYTES, DatagramSeal, RefusedDatagramError
-from tinrudder.wire.membership_codec import (
+from tinrudder.cluster.wire.datagram_seal import SEAL_BYTES, DatagramSeal, RefusedDatagramError
+from tinrudder.cluster.wire.membership_codec import (
     MalformedDatagramError,
     decode_envelope,
     encode_envelope,
 )
+from tinrudder.peers import MAX_DATAGRAM_BYTES, PeerAddress, PeerTransport
+from tinrudder.timers import TimerHandle, Timers, WallClock
 
 CHANNEL_BYTES = 1
 DATAGRAM_BUDGET = MAX_DATAGRAM_BYTES - CHANNEL_BYTES - SEAL_BYTES
--- a/tinrudder/cluster/state_exchange.py
+++ b/tinrudder/cluster/replication/state_exchange.py
@@ -13,12 +13,16 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from tinrudder.cluster.replicated_state import MalformedUpdateError, ReplicatedState, StateHeader
-from tinrudder.cluster.state_pull import StateChangedError, answer_pull, pull_state
+from tinrudder.cluster.replication.replicated_state import (
+    MalformedUpdateError,
+    ReplicatedState,
+    StateHeader,
+)
+from tinrudder.cluster.replication.state_pull import StateChangedError, answer_pull, pull_state
+from tinrudder.cluster.wire.configuration_codec import decode_notice, encode_notice
 from tinrudder.common.logs import log_problem
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 from tinrudder.timers import TimerHandle, Timers
-from tinrudder.wire.configuration_codec import decode_notice, encode_notice
 
 PeerSource = Callable[[], Sequence[PeerAddress]]
 PULL_ERRORS = (MalformedUpdateError, StateChangedError, PeerNotSentError, PeerLostError)
--- a/tinrudder/cluster/state_pull.py
+++ b/tinrudder/cluster/replication/state_pull.py
@@ -2,13 +2,12 @@
 
 from __future__ import annotations
 
-from tinrudder.cluster.replicated_state import (
+from tinrudder.cluster.replication.replicated_state import (
     MalformedUpdateError,
     ReplicatedState,
     StateUpdate,
 )
-from tinrudder.peers import PeerAddress, PeerTransport
-from tinrudder.wire.configuration_codec import (
+from tinrudder.cluster.wire.configuration_codec import (
     PullAnswer,
     PullRequest,
     decode_answer,
@@ -17,6 +16,7 @@
     encode_request,
     short_digests,
 )
+from tinrudder.peers import PeerAddress, PeerTransport
 
 CHUNK_BYTES = 256 * 1024
 MAX_CHUNKS = 512
--- a/tinrudder/wire/claims_codec.py
+++ b/tinrudder/cluster/wire/claims_codec.py
@@ -7,7 +7,7 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claims import (
     KEY_BYTES,
     Abstained,
     AbstainReason,
@@ -24,9 +24,9 @@
     VoteReply,
     VoteRequest,
 )
-from tinrudder.cluster.electorate import FULL_ELECTORATE, Electorate, Voter, make_electorate
+from tinrudder.cluster.claims.electorate import FULL_ELECTORATE, Electorate, Voter, make_electorate
+from tinrudder.cluster.wire import claims_pb2
 from tinrudder.peers import PeerAddress
-from tinrudder.wire import claims_pb2
 
 MAX_CLAIM_REQUEST_BYTES = 4096
 MAX_CLAIM_REPLY_BYTES = 256 * 1024
--- a/tinrudder/wire/configuration_codec.py
+++ b/tinrudder/cluster/wire/configuration_codec.py
@@ -8,8 +8,8 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.cluster.replicated_state import MalformedUpdateError, StateHeader
-from tinrudder.wire import configuration_pb2
+from tinrudder.cluster.replication.replicated_state import MalformedUpdateError, StateHeader
+from tinrudder.cluster.wire import configuration_pb2
 
 SHORT_DIGEST_BYTES = 8
 MAX_HEADER_DIGEST_BYTES = 64
--- a/tinrudder/wire/datagram_seal.py
+++ b/tinrudder/cluster/wire/datagram_seal.py
@@ -63,7 +63,7 @@
     >>> other.open(sealed)
     Traceback (most recent call last):
     ...
-    tinrudder.wire.datagram_seal.RefusedDatagramError: replayed
+    tinrudder.cluster.wire.datagram_seal.RefusedDatagramError: replayed
     """
 
     def __init__(self, keys: Sequence[bytes], session: int, wall_clock: WallClock) -> None:
--- a/tinrudder/wire/membership_codec.py
+++ b/tinrudder/cluster/wire/membership_codec.py
@@ -25,8 +25,8 @@
 )
 from tinrudder.cluster.membership_table import BUCKETS
 from tinrudder.cluster.view import MemberStatus
+from tinrudder.cluster.wire import membership_pb2 as pb
 from tinrudder.peers import PeerAddress
-from tinrudder.wire import membership_pb2 as pb
 
 MAX_NAME_CHARACTERS = 100
 MAX_HOST_CHARACTERS = 45
--- a/tinrudder/node_claims.py
+++ b/tinrudder/node_claims.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from tinrudder.cluster.claims import ClaimLimits
-from tinrudder.cluster.claims_service import ClaimNode, ClaimsService
-from tinrudder.cluster.electorate import Voter
-from tinrudder.cluster.electorate_history import ListedVoter
+from tinrudder.cluster.claims.claims import ClaimLimits
+from tinrudder.cluster.claims.claims_service import ClaimNode, ClaimsService
+from tinrudder.cluster.claims.electorate import Voter
+from tinrudder.cluster.claims.electorate_history import ListedVoter
 from tinrudder.configuration_service.messages import MemberList, MemberState, PlatformMember
 from tinrudder.environment import Environment
 from tinrudder.peers import PeerAddress
--- a/tinrudder/node_configuration.py
+++ b/tinrudder/node_configuration.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.cluster.state_exchange import StateExchange
+from tinrudder.cluster.replication.state_exchange import StateExchange
 from tinrudder.cluster.view import MemberStatus, MemberView
 from tinrudder.common.logs import log_event, log_problem
 from tinrudder.configuration_service.messages import PlatformUnavailableError
--- a/tinrudder/query/at_most_once.py
+++ b/tinrudder/query/at_most_once.py
@@ -10,16 +10,16 @@
 
 import xxhash
 
-from tinrudder.cluster.claim import Claim
-from tinrudder.cluster.claim_proposer import DispatchWindow
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claim import Claim
+from tinrudder.cluster.claims.claim_proposer import DispatchWindow
+from tinrudder.cluster.claims.claims import (
     AnswerStatus,
     ClaimKey,
     ProposerId,
     StoredAnswer,
     make_claim_key,
 )
-from tinrudder.cluster.claims_service import ClaimsService
+from tinrudder.cluster.claims.claims_service import ClaimsService
 from tinrudder.outcomes import Failed, MayHaveRun, MayHaveRunReason, NotRun, NotRunReason, Outcome
 from tinrudder.query.admission_gate import AdmissionGate
 from tinrudder.query.dispatcher import Dispatcher
--- a/tinrudder/query/operation_call.py
+++ b/tinrudder/query/operation_call.py
@@ -15,7 +15,7 @@
     Shed,
     VersionGone,
 )
-from tinrudder.cluster.claim import Claim
+from tinrudder.cluster.claims.claim import Claim
 from tinrudder.outcomes import (
     Answer,
     Complete,
--- a/tinrudder/query/operation_outcomes.py
+++ b/tinrudder/query/operation_outcomes.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claims import (
     AnswerQuestion,
     AnswerStatus,
     ClaimKey,
--- a/tinrudder/resources/exchange.py
+++ b/tinrudder/resources/exchange.py
@@ -6,7 +6,12 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.cluster.replicated_state import MalformedUpdateError, StateHeader, StateUpdate
+from tinrudder.cluster.replication.replicated_state import (
+    MalformedUpdateError,
+    StateHeader,
+    StateUpdate,
+)
+from tinrudder.cluster.wire import configuration_pb2
 from tinrudder.resources.accepted import (
     BUCKET_COUNT,
     AcceptedResource,
@@ -22,11 +27,10 @@
     MAX_REVISION,
     MAX_SPEC_BYTES,
 )
-from tinrudder.wire import configuration_pb2
 
 
 class ReplicatedConfiguration:
-    """A :class:`tinrudder.cluster.replicated_state.ReplicatedState` over a store."""
+    """A :class:`tinrudder.cluster.replication.replicated_state.ReplicatedState` over a store."""
 
     def __init__(self, store: ConfigurationStore) -> None:
         """Read and join the state of ``store``."""
--- a/tinrudder_lab/claim_model.py
+++ b/tinrudder_lab/claim_model.py
@@ -20,7 +20,7 @@
 
 import msgspec
 
-from tinrudder.cluster.claim_proposer import ClaimPhase
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase
 from tinrudder_lab.claim_model_actors import ABSTAINED, HELD, Actors, Plant
 from tinrudder_lab.claim_model_state import (
     NOT_ACCEPTED,
--- a/tinrudder_lab/claim_model_actors.py
+++ b/tinrudder_lab/claim_model_actors.py
@@ -5,9 +5,9 @@
 import enum
 from typing import NamedTuple
 
-from tinrudder.cluster.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
-from tinrudder.cluster.claim_voter import ClaimVoter
-from tinrudder.cluster.claims import (
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
+from tinrudder.cluster.claims.claim_voter import ClaimVoter
+from tinrudder.cluster.claims.claims import (
     Abstained,
     AbstainReason,
     ClaimKey,
@@ -20,8 +20,8 @@
     VoteReply,
     VoteRequest,
 )
-from tinrudder.cluster.electorate import Electorate, Voter, make_electorate
-from tinrudder.cluster.electorate_history import ElectorateHistory, ListedVoter
+from tinrudder.cluster.claims.electorate import Electorate, Voter, make_electorate
+from tinrudder.cluster.claims.electorate_history import ElectorateHistory, ListedVoter
 from tinrudder.peers import PeerAddress
 from tinrudder_lab.claim_model_state import (
     NOBODY,
--- a/tinrudder_lab/claim_model_state.py
+++ b/tinrudder_lab/claim_model_state.py
@@ -10,7 +10,7 @@
 from functools import cache
 from typing import NamedTuple
 
-from tinrudder.cluster.claim_proposer import ClaimPhase
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase
 
 NOBODY = -1
 NOT_YET = -1
--- a/tinrudder_lab/claim_plants.py
+++ b/tinrudder_lab/claim_plants.py
@@ -1,7 +1,7 @@
 """Planted defects in claims, for the model and for whole nodes.
 
 A whole node gets one by patching the name where the product looks it up:
-``tinrudder.cluster.claims_service.ClaimVoter`` and ``.ClaimProposer``, and
+``tinrudder.cluster.claims.claims_service.ClaimVoter`` and ``.ClaimProposer``, and
 ``tinrudder.query.at_most_once.DispatchWindow``.
 """
 
@@ -9,9 +9,9 @@
 
 from dataclasses import dataclass
 
-from tinrudder.cluster.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
-from tinrudder.cluster.claim_voter import ClaimVoter
-from tinrudder.cluster.claims import AbstainReason
+from tinrudder.cluster.claims.claim_proposer import ClaimPhase, ClaimProposer, DispatchWindow
+from tinrudder.cluster.claims.claim_voter import ClaimVoter
+from tinrudder.cluster.claims.claims import AbstainReason
 
 
 class ForgetfulVoter(ClaimVoter):
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -14,8 +14,8 @@
 from tinrudder import node
 from tinrudder.api import caller_app, query_body
 from tinrudder.backends.messages import BackendCall, BackendReply, Broken, NotSent
-from tinrudder.cluster import claims_service
-from tinrudder.cluster.state_exchange import StateExchange
+from tinrudder.cluster.claims import claims_service
+from tinrudder.cluster.replication.state_exchange import StateExchange
 from tinrudder.environment import ReplyListener
 from tinrudder.node import Node
 from tinrudder.outcomes import Coverage, MayHaveRun, NotRun, NotRunReason, Outcome
