--- a/bench/call_cost.py
+++ b/bench/call_cost.py
@@ -29,8 +29,8 @@
     grouped_requests,
     single_requests,
 )
-from tinrudder.backends.http_transport import HttpBackendTransport
 from tinrudder.common.garbage_collection import tune_garbage_collection
+from tinrudder.node.backends.http_transport import HttpBackendTransport
 
 FAN_OUT = 130
 PORTS = 20
--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -24,8 +24,8 @@
     encode_request,
     short_digests,
 )
-from tinrudder.resources.exchange import ReplicatedConfiguration
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.resources.exchange import ReplicatedConfiguration
+from tinrudder.node.resources.store import ConfigurationStore
 
 SERVICES = 35
 CHANGES = 5
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -19,11 +19,11 @@
 
 from bench.state_slopes import build_document
 from tinrudder.cluster.replication.state_exchange import ExchangeSettings, StateExchange
-from tinrudder.configuration_service.messages import ResourceDocument
-from tinrudder.configuration_service.poll_pace import poll_delay_s
+from tinrudder.node.configuration_service.messages import ResourceDocument
+from tinrudder.node.configuration_service.poll_pace import poll_delay_s
+from tinrudder.node.resources.exchange import ReplicatedConfiguration
+from tinrudder.node.resources.store import ConfigurationStore
 from tinrudder.peers import DatagramHandler, PeerAddress, RequestHandler
-from tinrudder.resources.exchange import ReplicatedConfiguration
-from tinrudder.resources.store import ConfigurationStore
 
 ONE_WAY_S = (0.001, 0.003)
 PLATFORM_ANSWER_S = 0.02
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -18,23 +18,23 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
     SearchAnswer,
     SearchRequest,
 )
-from tinrudder.environment import ReplyListener
-from tinrudder.query.dispatcher import Dispatcher, SentCall
-from tinrudder.resources.model import Priority
-from tinrudder.routing.admission import ExpectedWaitAdmission, QueryDemand
-from tinrudder.routing.backend_limit import AdaptiveLimit
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.pending_call import PendingCall
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, QueryDemand
+from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.environment import ReplyListener
+from tinrudder.node.query.dispatcher import Dispatcher, SentCall
+from tinrudder.node.resources.model import Priority
 from tinrudder.timers import TimerHandle
 
 FAN_OUT = 130
--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -20,11 +20,11 @@
 from dataclasses import dataclass, field
 from functools import partial
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.call_queue import CallQueue, FirstInFirstOutQueue
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.call_queue import CallQueue, FirstInFirstOutQueue
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.resources.model import Priority
 
 SERVICE_MEDIAN_S = 0.004
 SERVICE_SIGMA = 0.4
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -17,15 +17,15 @@
 from dataclasses import dataclass, field
 
 from bench.fair_queue import VirtualTime, quantile
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_limit import (
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.backend_limit import (
     AdaptiveLimit,
     BackendLimitPolicy,
     FixedLimit,
 )
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.resources.model import Priority
 
 BACKENDS = 8
 SERVICE_S = 0.01
--- a/bench/node_under_test.py
+++ b/bench/node_under_test.py
@@ -9,14 +9,19 @@
 
 import msgspec
 
-from tinrudder.backends.messages import Answered, BackendCall, RowMessage, SearchAnswer, ShardRows
-from tinrudder.configuration_service.messages import MemberList, RawResource, ResourceDocument
-from tinrudder.environment import BackendTransport, Environment, ReplyListener
-from tinrudder.node import Node
-from tinrudder.node_explain import NodeExplanations
-from tinrudder.peers import DatagramHandler, PeerAddress, PeerNotSentError, RequestHandler
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.model import (
+from tinrudder.node.backends.messages import (
+    Answered,
+    BackendCall,
+    RowMessage,
+    SearchAnswer,
+    ShardRows,
+)
+from tinrudder.node.configuration_service.messages import MemberList, RawResource, ResourceDocument
+from tinrudder.node.environment import BackendTransport, Environment, ReplyListener
+from tinrudder.node.node import Node
+from tinrudder.node.node_explain import NodeExplanations
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.model import (
     AnySpec,
     BackendSpec,
     Credential,
@@ -28,7 +33,8 @@
     ShardSpec,
     TenantSpec,
 )
-from tinrudder.settings import NodeSettings
+from tinrudder.node.settings import NodeSettings
+from tinrudder.peers import DatagramHandler, PeerAddress, PeerNotSentError, RequestHandler
 
 TENANT = "bench"
 SERVICE = "service"
--- a/bench/relay_cost.py
+++ b/bench/relay_cost.py
@@ -18,13 +18,13 @@
 import msgspec
 
 from bench.slopes import Slope, fit
-from tinrudder.outcomes import Answer, Complete, Coverage, Outcome, Row
+from tinrudder.node.outcomes import Answer, Complete, Coverage, Outcome, Row
+from tinrudder.node.query.relay import RelayClient, RelayServer
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.wire.channels import Channel, ChannelRouter
+from tinrudder.node.wire.peer_transport import TcpPeerTransport
+from tinrudder.node.wire.relay_codec import RelayedQuery, encode_outcome, encode_query
 from tinrudder.peers import PeerAddress
-from tinrudder.query.relay import RelayClient, RelayServer
-from tinrudder.query.request import QueryRequest
-from tinrudder.wire.channels import Channel, ChannelRouter
-from tinrudder.wire.peer_transport import TcpPeerTransport
-from tinrudder.wire.relay_codec import RelayedQuery, encode_outcome, encode_query
 
 HOST = "127.0.0.1"
 SHARDS = 130
--- a/bench/relay_tls_cost.py
+++ b/bench/relay_tls_cost.py
@@ -19,13 +19,13 @@
 
 import trustme
 
-from tinrudder.outcomes import Answer, Complete, Coverage, Outcome, Row
+from tinrudder.node.outcomes import Answer, Complete, Coverage, Outcome, Row
+from tinrudder.node.query.relay import RelayClient, RelayServer
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.tls import Identity, TlsFiles
+from tinrudder.node.wire.channels import Channel, ChannelRouter
+from tinrudder.node.wire.peer_transport import TcpPeerTransport
 from tinrudder.peers import PeerAddress
-from tinrudder.query.relay import RelayClient, RelayServer
-from tinrudder.query.request import QueryRequest
-from tinrudder.tls import Identity, TlsFiles
-from tinrudder.wire.channels import Channel, ChannelRouter
-from tinrudder.wire.peer_transport import TcpPeerTransport
 
 HOST = "127.0.0.1"
 SHARDS = 130
--- a/bench/state_slopes.py
+++ b/bench/state_slopes.py
@@ -20,8 +20,9 @@
 import msgspec
 
 from bench.slopes import Slope, fit
-from tinrudder.configuration_service.messages import RawResource, ResourceDocument
-from tinrudder.resources.model import (
+from tinrudder.node.configuration_service.messages import RawResource, ResourceDocument
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.resources.model import (
     BackendSpec,
     IndexSpec,
     IndexVersionSpec,
@@ -32,8 +33,7 @@
     Spec,
     TenantSpec,
 )
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.routing.backend_table import BackendTable
+from tinrudder.node.resources.store import ConfigurationStore
 
 BACKENDS_PER_SERVICE = 132
 SHARDS_PER_INDEX = 130
--- a/bench/subjects.py
+++ b/bench/subjects.py
@@ -14,19 +14,19 @@
 
 from bench.floor_client import FloorFanOut
 from bench.node_under_test import INDEX, build_document, query_request, shard_name, start_node
-from tinrudder.api.caller_app import CallerApplication
-from tinrudder.api.cursor import CursorCodec
-from tinrudder.backends.http_transport import HttpBackendTransport
-from tinrudder.backends.messages import (
+from tinrudder.node.api.caller_app import CallerApplication
+from tinrudder.node.api.cursor import CursorCodec
+from tinrudder.node.backends.http_transport import HttpBackendTransport
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
     SearchAnswer,
     SearchRequest,
 )
-from tinrudder.environment import BackendTransport
-from tinrudder.node import Node
-from tinrudder.outcomes import Complete
+from tinrudder.node.environment import BackendTransport
+from tinrudder.node.node import Node
+from tinrudder.node.outcomes import Complete
 
 HOST = "127.0.0.1"
 DEADLINE_S = 60.0
--- a/tests/functional/test_backend_http.py
+++ b/tests/functional/test_backend_http.py
@@ -5,8 +5,8 @@
 import asyncio
 import random
 
-from tinrudder.backends.http_transport import HttpBackendTransport
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.http_transport import HttpBackendTransport
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
--- a/tests/functional/test_caller_protocol.py
+++ b/tests/functional/test_caller_protocol.py
@@ -12,8 +12,8 @@
 from starlette.responses import PlainTextResponse
 from starlette.routing import Route
 
-from tinrudder.api import caller_protocol
-from tinrudder.api.caller_protocol import MAX_HEAD_BYTES, CallerProtocol
+from tinrudder.node.api import caller_protocol
+from tinrudder.node.api.caller_protocol import MAX_HEAD_BYTES, CallerProtocol
 
 HOST = "127.0.0.1"
 GOOD = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
--- a/tests/functional/test_commands.py
+++ b/tests/functional/test_commands.py
@@ -16,16 +16,16 @@
 
 from tests.support.asgi import call, start
 from tests.support.documents import document, resource, small_deployment
-from tinrudder.api.resource_app import ResourceApiSettings, ResourceApplication
 from tinrudder.cli import apply, connection
 from tinrudder.cli.connection import NodeAnswer
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.main import main
-from tinrudder.configuration_service.messages import RawResource
-from tinrudder.configuration_service.writer import PlatformWriteError, ResourceBatch
-from tinrudder.resources.model import Kind
-from tinrudder.resources.status import NodeRevision, StatusReporter
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.api.operators.resource_app import ResourceApiSettings, ResourceApplication
+from tinrudder.node.configuration_service.messages import RawResource
+from tinrudder.node.configuration_service.writer import PlatformWriteError, ResourceBatch
+from tinrudder.node.resources.model import Kind
+from tinrudder.node.resources.status import NodeRevision, StatusReporter
+from tinrudder.node.resources.store import ConfigurationStore
 
 RULE_FILE = """
 [[resources]]   # a comment
--- a/tests/functional/test_configuration_exchange.py
+++ b/tests/functional/test_configuration_exchange.py
@@ -22,9 +22,9 @@
 from tinrudder.cluster.replication.state_exchange import StateExchange
 from tinrudder.cluster.wire import configuration_pb2
 from tinrudder.cluster.wire.configuration_codec import decode_answer, decode_notice, decode_request
-from tinrudder.configuration_service.messages import ResourceDocument
-from tinrudder.resources.exchange import ReplicatedConfiguration
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.configuration_service.messages import ResourceDocument
+from tinrudder.node.resources.exchange import ReplicatedConfiguration
+from tinrudder.node.resources.store import ConfigurationStore
 
 ENTRIES = tuple(
     configuration_pb2.ResourceEntry(kind=kind, name=name, raw_spec=spec).SerializeToString()
--- a/tests/functional/test_connection_pool.py
+++ b/tests/functional/test_connection_pool.py
@@ -10,10 +10,10 @@
 import trustme
 
 from tests.functional.test_backend_http import HOST, call_to, exchange, with_backend
-from tinrudder.backends import connection_pool
-from tinrudder.backends.connection import READ_BUFFER_BYTES
-from tinrudder.backends.http_transport import HttpBackendTransport
-from tinrudder.backends.messages import Answered, BackendReply, Broken, NotSent
+from tinrudder.node.backends import connection_pool
+from tinrudder.node.backends.connection import READ_BUFFER_BYTES
+from tinrudder.node.backends.http_transport import HttpBackendTransport
+from tinrudder.node.backends.messages import Answered, BackendReply, Broken, NotSent
 from tinrudder_lab.backend_model import BackendBehaviour, BackendModel
 
 MAXIMUM = 3
--- a/tests/functional/test_node_configuration.py
+++ b/tests/functional/test_node_configuration.py
@@ -12,15 +12,15 @@
 from tests.support.documents import document, tenant
 from tests.support.fakes import RecordingTransport
 from tests.support.peer_network import PeerNetwork
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     PlatformMember,
     PlatformUnavailableError,
     ResourceDocument,
 )
-from tinrudder.environment import Environment
-from tinrudder.node import Node
-from tinrudder.settings import NodeSettings
+from tinrudder.node.environment import Environment
+from tinrudder.node.node import Node
+from tinrudder.node.settings import NodeSettings
 
 
 @dataclass
--- a/tests/functional/test_peer_transport.py
+++ b/tests/functional/test_peer_transport.py
@@ -21,9 +21,9 @@
     read_payload,
 )
 from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.node.tls import Identity, TlsError, TlsFiles
+from tinrudder.node.wire.peer_transport import TcpPeerTransport
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
-from tinrudder.tls import Identity, TlsError, TlsFiles
-from tinrudder.wire.peer_transport import TcpPeerTransport
 
 HOST = "127.0.0.1"
 TIMEOUT_S = 5.0
--- a/tests/functional/test_platform_client.py
+++ b/tests/functional/test_platform_client.py
@@ -10,14 +10,14 @@
 import uvicorn
 
 from tests.support.documents import document, tenant
-from tinrudder.configuration_service import client as client_module
-from tinrudder.configuration_service.client import PlatformClient
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service import client as client_module
+from tinrudder.node.configuration_service.client import PlatformClient
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     PlatformMember,
     PlatformUnavailableError,
 )
-from tinrudder.configuration_service.writer import (
+from tinrudder.node.configuration_service.writer import (
     PlatformWriteError,
     PlatformWriter,
     ResourceBatch,
--- a/tests/functional/test_resource_api.py
+++ b/tests/functional/test_resource_api.py
@@ -13,10 +13,10 @@
 
 from tests.support.asgi import AsgiResponse, call, start
 from tests.support.documents import document, resource, small_deployment, tenant
-from tinrudder.api.resource_app import ResourceApiSettings, ResourceApplication
-from tinrudder.resources.model import Kind
-from tinrudder.resources.status import NodeRevision, StatusReporter
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.api.operators.resource_app import ResourceApiSettings, ResourceApplication
+from tinrudder.node.resources.model import Kind
+from tinrudder.node.resources.status import NodeRevision, StatusReporter
+from tinrudder.node.resources.store import ConfigurationStore
 
 OPERATOR = "Bearer ops.secret"
 ACME = "Bearer acme-key.s"
--- a/tests/functional/test_serve.py
+++ b/tests/functional/test_serve.py
@@ -19,13 +19,13 @@
 import trustme
 import uvicorn
 
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     PlatformMember,
     RawResource,
     ResourceDocument,
 )
-from tinrudder.resources.model import BackendSpec, Kind
+from tinrudder.node.resources.model import BackendSpec, Kind
 from tinrudder_lab.backend_model import BackendBehaviour, BackendModel
 from tinrudder_lab.backend_server import serve_model
 from tinrudder_lab.datasets import ShardStore
--- a/tests/probe/test_relay_faults.py
+++ b/tests/probe/test_relay_faults.py
@@ -19,8 +19,8 @@
     run,
     slowest_s,
 )
-from tinrudder.configuration_service.messages import MemberState
-from tinrudder.routing.coordinator_set import SLOT_HEADROOM
+from tinrudder.node.configuration_service.messages import MemberState
+from tinrudder.node.decisions.coordinator_set import SLOT_HEADROOM
 from tinrudder_lab import faults
 from tinrudder_lab.checkers.all import check_history
 from tinrudder_lab.faults import Step
--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -4,8 +4,8 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import RawResource, ResourceDocument
-from tinrudder.resources.model import Kind
+from tinrudder.node.configuration_service.messages import RawResource, ResourceDocument
+from tinrudder.node.resources.model import Kind
 
 
 def resource(kind: Kind | str, name: str, generation: int = 1, **spec: object) -> RawResource:
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
@@ -16,7 +16,7 @@
     SearchAnswer,
     ShardRows,
 )
-from tinrudder.environment import ReplyListener
+from tinrudder.node.environment import ReplyListener
 
 
 @dataclass(eq=False)
--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -10,7 +10,11 @@
 
 from tests.support.documents import document, resource, tenant
 from tests.support.peer_network import MemoryPeerTransport, PeerNetwork
-from tinrudder.backends.messages import (
+from tinrudder.cluster.claims.claims import ClaimLimits
+from tinrudder.cluster.claims.claims_service import ClaimNode, ClaimsService
+from tinrudder.cluster.claims.electorate import Voter
+from tinrudder.cluster.claims.electorate_history import ListedVoter
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
@@ -18,26 +22,22 @@
     SearchAnswer,
     ShardRows,
 )
-from tinrudder.cluster.claims.claims import ClaimLimits
-from tinrudder.cluster.claims.claims_service import ClaimNode, ClaimsService
-from tinrudder.cluster.claims.electorate import Voter
-from tinrudder.cluster.claims.electorate_history import ListedVoter
-from tinrudder.environment import ReplyListener
-from tinrudder.outcomes import Outcome
-from tinrudder.query.admission_gate import AdmissionGate
-from tinrudder.query.at_most_once import OperationRunner
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.operation_outcomes import OperationOutcomes
-from tinrudder.query.operation_request import OperationRequest
-from tinrudder.query.plan import Planner
-from tinrudder.resources.model import Kind
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.routing.admission import ExpectedWaitAdmission
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.service_routing import RoutingTable
-from tinrudder.routing.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.environment import ReplyListener
+from tinrudder.node.outcomes import Outcome
+from tinrudder.node.query.admission_gate import AdmissionGate
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.operations.at_most_once import OperationRunner
+from tinrudder.node.query.operations.operation_outcomes import OperationOutcomes
+from tinrudder.node.query.operations.operation_request import OperationRequest
+from tinrudder.node.query.plan import Planner
+from tinrudder.node.resources.model import Kind
+from tinrudder.node.resources.store import ConfigurationStore
 
 WALL_START = 1_000_000.0
 SERVICE_S = 0.01
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -9,9 +9,9 @@
 import msgspec
 
 from tinrudder.cluster.view import Member
+from tinrudder.node.decisions.coordinator_set import choose_coordinators
+from tinrudder.node.resources.model import Preference, QueryRuleSpec
 from tinrudder.peers import PeerAddress
-from tinrudder.resources.model import Preference, QueryRuleSpec
-from tinrudder.routing.coordinator_set import choose_coordinators
 from tinrudder_lab import measures
 from tinrudder_lab.deployment import (
     PLATA_OWNERS,
--- a/tests/unit/test_acceptance.py
+++ b/tests/unit/test_acceptance.py
@@ -11,10 +11,10 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
 from tests.support.documents import document, tenant
-from tinrudder.configuration_service.messages import ResourceDocument
-from tinrudder.resources.accepted import join_states
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.resources.validation import state_of_document, version_of
+from tinrudder.node.configuration_service.messages import ResourceDocument
+from tinrudder.node.resources.accepted import join_states
+from tinrudder.node.resources.store import ConfigurationStore
+from tinrudder.node.resources.validation import state_of_document, version_of
 
 NAMES = ("a", "b", "c")
 STORES = 3
--- a/tests/unit/test_admission.py
+++ b/tests/unit/test_admission.py
@@ -4,11 +4,11 @@
 
 import random
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.admission import ExpectedWaitAdmission, Overload, QueryDemand
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, Overload, QueryDemand
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.resources.model import Priority
 
 LATENCY_S = 0.01
 
--- a/tests/unit/test_at_most_once.py
+++ b/tests/unit/test_at_most_once.py
@@ -11,10 +11,10 @@
 
 from tests.support.operation_cluster import WALL_START, OperationCluster, ledger_document
 from tests.support.virtual_caller import FakeCaller, run_virtual
-from tinrudder.api.operation_app import operation_route
-from tinrudder.backends.messages import Broken, Draining, Shed
-from tinrudder.outcomes import Complete, MayHaveRunReason, NotRun, NotRunReason
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.api.operation_app import operation_route
+from tinrudder.node.backends.messages import Broken, Draining, Shed
+from tinrudder.node.outcomes import Complete, MayHaveRunReason, NotRun, NotRunReason
+from tinrudder.node.resources.store import ConfigurationStore
 
 
 def virtual(scenario):
--- a/tests/unit/test_backend_connection.py
+++ b/tests/unit/test_backend_connection.py
@@ -10,9 +10,9 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tinrudder.backends import connection as connection_module
-from tinrudder.backends.connection import READ_BUFFER_BYTES, BackendConnection
-from tinrudder.backends.messages import (
+from tinrudder.node.backends import connection as connection_module
+from tinrudder.node.backends.connection import READ_BUFFER_BYTES, BackendConnection
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
--- a/tests/unit/test_backend_limit.py
+++ b/tests/unit/test_backend_limit.py
@@ -8,8 +8,8 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from tinrudder.routing.backend_limit import AdaptiveLimit
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
 
 
 def record_of(slots: int) -> BackendRecord:
--- a/tests/unit/test_caller_app.py
+++ b/tests/unit/test_caller_app.py
@@ -16,13 +16,13 @@
 from hypothesis import strategies as st
 
 from tests.support.virtual_caller import FakeCaller, run_virtual
-from tinrudder.api.caller_app import CallerApplication
-from tinrudder.api.cursor import CursorCodec
-from tinrudder.api.finished_query import FinishedQuery
-from tinrudder.api.outcome_mapping import status_of
-from tinrudder.api.query_body import QueryBody
-from tinrudder.api.request_body import MAX_BODY_BYTES
-from tinrudder.outcomes import (
+from tinrudder.node.api.caller_app import CallerApplication
+from tinrudder.node.api.cursor import CursorCodec
+from tinrudder.node.api.finished_query import FinishedQuery
+from tinrudder.node.api.outcome_mapping import status_of
+from tinrudder.node.api.query_body import QueryBody
+from tinrudder.node.api.request_body import MAX_BODY_BYTES
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
@@ -38,9 +38,9 @@
     Partial,
     Row,
 )
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration, CredentialOwner
-from tinrudder.resources.model import (
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration, CredentialOwner
+from tinrudder.node.resources.model import (
     Credential,
     IndexSpec,
     IndexVersionSpec,
--- a/tests/unit/test_coordinator_set.py
+++ b/tests/unit/test_coordinator_set.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from tinrudder.cluster.view import Member, MemberStatus, build_view
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.coordinator_set import choose_coordinators
+from tinrudder.node.query.coordinator_sets import CoordinatorSets
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import BackendSpec, ServiceSpec
 from tinrudder.peers import PeerAddress
-from tinrudder.query.coordinator_sets import CoordinatorSets
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import BackendSpec, ServiceSpec
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.coordinator_set import choose_coordinators
 
 ZONES = ("z1", "z2", "z3")
 
--- a/tests/unit/test_entry.py
+++ b/tests/unit/test_entry.py
@@ -10,7 +10,9 @@
 
 from tests.support.fakes import ManualTimers
 from tinrudder.cluster.view import Member
-from tinrudder.outcomes import (
+from tinrudder.node.decisions.coordinator_ranking import CoordinatorRanking
+from tinrudder.node.decisions.coordinator_set import CoordinatorSet
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
@@ -20,14 +22,12 @@
     NotRunReason,
     Outcome,
 )
+from tinrudder.node.query.coordinator_watch import CoordinatorWatch
+from tinrudder.node.query.entry import Entry
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import IndexSpec, IndexVersionSpec, QueryRuleSpec, ShardSpec
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
-from tinrudder.query.coordinator_watch import CoordinatorWatch
-from tinrudder.query.entry import Entry
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import IndexSpec, IndexVersionSpec, QueryRuleSpec, ShardSpec
-from tinrudder.routing.coordinator_ranking import CoordinatorRanking
-from tinrudder.routing.coordinator_set import CoordinatorSet
 
 LOCAL = Complete(Answer(1, (), Coverage(("local",))))
 REMOTE = Complete(Answer(1, (), Coverage(("remote",))))
--- a/tests/unit/test_explain.py
+++ b/tests/unit/test_explain.py
@@ -12,17 +12,17 @@
 
 from tests.support.virtual_caller import FakeCaller, run_virtual
 from tests.unit.test_fan_out import DEADLINE_S, Harness
-from tinrudder.api.explain_app import explain_route
-from tinrudder.backends.messages import Broken
 from tinrudder.cluster.view import Member
+from tinrudder.node.api.explain_app import explain_route
+from tinrudder.node.backends.messages import Broken
+from tinrudder.node.decisions.coordinator_set import CoordinatorSet
+from tinrudder.node.query.coordinator import CoordinatorCounters
+from tinrudder.node.query.explanations.explain import ExplanationRing, QueryExplanation
+from tinrudder.node.query.explanations.explain_lookup import ExplainLookup
+from tinrudder.node.query.explanations.explain_recorder import FanOutRecorder
+from tinrudder.node.resources.configuration import Configuration, CredentialOwner
+from tinrudder.node.resources.model import Credential, QueryRuleSpec
 from tinrudder.peers import DatagramHandler, PeerAddress, PeerLostError, RequestHandler
-from tinrudder.query.coordinator import CoordinatorCounters
-from tinrudder.query.explain import ExplanationRing, QueryExplanation
-from tinrudder.query.explain_lookup import ExplainLookup
-from tinrudder.query.explain_recorder import FanOutRecorder
-from tinrudder.resources.configuration import Configuration, CredentialOwner
-from tinrudder.resources.model import Credential, QueryRuleSpec
-from tinrudder.routing.coordinator_set import CoordinatorSet
 
 COORDINATOR = PeerAddress("127.0.0.1", 2)
 SECRET_HASH = hashlib.sha256(b"secret").hexdigest()
--- a/tests/unit/test_fair_queue.py
+++ b/tests/unit/test_fair_queue.py
@@ -9,12 +9,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.call_queue import Newcomer
-from tinrudder.routing.fair_queue import SWEEP_SLACK, StartTimeFairQueue
-from tinrudder.routing.pending_call import PendingCall
-from tinrudder.routing.tenant_flow import COMPACTION_SLACK, MAX_PASSED_OVER
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.call_queue import Newcomer
+from tinrudder.node.decisions.load.fair_queue import SWEEP_SLACK, StartTimeFairQueue
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.tenant_flow import COMPACTION_SLACK, MAX_PASSED_OVER
+from tinrudder.node.resources.model import Priority
 
 WEIGHTS = {"a": 1, "b": 2, "c": 8}
 
--- a/tests/unit/test_fan_out.py
+++ b/tests/unit/test_fan_out.py
@@ -8,17 +8,25 @@
 import pytest
 
 from tests.support.fakes import ManualTimers, RecordingTransport
-from tinrudder.backends.messages import Broken, Draining, NotSent, Shed
-from tinrudder.outcomes import Complete, Failed, MayHaveRun, MissingReason, NotRun, Outcome, Partial
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.fan_out import FanOut
-from tinrudder.query.plan import PlannedShard, QueryPlan
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.model import QueryRuleSpec, ShardSpec
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.call_queue import FirstInFirstOutQueue
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.service_routing import RoutingTable
+from tinrudder.node.backends.messages import Broken, Draining, NotSent, Shed
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.call_queue import FirstInFirstOutQueue
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.outcomes import (
+    Complete,
+    Failed,
+    MayHaveRun,
+    MissingReason,
+    NotRun,
+    Outcome,
+    Partial,
+)
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.fan_out import FanOut
+from tinrudder.node.query.plan import PlannedShard, QueryPlan
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.model import QueryRuleSpec, ShardSpec
 
 DEADLINE_S = 0.1
 
--- a/tests/unit/test_fan_out_machine.py
+++ b/tests/unit/test_fan_out_machine.py
@@ -17,7 +17,7 @@
 
 from tests.support.fakes import ManualTimers, RecordingTransport
 from tests.unit.test_fan_out import DEADLINE_S, request_of
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     Broken,
@@ -29,16 +29,16 @@
     Shed,
     VersionGone,
 )
-from tinrudder.outcomes import Complete, Failed, MissingReason, NotRun, Outcome, Partial
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.fan_out import MAX_ATTEMPTS_PER_SHARD, FanOut
-from tinrudder.query.plan import PlannedShard, QueryPlan
-from tinrudder.resources.model import Preference, QueryRuleSpec, ShardSpec
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.hedging import MAX_HEDGES_PER_SHARD, MINIMUM_OBSERVATIONS
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.service_routing import RoutingTable
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.hedging import MAX_HEDGES_PER_SHARD, MINIMUM_OBSERVATIONS
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.outcomes import Complete, Failed, MissingReason, NotRun, Outcome, Partial
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.fan_out import MAX_ATTEMPTS_PER_SHARD, FanOut
+from tinrudder.node.query.plan import PlannedShard, QueryPlan
+from tinrudder.node.resources.model import Preference, QueryRuleSpec, ShardSpec
 
 OLD_VERSION = 7
 NEW_VERSION = 8
--- a/tests/unit/test_gateway_metrics.py
+++ b/tests/unit/test_gateway_metrics.py
@@ -11,7 +11,7 @@
 from tinrudder.gateway.request_log import FinishedRequest
 from tinrudder_lab.emulator.site import EmulatedSite, SiteTenant, run_site
 
-LATER = ("prometheus_client", "http.server", "tinrudder.metrics", "tinrudder.outcomes")
+LATER = ("prometheus_client", "http.server", "tinrudder.node.metrics", "tinrudder.node.outcomes")
 """Modules that no request needs."""
 
 
--- a/tests/unit/test_lab_policies.py
+++ b/tests/unit/test_lab_policies.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tinrudder import node
+from tinrudder.node import node
 from tinrudder_lab.policies import NODE_WIDE
 
 
--- a/tests/unit/test_metrics.py
+++ b/tests/unit/test_metrics.py
@@ -8,11 +8,11 @@
 from starlette.applications import Starlette
 
 from tests.support.virtual_caller import FakeCaller, run_virtual
-from tinrudder import metrics as metrics_module
-from tinrudder.api.finished_query import FinishedQuery
-from tinrudder.api.metrics_app import metrics_route
-from tinrudder.metrics import NodeMetrics, ReadMetric
-from tinrudder.outcomes import NotRun, NotRunReason
+from tinrudder.node import metrics as metrics_module
+from tinrudder.node.api.finished_query import FinishedQuery
+from tinrudder.node.api.metrics_app import metrics_route
+from tinrudder.node.metrics import NodeMetrics, ReadMetric
+from tinrudder.node.outcomes import NotRun, NotRunReason
 
 OPERATORS = {"ops": hashlib.sha256(b"secret").hexdigest()}
 
--- a/tests/unit/test_node_observations.py
+++ b/tests/unit/test_node_observations.py
@@ -7,10 +7,10 @@
 import pytest
 
 from tests.support.datagram_network import Cluster
-from tinrudder.node_observations import NodeObservations
-from tinrudder.resources.model import BackendSpec, BackendState
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.drain_signs import LONGEST_HOLD_S
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.drain_signs import LONGEST_HOLD_S
+from tinrudder.node.node_observations import NodeObservations
+from tinrudder.node.resources.model import BackendSpec, BackendState
 
 SPECS = {"b1": BackendSpec(service="s", host="10.0.0.2", port=1, zone="z", slots=2)}
 
--- a/tests/unit/test_overload.py
+++ b/tests/unit/test_overload.py
@@ -9,14 +9,21 @@
 
 from tests.support.fakes import ManualTimers, RecordingTransport
 from tests.unit.test_fan_out import DEADLINE_S, request_of
-from tinrudder.backends.messages import Answered, SearchAnswer, ShardRows, Shed
-from tinrudder.outcomes import Complete, MissingReason, NotRun, NotRunReason, Partial
-from tinrudder.query.admission_gate import AdmissionGate
-from tinrudder.query.coordinator import Coordinator
-from tinrudder.query.dispatcher import MAXIMUM_HANDOVER_S, Dispatcher
-from tinrudder.query.plan import Planner
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import (
+from tinrudder.node.backends.messages import Answered, SearchAnswer, ShardRows, Shed
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
+from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.outcomes import Complete, MissingReason, NotRun, NotRunReason, Partial
+from tinrudder.node.query.admission_gate import AdmissionGate
+from tinrudder.node.query.coordinator import Coordinator
+from tinrudder.node.query.dispatcher import MAXIMUM_HANDOVER_S, Dispatcher
+from tinrudder.node.query.plan import Planner
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import (
     BackendSpec,
     IndexSpec,
     IndexVersionSpec,
@@ -25,13 +32,6 @@
     ShardSpec,
     TenantSpec,
 )
-from tinrudder.routing.admission import ExpectedWaitAdmission
-from tinrudder.routing.backend_limit import AdaptiveLimit
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.service_routing import RoutingTable
-from tinrudder.routing.tenant_usage import TenantUsageTable
 
 LATENCY_S = 0.01
 
--- a/tests/unit/test_process_mode.py
+++ b/tests/unit/test_process_mode.py
@@ -5,7 +5,7 @@
 import msgspec
 import pytest
 
-from tinrudder.backends.messages import SearchRequest
+from tinrudder.node.backends.messages import SearchRequest
 from tinrudder_lab.checkers.draining import check as check_draining
 from tinrudder_lab.history import CallStage, DrainSigned, History, NodeSeen, NodeStage
 from tinrudder_lab.main import main
--- a/tests/unit/test_query_decisions.py
+++ b/tests/unit/test_query_decisions.py
@@ -8,8 +8,13 @@
 
 from tests.support.fakes import ManualTimers, RecordingTransport
 from tests.unit.test_fan_out import DEADLINE_S, NoOtherVersion, request_of
-from tinrudder.backends.messages import Broken, Draining, NotSent, Shed, VersionGone
-from tinrudder.outcomes import (
+from tinrudder.node.backends.messages import Broken, Draining, NotSent, Shed, VersionGone
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.hedging import MINIMUM_OBSERVATIONS
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.outcomes import (
     Complete,
     Failed,
     FailedReason,
@@ -19,11 +24,11 @@
     NotRunReason,
     Outcome,
 )
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.fan_out import FanOut
-from tinrudder.query.plan import Planner, QueryPlan
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import (
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.fan_out import FanOut
+from tinrudder.node.query.plan import Planner, QueryPlan
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import (
     BackendSpec,
     IndexSpec,
     IndexVersionSpec,
@@ -33,11 +38,6 @@
     ShardSpec,
     TenantSpec,
 )
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.hedging import MINIMUM_OBSERVATIONS
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.service_routing import RoutingTable
 
 SLOTS = 5
 OLD_VERSION, NEW_VERSION = 1, 2
--- a/tests/unit/test_relay_codec.py
+++ b/tests/unit/test_relay_codec.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.outcomes import Answer, Complete, Coverage, NotRun, NotRunReason, Outcome, Row
-from tinrudder.query.request import QueryRequest
-from tinrudder.wire import relay_pb2
-from tinrudder.wire.relay_codec import (
+from tinrudder.node.outcomes import Answer, Complete, Coverage, NotRun, NotRunReason, Outcome, Row
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.wire import relay_pb2
+from tinrudder.node.wire.relay_codec import (
     MAX_OUTCOME_BYTES,
     MAX_REQUEST_BYTES,
     RelayCodecError,
--- a/tests/unit/test_routing_policies.py
+++ b/tests/unit/test_routing_policies.py
@@ -8,25 +8,25 @@
 import pytest
 
 from tinrudder.common.latency_window import PERIOD_CALLS, LatencyWindow
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.ejection import (
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.ejection import (
     FAILURES_TO_EJECT,
     FIRST_EJECTION_S,
     MINIMUM_ANSWERS,
     REFRESH_OBSERVATIONS,
     OutlierEjection,
 )
-from tinrudder.routing.hedging import (
+from tinrudder.node.decisions.hedging import (
     HEDGE_CAPACITY,
     MINIMUM_OBSERVATIONS,
     NoHedge,
     QuantileHedge,
     is_widespread,
 )
-from tinrudder.routing.registry import BASELINE, DEFAULTS, Role, names_by_role
-from tinrudder.routing.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
-from tinrudder.routing.retry_budget import BudgetedRetry, FractionBudget
-from tinrudder.routing.service_routing import RoutingTable
+from tinrudder.node.decisions.registry import BASELINE, DEFAULTS, Role, names_by_role
+from tinrudder.node.decisions.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
+from tinrudder.node.decisions.retry_budget import BudgetedRetry, FractionBudget
+from tinrudder.node.decisions.service_routing import RoutingTable
 
 LATENCY_S = 0.004
 SLOW_S = 0.08
--- a/tests/unit/test_samples.py
+++ b/tests/unit/test_samples.py
@@ -7,8 +7,8 @@
 import pytest
 
 from tinrudder.cli.resource_file import load_resource_file
-from tinrudder.resources.validation import problems_of
-from tinrudder.settings import load_settings
+from tinrudder.node.resources.validation import problems_of
+from tinrudder.node.settings import load_settings
 
 ETC = Path(__file__).parents[2] / "etc"
 
--- a/tests/unit/test_settings.py
+++ b/tests/unit/test_settings.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tinrudder.settings import SettingsError, load_settings
+from tinrudder.node.settings import SettingsError, load_settings
 
 GOOD = """
 name = "n1"
--- a/tests/unit/test_tenant_usage.py
+++ b/tests/unit/test_tenant_usage.py
@@ -6,7 +6,12 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
-from tinrudder.routing.tenant_usage import Cap, QueryPermit, TenantCaps, TenantUsageTable
+from tinrudder.node.decisions.load.tenant_usage import (
+    Cap,
+    QueryPermit,
+    TenantCaps,
+    TenantUsageTable,
+)
 
 CAPS = TenantCaps(queries=3, queue_places=6, buffered_bytes=100)
 
--- a/tests/unit/test_unknown_policy.py
+++ b/tests/unit/test_unknown_policy.py
@@ -5,10 +5,15 @@
 import random
 
 from tests.support.fakes import ManualTimers
-from tinrudder.resources.accepted import AcceptedResource, DocumentVersion, ResourceKey, make_state
-from tinrudder.resources.status import NodeRevision, StatusReporter
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.routing.service_routing import RoutingTable
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.resources.accepted import (
+    AcceptedResource,
+    DocumentVersion,
+    ResourceKey,
+    make_state,
+)
+from tinrudder.node.resources.status import NodeRevision, StatusReporter
+from tinrudder.node.resources.store import ConfigurationStore
 
 
 def test_a_policy_this_release_does_not_have_gives_way_to_the_default() -> None:
--- a/tests/unit/test_validation.py
+++ b/tests/unit/test_validation.py
@@ -10,11 +10,11 @@
 from hypothesis import given
 
 from tests.support.documents import document, resource, small_deployment, tenant
-from tinrudder.configuration_service.messages import RawResource, ResourceDocument
-from tinrudder.resources import validation
-from tinrudder.resources.model import Kind
-from tinrudder.resources.rules import PolicyNames
-from tinrudder.resources.validation import DocumentRefusedError, problems_of
+from tinrudder.node.configuration_service.messages import RawResource, ResourceDocument
+from tinrudder.node.resources import validation
+from tinrudder.node.resources.model import Kind
+from tinrudder.node.resources.rules import PolicyNames
+from tinrudder.node.resources.validation import DocumentRefusedError, problems_of
 
 BACKEND = {"service": "search", "host": "127.0.0.1", "port": 9000, "zone": "a", "slots": 2}
 SHARD = {"shard": "s0", "owner": "acme", "backends": ["b0"]}
--- a/tinrudder/api/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""HTTP applications for callers, operators and metrics."""
--- a/tinrudder/backends/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Adapter to the back ends: messages, HTTP transport, cancellation."""
--- a/tinrudder/cli/apply.py
+++ b/tinrudder/cli/apply.py
@@ -12,18 +12,18 @@
 
 import msgspec
 
-from tinrudder.api.resource_bodies import EnforcementBody, NodesBody, ResourceBody
 from tinrudder.cli.connection import NodeAnswer, NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
 from tinrudder.cli.resource_file import ResourceFile, load_resource_file
 from tinrudder.cli.validate import validate_at_node
-from tinrudder.configuration_service.writer import (
+from tinrudder.node.api.operators.resource_bodies import EnforcementBody, NodesBody, ResourceBody
+from tinrudder.node.configuration_service.writer import (
     PlatformWriteError,
     PlatformWriter,
     ResourceWriter,
 )
-from tinrudder.resources.status import ConditionType
+from tinrudder.node.resources.status import ConditionType
 
 POLL_INTERVAL_S = 0.25
 DEFAULT_TIMEOUT_S = 30.0
--- a/tinrudder/cli/check_settings.py
+++ b/tinrudder/cli/check_settings.py
@@ -7,7 +7,7 @@
 from pathlib import Path
 
 from tinrudder.cli.exit_codes import ExitCode
-from tinrudder.settings import (
+from tinrudder.node.settings import (
     SettingsError,
     add_settings_flags,
     flags_given,
--- a/tinrudder/cli/connection.py
+++ b/tinrudder/cli/connection.py
@@ -16,8 +16,8 @@
 from aiosonic.exceptions import AiosonicError
 from aiosonic.timeout import Timeouts
 
-from tinrudder.api.resource_bodies import ErrorBody
 from tinrudder.cli.exit_codes import CommandError, ExitCode
+from tinrudder.node.api.operators.resource_bodies import ErrorBody
 
 NODE_URL_VARIABLE = "TINRUDDER_NODE_URL"
 CREDENTIAL_VARIABLE = "TINRUDDER_CREDENTIAL"
--- a/tinrudder/cli/explain.py
+++ b/tinrudder/cli/explain.py
@@ -8,7 +8,7 @@
 from tinrudder.cli.connection import NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import ExitCode
 from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
-from tinrudder.query.explain import CallExplanation, QueryExplanation
+from tinrudder.node.query.explanations.explain import CallExplanation, QueryExplanation
 
 HEADINGS = ("shard", "owner", "sent to", "hedges", "waited ms", "candidates", "missing")
 
--- a/tinrudder/cli/get.py
+++ b/tinrudder/cli/get.py
@@ -5,11 +5,11 @@
 import argparse
 from urllib.parse import quote
 
-from tinrudder.api.resource_bodies import ResourceBody, ResourceListBody
 from tinrudder.cli.connection import NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import ExitCode
 from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
-from tinrudder.resources.model import Kind
+from tinrudder.node.api.operators.resource_bodies import ResourceBody, ResourceListBody
+from tinrudder.node.resources.model import Kind
 
 HEADINGS = ("kind", "name", "generation", "accepted", "enforced", "message")
 
--- a/tinrudder/cli/query.py
+++ b/tinrudder/cli/query.py
@@ -6,8 +6,6 @@
 
 import msgspec
 
-from tinrudder.api.outcome_mapping import OutcomeBody
-from tinrudder.api.query_body import DEFAULT_LIMIT, QueryBody
 from tinrudder.cli.connection import (
     DENIED_STATUSES,
     NodeClient,
@@ -16,6 +14,8 @@
 )
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
+from tinrudder.node.api.outcome_mapping import OutcomeBody
+from tinrudder.node.api.query_body import DEFAULT_LIMIT, QueryBody
 
 CODES = {
     "complete": ExitCode.OK,
--- a/tinrudder/cli/resource_file.py
+++ b/tinrudder/cli/resource_file.py
@@ -8,8 +8,8 @@
 import msgspec
 
 from tinrudder.cli.exit_codes import CommandError, ExitCode
-from tinrudder.configuration_service.messages import RawResource, ResourceDocument
-from tinrudder.configuration_service.writer import ResourceBatch, ResourceName, ResourceWrite
+from tinrudder.node.configuration_service.messages import RawResource, ResourceDocument
+from tinrudder.node.configuration_service.writer import ResourceBatch, ResourceName, ResourceWrite
 
 
 class FileResource(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -15,27 +15,27 @@
 import uvicorn
 from starlette.types import ASGIApp
 
-from tinrudder.api.caller_app import CallerApplication
-from tinrudder.api.caller_protocol import CallerProtocol
-from tinrudder.api.cursor import CursorCodec
-from tinrudder.api.explain_app import explain_route
-from tinrudder.api.finished_query import QueryLog, QueryObserver
-from tinrudder.api.health import CloseWhenStopping, health_routes
-from tinrudder.api.metrics_app import metrics_route
-from tinrudder.api.operation_app import operation_route
-from tinrudder.api.resource_routes import resource_routes
-from tinrudder.backends.http_transport import HttpBackendTransport
 from tinrudder.cli.tls_edges import build_edges, follow_files
 from tinrudder.common import event_loop
 from tinrudder.common.garbage_collection import tune_garbage_collection
 from tinrudder.common.logs import configure_logs, log_problem
-from tinrudder.configuration_service.client import PlatformClient
-from tinrudder.environment import DEVELOPMENT_CLUSTER_KEYS, Environment
-from tinrudder.metrics import NodeMetrics
-from tinrudder.node import Node
-from tinrudder.node_explain import NodeExplanations
-from tinrudder.node_metrics import show_node
-from tinrudder.settings import (
+from tinrudder.node.api.caller_app import CallerApplication
+from tinrudder.node.api.caller_protocol import CallerProtocol
+from tinrudder.node.api.cursor import CursorCodec
+from tinrudder.node.api.explain_app import explain_route
+from tinrudder.node.api.finished_query import QueryLog, QueryObserver
+from tinrudder.node.api.health import CloseWhenStopping, health_routes
+from tinrudder.node.api.metrics_app import metrics_route
+from tinrudder.node.api.operation_app import operation_route
+from tinrudder.node.api.operators.resource_routes import resource_routes
+from tinrudder.node.backends.http_transport import HttpBackendTransport
+from tinrudder.node.configuration_service.client import PlatformClient
+from tinrudder.node.environment import DEVELOPMENT_CLUSTER_KEYS, Environment
+from tinrudder.node.metrics import NodeMetrics
+from tinrudder.node.node import Node
+from tinrudder.node.node_explain import NodeExplanations
+from tinrudder.node.node_metrics import show_node
+from tinrudder.node.settings import (
     NodeSettings,
     SettingsError,
     add_settings_flags,
@@ -44,8 +44,8 @@
     parse_operator_credentials,
     read_cluster_keys,
 )
-from tinrudder.tls import Identity, TlsError
-from tinrudder.wire.peer_transport import TcpPeerTransport
+from tinrudder.node.tls import Identity, TlsError
+from tinrudder.node.wire.peer_transport import TcpPeerTransport
 
 EXIT_OK = 0
 EXIT_USAGE = 2
--- a/tinrudder/cli/tls_edges.py
+++ b/tinrudder/cli/tls_edges.py
@@ -6,8 +6,8 @@
 from pathlib import Path
 
 from tinrudder.common.logs import log_event, log_problem
-from tinrudder.settings import NodeSettings
-from tinrudder.tls import Identity, TlsEdges, TlsError, TlsFiles
+from tinrudder.node.settings import NodeSettings
+from tinrudder.node.tls import Identity, TlsEdges, TlsError, TlsFiles
 
 
 def build_edges(settings: NodeSettings) -> TlsEdges:
--- a/tinrudder/cli/validate.py
+++ b/tinrudder/cli/validate.py
@@ -7,16 +7,16 @@
 
 import msgspec
 
-from tinrudder.api.resource_bodies import ProblemBody, ValidationBody
 from tinrudder.cli import connection
 from tinrudder.cli.connection import NodeClient, add_node_flags, run_reporting
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
 from tinrudder.cli.resource_file import ResourceFile, load_resource_file
-from tinrudder.configuration_service.writer import ResourceBatch
-from tinrudder.resources.rules import PolicyNames
-from tinrudder.resources.validation import DocumentRefusedError, problems_of
-from tinrudder.routing.registry import names_by_role
+from tinrudder.node.api.operators.resource_bodies import ProblemBody, ValidationBody
+from tinrudder.node.configuration_service.writer import ResourceBatch
+from tinrudder.node.decisions.registry import names_by_role
+from tinrudder.node.resources.rules import PolicyNames
+from tinrudder.node.resources.validation import DocumentRefusedError, problems_of
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
--- a/tinrudder/cli/watch.py
+++ b/tinrudder/cli/watch.py
@@ -6,12 +6,12 @@
 
 import msgspec
 
-from tinrudder.api.resource_watch import WatchEvent
 from tinrudder.cli.connection import NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.get import row_of
 from tinrudder.cli.output import add_output_flag, wants_json
-from tinrudder.resources.model import Kind
+from tinrudder.node.api.operators.resource_watch import WatchEvent
+from tinrudder.node.resources.model import Kind
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
--- a/tinrudder/configuration_service/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Adapter to the read-only configuration and membership service."""
--- a/tinrudder/api/authentication.py
+++ b/tinrudder/node/api/authentication.py
@@ -5,7 +5,7 @@
 import hashlib
 import hmac
 
-from tinrudder.resources.configuration import Configuration
+from tinrudder.node.resources.configuration import Configuration
 
 BEARER = "Bearer "
 _ABSENT_HASH = "0" * 64
--- a/tinrudder/api/caller_app.py
+++ b/tinrudder/node/api/caller_app.py
@@ -13,12 +13,12 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from tinrudder.api.authentication import authenticate
-from tinrudder.api.cursor import CursorCodec, PagePosition
-from tinrudder.api.disconnect import CallerGoneError, run_unless_disconnected
-from tinrudder.api.finished_query import FinishedQuery, QueryObserver
-from tinrudder.api.outcome_mapping import body_of, headers_of, status_of
-from tinrudder.api.problems import (
+from tinrudder.node.api.authentication import authenticate
+from tinrudder.node.api.cursor import CursorCodec, PagePosition
+from tinrudder.node.api.disconnect import CallerGoneError, run_unless_disconnected
+from tinrudder.node.api.finished_query import FinishedQuery, QueryObserver
+from tinrudder.node.api.outcome_mapping import body_of, headers_of, status_of
+from tinrudder.node.api.problems import (
     JSON,
     ProblemReason,
     RequestProblemError,
@@ -26,7 +26,7 @@
     on_internal_error,
     problem_response,
 )
-from tinrudder.api.query_body import (
+from tinrudder.node.api.query_body import (
     QueryBody,
     UnknownResourceError,
     decode_query_body,
@@ -35,9 +35,9 @@
     open_cursor,
     scope_of,
 )
-from tinrudder.api.request_body import read_json_body
-from tinrudder.api.stream import NDJSON, QueryStream
-from tinrudder.outcomes import (
+from tinrudder.node.api.request_body import read_json_body
+from tinrudder.node.api.stream import NDJSON, QueryStream
+from tinrudder.node.outcomes import (
     Complete,
     MayHaveRun,
     MayHaveRunReason,
@@ -46,9 +46,9 @@
     Outcome,
     Partial,
 )
-from tinrudder.query.coordinator import QueryRunner
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import QueryRuleSpec
+from tinrudder.node.query.coordinator import QueryRunner
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import QueryRuleSpec
 from tinrudder.timers import Timers
 
 QUERY_ID_BYTES = 16
--- a/tinrudder/api/caller_protocol.py
+++ b/tinrudder/node/api/caller_protocol.py
@@ -11,7 +11,7 @@
 import msgspec
 from uvicorn.protocols.http.httptools_impl import HttpToolsProtocol
 
-from tinrudder.api.problems import ProblemBody
+from tinrudder.node.api.problems import ProblemBody
 
 MAX_HEAD_BYTES = 32 * 1024
 HEAD_TIMEOUT_S = 10.0
--- a/tinrudder/api/cursor.py
+++ b/tinrudder/node/api/cursor.py
@@ -64,7 +64,7 @@
     PagePosition(version=7, after=(1.5, 'r'))
     >>> codec.decode(text, CursorScope("acme", "ledger"))
     Traceback (most recent call last):
-    tinrudder.api.cursor.CursorError: cursor: not one given to this tenant for this query
+    tinrudder.node.api.cursor.CursorError: cursor: not one given to this tenant for this query
     """
 
     def __init__(self, cluster_keys: Sequence[bytes]) -> None:
--- a/tinrudder/api/explain_app.py
+++ b/tinrudder/node/api/explain_app.py
@@ -8,9 +8,9 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from tinrudder.api.operator_authentication import Viewer, authenticate_viewer
-from tinrudder.api.problems import JSON, ProblemReason, RequestProblemError, problem_response
-from tinrudder.resources.configuration import Configuration
+from tinrudder.node.api.operators.operator_authentication import Viewer, authenticate_viewer
+from tinrudder.node.api.problems import JSON, ProblemReason, RequestProblemError, problem_response
+from tinrudder.node.resources.configuration import Configuration
 
 MAX_QUERY_ID_LENGTH = 64
 
--- a/tinrudder/api/finished_query.py
+++ b/tinrudder/node/api/finished_query.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.outcomes import Complete, Outcome, reason_of
+from tinrudder.node.outcomes import Complete, Outcome, reason_of
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/api/health.py
+++ b/tinrudder/node/api/health.py
@@ -15,7 +15,7 @@
 from starlette.types import ASGIApp, Message, Receive, Scope, Send
 
 from tinrudder.common.lifecycle import NodeLifecycle
-from tinrudder.resources.configuration import Configuration
+from tinrudder.node.resources.configuration import Configuration
 
 OK = 200
 UNAVAILABLE = 503
--- a/tinrudder/api/metrics_app.py
+++ b/tinrudder/node/api/metrics_app.py
@@ -10,9 +10,9 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from tinrudder.api.operator_authentication import authenticate_operator
-from tinrudder.api.problems import ProblemReason, RequestProblemError, problem_response
-from tinrudder.metrics import NodeMetrics
+from tinrudder.node.api.operators.operator_authentication import authenticate_operator
+from tinrudder.node.api.problems import ProblemReason, RequestProblemError, problem_response
+from tinrudder.node.metrics import NodeMetrics
 
 
 def metrics_route(metrics: NodeMetrics, operators: Mapping[str, str]) -> Route:
--- a/tinrudder/api/operation_app.py
+++ b/tinrudder/node/api/operation_app.py
@@ -12,23 +12,23 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from tinrudder.api.authentication import authenticate
-from tinrudder.api.disconnect import CallerGoneError, run_unless_disconnected
-from tinrudder.api.finished_query import FinishedQuery, QueryObserver
-from tinrudder.api.outcome_mapping import body_of, headers_of, status_of
-from tinrudder.api.problems import (
+from tinrudder.node.api.authentication import authenticate
+from tinrudder.node.api.disconnect import CallerGoneError, run_unless_disconnected
+from tinrudder.node.api.finished_query import FinishedQuery, QueryObserver
+from tinrudder.node.api.outcome_mapping import body_of, headers_of, status_of
+from tinrudder.node.api.problems import (
     JSON,
     ProblemReason,
     RequestProblemError,
     invalid_body,
     problem_response,
 )
-from tinrudder.api.query_body import MAX_MATCH_FIELDS, MatchValue, ShortText
-from tinrudder.api.request_body import read_json_body
-from tinrudder.outcomes import MayHaveRun, MayHaveRunReason, NotRun, NotRunReason, Outcome
-from tinrudder.query.operation_request import OperationRequest
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import QueryRuleSpec
+from tinrudder.node.api.query_body import MAX_MATCH_FIELDS, MatchValue, ShortText
+from tinrudder.node.api.request_body import read_json_body
+from tinrudder.node.outcomes import MayHaveRun, MayHaveRunReason, NotRun, NotRunReason, Outcome
+from tinrudder.node.query.operations.operation_request import OperationRequest
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import QueryRuleSpec
 from tinrudder.timers import Timers
 
 QUERY_ID_BYTES = 16
@@ -52,7 +52,7 @@
 
 
 class OperationService(Protocol):
-    """Whatever runs operations; see :class:`tinrudder.query.at_most_once.OperationRunner`."""
+    """Whatever runs operations; see :mod:`tinrudder.node.query.operations.at_most_once`."""
 
     async def run(self, request: OperationRequest) -> Outcome:
         """Return the outcome of one submission."""
--- /dev/null
+++ b/tinrudder/node/api/operators/__init__.py
@@ -0,0 +1,1 @@
+"""HTTP application for operators: resources, their status, and a stream of their changes."""
--- a/tinrudder/api/operator_authentication.py
+++ b/tinrudder/node/api/operators/operator_authentication.py
@@ -7,8 +7,8 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from tinrudder.api.authentication import BEARER, authenticate
-from tinrudder.resources.configuration import Configuration
+from tinrudder.node.api.authentication import BEARER, authenticate
+from tinrudder.node.resources.configuration import Configuration
 
 _ABSENT_HASH = "0" * 64
 
--- a/tinrudder/api/resource_app.py
+++ b/tinrudder/node/api/operators/resource_app.py
@@ -11,8 +11,8 @@
 from starlette.responses import Response, StreamingResponse
 from starlette.routing import Route
 
-from tinrudder.api.operator_authentication import Viewer, authenticate_viewer
-from tinrudder.api.resource_bodies import (
+from tinrudder.node.api.operators.operator_authentication import Viewer, authenticate_viewer
+from tinrudder.node.api.operators.resource_bodies import (
     ErrorBody,
     NodeBody,
     NodesBody,
@@ -22,14 +22,14 @@
     condition_bodies,
     enforcement_body,
 )
-from tinrudder.api.resource_visibility import Snapshot, may_see, visible_keys
-from tinrudder.api.resource_watch import ResourceWatch, WatchRequest
-from tinrudder.configuration_service.messages import RawResource, ResourceDocument
-from tinrudder.configuration_service.writer import ResourceBatch
-from tinrudder.resources.accepted import ResourceKey
-from tinrudder.resources.status import StatusReporter
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.resources.validation import DocumentRefusedError, Problem, problems_of
+from tinrudder.node.api.operators.resource_visibility import Snapshot, may_see, visible_keys
+from tinrudder.node.api.operators.resource_watch import ResourceWatch, WatchRequest
+from tinrudder.node.configuration_service.messages import RawResource, ResourceDocument
+from tinrudder.node.configuration_service.writer import ResourceBatch
+from tinrudder.node.resources.accepted import ResourceKey
+from tinrudder.node.resources.status import StatusReporter
+from tinrudder.node.resources.store import ConfigurationStore
+from tinrudder.node.resources.validation import DocumentRefusedError, Problem, problems_of
 
 JSON = "application/json"
 NEWLINE_DELIMITED_JSON = "application/x-ndjson"
--- a/tinrudder/api/resource_bodies.py
+++ b/tinrudder/node/api/operators/resource_bodies.py
@@ -6,11 +6,11 @@
 
 import msgspec
 
-from tinrudder.api.operator_authentication import Viewer
-from tinrudder.resources.accepted import AcceptedResource
-from tinrudder.resources.model import Kind, TenantSpec
-from tinrudder.resources.status import Condition, ConditionType, Enforcement, StatusReporter
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.api.operators.operator_authentication import Viewer
+from tinrudder.node.resources.accepted import AcceptedResource
+from tinrudder.node.resources.model import Kind, TenantSpec
+from tinrudder.node.resources.status import Condition, ConditionType, Enforcement, StatusReporter
+from tinrudder.node.resources.store import ConfigurationStore
 
 ASK_AN_OPERATOR = "the newest generation was refused; operators see why"
 NO_SPEC = msgspec.Raw(b"null")
--- a/tinrudder/api/resource_routes.py
+++ b/tinrudder/node/api/operators/resource_routes.py
@@ -4,10 +4,10 @@
 
 from starlette.routing import Route
 
-from tinrudder.api.resource_app import ResourceApiSettings, ResourceApplication
-from tinrudder.node import Node
-from tinrudder.resources.status import StatusReporter
-from tinrudder.settings import parse_operator_credentials
+from tinrudder.node.api.operators.resource_app import ResourceApiSettings, ResourceApplication
+from tinrudder.node.node import Node
+from tinrudder.node.resources.status import StatusReporter
+from tinrudder.node.settings import parse_operator_credentials
 
 
 def resource_routes(node: Node) -> list[Route]:
--- a/tinrudder/api/resource_visibility.py
+++ b/tinrudder/node/api/operators/resource_visibility.py
@@ -4,10 +4,10 @@
 
 from dataclasses import dataclass
 
-from tinrudder.api.operator_authentication import Viewer
-from tinrudder.resources.accepted import AcceptedState, ResourceKey
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import Kind
+from tinrudder.node.api.operators.operator_authentication import Viewer
+from tinrudder.node.resources.accepted import AcceptedState, ResourceKey
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import Kind
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/api/resource_watch.py
+++ b/tinrudder/node/api/operators/resource_watch.py
@@ -12,17 +12,17 @@
 
 import msgspec
 
-from tinrudder.api.operator_authentication import Viewer
-from tinrudder.api.resource_bodies import (
+from tinrudder.node.api.operators.operator_authentication import Viewer
+from tinrudder.node.api.operators.resource_bodies import (
     EnforcementBody,
     ResourceBody,
     ResourceRenderer,
     enforcement_body,
 )
-from tinrudder.api.resource_visibility import Snapshot, visible_changes, visible_keys
-from tinrudder.resources.accepted import ResourceKey
-from tinrudder.resources.status import StatusReporter
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.api.operators.resource_visibility import Snapshot, visible_changes, visible_keys
+from tinrudder.node.resources.accepted import ResourceKey
+from tinrudder.node.resources.status import StatusReporter
+from tinrudder.node.resources.store import ConfigurationStore
 
 CHECK_INTERVAL_S = 0.5
 CHECKS_PER_BOOKMARK = 20
--- a/tinrudder/api/outcome_mapping.py
+++ b/tinrudder/node/api/outcome_mapping.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from tinrudder.outcomes import (
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
--- a/tinrudder/api/query_body.py
+++ b/tinrudder/node/api/query_body.py
@@ -7,11 +7,11 @@
 import msgspec
 from msgspec import Meta
 
-from tinrudder.api.cursor import CursorCodec, CursorError, CursorScope, PagePosition
-from tinrudder.api.problems import ProblemReason, RequestProblemError, invalid_body
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import QueryRuleSpec
+from tinrudder.node.api.cursor import CursorCodec, CursorError, CursorScope, PagePosition
+from tinrudder.node.api.problems import ProblemReason, RequestProblemError, invalid_body
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import QueryRuleSpec
 
 MAX_MATCH_FIELDS = 32
 DEFAULT_LIMIT = 100
--- a/tinrudder/api/request_body.py
+++ b/tinrudder/node/api/request_body.py
@@ -6,7 +6,7 @@
 
 from starlette.requests import ClientDisconnect, Request
 
-from tinrudder.api.problems import JSON, ProblemReason, RequestProblemError
+from tinrudder.node.api.problems import JSON, ProblemReason, RequestProblemError
 
 MAX_BODY_BYTES = 64 * 1024
 BODY_TIMEOUT_S = 5.0
--- a/tinrudder/api/stream.py
+++ b/tinrudder/node/api/stream.py
@@ -15,11 +15,11 @@
 from starlette.responses import Response
 from starlette.types import Receive, Scope, Send
 
-from tinrudder.api.cursor import PagePosition
-from tinrudder.api.disconnect import CallerGoneError, run_unless_disconnected
-from tinrudder.api.outcome_mapping import OutcomeBody, body_of, headers_of, status_of
-from tinrudder.api.problems import JSON
-from tinrudder.outcomes import (
+from tinrudder.node.api.cursor import PagePosition
+from tinrudder.node.api.disconnect import CallerGoneError, run_unless_disconnected
+from tinrudder.node.api.outcome_mapping import OutcomeBody, body_of, headers_of, status_of
+from tinrudder.node.api.problems import JSON
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
--- a/tinrudder/backends/connection.py
+++ b/tinrudder/node/backends/connection.py
@@ -12,14 +12,14 @@
 import httptools
 import msgspec
 
-from tinrudder.backends.messages import BackendCall, BackendReply, Broken
-from tinrudder.backends.reply_decoding import (
+from tinrudder.node.backends.messages import BackendCall, BackendReply, Broken
+from tinrudder.node.backends.reply_decoding import (
     REFUSAL_STATUSES,
     STATUS_OK,
     decode_answer,
     decode_refusal,
 )
-from tinrudder.environment import ReplyListener
+from tinrudder.node.environment import ReplyListener
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 READ_BUFFER_BYTES = 16 * 1024
--- a/tinrudder/backends/connection_pool.py
+++ b/tinrudder/node/backends/connection_pool.py
@@ -12,9 +12,9 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from tinrudder.backends.connection import BackendConnection
-from tinrudder.backends.messages import BackendCall, NotSent
-from tinrudder.environment import ReplyListener
+from tinrudder.node.backends.connection import BackendConnection
+from tinrudder.node.backends.messages import BackendCall, NotSent
+from tinrudder.node.environment import ReplyListener
 
 SEARCH_PATH = "/v1/search"
 CONNECT_TIMEOUT_S = 1.0
--- a/tinrudder/backends/http_transport.py
+++ b/tinrudder/node/backends/http_transport.py
@@ -10,9 +10,9 @@
 import ssl
 from typing import Protocol
 
-from tinrudder.backends.connection_pool import ConnectionPool
-from tinrudder.backends.messages import BackendCall
-from tinrudder.environment import ReplyListener
+from tinrudder.node.backends.connection_pool import ConnectionPool
+from tinrudder.node.backends.messages import BackendCall
+from tinrudder.node.environment import ReplyListener
 
 TRIM_INTERVAL_S = 5.0
 
@@ -25,7 +25,7 @@
 
 
 class HttpBackendTransport:
-    """The real :class:`tinrudder.environment.BackendTransport`."""
+    """The real :class:`tinrudder.node.environment.BackendTransport`."""
 
     def __init__(self, tls: TlsContextSource | None = None) -> None:
         """Use ``tls`` for back ends that ask for it."""
--- a/tinrudder/backends/messages.py
+++ b/tinrudder/node/backends/messages.py
@@ -1,6 +1,6 @@
 """Calls to back ends and their tagged replies.
 
-The HTTP form of each message is in ``docs/BACKENDS.md``; ``tinrudder.backends.http_transport``
+The HTTP form of each message is in ``docs/BACKENDS.md``; ``tinrudder.node.backends.http_transport``
 turns status codes into these tags, so that nothing above knows about HTTP.
 """
 
--- a/tinrudder/backends/reply_decoding.py
+++ b/tinrudder/node/backends/reply_decoding.py
@@ -5,7 +5,7 @@
 import httptools
 import msgspec
 
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
--- a/tinrudder/configuration_service/client.py
+++ b/tinrudder/node/configuration_service/client.py
@@ -10,7 +10,7 @@
 from aiosonic.exceptions import AiosonicError
 from aiosonic.timeout import Timeouts
 
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     PlatformUnavailableError,
     ResourceDocument,
@@ -26,7 +26,7 @@
 
 
 class PlatformClient:
-    """The real :class:`tinrudder.environment.PlatformSource`."""
+    """The real :class:`tinrudder.node.environment.PlatformSource`."""
 
     def __init__(self, base_url: str) -> None:
         """Read from ``base_url``, e.g. ``http://127.0.0.1:7000``."""
--- a/tinrudder/configuration_service/member_view.py
+++ b/tinrudder/node/configuration_service/member_view.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tinrudder.cluster.membership_list import ListedMember
-from tinrudder.configuration_service.messages import MemberList, MemberState, PlatformMember
+from tinrudder.node.configuration_service.messages import MemberList, MemberState, PlatformMember
 from tinrudder.peers import PeerAddress
 
 
--- a/tinrudder/routing/backend_record.py
+++ b/tinrudder/node/decisions/backend_record.py
@@ -5,7 +5,7 @@
 import math
 from dataclasses import dataclass, field
 
-from tinrudder.routing.backend_health import BackendHealth
+from tinrudder.node.decisions.backend_health import BackendHealth
 
 LATENCY_SMOOTHING = 0.1
 DEFAULT_MAX_CONNECTIONS = 70
--- a/tinrudder/routing/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -5,8 +5,8 @@
 import math
 from collections.abc import Callable, Mapping
 
-from tinrudder.resources.model import BackendSpec, BackendState
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.resources.model import BackendSpec, BackendState
 
 CALLS_PER_SLOT = 1.2
 """Calls in flight for one slot that keep it busy while answers travel, see docs/LIMITS.md."""
--- a/tinrudder/routing/ejection.py
+++ b/tinrudder/node/decisions/ejection.py
@@ -10,7 +10,7 @@
 from collections.abc import Sequence
 from typing import Protocol
 
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_record import BackendRecord
 
 FAILURES_TO_EJECT = 3
 OUTLIER_RATIO = 3.0
--- a/tinrudder/routing/admission.py
+++ b/tinrudder/node/decisions/load/admission.py
@@ -8,9 +8,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.call_queue import CallQueue, Newcomer
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.call_queue import CallQueue, Newcomer
+from tinrudder.node.resources.model import Priority
 
 TAIL_LATENCIES = 2.0
 SAFETY_FACTOR = 1.2
--- a/tinrudder/routing/backend_limit.py
+++ b/tinrudder/node/decisions/load/backend_limit.py
@@ -8,7 +8,7 @@
 
 from typing import Protocol
 
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_record import BackendRecord
 
 MINIMUM_LIMIT = 1.0
 DECREASE_FACTOR = 0.7
--- a/tinrudder/routing/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -6,9 +6,9 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.resources.model import Priority
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/routing/fair_queue.py
+++ b/tinrudder/node/decisions/load/fair_queue.py
@@ -13,10 +13,10 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.call_queue import Newcomer
-from tinrudder.routing.pending_call import PendingCall
-from tinrudder.routing.tenant_flow import TenantFlow
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.call_queue import Newcomer
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.tenant_flow import TenantFlow
 
 DEFAULT_BURST = 64.0
 DEFAULT_LAG = 4.0
--- a/tinrudder/routing/pending_call.py
+++ b/tinrudder/node/decisions/load/pending_call.py
@@ -6,12 +6,12 @@
 from dataclasses import dataclass
 from typing import TYPE_CHECKING
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.replica_choice import ReplicaChoicePolicy
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.replica_choice import ReplicaChoicePolicy
+from tinrudder.node.resources.model import Priority
 
 if TYPE_CHECKING:
-    from tinrudder.routing.tenant_flow import TenantFlow
+    from tinrudder.node.decisions.load.tenant_flow import TenantFlow
 
 
 def _ignore_shed() -> None:
--- a/tinrudder/routing/tenant_flow.py
+++ b/tinrudder/node/decisions/load/tenant_flow.py
@@ -5,9 +5,9 @@
 from collections import deque
 from dataclasses import dataclass, field
 
-from tinrudder.resources.model import Priority
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.resources.model import Priority
 
 CLASS_RANK: dict[Priority, int] = {
     Priority.INTERACTIVE: 0,
--- a/tinrudder/routing/registry.py
+++ b/tinrudder/node/decisions/registry.py
@@ -1,7 +1,7 @@
 """Policies by role and name, as query rules name them in ``policies``.
 
 An unknown role or name is a validation error of the rule (see
-``tinrudder.resources.validation``); ``BASELINE`` is what every policy is measured against.
+``tinrudder.node.resources.validation``); ``BASELINE`` is what every policy is measured against.
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from typing import Final, TypeVar
 
-from tinrudder.routing.ejection import EjectionPolicy, NeverEject, OutlierEjection
-from tinrudder.routing.hedging import HedgePolicy, NoHedge, QuantileHedge
-from tinrudder.routing.replica_choice import (
+from tinrudder.node.decisions.ejection import EjectionPolicy, NeverEject, OutlierEjection
+from tinrudder.node.decisions.hedging import HedgePolicy, NoHedge, QuantileHedge
+from tinrudder.node.decisions.replica_choice import (
     LeastLoadedReplica,
     RandomReplica,
     ReplicaChoicePolicy,
 )
-from tinrudder.routing.retry_budget import BudgetedRetry, RetryPolicy, UnbudgetedRetry
+from tinrudder.node.decisions.retry_budget import BudgetedRetry, RetryPolicy, UnbudgetedRetry
 
 PolicyType = TypeVar("PolicyType")
 
--- a/tinrudder/routing/replica_choice.py
+++ b/tinrudder/node/decisions/replica_choice.py
@@ -6,7 +6,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_record import BackendRecord
 
 REPORT_LIFETIME_S = 0.5
 UNKNOWN_LATENCY_S = 1e-6
--- a/tinrudder/routing/service_routing.py
+++ b/tinrudder/node/decisions/service_routing.py
@@ -8,10 +8,10 @@
 from typing import Generic
 
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.ejection import EjectionPolicy
-from tinrudder.routing.hedging import HedgePolicy
-from tinrudder.routing.registry import (
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.ejection import EjectionPolicy
+from tinrudder.node.decisions.hedging import HedgePolicy
+from tinrudder.node.decisions.registry import (
     DEFAULTS,
     EJECTION_POLICIES,
     HEDGE_POLICIES,
@@ -23,8 +23,8 @@
     Role,
     policy_name,
 )
-from tinrudder.routing.replica_choice import ReplicaChoicePolicy
-from tinrudder.routing.retry_budget import RetryPolicy
+from tinrudder.node.decisions.replica_choice import ReplicaChoicePolicy
+from tinrudder.node.decisions.retry_budget import RetryPolicy
 
 
 @dataclass(slots=True, eq=False)
--- a/tinrudder/routing/version_hints.py
+++ b/tinrudder/node/decisions/version_hints.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_record import BackendRecord
 
 HINT_LIFETIME_S = 2.0
 MAX_HINTS = 8192
--- a/tinrudder/environment.py
+++ b/tinrudder/node/environment.py
@@ -11,8 +11,8 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tinrudder.backends.messages import BackendCall, BackendReply
-from tinrudder.configuration_service.messages import MemberList, ResourceDocument
+from tinrudder.node.backends.messages import BackendCall, BackendReply
+from tinrudder.node.configuration_service.messages import MemberList, ResourceDocument
 from tinrudder.peers import PeerTransport
 from tinrudder.timers import Timers, WallClock
 
--- a/tinrudder/metrics.py
+++ b/tinrudder/node/metrics.py
@@ -13,8 +13,8 @@
 from prometheus_client.core import CounterMetricFamily, GaugeMetricFamily, Metric
 from prometheus_client.registry import Collector
 
-from tinrudder.api.finished_query import FinishedQuery
-from tinrudder.outcomes import NotRun, reason_of
+from tinrudder.node.api.finished_query import FinishedQuery
+from tinrudder.node.outcomes import NotRun, reason_of
 
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0)
 MAX_SERVICE_LABELS = 1000
--- a/tinrudder/node.py
+++ b/tinrudder/node/node.py
@@ -8,36 +8,36 @@
 from tinrudder.cluster.view import MemberStatus, MemberView, build_view
 from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.logs import LogValue, log_event, log_problem
-from tinrudder.configuration_service.messages import PlatformUnavailableError
-from tinrudder.environment import Environment
-from tinrudder.node_claims import NodeClaims
-from tinrudder.node_configuration import NodeConfiguration
-from tinrudder.node_membership import NodeMembership
-from tinrudder.node_observations import NodeObservations
-from tinrudder.outcomes import Outcome
-from tinrudder.query.admission_gate import AdmissionGate
-from tinrudder.query.at_most_once import OperationRunner
-from tinrudder.query.coordinator import Coordinator
-from tinrudder.query.coordinator_sets import CoordinatorSets
-from tinrudder.query.coordinator_watch import CoordinatorWatch
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.entry import Entry
-from tinrudder.query.plan import Planner
-from tinrudder.query.relay import RelayClient, RelayServer
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.status import NodeRevision
-from tinrudder.routing.admission import ExpectedWaitAdmission
-from tinrudder.routing.backend_limit import AdaptiveLimit
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.coordinator_ranking import CoordinatorRanking
-from tinrudder.routing.coordinator_set import SLOT_HEADROOM
-from tinrudder.routing.fair_queue import StartTimeFairQueue
-from tinrudder.routing.replica_choice import LeastLoadedReplica
-from tinrudder.routing.service_routing import RoutingTable
-from tinrudder.routing.tenant_usage import TenantUsageTable
-from tinrudder.settings import NodeSettings
-from tinrudder.wire.channels import Channel, ChannelRouter
+from tinrudder.node.configuration_service.messages import PlatformUnavailableError
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.coordinator_ranking import CoordinatorRanking
+from tinrudder.node.decisions.coordinator_set import SLOT_HEADROOM
+from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
+from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
+from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
+from tinrudder.node.decisions.service_routing import RoutingTable
+from tinrudder.node.environment import Environment
+from tinrudder.node.node_claims import NodeClaims
+from tinrudder.node.node_configuration import NodeConfiguration
+from tinrudder.node.node_membership import NodeMembership
+from tinrudder.node.node_observations import NodeObservations
+from tinrudder.node.outcomes import Outcome
+from tinrudder.node.query.admission_gate import AdmissionGate
+from tinrudder.node.query.coordinator import Coordinator
+from tinrudder.node.query.coordinator_sets import CoordinatorSets
+from tinrudder.node.query.coordinator_watch import CoordinatorWatch
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.entry import Entry
+from tinrudder.node.query.operations.at_most_once import OperationRunner
+from tinrudder.node.query.plan import Planner
+from tinrudder.node.query.relay import RelayClient, RelayServer
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.status import NodeRevision
+from tinrudder.node.settings import NodeSettings
+from tinrudder.node.wire.channels import Channel, ChannelRouter
 
 DRAIN_CHECK_S = 0.02
 REFUSAL_LINGER_S = 0.2
--- a/tinrudder/node_claims.py
+++ b/tinrudder/node/node_claims.py
@@ -6,12 +6,12 @@
 from tinrudder.cluster.claims.claims_service import ClaimNode, ClaimsService
 from tinrudder.cluster.claims.electorate import Voter
 from tinrudder.cluster.claims.electorate_history import ListedVoter
-from tinrudder.configuration_service.messages import MemberList, MemberState, PlatformMember
-from tinrudder.environment import Environment
+from tinrudder.node.configuration_service.messages import MemberList, MemberState, PlatformMember
+from tinrudder.node.environment import Environment
+from tinrudder.node.query.operations.operation_outcomes import OperationOutcomes
+from tinrudder.node.settings import NodeSettings
+from tinrudder.node.wire.channels import Channel, ChannelRouter
 from tinrudder.peers import PeerAddress
-from tinrudder.query.operation_outcomes import OperationOutcomes
-from tinrudder.settings import NodeSettings
-from tinrudder.wire.channels import Channel, ChannelRouter
 
 LONGEST_PAUSE_S = 60.0
 
--- a/tinrudder/node_configuration.py
+++ b/tinrudder/node/node_configuration.py
@@ -8,17 +8,17 @@
 from tinrudder.cluster.replication.state_exchange import StateExchange
 from tinrudder.cluster.view import MemberStatus, MemberView
 from tinrudder.common.logs import log_event, log_problem
-from tinrudder.configuration_service.messages import PlatformUnavailableError
-from tinrudder.configuration_service.poll_pace import poll_delay_s
-from tinrudder.environment import Environment
+from tinrudder.node.configuration_service.messages import PlatformUnavailableError
+from tinrudder.node.configuration_service.poll_pace import poll_delay_s
+from tinrudder.node.decisions.registry import names_by_role
+from tinrudder.node.environment import Environment
+from tinrudder.node.resources.accepted import AcceptedState
+from tinrudder.node.resources.exchange import ReplicatedConfiguration
+from tinrudder.node.resources.rules import PolicyNames
+from tinrudder.node.resources.store import ConfigurationStore
+from tinrudder.node.settings import NodeSettings, parse_seed_peers
+from tinrudder.node.wire.channels import Channel, ChannelRouter
 from tinrudder.peers import PeerAddress
-from tinrudder.resources.accepted import AcceptedState
-from tinrudder.resources.exchange import ReplicatedConfiguration
-from tinrudder.resources.rules import PolicyNames
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.routing.registry import names_by_role
-from tinrudder.settings import NodeSettings, parse_seed_peers
-from tinrudder.wire.channels import Channel, ChannelRouter
 
 LEARN_TIMEOUT_S = 3.0
 WHOLE_READ_S = 900.0
--- a/tinrudder/node_explain.py
+++ b/tinrudder/node/node_explain.py
@@ -2,13 +2,17 @@
 
 from __future__ import annotations
 
-from tinrudder.api.finished_query import FinishedQuery
-from tinrudder.node import Node
-from tinrudder.outcomes import Complete, Partial, reason_of
-from tinrudder.query.explain import ExplanationRing, QueryExplanation
-from tinrudder.query.explain_lookup import ExplainLookup
-from tinrudder.query.explain_recorder import OUTCOME_NAMES, FanOutRecorder, milliseconds
-from tinrudder.wire.channels import Channel
+from tinrudder.node.api.finished_query import FinishedQuery
+from tinrudder.node.node import Node
+from tinrudder.node.outcomes import Complete, Partial, reason_of
+from tinrudder.node.query.explanations.explain import ExplanationRing, QueryExplanation
+from tinrudder.node.query.explanations.explain_lookup import ExplainLookup
+from tinrudder.node.query.explanations.explain_recorder import (
+    OUTCOME_NAMES,
+    FanOutRecorder,
+    milliseconds,
+)
+from tinrudder.node.wire.channels import Channel
 
 
 class NodeExplanations:
--- a/tinrudder/node_membership.py
+++ b/tinrudder/node/node_membership.py
@@ -12,13 +12,13 @@
 from tinrudder.cluster.membership_settings import MembershipSettings
 from tinrudder.cluster.view import Member, MemberStatus, MemberView
 from tinrudder.common.logs import log_event
-from tinrudder.configuration_service.member_view import listed_members
-from tinrudder.configuration_service.messages import MemberList
-from tinrudder.environment import Environment
+from tinrudder.node.configuration_service.member_view import listed_members
+from tinrudder.node.configuration_service.messages import MemberList
+from tinrudder.node.environment import Environment
+from tinrudder.node.resources.status import NodeRevision
+from tinrudder.node.settings import NodeSettings, parse_seed_peers
+from tinrudder.node.wire.channels import Channel, ChannelRouter
 from tinrudder.peers import PeerAddress
-from tinrudder.resources.status import NodeRevision
-from tinrudder.settings import NodeSettings, parse_seed_peers
-from tinrudder.wire.channels import Channel, ChannelRouter
 
 VIEW_DELAY_S = 0.02
 """Changes come in bursts; the coordinator sets are computed once for each burst."""
--- a/tinrudder/node_metrics.py
+++ b/tinrudder/node/node_metrics.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tinrudder.metrics import NodeMetrics, Reading, ReadMetric
-from tinrudder.node import Node
+from tinrudder.node.metrics import NodeMetrics, Reading, ReadMetric
+from tinrudder.node.node import Node
 
 
 def show_node(metrics: NodeMetrics, node: Node) -> None:
--- a/tinrudder/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -7,16 +7,16 @@
 from tinrudder.cluster.membership import Membership
 from tinrudder.cluster.membership_messages import Observation, ObservationKind
 from tinrudder.common.logs import log_event
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.drain_signs import OWN_MARGIN_S, DrainSigns
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.drain_signs import OWN_MARGIN_S, DrainSigns
 from tinrudder.timers import TimerHandle, Timers
 
 RECHECK_INTERVAL_S = 1.0
 
 
 class NodeObservations:
-    """The :class:`tinrudder.query.dispatcher.DrainListener` of a node."""
+    """The :class:`tinrudder.node.query.dispatcher.DrainListener` of a node."""
 
     def __init__(
         self,
--- a/tinrudder/outcomes.py
+++ b/tinrudder/node/outcomes.py
@@ -1,6 +1,6 @@
 """Tagged outcomes of a query: one closed family from the back-end call up to the caller.
 
-The families below the query have their own tags (see ``tinrudder.backends.messages``);
+The families below the query have their own tags (see ``tinrudder.node.backends.messages``);
 ``tinrudder.query`` turns those into these.  The distinction that matters most is between
 :class:`NotRun` and :class:`MayHaveRun`: a caller that reads "not run" may safely ask again.
 """
--- a/tinrudder/query/admission_gate.py
+++ b/tinrudder/node/query/admission_gate.py
@@ -6,12 +6,17 @@
 import random
 from collections.abc import Callable
 
-from tinrudder.outcomes import NotRun, NotRunReason
-from tinrudder.query.plan import QueryPlan
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import TenantSpec
-from tinrudder.routing.admission import AdmissionPolicy, QueryDemand
-from tinrudder.routing.tenant_usage import Cap, QueryPermit, TenantCaps, TenantUsageTable
+from tinrudder.node.decisions.load.admission import AdmissionPolicy, QueryDemand
+from tinrudder.node.decisions.load.tenant_usage import (
+    Cap,
+    QueryPermit,
+    TenantCaps,
+    TenantUsageTable,
+)
+from tinrudder.node.outcomes import NotRun, NotRunReason
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import TenantSpec
 from tinrudder.timers import Timers
 
 TENANT_RETRY_AFTER_S = 0.1
--- a/tinrudder/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -4,12 +4,12 @@
 
 from collections.abc import Sequence
 
-from tinrudder.backends.messages import SearchRequest
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.plan import QueryPlan
-from tinrudder.query.shard_progress import ShardProgress
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.backends.messages import SearchRequest
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.timers import Timers
 
 SHARD_COST = 1.0
--- a/tinrudder/query/coordinator.py
+++ b/tinrudder/node/query/coordinator.py
@@ -8,13 +8,13 @@
 from functools import partial
 from typing import Protocol
 
-from tinrudder.outcomes import NotRun, NotRunReason, Outcome
-from tinrudder.query.admission_gate import AdmissionGate
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.fan_out import FanOut
-from tinrudder.query.plan import Planner, QueryPlan
-from tinrudder.query.request import QueryRequest
-from tinrudder.query.shard_progress import ShardProgress
+from tinrudder.node.outcomes import NotRun, NotRunReason, Outcome
+from tinrudder.node.query.admission_gate import AdmissionGate
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.fan_out import FanOut
+from tinrudder.node.query.plan import Planner, QueryPlan
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.timers import Timers
 
 FanOutObserver = Callable[[QueryPlan, Sequence[ShardProgress], Outcome, float, float], None]
--- a/tinrudder/query/coordinator_sets.py
+++ b/tinrudder/node/query/coordinator_sets.py
@@ -3,9 +3,7 @@
 from __future__ import annotations
 
 from tinrudder.cluster.view import Member, MemberView
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import BackendSpec, ServiceSpec
-from tinrudder.routing.coordinator_set import (
+from tinrudder.node.decisions.coordinator_set import (
     FALLBACK_LIMIT,
     CoordinatorSet,
     calls_allowed,
@@ -14,6 +12,8 @@
     rank_members,
     take_coordinators,
 )
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import BackendSpec, ServiceSpec
 
 
 class CoordinatorSets:
--- a/tinrudder/query/coordinator_watch.py
+++ b/tinrudder/node/query/coordinator_watch.py
@@ -10,8 +10,8 @@
 from typing import Protocol
 
 from tinrudder.cluster.view import Member
+from tinrudder.node.decisions.coordinator_ranking import CoordinatorRanking
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
-from tinrudder.routing.coordinator_ranking import CoordinatorRanking
 from tinrudder.timers import Timers
 
 LONGEST_PROBE_S = 0.25
@@ -20,7 +20,7 @@
 
 
 class CoordinatorProbe(Protocol):
-    """Asks one coordinator; see :class:`tinrudder.query.relay.RelayClient`."""
+    """Asks one coordinator; see :class:`tinrudder.node.query.relay.RelayClient`."""
 
     async def probe(self, coordinator: PeerAddress, timeout_s: float) -> None:
         """Return when the coordinator has answered.
--- a/tinrudder/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from typing import Protocol
 
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
     BackendReply,
@@ -17,13 +17,17 @@
     SearchRequest,
     Shed,
 )
-from tinrudder.environment import BackendTransport
-from tinrudder.routing.backend_limit import MINIMUM_LIMIT, AdaptiveLimit, BackendLimitPolicy
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.call_queue import CallQueue
-from tinrudder.routing.pending_call import PendingCall
-from tinrudder.routing.replica_choice import ReplicaChoicePolicy
-from tinrudder.routing.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.backend_limit import (
+    MINIMUM_LIMIT,
+    AdaptiveLimit,
+    BackendLimitPolicy,
+)
+from tinrudder.node.decisions.load.call_queue import CallQueue
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
+from tinrudder.node.decisions.replica_choice import ReplicaChoicePolicy
+from tinrudder.node.environment import BackendTransport
 from tinrudder.timers import Timers
 
 MAXIMUM_PAUSE_S = 1.0
--- a/tinrudder/query/entry.py
+++ b/tinrudder/node/query/entry.py
@@ -12,15 +12,15 @@
 from typing import Protocol
 
 from tinrudder.cluster.view import Member
-from tinrudder.outcomes import NotRun, NotRunReason, Outcome
+from tinrudder.node.decisions.coordinator_ranking import CoordinatorRanking
+from tinrudder.node.decisions.coordinator_set import CoordinatorSet
+from tinrudder.node.outcomes import NotRun, NotRunReason, Outcome
+from tinrudder.node.query.coordinator import QueryRunner
+from tinrudder.node.query.coordinator_watch import CoordinatorWatch
+from tinrudder.node.query.relay_attempts import RelayAttempts
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
-from tinrudder.query.coordinator import QueryRunner
-from tinrudder.query.coordinator_watch import CoordinatorWatch
-from tinrudder.query.relay_attempts import RelayAttempts
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration
-from tinrudder.routing.coordinator_ranking import CoordinatorRanking
-from tinrudder.routing.coordinator_set import CoordinatorSet
 from tinrudder.timers import Timers
 
 MAX_SENT_ATTEMPTS = 2
@@ -32,7 +32,7 @@
 
 
 class QueryRelay(Protocol):
-    """Takes a query to another node; see :class:`tinrudder.query.relay.RelayClient`."""
+    """Takes a query to another node; see :class:`tinrudder.node.query.relay.RelayClient`."""
 
     async def run(
         self, coordinator: PeerAddress, request: QueryRequest, *, forwarded: bool = False
--- a/tinrudder/query/explain_lookup.py
+++ b/tinrudder/node/query/explanations/explain_lookup.py
@@ -10,10 +10,9 @@
 
 import msgspec
 
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
-from tinrudder.query.explain import ExplanationRing
-from tinrudder.routing.coordinator_set import CoordinatorSet
-from tinrudder.wire.explain_codec import (
+from tinrudder.node.decisions.coordinator_set import CoordinatorSet
+from tinrudder.node.query.explanations.explain import ExplanationRing
+from tinrudder.node.wire.explain_codec import (
     ExplainCodecError,
     ExplainQuestion,
     decode_explanation,
@@ -21,6 +20,7 @@
     encode_explanation,
     encode_question,
 )
+from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 
 ASK_TIMEOUT_S = 1.0
 
--- a/tinrudder/query/explain_recorder.py
+++ b/tinrudder/node/query/explanations/explain_recorder.py
@@ -4,7 +4,8 @@
 
 from collections.abc import Sequence
 
-from tinrudder.outcomes import (
+from tinrudder.node.decisions.registry import DEFAULTS, Role
+from tinrudder.node.outcomes import (
     Complete,
     Coverage,
     Failed,
@@ -14,10 +15,13 @@
     Partial,
     reason_of,
 )
-from tinrudder.query.explain import CallExplanation, ExplanationRing, QueryExplanation
-from tinrudder.query.plan import QueryPlan
-from tinrudder.query.shard_progress import ShardProgress
-from tinrudder.routing.registry import DEFAULTS, Role
+from tinrudder.node.query.explanations.explain import (
+    CallExplanation,
+    ExplanationRing,
+    QueryExplanation,
+)
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.query.shard_progress import ShardProgress
 
 MILLISECONDS = 1000.0
 OUTCOME_NAMES: dict[type[Outcome], str] = {
--- a/tinrudder/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -10,7 +10,8 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from tinrudder.backends.messages import (
+from tinrudder.common.poison_requests import ENOUGH_CRASHES
+from tinrudder.node.backends.messages import (
     Answered,
     BackendReply,
     Broken,
@@ -18,18 +19,17 @@
     Shed,
     VersionGone,
 )
-from tinrudder.common.poison_requests import ENOUGH_CRASHES
-from tinrudder.outcomes import MissingReason, Outcome
-from tinrudder.query.call_sender import CallSender
-from tinrudder.query.dispatcher import Dispatcher, SentCall
-from tinrudder.query.hedger import Hedger, owners_included
-from tinrudder.query.judgement import judge
-from tinrudder.query.plan import QueryPlan
-from tinrudder.query.reply_reading import reason_of, rows_of
-from tinrudder.query.shard_progress import ShardProgress
-from tinrudder.resources.model import Preference
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.tenant_usage import QueryPermit
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.tenant_usage import QueryPermit
+from tinrudder.node.outcomes import MissingReason, Outcome
+from tinrudder.node.query.call_sender import CallSender
+from tinrudder.node.query.dispatcher import Dispatcher, SentCall
+from tinrudder.node.query.hedger import Hedger, owners_included
+from tinrudder.node.query.judgement import judge
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.query.reply_reading import reason_of, rows_of
+from tinrudder.node.query.shard_progress import ShardProgress
+from tinrudder.node.resources.model import Preference
 from tinrudder.timers import TimerHandle, Timers
 
 MAX_ATTEMPTS_PER_SHARD = 3
--- a/tinrudder/query/hedger.py
+++ b/tinrudder/node/query/hedger.py
@@ -4,11 +4,11 @@
 
 from collections.abc import Callable, Sequence
 
-from tinrudder.query.plan import QueryPlan
-from tinrudder.query.shard_progress import ShardProgress
-from tinrudder.resources.model import Preference
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.hedging import MAX_HEDGES_PER_SHARD, is_widespread
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.hedging import MAX_HEDGES_PER_SHARD, is_widespread
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.query.shard_progress import ShardProgress
+from tinrudder.node.resources.model import Preference
 
 LOOK_WITHOUT_DELAY_S = 0.02
 LOOK_AGAIN_SHARE = 0.25
--- a/tinrudder/query/judgement.py
+++ b/tinrudder/node/query/judgement.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Sequence
 
-from tinrudder.outcomes import (
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
@@ -19,9 +19,9 @@
     Outcome,
     Partial,
 )
-from tinrudder.query.merge import merge_rows
-from tinrudder.query.plan import QueryPlan
-from tinrudder.query.shard_progress import ShardProgress
+from tinrudder.node.query.merge import merge_rows
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.query.shard_progress import ShardProgress
 
 UNREACHABLE_REASONS = frozenset(
     {MissingReason.NO_REPLICA, MissingReason.BROKEN, MissingReason.VERSION_GONE}
--- a/tinrudder/query/merge.py
+++ b/tinrudder/node/query/merge.py
@@ -7,8 +7,8 @@
 from dataclasses import dataclass
 from operator import attrgetter
 
-from tinrudder.backends.messages import RowMessage
-from tinrudder.outcomes import Row
+from tinrudder.node.backends.messages import RowMessage
+from tinrudder.node.outcomes import Row
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/query/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -20,17 +20,24 @@
     make_claim_key,
 )
 from tinrudder.cluster.claims.claims_service import ClaimsService
-from tinrudder.outcomes import Failed, MayHaveRun, MayHaveRunReason, NotRun, NotRunReason, Outcome
-from tinrudder.query.admission_gate import AdmissionGate
-from tinrudder.query.dispatcher import Dispatcher
-from tinrudder.query.operation_call import LINGER_S, OperationCall
-from tinrudder.query.operation_outcomes import HeldOperation, OperationOutcomes
-from tinrudder.query.operation_request import OperationRequest
-from tinrudder.query.plan import Planner, QueryPlan
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration
+from tinrudder.node.outcomes import (
+    Failed,
+    MayHaveRun,
+    MayHaveRunReason,
+    NotRun,
+    NotRunReason,
+    Outcome,
+)
+from tinrudder.node.query.admission_gate import AdmissionGate
+from tinrudder.node.query.dispatcher import Dispatcher
+from tinrudder.node.query.operations.operation_call import LINGER_S, OperationCall
+from tinrudder.node.query.operations.operation_outcomes import HeldOperation, OperationOutcomes
+from tinrudder.node.query.operations.operation_request import OperationRequest
+from tinrudder.node.query.plan import Planner, QueryPlan
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.wire.relay_codec import RelayCodecError, decode_outcome
 from tinrudder.timers import Timers, WallClock
-from tinrudder.wire.relay_codec import RelayCodecError, decode_outcome
 
 CLAIM_TIME_SHARE = 0.5
 """Part of the remaining time that asking for votes may take; the rest is for the back end."""
--- a/tinrudder/query/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -4,7 +4,8 @@
 
 import asyncio
 
-from tinrudder.backends.messages import (
+from tinrudder.cluster.claims.claim import Claim
+from tinrudder.node.backends.messages import (
     Answered,
     BackendReply,
     Broken,
@@ -15,8 +16,9 @@
     Shed,
     VersionGone,
 )
-from tinrudder.cluster.claims.claim import Claim
-from tinrudder.outcomes import (
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
@@ -28,12 +30,10 @@
     NotRunReason,
     Outcome,
 )
-from tinrudder.query.dispatcher import Dispatcher, SentCall
-from tinrudder.query.merge import merge_rows
-from tinrudder.query.operation_request import OperationRequest
-from tinrudder.query.plan import QueryPlan
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.query.dispatcher import Dispatcher, SentCall
+from tinrudder.node.query.merge import merge_rows
+from tinrudder.node.query.operations.operation_request import OperationRequest
+from tinrudder.node.query.plan import QueryPlan
 from tinrudder.timers import Timers
 
 LINGER_S = 5.0
--- a/tinrudder/query/operation_outcomes.py
+++ b/tinrudder/node/query/operations/operation_outcomes.py
@@ -17,8 +17,8 @@
     ProposerId,
     StoredAnswer,
 )
-from tinrudder.outcomes import NotRun, Outcome
-from tinrudder.wire.relay_codec import RelayCodecError, encode_outcome
+from tinrudder.node.outcomes import NotRun, Outcome
+from tinrudder.node.wire.relay_codec import RelayCodecError, encode_outcome
 
 MAX_OPERATIONS_PER_TENANT = 5_000
 MAX_OPERATIONS = 20_000
--- a/tinrudder/query/plan.py
+++ b/tinrudder/node/query/plan.py
@@ -5,14 +5,14 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tinrudder.outcomes import Failed, FailedReason, NotRun, NotRunReason
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources.configuration import Configuration
-from tinrudder.resources.model import IndexVersionSpec, QueryRuleSpec, ShardSpec
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.backend_table import BackendTable
-from tinrudder.routing.service_routing import RoutingTable, ServiceRouting
-from tinrudder.routing.version_hints import VersionHints
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.backend_table import BackendTable
+from tinrudder.node.decisions.service_routing import RoutingTable, ServiceRouting
+from tinrudder.node.decisions.version_hints import VersionHints
+from tinrudder.node.outcomes import Failed, FailedReason, NotRun, NotRunReason
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import IndexVersionSpec, QueryRuleSpec, ShardSpec
 from tinrudder.timers import Timers
 
 VERSION_CHOICE_LIFETIME_S = 0.05
--- a/tinrudder/query/relay.py
+++ b/tinrudder/node/query/relay.py
@@ -9,11 +9,9 @@
 from collections.abc import Awaitable, Callable
 from dataclasses import replace
 
-from tinrudder.outcomes import Failed, FailedReason, NotRun, NotRunReason, Outcome
-from tinrudder.peers import PeerAddress, PeerLostError, PeerTransport
-from tinrudder.query.request import QueryRequest
-from tinrudder.timers import Timers, WallClock
-from tinrudder.wire.relay_codec import (
+from tinrudder.node.outcomes import Failed, FailedReason, NotRun, NotRunReason, Outcome
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.wire.relay_codec import (
     RelayCodecError,
     RelayedQuery,
     decode_outcome,
@@ -21,6 +19,8 @@
     encode_outcome,
     encode_query,
 )
+from tinrudder.peers import PeerAddress, PeerLostError, PeerTransport
+from tinrudder.timers import Timers, WallClock
 
 RETURN_ALLOWANCE_S = 0.005
 RETURN_ALLOWANCE_SHARE = 0.1
--- a/tinrudder/query/relay_attempts.py
+++ b/tinrudder/node/query/relay_attempts.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from tinrudder.outcomes import MayHaveRun, MayHaveRunReason, NotRun, Outcome
+from tinrudder.node.outcomes import MayHaveRun, MayHaveRunReason, NotRun, Outcome
 from tinrudder.peers import PeerLostError, PeerNotSentError
 
 
--- a/tinrudder/query/reply_reading.py
+++ b/tinrudder/node/query/reply_reading.py
@@ -4,8 +4,8 @@
 
 from collections.abc import Sequence
 
-from tinrudder.backends.messages import BackendReply, Broken, NotSent, ShardRows, VersionGone
-from tinrudder.outcomes import MissingReason
+from tinrudder.node.backends.messages import BackendReply, Broken, NotSent, ShardRows, VersionGone
+from tinrudder.node.outcomes import MissingReason
 
 
 def rows_of(shards: Sequence[ShardRows], wanted: str) -> ShardRows | None:
--- a/tinrudder/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -4,12 +4,12 @@
 
 from typing import Protocol
 
-from tinrudder.backends.messages import BackendReply, ShardRows
-from tinrudder.outcomes import MissingReason
-from tinrudder.query.dispatcher import SentCall
-from tinrudder.query.plan import PlannedShard
-from tinrudder.routing.backend_record import BackendRecord
-from tinrudder.routing.pending_call import PendingCall
+from tinrudder.node.backends.messages import BackendReply, ShardRows
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.outcomes import MissingReason
+from tinrudder.node.query.dispatcher import SentCall
+from tinrudder.node.query.plan import PlannedShard
 
 
 class ProgressListener(Protocol):
--- /dev/null
+++ b/tinrudder/node/resources/__init__.py
@@ -0,0 +1,1 @@
+"""Typed resources, their validation, and the configuration that a node has accepted."""
--- a/tinrudder/resources/accepted.py
+++ b/tinrudder/node/resources/accepted.py
@@ -22,7 +22,7 @@
 
 import msgspec
 
-from tinrudder.resources.model import SPEC_TYPES, AnySpec
+from tinrudder.node.resources.model import SPEC_TYPES, AnySpec
 
 DIGEST_BYTES = 16
 BUCKET_COUNT = 256
--- a/tinrudder/resources/change_log.py
+++ b/tinrudder/node/resources/change_log.py
@@ -7,7 +7,7 @@
 from dataclasses import dataclass
 from types import MappingProxyType
 
-from tinrudder.resources.accepted import AcceptedState, ResourceKey
+from tinrudder.node.resources.accepted import AcceptedState, ResourceKey
 
 MAX_CHANGES = 1024
 
--- a/tinrudder/resources/configuration.py
+++ b/tinrudder/node/resources/configuration.py
@@ -6,8 +6,8 @@
 from dataclasses import dataclass, field
 from types import MappingProxyType
 
-from tinrudder.resources.accepted import AcceptedResource, ResourceKey
-from tinrudder.resources.model import (
+from tinrudder.node.resources.accepted import AcceptedResource, ResourceKey
+from tinrudder.node.resources.model import (
     AnySpec,
     BackendSpec,
     Credential,
--- a/tinrudder/resources/exchange.py
+++ b/tinrudder/node/resources/exchange.py
@@ -12,15 +12,15 @@
     StateUpdate,
 )
 from tinrudder.cluster.wire import configuration_pb2
-from tinrudder.resources.accepted import (
+from tinrudder.node.resources.accepted import (
     BUCKET_COUNT,
     AcceptedResource,
     DocumentVersion,
     ResourceKey,
     replace_buckets,
 )
-from tinrudder.resources.store import ConfigurationStore
-from tinrudder.resources.validation import (
+from tinrudder.node.resources.store import ConfigurationStore
+from tinrudder.node.resources.validation import (
     MAX_KEY_LENGTH,
     MAX_PROBLEM_LENGTH,
     MAX_RESOURCES,
--- a/tinrudder/resources/model.py
+++ b/tinrudder/node/resources/model.py
@@ -126,7 +126,7 @@
     :param soft_deadline_ms: a latency-first query returns here once coverage suffices.
     :param hard_deadline_ms: every query has its outcome by here.
     :param repeatable: ``False`` for operations that must run at most once.
-    :param policies: policy names by role, see ``tinrudder.routing.registry``.
+    :param policies: policy names by role, see ``tinrudder.node.decisions.registry``.
     """
 
     service: Name
--- a/tinrudder/resources/rules.py
+++ b/tinrudder/node/resources/rules.py
@@ -7,7 +7,7 @@
 from collections.abc import Iterator, Mapping, Sequence
 from dataclasses import dataclass, field
 
-from tinrudder.resources.model import (
+from tinrudder.node.resources.model import (
     AnySpec,
     BackendSpec,
     IndexSpec,
--- a/tinrudder/resources/status.py
+++ b/tinrudder/node/resources/status.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass
 
-from tinrudder.resources.accepted import AcceptedResource
-from tinrudder.resources.store import ConfigurationStore
+from tinrudder.node.resources.accepted import AcceptedResource
+from tinrudder.node.resources.store import ConfigurationStore
 
 MAX_LAGGING_NAMED = 50
 
--- a/tinrudder/resources/store.py
+++ b/tinrudder/node/resources/store.py
@@ -9,12 +9,12 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from tinrudder.configuration_service.messages import ResourceDocument
-from tinrudder.resources.accepted import EMPTY_STATE, AcceptedState, join_states
-from tinrudder.resources.change_log import ChangeLog
-from tinrudder.resources.configuration import Configuration, build_configuration
-from tinrudder.resources.rules import PolicyNames
-from tinrudder.resources.validation import DocumentRefusedError, state_of_document
+from tinrudder.node.configuration_service.messages import ResourceDocument
+from tinrudder.node.resources.accepted import EMPTY_STATE, AcceptedState, join_states
+from tinrudder.node.resources.change_log import ChangeLog
+from tinrudder.node.resources.configuration import Configuration, build_configuration
+from tinrudder.node.resources.rules import PolicyNames
+from tinrudder.node.resources.validation import DocumentRefusedError, state_of_document
 
 StateListener = Callable[[AcceptedState], None]
 
--- a/tinrudder/resources/validation.py
+++ b/tinrudder/node/resources/validation.py
@@ -13,8 +13,8 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import RawResource, ResourceDocument
-from tinrudder.resources.accepted import (
+from tinrudder.node.configuration_service.messages import RawResource, ResourceDocument
+from tinrudder.node.resources.accepted import (
     AcceptedResource,
     AcceptedState,
     DocumentVersion,
@@ -22,7 +22,7 @@
     digest_of,
     make_state,
 )
-from tinrudder.resources.model import (
+from tinrudder.node.resources.model import (
     SPEC_TYPES,
     AnySpec,
     BackendSpec,
@@ -33,7 +33,7 @@
     TenantSpec,
     is_valid_name,
 )
-from tinrudder.resources.rules import PolicyNames, own_problems, policy_problems
+from tinrudder.node.resources.rules import PolicyNames, own_problems, policy_problems
 
 MAX_RESOURCES = 20_000
 MAX_SPEC_BYTES = 1024 * 1024
--- a/tinrudder/wire/explain_codec.py
+++ b/tinrudder/node/wire/explain_codec.py
@@ -6,7 +6,7 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.wire import explain_pb2
+from tinrudder.node.wire import explain_pb2
 
 MAX_REPLY_BYTES = 4 * 1024 * 1024
 
--- a/tinrudder/wire/peer_transport.py
+++ b/tinrudder/node/wire/peer_transport.py
@@ -12,8 +12,8 @@
 
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.common.transport.peer_server import PeerServer
+from tinrudder.node.tls import Identity
 from tinrudder.peers import MAX_DATAGRAM_BYTES, DatagramHandler, PeerAddress, RequestHandler
-from tinrudder.tls import Identity
 
 HANDSHAKE_TIMEOUT_S = 5.0
 
--- a/tinrudder/wire/relay_codec.py
+++ b/tinrudder/node/wire/relay_codec.py
@@ -8,7 +8,7 @@
 
 from google.protobuf.message import DecodeError, EncodeError, Message
 
-from tinrudder.outcomes import (
+from tinrudder.node.outcomes import (
     Answer,
     Complete,
     Coverage,
@@ -24,8 +24,8 @@
     Partial,
     Row,
 )
-from tinrudder.query.request import QueryRequest
-from tinrudder.wire import relay_pb2
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.wire import relay_pb2
 
 MAX_REQUEST_BYTES = 256 * 1024
 MAX_OUTCOME_BYTES = 15 * 1024 * 1024
--- a/tinrudder/query/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""The query core: plan, fan-out, merge, coverage."""
--- a/tinrudder/resources/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Typed resources, their validation and their acceptance."""
--- a/tinrudder_lab/backend_model.py
+++ b/tinrudder_lab/backend_model.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendLoad,
     BackendReply,
--- a/tinrudder_lab/backend_server.py
+++ b/tinrudder_lab/backend_server.py
@@ -15,7 +15,7 @@
 import httptools
 import msgspec
 
-from tinrudder.backends.messages import (
+from tinrudder.node.backends.messages import (
     Answered,
     BackendReply,
     Draining,
--- a/tinrudder_lab/claim_plants.py
+++ b/tinrudder_lab/claim_plants.py
@@ -2,7 +2,7 @@
 
 A whole node gets one by patching the name where the product looks it up:
 ``tinrudder.cluster.claims.claims_service.ClaimVoter`` and ``.ClaimProposer``, and
-``tinrudder.query.at_most_once.DispatchWindow``.
+``tinrudder.node.query.operations.at_most_once.DispatchWindow``.
 """
 
 from __future__ import annotations
--- a/tinrudder_lab/coordinator_experiment.py
+++ b/tinrudder_lab/coordinator_experiment.py
@@ -17,9 +17,9 @@
 
 import msgspec
 
-from tinrudder.query.coordinator_sets import CoordinatorSets
-from tinrudder.resources.model import BackendSpec, Kind, Preference, QueryRuleSpec, ServiceSpec
-from tinrudder.routing import coordinator_set
+from tinrudder.node.decisions import coordinator_set
+from tinrudder.node.query.coordinator_sets import CoordinatorSets
+from tinrudder.node.resources.model import BackendSpec, Kind, Preference, QueryRuleSpec, ServiceSpec
 from tinrudder_lab.deployment import (
     ARENA_OWNERS,
     ARENA_REGION,
--- a/tinrudder_lab/datasets.py
+++ b/tinrudder_lab/datasets.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tinrudder.backends.messages import RowMessage, SearchRequest, ShardRows
+from tinrudder.node.backends.messages import RowMessage, SearchRequest, ShardRows
 
 ROWS_PER_SHARD: Final = 24
 ENTITIES: Final = 40
--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -15,7 +15,7 @@
 
 import msgspec
 
-from tinrudder.resources.model import BackendSpec, Kind
+from tinrudder.node.resources.model import BackendSpec, Kind
 from tinrudder_lab.backend_model import BackendCounters
 from tinrudder_lab.backend_server import ControlMessage
 from tinrudder_lab.demo_callers import DemoCallers, Tally
--- a/tinrudder_lab/demo_callers.py
+++ b/tinrudder_lab/demo_callers.py
@@ -11,8 +11,8 @@
 import msgspec
 from aiosonic.exceptions import AiosonicError
 
-from tinrudder.api.health import HealthBody
-from tinrudder.api.outcome_mapping import OutcomeBody
+from tinrudder.node.api.health import HealthBody
+from tinrudder.node.api.outcome_mapping import OutcomeBody
 from tinrudder_lab.demo_cluster import DemoNode
 from tinrudder_lab.deployment import QueryKind
 
--- a/tinrudder_lab/demo_cluster.py
+++ b/tinrudder_lab/demo_cluster.py
@@ -9,7 +9,11 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import MemberList, PlatformMember, ResourceDocument
+from tinrudder.node.configuration_service.messages import (
+    MemberList,
+    PlatformMember,
+    ResourceDocument,
+)
 from tinrudder_lab.deployment import (
     ARENA_REGION,
     ARENA_ZONES,
--- a/tinrudder_lab/demo_operations.py
+++ b/tinrudder_lab/demo_operations.py
@@ -11,7 +11,7 @@
 import aiosonic
 import msgspec
 
-from tinrudder.api.outcome_mapping import OutcomeBody
+from tinrudder.node.api.outcome_mapping import OutcomeBody
 from tinrudder_lab.demo_callers import CONNECTION_ERRORS
 from tinrudder_lab.demo_cluster import DemoNode
 from tinrudder_lab.deployment import OPERATION_DATASETS, OPERATION_RULE_SUFFIX, QueryKind
--- a/tinrudder_lab/deployment.py
+++ b/tinrudder_lab/deployment.py
@@ -7,8 +7,8 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import PlatformMember, RawResource
-from tinrudder.resources.model import (
+from tinrudder.node.configuration_service.messages import PlatformMember, RawResource
+from tinrudder.node.resources.model import (
     AnySpec,
     BackendSpec,
     Credential,
--- a/tinrudder_lab/faults.py
+++ b/tinrudder_lab/faults.py
@@ -12,8 +12,8 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import MemberState
-from tinrudder.resources.model import (
+from tinrudder.node.configuration_service.messages import MemberState
+from tinrudder.node.resources.model import (
     AnySpec,
     BackendSpec,
     BackendState,
--- a/tinrudder_lab/history.py
+++ b/tinrudder_lab/history.py
@@ -10,7 +10,7 @@
 
 import msgspec
 
-from tinrudder.backends.messages import SearchRequest
+from tinrudder.node.backends.messages import SearchRequest
 from tinrudder_lab.datasets import DataRow
 
 LOST = "lost"
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -11,22 +11,23 @@
 from typing import Any
 from unittest import mock
 
-from tinrudder import node
-from tinrudder.api import caller_app, query_body
-from tinrudder.backends.messages import BackendCall, BackendReply, Broken, NotSent
 from tinrudder.cluster.claims import claims_service
 from tinrudder.cluster.replication.state_exchange import StateExchange
-from tinrudder.environment import ReplyListener
-from tinrudder.node import Node
-from tinrudder.outcomes import Coverage, MayHaveRun, NotRun, NotRunReason, Outcome
-from tinrudder.query import at_most_once, judgement, merge
-from tinrudder.query.entry import Entry
-from tinrudder.query.fan_out import FanOut
-from tinrudder.query.operation_call import OperationCall
-from tinrudder.query.plan import QueryPlan
-from tinrudder.query.request import QueryRequest
-from tinrudder.resources import store
-from tinrudder.routing.backend_record import BackendRecord
+from tinrudder.node import node
+from tinrudder.node.api import caller_app, query_body
+from tinrudder.node.backends.messages import BackendCall, BackendReply, Broken, NotSent
+from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.environment import ReplyListener
+from tinrudder.node.node import Node
+from tinrudder.node.outcomes import Coverage, MayHaveRun, NotRun, NotRunReason, Outcome
+from tinrudder.node.query import judgement, merge
+from tinrudder.node.query.entry import Entry
+from tinrudder.node.query.fan_out import FanOut
+from tinrudder.node.query.operations import at_most_once
+from tinrudder.node.query.operations.operation_call import OperationCall
+from tinrudder.node.query.plan import QueryPlan
+from tinrudder.node.query.request import QueryRequest
+from tinrudder.node.resources import store
 from tinrudder_lab.checkers.violation import Promise
 from tinrudder_lab.claim_plants import AlwaysOpenWindow, ForgetfulVoter
 from tinrudder_lab.sim import world as sim_world
--- a/tinrudder_lab/platform_server.py
+++ b/tinrudder_lab/platform_server.py
@@ -14,14 +14,14 @@
 from starlette.responses import Response
 from starlette.routing import Route
 
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     MemberState,
     PlatformMember,
     RawResource,
     ResourceDocument,
 )
-from tinrudder.configuration_service.writer import ResourceBatch, ResourceWrite
+from tinrudder.node.configuration_service.writer import ResourceBatch, ResourceWrite
 
 __all__ = ["PlatformState", "ResourceWrite", "build_app"]
 
--- a/tinrudder_lab/policies.py
+++ b/tinrudder_lab/policies.py
@@ -1,6 +1,6 @@
 """Policies by name for ``--policy``: ``default``, ``baseline``, or names joined by commas.
 
-Names of ``tinrudder.routing.registry`` go into every query rule; those of node-wide policies
+Names of ``tinrudder.node.decisions.registry`` go into every query rule; those of node-wide policies
 replace the default in the node's wiring.
 """
 
@@ -10,11 +10,11 @@
 from contextlib import ExitStack, contextmanager
 from unittest import mock
 
-from tinrudder import node
-from tinrudder.routing.admission import AdmitAll
-from tinrudder.routing.backend_limit import FixedLimit
-from tinrudder.routing.call_queue import FirstInFirstOutQueue
-from tinrudder.routing.registry import BASELINE, names_by_role
+from tinrudder.node import node
+from tinrudder.node.decisions.load.admission import AdmitAll
+from tinrudder.node.decisions.load.backend_limit import FixedLimit
+from tinrudder.node.decisions.load.call_queue import FirstInFirstOutQueue
+from tinrudder.node.decisions.registry import BASELINE, names_by_role
 from tinrudder_lab.topology import Topology, set_policies
 
 DEFAULT_POLICY = "default"
--- a/tinrudder_lab/process_mode/call_log.py
+++ b/tinrudder_lab/process_mode/call_log.py
@@ -12,7 +12,7 @@
 
 import msgspec
 
-from tinrudder.backends.messages import SearchRequest
+from tinrudder.node.backends.messages import SearchRequest
 from tinrudder_lab.checkers.draining import GRACE_S
 from tinrudder_lab.checkers.excuses import Span, excused_spans
 from tinrudder_lab.history import CallSeen, CallStage, History
--- a/tinrudder_lab/process_mode/callers.py
+++ b/tinrudder_lab/process_mode/callers.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from tinrudder.resources.model import QueryRuleSpec
+from tinrudder.node.resources.model import QueryRuleSpec
 from tinrudder_lab.demo_cluster import DemoNode
 from tinrudder_lab.deployment import OPERATION_DATASETS, OPERATION_RULE_SUFFIX, QueryKind
 from tinrudder_lab.history import LEFT, LOST, QueryEnded, QuerySent
--- a/tinrudder_lab/process_mode/cluster.py
+++ b/tinrudder_lab/process_mode/cluster.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     MemberState,
     PlatformMember,
--- a/tinrudder_lab/process_mode/faults.py
+++ b/tinrudder_lab/process_mode/faults.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tinrudder.resources.model import BackendSpec, BackendState, Kind
+from tinrudder.node.resources.model import BackendSpec, BackendState, Kind
 from tinrudder_lab.backend_server import ControlMessage
 from tinrudder_lab.process_mode.cluster import PLATFORM
 from tinrudder_lab.process_mode.run import ProcessRun
--- a/tinrudder_lab/process_mode/load_balancer.py
+++ b/tinrudder_lab/process_mode/load_balancer.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from tinrudder.api.health import OK, HealthBody
+from tinrudder.node.api.health import OK, HealthBody
 from tinrudder_lab.demo_cluster import DemoNode
 from tinrudder_lab.history import RevisionSeen
 from tinrudder_lab.process_mode.exchange import ExchangeLostError, send_request
--- a/tinrudder_lab/process_mode/recorder.py
+++ b/tinrudder_lab/process_mode/recorder.py
@@ -4,7 +4,7 @@
 
 import time
 
-from tinrudder.configuration_service.messages import ResourceDocument
+from tinrudder.node.configuration_service.messages import ResourceDocument
 from tinrudder_lab.history import (
     DrainSigned,
     FaultSet,
--- a/tinrudder_lab/process_mode/run.py
+++ b/tinrudder_lab/process_mode/run.py
@@ -8,8 +8,8 @@
 
 import msgspec
 
-from tinrudder.configuration_service.messages import MemberState
-from tinrudder.resources.model import AnySpec, Kind
+from tinrudder.node.configuration_service.messages import MemberState
+from tinrudder.node.resources.model import AnySpec, Kind
 from tinrudder_lab.backend_server import ControlMessage
 from tinrudder_lab.deployment import LOOPBACK
 from tinrudder_lab.history import CallStage, NodeStage
--- a/tinrudder_lab/scenarios.py
+++ b/tinrudder_lab/scenarios.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable
 from dataclasses import dataclass, replace
 
-from tinrudder.resources.model import Priority
+from tinrudder.node.resources.model import Priority
 from tinrudder_lab import faults
 from tinrudder_lab.deployment import ARENA_REGION, ARENA_ZONES, PLATA_REGION, PLATA_ZONES
 from tinrudder_lab.everything import random_steps
--- a/tinrudder_lab/sightings.py
+++ b/tinrudder_lab/sightings.py
@@ -4,9 +4,9 @@
 
 import msgspec
 
-from tinrudder.backends.messages import SearchRequest
-from tinrudder.configuration_service.messages import ResourceDocument
-from tinrudder.resources.model import IndexSpec, Kind, ServiceSpec
+from tinrudder.node.backends.messages import SearchRequest
+from tinrudder.node.configuration_service.messages import ResourceDocument
+from tinrudder.node.resources.model import IndexSpec, Kind, ServiceSpec
 from tinrudder_lab.history import CallSeen, CallStage, VersionPublished, operation_name
 
 
--- a/tinrudder_lab/sim/backends.py
+++ b/tinrudder_lab/sim/backends.py
@@ -1,4 +1,4 @@
-"""Simulated back ends and the node's :class:`tinrudder.environment.BackendTransport` to them."""
+"""Simulated back ends, and a :class:`tinrudder.node.environment.BackendTransport` to them."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass, field
 
-from tinrudder.backends.messages import BackendCall, BackendReply, Broken, NotSent
-from tinrudder.environment import ReplyListener
+from tinrudder.node.backends.messages import BackendCall, BackendReply, Broken, NotSent
+from tinrudder.node.environment import ReplyListener
 from tinrudder_lab.backend_model import BackendModel, ModelCall
 from tinrudder_lab.sim.loop import Machine
 from tinrudder_lab.sim.network import CONNECT_S, Network, Place
--- a/tinrudder_lab/sim/callers.py
+++ b/tinrudder_lab/sim/callers.py
@@ -9,7 +9,7 @@
 
 import msgspec
 
-from tinrudder.api.outcome_mapping import OutcomeBody
+from tinrudder.node.api.outcome_mapping import OutcomeBody
 from tinrudder_lab.datasets import DataRow
 from tinrudder_lab.history import QueryEnded
 
--- a/tinrudder_lab/sim/node_host.py
+++ b/tinrudder_lab/sim/node_host.py
@@ -6,12 +6,12 @@
 import random
 from dataclasses import dataclass, field
 
-from tinrudder.api.caller_app import CallerApplication
-from tinrudder.api.cursor import CursorCodec
-from tinrudder.api.operation_app import operation_route
-from tinrudder.environment import Environment
-from tinrudder.node import Node
-from tinrudder.settings import NodeSettings
+from tinrudder.node.api.caller_app import CallerApplication
+from tinrudder.node.api.cursor import CursorCodec
+from tinrudder.node.api.operation_app import operation_route
+from tinrudder.node.environment import Environment
+from tinrudder.node.node import Node
+from tinrudder.node.settings import NodeSettings
 from tinrudder_lab.sim.backends import SimBackendTransport
 from tinrudder_lab.sim.loop import Machine, MachineLoop
 from tinrudder_lab.sim.peers import SimPeerTransport
--- a/tinrudder_lab/sim/platform.py
+++ b/tinrudder_lab/sim/platform.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass, field
 
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     PlatformUnavailableError,
     ResourceDocument,
@@ -46,7 +46,7 @@
 
 
 class SimPlatform:
-    """One node's :class:`tinrudder.environment.PlatformSource`."""
+    """One node's :class:`tinrudder.node.environment.PlatformSource`."""
 
     def __init__(self, service: SimPlatformService, machine: Machine, network: Network) -> None:
         """Read ``service`` from ``machine``."""
--- a/tinrudder_lab/sim/world.py
+++ b/tinrudder_lab/sim/world.py
@@ -9,15 +9,15 @@
 
 import msgspec
 
-from tinrudder.backends.messages import SearchRequest
-from tinrudder.configuration_service.messages import (
+from tinrudder.node.backends.messages import SearchRequest
+from tinrudder.node.configuration_service.messages import (
     MemberList,
     MemberState,
     PlatformMember,
     ResourceDocument,
 )
+from tinrudder.node.resources.model import IndexSpec, Kind
 from tinrudder.peers import PeerAddress
-from tinrudder.resources.model import IndexSpec, Kind
 from tinrudder_lab.backend_model import BackendBehaviour, BackendModel
 from tinrudder_lab.datasets import ShardStore
 from tinrudder_lab.history import (
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -8,7 +8,7 @@
 
 import msgspec
 
-from tinrudder.resources.model import (
+from tinrudder.node.resources.model import (
     Kind,
     Preference,
     Priority,
