--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -19,6 +19,7 @@
 from tinrudder.cli.gateway import DECODERS
 from tinrudder.gateway.backend_directory import BackendDirectory
 from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.decisions.placement.cold_pace import Callers
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.load_reports import LoadReports
 from tinrudder.gateway.messages import HttpRequest
@@ -33,7 +34,6 @@
 from tinrudder.gateway.stored_values import StoredValue, Topic
 from tinrudder.gateway.upstream_connection import UpstreamConnection
 from tinrudder.platform.headers import HEADERS
-from tinrudder.routing.cold_pace import Callers
 
 SHARDS = 90
 REPLICAS = 3
--- a/bench/share_admission.py
+++ b/bench/share_admission.py
@@ -7,13 +7,16 @@
 from collections.abc import Sequence
 
 from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.decisions.admission.load_forecast import admission_share
+from tinrudder.gateway.decisions.admission.return_moment import (
+    HONOURED_SHARE,
+    retry_after_by_place_s,
+)
+from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
+from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.model import Route
 from tinrudder.gateway.outcomes import NotRun
-from tinrudder.routing.hedge_delay import MINIMUM_OBSERVATIONS
-from tinrudder.routing.load_forecast import admission_share
-from tinrudder.routing.return_moment import HONOURED_SHARE, retry_after_by_place_s
-from tinrudder.routing.tenant_shares import TenantShares
 
 SPREAD_BY_CHANCE = 2.0
 """Callers come back between the moment told and this many times as late, a choice: refused by
@@ -40,7 +43,7 @@
 
     Where not all can be served, tenants that ask for much are refused before those that ask for
     little: at seven times the others' requests and half of the room, one tenant gets 0.29 of what
-    it asks for and the others all (see :mod:`tinrudder.routing.tenant_shares`).
+    it asks for and the others all (see :mod:`tinrudder.gateway.decisions.admission.tenant_shares`).
     """
 
     def __init__(self, forwarding: Forwarding, random_source: random.Random) -> None:
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -19,10 +19,20 @@
 
 from bench.fair_queue import VirtualTime
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.routing.backend_observations import BackendObservations, RunningCall
-from tinrudder.routing.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
-from tinrudder.routing.load_forecast import admission_share
-from tinrudder.routing.load_news import (
+from tinrudder.gateway.decisions.admission.load_forecast import admission_share
+from tinrudder.gateway.decisions.admission.return_moment import retry_after_by_share_s
+from tinrudder.gateway.decisions.admission.shared_service import (
+    AdmittedShare,
+    extra_cost,
+    has_room,
+    judge,
+    least_work_s,
+    two_of,
+    work_s_of,
+)
+from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
+from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
+from tinrudder.gateway.decisions.fleet.load_news import (
     DATAGRAM_BYTES,
     GATHER_S,
     LOAD_BYTES,
@@ -35,16 +45,9 @@
     take_load,
     tell_load,
 )
-from tinrudder.routing.repeat_budget import RepeatBudget
-from tinrudder.routing.return_moment import retry_after_by_share_s
-from tinrudder.routing.shared_service import (
-    AdmittedShare,
-    extra_cost,
-    has_room,
-    judge,
-    least_work_s,
-    two_of,
-    work_s_of,
+from tinrudder.gateway.decisions.placement.backend_observations import (
+    BackendObservations,
+    RunningCall,
 )
 
 BACKENDS = 4
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -26,11 +26,18 @@
 from functools import partial
 
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.routing.backend_observations import BackendObservations, RunningCall
-from tinrudder.routing.hedge_delay import hedge_delay_s, usual_latency_s
-from tinrudder.routing.hedge_moment import HedgeMoments
-from tinrudder.routing.repeat_budget import RepeatBudget
-from tinrudder.routing.zone_preference import LEAST_ADVANTAGE, is_slow, zone_advantage
+from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
+from tinrudder.gateway.decisions.attempts.hedge_moment import HedgeMoments
+from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
+from tinrudder.gateway.decisions.placement.backend_observations import (
+    BackendObservations,
+    RunningCall,
+)
+from tinrudder.gateway.decisions.placement.zone_preference import (
+    LEAST_ADVANTAGE,
+    is_slow,
+    zone_advantage,
+)
 
 SHARDS = 90
 REPLICAS = 3
--- a/tests/unit/test_coordinator_choice.py
+++ b/tests/unit/test_coordinator_choice.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.routing.coordinator_choice import (
+from tinrudder.gateway.decisions.placement.coordinator_choice import (
     CONNECTION_SAFETY,
     FEWEST_IN_A_ZONE,
     Candidate,
--- a/tests/unit/test_gateway_decisions.py
+++ b/tests/unit/test_gateway_decisions.py
@@ -12,19 +12,24 @@
 
 from bench.share_admission import wait_of_shards
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.gateway.routes_in_force import FIRST_TURNS
-from tinrudder.routing.answer_moment import ScatterState, Verdict, decide, suffices
-from tinrudder.routing.backend_observations import BackendObservations
-from tinrudder.routing.hedge_delay import hedge_delay_s
-from tinrudder.routing.load_forecast import admission_share
-from tinrudder.routing.route_table import RouteTable
-from tinrudder.routing.weighted_rotation import WeightedRotation
-from tinrudder.routing.zone_preference import (
+from tinrudder.gateway.decisions.admission.load_forecast import admission_share
+from tinrudder.gateway.decisions.attempts.answer_moment import (
+    ScatterState,
+    Verdict,
+    decide,
+    suffices,
+)
+from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s
+from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
+from tinrudder.gateway.decisions.placement.route_table import RouteTable
+from tinrudder.gateway.decisions.placement.weighted_rotation import WeightedRotation
+from tinrudder.gateway.decisions.placement.zone_preference import (
     LARGEST_ADVANTAGE,
     LEAST_ADVANTAGE,
     is_slow,
     zone_advantage,
 )
+from tinrudder.gateway.routes_in_force import FIRST_TURNS
 
 
 @dataclass(frozen=True)
--- a/tests/unit/test_load_news.py
+++ b/tests/unit/test_load_news.py
@@ -8,9 +8,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.peer_messages import LoadNews
-from tinrudder.routing.backend_observations import BACKLOG_LIFETIME_S, BackendObservations
-from tinrudder.routing.load_news import (
+from tinrudder.gateway.decisions.admission.return_moment import WAITED_SHARE, retry_after_by_share_s
+from tinrudder.gateway.decisions.admission.shared_service import has_room, judge, two_of
+from tinrudder.gateway.decisions.fleet.load_news import (
     BYTES_PER_S,
     DATAGRAM_BYTES,
     LOAD_BYTES,
@@ -21,8 +21,11 @@
     ToldLoad,
     take_load,
 )
-from tinrudder.routing.return_moment import WAITED_SHARE, retry_after_by_share_s
-from tinrudder.routing.shared_service import has_room, judge, two_of
+from tinrudder.gateway.decisions.placement.backend_observations import (
+    BACKLOG_LIFETIME_S,
+    BackendObservations,
+)
+from tinrudder.gateway.peer_messages import LoadNews
 from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
 
 IP_AND_UDP_BYTES = 28
--- a/tests/unit/test_load_watch.py
+++ b/tests/unit/test_load_watch.py
@@ -10,12 +10,12 @@
 
 from tests.support.fakes import ManualTimers
 from tinrudder.gateway import load_watch
+from tinrudder.gateway.decisions.fleet.load_news import BYTES_PER_S, GATHER_S, MOST_BYTES, ToldLoad
+from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.load_watch import LOG_PAUSE_S, LoadWatch, number_of
 from tinrudder.gateway.model import Address, BackendEntry
 from tinrudder.gateway.peer_list import PeerList
 from tinrudder.gateway.peer_messages import LoadNews, Member
-from tinrudder.routing.backend_observations import BackendObservations
-from tinrudder.routing.load_news import BYTES_PER_S, GATHER_S, MOST_BYTES, ToldLoad
 from tinrudder.wire.peer_datagram_codec import encode_datagram
 
 IP_AND_UDP_BYTES = 28
--- a/tests/unit/test_scatter_queue.py
+++ b/tests/unit/test_scatter_queue.py
@@ -8,8 +8,12 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.routing.return_moment import HONOURED_SHARE, may_come_back, retry_after_by_place_s
-from tinrudder.routing.scatter_queue import (
+from tinrudder.gateway.decisions.admission.return_moment import (
+    HONOURED_SHARE,
+    may_come_back,
+    retry_after_by_place_s,
+)
+from tinrudder.gateway.decisions.admission.scatter_queue import (
     BEARABLE_SHARE,
     LATE_WAIT_SHARE,
     OVERLOAD_S,
@@ -19,7 +23,7 @@
     ScatterQueue,
     ScatterRefusal,
 )
-from tinrudder.routing.scatter_room import (
+from tinrudder.gateway.decisions.admission.scatter_room import (
     LEAST_FREE,
     OVER_COMMITMENT,
     QUEUE_HIGH,
--- a/tests/unit/test_tenant_shares.py
+++ b/tests/unit/test_tenant_shares.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.routing.tenant_shares import MEMORY_S, TenantShares, fair_level
+from tinrudder.gateway.decisions.admission.tenant_shares import MEMORY_S, TenantShares, fair_level
 
 AMOUNTS = st.lists(st.floats(0.1, 100.0), min_size=1, max_size=12)
 
--- a/tests/unit/test_zone_paths.py
+++ b/tests/unit/test_zone_paths.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.routing.zone_paths import (
+from tinrudder.gateway.decisions.fleet.zone_paths import (
     CLOSED_AFTER_S,
     FIRST_CLOSED_S,
     LEAST_ROUNDS,
--- a/tinrudder/gateway/backend_directory.py
+++ b/tinrudder/gateway/backend_directory.py
@@ -8,6 +8,10 @@
 from msgspec import Struct, field
 
 from tinrudder.common.rendezvous import rendezvous_score
+from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
+from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
+from tinrudder.gateway.decisions.placement.cold_pace import Callers, ColdPace, own_part
+from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
 from tinrudder.gateway.held_bytes import HeldBytes
 from tinrudder.gateway.messages import (
     Answered,
@@ -22,10 +26,6 @@
 from tinrudder.gateway.shared_state import EntryStanding, KnownBackend, SharedState
 from tinrudder.gateway.upstream_connection import never_stood_still
 from tinrudder.gateway.upstream_pool import UpstreamPool
-from tinrudder.routing.backend_observations import BackendObservations
-from tinrudder.routing.cold_pace import Callers, ColdPace, own_part
-from tinrudder.routing.coordinator_choice import CONNECTION_SAFETY
-from tinrudder.routing.memory_bound import body_bytes_on_the_way
 
 WRONG_BACKEND_STATUS = 421
 FEWEST_REPLICAS = 2
--- a/tinrudder/gateway/call_observation.py
+++ b/tinrudder/gateway/call_observation.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 from tinrudder.gateway.backend_directory import Backend
+from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.messages import (
     Answered,
@@ -14,7 +15,6 @@
     header_value,
 )
 from tinrudder.gateway.model import Route
-from tinrudder.routing.backend_observations import RunningCall
 
 SERVER_ERROR = 500
 """The first status that says that the back end failed, rather than the request."""
--- a/tinrudder/gateway/client_connection.py
+++ b/tinrudder/gateway/client_connection.py
@@ -9,6 +9,7 @@
 import httptools
 
 from tinrudder.gateway.answers import RETRY_AFTER, encode_answer
+from tinrudder.gateway.decisions.admission.memory_bound import RETRY_AFTER_S
 from tinrudder.gateway.memory_account import MemoryAccount
 from tinrudder.gateway.messages import Header, Headers, HttpRequest
 from tinrudder.gateway.model import ClientLimits
@@ -22,7 +23,6 @@
     FinalAnswer,
 )
 from tinrudder.gateway.tcp_progress import acknowledged_bytes
-from tinrudder.routing.memory_bound import RETRY_AFTER_S
 from tinrudder.timers import TimerHandle
 
 HTTP_1_1 = "1.1"
--- a/tinrudder/gateway/coordinators.py
+++ b/tinrudder/gateway/coordinators.py
@@ -11,12 +11,8 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
-from tinrudder.gateway.model import Address, GatewayConfiguration, Route
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Member
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.routing.cold_pace import Callers
-from tinrudder.routing.coordinator_choice import (
+from tinrudder.gateway.decisions.placement.cold_pace import Callers
+from tinrudder.gateway.decisions.placement.coordinator_choice import (
     Candidate,
     IndexDemand,
     choose_coordinators,
@@ -24,7 +20,11 @@
     preference,
     strong_ones,
 )
-from tinrudder.routing.scatter_place import ScatterSizes, group_by_place
+from tinrudder.gateway.decisions.placement.scatter_place import ScatterSizes, group_by_place
+from tinrudder.gateway.model import Address, GatewayConfiguration, Route
+from tinrudder.gateway.peer_list import PeerList
+from tinrudder.gateway.peer_messages import Member
+from tinrudder.gateway.shared_state import SharedState
 
 KEPT_FOR_S = 0.5
 ASKED_AT_MOST = 3
--- a/tinrudder/routing/load_forecast.py
+++ b/tinrudder/gateway/decisions/admission/load_forecast.py
@@ -1,8 +1,9 @@
 """Whether a request can still be answered in time, judged by what back ends report of their queues.
 
 Refusing a request at once costs its caller a short pause; admitting one that cannot be in time
-makes all others later.  It serves requests that one back end runs
-(:mod:`tinrudder.routing.shared_service`); scatters wait in :mod:`tinrudder.routing.scatter_queue`.
+makes all others later. It serves requests that one back end runs
+(:mod:`tinrudder.gateway.decisions.admission.shared_service`); scatters wait in
+:mod:`tinrudder.gateway.decisions.admission.scatter_queue`.
 """
 
 from __future__ import annotations
--- a/tinrudder/routing/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -18,8 +18,11 @@
 
 from msgspec import Struct
 
-from tinrudder.routing.backend_observations import BACKLOG_LIFETIME_S, BackendObservations
-from tinrudder.routing.load_forecast import admission_share
+from tinrudder.gateway.decisions.admission.load_forecast import admission_share
+from tinrudder.gateway.decisions.placement.backend_observations import (
+    BACKLOG_LIFETIME_S,
+    BackendObservations,
+)
 
 Candidate = TypeVar("Candidate")
 
--- a/tinrudder/routing/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from tinrudder.routing.backend_observations import BackendObservations
-from tinrudder.routing.send_budget import SendBudget
+from tinrudder.gateway.decisions.fleet.send_budget import SendBudget
+from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 
 TOLD_FROM = 1.0
 """Waiting calls for each slot from which a queue is told: a call waits there for as long as calls
--- a/tinrudder/gateway/forwarding.py
+++ b/tinrudder/gateway/forwarding.py
@@ -12,27 +12,31 @@
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.backend_directory import Backend, BackendDirectory
-from tinrudder.gateway.load_reports import LoadReports
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.model import HeaderNames, RepeatBounds, Route
-from tinrudder.gateway.run_guard import CrashEvidence
-from tinrudder.routing.backend_observations import BackendObservations
-from tinrudder.routing.hedge_delay import (
-    MINIMUM_OBSERVATIONS,
-    hedge_delay_s,
-    usual_latency_s,
-)
-from tinrudder.routing.hedge_moment import HedgeMoments
-from tinrudder.routing.repeat_budget import RepeatBudget
-from tinrudder.routing.scatter_place import ScatterSizes
-from tinrudder.routing.shared_service import (
+from tinrudder.gateway.decisions.admission.shared_service import (
     extra_cost,
     has_room,
     least_work_s,
     two_of,
     work_s_of,
 )
-from tinrudder.routing.zone_preference import LEAST_ADVANTAGE, is_slow, zone_advantage
+from tinrudder.gateway.decisions.attempts.hedge_delay import (
+    MINIMUM_OBSERVATIONS,
+    hedge_delay_s,
+    usual_latency_s,
+)
+from tinrudder.gateway.decisions.attempts.hedge_moment import HedgeMoments
+from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
+from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
+from tinrudder.gateway.decisions.placement.scatter_place import ScatterSizes
+from tinrudder.gateway.decisions.placement.zone_preference import (
+    LEAST_ADVANTAGE,
+    is_slow,
+    zone_advantage,
+)
+from tinrudder.gateway.load_reports import LoadReports
+from tinrudder.gateway.memory_account import MemoryAccount
+from tinrudder.gateway.model import HeaderNames, RepeatBounds, Route
+from tinrudder.gateway.run_guard import CrashEvidence
 
 SIZE_GAIN = 0.1
 
--- a/tinrudder/gateway/load_watch.py
+++ b/tinrudder/gateway/load_watch.py
@@ -1,7 +1,8 @@
 """Tells other gateways of long queues at back ends that all of them call, and takes their word.
 
 Only what an answer to this gateway said is told, so nothing is passed on, and news ends with the
-queues.  What is sent is bounded by :class:`~tinrudder.routing.load_news.PendingNews`.
+queues. What is sent is bounded by
+:class:`~tinrudder.gateway.decisions.fleet.load_news.PendingNews`.
 """
 
 from __future__ import annotations
@@ -11,11 +12,7 @@
 
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.backend_directory import Backend
-from tinrudder.gateway.model import Address, BackendEntry
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import LoadNews
-from tinrudder.routing.load_news import (
+from tinrudder.gateway.decisions.fleet.load_news import (
     GATHER_S,
     MOST_AGE_S,
     NEXT_S,
@@ -26,6 +23,10 @@
     take_load,
     tell_load,
 )
+from tinrudder.gateway.model import Address, BackendEntry
+from tinrudder.gateway.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peer_list import PeerList
+from tinrudder.gateway.peer_messages import LoadNews
 from tinrudder.timers import Timers
 
 LOG_PAUSE_S = 10.0
--- a/tinrudder/gateway/node.py
+++ b/tinrudder/gateway/node.py
@@ -15,6 +15,8 @@
 from tinrudder.gateway.backend_directory import BackendDirectory
 from tinrudder.gateway.client_connection import ClientConnection, RequestHandler
 from tinrudder.gateway.coordinators import Coordination, Coordinators
+from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
+from tinrudder.gateway.decisions.fleet.stand_still import LOOK_S, StandStill
 from tinrudder.gateway.forwarding import Forwarding, ForwardingCounters
 from tinrudder.gateway.gateway_metrics import GatewayMetrics
 from tinrudder.gateway.knowledge import Knowledge
@@ -50,8 +52,6 @@
 from tinrudder.gateway.stored_values import MetadataStore, Topic, ValueDecoders
 from tinrudder.gateway.unreadable_values import UnreadableValues
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.routing.memory_bound import account_bytes
-from tinrudder.routing.stand_still import LOOK_S, StandStill
 
 HOUSEKEEPING_S = LOOK_S
 LEAVE_S = 2.6
--- a/tinrudder/gateway/peer_messages.py
+++ b/tinrudder/gateway/peer_messages.py
@@ -6,12 +6,12 @@
 
 from msgspec import Struct
 
+from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
+from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
 from tinrudder.gateway.messages import HttpRequest
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.outcomes import RequestOutcome
 from tinrudder.gateway.stored_values import StoredValue
-from tinrudder.routing.load_news import ToldLoad
-from tinrudder.routing.quota_home import HeldTokens
 
 
 class Member(Struct, frozen=True):
--- a/tinrudder/gateway/quota_homes.py
+++ b/tinrudder/gateway/quota_homes.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from tinrudder.common.logs import LogValue, log_event
+from tinrudder.gateway.decisions.admission.quota_home import QuotaHome, QuotaLimit, part_of_rate
 from tinrudder.gateway.model import Address, QuotaBounds, Tenant
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peer_list import PeerList
 from tinrudder.gateway.peer_messages import QuotaReport, QuotaVerdict
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.routing.quota_home import QuotaHome, QuotaLimit, part_of_rate
 
 TOLD_AGAIN_S = 1.0
 """How often everybody is told that a tenant is pressed: half as long as a word lasts."""
--- a/tinrudder/gateway/quotas.py
+++ b/tinrudder/gateway/quotas.py
@@ -13,6 +13,7 @@
 from msgspec import Struct
 
 from tinrudder.common.logs import LogValue, log_event
+from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
 from tinrudder.gateway.model import Address, QuotaBounds, Tenant
 from tinrudder.gateway.outcomes import NotRun, OverQuota
 from tinrudder.gateway.peer_datagrams import PeerDatagrams
@@ -22,7 +23,6 @@
 from tinrudder.gateway.quota_home_choice import QuotaHomeChoice
 from tinrudder.gateway.quota_homes import TO_EVERYBODY, QuotaHomes
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.routing.quota_home import HeldTokens
 
 REPORT_PAUSE_S = 0.02
 """How long requests of a tenant are gathered for one report: at seven times a limit of a thousand a
--- a/tinrudder/gateway/relaying.py
+++ b/tinrudder/gateway/relaying.py
@@ -8,11 +8,11 @@
 
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.coordinators import Coordinators
+from tinrudder.gateway.decisions.attempts.path_time import PathTime
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_traffic import PeerTraffic
 from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.routing.path_time import PathTime
 
 
 class Relaying(Struct, frozen=True):
--- a/tinrudder/gateway/request_run.py
+++ b/tinrudder/gateway/request_run.py
@@ -5,6 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.decisions.attempts.answer_moment import ScatterState, Verdict, decide
 from tinrudder.gateway.delegated_shards import DelegatedShards
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.messages import HttpAnswer, header_value
@@ -22,7 +23,6 @@
 from tinrudder.gateway.request_bytes import RequestBytes
 from tinrudder.gateway.run_guard import RunGuard
 from tinrudder.gateway.shard_calls import NEVER, ShardCalls
-from tinrudder.routing.answer_moment import ScatterState, Verdict, decide
 from tinrudder.timers import TimerHandle
 
 ABSORB_S = 0.3
--- a/tinrudder/gateway/routes_in_force.py
+++ b/tinrudder/gateway/routes_in_force.py
@@ -7,10 +7,10 @@
 from msgspec import Struct, field
 
 from tinrudder.gateway.api_keys import KeyRing
+from tinrudder.gateway.decisions.placement.route_table import RouteTable
+from tinrudder.gateway.decisions.placement.weighted_rotation import WeightedRotation
 from tinrudder.gateway.messages import HttpRequest
 from tinrudder.gateway.model import GatewayConfiguration, Route, Tenant
-from tinrudder.routing.route_table import RouteTable
-from tinrudder.routing.weighted_rotation import WeightedRotation
 
 FIRST_TURNS = 240
 """Gateways begin at different turns, drawn from whole rounds of most weights (a number with many
--- a/tinrudder/gateway/scatter_gate.py
+++ b/tinrudder/gateway/scatter_gate.py
@@ -1,7 +1,7 @@
 """Where scatters wait as a whole before anything of them has run: one gate for each index.
 
-The decisions are in :mod:`tinrudder.routing.scatter_queue`; this connects them to requests, to what
-back ends report, and to the clock.
+The decisions are in :mod:`tinrudder.gateway.decisions.admission.scatter_queue`; this connects
+them to requests, to what back ends report, and to the clock.
 """
 
 from __future__ import annotations
@@ -12,15 +12,22 @@
 from collections.abc import Callable, Collection
 
 from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
+from tinrudder.gateway.decisions.admission.return_moment import (
+    may_come_back,
+    retry_after_by_place_s,
+)
+from tinrudder.gateway.decisions.admission.scatter_queue import (
+    QueuedScatter,
+    ScatterQueue,
+    ScatterRefusal,
+)
+from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
 from tinrudder.gateway.model import Route
 from tinrudder.gateway.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peer_messages import MissingShard
 from tinrudder.gateway.relaying import Relaying
 from tinrudder.gateway.request_run import OutcomeListener, RequestRun
-from tinrudder.routing.hedge_delay import MINIMUM_OBSERVATIONS
-from tinrudder.routing.load_forecast import USUAL_FACTOR
-from tinrudder.routing.return_moment import may_come_back, retry_after_by_place_s
-from tinrudder.routing.scatter_queue import QueuedScatter, ScatterQueue, ScatterRefusal
 from tinrudder.timers import TimerHandle
 
 PART_KEPT_S = 1.0
--- a/tinrudder/gateway/scatter_planner.py
+++ b/tinrudder/gateway/scatter_planner.py
@@ -6,6 +6,7 @@
 
 from tinrudder.gateway.client_moments import Moments
 from tinrudder.gateway.coordinators import Coordination
+from tinrudder.gateway.decisions.placement.scatter_place import leaves_time
 from tinrudder.gateway.delegated_shards import (
     DelegatedShards,
     Delegation,
@@ -17,7 +18,6 @@
 from tinrudder.gateway.relaying import Relaying
 from tinrudder.gateway.request_bytes import RequestBytes
 from tinrudder.gateway.request_run import OutcomeListener, RequestRun
-from tinrudder.routing.scatter_place import leaves_time
 
 
 class ScatterPlanner:
--- a/tinrudder/gateway/service_admission.py
+++ b/tinrudder/gateway/service_admission.py
@@ -3,19 +3,19 @@
 from __future__ import annotations
 
 from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.decisions.admission.return_moment import retry_after_by_share_s
+from tinrudder.gateway.decisions.admission.shared_service import AdmittedShare, judge
+from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.model import Route
 from tinrudder.gateway.outcomes import NotRun
-from tinrudder.routing.return_moment import retry_after_by_share_s
-from tinrudder.routing.shared_service import AdmittedShare, judge
-from tinrudder.routing.tenant_shares import TenantShares
 
 
 class ServiceAdmission:
     """Judges requests that one of a service's back ends may run.
 
-    See :mod:`tinrudder.routing.shared_service`; what is known of the queues comes from own calls
-    and from other gateways.
+    See :mod:`tinrudder.gateway.decisions.admission.shared_service`; what is known of the queues
+    comes from own calls and from other gateways.
     """
 
     def __init__(self, forwarding: Forwarding) -> None:
--- a/tinrudder/gateway/shard_calls.py
+++ b/tinrudder/gateway/shard_calls.py
@@ -9,6 +9,9 @@
 
 from tinrudder.gateway.backend_directory import Backend
 from tinrudder.gateway.call_observation import SERVER_ERROR, observe_end
+from tinrudder.gateway.decisions.admission.memory_bound import large_body_bytes
+from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
+from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
 from tinrudder.gateway.forwarding import Forwarding
 from tinrudder.gateway.messages import (
     Answered,
@@ -24,9 +27,6 @@
 from tinrudder.gateway.request_bytes import RequestBytes
 from tinrudder.gateway.request_log import log_call_lost
 from tinrudder.gateway.run_guard import POISON, Permission, RunGuard
-from tinrudder.routing.backend_observations import RunningCall
-from tinrudder.routing.hedge_delay import hedge_delay_s, usual_latency_s
-from tinrudder.routing.memory_bound import large_body_bytes
 
 MAX_SENDS = 4
 """How many calls of one shard may leave for one request, a choice: two replicas, each twice."""
--- a/tinrudder/gateway/store_readers.py
+++ b/tinrudder/gateway/store_readers.py
@@ -6,12 +6,12 @@
 
 from msgspec import Struct, field
 
+from tinrudder.gateway.decisions.placement.coordinator_choice import Candidate, choose_readers
 from tinrudder.gateway.model import Address
 from tinrudder.gateway.peer_list import PeerList
 from tinrudder.gateway.peer_messages import Member
 from tinrudder.gateway.shared_state import SharedState
 from tinrudder.gateway.stored_values import Topic
-from tinrudder.routing.coordinator_choice import Candidate, choose_readers
 
 READERS = 8
 ACQUAINTANCE_S = 1.0
--- a/tinrudder/routing/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Pure routing decisions: replica choice, limits, queues, hedging, budgets."""
--- a/tinrudder/wire/load_news_codec.py
+++ b/tinrudder/wire/load_news_codec.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
+from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
 from tinrudder.gateway.peer_messages import LoadNews
-from tinrudder.routing.load_news import ToldLoad
 from tinrudder.wire import peer_datagram_pb2 as pb
 from tinrudder.wire.snapshot_codec import MILLISECONDS, milliseconds_above
 
