--- a/bench/connection_cost.py
+++ b/bench/connection_cost.py
@@ -14,11 +14,11 @@
 import time
 from collections.abc import Callable
 
-from tinrudder.gateway.client_connection import ClientConnection
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.messages import UpstreamCall
-from tinrudder.gateway.plain_answers import PlainHandler, text_answer
-from tinrudder.gateway.upstream_connection import UpstreamConnection, accept_any_answer
+from tinrudder.gateway.backends.upstream_connection import UpstreamConnection, accept_any_answer
+from tinrudder.gateway.clients.client_connection import ClientConnection
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
+from tinrudder.gateway.model.messages import UpstreamCall
 
 ROUNDS = 9
 REQUESTS = 20_000
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -19,8 +19,8 @@
 from typing import Any
 
 from bench.share_admission import Admission
-from tinrudder.gateway.outcomes import NotRun
-from tinrudder.gateway.scatter_gate import ScatterGate, Ticket
+from tinrudder.gateway.model.outcomes import NotRun
+from tinrudder.gateway.scatters.scatter_gate import ScatterGate, Ticket
 from tinrudder_lab.emulator.records import ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -17,22 +17,22 @@
 from collections.abc import Callable
 
 from tinrudder.cli.gateway import DECODERS
-from tinrudder.gateway.backend_directory import BackendDirectory
-from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.backends.upstream_connection import UpstreamConnection
+from tinrudder.gateway.clients.client_moments import Moments
 from tinrudder.gateway.decisions.placement.cold_pace import Callers
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.load_reports import LoadReports
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address, ColdBounds, RepeatBounds
-from tinrudder.gateway.outcomes import Merged, RequestOutcome
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.poison_watch import PoisonWatch
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.request_run import RequestRun
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.stored_values import StoredValue, Topic
-from tinrudder.gateway.upstream_connection import UpstreamConnection
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Address, ColdBounds, RepeatBounds
+from tinrudder.gateway.model.outcomes import Merged, RequestOutcome
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.request_run import RequestRun
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.stored_values import StoredValue, Topic
 from tinrudder.platform.headers import HEADERS
 
 SHARDS = 90
--- a/bench/share_admission.py
+++ b/bench/share_admission.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Sequence
 
-from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.clients.client_moments import Moments
 from tinrudder.gateway.decisions.admission.load_forecast import admission_share
 from tinrudder.gateway.decisions.admission.return_moment import (
     HONOURED_SHARE,
@@ -14,9 +14,9 @@
 )
 from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.outcomes import NotRun
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.outcomes import NotRun
+from tinrudder.gateway.requests.forwarding import Forwarding
 
 SPREAD_BY_CHANCE = 2.0
 """Callers come back between the moment told and this many times as late, a choice: refused by
--- a/tests/functional/test_gateway_dead_shards.py
+++ b/tests/functional/test_gateway_dead_shards.py
@@ -6,8 +6,8 @@
 
 import pytest
 
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.request_fingerprint import fingerprint_of
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.requests.request_fingerprint import fingerprint_of
 from tinrudder.platform.headers import HEADERS
 from tinrudder_lab.emulator.site import SITE_HOST, EmulatedSite, run_site
 
--- a/tests/functional/test_gateway_quotas.py
+++ b/tests/functional/test_gateway_quotas.py
@@ -9,7 +9,7 @@
 
 from tests.support.many_gateways import SETTLED_S, run_many
 from tinrudder.gateway.decisions.admission.quota_home import RETURN_SPREAD_S
-from tinrudder.gateway.model import Address, QuotaBounds
+from tinrudder.gateway.model.model import Address, QuotaBounds
 from tinrudder.gateway.node import GatewayNode
 from tinrudder_lab.emulator.client import ClientResult
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
--- a/tests/functional/test_gateway_shared_service.py
+++ b/tests/functional/test_gateway_shared_service.py
@@ -8,6 +8,7 @@
 
 import pytest
 
+from tinrudder.gateway.backends.load_watch import number_of
 from tinrudder.gateway.decisions.fleet.load_news import (
     BYTES_PER_S,
     DATAGRAM_BYTES,
@@ -15,8 +16,7 @@
     MOST_BYTES,
     ToldLoad,
 )
-from tinrudder.gateway.load_watch import number_of
-from tinrudder.gateway.peer_messages import LoadNews
+from tinrudder.gateway.peers.peer_messages import LoadNews
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.records import Arrival, ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
--- a/tests/functional/test_gateway_site.py
+++ b/tests/functional/test_gateway_site.py
@@ -10,8 +10,8 @@
 import async_solipsism
 import pytest
 
-from tinrudder.gateway.answer_reader import AnswerReader, ReadState
-from tinrudder.gateway.client_connection import ClientConnection
+from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
+from tinrudder.gateway.clients.client_connection import ClientConnection
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.loop import EmulatorLoop
 from tinrudder_lab.emulator.records import ClientResult
--- a/tests/functional/test_gateway_slow_readers.py
+++ b/tests/functional/test_gateway_slow_readers.py
@@ -8,8 +8,8 @@
 import pytest
 
 from tests.support.slow_clients import connect, connect_paced, run_served
-from tinrudder.gateway.answer_reader import AnswerReader, ReadState
-from tinrudder.gateway.client_connection import (
+from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
+from tinrudder.gateway.clients.client_connection import (
     PAUSED_S,
     UNREAD_FULL_S,
     UNREAD_PRESSED_S,
@@ -17,12 +17,12 @@
     WATCH_S,
     ClientConnection,
 )
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import ClientLimits
-from tinrudder.gateway.outcomes import FinalAnswer
-from tinrudder.gateway.plain_answers import PlainHandler, text_answer
-from tinrudder.gateway.shard_calls import ShardCalls
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.outcomes import FinalAnswer
+from tinrudder.gateway.requests.shard_calls import ShardCalls
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.site import CLIENT_PORT, GRACE_S, EmulatedSite, run_site
 
--- a/tests/functional/test_gateway_store_readers.py
+++ b/tests/functional/test_gateway_store_readers.py
@@ -12,7 +12,7 @@
     SETTLED_S,
     run_many,
 )
-from tinrudder.gateway.stored_values import Topic
+from tinrudder.gateway.store.stored_values import Topic
 from tinrudder_lab.emulator.loop import EmulatorLoop
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 from tinrudder_lab.emulator.store import PAGE_ITEMS, StoreMode
--- a/tests/support/slow_clients.py
+++ b/tests/support/slow_clients.py
@@ -9,8 +9,8 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from tinrudder.gateway.client_connection import ClientConnection, RequestHandler
-from tinrudder.gateway.memory_account import MemoryAccount
+from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
+from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder_lab.emulator.loop import EmulatorLoop
 
 HOST = "10.1.1.1"
--- a/tests/unit/test_answer_reader.py
+++ b/tests/unit/test_answer_reader.py
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.answer_reader import AnswerReader, ReadState
+from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
 
 BODIES = st.binary(max_size=40)
 
--- a/tests/unit/test_backend_entries.py
+++ b/tests/unit/test_backend_entries.py
@@ -12,9 +12,9 @@
 from hypothesis import strategies as st
 
 from tests.unit.test_shared_state import new_state
-from tinrudder.gateway.shared_state import EntryStanding, SharedState
-from tinrudder.gateway.stored_values import Reading, StoredValue, Topic, UnreadableValueError
-from tinrudder.gateway.unreadable_values import LINES, UnreadableValues
+from tinrudder.gateway.store.shared_state import EntryStanding, SharedState
+from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, UnreadableValueError
+from tinrudder.gateway.store.unreadable_values import LINES, UnreadableValues
 from tinrudder.platform.documents import decode_backend
 from tinrudder_lab.emulator.foreign_entries import FOREIGN_VALUES, foreign_value
 
@@ -174,7 +174,7 @@
 ) -> None:
     now = [0.0]
     lines: list[object] = []
-    module = "tinrudder.gateway.unreadable_values.log_problem"
+    module = "tinrudder.gateway.store.unreadable_values.log_problem"
     monkeypatch.setattr(module, lambda event, fields: lines.append(fields["detail"]))
     values = UnreadableValues(lambda: now[0])
     for number in range(100):
--- a/tests/unit/test_backend_starts.py
+++ b/tests/unit/test_backend_starts.py
@@ -11,12 +11,12 @@
 from hypothesis import strategies as st
 
 from tests.unit.test_shared_state import DECODERS
-from tinrudder.gateway.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.decisions.placement.cold_pace import Callers
-from tinrudder.gateway.messages import CallOutcome, UpstreamCall, Withdrawn
-from tinrudder.gateway.model import ColdBounds
-from tinrudder.gateway.shared_state import OLDER_START_S, EntryStanding, SharedState
-from tinrudder.gateway.stored_values import Reading, StoredValue, Topic
+from tinrudder.gateway.model.messages import CallOutcome, UpstreamCall, Withdrawn
+from tinrudder.gateway.model.model import ColdBounds
+from tinrudder.gateway.store.shared_state import OLDER_START_S, EntryStanding, SharedState
+from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic
 from tinrudder.platform.headers import HEADERS
 
 KEY = "servers/a"
--- a/tests/unit/test_gateway_decisions.py
+++ b/tests/unit/test_gateway_decisions.py
@@ -29,7 +29,7 @@
     is_slow,
     zone_advantage,
 )
-from tinrudder.gateway.routes_in_force import FIRST_TURNS
+from tinrudder.gateway.requests.routes_in_force import FIRST_TURNS
 
 
 @dataclass(frozen=True)
--- a/tests/unit/test_gateway_metrics.py
+++ b/tests/unit/test_gateway_metrics.py
@@ -5,10 +5,10 @@
 import subprocess
 import sys
 
-from tinrudder.gateway.gateway_metrics import GatewayMetrics
-from tinrudder.gateway.outcomes import TimedOut
-from tinrudder.gateway.peer_messages import MissingShard
-from tinrudder.gateway.request_log import FinishedRequest
+from tinrudder.gateway.model.outcomes import TimedOut
+from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
+from tinrudder.gateway.observability.request_log import FinishedRequest
+from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder_lab.emulator.site import EmulatedSite, SiteTenant, run_site
 
 LATER = ("prometheus_client", "http.server", "tinrudder.node.metrics", "tinrudder.node.outcomes")
--- a/tests/unit/test_gateway_relay_codec.py
+++ b/tests/unit/test_gateway_relay_codec.py
@@ -9,9 +9,9 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.outcomes import (
     Merged,
     NoAnswer,
     NotRun,
@@ -19,7 +19,7 @@
     TimedOut,
     UnknownRoute,
 )
-from tinrudder.gateway.peer_messages import (
+from tinrudder.gateway.peers.peer_messages import (
     Declined,
     Digest,
     Member,
@@ -30,14 +30,14 @@
     SnapshotRequest,
     ToldMember,
 )
-from tinrudder.wire.gateway_relay_codec import (
+from tinrudder.gateway.wire.gateway_relay_codec import (
     decode_answer,
     decode_request,
     encode_answer,
     encode_request,
 )
-from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
-from tinrudder.wire.snapshot_codec import (
+from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
+from tinrudder.gateway.wire.snapshot_codec import (
     MalformedPeerMessageError,
 )
 
--- a/tests/unit/test_hedge_wiring.py
+++ b/tests/unit/test_hedge_wiring.py
@@ -9,13 +9,13 @@
     LocalEvidence,
     ManualLoop,
 )
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.load_reports import LoadReports
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import RepeatBounds, Route
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.run_guard import RunGuard
-from tinrudder.gateway.shard_calls import ShardCalls
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import RepeatBounds, Route
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.run_guard import RunGuard
+from tinrudder.gateway.requests.shard_calls import ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
 OBJECTIVE_S = 0.063
--- a/tests/unit/test_load_news.py
+++ b/tests/unit/test_load_news.py
@@ -25,8 +25,8 @@
     BACKLOG_LIFETIME_S,
     BackendObservations,
 )
-from tinrudder.gateway.peer_messages import LoadNews
-from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
+from tinrudder.gateway.peers.peer_messages import LoadNews
+from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
 
 IP_AND_UDP_BYTES = 28
 SLOTS = 4
--- a/tests/unit/test_load_reports.py
+++ b/tests/unit/test_load_reports.py
@@ -8,9 +8,9 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.load_reports import LOG_PAUSE_S, LoadReports
-from tinrudder.gateway.messages import LoadReport
-from tinrudder.gateway.stored_values import UnreadableValueError
+from tinrudder.gateway.backends.load_reports import LOG_PAUSE_S, LoadReports
+from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.load_header import decode_load_report
 
 FIGURES = st.integers(0, 10**9 - 1)
@@ -65,7 +65,8 @@
 ) -> None:
     logged: list[str] = []
     monkeypatch.setattr(
-        "tinrudder.gateway.load_reports.log_problem", lambda event, _fields: logged.append(event)
+        "tinrudder.gateway.backends.load_reports.log_problem",
+        lambda event, _fields: logged.append(event),
     )
     now = [0.0]
     reports = LoadReports(decode_load_report, lambda: now[0])
--- a/tests/unit/test_load_watch.py
+++ b/tests/unit/test_load_watch.py
@@ -9,14 +9,14 @@
 import pytest
 
 from tests.support.fakes import ManualTimers
-from tinrudder.gateway import load_watch
+from tinrudder.gateway.backends import load_watch
+from tinrudder.gateway.backends.load_watch import LOG_PAUSE_S, LoadWatch, number_of
 from tinrudder.gateway.decisions.fleet.load_news import BYTES_PER_S, GATHER_S, MOST_BYTES, ToldLoad
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.load_watch import LOG_PAUSE_S, LoadWatch, number_of
-from tinrudder.gateway.model import Address, BackendEntry
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import LoadNews, Member
-from tinrudder.wire.peer_datagram_codec import encode_datagram
+from tinrudder.gateway.model.model import Address, BackendEntry
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import LoadNews, Member
+from tinrudder.gateway.wire.peer_datagram_codec import encode_datagram
 
 IP_AND_UDP_BYTES = 28
 SERVICES = 50
--- a/tests/unit/test_log_stream.py
+++ b/tests/unit/test_log_stream.py
@@ -4,7 +4,7 @@
 
 import os
 
-from tinrudder.log_stream import MAX_PENDING_BYTES, BoundedLineStream
+from tinrudder.gateway.observability.log_stream import MAX_PENDING_BYTES, BoundedLineStream
 
 
 def test_a_reader_that_stalls_blocks_nothing_and_learns_what_was_dropped() -> None:
--- a/tests/unit/test_memory_account.py
+++ b/tests/unit/test_memory_account.py
@@ -8,18 +8,18 @@
 from hypothesis import strategies as st
 
 from tests.support.slow_clients import TakingTransport
-from tinrudder.gateway.client_connection import ClientConnection
+from tinrudder.gateway.backends.upstream_connection import UpstreamConnection, accept_any_answer
+from tinrudder.gateway.clients.client_connection import ClientConnection
+from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.memory_bound import (
     BARE_PROCESS_BYTES,
     LEAST_ACCOUNT_BYTES,
     account_bytes,
     refused_from,
 )
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.messages import HttpRequest, UpstreamCall
-from tinrudder.gateway.model import ClientLimits
-from tinrudder.gateway.outcomes import FinalAnswer
-from tinrudder.gateway.upstream_connection import UpstreamConnection, accept_any_answer
+from tinrudder.gateway.model.messages import HttpRequest, UpstreamCall
+from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.outcomes import FinalAnswer
 
 REQUEST = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n" + b"x" * 20
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + b"y" * 30
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tinrudder.gateway.model import Address, SettingsFileError
-from tinrudder.gateway.stored_values import (
+from tinrudder.gateway.model.model import Address, SettingsFileError
+from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
     ForeignKey,
--- a/tests/unit/test_poison_news_ends.py
+++ b/tests/unit/test_poison_news_ends.py
@@ -16,12 +16,12 @@
 import pytest
 
 from tinrudder.common.poison_requests import KEPT_S, Crash, Evidence
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Member, PoisonReport
-from tinrudder.gateway.poison_watch import PoisonWatch
-from tinrudder.gateway.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Member, PoisonReport
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.platform.headers import HEADERS
 
 ORIGIN = b"o" * FINGERPRINT_BYTES
--- a/tests/unit/test_poison_watch.py
+++ b/tests/unit/test_poison_watch.py
@@ -14,20 +14,20 @@
 from hypothesis import strategies as st
 
 from tinrudder.common.poison_requests import ENOUGH_CRASHES, MOST_REQUESTS, Standing
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Member, PoisonReport, ToldCrash, ToldEvidence
-from tinrudder.gateway.poison_watch import (
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Member, PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.peers.poison_watch import (
     GATHER_S,
     MOST_DATAGRAMS_AT_ONCE,
     MOST_IN_A_REPORT,
     PoisonWatch,
 )
-from tinrudder.gateway.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
+from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 from tinrudder.platform.headers import HEADERS
-from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
-from tinrudder.wire.snapshot_codec import MalformedPeerMessageError
 
 SAFE_DATAGRAM_BYTES = 1200
 FINGERPRINT = bytes(FINGERPRINT_BYTES)
--- a/tests/unit/test_probes.py
+++ b/tests/unit/test_probes.py
@@ -4,9 +4,9 @@
 
 from typing import Any
 
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_messages import Probe, ProbeAnswer
-from tinrudder.gateway.probes import REMEMBERED_S, Probes, SentProbe
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
+from tinrudder.gateway.peers.probes import REMEMBERED_S, Probes, SentProbe
 
 PEER = Address("10.0.0.1", 80)
 
--- a/tests/unit/test_shard_calls_machine.py
+++ b/tests/unit/test_shard_calls_machine.py
@@ -15,10 +15,9 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from tinrudder.common.poison_requests import PoisonRequests, RequestStanding
-from tinrudder.gateway.backend_directory import Backend
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.load_reports import LoadReports
-from tinrudder.gateway.messages import (
+from tinrudder.gateway.backends.backend_directory import Backend
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.model.messages import (
     Answered,
     Broken,
     HttpAnswer,
@@ -28,10 +27,11 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.model import BackendEntry, HeaderNames, RepeatBounds, Route
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.run_guard import RunGuard
-from tinrudder.gateway.shard_calls import MAX_SENDS, NEVER, ShardCalls
+from tinrudder.gateway.model.model import BackendEntry, HeaderNames, RepeatBounds, Route
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.run_guard import RunGuard
+from tinrudder.gateway.requests.shard_calls import MAX_SENDS, NEVER, ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
 SERVICE = "shard-0"
--- a/tests/unit/test_shared_state.py
+++ b/tests/unit/test_shared_state.py
@@ -8,19 +8,19 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_exchange import DIGEST_INTERVAL_S
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Digest, Member, ToldMember
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.stored_values import Reading, StoredValue, Topic, ValueDecoders
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_exchange import DIGEST_INTERVAL_S
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Digest, Member, ToldMember
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, ValueDecoders
+from tinrudder.gateway.wire.peer_datagram_codec import encode_datagram
 from tinrudder.platform.documents import (
     decode_backend,
     decode_configuration,
     decode_operator_key,
 )
 from tinrudder.platform.load_header import decode_load_report
-from tinrudder.wire.peer_datagram_codec import encode_datagram
 
 IP_AND_UDP_HEADER_BYTES = 28
 DECODERS = ValueDecoders(
--- a/tests/unit/test_snapshot_codec.py
+++ b/tests/unit/test_snapshot_codec.py
@@ -9,10 +9,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_messages import Member, Snapshot, ToldMember
-from tinrudder.gateway.stored_values import StoredValue
-from tinrudder.wire.snapshot_codec import (
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_messages import Member, Snapshot, ToldMember
+from tinrudder.gateway.store.stored_values import StoredValue
+from tinrudder.gateway.wire.snapshot_codec import (
     MAX_SNAPSHOT_BYTES,
     MalformedPeerMessageError,
     decode_snapshot,
--- a/tests/unit/test_store_follower.py
+++ b/tests/unit/test_store_follower.py
@@ -10,8 +10,8 @@
 import pytest
 
 from tests.unit.test_shared_state import DECODERS, backend, configuration
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.store_follower import (
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.store_follower import (
     LONGEST_REST_S,
     LONGEST_WAIT_S,
     REST_SPREAD,
@@ -19,7 +19,7 @@
     WAIT_SPREAD,
     StoreFollower,
 )
-from tinrudder.gateway.stored_values import Reading, StoredValue, Topic
+from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic
 
 FIRST_REVISION = 10
 
--- a/tests/unit/test_tenants.py
+++ b/tests/unit/test_tenants.py
@@ -7,10 +7,10 @@
 
 import pytest
 
-from tinrudder.gateway.api_keys import KeyRing, Known, digest_of, without_credentials
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Tenant
-from tinrudder.gateway.stored_values import UnreadableValueError
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Tenant
+from tinrudder.gateway.requests.api_keys import KeyRing, Known, digest_of, without_credentials
+from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
 
--- a/tinrudder/gateway/__init__.py
+++ b/tinrudder/gateway/__init__.py
@@ -1,1 +1,8 @@
-"""The gateway role: opaque requests forwarded to one back end, or scattered over many shards."""
+"""The gateway, the program on the users' machines: opaque requests to one back end or many shards.
+
+A request passes ``clients``, ``requests`` and, over many shards, ``scatters``; calls leave through
+``backends``. ``store`` and ``peers`` keep what a gateway knows, ``quotas`` tenants' limits,
+``observability`` logs and metrics; ``decisions`` holds the pure rules, ``model`` the values that
+all pass, ``wire`` the messages between gateways. ``node.py`` wires a process. Knows no adapter:
+:mod:`tinrudder.platform` translates into this package's values from outside.
+"""
--- a/tinrudder/gateway/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -8,12 +8,14 @@
 from msgspec import Struct, field
 
 from tinrudder.common.rendezvous import rendezvous_score
+from tinrudder.gateway.backends.upstream_connection import never_stood_still
+from tinrudder.gateway.backends.upstream_pool import UpstreamPool
+from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.cold_pace import Callers, ColdPace, own_part
 from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
-from tinrudder.gateway.held_bytes import HeldBytes
-from tinrudder.gateway.messages import (
+from tinrudder.gateway.model.messages import (
     Answered,
     Broken,
     CallOutcome,
@@ -22,10 +24,14 @@
     UpstreamCall,
     header_value,
 )
-from tinrudder.gateway.model import Address, BackendEntry, ClientLimits, ColdBounds, HeaderNames
-from tinrudder.gateway.shared_state import EntryStanding, KnownBackend, SharedState
-from tinrudder.gateway.upstream_connection import never_stood_still
-from tinrudder.gateway.upstream_pool import UpstreamPool
+from tinrudder.gateway.model.model import (
+    Address,
+    BackendEntry,
+    ClientLimits,
+    ColdBounds,
+    HeaderNames,
+)
+from tinrudder.gateway.store.shared_state import EntryStanding, KnownBackend, SharedState
 
 WRONG_BACKEND_STATUS = 421
 FEWEST_REPLICAS = 2
--- a/tinrudder/gateway/fetch.py
+++ b/tinrudder/gateway/backends/fetch.py
@@ -4,8 +4,8 @@
 
 import asyncio
 
-from tinrudder.gateway.messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
-from tinrudder.gateway.upstream_pool import UpstreamPool
+from tinrudder.gateway.backends.upstream_pool import UpstreamPool
+from tinrudder.gateway.model.messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
 
 
 class FetchError(Exception):
--- a/tinrudder/gateway/load_reports.py
+++ b/tinrudder/gateway/backends/load_reports.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from tinrudder.common.logs import log_problem
-from tinrudder.gateway.messages import LoadReport
-from tinrudder.gateway.stored_values import UnreadableValueError
+from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.store.stored_values import UnreadableValueError
 
 LOG_PAUSE_S = 10.0
 """Between two log lines: a form that nobody can read comes with every answer."""
--- a/tinrudder/gateway/load_watch.py
+++ b/tinrudder/gateway/backends/load_watch.py
@@ -11,7 +11,7 @@
 from zlib import crc32
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.backend_directory import Backend
+from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.decisions.fleet.load_news import (
     GATHER_S,
     MOST_AGE_S,
@@ -23,10 +23,10 @@
     take_load,
     tell_load,
 )
-from tinrudder.gateway.model import Address, BackendEntry
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import LoadNews
+from tinrudder.gateway.model.model import Address, BackendEntry
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import LoadNews
 from tinrudder.timers import Timers
 
 LOG_PAUSE_S = 10.0
--- a/tinrudder/gateway/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -7,9 +7,9 @@
 import socket
 from collections.abc import Callable
 
-from tinrudder.gateway.answer_reader import AnswerReader, ReadState
-from tinrudder.gateway.held_bytes import HeldBytes
-from tinrudder.gateway.messages import (
+from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
+from tinrudder.gateway.clients.held_bytes import HeldBytes
+from tinrudder.gateway.model.messages import (
     Answered,
     Broken,
     CallOutcome,
--- a/tinrudder/gateway/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -11,14 +11,14 @@
 from collections import deque
 from collections.abc import Callable
 
-from tinrudder.gateway.held_bytes import HeldBytes
-from tinrudder.gateway.messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.upstream_connection import (
+from tinrudder.gateway.backends.upstream_connection import (
     AnswerCheck,
     UpstreamConnection,
     never_stood_still,
 )
+from tinrudder.gateway.clients.held_bytes import HeldBytes
+from tinrudder.gateway.model.messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
+from tinrudder.gateway.model.model import Address
 
 CONNECT_TIMEOUT_S = 0.4
 """How long a connection may take to open, a choice: a hundred times the way between zones, and less
--- a/tinrudder/gateway/answers.py
+++ b/tinrudder/gateway/clients/answers.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.messages import Header, end_to_end_headers
-from tinrudder.gateway.model import HeaderNames
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.model.messages import Header, end_to_end_headers
+from tinrudder.gateway.model.model import HeaderNames
+from tinrudder.gateway.model.outcomes import (
     REASONS,
     FinalAnswer,
     Merged,
--- a/tinrudder/gateway/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -8,12 +8,13 @@
 
 import httptools
 
-from tinrudder.gateway.answers import RETRY_AFTER, encode_answer
+from tinrudder.gateway.clients.answers import RETRY_AFTER, encode_answer
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.clients.tcp_progress import acknowledged_bytes
 from tinrudder.gateway.decisions.admission.memory_bound import RETRY_AFTER_S
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.messages import Header, Headers, HttpRequest
-from tinrudder.gateway.model import ClientLimits
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.model.messages import Header, Headers, HttpRequest
+from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.outcomes import (
     REASONS,
     STATUS_BAD_REQUEST,
     STATUS_BODY_TOO_LARGE,
@@ -22,7 +23,6 @@
     STATUS_UNAVAILABLE,
     FinalAnswer,
 )
-from tinrudder.gateway.tcp_progress import acknowledged_bytes
 from tinrudder.timers import TimerHandle
 
 HTTP_1_1 = "1.1"
--- a/tinrudder/gateway/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -6,14 +6,14 @@
 from collections.abc import Callable
 
 from tinrudder.common.logs import LogValue, log_problem
+from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import (
     LARGEST_ANSWER_SHARE,
     PAUSE_FILL,
     refused_from,
     retry_after_s,
 )
-from tinrudder.gateway.held_bytes import HeldBytes
-from tinrudder.gateway.outcomes import NotRun
+from tinrudder.gateway.model.outcomes import NotRun
 
 LOG_PAUSE_S = 1.0
 """Time between two lines of one kind, a choice: what is left out of them, metrics count."""
--- a/tinrudder/gateway/plain_answers.py
+++ b/tinrudder/gateway/clients/plain_answers.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable
 
-from tinrudder.gateway.client_connection import ClientConnection
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import ClientLimits
-from tinrudder.gateway.outcomes import REASONS, STATUS_UNAVAILABLE, FinalAnswer
+from tinrudder.gateway.clients.client_connection import ClientConnection
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.outcomes import REASONS, STATUS_UNAVAILABLE, FinalAnswer
 
 OK = 200
 
--- a/tinrudder/gateway/model.py
+++ b/tinrudder/gateway/model/model.py
@@ -51,7 +51,7 @@
 class Tenant(Struct, frozen=True):
     """Somebody on whose behalf requests come.
 
-    :param key_digests: of its keys, see :mod:`tinrudder.gateway.api_keys`.
+    :param key_digests: of its keys, see :mod:`tinrudder.gateway.requests.api_keys`.
     :param priority: goes before that of a route; ``None``: the route's holds.
     :param rate_per_s: requests a second that all gateways together admit; 0: any number.
     :param burst: requests on top of the rate.
--- a/tinrudder/gateway/node.py
+++ b/tinrudder/gateway/node.py
@@ -11,47 +11,47 @@
 from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.logs import log_event
 from tinrudder.common.transport.peer_client import PeerClient
-from tinrudder.gateway.access import Access
-from tinrudder.gateway.backend_directory import BackendDirectory
-from tinrudder.gateway.client_connection import ClientConnection, RequestHandler
-from tinrudder.gateway.coordinators import Coordination, Coordinators
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.backends.load_watch import LoadWatch
+from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
 from tinrudder.gateway.decisions.fleet.stand_still import LOOK_S, StandStill
-from tinrudder.gateway.forwarding import Forwarding, ForwardingCounters
-from tinrudder.gateway.gateway_metrics import GatewayMetrics
-from tinrudder.gateway.knowledge import Knowledge
-from tinrudder.gateway.knowledge_keeper import KnowledgeKeeper
-from tinrudder.gateway.load_reports import LoadReports
-from tinrudder.gateway.load_watch import LoadWatch
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.model import Address, GatewaySettings, HeaderNames
-from tinrudder.gateway.node_log import (
+from tinrudder.gateway.model.model import Address, GatewaySettings, HeaderNames
+from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
+from tinrudder.gateway.observability.node_log import (
     log_configuration,
     log_coordination,
     log_pull,
     log_reachability,
 )
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_exchange import PeerExchange
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Member, ProbeAnswer
-from tinrudder.gateway.plain_answers import PlainHandler, readiness_answer, text_answer
-from tinrudder.gateway.poison_watch import PoisonWatch
-from tinrudder.gateway.probes import Probes
-from tinrudder.gateway.quotas import Quotas
-from tinrudder.gateway.reach import Reach
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.request_handler import RequestHandler as ForwardingHandler
-from tinrudder.gateway.request_log import FinishedRequest, log_request
-from tinrudder.gateway.scatter_gate import ScatterGates
-from tinrudder.gateway.scatter_planner import ScatterPlanner
-from tinrudder.gateway.scatter_service import ScatterService
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.store_follower import StoreFollower
-from tinrudder.gateway.store_readers import StoreReaders
-from tinrudder.gateway.stored_values import MetadataStore, Topic, ValueDecoders
-from tinrudder.gateway.unreadable_values import UnreadableValues
-from tinrudder.gateway.zone_watch import ZoneWatch
+from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_exchange import PeerExchange
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Member, ProbeAnswer
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.peers.probes import Probes
+from tinrudder.gateway.peers.reach import Reach
+from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.quotas.quotas import Quotas
+from tinrudder.gateway.requests.access import Access
+from tinrudder.gateway.requests.forwarding import Forwarding, ForwardingCounters
+from tinrudder.gateway.requests.request_handler import RequestHandler as ForwardingHandler
+from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
+from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.scatter_gate import ScatterGates
+from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+from tinrudder.gateway.scatters.scatter_service import ScatterService
+from tinrudder.gateway.store.knowledge import Knowledge
+from tinrudder.gateway.store.knowledge_keeper import KnowledgeKeeper
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.store_follower import StoreFollower
+from tinrudder.gateway.store.store_readers import StoreReaders
+from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
+from tinrudder.gateway.store.unreadable_values import UnreadableValues
 
 HOUSEKEEPING_S = LOOK_S
 LEAVE_S = 2.6
--- a/tinrudder/gateway/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.request_latencies import LatencyCounts, LatencyLabels
-from tinrudder.gateway.request_log import FinishedRequest
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.observability.request_latencies import LatencyCounts, LatencyLabels
+from tinrudder.gateway.observability.request_log import FinishedRequest
 
 if TYPE_CHECKING:
     from tinrudder.gateway.node import GatewayNode
@@ -108,7 +108,7 @@
 
     def render(self) -> bytes:
         """Return the text format."""
-        from tinrudder.gateway.metrics_text import metrics_text
+        from tinrudder.gateway.observability.metrics_text import metrics_text
 
         return metrics_text(self)
 
--- a/tinrudder/gateway/metrics_text.py
+++ b/tinrudder/gateway/observability/metrics_text.py
@@ -13,8 +13,8 @@
 )
 from prometheus_client.registry import Collector
 
-from tinrudder.gateway.gateway_metrics import PREFIX, GatewayMetrics
-from tinrudder.gateway.request_latencies import LATENCY_BUCKETS_S, LatencyCounts
+from tinrudder.gateway.observability.gateway_metrics import PREFIX, GatewayMetrics
+from tinrudder.gateway.observability.request_latencies import LATENCY_BUCKETS_S, LatencyCounts
 
 UNBOUNDED = "+Inf"
 
--- a/tinrudder/gateway/node_log.py
+++ b/tinrudder/gateway/observability/node_log.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from tinrudder.common.logs import LogValue, log_event, log_problem
-from tinrudder.gateway.coordinators import Coordination
-from tinrudder.gateway.shared_state import AcceptedConfiguration
-from tinrudder.gateway.stored_values import Topic
+from tinrudder.gateway.scatters.coordinators import Coordination
+from tinrudder.gateway.store.shared_state import AcceptedConfiguration
+from tinrudder.gateway.store.stored_values import Topic
 
 
 def log_configuration(accepted: AcceptedConfiguration) -> None:
--- a/tinrudder/gateway/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -8,8 +8,8 @@
 from msgspec import Struct, field
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.model import Address, Route
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.model.outcomes import (
     Invalid,
     Merged,
     NoAnswer,
@@ -20,7 +20,7 @@
     Unauthorized,
     status_of,
 )
-from tinrudder.gateway.peer_messages import MissingShard, ScatterEnd, ScatterRequest
+from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
 
 CLIENT_LEFT = "client_left"
 MILLISECONDS = 1000.0
--- a/tinrudder/gateway/peer_datagrams.py
+++ b/tinrudder/gateway/peers/peer_datagrams.py
@@ -7,11 +7,11 @@
 from typing import Any, TypeVar, cast
 
 from tinrudder.common.logs import log_problem
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_messages import PeerDatagram
-from tinrudder.gateway.peer_traffic import PeerTraffic
-from tinrudder.wire.peer_datagram_codec import decode_datagram, encode_datagram
-from tinrudder.wire.snapshot_codec import MalformedPeerMessageError
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_messages import PeerDatagram
+from tinrudder.gateway.peers.peer_traffic import PeerTraffic
+from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
+from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 
 LOG_PAUSE_S = 10.0
 """Least time between two log lines of unreadable datagrams, a choice: who sends one sends many, and
--- a/tinrudder/gateway/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -8,11 +8,10 @@
 
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.common.transport.peer_server import PeerServer
-from tinrudder.gateway.knowledge import Knowledge
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import (
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import (
     Digest,
     Member,
     ScatterAnswer,
@@ -21,17 +20,18 @@
     SnapshotRequest,
     ToldMember,
 )
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.store_readers import StoreReaders
-from tinrudder.gateway.stored_values import Reading, Topic
-from tinrudder.gateway.zone_watch import ZoneWatch
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
-from tinrudder.wire.gateway_relay_codec import decode_request, encode_answer, encode_request
-from tinrudder.wire.snapshot_codec import (
+from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.store.knowledge import Knowledge
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.store_readers import StoreReaders
+from tinrudder.gateway.store.stored_values import Reading, Topic
+from tinrudder.gateway.wire.gateway_relay_codec import decode_request, encode_answer, encode_request
+from tinrudder.gateway.wire.snapshot_codec import (
     MalformedPeerMessageError,
     decode_snapshot,
     encode_snapshot,
 )
+from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
 
 DIGEST_INTERVAL_S = 0.5
 FIRST_DIGEST_INTERVAL_S = 0.2
--- a/tinrudder/gateway/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -12,8 +12,8 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_messages import Member, ToldMember
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_messages import Member, ToldMember
 
 ALL_PEERS_UP_TO = 16
 RANDOM_PEERS = 3
--- a/tinrudder/gateway/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -8,10 +8,10 @@
 
 from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
 from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.outcomes import RequestOutcome
-from tinrudder.gateway.stored_values import StoredValue
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.outcomes import RequestOutcome
+from tinrudder.gateway.store.stored_values import StoredValue
 
 
 class Member(Struct, frozen=True):
--- a/tinrudder/gateway/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -24,13 +24,13 @@
     Standing,
 )
 from tinrudder.gateway.decisions.fleet.send_budget import SendBudget
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address, HeaderNames, Route
-from tinrudder.gateway.outcomes import NotRun
-from tinrudder.gateway.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import PoisonReport, ToldCrash, ToldEvidence
-from tinrudder.gateway.request_fingerprint import fingerprint_of, origin_of
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Address, HeaderNames, Route
+from tinrudder.gateway.model.outcomes import NotRun
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
 
 GATHER_S = 0.05
 """How long news waits where no trial has failed: when a rack or all connections are lost, most
--- a/tinrudder/gateway/zone_watch.py
+++ b/tinrudder/gateway/peers/zone_watch.py
@@ -14,10 +14,10 @@
 
 from tinrudder.common.logs import LogValue, log_event, log_problem
 from tinrudder.gateway.decisions.fleet.zone_paths import PathState, ZonePaths
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Digest, ProbeAnswer
-from tinrudder.gateway.probes import Probes, SentProbe
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Digest, ProbeAnswer
+from tinrudder.gateway.peers.probes import Probes, SentProbe
 
 ROUND_S = 0.1
 """Pause between two rounds of questions to a suspect zone: three fit before it is closed."""
--- a/tinrudder/gateway/access.py
+++ b/tinrudder/gateway/requests/access.py
@@ -6,17 +6,17 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from tinrudder.gateway.api_keys import Ambiguous, Known, Unknown, without_credentials
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import HeaderNames, Route, Tenant
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import HeaderNames, Route, Tenant
+from tinrudder.gateway.model.outcomes import (
     STATUS_BAD_REQUEST,
     Invalid,
     NotRun,
     RequestOutcome,
     Unauthorized,
 )
-from tinrudder.gateway.routes_in_force import RoutesInForce
+from tinrudder.gateway.requests.api_keys import Ambiguous, Known, Unknown, without_credentials
+from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 
 RETRY_TOO_OLD_S = 0.5
 """When to come back to a gateway whose knowledge is too old: a round trip to a peer or the store
--- a/tinrudder/gateway/call_observation.py
+++ b/tinrudder/gateway/requests/call_observation.py
@@ -2,10 +2,9 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.backend_directory import Backend
+from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.messages import (
+from tinrudder.gateway.model.messages import (
     Answered,
     Broken,
     CallOutcome,
@@ -14,7 +13,8 @@
     Rejected,
     header_value,
 )
-from tinrudder.gateway.model import Route
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.requests.forwarding import Forwarding
 
 SERVER_ERROR = 500
 """The first status that says that the back end failed, rather than the request."""
--- a/tinrudder/gateway/forwarding.py
+++ b/tinrudder/gateway/requests/forwarding.py
@@ -11,7 +11,9 @@
 
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.common.rendezvous import rendezvous_score
-from tinrudder.gateway.backend_directory import Backend, BackendDirectory
+from tinrudder.gateway.backends.backend_directory import Backend, BackendDirectory
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
     extra_cost,
     has_room,
@@ -33,10 +35,8 @@
     is_slow,
     zone_advantage,
 )
-from tinrudder.gateway.load_reports import LoadReports
-from tinrudder.gateway.memory_account import MemoryAccount
-from tinrudder.gateway.model import HeaderNames, RepeatBounds, Route
-from tinrudder.gateway.run_guard import CrashEvidence
+from tinrudder.gateway.model.model import HeaderNames, RepeatBounds, Route
+from tinrudder.gateway.requests.run_guard import CrashEvidence
 
 SIZE_GAIN = 0.1
 
--- a/tinrudder/gateway/request_bytes.py
+++ b/tinrudder/gateway/requests/request_bytes.py
@@ -2,9 +2,9 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.messages import HttpRequest, end_to_end_headers
-from tinrudder.gateway.model import HeaderNames
-from tinrudder.gateway.request_fingerprint import fingerprint_of, origin_of
+from tinrudder.gateway.model.messages import HttpRequest, end_to_end_headers
+from tinrudder.gateway.model.model import HeaderNames
+from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
 
 MILLISECONDS = 1000.0
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
--- a/tinrudder/gateway/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -6,14 +6,12 @@
 from collections.abc import Callable
 from typing import Protocol
 
-from tinrudder.gateway.access import Access, Admitted
-from tinrudder.gateway.answers import build_answer
-from tinrudder.gateway.client_connection import ClientConnection, RequestInProgress
-from tinrudder.gateway.client_moments import ClientMoments, Moments
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import ClientLimits, Route, Tenant
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.clients.answers import build_answer
+from tinrudder.gateway.clients.client_connection import ClientConnection, RequestInProgress
+from tinrudder.gateway.clients.client_moments import ClientMoments, Moments
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import ClientLimits, Route, Tenant
+from tinrudder.gateway.model.outcomes import (
     STATUS_BAD_REQUEST,
     Invalid,
     NotRun,
@@ -21,20 +19,22 @@
     RequestOutcome,
     UnknownRoute,
 )
-from tinrudder.gateway.peer_messages import MissingShard
-from tinrudder.gateway.poison_watch import PoisonWatch
-from tinrudder.gateway.quotas import Quotas
-from tinrudder.gateway.reach import Reach
-from tinrudder.gateway.relayed_run import RelayedRun
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.request_log import FinishedRequest, RequestObserver
-from tinrudder.gateway.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.routes_in_force import RoutesInForce
-from tinrudder.gateway.scatter_gate import GatedScatter, ScatterGates
-from tinrudder.gateway.scatter_planner import ScatterPlanner
-from tinrudder.gateway.service_admission import ServiceAdmission
-from tinrudder.gateway.shared_state import SharedState
+from tinrudder.gateway.observability.request_log import FinishedRequest, RequestObserver
+from tinrudder.gateway.peers.peer_messages import MissingShard
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.peers.reach import Reach
+from tinrudder.gateway.quotas.quotas import Quotas
+from tinrudder.gateway.requests.access import Access, Admitted
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.requests.routes_in_force import RoutesInForce
+from tinrudder.gateway.requests.service_admission import ServiceAdmission
+from tinrudder.gateway.scatters.relayed_run import RelayedRun
+from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.scatter_gate import GatedScatter, ScatterGates
+from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+from tinrudder.gateway.store.shared_state import SharedState
 
 RETRY_AFTER_START_S = 0.3
 """When to come back to a process that knows no configuration yet, a choice: ten questions to peers
--- a/tinrudder/gateway/request_run.py
+++ b/tinrudder/gateway/requests/request_run.py
@@ -4,13 +4,11 @@
 
 from collections.abc import Callable, Sequence
 
-from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.clients.client_moments import Moments
 from tinrudder.gateway.decisions.attempts.answer_moment import ScatterState, Verdict, decide
-from tinrudder.gateway.delegated_shards import DelegatedShards
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.messages import HttpAnswer, header_value
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.outcomes import (
+from tinrudder.gateway.model.messages import HttpAnswer, header_value
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.outcomes import (
     Merged,
     NoAnswer,
     NotRun,
@@ -18,11 +16,13 @@
     RequestOutcome,
     TimedOut,
 )
-from tinrudder.gateway.peer_messages import MissingShard
-from tinrudder.gateway.record_merge import greatest_records
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.run_guard import RunGuard
-from tinrudder.gateway.shard_calls import NEVER, ShardCalls
+from tinrudder.gateway.peers.peer_messages import MissingShard
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.run_guard import RunGuard
+from tinrudder.gateway.requests.shard_calls import NEVER, ShardCalls
+from tinrudder.gateway.scatters.delegated_shards import DelegatedShards
+from tinrudder.gateway.scatters.record_merge import greatest_records
 from tinrudder.timers import TimerHandle
 
 ABSORB_S = 0.3
--- a/tinrudder/gateway/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -6,11 +6,11 @@
 
 from msgspec import Struct, field
 
-from tinrudder.gateway.api_keys import KeyRing
 from tinrudder.gateway.decisions.placement.route_table import RouteTable
 from tinrudder.gateway.decisions.placement.weighted_rotation import WeightedRotation
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import GatewayConfiguration, Route, Tenant
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import GatewayConfiguration, Route, Tenant
+from tinrudder.gateway.requests.api_keys import KeyRing
 
 FIRST_TURNS = 240
 """Gateways begin at different turns, drawn from whole rounds of most weights (a number with many
--- a/tinrudder/gateway/run_guard.py
+++ b/tinrudder/gateway/requests/run_guard.py
@@ -6,8 +6,8 @@
 from typing import Protocol
 
 from tinrudder.common.poison_requests import RequestStanding, Standing
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.request_bytes import RequestBytes
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.requests.request_bytes import RequestBytes
 
 CANARY_PATIENCE = 0.3
 """After this part of the route's objective a second canary leaves beside the first, which may stand
--- a/tinrudder/gateway/shard_calls.py
+++ b/tinrudder/gateway/requests/shard_calls.py
@@ -7,13 +7,11 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.backend_directory import Backend
-from tinrudder.gateway.call_observation import SERVER_ERROR, observe_end
+from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.decisions.admission.memory_bound import large_body_bytes
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.messages import (
+from tinrudder.gateway.model.messages import (
     Answered,
     Broken,
     CallOutcome,
@@ -23,10 +21,12 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.request_log import log_call_lost
-from tinrudder.gateway.run_guard import POISON, Permission, RunGuard
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.observability.request_log import log_call_lost
+from tinrudder.gateway.requests.call_observation import SERVER_ERROR, observe_end
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.run_guard import POISON, Permission, RunGuard
 
 MAX_SENDS = 4
 """How many calls of one shard may leave for one request, a choice: two replicas, each twice."""
--- a/tinrudder/gateway/tenants.py
+++ b/tinrudder/gateway/requests/tenants.py
@@ -7,8 +7,8 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.api_keys import LONGEST_KEY_BYTES, digest_of
-from tinrudder.gateway.model import Tenant
+from tinrudder.gateway.model.model import Tenant
+from tinrudder.gateway.requests.api_keys import LONGEST_KEY_BYTES, digest_of
 
 
 class TenantsError(Exception):
--- a/tinrudder/gateway/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -21,10 +21,10 @@
     strong_ones,
 )
 from tinrudder.gateway.decisions.placement.scatter_place import ScatterSizes, group_by_place
-from tinrudder.gateway.model import Address, GatewayConfiguration, Route
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Member
-from tinrudder.gateway.shared_state import SharedState
+from tinrudder.gateway.model.model import Address, GatewayConfiguration, Route
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Member
+from tinrudder.gateway.store.shared_state import SharedState
 
 KEPT_FOR_S = 0.5
 ASKED_AT_MOST = 3
--- a/tinrudder/gateway/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -8,8 +8,13 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.client_moments import Moments
-from tinrudder.gateway.hand_over import (
+from tinrudder.gateway.clients.client_moments import Moments
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.model.outcomes import Merged, NotRun
+from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
+from tinrudder.gateway.requests.run_guard import POISON
+from tinrudder.gateway.scatters.hand_over import (
     ANSWER_MARGIN_S,
     Lost,
     NotTaken,
@@ -17,12 +22,7 @@
     hand_over,
     may_begin_at_once,
 )
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address, Route
-from tinrudder.gateway.outcomes import Merged, NotRun
-from tinrudder.gateway.peer_messages import MissingShard, ScatterEnd, ScatterRequest
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.run_guard import POISON
+from tinrudder.gateway.scatters.relaying import Relaying
 
 
 class Delegation(Struct, frozen=True):
--- a/tinrudder/gateway/hand_over.py
+++ b/tinrudder/gateway/scatters/hand_over.py
@@ -5,14 +5,14 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tinrudder.gateway.client_moments import Moments
-from tinrudder.gateway.model import Address, Route
-from tinrudder.gateway.peer_messages import Declined, ScatterEnd, ScatterRequest
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.request_log import log_coordinator_failed
+from tinrudder.gateway.clients.client_moments import Moments
+from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.observability.request_log import log_coordinator_failed
+from tinrudder.gateway.peers.peer_messages import Declined, ScatterEnd, ScatterRequest
+from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.wire.gateway_relay_codec import decode_answer, encode_request
+from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
-from tinrudder.wire.gateway_relay_codec import decode_answer, encode_request
-from tinrudder.wire.snapshot_codec import MalformedPeerMessageError
 
 ANSWER_MARGIN_S = 0.01
 """How long before the client's deadline another gateway's answer must be here, a choice: the way
--- a/tinrudder/gateway/relayed_run.py
+++ b/tinrudder/gateway/scatters/relayed_run.py
@@ -5,8 +5,13 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.gateway.client_moments import Moments
-from tinrudder.gateway.hand_over import (
+from tinrudder.gateway.clients.client_moments import Moments
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.model.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
+from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
+from tinrudder.gateway.requests.request_run import OutcomeListener
+from tinrudder.gateway.scatters.hand_over import (
     ANSWER_MARGIN_S,
     Lost,
     NotTaken,
@@ -14,13 +19,8 @@
     hand_over,
     may_begin_at_once,
 )
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Address, Route
-from tinrudder.gateway.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
-from tinrudder.gateway.peer_messages import MissingShard, ScatterEnd, ScatterRequest
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.request_run import OutcomeListener
-from tinrudder.gateway.scatter_gate import GatedScatter
+from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.scatter_gate import GatedScatter
 
 
 class RelayedRun:
--- a/tinrudder/gateway/relaying.py
+++ b/tinrudder/gateway/scatters/relaying.py
@@ -7,12 +7,12 @@
 from msgspec import Struct, field
 
 from tinrudder.common.transport.peer_client import PeerClient
-from tinrudder.gateway.coordinators import Coordinators
 from tinrudder.gateway.decisions.attempts.path_time import PathTime
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_traffic import PeerTraffic
-from tinrudder.gateway.zone_watch import ZoneWatch
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_traffic import PeerTraffic
+from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.scatters.coordinators import Coordinators
 
 
 class Relaying(Struct, frozen=True):
--- a/tinrudder/gateway/scatter_gate.py
+++ b/tinrudder/gateway/scatters/scatter_gate.py
@@ -11,7 +11,7 @@
 import statistics
 from collections.abc import Callable, Collection
 
-from tinrudder.gateway.client_moments import Moments
+from tinrudder.gateway.clients.client_moments import Moments
 from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
 from tinrudder.gateway.decisions.admission.return_moment import (
     may_come_back,
@@ -23,11 +23,11 @@
     ScatterRefusal,
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.outcomes import NotRun, RequestOutcome
-from tinrudder.gateway.peer_messages import MissingShard
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
+from tinrudder.gateway.peers.peer_messages import MissingShard
+from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.scatters.relaying import Relaying
 from tinrudder.timers import TimerHandle
 
 PART_KEPT_S = 1.0
--- a/tinrudder/gateway/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -4,20 +4,20 @@
 
 import random
 
-from tinrudder.gateway.client_moments import Moments
-from tinrudder.gateway.coordinators import Coordination
+from tinrudder.gateway.clients.client_moments import Moments
 from tinrudder.gateway.decisions.placement.scatter_place import leaves_time
-from tinrudder.gateway.delegated_shards import (
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.scatters.coordinators import Coordination
+from tinrudder.gateway.scatters.delegated_shards import (
     DelegatedShards,
     Delegation,
     minimum_share_of_group,
 )
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.relaying import Relaying
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.scatters.relaying import Relaying
 
 
 class ScatterPlanner:
--- a/tinrudder/gateway/scatter_service.py
+++ b/tinrudder/gateway/scatters/scatter_service.py
@@ -5,21 +5,26 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.gateway.client_moments import Moments
-from tinrudder.gateway.forwarding import Forwarding
-from tinrudder.gateway.messages import header_value
-from tinrudder.gateway.model import Route
-from tinrudder.gateway.outcomes import NotRun, RequestOutcome
-from tinrudder.gateway.peer_messages import Declined, ScatterAnswer, ScatterEnd, ScatterRequest
-from tinrudder.gateway.poison_watch import PoisonWatch
-from tinrudder.gateway.reach import Reach
-from tinrudder.gateway.request_bytes import RequestBytes
-from tinrudder.gateway.request_log import log_coordinated
-from tinrudder.gateway.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.routes_in_force import RoutesInForce
-from tinrudder.gateway.scatter_gate import GatedScatter, ScatterGates
-from tinrudder.gateway.scatter_planner import ScatterPlanner
-from tinrudder.gateway.shared_state import SharedState
+from tinrudder.gateway.clients.client_moments import Moments
+from tinrudder.gateway.model.messages import header_value
+from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
+from tinrudder.gateway.observability.request_log import log_coordinated
+from tinrudder.gateway.peers.peer_messages import (
+    Declined,
+    ScatterAnswer,
+    ScatterEnd,
+    ScatterRequest,
+)
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.peers.reach import Reach
+from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.requests.routes_in_force import RoutesInForce
+from tinrudder.gateway.scatters.scatter_gate import GatedScatter, ScatterGates
+from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+from tinrudder.gateway.store.shared_state import SharedState
 
 
 class ScatterService:
--- a/tinrudder/gateway/evacuations.py
+++ b/tinrudder/gateway/store/evacuations.py
@@ -10,7 +10,7 @@
 from msgspec import Struct
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.stored_values import StoredValue
+from tinrudder.gateway.store.stored_values import StoredValue
 
 STORE = "store"
 """Where what a gateway read itself comes from; else the address of the peer that told it."""
--- a/tinrudder/gateway/knowledge.py
+++ b/tinrudder/gateway/store/knowledge.py
@@ -9,7 +9,7 @@
 
 from collections.abc import Callable
 
-from tinrudder.gateway.shared_state import SharedState
+from tinrudder.gateway.store.shared_state import SharedState
 
 NEVER = float("-inf")
 MOST_WAITING = 8
--- a/tinrudder/gateway/knowledge_keeper.py
+++ b/tinrudder/gateway/store/knowledge_keeper.py
@@ -10,14 +10,14 @@
 import random
 from collections.abc import Callable
 
-from tinrudder.gateway.knowledge import Knowledge
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import ProbeAnswer
-from tinrudder.gateway.probes import Probes, SentProbe
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.store_readers import StoreReaders
-from tinrudder.gateway.stored_values import MetadataStore, StoreUnavailableError, Topic
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import ProbeAnswer
+from tinrudder.gateway.peers.probes import Probes, SentProbe
+from tinrudder.gateway.store.knowledge import Knowledge
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.store_readers import StoreReaders
+from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
 LOOK_S = 0.2
 """How often the age is looked at: a tenth of the shortest share of the bound below."""
--- a/tinrudder/gateway/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -13,9 +13,9 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.evacuations import STORE, Evacuations
-from tinrudder.gateway.model import BackendEntry, GatewayConfiguration
-from tinrudder.gateway.stored_values import (
+from tinrudder.gateway.model.model import BackendEntry, GatewayConfiguration
+from tinrudder.gateway.store.evacuations import STORE, Evacuations
+from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
     Reading,
--- a/tinrudder/gateway/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -12,9 +12,9 @@
 import random
 from collections.abc import Callable
 
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.store_readers import READERS, StoreReaders
-from tinrudder.gateway.stored_values import (
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.store_readers import READERS, StoreReaders
+from tinrudder.gateway.store.stored_values import (
     HistoryForgottenError,
     MetadataStore,
     StoreUnavailableError,
--- a/tinrudder/gateway/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -7,11 +7,11 @@
 from msgspec import Struct, field
 
 from tinrudder.gateway.decisions.placement.coordinator_choice import Candidate, choose_readers
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_list import PeerList
-from tinrudder.gateway.peer_messages import Member
-from tinrudder.gateway.shared_state import SharedState
-from tinrudder.gateway.stored_values import Topic
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Member
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.stored_values import Topic
 
 READERS = 8
 ACQUAINTANCE_S = 1.0
--- a/tinrudder/gateway/stored_values.py
+++ b/tinrudder/gateway/store/stored_values.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.messages import LoadReport
-from tinrudder.gateway.model import BackendEntry, GatewayConfiguration
+from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.model.model import BackendEntry, GatewayConfiguration
 
 
 class Topic(enum.Enum):
--- a/tinrudder/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -4,9 +4,9 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.gateway.messages import HttpRequest
-from tinrudder.gateway.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
-from tinrudder.gateway.peer_messages import (
+from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
+from tinrudder.gateway.peers.peer_messages import (
     Declined,
     MissingShard,
     PeerRequest,
@@ -15,9 +15,9 @@
     ScatterRequest,
     SnapshotRequest,
 )
-from tinrudder.wire import gateway_relay_pb2 as pb
-from tinrudder.wire import snapshot_pb2
-from tinrudder.wire.snapshot_codec import MalformedPeerMessageError
+from tinrudder.gateway.wire import gateway_relay_pb2 as pb
+from tinrudder.gateway.wire import snapshot_pb2
+from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 
 MICROSECONDS = 1e6
 
--- a/tinrudder/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
-from tinrudder.gateway.peer_messages import LoadNews
-from tinrudder.wire import peer_datagram_pb2 as pb
-from tinrudder.wire.snapshot_codec import MILLISECONDS, milliseconds_above
+from tinrudder.gateway.peers.peer_messages import LoadNews
+from tinrudder.gateway.wire import peer_datagram_pb2 as pb
+from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, milliseconds_above
 
 PERCENT = 100.0
 LARGEST = 2**32 - 1
--- a/tinrudder/wire/peer_datagram_codec.py
+++ b/tinrudder/gateway/wire/peer_datagram_codec.py
@@ -7,7 +7,7 @@
 from google.protobuf.message import DecodeError
 
 from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
-from tinrudder.gateway.peer_messages import (
+from tinrudder.gateway.peers.peer_messages import (
     Digest,
     LoadNews,
     PeerDatagram,
@@ -17,10 +17,13 @@
     QuotaReport,
     QuotaVerdict,
 )
-from tinrudder.wire import peer_datagram_pb2 as pb
-from tinrudder.wire.load_news_codec import load_news_message, load_news_of_message
-from tinrudder.wire.poison_report_codec import poison_report_message, poison_report_of_message
-from tinrudder.wire.snapshot_codec import (
+from tinrudder.gateway.wire import peer_datagram_pb2 as pb
+from tinrudder.gateway.wire.load_news_codec import load_news_message, load_news_of_message
+from tinrudder.gateway.wire.poison_report_codec import (
+    poison_report_message,
+    poison_report_of_message,
+)
+from tinrudder.gateway.wire.snapshot_codec import (
     MILLISECONDS,
     MalformedPeerMessageError,
     age_of,
--- a/tinrudder/wire/poison_report_codec.py
+++ b/tinrudder/gateway/wire/poison_report_codec.py
@@ -2,10 +2,10 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.peer_messages import PoisonReport, ToldCrash, ToldEvidence
-from tinrudder.gateway.request_fingerprint import FINGERPRINT_BYTES
-from tinrudder.wire import peer_datagram_pb2 as pb
-from tinrudder.wire.snapshot_codec import MILLISECONDS, age_of
+from tinrudder.gateway.peers.peer_messages import PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.wire import peer_datagram_pb2 as pb
+from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, age_of
 
 LONGEST_AGE_MS = 2**32 - 1
 
--- a/tinrudder/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -7,10 +7,10 @@
 
 from google.protobuf.message import DecodeError, Message
 
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.peer_messages import Digest, Member, Snapshot, ToldMember
-from tinrudder.gateway.stored_values import StoredValue
-from tinrudder.wire import snapshot_pb2 as pb
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.peers.peer_messages import Digest, Member, Snapshot, ToldMember
+from tinrudder.gateway.store.stored_values import StoredValue
+from tinrudder.gateway.wire import snapshot_pb2 as pb
 
 MILLISECONDS = 1000.0
 COMPRESSION_LEVEL = 3
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -7,8 +7,8 @@
 import msgspec
 from msgspec import Meta
 
-from tinrudder.gateway.entry_rules import check_entry
-from tinrudder.gateway.model import (
+from tinrudder.gateway.backends.entry_rules import check_entry
+from tinrudder.gateway.model.model import (
     Address,
     BackendEntry,
     ClientLimits,
@@ -17,14 +17,14 @@
     ServiceSpec,
     WeightedService,
 )
-from tinrudder.gateway.stored_values import (
+from tinrudder.gateway.requests.tenants import TenantDocument, TenantsError, make_tenants
+from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
     ForeignKey,
     OperatorKey,
     UnreadableValueError,
 )
-from tinrudder.gateway.tenants import TenantDocument, TenantsError, make_tenants
 
 BACKENDS_PREFIX = "servers/"
 OPERATOR_PREFIX = "op/"
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -4,8 +4,8 @@
 
 import functools
 
-from tinrudder.gateway.messages import LoadReport
-from tinrudder.gateway.stored_values import UnreadableValueError
+from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.headers import HEADERS
 
 USUAL = 100.0
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -8,17 +8,17 @@
 
 import msgspec
 
-from tinrudder.gateway.fetch import FetchError, fetch
-from tinrudder.gateway.model import Address
-from tinrudder.gateway.stored_values import (
+from tinrudder.gateway.backends.fetch import FetchError, fetch
+from tinrudder.gateway.backends.upstream_connection import accept_any_answer
+from tinrudder.gateway.backends.upstream_pool import UpstreamPool
+from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.store.stored_values import (
     HistoryForgottenError,
     Reading,
     StoredValue,
     StoreUnavailableError,
     Topic,
 )
-from tinrudder.gateway.upstream_connection import accept_any_answer
-from tinrudder.gateway.upstream_pool import UpstreamPool
 from tinrudder.platform.documents import BACKENDS_PREFIX, OPERATOR_PREFIX, UNREADABLE
 
 RANGE_PATH = "/v1/kv-range"
--- a/tinrudder/wire/__init__.py
+++ /dev/null
@@ -1,1 +0,0 @@
-"""Messages between nodes and the transports that carry them."""
--- a/tinrudder_lab/emulator/client.py
+++ b/tinrudder_lab/emulator/client.py
@@ -5,7 +5,7 @@
 import asyncio
 from dataclasses import dataclass
 
-from tinrudder.gateway.answer_reader import AnswerReader, ReadState
+from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
 from tinrudder_lab.emulator.ledger import Ledger
 from tinrudder_lab.emulator.records import ClientResult, SentRequest
 
--- a/tinrudder_lab/emulator/ledger.py
+++ b/tinrudder_lab/emulator/ledger.py
@@ -6,7 +6,7 @@
 from collections import Counter, defaultdict
 from dataclasses import dataclass, field
 
-from tinrudder.gateway.record_merge import RECORD_BYTES
+from tinrudder.gateway.scatters.record_merge import RECORD_BYTES
 from tinrudder_lab.emulator.records import (
     Arrival,
     BrokenPromise,
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar
 
 from tinrudder.cli.gateway import DECODERS
-from tinrudder.gateway.model import Address, ColdBounds, GatewaySettings, RepeatBounds
+from tinrudder.gateway.model.model import Address, ColdBounds, GatewaySettings, RepeatBounds
 from tinrudder.gateway.node import GatewayNode
 from tinrudder.platform.documents import BACKENDS_PREFIX, CONFIGURATION_KEY, EVACUATION_PREFIX
 from tinrudder.platform.headers import HEADERS
