--- a/tests/functional/test_commands.py
+++ b/tests/functional/test_commands.py
@@ -16,10 +16,10 @@
 
 from tests.support.asgi import call, start
 from tests.support.documents import document, resource, small_deployment
-from tinrudder.cli import apply, connection
-from tinrudder.cli.connection import NodeAnswer
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.main import main
+from tinrudder.cli.node_commands import apply, connection
+from tinrudder.cli.node_commands.connection import NodeAnswer
 from tinrudder.node.api.operators.resource_app import ResourceApiSettings, ResourceApplication
 from tinrudder.node.configuration_service.messages import RawResource
 from tinrudder.node.configuration_service.writer import PlatformWriteError, ResourceBatch
--- a/tests/unit/test_event_loop.py
+++ b/tests/unit/test_event_loop.py
@@ -91,7 +91,7 @@
 
 def test_nothing_that_serves_reads_the_steady_clock_past_the_loop() -> None:
     """A command that waits for an answer at a terminal, and the pace of log lines, may."""
-    allowed = {"cli/apply.py", "gateway/observability/log_stream.py"}
+    allowed = {"cli/node_commands/apply.py", "gateway/observability/log_stream.py"}
     found: list[Any] = []
     for path in PRODUCT.rglob("*.py"):
         if str(path.relative_to(PRODUCT)) not in allowed:
--- a/tests/unit/test_samples.py
+++ b/tests/unit/test_samples.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tinrudder.cli.resource_file import load_resource_file
+from tinrudder.cli.node_commands.resource_file import load_resource_file
 from tinrudder.node.resources.validation import problems_of
 from tinrudder.node.settings import load_settings
 
--- a/tests/unit/test_worth.py
+++ b/tests/unit/test_worth.py
@@ -8,7 +8,7 @@
 import msgspec
 import pytest
 
-from tinrudder.platform.day_report import DayReportError, read_day_report
+from tinrudder_lab.day_report import DayReportError, read_day_report
 from tinrudder_lab.worth import losses, main
 
 
--- a/tinrudder/cli/main.py
+++ b/tinrudder/cli/main.py
@@ -7,22 +7,9 @@
 import sys
 from collections.abc import Sequence
 
-from tinrudder.cli import (
-    apply,
-    check_settings,
-    completion,
-    diff,
-    explain,
-    gateway,
-    get,
-    nodes,
-    query,
-    serve,
-    story,
-    validate,
-    watch,
-)
+from tinrudder.cli import check_settings, completion, gateway, serve, story
 from tinrudder.cli.exit_codes import ExitCode
+from tinrudder.cli.node_commands import apply, diff, explain, get, nodes, query, validate, watch
 
 SUBCOMMANDS = (
     serve,
--- a/tinrudder/cli/apply.py
+++ b/tinrudder/cli/node_commands/apply.py
@@ -12,11 +12,16 @@
 
 import msgspec
 
-from tinrudder.cli.connection import NodeAnswer, NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import CommandError, ExitCode
-from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
-from tinrudder.cli.resource_file import ResourceFile, load_resource_file
-from tinrudder.cli.validate import validate_at_node
+from tinrudder.cli.node_commands.connection import (
+    NodeAnswer,
+    NodeClient,
+    add_node_flags,
+    run_with_node,
+)
+from tinrudder.cli.node_commands.output import add_output_flag, print_json, print_table, wants_json
+from tinrudder.cli.node_commands.resource_file import ResourceFile, load_resource_file
+from tinrudder.cli.node_commands.validate import validate_at_node
 from tinrudder.node.api.operators.resource_bodies import EnforcementBody, NodesBody, ResourceBody
 from tinrudder.node.configuration_service.writer import (
     PlatformWriteError,
--- a/tinrudder/cli/explain.py
+++ b/tinrudder/cli/node_commands/explain.py
@@ -5,9 +5,9 @@
 import argparse
 from urllib.parse import quote
 
-from tinrudder.cli.connection import NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import ExitCode
-from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
+from tinrudder.cli.node_commands.connection import NodeClient, add_node_flags, run_with_node
+from tinrudder.cli.node_commands.output import add_output_flag, print_json, print_table, wants_json
 from tinrudder.node.query.explanations.explain import CallExplanation, QueryExplanation
 
 HEADINGS = ("shard", "owner", "sent to", "hedges", "waited ms", "candidates", "missing")
--- a/tinrudder/cli/query.py
+++ b/tinrudder/cli/node_commands/query.py
@@ -6,14 +6,14 @@
 
 import msgspec
 
-from tinrudder.cli.connection import (
+from tinrudder.cli.exit_codes import CommandError, ExitCode
+from tinrudder.cli.node_commands.connection import (
     DENIED_STATUSES,
     NodeClient,
     add_node_flags,
     run_with_node,
 )
-from tinrudder.cli.exit_codes import CommandError, ExitCode
-from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
+from tinrudder.cli.node_commands.output import add_output_flag, print_json, print_table, wants_json
 from tinrudder.node.api.outcome_mapping import OutcomeBody
 from tinrudder.node.api.query_body import DEFAULT_LIMIT, QueryBody
 
--- a/tinrudder/cli/validate.py
+++ b/tinrudder/cli/node_commands/validate.py
@@ -7,11 +7,11 @@
 
 import msgspec
 
-from tinrudder.cli import connection
-from tinrudder.cli.connection import NodeClient, add_node_flags, run_reporting
 from tinrudder.cli.exit_codes import CommandError, ExitCode
-from tinrudder.cli.output import add_output_flag, print_json, print_table, wants_json
-from tinrudder.cli.resource_file import ResourceFile, load_resource_file
+from tinrudder.cli.node_commands import connection
+from tinrudder.cli.node_commands.connection import NodeClient, add_node_flags, run_reporting
+from tinrudder.cli.node_commands.output import add_output_flag, print_json, print_table, wants_json
+from tinrudder.cli.node_commands.resource_file import ResourceFile, load_resource_file
 from tinrudder.node.api.operators.resource_bodies import ProblemBody, ValidationBody
 from tinrudder.node.configuration_service.writer import ResourceBatch
 from tinrudder.node.decisions.registry import names_by_role
--- a/tinrudder/cli/watch.py
+++ b/tinrudder/cli/node_commands/watch.py
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from tinrudder.cli.connection import NodeClient, add_node_flags, run_with_node
 from tinrudder.cli.exit_codes import CommandError, ExitCode
-from tinrudder.cli.get import row_of
-from tinrudder.cli.output import add_output_flag, wants_json
+from tinrudder.cli.node_commands.connection import NodeClient, add_node_flags, run_with_node
+from tinrudder.cli.node_commands.get import row_of
+from tinrudder.cli.node_commands.output import add_output_flag, wants_json
 from tinrudder.node.api.operators.resource_watch import WatchEvent
 from tinrudder.node.resources.model import Kind
 
--- a/tinrudder_lab/worth.py
+++ b/tinrudder_lab/worth.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from tinrudder.platform.day_report import (
+from tinrudder_lab.day_report import (
     DayReport,
     DayReportError,
     RequestCounts,
