--- a/bench/connection_cost.py
+++ b/bench/connection_cost.py
@@ -18,7 +18,7 @@
 from tinrudder.gateway.clients.client_connection import ClientConnection
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
-from tinrudder.gateway.model.messages import UpstreamCall
+from tinrudder.gateway.model.http_messages import UpstreamCall
 
 ROUNDS = 9
 REQUESTS = 20_000
--- a/bench/key_lookup.py
+++ b/bench/key_lookup.py
@@ -8,7 +8,7 @@
 import json
 import timeit
 
-from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.requests.api_keys import KeyRing, Known, without_credentials
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -20,7 +20,7 @@
 
 from bench.share_admission import Admission
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.scatters.scatter_gate import ScatterGate, Ticket
+from tinrudder.gateway.scatters.scatter_admission import ScatterGate, Ticket
 from tinrudder_lab.emulator.records import ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -20,15 +20,15 @@
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.decisions.placement.cold_pace import Callers
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Address, ColdBounds, RepeatBounds
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
+from tinrudder.gateway.model.configuration import Address, ColdBounds, RepeatBounds
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, RequestOutcome
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import RequestRun
 from tinrudder.gateway.store.shared_state import SharedState
--- a/bench/share_admission.py
+++ b/bench/share_admission.py
@@ -6,17 +6,17 @@
 import random
 from collections.abc import Sequence
 
-from tinrudder.gateway.clients.client_moments import Moments
+from tinrudder.gateway.clients.client_deadlines import Moments
 from tinrudder.gateway.decisions.admission.load_forecast import admission_share
-from tinrudder.gateway.decisions.admission.return_moment import (
+from tinrudder.gateway.decisions.admission.retry_after import (
     HONOURED_SHARE,
     retry_after_by_place_s,
 )
 from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.call_context import Forwarding
 
 SPREAD_BY_CHANCE = 2.0
 """Callers come back between the moment told and this many times as late, a choice: refused by
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -20,7 +20,7 @@
 from bench.fair_queue import VirtualTime
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.decisions.admission.load_forecast import admission_share
-from tinrudder.gateway.decisions.admission.return_moment import retry_after_by_share_s
+from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import (
     AdmittedShare,
     extra_cost,
@@ -30,8 +30,8 @@
     two_of,
     work_s_of,
 )
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
-from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
 from tinrudder.gateway.decisions.fleet.load_news import (
     DATAGRAM_BYTES,
     GATHER_S,
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -26,9 +26,9 @@
 from functools import partial
 
 from tinrudder.common.latency_window import LatencyWindow
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
-from tinrudder.gateway.decisions.attempts.hedge_moment import HedgeMoments
-from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
     RunningCall,
--- a/tests/functional/test_gateway_coordinators.py
+++ b/tests/functional/test_gateway_coordinators.py
@@ -18,7 +18,7 @@
 )
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.scatters.scatter_gate import Ticket
+from tinrudder.gateway.scatters.scatter_admission import Ticket
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.loop import EmulatorLoop
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
--- a/tests/functional/test_gateway_keys.py
+++ b/tests/functional/test_gateway_keys.py
@@ -9,8 +9,8 @@
 import pytest
 
 from tests.support.many_gateways import SETTLED_S, run_many
-from tinrudder.gateway.node import GatewayNode
-from tinrudder.gateway.store.knowledge_keeper import FRESH_SHARE
+from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.store.staleness_keeper import FRESH_SHARE
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
 from tinrudder_lab.emulator.store import StoreMode
 
--- a/tests/functional/test_gateway_scatter_service.py
+++ b/tests/functional/test_gateway_scatter_service.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import NoAnswer, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import ScatterRequest
 from tinrudder_lab.emulator.site import SITE_HOST, EmulatedSite, run_site
--- a/tests/functional/test_gateway_shared_service.py
+++ b/tests/functional/test_gateway_shared_service.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tinrudder.gateway.backends.load_watch import number_of
+from tinrudder.gateway.backends.load_news_exchange import number_of
 from tinrudder.gateway.decisions.fleet.load_news import (
     BYTES_PER_S,
     DATAGRAM_BYTES,
--- a/tests/functional/test_gateway_slow_readers.py
+++ b/tests/functional/test_gateway_slow_readers.py
@@ -19,8 +19,8 @@
 )
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.configuration import ClientLimits
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import FinalAnswer
 from tinrudder.gateway.requests.shard_calls import ShardCalls
 from tinrudder_lab.emulator.backend import Fault
--- a/tests/functional/test_gateway_zone_cut.py
+++ b/tests/functional/test_gateway_zone_cut.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tinrudder.gateway.node import GatewayNode
+from tinrudder.gateway.gateway import GatewayNode
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, run_site
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
--- a/tests/functional/test_upstream_pool.py
+++ b/tests/functional/test_upstream_pool.py
@@ -9,8 +9,8 @@
 from tinrudder.gateway.backends import upstream_pool
 from tinrudder.gateway.backends.upstream_connection import accept_any_answer
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
-from tinrudder.gateway.model.messages import Answered, CallOutcome, NotSent, UpstreamCall
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
+from tinrudder.gateway.model.http_messages import Answered, CallOutcome, NotSent, UpstreamCall
 
 
 def test_an_attempt_to_connect_that_hangs_is_told_as_timed_out(
--- a/tests/unit/test_backend_starts.py
+++ b/tests/unit/test_backend_starts.py
@@ -12,9 +12,9 @@
 
 from tests.unit.test_shared_state import DECODERS
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
-from tinrudder.gateway.decisions.placement.cold_pace import Callers
-from tinrudder.gateway.model.messages import CallOutcome, UpstreamCall, Withdrawn
-from tinrudder.gateway.model.model import ColdBounds
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
+from tinrudder.gateway.model.configuration import ColdBounds
+from tinrudder.gateway.model.http_messages import CallOutcome, UpstreamCall, Withdrawn
 from tinrudder.gateway.store.shared_state import OLDER_START_S, EntryStanding, SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic
 from tinrudder.platform.headers import HEADERS
--- a/tests/unit/test_client_moments.py
+++ b/tests/unit/test_client_moments.py
@@ -3,9 +3,9 @@
 from __future__ import annotations
 
 from tests.unit.test_shard_calls_machine import NAMES
-from tinrudder.gateway.clients.client_moments import ClientMoments
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.clients.client_deadlines import ClientMoments
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import HttpRequest
 
 LONGEST_ONE_WAY_S = 0.003
 """Of the sites served so far."""
--- a/tests/unit/test_cold_pace.py
+++ b/tests/unit/test_cold_pace.py
@@ -7,7 +7,12 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.placement.cold_pace import RATE_SHARE, Callers, ColdPace, own_part
+from tinrudder.gateway.decisions.placement.cold_start_rate import (
+    RATE_SHARE,
+    Callers,
+    ColdPace,
+    own_part,
+)
 
 RATES = st.floats(0, 500)
 
--- a/tests/unit/test_fan_out_machine.py
+++ b/tests/unit/test_fan_out_machine.py
@@ -30,7 +30,7 @@
     VersionGone,
 )
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.hedging import MAX_HEDGES_PER_SHARD, MINIMUM_OBSERVATIONS
+from tinrudder.node.decisions.hedge_by_quantile import MAX_HEDGES_PER_SHARD, MINIMUM_OBSERVATIONS
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
 from tinrudder.node.decisions.service_routing import RoutingTable
--- a/tests/unit/test_gateway_decisions.py
+++ b/tests/unit/test_gateway_decisions.py
@@ -13,7 +13,7 @@
 from bench.share_admission import wait_of_shards
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.decisions.admission.load_forecast import admission_share
-from tinrudder.gateway.decisions.attempts.answer_moment import (
+from tinrudder.gateway.decisions.attempts.answer_time import (
     ScatterState,
     Verdict,
     decide,
--- a/tests/unit/test_gateway_relay_codec.py
+++ b/tests/unit/test_gateway_relay_codec.py
@@ -9,8 +9,8 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import (
     Merged,
     NoAnswer,
--- a/tests/unit/test_hedge_wiring.py
+++ b/tests/unit/test_hedge_wiring.py
@@ -10,9 +10,9 @@
     ManualLoop,
 )
 from tinrudder.gateway.backends.load_reports import LoadReports
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import RepeatBounds, Route
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.model.configuration import RepeatBounds, Route
+from tinrudder.gateway.model.http_messages import HttpRequest
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import RunGuard
 from tinrudder.gateway.requests.shard_calls import ShardCalls
--- a/tests/unit/test_knowledge.py
+++ b/tests/unit/test_knowledge.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tinrudder.gateway.store.knowledge import Knowledge
+from tinrudder.gateway.store.staleness_bound import Knowledge
 
 NODES = st.integers(0, 2)
 
--- a/tests/unit/test_load_news.py
+++ b/tests/unit/test_load_news.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.admission.return_moment import WAITED_SHARE, retry_after_by_share_s
+from tinrudder.gateway.decisions.admission.retry_after import WAITED_SHARE, retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import has_room, judge, two_of
 from tinrudder.gateway.decisions.fleet.load_news import (
     BYTES_PER_S,
--- a/tests/unit/test_load_reports.py
+++ b/tests/unit/test_load_reports.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.backends.load_reports import LOG_PAUSE_S, LoadReports
-from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.model.http_messages import LoadReport
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.load_header import decode_load_report
 
--- a/tests/unit/test_load_watch.py
+++ b/tests/unit/test_load_watch.py
@@ -9,11 +9,11 @@
 import pytest
 
 from tests.support.fakes import ManualTimers
-from tinrudder.gateway.backends import load_watch
-from tinrudder.gateway.backends.load_watch import LOG_PAUSE_S, LoadWatch, number_of
+from tinrudder.gateway.backends import load_news_exchange
+from tinrudder.gateway.backends.load_news_exchange import LOG_PAUSE_S, LoadWatch, number_of
 from tinrudder.gateway.decisions.fleet.load_news import BYTES_PER_S, GATHER_S, MOST_BYTES, ToldLoad
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.model.model import Address, BackendEntry
+from tinrudder.gateway.model.configuration import Address, BackendEntry
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import LoadNews, Member
 from tinrudder.gateway.wire.peer_datagram_codec import encode_datagram
@@ -49,7 +49,7 @@
     peers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
-    monkeypatch.setattr(load_watch, "log_event", lambda event, fields: lines.append(event))
+    monkeypatch.setattr(load_news_exchange, "log_event", lambda event, fields: lines.append(event))
     timers, wire = ManualTimers(now=100.0), Wire()
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
     for number in range(peers):
--- a/tests/unit/test_memory_account.py
+++ b/tests/unit/test_memory_account.py
@@ -17,8 +17,8 @@
     account_bytes,
     refused_from,
 )
-from tinrudder.gateway.model.messages import HttpRequest, UpstreamCall
-from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.configuration import ClientLimits
+from tinrudder.gateway.model.http_messages import HttpRequest, UpstreamCall
 from tinrudder.gateway.model.outcomes import FinalAnswer
 
 REQUEST = b"POST /a HTTP/1.1\r\nHost: h\r\nContent-Length: 20\r\n\r\n" + b"x" * 20
--- a/tests/unit/test_path_time.py
+++ b/tests/unit/test_path_time.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.attempts.path_time import LONGEST_SEEN_S, PathTime
+from tinrudder.gateway.decisions.attempts.peer_round_trip import LONGEST_SEEN_S, PathTime
 
 
 def seen(values: list[float]) -> PathTime:
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/test_platform_adapter.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tinrudder.gateway.model.model import Address, SettingsFileError
+from tinrudder.gateway.model.configuration import Address, SettingsFileError
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
--- a/tests/unit/test_poison_watch.py
+++ b/tests/unit/test_poison_watch.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from tinrudder.common.poison_requests import ENOUGH_CRASHES, MOST_REQUESTS, Standing
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member, PoisonReport, ToldCrash, ToldEvidence
--- a/tests/unit/test_query_decisions.py
+++ b/tests/unit/test_query_decisions.py
@@ -10,7 +10,7 @@
 from tests.unit.test_fan_out import DEADLINE_S, NoOtherVersion, request_of
 from tinrudder.node.backends.messages import Broken, Draining, NotSent, Shed, VersionGone
 from tinrudder.node.decisions.backend_table import BackendTable
-from tinrudder.node.decisions.hedging import MINIMUM_OBSERVATIONS
+from tinrudder.node.decisions.hedge_by_quantile import MINIMUM_OBSERVATIONS
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
 from tinrudder.node.decisions.service_routing import RoutingTable
--- a/tests/unit/test_quota_fleet.py
+++ b/tests/unit/test_quota_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tinrudder.gateway.decisions.admission.quota_home import QuotaHome, QuotaLimit
+from tinrudder.gateway.decisions.admission.token_buckets import QuotaHome, QuotaLimit
 
 RATE, BURST, WINDOW_S = 5.0, 5.0, 5.0
 LIMIT = QuotaLimit.of(RATE, BURST, WINDOW_S, 0.25, 20.0)
--- a/tests/unit/test_quota_home.py
+++ b/tests/unit/test_quota_home.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.admission.quota_home import (
+from tinrudder.gateway.decisions.admission.token_buckets import (
     GRANTED_MARGIN,
     LONGEST_WAIT_S,
     QuotaHome,
--- a/tests/unit/test_repeat_budget.py
+++ b/tests/unit/test_repeat_budget.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
 
 RATIO, EXTRA, WINDOW_S = 0.2, 56.0, 10.0
 STEP_S = 0.02
--- a/tests/unit/test_routing_policies.py
+++ b/tests/unit/test_routing_policies.py
@@ -9,6 +9,7 @@
 
 from tinrudder.common.latency_window import PERIOD_CALLS, LatencyWindow
 from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.call_retry_budget import BudgetedRetry, FractionBudget
 from tinrudder.node.decisions.ejection import (
     FAILURES_TO_EJECT,
     FIRST_EJECTION_S,
@@ -16,7 +17,7 @@
     REFRESH_OBSERVATIONS,
     OutlierEjection,
 )
-from tinrudder.node.decisions.hedging import (
+from tinrudder.node.decisions.hedge_by_quantile import (
     HEDGE_CAPACITY,
     MINIMUM_OBSERVATIONS,
     NoHedge,
@@ -25,7 +26,6 @@
 )
 from tinrudder.node.decisions.registry import BASELINE, DEFAULTS, Role, names_by_role
 from tinrudder.node.decisions.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
-from tinrudder.node.decisions.retry_budget import BudgetedRetry, FractionBudget
 from tinrudder.node.decisions.service_routing import RoutingTable
 
 LATENCY_S = 0.004
--- a/tests/unit/test_scatter_place.py
+++ b/tests/unit/test_scatter_place.py
@@ -5,7 +5,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.placement.scatter_place import (
+from tinrudder.gateway.decisions.placement.shard_placement import (
     ScatterSizes,
     group_by_place,
     pays_to_hand_over,
--- a/tests/unit/test_scatter_queue.py
+++ b/tests/unit/test_scatter_queue.py
@@ -8,11 +8,18 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.admission.return_moment import (
+from tinrudder.gateway.decisions.admission.retry_after import (
     HONOURED_SHARE,
     may_come_back,
     retry_after_by_place_s,
 )
+from tinrudder.gateway.decisions.admission.scatter_concurrency import (
+    LEAST_FREE,
+    OVER_COMMITMENT,
+    QUEUE_HIGH,
+    QUEUE_LOW,
+    ScatterRoom,
+)
 from tinrudder.gateway.decisions.admission.scatter_queue import (
     BEARABLE_SHARE,
     LATE_WAIT_SHARE,
@@ -23,13 +30,6 @@
     ScatterQueue,
     ScatterRefusal,
 )
-from tinrudder.gateway.decisions.admission.scatter_room import (
-    LEAST_FREE,
-    OVER_COMMITMENT,
-    QUEUE_HIGH,
-    QUEUE_LOW,
-    ScatterRoom,
-)
 
 HOLD_S = 0.05
 FULL = 2.0
--- a/tests/unit/test_shard_calls_machine.py
+++ b/tests/unit/test_shard_calls_machine.py
@@ -17,7 +17,8 @@
 from tinrudder.common.poison_requests import PoisonRequests, RequestStanding
 from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.backends.load_reports import LoadReports
-from tinrudder.gateway.model.messages import (
+from tinrudder.gateway.model.configuration import BackendEntry, HeaderNames, RepeatBounds, Route
+from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
     HttpAnswer,
@@ -27,8 +28,7 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.model.model import BackendEntry, HeaderNames, RepeatBounds, Route
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import RunGuard
 from tinrudder.gateway.requests.shard_calls import MAX_SENDS, NEVER, ShardCalls
--- a/tests/unit/test_tenants.py
+++ b/tests/unit/test_tenants.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Tenant
+from tinrudder.gateway.model.configuration import Tenant
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.requests.api_keys import KeyRing, Known, digest_of, without_credentials
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.documents import decode_configuration
--- a/tests/unit/test_uneven.py
+++ b/tests/unit/test_uneven.py
@@ -18,8 +18,8 @@
     play,
 )
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.gateway.decisions.attempts.hedge_moment import LEAST_OBSERVATIONS, HedgeMoments
-from tinrudder.gateway.decisions.placement.scatter_place import leaves_time
+from tinrudder.gateway.decisions.attempts.hedge_gain import LEAST_OBSERVATIONS, HedgeMoments
+from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
 
 LENGTH_S = 14.0
 MOST_REPEATS = 0.4
--- a/tests/unit/test_upstream_connection.py
+++ b/tests/unit/test_upstream_connection.py
@@ -9,7 +9,7 @@
 
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection, accept_any_answer
 from tinrudder.gateway.clients.memory_account import MemoryAccount
-from tinrudder.gateway.model.messages import Answered, Broken, CallOutcome, UpstreamCall
+from tinrudder.gateway.model.http_messages import Answered, Broken, CallOutcome, UpstreamCall
 
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
--- a/tests/unit/test_zone_doubts_end.py
+++ b/tests/unit/test_zone_doubts_end.py
@@ -14,12 +14,12 @@
 import async_solipsism
 import pytest
 
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Digest, Member, Probe, ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
 
 ZONES = ("a", "b", "c", "d")
 DIGEST_S = 0.5
--- a/tinrudder/gateway/backends/answer_reader.py
+++ b/tinrudder/gateway/backends/answer_reader.py
@@ -10,7 +10,7 @@
 
 import httptools
 
-from tinrudder.gateway.model.messages import Header, HttpAnswer
+from tinrudder.gateway.model.http_messages import Header, HttpAnswer
 
 MAX_HEAD_BYTES = 64 * 1024
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -13,9 +13,16 @@
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.decisions.placement.cold_pace import Callers, ColdPace, own_part
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, ColdPace, own_part
 from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
-from tinrudder.gateway.model.messages import (
+from tinrudder.gateway.model.configuration import (
+    Address,
+    BackendEntry,
+    ClientLimits,
+    ColdBounds,
+    HeaderNames,
+)
+from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
     CallOutcome,
@@ -24,13 +31,6 @@
     UpstreamCall,
     header_value,
 )
-from tinrudder.gateway.model.model import (
-    Address,
-    BackendEntry,
-    ClientLimits,
-    ColdBounds,
-    HeaderNames,
-)
 from tinrudder.gateway.store.shared_state import EntryStanding, KnownBackend, SharedState
 
 WRONG_BACKEND_STATUS = 421
--- a/tinrudder/gateway/backends/entry_rules.py
+++ b/tinrudder/gateway/backends/entry_rules.py
@@ -4,7 +4,7 @@
 
 import socket
 
-from tinrudder.gateway.model.model import BackendEntry
+from tinrudder.gateway.model.configuration import BackendEntry
 
 MOST_BYTES = 65_536
 """Of an entry, a choice: two hundred times what one has.  Gateways pass entries on to each other,
--- a/tinrudder/gateway/backends/fetch.py
+++ b/tinrudder/gateway/backends/http_fetch.py
@@ -5,7 +5,7 @@
 import asyncio
 
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
-from tinrudder.gateway.model.messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
+from tinrudder.gateway.model.http_messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
 
 
 class FetchError(Exception):
--- a/tinrudder/gateway/backends/load_watch.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -23,7 +23,7 @@
     take_load,
     tell_load,
 )
-from tinrudder.gateway.model.model import Address, BackendEntry
+from tinrudder.gateway.model.configuration import Address, BackendEntry
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import LoadNews
--- a/tinrudder/gateway/backends/load_reports.py
+++ b/tinrudder/gateway/backends/load_reports.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 
 from tinrudder.common.logs import log_problem
-from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.model.http_messages import LoadReport
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 
 LOG_PAUSE_S = 10.0
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -9,7 +9,7 @@
 
 from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.model.messages import (
+from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
     CallOutcome,
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -17,8 +17,8 @@
     never_stood_still,
 )
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.model.messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
+from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
 
 CONNECT_TIMEOUT_S = 0.4
 """How long a connection may take to open, a choice: a hundred times the way between zones, and less
--- a/tinrudder/gateway/clients/answers.py
+++ b/tinrudder/gateway/clients/answers.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.model.messages import Header, end_to_end_headers
-from tinrudder.gateway.model.model import HeaderNames
+from tinrudder.gateway.model.configuration import HeaderNames
+from tinrudder.gateway.model.http_messages import Header, end_to_end_headers
 from tinrudder.gateway.model.outcomes import (
     REASONS,
     FinalAnswer,
--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -12,8 +12,8 @@
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.tcp_progress import acknowledged_bytes
 from tinrudder.gateway.decisions.admission.memory_bound import RETRY_AFTER_S
-from tinrudder.gateway.model.messages import Header, Headers, HttpRequest
-from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.configuration import ClientLimits
+from tinrudder.gateway.model.http_messages import Header, Headers, HttpRequest
 from tinrudder.gateway.model.outcomes import (
     REASONS,
     STATUS_BAD_REQUEST,
--- a/tinrudder/gateway/clients/client_moments.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import HeaderNames, Route
+from tinrudder.gateway.model.configuration import HeaderNames, Route
+from tinrudder.gateway.model.http_messages import HttpRequest
 
 MILLISECONDS = 1000.0
 ANSWER_MARGIN_S = 0.015
--- a/tinrudder/gateway/clients/plain_answers.py
+++ b/tinrudder/gateway/clients/plain_answers.py
@@ -5,8 +5,8 @@
 from collections.abc import Callable
 
 from tinrudder.gateway.clients.client_connection import ClientConnection
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import ClientLimits
+from tinrudder.gateway.model.configuration import ClientLimits
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import REASONS, STATUS_UNAVAILABLE, FinalAnswer
 
 OK = 200
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, field
 
-from tinrudder.gateway.decisions.admission.scatter_room import ScatterRoom
+from tinrudder.gateway.decisions.admission.scatter_concurrency import ScatterRoom
 
 STANDING_S = 0.1
 """A queue that has not been empty for this long is no burst: what waits in it longer than
--- a/tinrudder/gateway/node.py
+++ b/tinrudder/gateway/gateway.py
@@ -12,21 +12,21 @@
 from tinrudder.common.logs import log_event
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.load_news_exchange import LoadWatch
 from tinrudder.gateway.backends.load_reports import LoadReports
-from tinrudder.gateway.backends.load_watch import LoadWatch
 from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
-from tinrudder.gateway.decisions.fleet.stand_still import LOOK_S, StandStill
-from tinrudder.gateway.model.model import Address, GatewaySettings, HeaderNames
-from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
-from tinrudder.gateway.observability.node_log import (
+from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, StandStill
+from tinrudder.gateway.model.configuration import Address, GatewaySettings, HeaderNames
+from tinrudder.gateway.observability.gateway_log import (
     log_configuration,
     log_coordination,
     log_pull,
     log_reachability,
 )
+from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
 from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_exchange import PeerExchange
@@ -34,20 +34,20 @@
 from tinrudder.gateway.peers.peer_messages import Member, ProbeAnswer
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.probes import Probes
-from tinrudder.gateway.peers.reach import Reach
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.peers.reachability import Reach
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.access import Access
-from tinrudder.gateway.requests.forwarding import Forwarding, ForwardingCounters
+from tinrudder.gateway.requests.authentication import Access
+from tinrudder.gateway.requests.call_context import Forwarding, ForwardingCounters
 from tinrudder.gateway.requests.request_handler import RequestHandler as ForwardingHandler
 from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
-from tinrudder.gateway.scatters.relaying import Relaying
-from tinrudder.gateway.scatters.scatter_gate import ScatterGates
+from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.delegation_service import ScatterService
+from tinrudder.gateway.scatters.scatter_admission import ScatterGates
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
-from tinrudder.gateway.scatters.scatter_service import ScatterService
-from tinrudder.gateway.store.knowledge import Knowledge
-from tinrudder.gateway.store.knowledge_keeper import KnowledgeKeeper
 from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import Knowledge
+from tinrudder.gateway.store.staleness_keeper import KnowledgeKeeper
 from tinrudder.gateway.store.store_follower import StoreFollower
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
--- a/tinrudder/gateway/model/outcomes.py
+++ b/tinrudder/gateway/model/outcomes.py
@@ -8,7 +8,7 @@
 
 from dataclasses import dataclass
 
-from tinrudder.gateway.model.messages import Headers, HttpAnswer
+from tinrudder.gateway.model.http_messages import Headers, HttpAnswer
 
 STATUS_BAD_REQUEST = 400
 STATUS_UNAUTHORIZED = 401
--- a/tinrudder/gateway/observability/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -18,7 +18,7 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest
 
 if TYPE_CHECKING:
-    from tinrudder.gateway.node import GatewayNode
+    from tinrudder.gateway.gateway import GatewayNode
 
 
 class Figure(Struct, frozen=True):
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -8,7 +8,7 @@
 
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.common.transport.peer_server import PeerServer
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import (
@@ -20,9 +20,9 @@
     SnapshotRequest,
     ToldMember,
 )
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
-from tinrudder.gateway.store.knowledge import Knowledge
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
 from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import Knowledge
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import Reading, Topic
 from tinrudder.gateway.wire.gateway_relay_codec import decode_request, encode_answer, encode_request
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -6,10 +6,10 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
+from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
 from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import RequestOutcome
 from tinrudder.gateway.store.stored_values import StoredValue
 
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -24,8 +24,8 @@
     Standing,
 )
 from tinrudder.gateway.decisions.fleet.send_budget import SendBudget
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Address, HeaderNames, Route
+from tinrudder.gateway.model.configuration import Address, HeaderNames, Route
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import NotRun
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -10,10 +10,10 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
+from tinrudder.gateway.peers.correlation_ids import first_number
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
-from tinrudder.gateway.peers.peer_numbers import first_number
 
 REMEMBERED_S = 5.0
 """How long an answer is waited for: what it proves would be too old to be of use later."""
--- a/tinrudder/gateway/peers/reach.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -7,9 +7,9 @@
 from msgspec import Struct, field
 
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
 
 KEPT_S = 0.1
 """How long a count of reachable shards is used; it takes 0.1 ms for 135 of them."""
--- a/tinrudder/gateway/quotas/quota_homes.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -6,12 +6,12 @@
 from collections.abc import Callable
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.decisions.admission.quota_home import QuotaHome, QuotaLimit, part_of_rate
-from tinrudder.gateway.model.model import Address, QuotaBounds, Tenant
+from tinrudder.gateway.decisions.admission.token_buckets import QuotaHome, QuotaLimit, part_of_rate
+from tinrudder.gateway.model.configuration import Address, QuotaBounds, Tenant
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
 
 TOLD_AGAIN_S = 1.0
 """How often everybody is told that a tenant is pressed: half as long as a word lasts."""
--- a/tinrudder/gateway/quotas/quota_home_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -7,9 +7,9 @@
 from msgspec import Struct, field
 
 from tinrudder.common.rendezvous import rendezvous_score
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_list import PeerList
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
 
 AVOIDED_S = 3.0
 """How long a home that did not answer is passed over: one that stood still is not asked each time,
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -13,16 +13,16 @@
 from msgspec import Struct
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
-from tinrudder.gateway.model.model import Address, QuotaBounds, Tenant
+from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
+from tinrudder.gateway.model.configuration import Address, QuotaBounds, Tenant
 from tinrudder.gateway.model.outcomes import NotRun, OverQuota
+from tinrudder.gateway.peers.correlation_ids import first_number
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
-from tinrudder.gateway.peers.peer_numbers import first_number
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
-from tinrudder.gateway.quotas.quota_home_choice import QuotaHomeChoice
-from tinrudder.gateway.quotas.quota_homes import TO_EVERYBODY, QuotaHomes
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.quotas.bucket_owner import TO_EVERYBODY, QuotaHomes
+from tinrudder.gateway.quotas.bucket_owner_choice import QuotaHomeChoice
 
 REPORT_PAUSE_S = 0.02
 """How long requests of a tenant are gathered for one report: at seven times a limit of a thousand a
--- a/tinrudder/gateway/requests/api_keys.py
+++ b/tinrudder/gateway/requests/api_keys.py
@@ -12,8 +12,8 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import GatewayConfiguration, HeaderNames, Tenant
+from tinrudder.gateway.model.configuration import GatewayConfiguration, HeaderNames, Tenant
+from tinrudder.gateway.model.http_messages import HttpRequest
 
 LONGEST_KEY_BYTES = 1024
 """Of one key, chosen: fifty times the platform's examples, far below the limit on headers."""
--- a/tinrudder/gateway/requests/access.py
+++ b/tinrudder/gateway/requests/authentication.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from dataclasses import dataclass
 
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import HeaderNames, Route, Tenant
+from tinrudder.gateway.model.configuration import HeaderNames, Route, Tenant
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import (
     STATUS_BAD_REQUEST,
     Invalid,
--- a/tinrudder/gateway/requests/forwarding.py
+++ b/tinrudder/gateway/requests/call_context.py
@@ -21,21 +21,21 @@
     two_of,
     work_s_of,
 )
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
     MINIMUM_OBSERVATIONS,
     hedge_delay_s,
     usual_latency_s,
 )
-from tinrudder.gateway.decisions.attempts.hedge_moment import HedgeMoments
-from tinrudder.gateway.decisions.attempts.repeat_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.decisions.placement.scatter_place import ScatterSizes
+from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes
 from tinrudder.gateway.decisions.placement.zone_preference import (
     LEAST_ADVANTAGE,
     is_slow,
     zone_advantage,
 )
-from tinrudder.gateway.model.model import HeaderNames, RepeatBounds, Route
+from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.requests.run_guard import CrashEvidence
 
 SIZE_GAIN = 0.1
--- a/tinrudder/gateway/requests/call_observation.py
+++ b/tinrudder/gateway/requests/call_observation.py
@@ -4,7 +4,8 @@
 
 from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
-from tinrudder.gateway.model.messages import (
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
     CallOutcome,
@@ -13,8 +14,7 @@
     Rejected,
     header_value,
 )
-from tinrudder.gateway.model.model import Route
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.call_context import Forwarding
 
 SERVER_ERROR = 500
 """The first status that says that the back end failed, rather than the request."""
--- a/tinrudder/gateway/requests/request_bytes.py
+++ b/tinrudder/gateway/requests/request_bytes.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.model.messages import HttpRequest, end_to_end_headers
-from tinrudder.gateway.model.model import HeaderNames
+from tinrudder.gateway.model.configuration import HeaderNames
+from tinrudder.gateway.model.http_messages import HttpRequest, end_to_end_headers
 from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
 
 MILLISECONDS = 1000.0
--- a/tinrudder/gateway/requests/request_fingerprint.py
+++ b/tinrudder/gateway/requests/request_fingerprint.py
@@ -4,8 +4,8 @@
 
 from hashlib import blake2b
 
-from tinrudder.gateway.model.messages import HttpRequest, header_value
-from tinrudder.gateway.model.model import HeaderNames
+from tinrudder.gateway.model.configuration import HeaderNames
+from tinrudder.gateway.model.http_messages import HttpRequest, header_value
 
 FINGERPRINT_BYTES = 16
 """Length of a fingerprint, bytes: nobody finds a second request with the fingerprint of another's,
@@ -26,7 +26,7 @@
     the client sent.  Ids, deadlines and connections differ between the tries of one client, so
     they do not count.
 
-    >>> from tinrudder.gateway.model.messages import HttpRequest
+    >>> from tinrudder.gateway.model.http_messages import HttpRequest
     >>> from tinrudder.platform.headers import HEADERS
     >>> first = HttpRequest(b"GET", b"/a", ((b"host", b"h"), (b"x-id", b"1")), b"")
     >>> again = HttpRequest(b"GET", b"/a", ((b"host", b"h"), (b"x-id", b"2")), b"")
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -8,9 +8,9 @@
 
 from tinrudder.gateway.clients.answers import build_answer
 from tinrudder.gateway.clients.client_connection import ClientConnection, RequestInProgress
-from tinrudder.gateway.clients.client_moments import ClientMoments, Moments
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import ClientLimits, Route, Tenant
+from tinrudder.gateway.clients.client_deadlines import ClientMoments, Moments
+from tinrudder.gateway.model.configuration import ClientLimits, Route, Tenant
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import (
     STATUS_BAD_REQUEST,
     Invalid,
@@ -22,17 +22,17 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest, RequestObserver
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.peers.reach import Reach
+from tinrudder.gateway.peers.reachability import Reach
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.access import Access, Admitted
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.authentication import Access, Admitted
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
-from tinrudder.gateway.scatters.relayed_run import RelayedRun
-from tinrudder.gateway.scatters.relaying import Relaying
-from tinrudder.gateway.scatters.scatter_gate import GatedScatter, ScatterGates
+from tinrudder.gateway.scatters.delegated_scatter import RelayedRun
+from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.scatter_admission import GatedScatter, ScatterGates
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
 
--- a/tinrudder/gateway/requests/request_run.py
+++ b/tinrudder/gateway/requests/request_run.py
@@ -4,10 +4,10 @@
 
 from collections.abc import Callable, Sequence
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.decisions.attempts.answer_moment import ScatterState, Verdict, decide
-from tinrudder.gateway.model.messages import HttpAnswer, header_value
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.decisions.attempts.answer_time import ScatterState, Verdict, decide
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import HttpAnswer, header_value
 from tinrudder.gateway.model.outcomes import (
     Merged,
     NoAnswer,
@@ -17,7 +17,7 @@
     TimedOut,
 )
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import RunGuard
 from tinrudder.gateway.requests.shard_calls import NEVER, ShardCalls
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -8,8 +8,8 @@
 
 from tinrudder.gateway.decisions.placement.route_table import RouteTable
 from tinrudder.gateway.decisions.placement.weighted_rotation import WeightedRotation
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import GatewayConfiguration, Route, Tenant
+from tinrudder.gateway.model.configuration import GatewayConfiguration, Route, Tenant
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.requests.api_keys import KeyRing
 
 FIRST_TURNS = 240
--- a/tinrudder/gateway/requests/run_guard.py
+++ b/tinrudder/gateway/requests/run_guard.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from tinrudder.common.poison_requests import RequestStanding, Standing
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 
 CANARY_PATIENCE = 0.3
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.decisions.admission.return_moment import retry_after_by_share_s
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import AdmittedShare, judge
 from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.requests.call_context import Forwarding
 
 
 class ServiceAdmission:
--- a/tinrudder/gateway/requests/shard_calls.py
+++ b/tinrudder/gateway/requests/shard_calls.py
@@ -11,7 +11,8 @@
 from tinrudder.gateway.decisions.admission.memory_bound import large_body_bytes
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
-from tinrudder.gateway.model.messages import (
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
     CallOutcome,
@@ -21,10 +22,9 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.model.model import Route
 from tinrudder.gateway.observability.request_log import log_call_lost
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.call_observation import SERVER_ERROR, observe_end
-from tinrudder.gateway.requests.forwarding import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import POISON, Permission, RunGuard
 
--- a/tinrudder/gateway/requests/tenants.py
+++ b/tinrudder/gateway/requests/tenant_configuration.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.model import Tenant
+from tinrudder.gateway.model.configuration import Tenant
 from tinrudder.gateway.requests.api_keys import LONGEST_KEY_BYTES, digest_of
 
 
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -11,7 +11,7 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
-from tinrudder.gateway.decisions.placement.cold_pace import Callers
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.decisions.placement.coordinator_choice import (
     Candidate,
     IndexDemand,
@@ -20,8 +20,8 @@
     preference,
     strong_ones,
 )
-from tinrudder.gateway.decisions.placement.scatter_place import ScatterSizes, group_by_place
-from tinrudder.gateway.model.model import Address, GatewayConfiguration, Route
+from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes, group_by_place
+from tinrudder.gateway.model.configuration import Address, GatewayConfiguration, Route
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member
 from tinrudder.gateway.store.shared_state import SharedState
--- a/tinrudder/gateway/scatters/relayed_run.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -5,13 +5,13 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.model.configuration import Address, Route
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
 from tinrudder.gateway.requests.request_run import OutcomeListener
-from tinrudder.gateway.scatters.hand_over import (
+from tinrudder.gateway.scatters.delegation import (
     ANSWER_MARGIN_S,
     Lost,
     NotTaken,
@@ -19,8 +19,8 @@
     hand_over,
     may_begin_at_once,
 )
-from tinrudder.gateway.scatters.relaying import Relaying
-from tinrudder.gateway.scatters.scatter_gate import GatedScatter
+from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.scatter_admission import GatedScatter
 
 
 class RelayedRun:
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -8,13 +8,13 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.model.configuration import Address, Route
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NotRun
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
 from tinrudder.gateway.requests.run_guard import POISON
-from tinrudder.gateway.scatters.hand_over import (
+from tinrudder.gateway.scatters.delegation import (
     ANSWER_MARGIN_S,
     Lost,
     NotTaken,
@@ -22,7 +22,7 @@
     hand_over,
     may_begin_at_once,
 )
-from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.delegation_context import Relaying
 
 
 class Delegation(Struct, frozen=True):
--- a/tinrudder/gateway/scatters/hand_over.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.model.model import Address, Route
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.model.configuration import Address, Route
 from tinrudder.gateway.observability.request_log import log_coordinator_failed
 from tinrudder.gateway.peers.peer_messages import Declined, ScatterEnd, ScatterRequest
-from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.delegation_context import Relaying
 from tinrudder.gateway.wire.gateway_relay_codec import decode_answer, encode_request
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
--- a/tinrudder/gateway/scatters/relaying.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -7,11 +7,11 @@
 from msgspec import Struct, field
 
 from tinrudder.common.transport.peer_client import PeerClient
-from tinrudder.gateway.decisions.attempts.path_time import PathTime
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.decisions.attempts.peer_round_trip import PathTime
+from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
-from tinrudder.gateway.peers.zone_watch import ZoneWatch
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.scatters.coordinators import Coordinators
 
 
--- a/tinrudder/gateway/scatters/scatter_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -5,9 +5,9 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.model.messages import header_value
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import header_value
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.observability.request_log import log_coordinated
 from tinrudder.gateway.peers.peer_messages import (
@@ -17,12 +17,12 @@
     ScatterRequest,
 )
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.peers.reach import Reach
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.peers.reachability import Reach
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
-from tinrudder.gateway.scatters.scatter_gate import GatedScatter, ScatterGates
+from tinrudder.gateway.scatters.scatter_admission import GatedScatter, ScatterGates
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
 
--- a/tinrudder/gateway/scatters/scatter_gate.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -11,9 +11,9 @@
 import statistics
 from collections.abc import Callable, Collection
 
-from tinrudder.gateway.clients.client_moments import Moments
+from tinrudder.gateway.clients.client_deadlines import Moments
 from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
-from tinrudder.gateway.decisions.admission.return_moment import (
+from tinrudder.gateway.decisions.admission.retry_after import (
     may_come_back,
     retry_after_by_place_s,
 )
@@ -23,11 +23,11 @@
     ScatterRefusal,
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
-from tinrudder.gateway.model.model import Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.delegation_context import Relaying
 from tinrudder.timers import TimerHandle
 
 PART_KEPT_S = 1.0
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -4,11 +4,11 @@
 
 import random
 
-from tinrudder.gateway.clients.client_moments import Moments
-from tinrudder.gateway.decisions.placement.scatter_place import leaves_time
-from tinrudder.gateway.model.messages import HttpRequest
-from tinrudder.gateway.model.model import Route
-from tinrudder.gateway.requests.forwarding import Forwarding
+from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import HttpRequest
+from tinrudder.gateway.requests.call_context import Forwarding
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.scatters.coordinators import Coordination
@@ -17,7 +17,7 @@
     Delegation,
     minimum_share_of_group,
 )
-from tinrudder.gateway.scatters.relaying import Relaying
+from tinrudder.gateway.scatters.delegation_context import Relaying
 
 
 class ScatterPlanner:
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -13,7 +13,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.model import BackendEntry, GatewayConfiguration
+from tinrudder.gateway.model.configuration import BackendEntry, GatewayConfiguration
 from tinrudder.gateway.store.evacuations import STORE, Evacuations
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
--- a/tinrudder/gateway/store/knowledge_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -10,12 +10,12 @@
 import random
 from collections.abc import Callable
 
-from tinrudder.gateway.model.model import Address
+from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes, SentProbe
-from tinrudder.gateway.store.knowledge import Knowledge
 from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import Knowledge
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
--- a/tinrudder/gateway/store/stored_values.py
+++ b/tinrudder/gateway/store/stored_values.py
@@ -8,8 +8,8 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.messages import LoadReport
-from tinrudder.gateway.model.model import BackendEntry, GatewayConfiguration
+from tinrudder.gateway.model.configuration import BackendEntry, GatewayConfiguration
+from tinrudder.gateway.model.http_messages import LoadReport
 
 
 class Topic(enum.Enum):
--- a/tinrudder/gateway/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -4,7 +4,7 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.gateway.model.messages import HttpRequest
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
 from tinrudder.gateway.peers.peer_messages import (
     Declined,
--- a/tinrudder/gateway/wire/peer_datagram_codec.py
+++ b/tinrudder/gateway/wire/peer_datagram_codec.py
@@ -6,7 +6,7 @@
 
 from google.protobuf.message import DecodeError
 
-from tinrudder.gateway.decisions.admission.quota_home import HeldTokens
+from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
 from tinrudder.gateway.peers.peer_messages import (
     Digest,
     LoadNews,
--- a/tinrudder/node/decisions/hedging.py
+++ b/tinrudder/node/decisions/hedge_by_quantile.py
@@ -7,7 +7,7 @@
 from typing import Protocol
 
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.node.decisions.retry_budget import FractionBudget
+from tinrudder.node.decisions.call_retry_budget import FractionBudget
 
 HEDGE_FRACTION = 0.027
 HEDGE_INITIAL = 48.0
--- a/tinrudder/node/decisions/registry.py
+++ b/tinrudder/node/decisions/registry.py
@@ -12,14 +12,14 @@
 from dataclasses import dataclass
 from typing import Final, TypeVar
 
+from tinrudder.node.decisions.call_retry_budget import BudgetedRetry, RetryPolicy, UnbudgetedRetry
 from tinrudder.node.decisions.ejection import EjectionPolicy, NeverEject, OutlierEjection
-from tinrudder.node.decisions.hedging import HedgePolicy, NoHedge, QuantileHedge
+from tinrudder.node.decisions.hedge_by_quantile import HedgePolicy, NoHedge, QuantileHedge
 from tinrudder.node.decisions.replica_choice import (
     LeastLoadedReplica,
     RandomReplica,
     ReplicaChoicePolicy,
 )
-from tinrudder.node.decisions.retry_budget import BudgetedRetry, RetryPolicy, UnbudgetedRetry
 
 PolicyType = TypeVar("PolicyType")
 
--- a/tinrudder/node/decisions/service_routing.py
+++ b/tinrudder/node/decisions/service_routing.py
@@ -9,8 +9,9 @@
 
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.node.decisions.backend_record import BackendRecord
+from tinrudder.node.decisions.call_retry_budget import RetryPolicy
 from tinrudder.node.decisions.ejection import EjectionPolicy
-from tinrudder.node.decisions.hedging import HedgePolicy
+from tinrudder.node.decisions.hedge_by_quantile import HedgePolicy
 from tinrudder.node.decisions.registry import (
     DEFAULTS,
     EJECTION_POLICIES,
@@ -24,7 +25,6 @@
     policy_name,
 )
 from tinrudder.node.decisions.replica_choice import ReplicaChoicePolicy
-from tinrudder.node.decisions.retry_budget import RetryPolicy
 
 
 @dataclass(slots=True, eq=False)
--- a/tinrudder/node/query/hedger.py
+++ b/tinrudder/node/query/hedger.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.hedging import MAX_HEDGES_PER_SHARD, is_widespread
+from tinrudder.node.decisions.hedge_by_quantile import MAX_HEDGES_PER_SHARD, is_widespread
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.node.resources.model import Preference
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -8,7 +8,7 @@
 from msgspec import Meta
 
 from tinrudder.gateway.backends.entry_rules import check_entry
-from tinrudder.gateway.model.model import (
+from tinrudder.gateway.model.configuration import (
     Address,
     BackendEntry,
     ClientLimits,
@@ -17,7 +17,11 @@
     ServiceSpec,
     WeightedService,
 )
-from tinrudder.gateway.requests.tenants import TenantDocument, TenantsError, make_tenants
+from tinrudder.gateway.requests.tenant_configuration import (
+    TenantDocument,
+    TenantsError,
+    make_tenants,
+)
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
--- a/tinrudder/platform/headers.py
+++ b/tinrudder/platform/headers.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.model.model import HeaderNames
+from tinrudder.gateway.model.configuration import HeaderNames
 
 HEADERS = HeaderNames(
     request_id=b"tinrudder-request-id",
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -4,7 +4,7 @@
 
 import functools
 
-from tinrudder.gateway.model.messages import LoadReport
+from tinrudder.gateway.model.http_messages import LoadReport
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.headers import HEADERS
 
--- a/tinrudder/platform/settings_file.py
+++ b/tinrudder/platform/settings_file.py
@@ -12,7 +12,7 @@
 import msgspec
 from msgspec import Meta
 
-from tinrudder.gateway.model.model import (
+from tinrudder.gateway.model.configuration import (
     Address,
     ColdBounds,
     GatewaySettings,
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -10,8 +10,8 @@
 from typing import Any, TypeVar
 
 from tinrudder.cli.gateway import DECODERS
-from tinrudder.gateway.model.model import Address, ColdBounds, GatewaySettings, RepeatBounds
-from tinrudder.gateway.node import GatewayNode
+from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.model.configuration import Address, ColdBounds, GatewaySettings, RepeatBounds
 from tinrudder.platform.documents import BACKENDS_PREFIX, CONFIGURATION_KEY, EVACUATION_PREFIX
 from tinrudder.platform.headers import HEADERS
 from tinrudder.platform.store_client import StoreClient
