--- a/bench/overload.py
+++ b/bench/overload.py
@@ -20,7 +20,7 @@
 
 from bench.share_admission import Admission
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.scatters.scatter_admission import ScatterGate, Ticket
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmission, Ticket
 from tinrudder_lab.emulator.records import ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
@@ -129,32 +129,32 @@
     return asked
 
 
-def admit_all(gate: ScatterGate, ticket: Ticket) -> None:
+def admit_all(gate: ScatterAdmission, ticket: Ticket) -> None:
     """Start every scatter at once: no admission."""
     gate._start(ticket)
 
 
-def by_chance(gate: ScatterGate, ticket: Ticket) -> None:
+def by_chance(gate: ScatterAdmission, ticket: Ticket) -> None:
     """Refuse by chance from reported queues, as single requests are."""
     entrance = ticket.entrance
     admission: Admission = gate.__dict__.setdefault(
-        "admission", Admission(gate._forwarding, gate._random)
+        "admission", Admission(gate._call_context, gate._random)
     )
-    coordination = gate._relaying.coordinators.of_route(entrance.route)
+    coordination = gate._delegation_context.coordinators.of_route(entrance.route)
     shards = coordination.own_shards(gate._index)
     refusal: NotRun | None = admission.refusal(
-        entrance.route, shards, entrance.moments, entrance.priority, entrance.tenant
+        entrance.route, shards, entrance.deadlines, entrance.priority, entrance.tenant
     )
     if refusal is None:
         gate._start(ticket)
     else:
-        entrance.refuse(refusal, entrance.moments.received_at)
+        entrance.refuse(refusal, entrance.deadlines.received_at)
 
 
-WAYS: dict[str, Callable[[ScatterGate, Ticket], None]] = {
+WAYS: dict[str, Callable[[ScatterAdmission, Ticket], None]] = {
     "standing": by_chance,
     "none": admit_all,
-    "gate": ScatterGate.enter,
+    "gate": ScatterAdmission.enter,
 }
 
 
@@ -170,8 +170,8 @@
         asked = await traffic(site, LOAD_S, {URGENT: urgent, USUAL: load * CAPACITY_PER_S}, source)
         return summarize(way, load, asked, begun_at + LOAD_S)
 
-    kept = ScatterGate.enter
-    setattr(ScatterGate, "enter", WAYS[way])  # noqa: B010
+    kept = ScatterAdmission.enter
+    setattr(ScatterAdmission, "enter", WAYS[way])  # noqa: B010
     try:
         row: Row = run_site(
             scenario,
@@ -184,7 +184,7 @@
         )
         return row
     finally:
-        setattr(ScatterGate, "enter", kept)  # noqa: B010
+        setattr(ScatterAdmission, "enter", kept)  # noqa: B010
 
 
 def summarize(way: str, load: float, asked: list[Asked], end: float) -> Row:
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.model.configuration import Address, ColdBounds, RepeatBounds
 from tinrudder.gateway.model.http_messages import HttpRequest
@@ -28,7 +28,7 @@
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import RequestRun
 from tinrudder.gateway.store.shared_state import SharedState
@@ -89,7 +89,7 @@
             lambda zone: False,
         )
         self._configure()
-        self.forwarding = Forwarding(
+        self.call_context = CallContext(
             loop=loop,
             names=HEADERS,
             zone=ZONES[0],
@@ -149,14 +149,16 @@
         assert accepted is not None
         route = accepted.configuration.routes[0]
         now = self.loop.time()
-        moments = Moments(now, now + 0.2, now + 0.8)
+        deadlines = Deadlines(now, now + 0.2, now + 0.8)
         request_id = b"request-%d" % number
         headers = ((b"host", b"h"), (b"tinrudder-request-id", request_id), (b"accept", b"*/*"))
         request = HttpRequest(b"GET", b"/some/path", headers, b"")
         outcomes: list[RequestOutcome] = []
         began = time.perf_counter()
-        encoded = RequestBytes(request, request_id, moments.deadline_at, HEADERS)
-        run = RequestRun(route, route.shards, encoded, moments, self.forwarding, outcomes.append)
+        encoded = RequestBytes(request, request_id, deadlines.deadline_at, HEADERS)
+        run = RequestRun(
+            route, route.shards, encoded, deadlines, self.call_context, outcomes.append
+        )
         run.start()
         sent = time.perf_counter()
         carriers = [shard._attempts[0].call.carrier for shard in run.shards]
--- a/bench/share_admission.py
+++ b/bench/share_admission.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Sequence
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.admission.load_forecast import admission_share
 from tinrudder.gateway.decisions.admission.retry_after import (
     HONOURED_SHARE,
@@ -16,7 +16,7 @@
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 
 SPREAD_BY_CHANCE = 2.0
 """Callers come back between the moment told and this many times as late, a choice: refused by
@@ -46,9 +46,9 @@
     it asks for and the others all (see :mod:`tinrudder.gateway.decisions.admission.tenant_shares`).
     """
 
-    def __init__(self, forwarding: Forwarding, random_source: random.Random) -> None:
+    def __init__(self, call_context: CallContext, random_source: random.Random) -> None:
         """Read the queues through ``forwarding``."""
-        self._forwarding = forwarding
+        self._call_context = call_context
         self._random = random_source
         self._tenants = TenantShares()
 
@@ -56,7 +56,7 @@
         self,
         route: Route,
         services: tuple[str, ...],
-        moments: Moments,
+        deadlines: Deadlines,
         priority_steps: int,
         tenant: str = "",
     ) -> NotRun | None:
@@ -65,36 +65,36 @@
         :param priority_steps: how many priorities in use are more urgent than the request's.
         :param tenant: on whose behalf it comes; empty for nobody's.
         """
-        forwarding = self._forwarding
-        now = moments.received_at
+        call_context = self._call_context
+        now = deadlines.received_at
         if tenant:
             self._tenants.note(tenant, now)
-        unloaded = forwarding.unloaded_latency(route)
+        unloaded = call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
             return None
         usual_s = unloaded.quantile(0.5)
-        waits = [forwarding.wait_s(service, usual_s, now) for service in services]
+        waits = [call_context.wait_s(service, usual_s, now) for service in services]
         wait_s = wait_of_shards(waits)
-        left_s = moments.objective_at - now
+        left_s = deadlines.objective_at - now
         share = admission_share(
             wait_s,
             usual_s,
             left_s,
             priority_steps=priority_steps,
-            returning=moments.returning,
+            returning=deadlines.returning,
         )
         if tenant:
             share = self._tenants.share_of(tenant, share, now)
         if share >= 1.0 or self._random.random() < share:
             return None
         detail = f"overload: wait {wait_s:.3f} s, usual {usual_s:.3f} s, left {left_s:.3f} s"
-        return NotRun(detail, self._retry_after_s(moments))
+        return NotRun(detail, self._retry_after_s(deadlines))
 
-    def _retry_after_s(self, moments: Moments) -> float:
+    def _retry_after_s(self, deadlines: Deadlines) -> float:
         """Return when a refused client should come back: as late as it does come back, spread.
 
         Reports of queues say who waits now, not when there will be room.
         """
-        left_s = moments.deadline_at - moments.received_at
+        left_s = deadlines.deadline_at - deadlines.received_at
         room_in_s = left_s * HONOURED_SHARE / SPREAD_BY_CHANCE
         return retry_after_by_place_s(room_in_s, left_s, self._random.random(), SPREAD_BY_CHANCE)
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -30,7 +30,7 @@
     two_of,
     work_s_of,
 )
-from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
 from tinrudder.gateway.decisions.fleet.load_news import (
     DATAGRAM_BYTES,
@@ -40,7 +40,7 @@
     NEXT_S,
     Noted,
     PendingNews,
-    ToldLoad,
+    ReportedLoad,
     is_long,
     take_load,
     tell_load,
@@ -159,7 +159,7 @@
     """What one gateway knows, with the product's code for every decision."""
 
     fleet: Fleet
-    budget: RepeatBudget
+    budget: FleetRetryBudget
     pending: PendingNews
     unloaded: LatencyWindow = field(default_factory=LatencyWindow)
     pressed_at: float = -MOST_AGE_S
@@ -247,7 +247,7 @@
         if self.pending:
             self._tell_after(NEXT_S)
 
-    def take(self, news: tuple[ToldLoad, ...]) -> None:
+    def take(self, news: tuple[ReportedLoad, ...]) -> None:
         """Take what another gateway tells."""
         now = self.fleet.clock.now
         for one in news:
@@ -278,7 +278,7 @@
         self.backends = [ModelBackend(self.clock, self.source) for _ in range(BACKENDS)]
         self.backends[0].slowdown = self.slowdown
         self.gateways = [
-            ModelGateway(self, RepeatBudget(0.2, 290.0, 10.0, 0.0), PendingNews())
+            ModelGateway(self, FleetRetryBudget(0.2, 290.0, 10.0, 0.0), PendingNews())
             for _ in range(self.size)
         ]
 
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -26,7 +26,7 @@
 from functools import partial
 
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
 from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
 from tinrudder.gateway.decisions.placement.backend_observations import (
@@ -228,7 +228,7 @@
         self.latencies = {kind.name: LatencyWindow() for kind in load.kinds}
         self.hedges = {name: HedgeMoments(window) for name, window in self.latencies.items()}
         self.budgets = [
-            RepeatBudget(BUDGET_RATIO, load.extra, BUDGET_WINDOW_S, -BUDGET_WINDOW_S)
+            FleetRetryBudget(BUDGET_RATIO, load.extra, BUDGET_WINDOW_S, -BUDGET_WINDOW_S)
             for _ in range(SHARDS)
         ]
 
--- a/tests/functional/test_gateway_keys.py
+++ b/tests/functional/test_gateway_keys.py
@@ -9,7 +9,7 @@
 import pytest
 
 from tests.support.many_gateways import SETTLED_S, run_many
-from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.gateway import Gateway
 from tinrudder.gateway.store.staleness_keeper import FRESH_SHARE
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
 from tinrudder_lab.emulator.store import StoreMode
@@ -29,7 +29,7 @@
     return run_site(scenario, **(settings | options))
 
 
-def gateway_of(node: EmulatedNode) -> GatewayNode:
+def gateway_of(node: EmulatedNode) -> Gateway:
     assert node.gateway is not None
     return node.gateway
 
--- a/tests/functional/test_gateway_quotas.py
+++ b/tests/functional/test_gateway_quotas.py
@@ -9,7 +9,7 @@
 
 from tests.support.many_gateways import SETTLED_S, run_many
 from tinrudder.gateway.decisions.admission.token_buckets import RETURN_SPREAD_S
-from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.gateway import Gateway
 from tinrudder.gateway.model.configuration import Address, QuotaBounds
 from tinrudder_lab.emulator.client import ClientResult
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
@@ -56,7 +56,7 @@
     return sum(1 for one in results if one.status in (429, 503)) / max(1, len(results))
 
 
-def gateway_of(node: EmulatedNode) -> GatewayNode:
+def gateway_of(node: EmulatedNode) -> Gateway:
     assert node.gateway is not None
     return node.gateway
 
--- a/tests/functional/test_gateway_scatter_service.py
+++ b/tests/functional/test_gateway_scatter_service.py
@@ -39,7 +39,7 @@
         gateway = site.nodes[0].gateway
         assert gateway is not None
 
-        def run(route: Any, scatter: Any, moments: Any, on_outcome: Any) -> RunThatWaits:
+        def run(route: Any, scatter: Any, deadlines: Any, on_outcome: Any) -> RunThatWaits:
             runs.append(RunThatWaits(on_outcome))
             return runs[-1]
 
--- a/tests/functional/test_gateway_shared_service.py
+++ b/tests/functional/test_gateway_shared_service.py
@@ -14,7 +14,7 @@
     DATAGRAM_BYTES,
     LOAD_BYTES,
     MOST_BYTES,
-    ToldLoad,
+    ReportedLoad,
 )
 from tinrudder.gateway.peers.peer_messages import LoadNews
 from tinrudder_lab.emulator.backend import Fault
@@ -132,19 +132,21 @@
         known = next(one for one in hearer.directory if one.entry.service == "single")
         number = number_of(known.entry)
         absurd = [
-            ToldLoad(number + 1, 14, 2, 1.0, 0.1),
-            ToldLoad(number, 2_000_000, 2, 1.0, 0.1),
-            ToldLoad(number, 14, 0, 1.0, 0.1),
-            ToldLoad(number, 14, 2, 0.0, 0.1),
-            ToldLoad(number, 14, 2, 1.0, 0.9),
-            ToldLoad(number, 14, 2, 1.0, 0.1, work_s=10_000.0),
+            ReportedLoad(number + 1, 14, 2, 1.0, 0.1),
+            ReportedLoad(number, 2_000_000, 2, 1.0, 0.1),
+            ReportedLoad(number, 14, 0, 1.0, 0.1),
+            ReportedLoad(number, 14, 2, 0.0, 0.1),
+            ReportedLoad(number, 14, 2, 1.0, 0.9),
+            ReportedLoad(number, 14, 2, 1.0, 0.1, work_s=10_000.0),
         ]
         before = known.observations.reported_at
         teller.datagrams.send(LoadNews(tuple(absurd)), hearer.settings.peers)
         await asyncio.sleep(0.1)
         assert known.observations.reported_at == before
         assert hearer.load_watch.ignored == len(absurd)
-        teller.datagrams.send(LoadNews((ToldLoad(number, 14, 2, 1.0, 0.1),)), hearer.settings.peers)
+        teller.datagrams.send(
+            LoadNews((ReportedLoad(number, 14, 2, 1.0, 0.1),)), hearer.settings.peers
+        )
         await asyncio.sleep(0.1)
         assert known.observations.reported_backlog == 14
         assert hearer.load_watch.taken == 1
--- a/tests/functional/test_gateway_site.py
+++ b/tests/functional/test_gateway_site.py
@@ -615,7 +615,7 @@
         assert gateway is not None
         backends = gateway.directory.usable("single")
         assert any(backend.observations.reported_at > 0 for backend in backends)
-        assert gateway.forwarding.load_reports.unreadable == 0
+        assert gateway.call_context.load_reports.unreadable == 0
 
     run_site(scenario)
 
@@ -628,6 +628,6 @@
         assert site.served_share() == 1.0
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert gateway.forwarding.load_reports.unreadable > 0
+        assert gateway.call_context.load_reports.unreadable > 0
 
     run_site(scenario)
--- a/tests/functional/test_gateway_zone_cut.py
+++ b/tests/functional/test_gateway_zone_cut.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.gateway import Gateway
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, run_site
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
@@ -30,7 +30,7 @@
     return run_site(scenario, **(settings | options))
 
 
-def gateway_of(node: EmulatedNode) -> GatewayNode:
+def gateway_of(node: EmulatedNode) -> Gateway:
     assert node.gateway is not None
     return node.gateway
 
--- a/tests/unit/test_client_moments.py
+++ b/tests/unit/test_client_moments.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tests.unit.test_shard_calls_machine import NAMES
-from tinrudder.gateway.clients.client_deadlines import ClientMoments
+from tinrudder.gateway.clients.client_deadlines import ClientDeadlines
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 
@@ -18,6 +18,6 @@
     request = HttpRequest(b"GET", b"/", (), b"")
     began_at = 50.0
     received_at = began_at + CONNECTING_AND_ASKING * LONGEST_ONE_WAY_S
-    moments = ClientMoments(NAMES).of(route, request, received_at)
-    arrives_at = moments.objective_at + WORK_S + LONGEST_ONE_WAY_S
+    deadlines = ClientDeadlines(NAMES).of(route, request, received_at)
+    arrives_at = deadlines.objective_at + WORK_S + LONGEST_ONE_WAY_S
     assert arrives_at <= began_at + route.objective_s
--- a/tests/unit/test_cold_pace.py
+++ b/tests/unit/test_cold_pace.py
@@ -10,7 +10,7 @@
 from tinrudder.gateway.decisions.placement.cold_start_rate import (
     RATE_SHARE,
     Callers,
-    ColdPace,
+    ColdStartRate,
     own_part,
 )
 
@@ -51,7 +51,7 @@
 @given(st.integers(0, 6), st.integers(0, 10**6))
 def test_no_second_holds_more_calls_than_the_part(part: int, seed: int) -> None:
     source = random.Random(seed)
-    pace = ColdPace()
+    pace = ColdStartRate()
     now = 0.0
     sent: list[float] = []
     for _ in range(200):
@@ -65,7 +65,7 @@
 
 @given(st.lists(st.integers(0, 6), min_size=1, max_size=60))
 def test_a_part_that_shrinks_holds_at_once(parts: list[int]) -> None:
-    pace = ColdPace()
+    pace = ColdStartRate()
     sent: list[float] = []
     for number, part in enumerate(parts):
         now = number * 0.05
--- a/tests/unit/test_gateway_decisions.py
+++ b/tests/unit/test_gateway_decisions.py
@@ -124,10 +124,10 @@
         share = (included / shards) ** 2
         return share if moment <= objective else late_worth * share
 
-    moments = sorted({*(arrival for arrival in arrivals if arrival <= deadline), objective})
-    best_in_time = max((worth(moment) for moment in moments if moment <= objective), default=0.0)
+    deadlines = sorted({*(arrival for arrival in arrivals if arrival <= deadline), objective})
+    best_in_time = max((worth(moment) for moment in deadlines if moment <= objective), default=0.0)
     reached = 0.0
-    for moment in moments:
+    for moment in deadlines:
         included = sum(1 for arrival in arrivals if arrival <= moment)
         state = ScatterState(
             shards, included, shards - included, minimum_share, objective, deadline
@@ -136,7 +136,7 @@
             reached = worth(moment)
             break
     assert reached >= best_in_time
-    if any(worth(moment) > 0 for moment in moments):
+    if any(worth(moment) > 0 for moment in deadlines):
         assert reached > 0
 
 
--- a/tests/unit/test_gateway_relay_codec.py
+++ b/tests/unit/test_gateway_relay_codec.py
@@ -24,11 +24,11 @@
     Digest,
     Member,
     MissingShard,
+    ReportedMember,
     ScatterAnswer,
     ScatterEnd,
     ScatterRequest,
     SnapshotRequest,
-    ToldMember,
 )
 from tinrudder.gateway.wire.gateway_relay_codec import (
     decode_answer,
@@ -94,7 +94,7 @@
     sender=MEMBERS,
     operator_revision=REVISION,
     backends_revision=REVISION,
-    members=st.lists(st.builds(ToldMember, MEMBERS, SECONDS), max_size=8).map(tuple),
+    members=st.lists(st.builds(ReportedMember, MEMBERS, SECONDS), max_size=8).map(tuple),
     operator_unconfirmed_s=st.none() | SECONDS,
     backends_unconfirmed_s=st.none() | SECONDS,
 )
--- a/tests/unit/test_hedge_wiring.py
+++ b/tests/unit/test_hedge_wiring.py
@@ -12,7 +12,7 @@
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.model.configuration import RepeatBounds, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import RunGuard
 from tinrudder.gateway.requests.shard_calls import ShardCalls
@@ -24,7 +24,7 @@
 def started(loop: ManualLoop, latencies_s: list[float], left_s: float) -> ShardCalls:
     """Return a shard of three replicas whose first call has just left."""
     directory = FakeDirectory(3, [True] * 3)
-    forwarding = Forwarding(
+    call_context = CallContext(
         load_reports=LoadReports(decode_load_report, loop.time),
         loop=loop,  # type: ignore[arg-type]
         names=NAMES,
@@ -37,15 +37,15 @@
     )
     route = Route("r", "h", "/", True, 5.0, OBJECTIVE_S, 3, 0, shards=(SERVICE,))
     for latency_s in latencies_s:
-        forwarding.latency(route).observe(latency_s)
+        call_context.latency(route).observe(latency_s)
     request = RequestBytes(HttpRequest(b"GET", b"/", (), b""), b"id", loop.now + 5.0, NAMES)
     shard = ShardCalls(
         SERVICE,
         route,
         request,
-        forwarding,
+        call_context,
         lambda shard: None,
-        RunGuard(forwarding.evidence, request, route),
+        RunGuard(call_context.evidence, request, route),
         loop.now + left_s,
         relay_failures=False,
     )
--- a/tests/unit/test_knowledge.py
+++ b/tests/unit/test_knowledge.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, invariant, rule
 
-from tinrudder.gateway.store.staleness_bound import Knowledge
+from tinrudder.gateway.store.staleness_bound import StalenessBound
 
 NODES = st.integers(0, 2)
 
@@ -52,7 +52,7 @@
         self.now = 100.0
         self.changes: list[float] = []
         self.states = [FakeState() for _ in range(3)]
-        self.known = [Knowledge(state, lambda: self.now) for state in self.states]  # type: ignore[arg-type]
+        self.known = [StalenessBound(state, lambda: self.now) for state in self.states]  # type: ignore[arg-type]
         self.reads: list[Question] = []
         self.probes: list[tuple[Question, int]] = []
 
@@ -126,7 +126,7 @@
 def test_a_proof_for_what_is_not_known_here_counts_once_it_is() -> None:
     now = [10.0]
     state = FakeState(operator_revision=4)
-    known = Knowledge(state, lambda: now[0])  # type: ignore[arg-type]
+    known = StalenessBound(state, lambda: now[0])  # type: ignore[arg-type]
     known.prove(9.0, revision=7)
     assert known.told_age_s is None
     state.learn(7)
@@ -135,7 +135,7 @@
 
 def test_an_old_answer_never_makes_knowledge_younger_or_older() -> None:
     now = [10.0]
-    known = Knowledge(FakeState(), lambda: now[0])  # type: ignore[arg-type]
+    known = StalenessBound(FakeState(), lambda: now[0])  # type: ignore[arg-type]
     known.prove(9.0)
     known.prove(3.0)
     assert known.age_s == 1.0
--- a/tests/unit/test_load_news.py
+++ b/tests/unit/test_load_news.py
@@ -18,7 +18,7 @@
     MOST_IN_A_DATAGRAM,
     Noted,
     PendingNews,
-    ToldLoad,
+    ReportedLoad,
     take_load,
 )
 from tinrudder.gateway.decisions.placement.backend_observations import (
@@ -35,7 +35,7 @@
 # Eighths of a second are whole in milliseconds, the unit that travels, and exact as floats.
 eighths = st.integers(0, 6).map(lambda number: number / 8)
 loads = st.builds(
-    ToldLoad,
+    ReportedLoad,
     backend=st.integers(0, 2**32 - 1),
     calls=st.integers(0, 99),
     slots=st.integers(1, 99),
@@ -47,14 +47,14 @@
 
 
 @given(st.lists(loads, max_size=MOST_IN_A_DATAGRAM).map(tuple))
-def test_news_comes_out_as_it_went_in_and_is_small(told: tuple[ToldLoad, ...]) -> None:
+def test_news_comes_out_as_it_went_in_and_is_small(told: tuple[ReportedLoad, ...]) -> None:
     payload = encode_datagram(LoadNews(told))
     assert decode_datagram(payload) == LoadNews(told)
     assert IP_AND_UDP_BYTES + len(payload) <= DATAGRAM_BYTES + LOAD_BYTES * len(told)
 
 
 def test_an_age_is_never_told_too_short() -> None:
-    payload = encode_datagram(LoadNews((ToldLoad(1, 4, 2, 1.0, 0.0301),)))
+    payload = encode_datagram(LoadNews((ReportedLoad(1, 4, 2, 1.0, 0.0301),)))
     decoded = decode_datagram(payload)
     assert isinstance(decoded, LoadNews)
     assert decoded.loads[0].age_s == 0.031
@@ -91,22 +91,22 @@
 
 
 @given(
-    moments=st.lists(st.integers(0, 40), min_size=1, max_size=12),
+    deadlines=st.lists(st.integers(0, 40), min_size=1, max_size=12),
     seed=st.integers(0, 999),
     lost=st.integers(0, 11),
 )
 def test_the_newest_report_holds_in_any_order_with_any_loss_and_repetition(
-    moments: list[int], seed: int, lost: int
+    deadlines: list[int], seed: int, lost: int
 ) -> None:
     """The backlog names the moment; told at any age, some twice, the one numbered lost never."""
     source = random.Random(seed)
-    heard = [one for number, one in enumerate(moments) if number != lost] or moments
+    heard = [one for number, one in enumerate(deadlines) if number != lost] or deadlines
     arrivals = heard + source.sample(heard, source.randint(0, len(heard)))
     source.shuffle(arrivals)
     known = BackendObservations(slots=SLOTS)
     now = NOW
     for moment in arrivals:
-        told = ToldLoad(1, moment, SLOTS, 1.0, now - moment / 64 - 9.0)
+        told = ReportedLoad(1, moment, SLOTS, 1.0, now - moment / 64 - 9.0)
         take_load(told, known, now)
         now += source.choice((0.0, 1 / 64))
     assert known.reported_backlog == max(heard)
--- a/tests/unit/test_load_watch.py
+++ b/tests/unit/test_load_watch.py
@@ -10,8 +10,13 @@
 
 from tests.support.fakes import ManualTimers
 from tinrudder.gateway.backends import load_news_exchange
-from tinrudder.gateway.backends.load_news_exchange import LOG_PAUSE_S, LoadWatch, number_of
-from tinrudder.gateway.decisions.fleet.load_news import BYTES_PER_S, GATHER_S, MOST_BYTES, ToldLoad
+from tinrudder.gateway.backends.load_news_exchange import LOG_PAUSE_S, LoadNewsExchange, number_of
+from tinrudder.gateway.decisions.fleet.load_news import (
+    BYTES_PER_S,
+    GATHER_S,
+    MOST_BYTES,
+    ReportedLoad,
+)
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.model.configuration import Address, BackendEntry
 from tinrudder.gateway.peers.peer_list import PeerList
@@ -55,7 +60,7 @@
     for number in range(peers):
         known.heard_from(Member(Address(f"10.0.1.{number}", 1)), 100.0)
     backends = [backend(number) for number in range(SERVICES)]
-    watch = LoadWatch(known, wire, timers, lambda: backends)  # type: ignore[arg-type]
+    watch = LoadNewsExchange(known, wire, timers, lambda: backends)  # type: ignore[arg-type]
     for _ in range(SECONDS * 10):
         for one in backends:
             one.observations.reported(4, 12, 4, timers.now)
@@ -71,11 +76,11 @@
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
     known.heard_from(Member(Address("10.0.1.1", 1)), 100.0)
     one = backend(1)
-    watch = LoadWatch(known, wire, timers, lambda: [one])  # type: ignore[arg-type]
+    watch = LoadNewsExchange(known, wire, timers, lambda: [one])  # type: ignore[arg-type]
     one.observations.reported(4, 12, 4, timers.now)
     watch.heard(one, shed=False, work_s=0.25)
     timers.advance(GATHER_S / 2)
-    told = ToldLoad(number_of(one.entry), 7, 4, 1.0, 0.001)
+    told = ReportedLoad(number_of(one.entry), 7, 4, 1.0, 0.001)
     wire.handler(LoadNews((told,)), Address("10.0.1.1", 1))
     timers.advance(GATHER_S)
     assert one.observations.reported_backlog == 7
--- a/tests/unit/test_path_time.py
+++ b/tests/unit/test_path_time.py
@@ -7,11 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.attempts.peer_round_trip import LONGEST_SEEN_S, PathTime
+from tinrudder.gateway.decisions.attempts.peer_round_trip import LONGEST_SEEN_S, PeerRoundTrip
 
 
-def seen(values: list[float]) -> PathTime:
-    path = PathTime()
+def seen(values: list[float]) -> PeerRoundTrip:
+    path = PeerRoundTrip()
     for value in values:
         path.observe(value)
     return path
--- a/tests/unit/test_poison_requests.py
+++ b/tests/unit/test_poison_requests.py
@@ -37,14 +37,14 @@
     trial=st.booleans(),
     survived=st.booleans(),
 )
-moments = st.integers(0, 20).map(float)
+deadlines = st.integers(0, 20).map(float)
 # How often it was cleared, and when that was last.
-clearings = st.just((0, NEVER)) | st.tuples(st.integers(1, 3), moments)
+clearings = st.just((0, NEVER)) | st.tuples(st.integers(1, 3), deadlines)
 pieces = st.lists(
     st.one_of(
         st.builds(lambda crash, cleared: Evidence(ORIGIN, (crash,), *cleared), crashes, clearings),
         clearings.map(lambda cleared: Evidence(ORIGIN, (), *cleared)),
-        moments.map(lambda at: Evidence(ORIGIN, trial_at=at)),
+        deadlines.map(lambda at: Evidence(ORIGIN, trial_at=at)),
     ),
     min_size=1,
     max_size=8,
--- a/tests/unit/test_poison_watch.py
+++ b/tests/unit/test_poison_watch.py
@@ -17,7 +17,12 @@
 from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
-from tinrudder.gateway.peers.peer_messages import Member, PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.peers.peer_messages import (
+    Member,
+    PoisonReport,
+    ReportedCrash,
+    ReportedEvidence,
+)
 from tinrudder.gateway.peers.poison_watch import (
     GATHER_S,
     MOST_DATAGRAMS_AT_ONCE,
@@ -37,11 +42,11 @@
 ages = st.integers(0, 10**5).map(lambda eighths: eighths / 8)
 digests = st.binary(min_size=FINGERPRINT_BYTES, max_size=FINGERPRINT_BYTES)
 evidence = st.builds(
-    ToldEvidence,
+    ReportedEvidence,
     digests,
     digests,
     st.lists(
-        st.builds(ToldCrash, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans()),
+        st.builds(ReportedCrash, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans()),
         max_size=10,
     ).map(tuple),
     st.integers(0, 2**32 - 1),
@@ -75,7 +80,7 @@
 @pytest.mark.parametrize("field", ["fingerprint", "origin"])
 def test_a_digest_of_another_length_is_refused_by_its_name(field: str) -> None:
     digest = {"fingerprint": FINGERPRINT, "origin": ORIGIN} | {field: b"short"}
-    payload = encode_datagram(PoisonReport((ToldEvidence(**digest),)))
+    payload = encode_datagram(PoisonReport((ReportedEvidence(**digest),)))
     with pytest.raises(MalformedPeerMessageError, match=field):
         decode_datagram(payload)
 
--- a/tests/unit/test_quota_fleet.py
+++ b/tests/unit/test_quota_fleet.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tinrudder.gateway.decisions.admission.token_buckets import QuotaHome, QuotaLimit
+from tinrudder.gateway.decisions.admission.token_buckets import QuotaLimit, TokenBuckets
 
 RATE, BURST, WINDOW_S = 5.0, 5.0, 5.0
 LIMIT = QuotaLimit.of(RATE, BURST, WINDOW_S, 0.25, 20.0)
@@ -48,7 +48,7 @@
 
 def home_with_reports(gateways: int) -> Decide:
     """Admit at once and report behind; ask first while the home says that the tenant is pressed."""
-    home = QuotaHome(-1000.0)
+    home = TokenBuckets(-1000.0)
     reports: list[float] = []
     pressed: list[tuple[float, float]] = []
 
--- a/tests/unit/test_quota_home.py
+++ b/tests/unit/test_quota_home.py
@@ -11,8 +11,8 @@
 from tinrudder.gateway.decisions.admission.token_buckets import (
     GRANTED_MARGIN,
     LONGEST_WAIT_S,
-    QuotaHome,
     QuotaLimit,
+    TokenBuckets,
     part_of_rate,
 )
 
@@ -22,13 +22,14 @@
 """Start of a process that has run for long."""
 
 
-def ask(home: QuotaHome, now: float, share: float = 1.0, limit: QuotaLimit = LIMIT) -> bool:
+def ask(home: TokenBuckets, now: float, share: float = 1.0, limit: QuotaLimit = LIMIT) -> bool:
     return home.report("t", limit, now, share, admitted=0, asks=True).granted
 
 
-def most_in_window(moments: list[float], window_s: float = WINDOW_S) -> int:
+def most_in_window(deadlines: list[float], window_s: float = WINDOW_S) -> int:
     return max(
-        (sum(1 for at in moments if first <= at < first + window_s) for first in moments), default=0
+        (sum(1 for at in deadlines if first <= at < first + window_s) for first in deadlines),
+        default=0,
     )
 
 
@@ -36,7 +37,7 @@
     """At 3 of 5 a second, by chance: 27 of 200,000 refused, and 1,284 by a bucket of the burst
     alone (one seed)."""
     source = random.Random(1)
-    home, plain, now, refused, refused_plain = QuotaHome(OLD), 5.0, 0.0, 0, 0
+    home, plain, now, refused, refused_plain = TokenBuckets(OLD), 5.0, 0.0, 0, 0
     filled_at = 0.0
     for _ in range(20_000):
         now += source.expovariate(3.0)
@@ -56,7 +57,7 @@
     rate: float, burst: float, times: float, seed: int
 ) -> None:
     limit = QuotaLimit.of(rate, burst, WINDOW_S, 0.25, 20.0)
-    source, home, now, granted = random.Random(seed), QuotaHome(OLD), 0.0, []
+    source, home, now, granted = random.Random(seed), TokenBuckets(OLD), 0.0, []
     for _ in range(400):
         now += source.expovariate(rate * times)
         if ask(home, now, limit=limit):
@@ -66,7 +67,7 @@
 
 
 def test_what_was_admitted_unasked_is_made_up_for() -> None:
-    home = QuotaHome(OLD)
+    home = TokenBuckets(OLD)
     home.report("t", LIMIT, 0.0, 1.0, admitted=int(LIMIT.capacity) + 3, asks=False)
     assert not ask(home, 0.1)
     assert not ask(home, 0.4)
@@ -74,7 +75,7 @@
 
 
 def test_refused_callers_come_back_one_by_one() -> None:
-    home = QuotaHome(OLD)
+    home = TokenBuckets(OLD)
     home.report("t", LIMIT, 0.0, 1.0, admitted=12, asks=False)
     waits = [home.report("t", LIMIT, 0.0, 1.0, admitted=0, asks=True).wait_s for _ in range(5)]
     gaps = [later - sooner for sooner, later in itertools.pairwise(waits)]
@@ -84,7 +85,7 @@
 
 
 def test_no_caller_is_told_to_come_back_after_limits_have_changed() -> None:
-    home = QuotaHome(OLD)
+    home = TokenBuckets(OLD)
     slow = QuotaLimit.of(0.01, 0.0, WINDOW_S, 0.0, 0.0)
     for _ in range(5):
         grant = home.report("t", slow, 0.0, 1.0, admitted=0, asks=True)
@@ -92,7 +93,7 @@
 
 
 def test_entries_ask_first_only_while_the_bucket_is_low() -> None:
-    home = QuotaHome(OLD)
+    home = TokenBuckets(OLD)
     calm = home.report("t", LIMIT, 0.0, 1.0, admitted=1, asks=False)
     low = home.report("t", LIMIT, 0.0, 1.0, admitted=8, asks=False)
     rising = home.report("t", LIMIT, 0.5, 1.0, admitted=0, asks=False)
@@ -102,7 +103,7 @@
 
 
 def test_a_lower_limit_cuts_the_bucket_and_a_higher_one_fills_faster() -> None:
-    home = QuotaHome(OLD)
+    home = TokenBuckets(OLD)
     ask(home, 0.0)
     lower = QuotaLimit.of(0.5, 1.0, WINDOW_S, 0.25, 0.0)
     assert [ask(home, 0.1, limit=lower) for _ in range(3)] == [True, False, False]
@@ -112,7 +113,7 @@
 
 def test_a_limit_without_a_burst_lets_single_requests_pass() -> None:
     none = QuotaLimit.of(1.0, 0.0, WINDOW_S, 0.0, 0.0)
-    home = QuotaHome(OLD)
+    home = TokenBuckets(OLD)
     assert ask(home, 0.0, limit=none)
     assert not ask(home, 0.1, limit=none)
     assert ask(home, 1.2, limit=none)
@@ -126,7 +127,7 @@
 def test_a_new_home_and_one_that_was_killed_stay_within_the_bound_together() -> None:
     """The first grants all that it may; the second knows nothing of that."""
     granted: list[float] = []
-    first, second = QuotaHome(OLD), QuotaHome(OLD)
+    first, second = TokenBuckets(OLD), TokenBuckets(OLD)
     for step in range(2000):
         now = step * 0.01
         home = first if now < 10.0 else second
@@ -137,11 +138,11 @@
 
 def test_processes_that_start_at_once_grant_little_until_they_know_each_other() -> None:
     """Eight of them believe for a second that the tenant is theirs, beside what ran before."""
-    homes = [QuotaHome(0.0) for _ in range(8)]
+    homes = [TokenBuckets(0.0) for _ in range(8)]
     granted = 0
     for step in range(100):
         granted += sum(ask(home, step * 0.01) for home in homes)
-    alone = QuotaHome(0.0)
+    alone = TokenBuckets(0.0)
     granted_alone = sum(ask(alone, step * 0.01) for step in range(100))
     assert granted_alone <= 8
     assert granted <= 8 * granted_alone
--- a/tests/unit/test_repeat_budget.py
+++ b/tests/unit/test_repeat_budget.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 
 RATIO, EXTRA, WINDOW_S = 0.2, 56.0, 10.0
 STEP_S = 0.02
@@ -26,7 +26,7 @@
     """Every node repeats as much as it may; tell whether the fleet went over its budget."""
     source = random.Random(seed)
     rates = [source.choice([0.0, 5.0, 40.0]) for _ in range(nodes)]
-    budgets = [RepeatBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S) for _ in range(nodes)]
+    budgets = [FleetRetryBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S) for _ in range(nodes)]
     requests: list[float] = []
     repeats: list[float] = []
     now = 0.0
@@ -39,7 +39,7 @@
             if source.random() < 0.5 and budgets[index].may_repeat(now, nodes, hedge=False):
                 repeats.append(now)
             if restarts and source.random() < 0.02 * STEP_S * nodes:
-                budgets[index] = RepeatBudget(RATIO, EXTRA, WINDOW_S, now)
+                budgets[index] = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, now)
             if source.random() < 0.05 * STEP_S:
                 rates[index] = source.choice([0.0, 5.0, 40.0])
     assert repeats
@@ -57,11 +57,11 @@
 
 
 def test_a_fresh_node_takes_no_more_of_the_extra_than_earlier_lives_left() -> None:
-    spent_before = RepeatBudget(RATIO, EXTRA, WINDOW_S, 0.0)
+    spent_before = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, 0.0)
     repeats = 0
     while spent_before.may_repeat(99.9, 1, hedge=False):
         repeats += 1
-    fresh = RepeatBudget(RATIO, EXTRA, WINDOW_S, 100.0)
+    fresh = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, 100.0)
     while fresh.may_repeat(105.0, 1, hedge=False):
         repeats += 1
     assert repeats <= EXTRA
@@ -75,12 +75,12 @@
     nodes = 8
     requests: list[float] = []
     repeats: list[float] = []
-    budgets = [RepeatBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S) for _ in range(nodes)]
+    budgets = [FleetRetryBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S) for _ in range(nodes)]
     restart_at = source.uniform(5.0, 15.0)
     for step in range(int(40.0 / STEP_S)):
         now = step * STEP_S
         if now >= restart_at:
-            budgets = [RepeatBudget(RATIO, EXTRA, WINDOW_S, now) for _ in range(nodes)]
+            budgets = [FleetRetryBudget(RATIO, EXTRA, WINDOW_S, now) for _ in range(nodes)]
             restart_at = float("inf")
         for budget in budgets:
             if source.random() < 4.0 * STEP_S:
@@ -93,14 +93,14 @@
 
 def test_a_fresh_node_may_hedge_after_its_first_requests() -> None:
     """One of twelve coordinators of a service whose extra is 192."""
-    budget = RepeatBudget(RATIO, 192.0, WINDOW_S, 100.0)
+    budget = FleetRetryBudget(RATIO, 192.0, WINDOW_S, 100.0)
     budget.note_request(100.5)
     budget.note_request(101.0)
     assert budget.may_repeat(101.0, 12 / 0.75, hedge=True)
 
 
 def test_hedges_leave_a_part_to_retries() -> None:
-    budget = RepeatBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S)
+    budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S)
     while budget.may_repeat(1.0, 4, hedge=True):
         pass
     assert budget.may_repeat(1.0, 4, hedge=False)
@@ -108,7 +108,7 @@
 
 
 def test_what_was_spent_comes_back_after_the_window() -> None:
-    budget = RepeatBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S)
+    budget = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S)
     while budget.may_repeat(1.0, 4, hedge=False):
         pass
     assert not budget.may_repeat(1.0 + WINDOW_S * 0.9, 4, hedge=False)
--- a/tests/unit/test_scatter_queue.py
+++ b/tests/unit/test_scatter_queue.py
@@ -18,7 +18,7 @@
     OVER_COMMITMENT,
     QUEUE_HIGH,
     QUEUE_LOW,
-    ScatterRoom,
+    ScatterConcurrency,
 )
 from tinrudder.gateway.decisions.admission.scatter_queue import (
     BEARABLE_SHARE,
@@ -37,7 +37,7 @@
 
 
 def queue(limit: float = FULL) -> ScatterQueue:
-    return ScatterQueue(ScatterRoom(part=limit, limit=limit, hold_s=HOLD_S))
+    return ScatterQueue(ScatterConcurrency(part=limit, limit=limit, hold_s=HOLD_S))
 
 
 def scatter(
@@ -205,7 +205,7 @@
 
 
 def test_the_room_follows_reports_and_stays_at_or_above_the_own_part() -> None:
-    room = ScatterRoom(hold_s=HOLD_S)
+    room = ScatterConcurrency(hold_s=HOLD_S)
     room.set_part(4.0)
     begun = room.limit
     assert begun == room.first_limit == 4.0 * OVER_COMMITMENT
--- a/tests/unit/test_shard_calls_machine.py
+++ b/tests/unit/test_shard_calls_machine.py
@@ -28,7 +28,7 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import RunGuard
 from tinrudder.gateway.requests.shard_calls import MAX_SENDS, NEVER, ShardCalls
@@ -161,7 +161,7 @@
         self.repeatable = repeatable
         self.may_have_run: dict[str, int] = {}
         self.source = random.Random(0)
-        forwarding = Forwarding(
+        call_context = CallContext(
             load_reports=LoadReports(decode_load_report, self.loop.time),
             loop=self.loop,  # type: ignore[arg-type]
             names=NAMES,
@@ -179,9 +179,9 @@
             SERVICE,
             route,
             encoded,
-            forwarding,
+            call_context,
             lambda shard: None,
-            RunGuard(forwarding.evidence, encoded, route),
+            RunGuard(call_context.evidence, encoded, route),
             self.loop.now + 0.085,
             relay_failures=False,
         )
--- a/tests/unit/test_shared_state.py
+++ b/tests/unit/test_shared_state.py
@@ -11,7 +11,7 @@
 from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_exchange import DIGEST_INTERVAL_S
 from tinrudder.gateway.peers.peer_list import PeerList
-from tinrudder.gateway.peers.peer_messages import Digest, Member, ToldMember
+from tinrudder.gateway.peers.peer_messages import Digest, Member, ReportedMember
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, ValueDecoders
 from tinrudder.gateway.wire.peer_datagram_codec import encode_datagram
@@ -198,7 +198,7 @@
 def test_a_peer_that_another_names_counts_from_its_own_last_word() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     stale, fresh = member("10.0.0.3"), member("10.0.0.4")
-    peers.heard_of([ToldMember(stale, 31.0), ToldMember(fresh, 29.0)], 100.0)
+    peers.heard_of([ReportedMember(stale, 31.0), ReportedMember(fresh, 29.0)], 100.0)
     assert peers.nodes(100.0) == 2
     assert peers.nodes(100.0 + 1.5) == 1
     assert stale.address in peers.receivers(100.0)
@@ -207,16 +207,16 @@
 def test_older_word_of_a_peer_changes_nothing() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     peers.heard_from(member("10.0.0.2", leaving=True), 100.0)
-    peers.heard_of([ToldMember(member("10.0.0.2"), 5.0)], 101.0)
+    peers.heard_of([ReportedMember(member("10.0.0.2"), 5.0)], 101.0)
     assert peers.candidates(101.0) == []
-    peers.heard_of([ToldMember(member("10.0.0.2"), 0.5)], 101.0)
+    peers.heard_of([ReportedMember(member("10.0.0.2"), 0.5)], 101.0)
     assert [one.address.host for one in peers.candidates(101.0)] == ["10.0.0.2"]
 
 
 def test_only_others_are_told_about_and_known() -> None:
     own = Address("10.0.0.1", 1)
     peers = PeerList(own, random.Random(1), started_at=0.0)
-    peers.heard_of([ToldMember(member("10.0.0.1"), 0.0)], 10.0)
+    peers.heard_of([ReportedMember(member("10.0.0.1"), 0.0)], 10.0)
     assert peers.nodes(10.0) == 1
     assert peers.to_tell(10.0) == ()
 
--- a/tests/unit/test_snapshot_codec.py
+++ b/tests/unit/test_snapshot_codec.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.model.configuration import Address
-from tinrudder.gateway.peers.peer_messages import Member, Snapshot, ToldMember
+from tinrudder.gateway.peers.peer_messages import Member, ReportedMember, Snapshot
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire.snapshot_codec import (
     MAX_SNAPSHOT_BYTES,
@@ -22,7 +22,7 @@
 
 values = st.builds(StoredValue, st.text(), st.integers(0, 2**60), st.none() | st.binary())
 members = st.builds(
-    ToldMember,
+    ReportedMember,
     st.builds(Member, st.builds(Address, st.just("10.0.0.1"), st.integers(1, 65535)), st.text()),
     st.integers(0, 10**6).map(float),
 )
--- a/tests/unit/test_zone_doubts_end.py
+++ b/tests/unit/test_zone_doubts_end.py
@@ -19,7 +19,7 @@
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Digest, Member, Probe, ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 ZONES = ("a", "b", "c", "d")
 DIGEST_S = 0.5
@@ -42,7 +42,7 @@
             self.peers.heard_from(member, loop.time())
         datagrams = network.socket(own.address)
         self.probes = Probes(datagrams, lambda number: ProbeAnswer(number, 1), loop.time)
-        self.watch = ZoneWatch(own.zone, self.peers, self.probes, source, lambda: None)
+        self.watch = ZoneMonitor(own.zone, self.peers, self.probes, source, lambda: None)
         datagrams.handle(Digest, lambda digest, _: self.watch.heard(digest))
         self.datagrams = datagrams
 
--- a/tinrudder/cli/gateway.py
+++ b/tinrudder/cli/gateway.py
@@ -17,7 +17,7 @@
 from tinrudder.common import event_loop
 from tinrudder.common.garbage_collection import tune_garbage_collection
 from tinrudder.common.logs import configure_logs, log_problem
-from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.gateway import Gateway
 from tinrudder.gateway.model.configuration import Address, GatewaySettings, SettingsFileError
 from tinrudder.gateway.observability.log_stream import BoundedLineStream
 from tinrudder.gateway.store.stored_values import ValueDecoders
@@ -85,7 +85,7 @@
 ) -> None:
     """Run the node; signals stop it or have the settings read again."""
     metrics = Address(settings.clients.host, metrics_port) if metrics_port else None
-    node = GatewayNode(settings, HEADERS, DECODERS, StoreClient, metrics)
+    node = Gateway(settings, HEADERS, DECODERS, StoreClient, metrics)
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(signal.SIGTERM, node.request_stop)
     loop.add_signal_handler(signal.SIGINT, node.request_stop)
@@ -96,7 +96,7 @@
     looking.cancel()
 
 
-def _reload(node: GatewayNode, path: Path) -> None:
+def _reload(node: Gateway, path: Path) -> None:
     """Read the settings again; broken ones change nothing."""
     try:
         node.reload(load_gateway_settings(path))
@@ -104,7 +104,7 @@
         log_problem("settings_refused", {"detail": str(error)})
 
 
-async def _look_for_changes(node: GatewayNode, path: Path, seen: int) -> None:
+async def _look_for_changes(node: Gateway, path: Path, seen: int) -> None:
     """Read the settings again when the file changes without a signal."""
     while True:
         await asyncio.sleep(SETTINGS_LOOK_S)
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -13,7 +13,7 @@
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, ColdPace, own_part
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, ColdStartRate, own_part
 from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
 from tinrudder.gateway.model.configuration import (
     Address,
@@ -61,7 +61,7 @@
     entry: BackendEntry
     pool: UpstreamPool
     observations: BackendObservations = field(default_factory=BackendObservations)
-    cold_pace: ColdPace = field(default_factory=ColdPace)
+    cold_pace: ColdStartRate = field(default_factory=ColdStartRate)
     entry_revision: int = 0
     leaving_since: float | None = None
     lapsed: bool = False
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -18,7 +18,7 @@
     NEXT_S,
     Noted,
     PendingNews,
-    ToldLoad,
+    ReportedLoad,
     is_long,
     take_load,
     tell_load,
@@ -42,7 +42,7 @@
     return crc32(entry.life.encode())
 
 
-class LoadWatch:
+class LoadNewsExchange:
     """What one gateway tells and hears of queues.
 
     :ivar sent: datagrams sent, each peer counted.
@@ -147,7 +147,7 @@
         if self._pending:
             self._tell_after(NEXT_S)
 
-    def _told(self, noted: Noted, now: float) -> ToldLoad | None:
+    def _told(self, noted: Noted, now: float) -> ReportedLoad | None:
         """Return what is told of a back end; ``None`` if it is gone, or others told more."""
         backend = self._find(noted.backend)
         return tell_load(noted, backend.observations, now) if backend is not None else None
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -21,7 +21,7 @@
 before, a choice: more than rounding makes, less than clients wait after a refusal."""
 
 
-class Moments(Struct, frozen=True):
+class Deadlines(Struct, frozen=True):
     """Monotonic times of one request.
 
     :param objective_at: when an answer must leave to be worth most.
@@ -37,7 +37,7 @@
     late: bool = False
 
 
-class ClientMoments:
+class ClientDeadlines:
     """Works out moments from what clients say of their patience.
 
     A client that asks again names what is left of its time, so the longest time that was named on
@@ -49,7 +49,7 @@
         self._names = names
         self._longest_s: dict[str, float] = {}
 
-    def of(self, route: Route, request: HttpRequest, received_at: float) -> Moments:
+    def of(self, route: Route, request: HttpRequest, received_at: float) -> Deadlines:
         """Return the moments of one request."""
         wait_s = self._wait_s(request)
         if wait_s is None:
@@ -61,7 +61,7 @@
         # Whoever comes back when the objective has passed is served by it anew: the answer is
         # late in any case, or its first attempt was refused and does not count.
         started_at = received_at - already_s if already_s < route.objective_s else received_at
-        return Moments(
+        return Deadlines(
             received_at=received_at,
             objective_at=started_at + route.objective_s - ANSWER_MARGIN_S,
             deadline_at=received_at + limit_s - min(DEADLINE_MARGIN_S, limit_s / 4),
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -42,7 +42,7 @@
 """A limit that is this near to where it began needs no reports."""
 
 
-class ScatterRoom(Struct):
+class ScatterConcurrency(Struct):
     """The room of one index at one gateway, in scatters' worth of slots.
 
     :param part: this gateway's part of the slots of the typical shard.
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct, field
 
-from tinrudder.gateway.decisions.admission.scatter_concurrency import ScatterRoom
+from tinrudder.gateway.decisions.admission.scatter_concurrency import ScatterConcurrency
 
 STANDING_S = 0.1
 """A queue that has not been empty for this long is no burst: what waits in it longer than
@@ -118,7 +118,7 @@
     :param room: how much may run.
     """
 
-    room: ScatterRoom = field(default_factory=ScatterRoom)
+    room: ScatterConcurrency = field(default_factory=ScatterConcurrency)
     _waiting: list[QueuedScatter] = field(default_factory=list)
     _standing_since: float = 0.0
     _overload_until: float = 0.0
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -103,7 +103,7 @@
     pressed_until: float = 0.0
 
 
-class QuotaHome(Struct):
+class TokenBuckets(Struct):
     """Buckets by tenant.
 
     :param started_at: of this process.
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -33,7 +33,7 @@
     repeats: int = 0
 
 
-class RepeatBudget:
+class FleetRetryBudget:
     """One service's part of the budget on this node.
 
     :meth:`may_repeat` is asked before every call beyond the first of a request.  Hedges leave a
--- a/tinrudder/gateway/decisions/attempts/peer_round_trip.py
+++ b/tinrudder/gateway/decisions/attempts/peer_round_trip.py
@@ -21,7 +21,7 @@
 """Longer ones are stalls of one gateway and say nothing of the next request."""
 
 
-class PathTime(Struct):
+class PeerRoundTrip(Struct):
     """Mean and deviation of one kind of path, seconds.
 
     >>> path = PathTime()
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -40,7 +40,7 @@
 """More than any back end lives with; a figure above, or none above zero, is no slowdown."""
 
 
-class ToldLoad(Struct, frozen=True):
+class ReportedLoad(Struct, frozen=True):
     """One report of a back end's load, as gateways tell it to each other.
 
     :param backend: a number drawn from what names this start of the back end.
@@ -76,7 +76,7 @@
 
 
 class Noted(Struct, frozen=True):
-    """A back end that others are to hear of, see :class:`ToldLoad`.
+    """A back end that others are to hear of, see :class:`ReportedLoad`.
 
     :param heard_at: moment of the report that an answer to this gateway brought.
     """
@@ -96,14 +96,14 @@
     return waiting > 0 and waiting >= TOLD_FROM * slots
 
 
-def tell_load(noted: Noted, known: BackendObservations, now: float) -> ToldLoad | None:
+def tell_load(noted: Noted, known: BackendObservations, now: float) -> ReportedLoad | None:
     """Return a report as it is told now; ``None`` if others have told a newer one meanwhile.
 
     That is theirs to tell: passed on, it would look younger by each way that it took.
     """
     if known.reported_at != noted.heard_at:
         return None
-    return ToldLoad(
+    return ReportedLoad(
         noted.backend,
         known.reported_backlog,
         known.slots,
@@ -114,7 +114,7 @@
     )
 
 
-def take_load(told: ToldLoad, known: BackendObservations, now: float) -> bool:
+def take_load(told: ReportedLoad, known: BackendObservations, now: float) -> bool:
     """Take what another gateway told of a back end, and return whether it is newer."""
     if told.shed:
         newer = known.shed(now, told.age_s, told.calls)
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -13,7 +13,7 @@
 give an answer that is not read some seconds."""
 
 
-class StandStill:
+class ProcessPause:
     """Remembers when the process was last seen running, and when it woke.
 
     >>> still = StandStill(0.0)
--- a/tinrudder/gateway/decisions/placement/cold_start_rate.py
+++ b/tinrudder/gateway/decisions/placement/cold_start_rate.py
@@ -52,7 +52,7 @@
     return each + (ranked.index(own) < rest)
 
 
-class ColdPace(Struct):
+class ColdStartRate(Struct):
     """Counts one gateway's calls to one cold back end."""
 
     _sent: deque[float] = field(default_factory=deque)
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -12,13 +12,13 @@
 from tinrudder.common.logs import log_event
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
-from tinrudder.gateway.backends.load_news_exchange import LoadWatch
+from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
-from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, StandStill
+from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, ProcessPause
 from tinrudder.gateway.model.configuration import Address, GatewaySettings, HeaderNames
 from tinrudder.gateway.observability.gateway_log import (
     log_configuration,
@@ -34,20 +34,20 @@
 from tinrudder.gateway.peers.peer_messages import Member, ProbeAnswer
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.probes import Probes
-from tinrudder.gateway.peers.reachability import Reach
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.peers.reachability import Reachability
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.authentication import Access
-from tinrudder.gateway.requests.call_context import Forwarding, ForwardingCounters
+from tinrudder.gateway.requests.authentication import Authentication
+from tinrudder.gateway.requests.call_context import CallContext, CallCounters
 from tinrudder.gateway.requests.request_handler import RequestHandler as ForwardingHandler
 from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
-from tinrudder.gateway.scatters.delegation_context import Relaying
-from tinrudder.gateway.scatters.delegation_service import ScatterService
-from tinrudder.gateway.scatters.scatter_admission import ScatterGates
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
+from tinrudder.gateway.scatters.delegation_service import DelegationService
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
-from tinrudder.gateway.store.staleness_bound import Knowledge
-from tinrudder.gateway.store.staleness_keeper import KnowledgeKeeper
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
 from tinrudder.gateway.store.store_follower import StoreFollower
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
@@ -72,7 +72,7 @@
 StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
 
-class GatewayNode:
+class Gateway:
     """Serves clients until it is told to stop."""
 
     def __init__(
@@ -101,21 +101,21 @@
         self.client = PeerClient(lambda: None, UNACKNOWLEDGED_S)
         bound = account_bytes(settings.memory_mb)
         self.memory = MemoryAccount(bound, loop.time, self._count_peer_bytes)
-        self.still = StandStill(loop.time())
-        self.watch = ZoneWatch(
+        self.still = ProcessPause(loop.time())
+        self.watch = ZoneMonitor(
             settings.zone, self.peers, self.probes, self._random, self._on_reach_change
         )
         self.unreadable_values = UnreadableValues(loop.time)
         self.state = SharedState(decoders, loop.time, self.unreadable_values.note)
-        self.knowledge = Knowledge(self.state, loop.time)
-        self.counters = ForwardingCounters()
+        self.knowledge = StalenessBound(self.state, loop.time)
+        self.counters = CallCounters()
         self.coordinators = Coordinators(
             self.peers,
             self.state,
             loop.time,
             self.describe,
             self._replica_zones,
-            lambda index: self.forwarding.sizes(index),
+            lambda index: self.call_context.sizes(index),
             self._on_coordination,
             self.watch.is_closed,
         )
@@ -141,9 +141,9 @@
             random.Random(f"poison {settings.name}"),
             lambda: loop.time() - self.state.unconfirmed_s(Topic.BACKENDS),
         )
-        self.load_watch = LoadWatch(self.peers, self.datagrams, loop, lambda: self.directory)
+        self.load_watch = LoadNewsExchange(self.peers, self.datagrams, loop, lambda: self.directory)
         self.state.subscribe(self.load_watch.refresh)
-        self.forwarding = Forwarding(
+        self.call_context = CallContext(
             loop=loop,
             names=names,
             zone=settings.zone,
@@ -161,7 +161,7 @@
             zone_answered=self.watch.answered,
             zone_doubted=self.watch.doubt,
         )
-        self.reach = Reach(self.directory, self.watch, loop.time)
+        self.reach = Reachability(self.directory, self.watch, loop.time)
         self.quotas = Quotas(
             self._own,
             self.peers,
@@ -171,32 +171,32 @@
             lambda name: self.handler.find_tenant(name),
         )
         self.metrics = GatewayMetrics(self)
-        relaying = Relaying(
+        delegation_context = DelegationContext(
             client=self.client,
             coordinators=self.coordinators,
-            forwarding=self.forwarding,
+            call_context=self.call_context,
             watch=self.watch,
             configuration_revision=lambda: self.state.configuration_revision,
             traffic=self.datagrams.traffic,
         )
-        planner = ScatterPlanner(self.forwarding, relaying, self._random)
-        self.gates = ScatterGates(relaying, self._random)
+        planner = ScatterPlanner(self.call_context, delegation_context, self._random)
+        self.gates = ScatterAdmissions(delegation_context, self._random)
         self.handler = ForwardingHandler(
-            self.forwarding,
+            self.call_context,
             self.state,
             self._on_finished,
             self._random,
             self._knows_news,
-            relaying,
+            delegation_context,
             planner,
-            Access(names, lambda: self.keeper.too_old, self._knows_news, self._random),
+            Authentication(names, lambda: self.keeper.too_old, self._knows_news, self._random),
             self.quotas,
             self.reach,
             self.poison,
             self.gates,
         )
-        self.scatters = ScatterService(
-            self.forwarding,
+        self.scatters = DelegationService(
+            self.call_context,
             self.state,
             self.gates,
             planner,
@@ -231,7 +231,7 @@
             )
             for topic in Topic
         ]
-        self.keeper = KnowledgeKeeper(
+        self.keeper = StalenessKeeper(
             self.knowledge,
             self.state,
             store,
@@ -250,7 +250,7 @@
                 self.describe,
                 self.state,
                 self.peers,
-                relaying.client,
+                delegation_context.client,
                 self.datagrams,
                 self.knowledge,
                 self.watch,
--- a/tinrudder/gateway/observability/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -18,7 +18,7 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest
 
 if TYPE_CHECKING:
-    from tinrudder.gateway.gateway import GatewayNode
+    from tinrudder.gateway.gateway import Gateway
 
 
 class Figure(Struct, frozen=True):
@@ -53,7 +53,7 @@
     stays small however many routes and tenants there are.
     """
 
-    def __init__(self, node: GatewayNode) -> None:
+    def __init__(self, node: Gateway) -> None:
         """Read what the node's parts count anyway at every scrape."""
         self.latencies: defaultdict[LatencyLabels, LatencyCounts] = defaultdict(LatencyCounts)
         self._missing_shards = 0
@@ -134,7 +134,7 @@
 }
 
 
-def _read_figures(node: GatewayNode) -> list[Figure]:
+def _read_figures(node: Gateway) -> list[Figure]:
     """Return what was read, and what of it nobody can use."""
     return [
         Figure(f"{PREFIX}_store_calls", "Calls to the store.", lambda: node.store_calls),
@@ -146,7 +146,7 @@
         Figure(
             f"{PREFIX}_unreadable_load_reports",
             "Load reports of back ends that do not have the form agreed on.",
-            lambda: node.forwarding.load_reports.unreadable,
+            lambda: node.call_context.load_reports.unreadable,
         ),
         Figure(
             f"{PREFIX}_unreadable_datagrams",
@@ -190,7 +190,7 @@
     return figures
 
 
-def _poison_figures(node: GatewayNode) -> list[Figure]:
+def _poison_figures(node: Gateway) -> list[Figure]:
     """Return what is done about requests under which back ends crash."""
     return [
         Figure(
@@ -212,7 +212,7 @@
     ]
 
 
-def _load_news_figures(node: GatewayNode) -> list[Figure]:
+def _load_news_figures(node: Gateway) -> list[Figure]:
     """Return how much gateways tell each other of long queues."""
     return [
         Figure(
@@ -233,7 +233,7 @@
     ]
 
 
-def _gauges(node: GatewayNode) -> list[Figure]:
+def _gauges(node: Gateway) -> list[Figure]:
     """Return what is as it is now."""
     return [
         Figure(
@@ -306,7 +306,7 @@
     ]
 
 
-def _gate_figures(node: GatewayNode) -> list[Figure]:
+def _gate_figures(node: Gateway) -> list[Figure]:
     """Return what waits for room at the back ends, and how much room there is."""
     return [
         Figure(
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -14,15 +14,15 @@
 from tinrudder.gateway.peers.peer_messages import (
     Digest,
     Member,
+    ReportedMember,
     ScatterAnswer,
     ScatterRequest,
     Snapshot,
     SnapshotRequest,
-    ToldMember,
 )
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.store.shared_state import SharedState
-from tinrudder.gateway.store.staleness_bound import Knowledge
+from tinrudder.gateway.store.staleness_bound import StalenessBound
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import Reading, Topic
 from tinrudder.gateway.wire.gateway_relay_codec import decode_request, encode_answer, encode_request
@@ -59,8 +59,8 @@
         peers: PeerList,
         client: PeerClient,
         datagrams: PeerDatagrams,
-        knowledge: Knowledge,
-        watch: ZoneWatch,
+        knowledge: StalenessBound,
+        watch: ZoneMonitor,
         serve_scatter: ScatterServer,
         readers: StoreReaders,
         on_pull: Callable[[str, str], None],
@@ -296,9 +296,9 @@
         after = request.backends_revision
         if after < self._state.forgotten_up_to:
             after = 0
-        members: tuple[ToldMember, ...] = ()
+        members: tuple[ReportedMember, ...] = ()
         if request.members_wanted:
-            own = ToldMember(self._describe_own(), 0.0)
+            own = ReportedMember(self._describe_own(), 0.0)
             members = (own, *self._peers.all_told(self._loop.time()))
         backends = self._state.snapshot(after)
         return Snapshot(
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -13,7 +13,7 @@
 from msgspec import Struct
 
 from tinrudder.gateway.model.configuration import Address
-from tinrudder.gateway.peers.peer_messages import Member, ToldMember
+from tinrudder.gateway.peers.peer_messages import Member, ReportedMember
 
 ALL_PEERS_UP_TO = 16
 RANDOM_PEERS = 3
@@ -76,7 +76,7 @@
             self._known[member.address] = _Known(member, now)
             self._last_message_at = now
 
-    def heard_of(self, told: Iterable[ToldMember], now: float) -> None:
+    def heard_of(self, told: Iterable[ReportedMember], now: float) -> None:
         """Note what another peer knows, where it is newer than what is known here."""
         for one in told:
             address = one.member.address
@@ -156,7 +156,7 @@
         drawn = self._random.sample(beside, few_beside)
         return drawn + self._random.sample(elsewhere, RANDOM_PEERS - few_beside)
 
-    def to_tell(self, now: float, *, elsewhere: bool = False) -> tuple[ToldMember, ...]:
+    def to_tell(self, now: float, *, elsewhere: bool = False) -> tuple[ReportedMember, ...]:
         """Return some peers to name in a digest, drawn anew each time.
 
         :param elsewhere: the digest goes to another zone.
@@ -168,13 +168,13 @@
         if elsewhere:
             most = min(most, TOLD_PEERS_ELSEWHERE)
         drawn = self._random.sample(counted, min(most, len(counted)))
-        return tuple(ToldMember(known.member, now - known.heard_at) for known in drawn)
+        return tuple(ReportedMember(known.member, now - known.heard_at) for known in drawn)
 
-    def all_told(self, now: float) -> tuple[ToldMember, ...]:
+    def all_told(self, now: float) -> tuple[ReportedMember, ...]:
         """Return every peer that counts, for one that has just started."""
         horizon = now - COUNTED_FOR_S
         return tuple(
-            ToldMember(known.member, now - known.heard_at)
+            ReportedMember(known.member, now - known.heard_at)
             for known in self._known.values()
             if known.heard_at >= horizon
         )
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -7,7 +7,7 @@
 from msgspec import Struct
 
 from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
-from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
+from tinrudder.gateway.decisions.fleet.load_news import ReportedLoad
 from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import RequestOutcome
@@ -36,7 +36,7 @@
         return not self.leaving and not self.starting
 
 
-class ToldMember(Struct, frozen=True):
+class ReportedMember(Struct, frozen=True):
     """A member as another gateway knows it; ``age_s`` is how old that knowledge is, seconds."""
 
     member: Member
@@ -58,7 +58,7 @@
     sender: Member
     operator_revision: int
     backends_revision: int
-    members: tuple[ToldMember, ...] = ()
+    members: tuple[ReportedMember, ...] = ()
     operator_unconfirmed_s: float | None = None
     backends_unconfirmed_s: float | None = None
     silent_zones: tuple[str, ...] = ()
@@ -117,7 +117,7 @@
     tokens: float | None = None
 
 
-class ToldCrash(Struct, frozen=True):
+class ReportedCrash(Struct, frozen=True):
     """A back end that was lost under a request; see :class:`Crash`."""
 
     backend: int
@@ -126,7 +126,7 @@
     survived: bool = False
 
 
-class ToldEvidence(Struct, frozen=True):
+class ReportedEvidence(Struct, frozen=True):
     """What a gateway knows of one request that may be poison; see :class:`Evidence`.
 
     :param cleared: how often what was held against it has been dropped.
@@ -136,7 +136,7 @@
 
     fingerprint: bytes
     origin: bytes
-    crashes: tuple[ToldCrash, ...] = ()
+    crashes: tuple[ReportedCrash, ...] = ()
     cleared: int = 0
     cleared_age_s: float | None = None
     trial_age_s: float | None = None
@@ -148,14 +148,14 @@
     :param asks: the sender wants to be told everything: it has just started, or stood still.
     """
 
-    evidence: tuple[ToldEvidence, ...] = ()
+    evidence: tuple[ReportedEvidence, ...] = ()
     asks: bool = False
 
 
 class LoadNews(Struct, frozen=True):
     """Tells peers of back ends whose queues are long."""
 
-    loads: tuple[ToldLoad, ...]
+    loads: tuple[ReportedLoad, ...]
 
 
 PeerDatagram = Digest | Probe | ProbeAnswer | QuotaReport | QuotaVerdict | PoisonReport | LoadNews
@@ -187,7 +187,7 @@
     backends: tuple[StoredValue, ...]
     backends_read: bool
     changes_only: bool = False
-    members: tuple[ToldMember, ...] = ()
+    members: tuple[ReportedMember, ...] = ()
     evacuations: tuple[StoredValue, ...] = ()
     knowledge_age_s: float | None = None
 
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -29,7 +29,7 @@
 from tinrudder.gateway.model.outcomes import NotRun
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
-from tinrudder.gateway.peers.peer_messages import PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.peers.peer_messages import PoisonReport, ReportedCrash, ReportedEvidence
 from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
 
 GATHER_S = 0.05
@@ -273,7 +273,7 @@
         if self._passing:
             self._tell_news()
 
-    def _take(self, told: ToldEvidence) -> None:
+    def _take(self, told: ReportedEvidence) -> None:
         """Take what is known elsewhere of one request; pass it on if it decides something here."""
         now = self._clock()
         evidence = _evidence_of(told, now)
@@ -294,14 +294,14 @@
         elif self._told_everything:
             self._datagrams.send(PoisonReport(), peer)
 
-    def _told(self, fingerprint: bytes, evidence: Evidence) -> ToldEvidence:
+    def _told(self, fingerprint: bytes, evidence: Evidence) -> ReportedEvidence:
         """Return evidence as it is told: with ages, since every gateway's clock is its own."""
         now = self._clock()
         crashes = tuple(
-            ToldCrash(one.backend, now - one.at, one.trial, one.survived)
+            ReportedCrash(one.backend, now - one.at, one.trial, one.survived)
             for one in evidence.crashes
         )
-        return ToldEvidence(
+        return ReportedEvidence(
             fingerprint,
             evidence.origin,
             crashes,
@@ -319,7 +319,7 @@
     return NEVER if age_s is None else now - age_s
 
 
-def _evidence_of(told: ToldEvidence, now: float) -> Evidence:
+def _evidence_of(told: ReportedEvidence, now: float) -> Evidence:
     """Return what a peer told, by the clock here."""
     crashes = told.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
     return Evidence(
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -9,7 +9,7 @@
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 KEPT_S = 0.1
 """How long a count of reachable shards is used; it takes 0.1 ms for 135 of them."""
@@ -24,14 +24,14 @@
     counted_at: float
 
 
-class Reach(Struct):
+class Reachability(Struct):
     """Refuses at once what would only wait until its deadline.
 
     :param clock: returns the time of the event loop.
     """
 
     directory: BackendDirectory
-    watch: ZoneWatch
+    watch: ZoneMonitor
     clock: Callable[[], float]
     _counted: dict[tuple[str, ...], _Reachable] = field(default_factory=dict)
 
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -33,7 +33,7 @@
 """A peer's doubt is no reason to ask where an answer came since: later than this."""
 
 
-class ZoneWatch:
+class ZoneMonitor:
     """Keeps :class:`ZonePaths` up to date by questions.
 
     :ivar closings: how often a way was closed; ``openings``: how often one was open again.
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -6,12 +6,16 @@
 from collections.abc import Callable
 
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.decisions.admission.token_buckets import QuotaHome, QuotaLimit, part_of_rate
+from tinrudder.gateway.decisions.admission.token_buckets import (
+    QuotaLimit,
+    TokenBuckets,
+    part_of_rate,
+)
 from tinrudder.gateway.model.configuration import Address, QuotaBounds, Tenant
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 TOLD_AGAIN_S = 1.0
 """How often everybody is told that a tenant is pressed: half as long as a word lasts."""
@@ -21,7 +25,7 @@
 """Of the fleet, for whoever hears no home: less than half, or it would grant the whole rate."""
 
 
-class QuotaHomes:
+class BucketOwner:
     """Answers entries' reports, and tells everybody of a tenant that is near its limit.
 
     :ivar buckets: of the tenants whose home this gateway is.
@@ -30,7 +34,7 @@
     def __init__(
         self,
         peers: PeerList,
-        watch: ZoneWatch,
+        watch: ZoneMonitor,
         datagrams: PeerDatagrams,
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
@@ -42,9 +46,9 @@
         self._bounds = bounds
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
-        self.buckets = QuotaHome(self._loop.time())
+        self.buckets = TokenBuckets(self._loop.time())
         # Where no home answers.  Apart, since what other entries ask for here is not to suffer.
-        self._alone = QuotaHome(self._loop.time())
+        self._alone = TokenBuckets(self._loop.time())
         self._told_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
 
@@ -73,7 +77,7 @@
         """Answer an entry."""
         self._datagrams.send(self.judge(report), entry)
 
-    def _grant(self, home: QuotaHome, report: QuotaReport, share: float) -> QuotaVerdict:
+    def _grant(self, home: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
         """Draw on a tenant's bucket."""
         tenant = self._find_tenant(report.tenant)
         if tenant is None or tenant.rate_per_s <= 0.0:
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -9,7 +9,7 @@
 from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_list import PeerList
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 AVOIDED_S = 3.0
 """How long a home that did not answer is passed over: one that stood still is not asked each time,
@@ -25,7 +25,7 @@
     chosen_at: float
 
 
-class QuotaHomeChoice(Struct):
+class BucketOwnerChoice(Struct):
     """Ranks the live gateways by rendezvous hashing of the tenant's name.
 
     Views of two gateways may differ for seconds: then a tenant has two homes, which is one of the
@@ -34,7 +34,7 @@
 
     own: Address
     peers: PeerList
-    watch: ZoneWatch
+    watch: ZoneMonitor
     clock: Callable[[], float]
     _chosen: dict[str, _Choice] = field(default_factory=dict)
     _avoided: dict[Address, float] = field(default_factory=dict)
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -20,9 +20,9 @@
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
-from tinrudder.gateway.quotas.bucket_owner import TO_EVERYBODY, QuotaHomes
-from tinrudder.gateway.quotas.bucket_owner_choice import QuotaHomeChoice
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
+from tinrudder.gateway.quotas.bucket_owner import TO_EVERYBODY, BucketOwner
+from tinrudder.gateway.quotas.bucket_owner_choice import BucketOwnerChoice
 
 REPORT_PAUSE_S = 0.02
 """How long requests of a tenant are gathered for one report: at seven times a limit of a thousand a
@@ -89,7 +89,7 @@
         self,
         own: Address,
         peers: PeerList,
-        watch: ZoneWatch,
+        watch: ZoneMonitor,
         datagrams: PeerDatagrams,
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
@@ -97,13 +97,13 @@
         """Find tenants, by their names, in the configuration in force."""
         self.counts: dict[str, TenantCounts] = {}
         self._own = own
-        self.homes = QuotaHomes(peers, watch, datagrams, bounds, find_tenant)
+        self.homes = BucketOwner(peers, watch, datagrams, bounds, find_tenant)
         self._watch = watch
         self._datagrams = datagrams
         self._bounds = bounds
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
-        self._choice = QuotaHomeChoice(own, peers, watch, self._loop.time)
+        self._choice = BucketOwnerChoice(own, peers, watch, self._loop.time)
         self._number = first_number()
         self._pressed_until: dict[str, float] = {}
         self._told: dict[str, _Told] = {}
--- a/tinrudder/gateway/requests/authentication.py
+++ b/tinrudder/gateway/requests/authentication.py
@@ -47,7 +47,7 @@
         return self.tenant.priority
 
 
-class Access:
+class Authentication:
     """Looks keys up, and refuses what they do not allow.
 
     A status that ends a client's tries is given only where a newer key would be known here.
--- a/tinrudder/gateway/requests/call_context.py
+++ b/tinrudder/gateway/requests/call_context.py
@@ -21,7 +21,7 @@
     two_of,
     work_s_of,
 )
-from tinrudder.gateway.decisions.attempts.fleet_retry_budget import RepeatBudget
+from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
     MINIMUM_OBSERVATIONS,
     hedge_delay_s,
@@ -41,7 +41,7 @@
 SIZE_GAIN = 0.1
 
 
-class ForwardingCounters(Struct):
+class CallCounters(Struct):
     """Counts since the start of the process."""
 
     requests: int = 0
@@ -76,7 +76,7 @@
         """Do nothing."""
 
 
-class Forwarding(Struct):
+class CallContext(Struct):
     """Everything a request needs besides its own state.
 
     :param sharers: tells in how many equal parts the fleet's repeats of a service are divided.
@@ -97,14 +97,14 @@
     started_at: float
     load_reports: LoadReports
     evidence: CrashEvidence
-    counters: ForwardingCounters = field(default_factory=ForwardingCounters)
+    counters: CallCounters = field(default_factory=CallCounters)
     own_name: str = ""
     load_watch: LoadListener = field(default_factory=NoLoadListener)
     random: random.Random = field(default_factory=lambda: random.Random(0))
     memory: MemoryAccount = field(default_factory=MemoryAccount)
     zone_answered: Callable[[str], None] = lambda zone: None
     zone_doubted: Callable[[str, float], None] = lambda zone, sent_at: None
-    _budgets: dict[str, RepeatBudget] = field(default_factory=dict)
+    _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     _latencies: dict[str, LatencyWindow] = field(default_factory=dict)
     _unloaded: dict[str, LatencyWindow] = field(default_factory=dict)
     _hedges: dict[str, HedgeMoments] = field(default_factory=dict)
@@ -114,12 +114,12 @@
     _advantage_at: float | None = None
     _advantage_of: Route | None = None
 
-    def budget(self, service: str) -> RepeatBudget:
+    def budget(self, service: str) -> FleetRetryBudget:
         """Return a service's repeat budget."""
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self.bounds
-            budget = RepeatBudget(bounds.ratio, bounds.extra, bounds.window_s, self.started_at)
+            budget = FleetRetryBudget(bounds.ratio, bounds.extra, bounds.window_s, self.started_at)
             self._budgets[service] = budget
         return budget
 
@@ -133,11 +133,11 @@
 
     def hedge_moments(self, route: Route) -> HedgeMoments:
         """Return when calls of a route are hedged."""
-        moments = self._hedges.get(route.name)
-        if moments is None:
-            moments = HedgeMoments(self.latency(route))
-            self._hedges[route.name] = moments
-        return moments
+        deadlines = self._hedges.get(route.name)
+        if deadlines is None:
+            deadlines = HedgeMoments(self.latency(route))
+            self._hedges[route.name] = deadlines
+        return deadlines
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
         """Return the latencies of a route's calls that left no queue behind."""
--- a/tinrudder/gateway/requests/call_observation.py
+++ b/tinrudder/gateway/requests/call_observation.py
@@ -14,7 +14,7 @@
     Rejected,
     header_value,
 )
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 
 SERVER_ERROR = 500
 """The first status that says that the back end failed, rather than the request."""
@@ -26,7 +26,7 @@
 
 
 def observe_end(
-    forwarding: Forwarding,
+    call_context: CallContext,
     route: Route,
     backend: Backend,
     running: RunningCall | None,
@@ -39,29 +39,29 @@
     """
     observations = backend.observations
     if isinstance(outcome, Answered | Rejected):
-        forwarding.zone_answered(backend.entry.zone)
+        call_context.zone_answered(backend.entry.zone)
     match outcome:
         case Answered(answer=answer):
-            _observe_answer(forwarding, route, backend, running, answer, now)
+            _observe_answer(call_context, route, backend, running, answer, now)
         case Rejected(status=status, wrong_backend=wrong_backend, load=load):
-            forwarding.counters.rejections += 1
+            call_context.counters.rejections += 1
             backend.readdressed |= wrong_backend
             observations.failed(running, now)
             if status in SHED_STATUSES and not route.shards:
-                _observe_shed(forwarding, route, backend, load, now)
+                _observe_shed(call_context, route, backend, load, now)
         case NotSent():
             observations.failed(running, now)
         case Broken(stood_still=True):
-            forwarding.counters.broken += 1
+            call_context.counters.broken += 1
             if running is not None:
                 observations.forget(running)
         case Broken():
-            forwarding.counters.broken += 1
+            call_context.counters.broken += 1
             observations.failed(running, now)
 
 
 def _observe_answer(
-    forwarding: Forwarding,
+    call_context: CallContext,
     route: Route,
     backend: Backend,
     running: RunningCall | None,
@@ -70,10 +70,10 @@
 ) -> None:
     """Learn how long an answer took, and what it says of the back end's load."""
     latency_s = now - running.sent_at if running is not None else None
-    _observe_load(forwarding, route, backend, answer, latency_s, now)
+    _observe_load(call_context, route, backend, answer, latency_s, now)
     if running is None:
         return
-    forwarding.latency(route).observe(now - running.sent_at)
+    call_context.latency(route).observe(now - running.sent_at)
     if answer.status < SERVER_ERROR:
         backend.observations.answered(running, now)
     else:
@@ -81,7 +81,7 @@
 
 
 def _observe_load(
-    forwarding: Forwarding,
+    call_context: CallContext,
     route: Route,
     backend: Backend,
     answer: HttpAnswer,
@@ -89,29 +89,29 @@
     now: float,
 ) -> None:
     """Learn what a back end says of its load, and how long calls take without waiting."""
-    value = header_value(answer.headers, forwarding.names.load)
+    value = header_value(answer.headers, call_context.names.load)
     if value is None:
         return
-    report = forwarding.load_reports.read(value, backend.backend_id)
+    report = call_context.load_reports.read(value, backend.backend_id)
     if report is None:
         return
     observations = backend.observations
     observations.reported(report.running, report.waiting, report.slots, now, report.slowdown)
     if report.waiting == 0 and latency_s is not None:
-        forwarding.unloaded_latency(route).observe(latency_s)
+        call_context.unloaded_latency(route).observe(latency_s)
         if not route.shards:
             observations.worked(latency_s)
     if not route.shards:
-        work_s = forwarding.unloaded_latency(route).quantile(MEDIAN)
-        forwarding.load_watch.heard(backend, shed=False, work_s=work_s)
+        work_s = call_context.unloaded_latency(route).quantile(MEDIAN)
+        call_context.load_watch.heard(backend, shed=False, work_s=work_s)
 
 
 def _observe_shed(
-    forwarding: Forwarding, route: Route, backend: Backend, load: bytes | None, now: float
+    call_context: CallContext, route: Route, backend: Backend, load: bytes | None, now: float
 ) -> None:
     """Learn that a back end which many gateways may call has no place left in its queue."""
-    report = forwarding.load_reports.read(load, backend.backend_id) if load is not None else None
+    report = call_context.load_reports.read(load, backend.backend_id) if load is not None else None
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
-        work_s = forwarding.unloaded_latency(route).quantile(MEDIAN)
-        forwarding.load_watch.heard(backend, shed=True, work_s=work_s)
+        work_s = call_context.unloaded_latency(route).quantile(MEDIAN)
+        call_context.load_watch.heard(backend, shed=True, work_s=work_s)
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -8,7 +8,7 @@
 
 from tinrudder.gateway.clients.answers import build_answer
 from tinrudder.gateway.clients.client_connection import ClientConnection, RequestInProgress
-from tinrudder.gateway.clients.client_deadlines import ClientMoments, Moments
+from tinrudder.gateway.clients.client_deadlines import ClientDeadlines, Deadlines
 from tinrudder.gateway.model.configuration import ClientLimits, Route, Tenant
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import (
@@ -22,17 +22,17 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest, RequestObserver
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.peers.reachability import Reach
+from tinrudder.gateway.peers.reachability import Reachability
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.authentication import Access, Admitted
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.authentication import Admitted, Authentication
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
-from tinrudder.gateway.scatters.delegated_scatter import RelayedRun
-from tinrudder.gateway.scatters.delegation_context import Relaying
-from tinrudder.gateway.scatters.scatter_admission import GatedScatter, ScatterGates
+from tinrudder.gateway.scatters.delegated_scatter import DelegatedScatter
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
 
@@ -68,18 +68,18 @@
 
     def __init__(
         self,
-        forwarding: Forwarding,
+        call_context: CallContext,
         state: SharedState,
         observer: RequestObserver,
         random_source: random.Random,
         knows_news: Callable[[], bool],
-        relaying: Relaying,
+        delegation_context: DelegationContext,
         planner: ScatterPlanner,
-        access: Access,
+        access: Authentication,
         quotas: Quotas,
-        reach: Reach,
+        reach: Reachability,
         poison: PoisonWatch,
-        gates: ScatterGates,
+        gates: ScatterAdmissions,
     ) -> None:
         """Report every finished request to ``observer``.
 
@@ -96,16 +96,16 @@
         self._reach = reach
         self._stopping = False
         self._knows_news = knows_news
-        self._relaying = relaying
+        self._delegation_context = delegation_context
         self._planner = planner
         self.in_progress = 0
-        self.forwarding = forwarding
+        self.call_context = call_context
         self._state = state
         self._observer = observer
         self._random = random_source
         self._routes: RoutesInForce | None = None
-        self._moments = ClientMoments(forwarding.names)
-        self._service_admission = ServiceAdmission(forwarding)
+        self._deadlines = ClientDeadlines(call_context.names)
+        self._service_admission = ServiceAdmission(call_context)
         state.subscribe(self._refresh)
 
     @property
@@ -140,8 +140,8 @@
 
     def handle(self, request: HttpRequest, connection: ClientConnection) -> RequestInProgress:
         """Serve one request."""
-        serving = _Serving(self, request, connection, self.forwarding.loop.time())
-        self.forwarding.counters.requests += 1
+        serving = _Serving(self, request, connection, self.call_context.loop.time())
+        self.call_context.counters.requests += 1
         try:
             request_id = self._check(request)
         except InvalidRequestError as error:
@@ -195,15 +195,15 @@
         self, serving: _Serving, routes: RoutesInForce, route: Route, admitted: Admitted
     ) -> None:
         """Run a request, or refuse it at once."""
-        moments = self._moments.of(route, admitted.request, serving.received_at)
+        deadlines = self._deadlines.of(route, admitted.request, serving.received_at)
         plan = (
             self._reach.refusal(route)
             or self._memory_refusal(routes, route, admitted)
             or self._poison.refusal(route, admitted.request)
-            or self._plan(routes, route, admitted, moments, serving)
+            or self._plan(routes, route, admitted, deadlines, serving)
         )
         if isinstance(plan, NotRun):
-            self.forwarding.counters.refused += 1
+            self.call_context.counters.refused += 1
             serving.end(plan)
             return
         self.in_progress += 1
@@ -214,7 +214,7 @@
         self, routes: RoutesInForce, route: Route, admitted: Admitted
     ) -> NotRun | None:
         """Return why there is no room for a request; the less urgent are refused first."""
-        memory = self.forwarding.memory
+        memory = self.call_context.memory
         if not memory.may_be_near:
             return None
         return memory.refusal(routes.steps_below_urgent(admitted.priority(route)))
@@ -239,7 +239,7 @@
         names = [name for name, _ in request.headers]
         if names.count(b"host") != 1:
             raise InvalidRequestError("host: must stand exactly once")
-        id_name = self.forwarding.names.request_id
+        id_name = self.call_context.names.request_id
         ids = [value for name, value in request.headers if name == id_name]
         if len(ids) != 1 or not ids[0]:
             raise InvalidRequestError("request id: must stand exactly once")
@@ -256,7 +256,7 @@
         routes: RoutesInForce,
         route: Route,
         admitted: Admitted,
-        moments: Moments,
+        deadlines: Deadlines,
         serving: _Serving,
     ) -> Run | NotRun:
         """Decide where a request runs, or refuse it at once.
@@ -267,27 +267,27 @@
         priority = admitted.priority(route)
         if not route.shards:
             steps = routes.steps_below_urgent(priority)
-            return self._plan_single(routes, route, admitted, moments, serving, steps)
+            return self._plan_single(routes, route, admitted, deadlines, serving, steps)
 
-        def run_here(on_outcome: OutcomeListener) -> GatedScatter:
-            return GatedScatter(
+        def run_here(on_outcome: OutcomeListener) -> WaitingScatter:
+            return WaitingScatter(
                 self._gates.of_route(route),
                 route,
-                moments,
+                deadlines,
                 priority,
                 admitted.tenant_name,
-                lambda end: self._planner.run(route, request, serving.request_id, moments, end),
+                lambda end: self._planner.run(route, request, serving.request_id, deadlines, end),
                 on_outcome,
             )
 
-        coordination = self._relaying.coordinators.of_route(route)
+        coordination = self._delegation_context.coordinators.of_route(route)
         if not coordination.own:
-            return RelayedRun(
+            return DelegatedScatter(
                 route,
                 request,
                 serving.request_id,
-                moments,
-                self._relaying,
+                deadlines,
+                self._delegation_context,
                 coordination.asked,
                 run_here,
                 serving.end,
@@ -300,28 +300,28 @@
         routes: RoutesInForce,
         route: Route,
         admitted: Admitted,
-        moments: Moments,
+        deadlines: Deadlines,
         serving: _Serving,
         steps: int,
     ) -> Run | NotRun:
         """Run a request at one back end of the service chosen, or refuse it at once."""
         service = routes.choose_service(route, self._random)
         admission = self._service_admission
-        refusal = admission.refusal(route, service, moments, steps, admitted.tenant_name)
+        refusal = admission.refusal(route, service, deadlines, steps, admitted.tenant_name)
         if refusal is not None:
             return refusal
-        names = self.forwarding.names
-        encoded = RequestBytes(admitted.request, serving.request_id, moments.deadline_at, names)
+        names = self.call_context.names
+        encoded = RequestBytes(admitted.request, serving.request_id, deadlines.deadline_at, names)
 
         def turned_away(detail: str, least_s: float) -> NotRun:
-            return admission.after_rejections(detail, route, service, moments, least_s)
+            return admission.after_rejections(detail, route, service, deadlines, least_s)
 
         return RequestRun(
             route,
             (service,),
             encoded,
-            moments,
-            self.forwarding,
+            deadlines,
+            self.call_context,
             serving.end,
             turned_away=turned_away,
         )
@@ -336,8 +336,8 @@
             return
         self._routes = RoutesInForce.of(configuration)
         names = frozenset(route.name for route in configuration.routes)
-        self.forwarding.forget_unused(frozenset(configuration.services), names)
-        self._moments.forget_unused(names)
+        self.call_context.forget_unused(frozenset(configuration.services), names)
+        self._deadlines.forget_unused(names)
         self._gates.forget_unused(frozenset(route.shards for route in configuration.routes))
         self._quotas.forget_unused(frozenset(self._routes.tenants))
 
@@ -371,12 +371,12 @@
     def end(self, outcome: RequestOutcome) -> None:
         """Answer the client."""
         handler = self._handler
-        forwarding = handler.forwarding
+        call_context = handler.call_context
         if self.run is not None:
             handler.in_progress -= 1
         if isinstance(outcome, NotRun):
             handler.give_back(self)
-        answer = build_answer(outcome, forwarding.names, self.request_id or None)
+        answer = build_answer(outcome, call_context.names, self.request_id or None)
         self._connection.answer(answer)
         handler.finished(self._finished(outcome))
         # Else the cycle of the two keeps the request until the collector's next run.
@@ -399,7 +399,7 @@
             target=self._request.target,
             version=self.version,
             outcome=outcome,
-            elapsed_s=self._handler.forwarding.loop.time() - self.received_at,
+            elapsed_s=self._handler.call_context.loop.time() - self.received_at,
             missing_shards=run.missing_shards if run is not None else (),
             repeats=run.repeats if run is not None else 0,
             tenant=self.tenant.name if self.tenant is not None else "",
--- a/tinrudder/gateway/requests/request_run.py
+++ b/tinrudder/gateway/requests/request_run.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable, Sequence
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.attempts.answer_time import ScatterState, Verdict, decide
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpAnswer, header_value
@@ -17,7 +17,7 @@
     TimedOut,
 )
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import RunGuard
 from tinrudder.gateway.requests.shard_calls import NEVER, ShardCalls
@@ -51,8 +51,8 @@
         route: Route,
         services: tuple[str, ...],
         request: RequestBytes,
-        moments: Moments,
-        forwarding: Forwarding,
+        deadlines: Deadlines,
+        call_context: CallContext,
         on_outcome: OutcomeListener,
         *,
         minimum_share: float | None = None,
@@ -68,8 +68,8 @@
         self._route = route
         self._turned_away = turned_away
         self._request = request
-        self._moments = moments
-        self._forwarding = forwarding
+        self._deadlines = deadlines
+        self._call_context = call_context
         self._on_outcome = on_outcome
         self._scatter = bool(route.shards)
         self._finished = False
@@ -91,7 +91,7 @@
         self._total = len(services) + sum(len(group.services) for group in delegated)
         self._delegated = list(delegated)
         self._held_groups: list[DelegatedShards] = []
-        self._guard = RunGuard(forwarding.evidence, request, route)
+        self._guard = RunGuard(call_context.evidence, request, route)
         self._was_free = True
         self.shards = self._calls(services)
 
@@ -102,10 +102,10 @@
                 service,
                 self._route,
                 self._request,
-                self._forwarding,
+                self._call_context,
                 self._review,
                 self._guard,
-                self._moments.objective_at,
+                self._deadlines.objective_at,
                 relay_failures=not self._scatter,
                 asked_before=asked_before,
             )
@@ -147,7 +147,7 @@
 
     def start(self) -> None:
         """Send the first calls."""
-        now = self._forwarding.loop.time()
+        now = self._call_context.loop.time()
         self._started_at = now
         self._was_free = self._guard.is_free
         for group in self._delegated:
@@ -208,14 +208,14 @@
         """End for a client that has left; nobody is told an outcome."""
         if self._finished:
             return
-        self._forwarding.counters.clients_left += 1
+        self._call_context.counters.clients_left += 1
         self._stop()
 
     def _review(self, shard: ShardCalls) -> None:
         """Decide anew after a change of one shard."""
         if self._finished or self._starting:
             return
-        now = self._forwarding.loop.time()
+        now = self._call_context.loop.time()
         before = self._included
         self._count(shard)
         self._answered_after_s += (self._included - before) * (now - self._started_at)
@@ -229,7 +229,7 @@
         """Take what another gateway got, or ask here for what it did not."""
         if self._finished:
             return
-        now = self._forwarding.loop.time()
+        now = self._call_context.loop.time()
         if group.may_run_here:
             self._take_over(group, now)
         if group.included:
@@ -243,7 +243,7 @@
 
     def _take_over(self, group: DelegatedShards, now: float) -> None:
         """Ask a group's shards from here."""
-        self._forwarding.counters.delegations_run_here += 1
+        self._call_context.counters.delegations_run_here += 1
         self._delegated.remove(group)
         self._unheard_may_run |= group.may_have_run
         self._start_here(self._calls(group.services), now)
@@ -254,10 +254,10 @@
         Their answers left at the objective, each with as few shards as may be missing of the
         whole; together that can be too few.
         """
-        if not self._scatter or now >= self._moments.deadline_at:
+        if not self._scatter or now >= self._deadlines.deadline_at:
             return False
         asked_here = {shard.service for shard in self.shards}
-        fits_attempts = self._forwarding.directory.fits_attempts
+        fits_attempts = self._call_context.directory.fits_attempts
         lacking = [
             one.service
             for group in self._delegated
@@ -294,7 +294,7 @@
     def _hold(self, size: int) -> None:
         """Count bytes of answers that wait for the others, or do not any more."""
         self._part_bytes += size
-        self._forwarding.memory.backends += size
+        self._call_context.memory.backends += size
 
     def _act(self, now: float) -> None:
         """Wait, answer or fail, as decided now."""
@@ -318,8 +318,8 @@
             included=self.included,
             hopeful=here + sum(group.hopeful for group in self._delegated),
             minimum_share=self._minimum_share,
-            objective_at=self._moments.objective_at,
-            deadline_at=self._moments.deadline_at,
+            objective_at=self._deadlines.objective_at,
+            deadline_at=self._deadlines.deadline_at,
         )
 
     def _arm(self, when: float) -> None:
@@ -331,7 +331,7 @@
         if when == NEVER:
             return
         self._timer_at = when
-        self._timer = self._forwarding.loop.call_at(when, self._on_timer)
+        self._timer = self._call_context.loop.call_at(when, self._on_timer)
 
     def _arm_for_shards(self) -> None:
         """Set the timer to the next hedge or retry that is due."""
@@ -344,7 +344,7 @@
         if self._finished:
             return
         # The loop may call a little early, by its clock's resolution.
-        now = max(self._timer_at, self._forwarding.loop.time())
+        now = max(self._timer_at, self._call_context.loop.time())
         for shard in self.shards:
             shard.on_time(now)
             if self._finished:
@@ -364,7 +364,7 @@
 
     def _merged(self, parts: list[HttpAnswer]) -> Merged:
         """Merge what came here with what other gateways merged."""
-        stamp = self._forwarding.names.stamp
+        stamp = self._call_context.names.stamp
         stamps = [header_value(part.headers, stamp) or b"" for part in parts]
         bodies = [part.body for part in parts]
         sizes = [len(body) for body in bodies]
@@ -373,7 +373,7 @@
                 stamps.extend(group.part.stamps)
                 bodies.append(group.part.body)
         body = greatest_records(bodies, self._route.top_records)
-        self._forwarding.observe_sizes(self._route.shards, len(body), sizes)
+        self._call_context.observe_sizes(self._route.shards, len(body), sizes)
         return Merged(body, tuple(stamps), self._total - len(stamps))
 
     def _failure(self, now: float) -> RequestOutcome:
@@ -390,7 +390,7 @@
         failure = None if self._scatter else self.shards[0].failure
         if failure is not None:
             return Relayed(failure)
-        if now >= self._moments.deadline_at:
+        if now >= self._deadlines.deadline_at:
             return TimedOut(detail or "no answer in time")
         return NoAnswer(detail)
 
@@ -418,10 +418,10 @@
         for shard in self.shards:
             shard.end()
         if any(shard.running for shard in self.shards):
-            self._forwarding.loop.call_later(ABSORB_S, self._cancel_running)
+            self._call_context.loop.call_later(ABSORB_S, self._cancel_running)
 
     def _cancel_running(self) -> None:
         """Close the connections of calls that took too long."""
-        now = self._forwarding.loop.time()
+        now = self._call_context.loop.time()
         for shard in self.shards:
             shard.cancel_running(now)
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -2,13 +2,13 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import AdmittedShare, judge
 from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 
 
 class ServiceAdmission:
@@ -18,16 +18,16 @@
     comes from own calls and from other gateways.
     """
 
-    def __init__(self, forwarding: Forwarding) -> None:
+    def __init__(self, call_context: CallContext) -> None:
         """Read the queues through ``forwarding``."""
-        self._forwarding = forwarding
+        self._call_context = call_context
         self._tenants = TenantShares()
 
     def refusal(
         self,
         route: Route,
         service: str,
-        moments: Moments,
+        deadlines: Deadlines,
         priority_steps: int,
         tenant: str = "",
     ) -> NotRun | None:
@@ -36,52 +36,52 @@
         :param priority_steps: how many priorities in use are more urgent than the request's.
         :param tenant: on whose behalf it comes; empty for nobody's.
         """
-        now = moments.received_at
+        now = deadlines.received_at
         if tenant:
             self._tenants.note(tenant, now)
-        admitted = self._judge(route, service, moments, priority_steps, now)
+        admitted = self._judge(route, service, deadlines, priority_steps, now)
         share = admitted.share
         if tenant:
             share = self._tenants.share_of(tenant, share, now)
-        if share >= 1.0 or self._forwarding.random.random() < share:
+        if share >= 1.0 or self._call_context.random.random() < share:
             return None
-        left_s = moments.objective_at - now
+        left_s = deadlines.objective_at - now
         detail = f"overload: wait {admitted.wait_s:.3f} s, share {share:.2f}, left {left_s:.3f} s"
-        return self._not_run(detail, AdmittedShare(share, admitted.wait_s), moments, now)
+        return self._not_run(detail, AdmittedShare(share, admitted.wait_s), deadlines, now)
 
     def after_rejections(
-        self, detail: str, route: Route, service: str, moments: Moments, least_s: float
+        self, detail: str, route: Route, service: str, deadlines: Deadlines, least_s: float
     ) -> NotRun:
         """Return the refusal of a request that back ends turned away.
 
         :param least_s: the shortest pause, where no queue explains it.
         """
-        now = self._forwarding.loop.time()
-        admitted = self._judge(route, service, moments, 0, now)
-        refusal = self._not_run(detail, admitted, moments, now)
+        now = self._call_context.loop.time()
+        admitted = self._judge(route, service, deadlines, 0, now)
+        refusal = self._not_run(detail, admitted, deadlines, now)
         return NotRun(detail, max(least_s, refusal.retry_after_s))
 
     def _judge(
-        self, route: Route, service: str, moments: Moments, priority_steps: int, now: float
+        self, route: Route, service: str, deadlines: Deadlines, priority_steps: int, now: float
     ) -> AdmittedShare:
         """Judge by what is known now."""
-        backends = self._forwarding.observations(service)
+        backends = self._call_context.observations(service)
         return judge(
             backends,
             now,
-            self._forwarding.usual_s(route, backends),
-            moments.objective_at - now,
+            self._call_context.usual_s(route, backends),
+            deadlines.objective_at - now,
             priority_steps=priority_steps,
-            returning=moments.returning,
-            late=moments.late,
+            returning=deadlines.returning,
+            late=deadlines.late,
         )
 
     def _not_run(
-        self, detail: str, admitted: AdmittedShare, moments: Moments, now: float
+        self, detail: str, admitted: AdmittedShare, deadlines: Deadlines, now: float
     ) -> NotRun:
         """Say when to come back."""
-        left_s = moments.deadline_at - now
-        chance = self._forwarding.random.random()
+        left_s = deadlines.deadline_at - now
+        chance = self._call_context.random.random()
         return NotRun(
             detail, retry_after_by_share_s(admitted.wait_s, admitted.share, left_s, chance)
         )
--- a/tinrudder/gateway/requests/shard_calls.py
+++ b/tinrudder/gateway/requests/shard_calls.py
@@ -23,7 +23,7 @@
     Withdrawn,
 )
 from tinrudder.gateway.observability.request_log import log_call_lost
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.call_observation import SERVER_ERROR, observe_end
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.run_guard import POISON, Permission, RunGuard
@@ -82,7 +82,7 @@
         service: str,
         route: Route,
         request: RequestBytes,
-        forwarding: Forwarding,
+        call_context: CallContext,
         on_change: Callable[[ShardCalls], None],
         guard: RunGuard,
         objective_at: float,
@@ -106,7 +106,7 @@
         self.sends = 0
         self._route = route
         self._request = request
-        self._forwarding = forwarding
+        self._call_context = call_context
         self._on_change = on_change
         self._guard = guard
         self._objective_at = objective_at
@@ -119,8 +119,8 @@
         self._avoided: set[str] = set()
         # Nobody listens there, as this run has found out.
         self._dead: set[str] = set()
-        self._budget = forwarding.budget(service)
-        self._latency = forwarding.latency(route)
+        self._budget = call_context.budget(service)
+        self._latency = call_context.latency(route)
         self._hedge_at = NEVER
         # When the call that was sent last is overdue, which says something of the way to it.
         self._overdue_at = NEVER
@@ -215,7 +215,7 @@
         # a process that has ended takes seconds to listen again.
         candidates = [one for one in self._candidates() if one.backend_id not in self._dead]
         if not candidates:
-            reason = self._forwarding.directory.reason_for_none(self.service)
+            reason = self._call_context.directory.reason_for_none(self.service)
             self.last_problem = self.last_problem or reason
             return
         if self._tries > MAX_TRIES or self.sends >= MAX_SENDS:
@@ -224,7 +224,7 @@
         if paid and not self._may_repeat(now, hedge=False):
             self.next_at = now + DENIED_PAUSE_S
             return
-        self._send(self._forwarding.choose(candidates, self._route, now), now, paid=paid)
+        self._send(self._call_context.choose(candidates, self._route, now), now, paid=paid)
 
     def _hedge(self, now: float) -> None:
         """Send a second call beside one that may be late."""
@@ -252,15 +252,15 @@
         if paid and not self._may_repeat(now, hedge=True):
             self.next_at = now + DENIED_PAUSE_S
             return
-        self._forwarding.counters.hedges += 1
-        self._send(self._forwarding.choose(candidates, self._route, now), now, paid=paid)
+        self._call_context.counters.hedges += 1
+        self._send(self._call_context.choose(candidates, self._route, now), now, paid=paid)
 
     def _doubt_zones(self) -> None:
         """Tell that calls are overdue."""
         for attempt in self._attempts:
             if attempt.running is not None:
                 zone = attempt.backend.entry.zone
-                self._forwarding.zone_doubted(zone, attempt.running.sent_at)
+                self._call_context.zone_doubted(zone, attempt.running.sent_at)
 
     def _is_held_back(self, now: float) -> bool:
         """Tell whether the run may not send now, and note when to look again, if ever."""
@@ -277,7 +277,7 @@
         No more than a number of back ends may run one request; those that it was
         offered to already may be asked again.
         """
-        usable = self._forwarding.directory.usable(self.service)
+        usable = self._call_context.directory.usable(self.service)
         usable = [backend for backend in usable if self._may_offer(backend)]
         fresh = [backend for backend in usable if backend.backend_id not in self._avoided]
         return fresh or usable
@@ -294,7 +294,7 @@
         """
         if self._guard.permission(now) is not Permission.SEND:
             return False
-        if not self._forwarding.directory.may_receive(attempt.backend):
+        if not self._call_context.directory.may_receive(attempt.backend):
             return False
         if self.sends >= MAX_SENDS or not self._may_offer(attempt.backend):
             return False
@@ -304,10 +304,10 @@
 
     def _may_repeat(self, now: float, *, hedge: bool) -> bool:
         """Draw on the service's budget."""
-        forwarding = self._forwarding
-        if self._budget.may_repeat(now, forwarding.sharers(self.service), hedge=hedge):
+        call_context = self._call_context
+        if self._budget.may_repeat(now, call_context.sharers(self.service), hedge=hedge):
             return True
-        forwarding.counters.repeats_denied += 1
+        call_context.counters.repeats_denied += 1
         return False
 
     def _send(self, backend: Backend, now: float, *, paid: bool) -> None:
@@ -322,18 +322,18 @@
 
     def _arm(self, now: float) -> None:
         """Note when a call that is sent now is overdue, and when another one is sent beside it."""
-        fill = self._budget.fill(now, self._forwarding.sharers(self.service))
+        fill = self._budget.fill(now, self._call_context.sharers(self.service))
         self._overdue_at = now + hedge_delay_s(self._latency, self._route.objective_s, fill)
         self._hedge_at = self._moment_of_hedge(now, fill, self._overdue_at)
         self.next_at = min(self._overdue_at, self._hedge_at)
 
     def _moment_of_hedge(self, now: float, fill: float, overdue_at: float) -> float:
         """Return when another call is worth sending beside one that is sent now."""
-        moments = self._forwarding.hedge_moments(self._route)
+        deadlines = self._call_context.hedge_moments(self._route)
         left_s = self._objective_at - now
-        if left_s <= 0.0 or not moments.is_known:
+        if left_s <= 0.0 or not deadlines.is_known:
             return overdue_at
-        age_s = moments.age_s(left_s, fill)
+        age_s = deadlines.age_s(left_s, fill)
         if age_s is not None:
             # Latencies know nothing yet of back ends that vanished a moment ago.
             return min(overdue_at, now + age_s)
@@ -354,15 +354,15 @@
 
     def _leave(self, attempt: Attempt) -> bytes | None:
         """Return the bytes that leave now; ``None`` if the back end may not get them any more."""
-        forwarding = self._forwarding
-        now = forwarding.loop.time()
+        call_context = self._call_context
+        now = call_context.loop.time()
         if not self._may_leave(attempt, now):
             return None
         self.sends += 1
         self.may_have_run = True
         self._offered[attempt.backend.backend_id] += 1
-        forwarding.directory.note_call(attempt.backend)
-        forwarding.counters.calls += 1
+        call_context.directory.note_call(attempt.backend)
+        call_context.counters.calls += 1
         usual = usual_latency_s(self._latency, self._route.objective_s)
         attempt.running = attempt.backend.observations.begin(now, usual)
         attempt.canary = self._guard.note_sent(now)
@@ -373,8 +373,8 @@
         if attempt not in self._attempts:
             return
         self._attempts.remove(attempt)
-        now = self._forwarding.loop.time()
-        observe_end(self._forwarding, self._route, attempt.backend, attempt.running, outcome, now)
+        now = self._call_context.loop.time()
+        observe_end(self._call_context, self._route, attempt.backend, attempt.running, outcome, now)
         if attempt.running is not None:
             self._tell_guard(attempt, outcome)
         if self._ended or self.part is not None:
@@ -416,14 +416,14 @@
         """Hold a lost call against the request, unless its back end turns out to be alive."""
         backend = attempt.backend
         if self._guard.note_crash(backend.entry.life, canary=attempt.canary):
-            loop = self._forwarding.loop
+            loop = self._call_context.loop
             lost_at = loop.time()
             loop.call_later(SURVIVAL_S, self._look_for_survivor, backend, lost_at)
 
     def _look_for_survivor(self, backend: Backend, lost_at: float) -> None:
         """Take a crash back where only one connection has ended."""
         if backend.pool.has_connection_from_before(lost_at):
-            evidence = self._forwarding.evidence
+            evidence = self._call_context.evidence
             evidence.note_survivor(self._request.fingerprint, backend.entry.life)
 
     def _take_back(self, backend: Backend) -> None:
@@ -452,7 +452,9 @@
         the whole fleet: at 1.4 times of what four back ends can do, 0.4 of the calls were such.
         """
         left_s = min(self._request.deadline_at - now, self._route.objective_s)
-        if self._route.shards or self._forwarding.has_room(self.service, self._route, left_s, now):
+        if self._route.shards or self._call_context.has_room(
+            self.service, self._route, left_s, now
+        ):
             self._on_failure(problem, now, at_once=len(self._avoided) < 2)
         else:
             self.last_problem = problem
@@ -473,7 +475,7 @@
         if self.may_have_run and not self._route.repeatable:
             return
         if is_dead or (at_once and self._tries < 2):
-            self._forwarding.counters.retries += 1
+            self._call_context.counters.retries += 1
             self._try_next(now)
         elif self._tries < MAX_TRIES and self.sends < MAX_SENDS:
             self.next_at = now + RETRY_PAUSE_S * self._tries
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import Address, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
@@ -19,11 +19,11 @@
     hand_over,
     may_begin_at_once,
 )
-from tinrudder.gateway.scatters.delegation_context import Relaying
-from tinrudder.gateway.scatters.scatter_admission import GatedScatter
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
+from tinrudder.gateway.scatters.scatter_admission import WaitingScatter
 
 
-class RelayedRun:
+class DelegatedScatter:
     """One scatter; coordinators are asked in turn, and the last resort is to run it here.
 
     A coordinator that does not even say that it took the scatter is taken for dead while there is
@@ -36,10 +36,10 @@
         route: Route,
         request: HttpRequest,
         request_id: bytes,
-        moments: Moments,
-        relaying: Relaying,
+        deadlines: Deadlines,
+        delegation_context: DelegationContext,
         asked: tuple[Address, ...],
-        run_here: Callable[[OutcomeListener], GatedScatter],
+        run_here: Callable[[OutcomeListener], WaitingScatter],
         on_outcome: OutcomeListener,
         priority: int,
     ) -> None:
@@ -50,8 +50,8 @@
         self._route = route
         self._request = request
         self._request_id = request_id
-        self._moments = moments
-        self._relaying = relaying
+        self._deadlines = deadlines
+        self._delegation_context = delegation_context
         self._asked = asked
         self._run_here = run_here
         self._on_outcome = on_outcome
@@ -59,12 +59,12 @@
         self._may_have_run = False
         self._problems: list[str] = []
         self._task: asyncio.Task[None] | None = None
-        self._local: GatedScatter | None = None
+        self._local: WaitingScatter | None = None
 
     def start(self) -> None:
         """Ask the first coordinator."""
-        self._relaying.forwarding.counters.relayed += 1
-        self._task = self._relaying.forwarding.loop.create_task(self._run())
+        self._delegation_context.call_context.counters.relayed += 1
+        self._task = self._delegation_context.call_context.loop.create_task(self._run())
 
     def abandon(self) -> None:
         """End for a client that has left; the coordinator is told."""
@@ -94,11 +94,13 @@
         """Ask one coordinator; ``None`` when it gave no usable answer."""
         scatter = self._scatter_request(coordinator)
         outcome = await hand_over(
-            self._relaying,
+            self._delegation_context,
             coordinator,
             scatter,
-            self._moments,
-            begin_at_once=may_begin_at_once(self._relaying, self._route, self._route.shards),
+            self._deadlines,
+            begin_at_once=may_begin_at_once(
+                self._delegation_context, self._route, self._route.shards
+            ),
         )
         match outcome:
             case ScatterEnd():
@@ -119,7 +121,7 @@
         self.missing_shards = end.missing_shards
         if isinstance(end.outcome, Merged):
             size = len(end.outcome.body)
-            self._relaying.forwarding.observe_sizes(self._route.shards, size, ())
+            self._delegation_context.call_context.observe_sizes(self._route.shards, size, ())
         self._report(end.outcome)
 
     def _report(self, outcome: RequestOutcome) -> None:
@@ -136,26 +138,26 @@
     @property
     def _left_s(self) -> float:
         """Return the time until the final answer must leave."""
-        return self._moments.deadline_at - self._relaying.forwarding.loop.time()
+        return self._deadlines.deadline_at - self._delegation_context.call_context.loop.time()
 
     def _scatter_request(self, coordinator: Address) -> ScatterRequest:
         """Say what is asked of a coordinator, with the time that is left to it now."""
-        now = self._relaying.forwarding.loop.time()
-        moments = self._moments
-        path_s = self._relaying.path_time(coordinator).allowance_s
+        now = self._delegation_context.call_context.loop.time()
+        deadlines = self._deadlines
+        path_s = self._delegation_context.path_time(coordinator).allowance_s
         return ScatterRequest(
             request=self._request,
             request_id=self._request_id,
-            objective_left_s=moments.objective_at - now - path_s,
-            deadline_left_s=moments.deadline_at - now - ANSWER_MARGIN_S,
-            returning=moments.returning,
-            configuration_revision=self._relaying.configuration_revision(),
+            objective_left_s=deadlines.objective_at - now - path_s,
+            deadline_left_s=deadlines.deadline_at - now - ANSWER_MARGIN_S,
+            returning=deadlines.returning,
+            configuration_revision=self._delegation_context.configuration_revision(),
             priority=self._priority,
         )
 
     def _run_local(self) -> None:
         """Run the scatter here."""
-        self._relaying.forwarding.counters.relays_run_here += 1
+        self._delegation_context.call_context.counters.relays_run_here += 1
         self._local = self._run_here(self._end_local)
         self._local.start()
 
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -8,7 +8,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import Address, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NotRun
@@ -22,7 +22,7 @@
     hand_over,
     may_begin_at_once,
 )
-from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
 
 
 class Delegation(Struct, frozen=True):
@@ -62,8 +62,8 @@
         route: Route,
         request: HttpRequest,
         request_id: bytes,
-        moments: Moments,
-        relaying: Relaying,
+        deadlines: Deadlines,
+        delegation_context: DelegationContext,
     ) -> None:
         """Prepare; set :attr:`on_end` before :meth:`start`."""
         self.services = delegation.services
@@ -79,16 +79,16 @@
         self._route = route
         self._request = request
         self._request_id = request_id
-        self._moments = moments
-        self._relaying = relaying
+        self._deadlines = deadlines
+        self._delegation_context = delegation_context
         self._task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
         """Ask the other gateway."""
         self.may_have_run = True
-        forwarding = self._relaying.forwarding
-        forwarding.counters.delegated += 1
-        self._task = forwarding.loop.create_task(self._run())
+        call_context = self._delegation_context.call_context
+        call_context.counters.delegated += 1
+        self._task = call_context.loop.create_task(self._run())
 
     def withhold(self) -> None:
         """Note that the other gateway is not asked: back ends crash under the request."""
@@ -122,11 +122,11 @@
         delegation = self._delegation
         scatter = self._scatter_request()
         outcome = await hand_over(
-            self._relaying,
+            self._delegation_context,
             delegation.coordinator,
             scatter,
-            self._moments,
-            begin_at_once=may_begin_at_once(self._relaying, self._route, self.services),
+            self._deadlines,
+            begin_at_once=may_begin_at_once(self._delegation_context, self._route, self.services),
         )
         self.pending = False
         match outcome:
@@ -155,16 +155,16 @@
 
     def _scatter_request(self) -> ScatterRequest:
         """Say what is asked, with the time that is left now."""
-        now = self._relaying.forwarding.loop.time()
-        moments = self._moments
-        path_s = self._relaying.path_time(self._delegation.coordinator).allowance_s
+        now = self._delegation_context.call_context.loop.time()
+        deadlines = self._deadlines
+        path_s = self._delegation_context.path_time(self._delegation.coordinator).allowance_s
         return ScatterRequest(
             request=self._request,
             request_id=self._request_id,
-            objective_left_s=moments.objective_at - now - path_s,
-            deadline_left_s=moments.deadline_at - now - ANSWER_MARGIN_S,
-            returning=moments.returning,
-            configuration_revision=self._relaying.configuration_revision(),
+            objective_left_s=deadlines.objective_at - now - path_s,
+            deadline_left_s=deadlines.deadline_at - now - ANSWER_MARGIN_S,
+            returning=deadlines.returning,
+            configuration_revision=self._delegation_context.configuration_revision(),
             shards=self.services,
             minimum_share=self._delegation.minimum_share,
         )
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -5,11 +5,11 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import Address, Route
 from tinrudder.gateway.observability.request_log import log_coordinator_failed
 from tinrudder.gateway.peers.peer_messages import Declined, ScatterEnd, ScatterRequest
-from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.wire.gateway_relay_codec import decode_answer, encode_request
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
@@ -50,10 +50,10 @@
 
 
 async def hand_over(
-    relaying: Relaying,
+    delegation_context: DelegationContext,
     coordinator: Address,
     scatter: ScatterRequest,
-    moments: Moments,
+    deadlines: Deadlines,
     *,
     begin_at_once: bool,
 ) -> HandOverOutcome:
@@ -61,47 +61,49 @@
 
     :param begin_at_once: see :func:`may_begin_at_once`.
     """
-    asked_at = relaying.forwarding.loop.time()
-    outcome = await _ask(relaying, coordinator, scatter, moments, begin_at_once)
+    asked_at = delegation_context.call_context.loop.time()
+    outcome = await _ask(delegation_context, coordinator, scatter, deadlines, begin_at_once)
     if isinstance(outcome, ScatterEnd):
-        relaying.coordinators.succeeded(coordinator)
-        relaying.watch.answered_by(coordinator)
+        delegation_context.coordinators.succeeded(coordinator)
+        delegation_context.watch.answered_by(coordinator)
         return outcome
-    relaying.watch.doubt_way_to(coordinator, asked_at)
+    delegation_context.watch.doubt_way_to(coordinator, asked_at)
     log_coordinator_failed(scatter.request_id, coordinator, outcome.detail)
-    relaying.forwarding.counters.relays_failed += 1
-    relaying.coordinators.failed(coordinator)
+    delegation_context.call_context.counters.relays_failed += 1
+    delegation_context.coordinators.failed(coordinator)
     return outcome
 
 
-def may_begin_at_once(relaying: Relaying, route: Route, shards: Iterable[str]) -> bool:
+def may_begin_at_once(
+    delegation_context: DelegationContext, route: Route, shards: Iterable[str]
+) -> bool:
     """Tell whether two gateways at work on the same shards would do no harm.
 
     One that stood still may begin when another has been asked in its place.  Where together they
     could ask too many replicas, a gateway waits for the word that its own was heard, which takes
     a round trip more.
     """
-    directory = relaying.forwarding.directory
+    directory = delegation_context.call_context.directory
     return all(directory.fits_attempts(shard, route.attempts) for shard in shards)
 
 
 async def _ask(
-    relaying: Relaying,
+    delegation_context: DelegationContext,
     coordinator: Address,
     scatter: ScatterRequest,
-    moments: Moments,
+    deadlines: Deadlines,
     begin_at_once: bool,
 ) -> HandOverOutcome:
     """Send the request and wait for the answer, or for signs that none will come."""
-    now = relaying.forwarding.loop.time()
-    left_s = moments.deadline_at - now
-    acceptance_s = min(_acceptance_s(moments, now), left_s)
+    now = delegation_context.call_context.loop.time()
+    left_s = deadlines.deadline_at - now
+    acceptance_s = min(_acceptance_s(deadlines, now), left_s)
     address = PeerAddress(coordinator.host, coordinator.port)
     payload = encode_request(scatter)
-    relaying.traffic.note(scatter, len(payload))
+    delegation_context.traffic.note(scatter, len(payload))
     try:
         answer = decode_answer(
-            await relaying.client.request(
+            await delegation_context.client.request(
                 address, payload, left_s, acceptance_s, begin_at_once=begin_at_once
             )
         )
@@ -115,12 +117,12 @@
         return Lost(f"{coordinator}: {error}")
     if isinstance(answer, Declined):
         return NotTaken(f"{coordinator}: {answer.detail}")
-    took_s = relaying.forwarding.loop.time() - now
-    relaying.path_time(coordinator).observe(took_s - answer.elapsed_s)
+    took_s = delegation_context.call_context.loop.time() - now
+    delegation_context.path_time(coordinator).observe(took_s - answer.elapsed_s)
     return answer
 
 
-def _acceptance_s(moments: Moments, now: float) -> float:
+def _acceptance_s(deadlines: Deadlines, now: float) -> float:
     """Return how long to wait for the word that the other gateway has begun."""
-    share_s = ACCEPTANCE_SHARE * (moments.objective_at - now)
+    share_s = ACCEPTANCE_SHARE * (deadlines.objective_at - now)
     return min(LONGEST_ACCEPTANCE_S, max(SHORTEST_ACCEPTANCE_S, share_s))
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -7,15 +7,15 @@
 from msgspec import Struct, field
 
 from tinrudder.common.transport.peer_client import PeerClient
-from tinrudder.gateway.decisions.attempts.peer_round_trip import PathTime
+from tinrudder.gateway.decisions.attempts.peer_round_trip import PeerRoundTrip
 from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
-from tinrudder.gateway.peers.zone_monitor import ZoneWatch
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.scatters.coordinators import Coordinators
 
 
-class Relaying(Struct, frozen=True):
+class DelegationContext(Struct, frozen=True):
     """The connections to other gateways, and who they are.
 
     :param watch: learns which ways to other gateways are open.
@@ -25,14 +25,14 @@
 
     client: PeerClient
     coordinators: Coordinators
-    forwarding: Forwarding
-    watch: ZoneWatch
+    call_context: CallContext
+    watch: ZoneMonitor
     configuration_revision: Callable[[], int]
     traffic: PeerTraffic
-    _path_beside: PathTime = field(default_factory=PathTime)
-    _path_elsewhere: PathTime = field(default_factory=PathTime)
+    _path_beside: PeerRoundTrip = field(default_factory=PeerRoundTrip)
+    _path_elsewhere: PeerRoundTrip = field(default_factory=PeerRoundTrip)
 
-    def path_time(self, gateway: Address) -> PathTime:
+    def path_time(self, gateway: Address) -> PeerRoundTrip:
         """Return how long requests to a gateway are under way: within the zone, or beyond it."""
         elsewhere = self.coordinators.peers.is_elsewhere(gateway)
         return self._path_elsewhere if elsewhere else self._path_beside
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -5,7 +5,7 @@
 import asyncio
 from collections.abc import Callable
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import header_value
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
@@ -17,17 +17,17 @@
     ScatterRequest,
 )
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.peers.reachability import Reach
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.peers.reachability import Reachability
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
-from tinrudder.gateway.scatters.scatter_admission import GatedScatter, ScatterGates
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
 
 
-class ScatterService:
+class DelegationService:
     """Runs scatters for their entries; declines what it cannot answer as well as they could.
 
     :ivar in_progress: scatters that run now.
@@ -36,12 +36,12 @@
 
     def __init__(
         self,
-        forwarding: Forwarding,
+        call_context: CallContext,
         state: SharedState,
-        gates: ScatterGates,
+        gates: ScatterAdmissions,
         planner: ScatterPlanner,
         routes: Callable[[], RoutesInForce | None],
-        reach: Reach,
+        reach: Reachability,
         poison: PoisonWatch,
     ) -> None:
         """Find routes by what ``routes`` returns at that moment.
@@ -52,7 +52,7 @@
         self._reach = reach
         self.in_progress = 0
         self.closing = False
-        self._forwarding = forwarding
+        self._call_context = call_context
         self._state = state
         self._gates = gates
         self._planner = planner
@@ -64,22 +64,22 @@
         if isinstance(found, Declined):
             return found
         routes, route = found
-        moments = self._moments(scatter)
+        deadlines = self._deadlines(scatter)
         version = routes.configuration.version
         refusal = self._refusal(route, scatter)
         if refusal is not None:
-            self._forwarding.counters.refused += 1
+            self._call_context.counters.refused += 1
             return ScatterEnd(refusal, version)
-        ended: asyncio.Future[RequestOutcome] = self._forwarding.loop.create_future()
+        ended: asyncio.Future[RequestOutcome] = self._call_context.loop.create_future()
 
         def report(outcome: RequestOutcome) -> None:
             # The entry may have given up a moment ago, which cancels the future before the run.
             if not ended.done():
                 ended.set_result(outcome)
 
-        run = self._run(route, scatter, moments, report)
+        run = self._run(route, scatter, deadlines, report)
         outcome = await self._finish(run, ended)
-        elapsed_s = run.decided_at - moments.received_at
+        elapsed_s = run.decided_at - deadlines.received_at
         end = ScatterEnd(outcome, version, run.repeats, run.missing_shards, elapsed_s)
         log_coordinated(scatter, route, end)
         return end
@@ -99,7 +99,7 @@
             return Declined("no scatter by the configuration here")
         if not set(scatter.shards) <= set(route.shards):
             return Declined("other shards by the configuration here")
-        if self._forwarding.memory.refusal(routes.steps_below_urgent(scatter.priority)):
+        if self._call_context.memory.refusal(routes.steps_below_urgent(scatter.priority)):
             return Declined("no room in memory")
         return routes, route
 
@@ -114,42 +114,42 @@
         self,
         route: Route,
         scatter: ScatterRequest,
-        moments: Moments,
+        deadlines: Deadlines,
         on_outcome: OutcomeListener,
-    ) -> GatedScatter | RequestRun:
+    ) -> WaitingScatter | RequestRun:
         """Prepare what is asked for: a whole scatter, or some of its shards.
 
         Of a part, the gateway that hands it over has let it through its own gate.
         """
         if not scatter.shards:
-            tenant = header_value(scatter.request.headers, self._forwarding.names.tenant) or b""
-            return GatedScatter(
+            tenant = header_value(scatter.request.headers, self._call_context.names.tenant) or b""
+            return WaitingScatter(
                 self._gates.of_route(route),
                 route,
-                moments,
+                deadlines,
                 scatter.priority,
                 tenant.decode(),
                 lambda end: self._planner.run(
-                    route, scatter.request, scatter.request_id, moments, end
+                    route, scatter.request, scatter.request_id, deadlines, end
                 ),
                 on_outcome,
             )
         return RequestRun(
             route,
             scatter.shards,
-            self._request_bytes(scatter, moments),
-            moments,
-            self._forwarding,
+            self._request_bytes(scatter, deadlines),
+            deadlines,
+            self._call_context,
             on_outcome,
             minimum_share=scatter.minimum_share,
         )
 
     async def _finish(
-        self, run: GatedScatter | RequestRun, ended: asyncio.Future[RequestOutcome]
+        self, run: WaitingScatter | RequestRun, ended: asyncio.Future[RequestOutcome]
     ) -> RequestOutcome:
         """Run to the outcome; abandon the run if the entry gives it up."""
         self.in_progress += 1
-        self._forwarding.counters.coordinated += 1
+        self._call_context.counters.coordinated += 1
         try:
             run.start()
             return await ended
@@ -159,17 +159,17 @@
         finally:
             self.in_progress -= 1
 
-    def _moments(self, scatter: ScatterRequest) -> Moments:
+    def _deadlines(self, scatter: ScatterRequest) -> Deadlines:
         """Count the entry's times from now."""
-        now = self._forwarding.loop.time()
-        return Moments(
+        now = self._call_context.loop.time()
+        return Deadlines(
             received_at=now,
             objective_at=now + scatter.objective_left_s,
             deadline_at=now + scatter.deadline_left_s,
             returning=scatter.returning,
         )
 
-    def _request_bytes(self, scatter: ScatterRequest, moments: Moments) -> RequestBytes:
+    def _request_bytes(self, scatter: ScatterRequest, deadlines: Deadlines) -> RequestBytes:
         """Prepare the request for the back ends."""
-        names = self._forwarding.names
-        return RequestBytes(scatter.request, scatter.request_id, moments.deadline_at, names)
+        names = self._call_context.names
+        return RequestBytes(scatter.request, scatter.request_id, deadlines.deadline_at, names)
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -11,7 +11,7 @@
 import statistics
 from collections.abc import Callable, Collection
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
 from tinrudder.gateway.decisions.admission.retry_after import (
     may_come_back,
@@ -27,7 +27,7 @@
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.timers import TimerHandle
 
 PART_KEPT_S = 1.0
@@ -45,7 +45,7 @@
     :ivar run: the scatter while it runs.
     """
 
-    def __init__(self, gate: ScatterGate, entrance: GatedScatter) -> None:
+    def __init__(self, gate: ScatterAdmission, entrance: WaitingScatter) -> None:
         """Prepare; nothing happens before :meth:`enter`."""
         self.entrance = entrance
         self.run: RequestRun | None = None
@@ -61,7 +61,7 @@
         self._gate.leave(self)
 
 
-class GatedScatter:
+class WaitingScatter:
     """One scatter from its arrival to its outcome; nothing of it runs before there is room.
 
     :ivar decided_at: monotonic time of the latest decision on it.
@@ -69,9 +69,9 @@
 
     def __init__(
         self,
-        gate: ScatterGate,
+        gate: ScatterAdmission,
         route: Route,
-        moments: Moments,
+        deadlines: Deadlines,
         priority: int,
         tenant: str,
         make_run: MakeRun,
@@ -83,13 +83,13 @@
         :param make_run: prepares the run at the moment at which it begins.
         """
         self.route = route
-        self.moments = moments
+        self.deadlines = deadlines
         self.priority = priority
         self.tenant = tenant
         self._make_run = make_run
         self._on_outcome = on_outcome
         self._run: RequestRun | None = None
-        self._refused_at = moments.received_at
+        self._refused_at = deadlines.received_at
         self._ticket = Ticket(gate, self)
 
     @property
@@ -133,17 +133,20 @@
         self._ticket.leave()
 
 
-class ScatterGate:
+class ScatterAdmission:
     """The gate of one index at this gateway."""
 
     def __init__(
-        self, index: tuple[str, ...], relaying: Relaying, random_source: random.Random
+        self,
+        index: tuple[str, ...],
+        delegation_context: DelegationContext,
+        random_source: random.Random,
     ) -> None:
         """Learn of back ends, callers and reports through ``relaying``."""
         self.queue = ScatterQueue()
         self._index = index
-        self._relaying = relaying
-        self._forwarding = relaying.forwarding
+        self._delegation_context = delegation_context
+        self._call_context = delegation_context.call_context
         self._random = random_source
         self._running: set[Ticket] = set()
         self._waiting: dict[QueuedScatter, Ticket] = {}
@@ -171,7 +174,7 @@
 
     def enter(self, ticket: Ticket) -> None:
         """Start a scatter, let it wait, or refuse it."""
-        now = self._forwarding.loop.time()
+        now = self._call_context.loop.time()
         self._follow_reports(now)
         scatter = ticket.scatter = self._describe(ticket.entrance)
         held_before = self._held_before(scatter)
@@ -186,7 +189,7 @@
 
     def leave(self, ticket: Ticket) -> None:
         """Forget a scatter that has ended, or whose caller has gone."""
-        now = self._forwarding.loop.time()
+        now = self._call_context.loop.time()
         if ticket.run is not None and ticket in self._running:
             self._running.discard(ticket)
             self.queue.room.note_hold(ticket.run.hold_s(now))
@@ -198,7 +201,7 @@
     def _progressed(self) -> None:
         """Look soon whether there is room now; answers that are ready leave first."""
         if self.queue and self._next_look is None:
-            self._next_look = self._forwarding.loop.call_soon(self._look)
+            self._next_look = self._call_context.loop.call_soon(self._look)
 
     def _look(self, at: float = 0.0) -> None:
         """Start what there is room for, and refuse what will have none in time.
@@ -206,7 +209,7 @@
         :param at: what the timer was set to; the loop may call a little early.
         """
         self._next_look = None
-        now = max(at, self._forwarding.loop.time())
+        now = max(at, self._call_context.loop.time())
         self._follow_reports(now)
         while (first := self.queue.first) is not None:
             if self.queue.next_ready(self._held_before(first)) is None:
@@ -230,11 +233,11 @@
             self._timer = None
         end_at = self.queue.next_end_at
         if end_at is not None:
-            self._timer = self._forwarding.loop.call_at(end_at, self._look, end_at)
+            self._timer = self._call_context.loop.call_at(end_at, self._look, end_at)
 
     def _refuse(self, ticket: Ticket, refusal: ScatterRefusal, now: float) -> None:
         """Refuse one, with what decided it and a moment to come back at."""
-        self._forwarding.counters.refused += 1
+        self._call_context.counters.refused += 1
         assert ticket.scatter is not None
         retry_s = self._retry_after_s(ticket.scatter, refusal, now)
         ticket.entrance.refuse(NotRun(str(refusal), retry_s), now)
@@ -254,21 +257,21 @@
             self._returns_until[refusal.priority] = until + (1.0 / pace if pace else 0.0)
         return retry_after_by_place_s(room_in_s, left_s, self._random.random())
 
-    def _describe(self, entrance: GatedScatter) -> QueuedScatter:
+    def _describe(self, entrance: WaitingScatter) -> QueuedScatter:
         """Return what decides on a scatter's place."""
-        moments = entrance.moments
+        deadlines = entrance.deadlines
         return QueuedScatter(
             priority=entrance.priority,
-            objective_at=moments.objective_at,
-            deadline_at=moments.deadline_at,
+            objective_at=deadlines.objective_at,
+            deadline_at=deadlines.deadline_at,
             usual_s=self._usual_s(entrance.route),
-            returning=moments.returning,
+            returning=deadlines.returning,
             tenant=entrance.tenant,
         )
 
     def _usual_s(self, route: Route) -> float:
         """Return how long a scatter of a route takes where nothing waits."""
-        unloaded = self._forwarding.unloaded_latency(route)
+        unloaded = self._call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
             return self.queue.room.hold_s * USUAL_FACTOR
         return unloaded.quantile(0.5) * USUAL_FACTOR
@@ -289,22 +292,25 @@
     def _set_part(self) -> None:
         """Work out this gateway's part of the slots of the typical shard."""
         slots = [
-            sum(backend.observations.slots for backend in self._forwarding.directory.staying(shard))
+            sum(
+                backend.observations.slots
+                for backend in self._call_context.directory.staying(shard)
+            )
             for shard in self._sample(self._index)
         ]
-        callers = self._relaying.coordinators.of_service(self._index[0]).callers
+        callers = self._delegation_context.coordinators.of_service(self._index[0]).callers
         typical = statistics.median(slots)
         if typical:
             self.queue.room.set_part(typical / max(1, callers))
 
     def _typical_queue(self, now: float) -> float | None:
         """Return the wait for a slot at the typical shard, in calls' times; ``None``: unknown."""
-        coordination = self._relaying.coordinators.of_service(self._index[0])
+        coordination = self._delegation_context.coordinators.of_service(self._index[0])
         queues: list[float] = []
         for shard in self._sample(coordination.own_shards(self._index)):
             reported = [
                 queue
-                for backend in self._forwarding.directory.staying(shard)
+                for backend in self._call_context.directory.staying(shard)
                 if (queue := backend.observations.reported_queue(now)) is not None
             ]
             if reported:
@@ -318,20 +324,20 @@
         return self._random.sample(shards, SAMPLED_SHARDS)
 
 
-class ScatterGates:
+class ScatterAdmissions:
     """The gates of all indexes that this gateway calls."""
 
-    def __init__(self, relaying: Relaying, random_source: random.Random) -> None:
+    def __init__(self, delegation_context: DelegationContext, random_source: random.Random) -> None:
         """Make gates as they are needed."""
-        self._relaying = relaying
+        self._delegation_context = delegation_context
         self._random = random_source
-        self._gates: dict[tuple[str, ...], ScatterGate] = {}
+        self._gates: dict[tuple[str, ...], ScatterAdmission] = {}
 
-    def of_route(self, route: Route) -> ScatterGate:
+    def of_route(self, route: Route) -> ScatterAdmission:
         """Return the gate of a route's index."""
         gate = self._gates.get(route.shards)
         if gate is None:
-            gate = ScatterGate(route.shards, self._relaying, self._random)
+            gate = ScatterAdmission(route.shards, self._delegation_context, self._random)
             self._gates[route.shards] = gate
         return gate
 
@@ -341,7 +347,7 @@
             del self._gates[index]
 
     @property
-    def gates(self) -> tuple[ScatterGate, ...]:
+    def gates(self) -> tuple[ScatterAdmission, ...]:
         """Return all gates."""
         return tuple(self._gates.values())
 
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -4,11 +4,11 @@
 
 import random
 
-from tinrudder.gateway.clients.client_deadlines import Moments
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.call_context import Forwarding
+from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.scatters.coordinators import Coordination
@@ -17,18 +17,21 @@
     Delegation,
     minimum_share_of_group,
 )
-from tinrudder.gateway.scatters.delegation_context import Relaying
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
 
 
 class ScatterPlanner:
     """Makes the runs of scatters that this gateway merges."""
 
     def __init__(
-        self, forwarding: Forwarding, relaying: Relaying, random_source: random.Random
+        self,
+        call_context: CallContext,
+        delegation_context: DelegationContext,
+        random_source: random.Random,
     ) -> None:
         """Ask other gateways through ``relaying``."""
-        self._forwarding = forwarding
-        self._relaying = relaying
+        self._call_context = call_context
+        self._delegation_context = delegation_context
         self._random = random_source
 
     def own_shards(self, route: Route) -> tuple[str, ...]:
@@ -40,23 +43,23 @@
         route: Route,
         request: HttpRequest,
         request_id: bytes,
-        moments: Moments,
+        deadlines: Deadlines,
         on_outcome: OutcomeListener,
     ) -> RequestRun:
         """Prepare one scatter."""
-        encoded = RequestBytes(request, request_id, moments.deadline_at, self._forwarding.names)
-        delegations = [one for one in self._delegations(route) if self._fits(one, route, moments)]
+        encoded = RequestBytes(request, request_id, deadlines.deadline_at, self._call_context.names)
+        delegations = [one for one in self._delegations(route) if self._fits(one, route, deadlines)]
         handed_over = {shard for one in delegations for shard in one.services}
         delegated = [
-            DelegatedShards(one, route, request, request_id, moments, self._relaying)
+            DelegatedShards(one, route, request, request_id, deadlines, self._delegation_context)
             for one in delegations
         ]
         return RequestRun(
             route,
             tuple(shard for shard in route.shards if shard not in handed_over),
             encoded,
-            moments,
-            self._forwarding,
+            deadlines,
+            self._call_context,
             on_outcome,
             delegated=delegated,
         )
@@ -73,11 +76,11 @@
             for group in self._coordination(route).handed_over
         ]
 
-    def _fits(self, delegation: Delegation, route: Route, moments: Moments) -> bool:
+    def _fits(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
         """Tell whether another gateway has the time for its shards that their calls need."""
-        left_s = moments.objective_at - self._forwarding.loop.time()
-        path_s = self._relaying.path_time(delegation.coordinator).allowance_s
-        return leaves_time(self._forwarding.latency(route), left_s, path_s)
+        left_s = deadlines.objective_at - self._call_context.loop.time()
+        path_s = self._delegation_context.path_time(delegation.coordinator).allowance_s
+        return leaves_time(self._call_context.latency(route), left_s, path_s)
 
     def _coordination(self, route: Route) -> Coordination:
-        return self._relaying.coordinators.of_route(route)
+        return self._delegation_context.coordinators.of_route(route)
--- a/tinrudder/gateway/store/staleness_bound.py
+++ b/tinrudder/gateway/store/staleness_bound.py
@@ -17,7 +17,7 @@
 the oldest, so that one is dropped."""
 
 
-class Knowledge:
+class StalenessBound:
     """The bound, and proofs that hold once this gateway has caught up."""
 
     def __init__(self, state: SharedState, clock: Callable[[], float]) -> None:
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -15,7 +15,7 @@
 from tinrudder.gateway.peers.peer_messages import ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes, SentProbe
 from tinrudder.gateway.store.shared_state import SharedState
-from tinrudder.gateway.store.staleness_bound import Knowledge
+from tinrudder.gateway.store.staleness_bound import StalenessBound
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
@@ -41,12 +41,12 @@
 within which a change must be in force anyway, and above the usual age."""
 
 
-class KnowledgeKeeper:
+class StalenessKeeper:
     """Asks and reads as the knowledge grows old."""
 
     def __init__(
         self,
-        knowledge: Knowledge,
+        knowledge: StalenessBound,
         state: SharedState,
         store: MetadataStore,
         readers: StoreReaders,
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.decisions.fleet.load_news import ToldLoad
+from tinrudder.gateway.decisions.fleet.load_news import ReportedLoad
 from tinrudder.gateway.peers.peer_messages import LoadNews
 from tinrudder.gateway.wire import peer_datagram_pb2 as pb
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, milliseconds_above
@@ -22,7 +22,7 @@
     return LoadNews(tuple(_load_of(load) for load in message.loads))
 
 
-def _load_message(told: ToldLoad) -> pb.ToldLoad:
+def _load_message(told: ReportedLoad) -> pb.ToldLoad:
     return pb.ToldLoad(
         backend=told.backend,
         calls=min(LARGEST, told.calls),
@@ -34,8 +34,8 @@
     )
 
 
-def _load_of(message: pb.ToldLoad) -> ToldLoad:
-    return ToldLoad(
+def _load_of(message: pb.ToldLoad) -> ReportedLoad:
+    return ReportedLoad(
         message.backend,
         message.calls,
         message.slots,
--- a/tinrudder/gateway/wire/poison_report_codec.py
+++ b/tinrudder/gateway/wire/poison_report_codec.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.peers.peer_messages import PoisonReport, ToldCrash, ToldEvidence
+from tinrudder.gateway.peers.peer_messages import PoisonReport, ReportedCrash, ReportedEvidence
 from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.gateway.wire import peer_datagram_pb2 as pb
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, age_of
@@ -25,7 +25,7 @@
     return PoisonReport(evidence, message.asks)
 
 
-def _evidence_message(told: ToldEvidence) -> pb.Evidence:
+def _evidence_message(told: ReportedEvidence) -> pb.Evidence:
     crashes = [
         pb.Crash(
             backend=crash.backend,
@@ -45,15 +45,15 @@
     )
 
 
-def _evidence_of(message: pb.Evidence) -> ToldEvidence:
+def _evidence_of(message: pb.Evidence) -> ReportedEvidence:
     for name, value in (("fingerprint", message.fingerprint), ("origin", message.origin)):
         if len(value) != FINGERPRINT_BYTES:
             raise ValueError(f"poison report: {name} must have {FINGERPRINT_BYTES} bytes")
     crashes = tuple(
-        ToldCrash(crash.backend, crash.age_ms / MILLISECONDS, crash.trial, crash.survived)
+        ReportedCrash(crash.backend, crash.age_ms / MILLISECONDS, crash.trial, crash.survived)
         for crash in message.crashes
     )
-    return ToldEvidence(
+    return ReportedEvidence(
         message.fingerprint,
         message.origin,
         crashes,
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -8,7 +8,7 @@
 from google.protobuf.message import DecodeError, Message
 
 from tinrudder.gateway.model.configuration import Address
-from tinrudder.gateway.peers.peer_messages import Digest, Member, Snapshot, ToldMember
+from tinrudder.gateway.peers.peer_messages import Digest, Member, ReportedMember, Snapshot
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire import snapshot_pb2 as pb
 
@@ -150,8 +150,8 @@
     )
 
 
-def _decode_told(message: pb.Member) -> ToldMember:
-    return ToldMember(_decode_member(message), message.age_ms / MILLISECONDS)
+def _decode_told(message: pb.Member) -> ReportedMember:
+    return ReportedMember(_decode_member(message), message.age_ms / MILLISECONDS)
 
 
 def _encode_value(value: StoredValue) -> pb.Value:
--- a/tinrudder_lab/emulator/ledger.py
+++ b/tinrudder_lab/emulator/ledger.py
@@ -140,11 +140,11 @@
     def most_in_window(self, tenant: str, window_s: float) -> int:
         """Return how many requests of a tenant ran that were sent within the fullest window."""
         ran = {one.request_id for one in self.arrivals if one.ran and one.tenant == tenant}
-        moments = sorted(self.sent[request_id].at for request_id in ran)
+        deadlines = sorted(self.sent[request_id].at for request_id in ran)
         first = 0
         most = 0
-        for last, at in enumerate(moments):
-            while moments[first] <= at - window_s:
+        for last, at in enumerate(deadlines):
+            while deadlines[first] <= at - window_s:
                 first += 1
             most = max(most, last - first + 1)
         return most
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -10,7 +10,7 @@
 from typing import Any, TypeVar
 
 from tinrudder.cli.gateway import DECODERS
-from tinrudder.gateway.gateway import GatewayNode
+from tinrudder.gateway.gateway import Gateway
 from tinrudder.gateway.model.configuration import Address, ColdBounds, GatewaySettings, RepeatBounds
 from tinrudder.platform.documents import BACKENDS_PREFIX, CONFIGURATION_KEY, EVACUATION_PREFIX
 from tinrudder.platform.headers import HEADERS
@@ -66,7 +66,7 @@
     index: int
     machine: Machine
     network: int
-    gateway: GatewayNode | None = None
+    gateway: Gateway | None = None
 
     @property
     def host(self) -> str:
@@ -423,7 +423,7 @@
         )
 
         async def run() -> None:
-            node.gateway = GatewayNode(settings, HEADERS, DECODERS, StoreClient)
+            node.gateway = Gateway(settings, HEADERS, DECODERS, StoreClient)
             await node.gateway.run()
             # The process ends here, and with it whatever it still had open.
             outside = contextvars.Context()
