--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -17,12 +17,13 @@
 from collections.abc import Callable
 
 from tinrudder.cli.gateway import DECODERS
+from tinrudder.common.address import Address
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection
 from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
-from tinrudder.gateway.model.configuration import Address, ColdBounds, RepeatBounds
+from tinrudder.gateway.model.configuration import ColdBounds, RepeatBounds
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, RequestOutcome
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
--- a/tests/functional/test_gateway_process.py
+++ b/tests/functional/gateway/test_process.py
@@ -38,7 +38,7 @@
 
 
 def test_the_signal_is_ignored_before_the_long_imports() -> None:
-    source = Path(__file__).parents[2] / "tinrudder" / "cli" / "gateway_process.py"
+    source = Path(__file__).parents[3] / "tinrudder" / "cli" / "gateway_process.py"
     lines = source.read_text().splitlines()
     ignored = lines.index("signal.signal(signal.SIGHUP, signal.SIG_IGN)")
     stops = next(n for n, line in enumerate(lines) if line.startswith("signal.signal(signal.SIGT"))
--- a/tests/functional/test_gateway_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -8,9 +8,10 @@
 import pytest
 
 from tests.support.many_gateways import SETTLED_S, run_many
+from tinrudder.common.address import Address
 from tinrudder.gateway.decisions.admission.token_buckets import RETURN_SPREAD_S
 from tinrudder.gateway.gateway import Gateway
-from tinrudder.gateway.model.configuration import Address, QuotaBounds
+from tinrudder.gateway.model.configuration import QuotaBounds
 from tinrudder_lab.emulator.client import ClientResult
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
 from tinrudder_lab.emulator.store import StoreMode
--- a/tests/functional/test_upstream_pool.py
+++ b/tests/functional/gateway/test_upstream_pool.py
@@ -6,10 +6,10 @@
 
 import pytest
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.backends import upstream_pool
 from tinrudder.gateway.backends.upstream_connection import accept_any_answer
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.model.http_messages import Answered, CallOutcome, NotSent, UpstreamCall
 
 
--- a/tests/functional/test_link_proxy.py
+++ b/tests/functional/lab/test_link_proxy.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder_lab.soak.proxy import LinkMode, LinkProxy
 
 HOST = "127.0.0.1"
--- a/tests/functional/test_connection_pool.py
+++ b/tests/functional/node/test_connection_pool.py
@@ -9,7 +9,7 @@
 import pytest
 import trustme
 
-from tests.functional.test_backend_http import HOST, call_to, exchange, with_backend
+from tests.functional.node.test_backend_http import HOST, call_to, exchange, with_backend
 from tinrudder.node.backends import connection_pool
 from tinrudder.node.backends.connection import READ_BUFFER_BYTES
 from tinrudder.node.backends.http_transport import HttpBackendTransport
--- a/tests/unit/test_gateway_commands.py
+++ b/tests/unit/cli/test_gateway_commands.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.unit.test_platform_adapter import SETTINGS
+from tests.unit.platform.test_platform_adapter import SETTINGS
 from tinrudder.cli.exit_codes import ExitCode
 from tinrudder.cli.main import main
 
--- a/tests/unit/test_samples.py
+++ b/tests/unit/cli/test_samples.py
@@ -10,7 +10,7 @@
 from tinrudder.node.resources.validation import problems_of
 from tinrudder.node.settings import load_settings
 
-ETC = Path(__file__).parents[2] / "etc"
+ETC = Path(__file__).parents[3] / "etc"
 
 
 @pytest.mark.parametrize("path", sorted(ETC.glob("*.toml")), ids=lambda path: path.name)
--- a/tests/unit/test_backend_entries.py
+++ b/tests/unit/gateway/test_backend_entries.py
@@ -11,7 +11,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.unit.test_shared_state import new_state
+from tests.unit.gateway.test_shared_state import new_state
 from tinrudder.gateway.store.shared_state import EntryStanding, SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, UnreadableValueError
 from tinrudder.gateway.store.unreadable_values import LINES, UnreadableValues
--- a/tests/unit/test_backend_starts.py
+++ b/tests/unit/gateway/test_backend_starts.py
@@ -10,7 +10,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.unit.test_shared_state import DECODERS
+from tests.unit.gateway.test_shared_state import DECODERS
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.model.configuration import ColdBounds
--- a/tests/unit/test_client_moments.py
+++ b/tests/unit/gateway/test_client_deadlines.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.unit.test_shard_calls_machine import NAMES
+from tests.unit.gateway.test_shard_calls_machine import NAMES
 from tinrudder.gateway.clients.client_deadlines import ClientDeadlines
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
--- a/tests/unit/test_gateway_relay_codec.py
+++ b/tests/unit/gateway/test_gateway_relay_codec.py
@@ -9,7 +9,7 @@
 from hypothesis import strategies as st
 from msgspec.structs import replace
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import (
     Merged,
--- a/tests/unit/test_hedge_wiring.py
+++ b/tests/unit/gateway/test_hedge_wiring.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tests.unit.test_shard_calls_machine import (
+from tests.unit.gateway.test_shard_calls_machine import (
     NAMES,
     SERVICE,
     FakeDirectory,
--- a/tests/unit/test_load_watch.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -9,6 +9,7 @@
 import pytest
 
 from tests.support.fakes import ManualTimers
+from tinrudder.common.address import Address
 from tinrudder.gateway.backends import load_news_exchange
 from tinrudder.gateway.backends.load_news_exchange import LOG_PAUSE_S, LoadNewsExchange, number_of
 from tinrudder.gateway.decisions.fleet.load_news import (
@@ -18,7 +19,7 @@
     ReportedLoad,
 )
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.model.configuration import Address, BackendEntry
+from tinrudder.gateway.model.configuration import BackendEntry
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import LoadNews, Member
 from tinrudder.gateway.wire.peer_datagram_codec import encode_datagram
--- a/tests/unit/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -15,8 +15,8 @@
 import async_solipsism
 import pytest
 
+from tinrudder.common.address import Address
 from tinrudder.common.poison_requests import KEPT_S, Crash, Evidence
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member, PoisonReport
--- a/tests/unit/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -13,8 +13,8 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tinrudder.common.address import Address
 from tinrudder.common.poison_requests import ENOUGH_CRASHES, MOST_REQUESTS, Standing
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import (
--- a/tests/unit/test_probes.py
+++ b/tests/unit/gateway/test_probes.py
@@ -4,7 +4,7 @@
 
 from typing import Any
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
 from tinrudder.gateway.peers.probes import REMEMBERED_S, Probes, SentProbe
 
--- a/tests/unit/test_shared_state.py
+++ b/tests/unit/gateway/test_shared_state.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_exchange import DIGEST_INTERVAL_S
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Digest, Member, ReportedMember
--- a/tests/unit/test_snapshot_codec.py
+++ b/tests/unit/gateway/test_snapshot_codec.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Member, ReportedMember, Snapshot
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire.snapshot_codec import (
--- a/tests/unit/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -9,7 +9,7 @@
 import async_solipsism
 import pytest
 
-from tests.unit.test_shared_state import DECODERS, backend, configuration
+from tests.unit.gateway.test_shared_state import DECODERS, backend, configuration
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.store_follower import (
     LONGEST_REST_S,
--- a/tests/unit/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -14,7 +14,7 @@
 import async_solipsism
 import pytest
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Digest, Member, Probe, ProbeAnswer
--- a/tests/unit/test_known_red.py
+++ b/tests/unit/lab/test_known_red.py
@@ -10,7 +10,7 @@
 
 from tests.known_red import KnownRed, KnownRedError, read_list
 
-ROOT = Path(__file__).parents[2]
+ROOT = Path(__file__).parents[3]
 CONFTEST = """
 import sys
 sys.path.insert(0, {root!r})
--- a/tests/unit/test_caller_app.py
+++ b/tests/unit/node/test_caller_app.py
@@ -300,7 +300,7 @@
 
 
 def test_the_documented_statuses_are_those_of_the_table() -> None:
-    text = (Path(__file__).parents[2] / "docs" / "API.md").read_text()
+    text = (Path(__file__).parents[3] / "docs" / "API.md").read_text()
     documented = set()
     for row in re.findall(r"^\| (\d+) \| (not_run|failed|may_have_run) \| (.*?) \|", text, re.M):
         documented |= {(int(row[0]), row[1], reason) for reason in row[2].split(", ")}
--- a/tests/unit/test_explain.py
+++ b/tests/unit/node/test_explain.py
@@ -11,7 +11,7 @@
 from starlette.applications import Starlette
 
 from tests.support.virtual_caller import FakeCaller, run_virtual
-from tests.unit.test_fan_out import DEADLINE_S, Harness
+from tests.unit.node.test_fan_out import DEADLINE_S, Harness
 from tinrudder.cluster.view import Member
 from tinrudder.node.api.explain_app import explain_route
 from tinrudder.node.backends.messages import Broken
--- a/tests/unit/test_fan_out_machine.py
+++ b/tests/unit/node/test_fan_out_machine.py
@@ -16,7 +16,7 @@
 )
 
 from tests.support.fakes import ManualTimers, RecordingTransport
-from tests.unit.test_fan_out import DEADLINE_S, request_of
+from tests.unit.node.test_fan_out import DEADLINE_S, request_of
 from tinrudder.node.backends.messages import (
     Answered,
     BackendCall,
--- a/tests/unit/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -8,7 +8,7 @@
 import pytest
 
 from tests.support.fakes import ManualTimers, RecordingTransport
-from tests.unit.test_fan_out import DEADLINE_S, request_of
+from tests.unit.node.test_fan_out import DEADLINE_S, request_of
 from tinrudder.node.backends.messages import Answered, SearchAnswer, ShardRows, Shed
 from tinrudder.node.decisions.backend_table import BackendTable
 from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
--- a/tests/unit/test_query_decisions.py
+++ b/tests/unit/node/test_query_decisions.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tests.support.fakes import ManualTimers, RecordingTransport
-from tests.unit.test_fan_out import DEADLINE_S, NoOtherVersion, request_of
+from tests.unit.node.test_fan_out import DEADLINE_S, NoOtherVersion, request_of
 from tinrudder.node.backends.messages import Broken, Draining, NotSent, Shed, VersionGone
 from tinrudder.node.decisions.backend_table import BackendTable
 from tinrudder.node.decisions.hedge_by_quantile import MINIMUM_OBSERVATIONS
--- a/tests/unit/test_platform_adapter.py
+++ b/tests/unit/platform/test_platform_adapter.py
@@ -7,7 +7,8 @@
 
 import pytest
 
-from tinrudder.gateway.model.configuration import Address, SettingsFileError
+from tinrudder.common.address import Address
+from tinrudder.gateway.model.configuration import SettingsFileError
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
@@ -22,7 +23,7 @@
 )
 from tinrudder.platform.settings_file import load_gateway_settings
 
-PRODUCT = Path(__file__).parents[2] / "tinrudder"
+PRODUCT = Path(__file__).parents[3] / "tinrudder"
 MAX_FOLDER_LINES = 600
 
 # Names that only the platform's wire has; words that the field uses anyway are not listed.
--- a/tinrudder/cli/gateway.py
+++ b/tinrudder/cli/gateway.py
@@ -15,10 +15,11 @@
 
 from tinrudder.cli.exit_codes import ExitCode
 from tinrudder.common import event_loop
+from tinrudder.common.address import Address
 from tinrudder.common.garbage_collection import tune_garbage_collection
 from tinrudder.common.logs import configure_logs, log_problem
 from tinrudder.gateway.gateway import Gateway
-from tinrudder.gateway.model.configuration import Address, GatewaySettings, SettingsFileError
+from tinrudder.gateway.model.configuration import GatewaySettings, SettingsFileError
 from tinrudder.gateway.observability.log_stream import BoundedLineStream
 from tinrudder.gateway.store.stored_values import ValueDecoders
 from tinrudder.platform.documents import (
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -7,6 +7,7 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.address import Address
 from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.backends.upstream_connection import never_stood_still
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
@@ -16,7 +17,6 @@
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, ColdStartRate, own_part
 from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
 from tinrudder.gateway.model.configuration import (
-    Address,
     BackendEntry,
     ClientLimits,
     ColdBounds,
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -10,6 +10,7 @@
 from collections.abc import Callable, Iterable
 from zlib import crc32
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.decisions.fleet.load_news import (
@@ -23,7 +24,7 @@
     take_load,
     tell_load,
 )
-from tinrudder.gateway.model.configuration import Address, BackendEntry
+from tinrudder.gateway.model.configuration import BackendEntry
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import LoadNews
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -11,13 +11,13 @@
 from collections import deque
 from collections.abc import Callable
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.backends.upstream_connection import (
     AnswerCheck,
     UpstreamConnection,
     never_stood_still,
 )
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
 
 CONNECT_TIMEOUT_S = 0.4
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -90,7 +90,7 @@
     def wait_s(self, held: float, ahead: int) -> float:
         """Return how long a scatter behind ``ahead`` others waits until it may start.
 
-        >>> ScatterRoom(part=2.0, limit=2.0, hold_s=0.05).wait_s(held=2.5, ahead=3)
+        >>> ScatterConcurrency(part=2.0, limit=2.0, hold_s=0.05).wait_s(held=2.5, ahead=3)
         0.1
         """
         excess = held + ahead + LEAST_FREE - self.limit
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -142,7 +142,7 @@
             hears only a smaller part of the fleet.
         :param held: what a home told the entry lately.  Where homes die and stand still one after
             another, at seven times a limit 68 requests ran in a window for which 50 are allowed;
-            with this and smaller new buckets at most 39 (tests/functional/test_gateway_quotas.py,
+            with this and smaller new buckets at most 39 (tests/functional/gateway/test_quotas.py,
             six runs).
         """
         most = self._most(limit, now, share)
--- a/tinrudder/gateway/decisions/attempts/peer_round_trip.py
+++ b/tinrudder/gateway/decisions/attempts/peer_round_trip.py
@@ -24,7 +24,7 @@
 class PeerRoundTrip(Struct):
     """Mean and deviation of one kind of path, seconds.
 
-    >>> path = PathTime()
+    >>> path = PeerRoundTrip()
     >>> for _ in range(100):
     ...     path.observe(0.010)
     >>> 0.010 <= path.allowance_s < 0.011
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -16,7 +16,7 @@
 class ProcessPause:
     """Remembers when the process was last seen running, and when it woke.
 
-    >>> still = StandStill(0.0)
+    >>> still = ProcessPause(0.0)
     >>> still.note(1.0)
     >>> still.covers(0.5, now=1.2), still.covers(0.5, now=4.0)
     (False, True)
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -8,6 +8,7 @@
 import socket
 from collections.abc import Callable
 
+from tinrudder.common.address import Address
 from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.logs import log_event
 from tinrudder.common.transport.peer_client import PeerClient
@@ -19,7 +20,7 @@
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
 from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, ProcessPause
-from tinrudder.gateway.model.configuration import Address, GatewaySettings, HeaderNames
+from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
 from tinrudder.gateway.observability.gateway_log import (
     log_configuration,
     log_coordination,
--- a/tinrudder/gateway/model/configuration.py
+++ b/tinrudder/gateway/model/configuration.py
@@ -9,6 +9,8 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.address import Address
+
 
 class WeightedService(Struct, frozen=True):
     """A service and its part of a route's requests."""
@@ -162,31 +164,6 @@
     tenant: bytes
 
 
-class Address(Struct, frozen=True):
-    """An IP address and a port.
-
-    >>> str(Address.parse("10.0.0.1:80"))
-    '10.0.0.1:80'
-    """
-
-    host: str
-    port: int
-
-    @classmethod
-    def parse(cls, text: str) -> Address:
-        """Read ``HOST:PORT``.
-
-        :raises ValueError: the text has no such form.
-        """
-        host, separator, port = text.rpartition(":")
-        if not separator or not host or not (port.isascii() and port.isdigit()):
-            raise ValueError(f"{text!r} is not HOST:PORT")
-        return cls(host, int(port))
-
-    def __str__(self) -> str:
-        return f"{self.host}:{self.port}"
-
-
 class RepeatBounds(Struct, frozen=True):
     """How many calls beyond the first of each request a service may get from all gateways.
 
--- a/tinrudder/gateway/observability/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -7,8 +7,9 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.model.configuration import Address, Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import (
     Invalid,
     Merged,
--- a/tinrudder/gateway/peers/peer_datagrams.py
+++ b/tinrudder/gateway/peers/peer_datagrams.py
@@ -6,8 +6,8 @@
 from collections.abc import Callable
 from typing import Any, TypeVar, cast
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import log_problem
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_messages import PeerDatagram
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -6,9 +6,9 @@
 import random
 from collections.abc import Awaitable, Callable
 
+from tinrudder.common.address import Address
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.common.transport.peer_server import PeerServer
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import (
@@ -31,7 +31,7 @@
     decode_snapshot,
     encode_snapshot,
 )
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
+from tinrudder.peers import PeerLostError, PeerNotSentError
 
 DIGEST_INTERVAL_S = 0.5
 FIRST_DIGEST_INTERVAL_S = 0.2
@@ -256,8 +256,7 @@
         request = SnapshotRequest(state.operator_revision, known, settling)
         payload = encode_request(request)
         self._datagrams.traffic.note(request, len(payload))
-        address = PeerAddress(peer.host, peer.port)
-        return decode_snapshot(await self._client.request(address, payload, PULL_TIMEOUT_S))
+        return decode_snapshot(await self._client.request(peer, payload, PULL_TIMEOUT_S))
 
     def _apply(self, snapshot: Snapshot, peer: Address) -> None:
         """Take what is newer."""
@@ -270,7 +269,7 @@
         else:
             self._state.apply(Topic.BACKENDS, snapshot.backends)
 
-    async def _serve(self, _peer: PeerAddress, asked: bytes) -> bytes:
+    async def _serve(self, _peer: Address, asked: bytes) -> bytes:
         """Answer one request of a peer.
 
         :raises MalformedPeerMessageError: it is none.
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -12,7 +12,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Member, ReportedMember
 
 ALL_PEERS_UP_TO = 16
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
 from tinrudder.gateway.decisions.fleet.load_news import ReportedLoad
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import RequestOutcome
 from tinrudder.gateway.store.stored_values import StoredValue
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -13,6 +13,7 @@
 from collections.abc import Callable, Iterable
 from zlib import crc32
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.common.poison_requests import (
     MOST_CRASHES_OF_A_KIND,
@@ -24,7 +25,7 @@
     Standing,
 )
 from tinrudder.gateway.decisions.fleet.send_budget import SendBudget
-from tinrudder.gateway.model.configuration import Address, HeaderNames, Route
+from tinrudder.gateway.model.configuration import HeaderNames, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import NotRun
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -10,7 +10,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.correlation_ids import first_number
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -12,9 +12,9 @@
 from collections import Counter
 from collections.abc import Callable
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event, log_problem
 from tinrudder.gateway.decisions.fleet.zone_paths import PathState, ZonePaths
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Digest, ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes, SentProbe
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -5,13 +5,14 @@
 import asyncio
 from collections.abc import Callable
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.decisions.admission.token_buckets import (
     QuotaLimit,
     TokenBuckets,
     part_of_rate,
 )
-from tinrudder.gateway.model.configuration import Address, QuotaBounds, Tenant
+from tinrudder.gateway.model.configuration import QuotaBounds, Tenant
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.address import Address
 from tinrudder.common.rendezvous import rendezvous_score
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -12,9 +12,10 @@
 
 from msgspec import Struct
 
+from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
-from tinrudder.gateway.model.configuration import Address, QuotaBounds, Tenant
+from tinrudder.gateway.model.configuration import QuotaBounds, Tenant
 from tinrudder.gateway.model.outcomes import NotRun, OverQuota
 from tinrudder.gateway.peers.correlation_ids import first_number
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -11,6 +11,7 @@
 from msgspec import Struct, field
 from msgspec.structs import replace
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.decisions.placement.coordinator_choice import (
     Candidate,
@@ -21,7 +22,7 @@
     strong_ones,
 )
 from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes, group_by_place
-from tinrudder.gateway.model.configuration import Address, GatewayConfiguration, Route
+from tinrudder.gateway.model.configuration import GatewayConfiguration, Route
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member
 from tinrudder.gateway.store.shared_state import SharedState
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -8,8 +8,9 @@
 
 from msgspec import Struct
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.clients.client_deadlines import Deadlines
-from tinrudder.gateway.model.configuration import Address, Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NotRun
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -5,14 +5,15 @@
 from collections.abc import Iterable
 from dataclasses import dataclass
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.clients.client_deadlines import Deadlines
-from tinrudder.gateway.model.configuration import Address, Route
+from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.observability.request_log import log_coordinator_failed
 from tinrudder.gateway.peers.peer_messages import Declined, ScatterEnd, ScatterRequest
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.wire.gateway_relay_codec import decode_answer, encode_request
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
-from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
+from tinrudder.peers import PeerLostError, PeerNotSentError, PeerSilentError
 
 ANSWER_MARGIN_S = 0.01
 """How long before the client's deadline another gateway's answer must be here, a choice: the way
@@ -98,13 +99,12 @@
     now = delegation_context.call_context.loop.time()
     left_s = deadlines.deadline_at - now
     acceptance_s = min(_acceptance_s(deadlines, now), left_s)
-    address = PeerAddress(coordinator.host, coordinator.port)
     payload = encode_request(scatter)
     delegation_context.traffic.note(scatter, len(payload))
     try:
         answer = decode_answer(
             await delegation_context.client.request(
-                address, payload, left_s, acceptance_s, begin_at_once=begin_at_once
+                coordinator, payload, left_s, acceptance_s, begin_at_once=begin_at_once
             )
         )
     except PeerSilentError as error:
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -6,9 +6,9 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.address import Address
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.decisions.attempts.peer_round_trip import PeerRoundTrip
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.requests.call_context import CallContext
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -10,7 +10,7 @@
 import random
 from collections.abc import Callable
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes, SentProbe
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -6,8 +6,8 @@
 
 from msgspec import Struct, field
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.decisions.placement.coordinator_choice import Candidate, choose_readers
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member
 from tinrudder.gateway.store.shared_state import SharedState
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -7,7 +7,7 @@
 
 from google.protobuf.message import DecodeError, Message
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Digest, Member, ReportedMember, Snapshot
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire import snapshot_pb2 as pb
--- a/tinrudder/node/settings.py
+++ b/tinrudder/node/settings.py
@@ -128,7 +128,7 @@
     """Return the addresses of a ``seed_peers`` setting.
 
     >>> parse_seed_peers("10.0.0.1:8081, 10.0.0.2:8081")[1]
-    PeerAddress(host='10.0.0.2', port=8081)
+    Address(host='10.0.0.2', port=8081)
 
     :raises SettingsError: an entry is not ``HOST:PORT`` with an IP address.
     """
--- a/tinrudder/peers.py
+++ b/tinrudder/peers.py
@@ -5,20 +5,13 @@
 from collections.abc import Awaitable, Callable
 from typing import Protocol
 
-from msgspec import Struct
+from tinrudder.common.address import Address
 
 MAX_DATAGRAM_BYTES = 1400
 
 
-class PeerAddress(Struct, frozen=True, order=True):
-    """IP address and port where a node listens for other nodes (TCP and UDP alike)."""
-
-    host: str
-    port: int
-
-    def __str__(self) -> str:
-        """Return ``host:port``."""
-        return f"{self.host}:{self.port}"
+PeerAddress = Address
+"""Where a process listens for the others of its fleet, TCP and UDP alike."""
 
 
 class PeerNotSentError(Exception):
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -7,9 +7,9 @@
 import msgspec
 from msgspec import Meta
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.backends.entry_rules import check_entry
 from tinrudder.gateway.model.configuration import (
-    Address,
     BackendEntry,
     ClientLimits,
     GatewayConfiguration,
--- a/tinrudder/platform/settings_file.py
+++ b/tinrudder/platform/settings_file.py
@@ -12,8 +12,8 @@
 import msgspec
 from msgspec import Meta
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.model.configuration import (
-    Address,
     ColdBounds,
     GatewaySettings,
     QuotaBounds,
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -8,10 +8,10 @@
 
 import msgspec
 
+from tinrudder.common.address import Address
 from tinrudder.gateway.backends.http_fetch import FetchError, fetch
 from tinrudder.gateway.backends.upstream_connection import accept_any_answer
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
-from tinrudder.gateway.model.configuration import Address
 from tinrudder.gateway.store.stored_values import (
     HistoryForgottenError,
     Reading,
--- a/tinrudder_lab/emulator/backend.py
+++ b/tinrudder_lab/emulator/backend.py
@@ -23,7 +23,7 @@
     """What a back end may do wrong with an answer.
 
     Connections in memory end in order or not at all; answers that are reset on the way are
-    tested on the connection itself (tests/unit/test_upstream_connection.py).
+    tested on the connection itself (tests/unit/gateway/test_upstream_connection.py).
     """
 
     NONE = "none"
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -10,8 +10,9 @@
 from typing import Any, TypeVar
 
 from tinrudder.cli.gateway import DECODERS
+from tinrudder.common.address import Address
 from tinrudder.gateway.gateway import Gateway
-from tinrudder.gateway.model.configuration import Address, ColdBounds, GatewaySettings, RepeatBounds
+from tinrudder.gateway.model.configuration import ColdBounds, GatewaySettings, RepeatBounds
 from tinrudder.platform.documents import BACKENDS_PREFIX, CONFIGURATION_KEY, EVACUATION_PREFIX
 from tinrudder.platform.headers import HEADERS
 from tinrudder.platform.store_client import StoreClient
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -10,7 +10,8 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from tinrudder.gateway.model.configuration import Address, QuotaBounds
+from tinrudder.common.address import Address
+from tinrudder.gateway.model.configuration import QuotaBounds
 from tinrudder_lab.emulator.records import Disturbance
 from tinrudder_lab.emulator.site import (
     BACKEND_PORT,
--- a/tinrudder_lab/soak/proxy.py
+++ b/tinrudder_lab/soak/proxy.py
@@ -8,7 +8,7 @@
 import socket
 import struct
 
-from tinrudder.gateway.model.configuration import Address
+from tinrudder.common.address import Address
 
 CHUNK_BYTES = 65536
 SLOW_S = 0.15
