--- a/bench/overload.py
+++ b/bench/overload.py
@@ -20,7 +20,8 @@
 
 from bench.share_admission import Admission
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.scatters.scatter_admission import ScatterAdmission, Ticket
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmission
+from tinrudder.gateway.scatters.waiting_scatter import Ticket
 from tinrudder_lab.emulator.records import ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
@@ -136,19 +137,19 @@
 
 def by_chance(gate: ScatterAdmission, ticket: Ticket) -> None:
     """Refuse by chance from reported queues, as single requests are."""
-    entrance = ticket.entrance
+    waiting = ticket.waiting
     admission: Admission = gate.__dict__.setdefault(
         "admission", Admission(gate._call_context, gate._random)
     )
-    coordination = gate._delegation_context.coordinators.of_route(entrance.route)
-    shards = coordination.own_shards(gate._index)
+    coordination = gate._typical._coordinators.of_route(waiting.route)
+    shards = coordination.own_shards(gate._typical._index)
     refusal: NotRun | None = admission.refusal(
-        entrance.route, shards, entrance.deadlines, entrance.priority, entrance.tenant
+        waiting.route, shards, waiting.deadlines, waiting.priority, waiting.tenant
     )
     if refusal is None:
         gate._start(ticket)
     else:
-        entrance.refuse(refusal, entrance.deadlines.received_at)
+        waiting.refuse(refusal, waiting.deadlines.received_at)
 
 
 WAYS: dict[str, Callable[[ScatterAdmission, Ticket], None]] = {
--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -18,7 +18,7 @@
 )
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.scatters.scatter_admission import Ticket
+from tinrudder.gateway.scatters.waiting_scatter import Ticket
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.loop import EmulatorLoop
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
@@ -160,7 +160,7 @@
 
     def enter(self, ticket: Ticket) -> None:
         self.refused += 1
-        ticket.entrance.refuse(NotRun("queues", 0.1), self._site.loop.time())
+        ticket.waiting.refuse(NotRun("queues", 0.1), self._site.loop.time())
 
     def leave(self, ticket: Ticket) -> None:
         pass
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -32,8 +32,9 @@
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
 from tinrudder.gateway.scatters.delegated_scatter import DelegatedScatter
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
-from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+from tinrudder.gateway.scatters.waiting_scatter import WaitingScatter
 from tinrudder.gateway.store.shared_state import SharedState
 
 RETRY_AFTER_START_S = 0.3
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -21,7 +21,7 @@
     may_begin_at_once,
 )
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
-from tinrudder.gateway.scatters.scatter_admission import WaitingScatter
+from tinrudder.gateway.scatters.waiting_scatter import WaitingScatter
 
 
 class DelegatedScatter:
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -22,8 +22,9 @@
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
-from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+from tinrudder.gateway.scatters.waiting_scatter import WaitingScatter
 from tinrudder.gateway.store.shared_state import SharedState
 
 
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -1,17 +1,15 @@
-"""Where scatters wait as a whole before anything of them has run: one gate for each index.
+"""Admits scatters: they wait as a whole before anything of them has run, one queue for each index.
 
-The decisions are in :mod:`tinrudder.gateway.decisions.admission.scatter_queue`; this connects
-them to requests, to what back ends report, and to the clock.
+Owns who waits and who runs at this gateway. The decisions are in
+:mod:`tinrudder.gateway.decisions.admission.scatter_queue`; this connects them to requests, to what
+back ends report, and to the clock.
 """
 
 from __future__ import annotations
 
 import asyncio
 import random
-import statistics
-from collections.abc import Callable, Collection
 
-from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
 from tinrudder.gateway.decisions.admission.retry_after import (
     may_come_back,
@@ -24,117 +22,19 @@
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
 from tinrudder.gateway.model.configuration import Route
-from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
-from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.model.outcomes import NotRun
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
+from tinrudder.gateway.scatters.typical_shard import TypicalShard
+from tinrudder.gateway.scatters.waiting_scatter import Ticket, WaitingScatter
 from tinrudder.timers import TimerHandle
 
 PART_KEPT_S = 1.0
 """How long a gateway's part of the slots is not worked out anew: back ends and gateways come and go
 in seconds."""
-SAMPLED_SHARDS = 16
-"""So many shards tell what the typical one is like; all 90 of an index cost 0.5 ms each time."""
-
-MakeRun = Callable[[OutcomeListener], RequestRun]
-
-
-class Ticket:
-    """One scatter at a gate: it waits, runs, or has left.
-
-    :ivar run: the scatter while it runs.
-    """
-
-    def __init__(self, gate: ScatterAdmission, entrance: WaitingScatter) -> None:
-        """Prepare; nothing happens before :meth:`enter`."""
-        self.entrance = entrance
-        self.run: RequestRun | None = None
-        self.scatter: QueuedScatter | None = None
-        self._gate = gate
-
-    def enter(self) -> None:
-        """Begin, wait, or be refused."""
-        self._gate.enter(self)
-
-    def leave(self) -> None:
-        """Give back the place in the queue, or the room."""
-        self._gate.leave(self)
-
-
-class WaitingScatter:
-    """One scatter from its arrival to its outcome; nothing of it runs before there is room.
-
-    :ivar decided_at: monotonic time of the latest decision on it.
-    """
-
-    def __init__(
-        self,
-        gate: ScatterAdmission,
-        route: Route,
-        deadlines: Deadlines,
-        priority: int,
-        tenant: str,
-        make_run: MakeRun,
-        on_outcome: OutcomeListener,
-    ) -> None:
-        """Prepare.
-
-        :param tenant: on whose behalf it comes; empty for nobody's.
-        :param make_run: prepares the run at the moment at which it begins.
-        """
-        self.route = route
-        self.deadlines = deadlines
-        self.priority = priority
-        self.tenant = tenant
-        self._make_run = make_run
-        self._on_outcome = on_outcome
-        self._run: RequestRun | None = None
-        self._refused_at = deadlines.received_at
-        self._ticket = Ticket(gate, self)
-
-    @property
-    def repeats(self) -> int:
-        """Return how many calls were sent beyond the first of each shard."""
-        return self._run.repeats if self._run is not None else 0
-
-    @property
-    def missing_shards(self) -> tuple[MissingShard, ...]:
-        """Return the shards without an answer; none while nothing was asked."""
-        return self._run.missing_shards if self._run is not None else ()
-
-    @property
-    def decided_at(self) -> float:
-        """Return when the latest decision fell."""
-        return self._run.decided_at if self._run is not None else self._refused_at
-
-    def start(self) -> None:
-        """Enter the gate."""
-        self._ticket.enter()
-
-    def abandon(self) -> None:
-        """End for a client that has left."""
-        if self._run is not None:
-            self._run.abandon()
-        self._ticket.leave()
-
-    def begin(self) -> RequestRun:
-        """Prepare the run; the gate starts it."""
-        self._run = self._make_run(self._end)
-        return self._run
-
-    def refuse(self, refusal: NotRun, now: float) -> None:
-        """End without having run."""
-        self._refused_at = now
-        self._on_outcome(refusal)
-
-    def _end(self, outcome: RequestOutcome) -> None:
-        """Answer, then let others begin."""
-        self._on_outcome(outcome)
-        self._ticket.leave()
 
 
 class ScatterAdmission:
-    """The gate of one index at this gateway."""
+    """The admission of one index at this gateway: a queue before a concurrency limit."""
 
     def __init__(
         self,
@@ -142,11 +42,15 @@
         delegation_context: DelegationContext,
         random_source: random.Random,
     ) -> None:
-        """Learn of back ends, callers and reports through ``relaying``."""
+        """Learn of back ends, callers and reports through ``delegation_context``."""
         self.queue = ScatterQueue()
-        self._index = index
-        self._delegation_context = delegation_context
         self._call_context = delegation_context.call_context
+        self._typical = TypicalShard(
+            index,
+            delegation_context.call_context.directory,
+            delegation_context.coordinators,
+            random_source,
+        )
         self._random = random_source
         self._running: set[Ticket] = set()
         self._waiting: dict[QueuedScatter, Ticket] = {}
@@ -157,11 +61,11 @@
 
     @property
     def held(self) -> float:
-        """Return the room that running scatters hold, in scatters' worth."""
+        """Return what running scatters hold of the concurrency limit, in scatters."""
         return sum(one.run.unanswered_share for one in self._running if one.run is not None)
 
     def _held_before(self, scatter: QueuedScatter) -> float:
-        """Return the room that running scatters hold which are as urgent as one, or more."""
+        """Return what those running hold that are as urgent as one, or more, in scatters."""
         if scatter.late:
             return self.held
         return sum(
@@ -176,7 +80,7 @@
         """Start a scatter, let it wait, or refuse it."""
         now = self._call_context.loop.time()
         self._follow_reports(now)
-        scatter = ticket.scatter = self._describe(ticket.entrance)
+        scatter = ticket.scatter = self._describe(ticket.waiting)
         held_before = self._held_before(scatter)
         verdict = self.queue.arrive(scatter, self.held, now, held_before=held_before)
         if isinstance(verdict, ScatterRefusal):
@@ -219,7 +123,7 @@
 
     def _start(self, ticket: Ticket) -> None:
         """Begin a scatter."""
-        ticket.run = ticket.entrance.begin()
+        ticket.run = ticket.waiting.begin()
         ticket.run.on_progress = self._progressed
         self._running.add(ticket)
         ticket.run.start()
@@ -240,7 +144,7 @@
         self._call_context.counters.refused += 1
         assert ticket.scatter is not None
         retry_s = self._retry_after_s(ticket.scatter, refusal, now)
-        ticket.entrance.refuse(NotRun(str(refusal), retry_s), now)
+        ticket.waiting.refuse(NotRun(str(refusal), retry_s), now)
 
     def _retry_after_s(self, scatter: QueuedScatter, refusal: ScatterRefusal, now: float) -> float:
         """Return when there will be room for a refused caller, behind those refused before it.
@@ -257,16 +161,16 @@
             self._returns_until[refusal.priority] = until + (1.0 / pace if pace else 0.0)
         return retry_after_by_place_s(room_in_s, left_s, self._random.random())
 
-    def _describe(self, entrance: WaitingScatter) -> QueuedScatter:
+    def _describe(self, waiting: WaitingScatter) -> QueuedScatter:
         """Return what decides on a scatter's place."""
-        deadlines = entrance.deadlines
+        deadlines = waiting.deadlines
         return QueuedScatter(
-            priority=entrance.priority,
+            priority=waiting.priority,
             objective_at=deadlines.objective_at,
             deadline_at=deadlines.deadline_at,
-            usual_s=self._usual_s(entrance.route),
+            usual_s=self._usual_s(waiting.route),
             returning=deadlines.returning,
-            tenant=entrance.tenant,
+            tenant=waiting.tenant,
         )
 
     def _usual_s(self, route: Route) -> float:
@@ -281,90 +185,58 @@
         room = self.queue.room
         if self._part_at is None or now - self._part_at >= PART_KEPT_S:
             self._part_at = now
-            self._set_part()
+            slots = self._typical.own_slots()
+            if slots:
+                room.set_part(slots)
         in_use = bool(self.queue) or not room.bears_another(self.held)
         if not room.may_judge(now) or not (in_use or room.has_changed):
             return
-        queue = self._typical_queue(now)
+        queue = self._typical.queue(now)
         if queue is not None:
             room.judge(queue, now, in_use=in_use)
 
-    def _set_part(self) -> None:
-        """Work out this gateway's part of the slots of the typical shard."""
-        slots = [
-            sum(
-                backend.observations.slots
-                for backend in self._call_context.directory.staying(shard)
-            )
-            for shard in self._sample(self._index)
-        ]
-        callers = self._delegation_context.coordinators.of_service(self._index[0]).callers
-        typical = statistics.median(slots)
-        if typical:
-            self.queue.room.set_part(typical / max(1, callers))
-
-    def _typical_queue(self, now: float) -> float | None:
-        """Return the wait for a slot at the typical shard, in calls' times; ``None``: unknown."""
-        coordination = self._delegation_context.coordinators.of_service(self._index[0])
-        queues: list[float] = []
-        for shard in self._sample(coordination.own_shards(self._index)):
-            reported = [
-                queue
-                for backend in self._call_context.directory.staying(shard)
-                if (queue := backend.observations.reported_queue(now)) is not None
-            ]
-            if reported:
-                queues.append(statistics.fmean(reported))
-        return statistics.median(queues) if queues else None
-
-    def _sample(self, shards: tuple[str, ...]) -> Collection[str]:
-        """Return some shards by chance."""
-        if len(shards) <= SAMPLED_SHARDS:
-            return shards
-        return self._random.sample(shards, SAMPLED_SHARDS)
-
 
 class ScatterAdmissions:
-    """The gates of all indexes that this gateway calls."""
+    """The admissions of all indexes that this gateway calls."""
 
     def __init__(self, delegation_context: DelegationContext, random_source: random.Random) -> None:
-        """Make gates as they are needed."""
+        """Make admissions as they are needed."""
         self._delegation_context = delegation_context
         self._random = random_source
-        self._gates: dict[tuple[str, ...], ScatterAdmission] = {}
+        self._by_index: dict[tuple[str, ...], ScatterAdmission] = {}
 
     def of_route(self, route: Route) -> ScatterAdmission:
-        """Return the gate of a route's index."""
-        gate = self._gates.get(route.shards)
-        if gate is None:
-            gate = ScatterAdmission(route.shards, self._delegation_context, self._random)
-            self._gates[route.shards] = gate
-        return gate
+        """Return the admission of a route's index."""
+        admission = self._by_index.get(route.shards)
+        if admission is None:
+            admission = ScatterAdmission(route.shards, self._delegation_context, self._random)
+            self._by_index[route.shards] = admission
+        return admission
 
     def forget_unused(self, indexes: frozenset[tuple[str, ...]]) -> None:
-        """Drop the gates of indexes that no configuration names; what waits there still ends."""
-        for index in self._gates.keys() - indexes:
-            del self._gates[index]
+        """Drop those of indexes that no configuration names; what waits there still ends."""
+        for index in self._by_index.keys() - indexes:
+            del self._by_index[index]
 
     @property
     def gates(self) -> tuple[ScatterAdmission, ...]:
-        """Return all gates."""
-        return tuple(self._gates.values())
+        """Return all admissions."""
+        return tuple(self._by_index.values())
 
     @property
     def waiting(self) -> int:
         """Return how many scatters wait."""
-        return sum(len(gate.queue) for gate in self._gates.values())
+        return sum(len(one.queue) for one in self._by_index.values())
 
     @property
     def held(self) -> float:
-        """Return the room that running scatters hold."""
-        return sum(gate.held for gate in self._gates.values())
+        """Return what running scatters hold of the limits, in scatters."""
+        return sum(one.held for one in self._by_index.values())
 
     @property
     def limit(self) -> float:
-        """Return the room that they may hold."""
-        return sum(gate.queue.room.limit for gate in self._gates.values())
+        """Return the concurrency limits together, in scatters."""
+        return sum(one.queue.room.limit for one in self._by_index.values())
 
 
 def _nothing() -> None:
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -29,7 +29,7 @@
         delegation_context: DelegationContext,
         random_source: random.Random,
     ) -> None:
-        """Ask other gateways through ``relaying``."""
+        """Ask other gateways through ``delegation_context``."""
         self._call_context = call_context
         self._delegation_context = delegation_context
         self._random = random_source
