--- a/tests/functional/gateway/test_dead_shards.py
+++ b/tests/functional/gateway/test_dead_shards.py
@@ -80,7 +80,7 @@
         assert entry is not None
         coordination = entry.coordinators.of_service("shard-0")
         own = coordination.own_shards(site.shard_services)
-        assert coordination.handed_over
+        assert coordination.delegated
         assert own
         await end_service(site, *own)
         asked = site.request("scatter").target
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -41,7 +41,8 @@
 from tinrudder.gateway.requests.authentication import Authentication
 from tinrudder.gateway.requests.call_context import CallContext, CallCounters
 from tinrudder.gateway.requests.request_handler import RequestHandler as ForwardingHandler
-from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
+from tinrudder.gateway.scatters.coordination import Coordination
+from tinrudder.gateway.scatters.coordinators import Coordinators
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.scatters.delegation_service import DelegationService
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tinrudder.common.logs import LogValue, log_event, log_problem
-from tinrudder.gateway.scatters.coordinators import Coordination
+from tinrudder.gateway.scatters.coordination import Coordination
 from tinrudder.gateway.store.shared_state import AcceptedConfiguration
 from tinrudder.gateway.store.stored_values import Topic
 
@@ -33,7 +33,7 @@
     fields: dict[str, LogValue] = {
         "own": coordination.own,
         "asked": " ".join(str(address) for address in coordination.asked),
-        "handed_over": coordination.handed_over_count,
+        "handed_over": coordination.delegated_count,
         "callers": coordination.callers,
         "nodes": nodes,
     }
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -1,6 +1,9 @@
 """Who calls the back ends of an index: every gateway, or a few coordinators for all.
 
 Shards without a replica in a gateway's zone are asked by a gateway that has them beside it.
+Owns the decision of each index for half a second, and whom it avoids. Relies on the members and
+their zones, on the back ends of the configuration in force, and on
+:mod:`tinrudder.gateway.decisions.placement.coordinator_choice`.
 """
 
 from __future__ import annotations
@@ -12,7 +15,6 @@
 from msgspec.structs import replace
 
 from tinrudder.common.address import Address
-from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.decisions.placement.coordinator_choice import (
     Candidate,
     IndexDemand,
@@ -25,79 +27,19 @@
 from tinrudder.gateway.model.configuration import GatewayConfiguration, Route
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member
+from tinrudder.gateway.scatters.coordination import Coordination, CoordinationKey, DelegatedGroup
+from tinrudder.gateway.scatters.coordinator_backoff import CoordinatorBackoff
 from tinrudder.gateway.store.shared_state import SharedState
 
 KEPT_FOR_S = 0.5
+"""How long a decision stands, seconds. Chosen, not measured: members come and go in seconds, and
+every request of an index asks for its coordination."""
 ASKED_AT_MOST = 3
-FIRST_AVOIDANCE_S = 0.5
-LONGEST_AVOIDANCE_S = 4.0
+"""Coordinators that one scatter is offered to before its entry runs it. Chosen, not measured: each
+that stays silent costs up to 0.1 s of the time to the objective."""
 COORDINATORS_PART = 0.75
-"""Part of the fleet's repeats that coordinators may spend; the rest is for gateways that must
-run a scatter themselves."""
-
-
-class HandedShards(Struct, frozen=True):
-    """Shards that others ask for this gateway, and who may be asked to."""
-
-    shards: tuple[str, ...]
-    asked: tuple[Address, ...]
-
-
-class Essence(Struct, frozen=True):
-    """Whether this gateway calls the back ends itself, and whom it asks otherwise."""
-
-    own: bool
-    asked: frozenset[Address]
-    handed_over: int
-
-
-class Coordination(Struct, frozen=True):
-    """How one index is served, as this gateway sees it now.
-
-    :param own: whether this gateway calls the back ends itself.
-    :param asked: the coordinators to ask, best first; empty where ``own``.
-    :param callers: how many gateways call the back ends, this one included where ``own``.
-    :param sharers: in how many parts the fleet's repeats are divided, as seen from here.
-    :param handed_over: where ``own``, the shards that gateways beside their replicas ask.
-    :param caller_names: the callers that are known.
-    """
-
-    own: bool
-    asked: tuple[Address, ...]
-    callers: int
-    sharers: float
-    decided_at: float
-    handed_over: tuple[HandedShards, ...] = ()
-    caller_names: frozenset[str] = frozenset()
-
-    @property
-    def essence(self) -> Essence:
-        """Return what tells one coordination from another, whenever it was decided."""
-        return Essence(self.own, frozenset(self.asked), self.handed_over_count)
-
-    @property
-    def known_callers(self) -> Callers:
-        """Return who calls the back ends, for what callers divide among themselves."""
-        return Callers(self.caller_names, self.callers)
-
-    @property
-    def handed_over_count(self) -> int:
-        """Return how many shards are handed over."""
-        return sum(len(group.shards) for group in self.handed_over)
-
-    def own_shards(self, index: tuple[str, ...]) -> tuple[str, ...]:
-        """Return the shards that are not handed over."""
-        if not self.handed_over:
-            return index
-        handed_over = {shard for group in self.handed_over for shard in group.shards}
-        return tuple(shard for shard in index if shard not in handed_over)
-
-
-class _Avoided(Struct):
-    """A coordinator that failed."""
-
-    failures: int
-    until: float
+"""Part of the fleet's hedges and retries that coordinators may spend, chosen, not measured; the
+rest is for gateways that must run a scatter themselves."""
 
 
 class Coordinators(Struct):
@@ -123,8 +65,8 @@
     is_closed: Callable[[str], bool]
     _by_index: dict[tuple[str, ...], Coordination] = field(default_factory=dict)
     _index_of: dict[str, tuple[str, ...]] = field(default_factory=dict)
-    _avoided: dict[Address, _Avoided] = field(default_factory=dict)
-    _told: dict[tuple[str, ...], Essence] = field(default_factory=dict)
+    _backoff: CoordinatorBackoff = field(default_factory=CoordinatorBackoff)
+    _reported: dict[tuple[str, ...], CoordinationKey] = field(default_factory=dict)
     _all: Coordination | None = None
     _indexed: GatewayConfiguration | None = None
 
@@ -139,7 +81,7 @@
         indexes = [route.shards for route in accepted.configuration.routes if route.shards]
         self._index_of = {service: index for index in indexes for service in index}
         self._by_index.clear()
-        self._told = {index: told for index, told in self._told.items() if index in indexes}
+        self._reported = {index: key for index, key in self._reported.items() if index in indexes}
 
     def of_route(self, route: Route) -> Coordination:
         """Return how a scatter's index is served."""
@@ -157,17 +99,12 @@
 
     def failed(self, coordinator: Address) -> None:
         """Leave a coordinator alone for a while, longer after every failure in a row."""
-        now = self.clock()
-        avoided = self._avoided.setdefault(coordinator, _Avoided(0, 0.0))
-        if avoided.until > now:
-            return
-        avoided.until = now + min(LONGEST_AVOIDANCE_S, FIRST_AVOIDANCE_S * 2**avoided.failures)
-        avoided.failures += 1
-        self._by_index.clear()
+        if self._backoff.failed(coordinator, self.clock()):
+            self._by_index.clear()
 
     def succeeded(self, coordinator: Address) -> None:
         """Forget earlier failures."""
-        self._avoided.pop(coordinator, None)
+        self._backoff.succeeded(coordinator)
 
     def reconsider(self) -> None:
         """Decide anew: a zone has gone out of reach, or come back."""
@@ -180,13 +117,13 @@
         if known is None or now - known.decided_at >= KEPT_FOR_S:
             known = self._decide(index, now)
             self._by_index[index] = known
-            self._tell(index, known)
+            self._report(index, known)
         return known
 
-    def _tell(self, index: tuple[str, ...], coordination: Coordination) -> None:
-        """Report a decision unless it is what was told before."""
-        if self._told.get(index) != coordination.essence:
-            self._told[index] = coordination.essence
+    def _report(self, index: tuple[str, ...], coordination: Coordination) -> None:
+        """Report a decision unless it is what was reported before."""
+        if self._reported.get(index) != coordination.key:
+            self._reported[index] = coordination.key
             self.on_change(coordination)
 
     def _decide(self, index: tuple[str, ...], now: float) -> Coordination:
@@ -195,8 +132,8 @@
         count = coordinators_needed(self._demand(index, zones), self.peers.nodes(now))
         others = [one for one in self.peers.candidates(now) if not self.is_closed(one.zone)]
         if count is None:
-            handed_over = self._handed_over(index, zones, others, now)
-            return replace(self._by_all(now), handed_over=handed_over)
+            delegated = self._delegated(index, zones, others, now)
+            return replace(self._by_all(now), delegated=delegated)
         own = self.describe_own()
         members = [own, *others]
         by_name = {str(member.address): member for member in members}
@@ -206,25 +143,25 @@
         callers = max(count, len(chosen))
         if any(one.name == str(own.address) for one in chosen):
             beside = [by_name[one.name] for one in chosen if one.name != str(own.address)]
-            handed_over = self._handed_over(index, zones, beside, now)
+            delegated = self._delegated(index, zones, beside, now)
             sharers = callers / COORDINATORS_PART
             names = frozenset(one.name for one in chosen)
-            return Coordination(True, (), callers, sharers, now, handed_over, names)
+            return Coordination(True, (), callers, sharers, now, delegated, names)
         order = preference(str(own.address), own.zone, chosen)
         addresses = [by_name[one.name].address for one in order]
-        asked = tuple(one for one in addresses if not self._is_avoided(one, now))
+        asked = tuple(one for one in addresses if not self._backoff.avoids(one, now))
         sharers = self.peers.nodes(now) / (1.0 - COORDINATORS_PART)
         return Coordination(False, asked[:ASKED_AT_MOST], callers, sharers, now)
 
-    def _handed_over(
+    def _delegated(
         self,
         index: tuple[str, ...],
         zones: list[tuple[str, ...]],
         members: Iterable[Member],
         now: float,
-    ) -> tuple[HandedShards, ...]:
+    ) -> tuple[DelegatedGroup, ...]:
         """Return the shards that some of ``members`` ask for this gateway."""
-        willing = [one for one in members if not self._is_avoided(one.address, now)]
+        willing = [one for one in members if not self._backoff.avoids(one.address, now)]
         own_zone = self.describe_own().zone
         groups = group_by_place(
             own_zone,
@@ -233,7 +170,7 @@
             self.sizes(index),
         )
         return tuple(
-            HandedShards(group.shards, _strong_in(group.zones, willing)) for group in groups
+            DelegatedGroup(group.shards, _strong_in(group.zones, willing)) for group in groups
         )
 
     def _by_all(self, now: float) -> Coordination:
@@ -251,10 +188,6 @@
         replicas = statistics.median_low([len(one) for one in zones])
         return IndexDemand(max(1, replicas), min(limits, default=1))
 
-    def _is_avoided(self, coordinator: Address, now: float) -> bool:
-        avoided = self._avoided.get(coordinator)
-        return avoided is not None and now < avoided.until
-
 
 def _near(members: list[Member], zones: list[tuple[str, ...]]) -> list[Member]:
     """Return the members in zones that have back ends, all of them if there are none.
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -1,10 +1,16 @@
-"""The entry's side of a scatter that a coordinator runs."""
+"""The entry's side of a scatter that a coordinator runs.
+
+Owns the order in which coordinators are asked and what may be said of the outcome; relies on
+:mod:`tinrudder.gateway.scatters.delegation` for each attempt, and on ``run_here`` as a last resort.
+"""
 
 from __future__ import annotations
 
 import asyncio
 from collections.abc import Callable
 
+from msgspec.structs import replace
+
 from tinrudder.common.address import Address
 from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import Route
@@ -14,11 +20,12 @@
 from tinrudder.gateway.requests.request_run import OutcomeListener
 from tinrudder.gateway.scatters.delegation import (
     ANSWER_MARGIN_S,
-    Lost,
-    NotTaken,
-    Unheard,
-    hand_over,
+    LostAfterStart,
+    NotStarted,
+    Unconfirmed,
+    delegate,
     may_begin_at_once,
+    whole_scatter,
 )
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.scatters.waiting_scatter import WaitingScatter
@@ -94,7 +101,7 @@
     async def _ask(self, coordinator: Address) -> ScatterEnd | None:
         """Ask one coordinator; ``None`` when it gave no usable answer."""
         scatter = self._scatter_request(coordinator)
-        outcome = await hand_over(
+        outcome = await delegate(
             self._delegation_context,
             coordinator,
             scatter,
@@ -106,12 +113,12 @@
         match outcome:
             case ScatterEnd():
                 return outcome
-            case NotTaken(detail=detail):
+            case NotStarted(detail=detail):
                 self._problems.append(detail)
-            case Unheard(detail=detail):
+            case Unconfirmed(detail=detail):
                 self._problems.append(detail)
                 self._may_have_run = True
-            case Lost(detail=detail):
+            case LostAfterStart(detail=detail):
                 self._problems.append(detail)
                 self._lost = True
         return None
@@ -143,18 +150,14 @@
 
     def _scatter_request(self, coordinator: Address) -> ScatterRequest:
         """Say what is asked of a coordinator, with the time that is left to it now."""
-        now = self._delegation_context.call_context.loop.time()
-        deadlines = self._deadlines
-        path_s = self._delegation_context.path_time(coordinator).allowance_s
-        return ScatterRequest(
-            request=self._request,
-            request_id=self._request_id,
-            objective_left_s=deadlines.objective_at - now - path_s,
-            deadline_left_s=deadlines.deadline_at - now - ANSWER_MARGIN_S,
-            returning=deadlines.returning,
-            configuration_revision=self._delegation_context.configuration_revision(),
-            priority=self._priority,
+        whole = whole_scatter(
+            self._delegation_context,
+            coordinator,
+            self._request,
+            self._request_id,
+            self._deadlines,
         )
+        return replace(whole, priority=self._priority)
 
     def _run_local(self) -> None:
         """Run the scatter here."""
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -1,4 +1,8 @@
-"""Some shards of a scatter that another gateway asks, since their replicas are in its zone."""
+"""Some shards of a scatter that another gateway asks, since their replicas are in its zone.
+
+Owns the group's part of the answer and what is known of its having run. The gateway that merges
+the scatter decides what happens to shards that were not answered.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 from collections.abc import Callable
 
 from msgspec import Struct
+from msgspec.structs import replace
 
 from tinrudder.common.address import Address
 from tinrudder.gateway.clients.client_deadlines import Deadlines
@@ -16,12 +21,12 @@
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
 from tinrudder.gateway.requests.run_guard import POISON
 from tinrudder.gateway.scatters.delegation import (
-    ANSWER_MARGIN_S,
-    Lost,
-    NotTaken,
-    Unheard,
-    hand_over,
+    LostAfterStart,
+    NotStarted,
+    Unconfirmed,
+    delegate,
     may_begin_at_once,
+    whole_scatter,
 )
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 
@@ -122,7 +127,7 @@
         """Ask once; what the other gateway does not do is left to the caller."""
         delegation = self._delegation
         scatter = self._scatter_request()
-        outcome = await hand_over(
+        outcome = await delegate(
             self._delegation_context,
             delegation.coordinator,
             scatter,
@@ -133,14 +138,14 @@
         match outcome:
             case ScatterEnd():
                 self._take(outcome)
-            case NotTaken(detail=detail):
+            case NotStarted(detail=detail):
                 self._problem = detail
                 self.may_have_run = False
                 self.may_run_here = True
-            case Unheard(detail=detail):
+            case Unconfirmed(detail=detail):
                 self._problem = detail
                 self.may_run_here = True
-            case Lost(detail=detail):
+            case LostAfterStart(detail=detail):
                 self._problem = detail
         self.on_end(self)
 
@@ -156,16 +161,11 @@
 
     def _scatter_request(self) -> ScatterRequest:
         """Say what is asked, with the time that is left now."""
-        now = self._delegation_context.call_context.loop.time()
-        deadlines = self._deadlines
-        path_s = self._delegation_context.path_time(self._delegation.coordinator).allowance_s
-        return ScatterRequest(
-            request=self._request,
-            request_id=self._request_id,
-            objective_left_s=deadlines.objective_at - now - path_s,
-            deadline_left_s=deadlines.deadline_at - now - ANSWER_MARGIN_S,
-            returning=deadlines.returning,
-            configuration_revision=self._delegation_context.configuration_revision(),
-            shards=self.services,
-            minimum_share=self._delegation.minimum_share,
+        whole = whole_scatter(
+            self._delegation_context,
+            self._delegation.coordinator,
+            self._request,
+            self._request_id,
+            self._deadlines,
         )
+        return replace(whole, shards=self.services, minimum_share=self._delegation.minimum_share)
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -1,4 +1,9 @@
-"""Hands a scatter, or some of its shards, to another gateway, and says how far that came."""
+"""Delegates a scatter, or some of its shards, to another gateway, and says how far that came.
+
+Owns the time that another gateway is given to take a scatter and to answer. Relies on the client
+for requests between gateways and on its promise that an unconfirmed request never begins, unless
+it was asked to begin at once. Every end is told to the coordinators' back-off and the zone monitor.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +13,7 @@
 from tinrudder.common.address import Address
 from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.observability.request_log import log_coordinator_failed
 from tinrudder.gateway.peers.peer_messages import Declined, ScatterEnd, ScatterRequest
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
@@ -19,19 +25,25 @@
 """How long before the client's deadline another gateway's answer must be here, a choice: the way
 back between zones several times, and the merge."""
 ACCEPTANCE_SHARE = 0.3
+"""Part of the time to the objective that another gateway has to say that it took a scatter. Chosen,
+not measured: a second gateway, asked after one that is silent, keeps most of that time."""
 SHORTEST_ACCEPTANCE_S = 0.025
+"""Least time for that word, seconds. Chosen, not measured: several round trips between zones (some
+2 to 6 ms), so that a gateway at work is not taken for dead."""
 LONGEST_ACCEPTANCE_S = 0.1
+"""Longest time for that word, seconds. Chosen, not measured: what a silent gateway costs at
+most."""
 
 
 @dataclass(frozen=True, slots=True)
-class NotTaken:
+class NotStarted:
     """The other gateway sent nothing and never will, also where it only did not answer in time."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
-class Unheard:
+class Unconfirmed:
     """It did not say in time that it began, and may begin all the same.
 
     It is told to stop, so it sends calls only if it begins before it reads that.
@@ -41,23 +53,43 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Lost:
+class LostAfterStart:
     """It had begun, and no usable answer came: its calls cannot be counted."""
 
     detail: str
 
 
-HandOverOutcome = ScatterEnd | NotTaken | Unheard | Lost
+DelegationOutcome = ScatterEnd | NotStarted | Unconfirmed | LostAfterStart
 
 
-async def hand_over(
+def whole_scatter(
+    delegation_context: DelegationContext,
+    coordinator: Address,
+    request: HttpRequest,
+    request_id: bytes,
+    deadlines: Deadlines,
+) -> ScatterRequest:
+    """Return what is asked of a gateway, with the time that is left to it now: all shards."""
+    now = delegation_context.call_context.loop.time()
+    path_s = delegation_context.path_time(coordinator).allowance_s
+    return ScatterRequest(
+        request=request,
+        request_id=request_id,
+        objective_left_s=deadlines.objective_at - now - path_s,
+        deadline_left_s=deadlines.deadline_at - now - ANSWER_MARGIN_S,
+        returning=deadlines.returning,
+        configuration_revision=delegation_context.configuration_revision(),
+    )
+
+
+async def delegate(
     delegation_context: DelegationContext,
     coordinator: Address,
     scatter: ScatterRequest,
     deadlines: Deadlines,
     *,
     begin_at_once: bool,
-) -> HandOverOutcome:
+) -> DelegationOutcome:
     """Ask one gateway; one that does not serve is left alone for a while.
 
     :param begin_at_once: see :func:`may_begin_at_once`.
@@ -94,7 +126,7 @@
     scatter: ScatterRequest,
     deadlines: Deadlines,
     begin_at_once: bool,
-) -> HandOverOutcome:
+) -> DelegationOutcome:
     """Send the request and wait for the answer, or for signs that none will come."""
     now = delegation_context.call_context.loop.time()
     left_s = deadlines.deadline_at - now
@@ -108,15 +140,15 @@
             )
         )
     except PeerSilentError as error:
-        return Unheard(str(error)) if begin_at_once else NotTaken(str(error))
+        return Unconfirmed(str(error)) if begin_at_once else NotStarted(str(error))
     except PeerNotSentError as error:
-        return NotTaken(str(error))
+        return NotStarted(str(error))
     except PeerLostError as error:
-        return Lost(str(error))
+        return LostAfterStart(str(error))
     except MalformedPeerMessageError as error:
-        return Lost(f"{coordinator}: {error}")
+        return LostAfterStart(f"{coordinator}: {error}")
     if isinstance(answer, Declined):
-        return NotTaken(f"{coordinator}: {answer.detail}")
+        return NotStarted(f"{coordinator}: {answer.detail}")
     took_s = delegation_context.call_context.loop.time() - now
     delegation_context.path_time(coordinator).observe(took_s - answer.elapsed_s)
     return answer
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -1,4 +1,7 @@
-"""What every scatter that is handed to another gateway needs."""
+"""What every scatter that is delegated to another gateway needs.
+
+Owns the observed times to gateways in the own zone and elsewhere; the rest belongs to others.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -1,4 +1,8 @@
-"""The coordinator's side of a scatter that another gateway hands over."""
+"""The coordinator's side of a scatter that another gateway delegates.
+
+Owns the scatters that run here for others, and the reasons to decline or refuse one. Relies on the
+same admission and the same planner as scatters of this gateway's own clients.
+"""
 
 from __future__ import annotations
 
@@ -47,7 +51,7 @@
     ) -> None:
         """Find routes by what ``routes`` returns at that moment.
 
-        :param gates: where whole scatters wait for room.
+        :param gates: the admissions of whole scatters.
         """
         self._poison = poison
         self._reach = reach
@@ -120,7 +124,7 @@
     ) -> WaitingScatter | RequestRun:
         """Prepare what is asked for: a whole scatter, or some of its shards.
 
-        Of a part, the gateway that hands it over has let it through its own gate.
+        A part has been admitted as a whole by the gateway that delegates it.
         """
         if not scatter.shards:
             tenant = header_value(scatter.request.headers, self._call_context.names.tenant) or b""
--- a/tinrudder/gateway/scatters/record_merge.py
+++ b/tinrudder/gateway/scatters/record_merge.py
@@ -6,6 +6,7 @@
 from collections.abc import Iterable
 
 RECORD_BYTES = 16
+"""Size of one record, bytes: the platform's wire format."""
 
 
 def records_of(body: bytes) -> list[bytes]:
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -1,4 +1,7 @@
-"""Prepares scatters: which shards are asked from here, and which by a gateway beside them."""
+"""Prepares scatters: which shards are asked from here, and which by a gateway beside them.
+
+Owns nothing; relies on the coordination of the index, and on the round-trip times to others.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,7 @@
 from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.scatters.coordinators import Coordination
+from tinrudder.gateway.scatters.coordination import Coordination
 from tinrudder.gateway.scatters.delegated_shards import (
     DelegatedShards,
     Delegation,
@@ -49,14 +52,14 @@
         """Prepare one scatter."""
         encoded = RequestBytes(request, request_id, deadlines.deadline_at, self._call_context.names)
         delegations = [one for one in self._delegations(route) if self._fits(one, route, deadlines)]
-        handed_over = {shard for one in delegations for shard in one.services}
+        elsewhere = {shard for one in delegations for shard in one.services}
         delegated = [
             DelegatedShards(one, route, request, request_id, deadlines, self._delegation_context)
             for one in delegations
         ]
         return RequestRun(
             route,
-            tuple(shard for shard in route.shards if shard not in handed_over),
+            tuple(shard for shard in route.shards if shard not in elsewhere),
             encoded,
             deadlines,
             self._call_context,
@@ -73,7 +76,7 @@
                 self._random.choice(group.asked),
                 minimum_share_of_group(total, len(group.shards), route.minimum_share),
             )
-            for group in self._coordination(route).handed_over
+            for group in self._coordination(route).delegated
         ]
 
     def _fits(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
