--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -15,7 +15,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
 from tinrudder.common.poison_requests import PoisonRequests, RequestStanding
-from tinrudder.gateway.backends.backend_directory import Backend
+from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.model.configuration import BackendEntry, HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.model.http_messages import (
--- a/tinrudder/gateway/backends/answer_reader.py
+++ b/tinrudder/gateway/backends/answer_reader.py
@@ -13,7 +13,11 @@
 from tinrudder.gateway.model.http_messages import Header, HttpAnswer
 
 MAX_HEAD_BYTES = 64 * 1024
+"""Longest head of an answer, bytes. Chosen, not measured: a server that sends more is broken, and
+the head is held whole."""
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
+"""Longest body of an answer, bytes. Chosen, not measured: bodies are held whole, so this bounds
+what one call can take of the process's memory."""
 STATUSES_WITHOUT_BODY = (204, 304)
 HTTP_VERSION_WITH_KEEP_ALIVE = "1.1"
 
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -1,20 +1,25 @@
-"""The back ends of each service with their connections and observations."""
+"""The back ends of each service: which of them may get new work.
+
+Owns the back ends, and with them every connection to one; they follow the shared state. Relies on
+the callers of a service for this gateway's part of connections and of cold starts.
+"""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable, Iterator
 
-from msgspec import Struct, field
-
 from tinrudder.common.address import Address
 from tinrudder.common.rendezvous import rendezvous_score
+from tinrudder.gateway.backends.answer_check import AnswerCheck
+from tinrudder.gateway.backends.backend import Backend
+from tinrudder.gateway.backends.cold_start_limits import ColdStartLimits
 from tinrudder.gateway.backends.upstream_connection import never_stood_still
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
-from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, ColdStartRate, own_part
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
 from tinrudder.gateway.model.configuration import (
     BackendEntry,
@@ -22,64 +27,20 @@
     ColdBounds,
     HeaderNames,
 )
-from tinrudder.gateway.model.http_messages import (
-    Answered,
-    Broken,
-    CallOutcome,
-    HttpAnswer,
-    Rejected,
-    UpstreamCall,
-    header_value,
-)
 from tinrudder.gateway.store.shared_state import EntryStanding, KnownBackend, SharedState
 
-WRONG_BACKEND_STATUS = 421
 FEWEST_REPLICAS = 2
+"""Replicas of a service that a gateway calls at least. With fewer it could neither hedge nor
+retry."""
 LAST_RESORT_SHARE = 0.5
+"""Part of the time that a leaving back end still serves in which it may get new work where no other
+is left. Chosen, not measured: a call that leaves then has as long again to end."""
 LAPSE_S = 2.2
 """How long after the store is back every living back end has recorded itself again, and a bit."""
 LAPSE_SHARE = 0.8
 """Part of the time that a back end serves after its entry is gone, whoever removed that."""
 
 
-class Backend(Struct, eq=False):
-    """One start of one back end, as this process sees it.
-
-    A back end that starts again under its id is another one: nothing that was seen of the start
-    before says anything of it.
-
-    :param cold_pace: this gateway's calls to it while it is cold.
-    :param entry_revision: of the store, at which it wrote ``entry``.
-    :param leaving_since: when this process learned that it takes no new work; ``None`` before.
-    :param lapsed: its entry is gone although it never said that it leaves.
-    :param unreadable: its entry cannot be read any more, so that it is no last resort either.
-    :param ended: another start took its place; calls that have not left go elsewhere.
-    :param readdressed: something else answered at its address.
-    :param evacuated: the operator wants the back ends of its zone to get nothing.
-    """
-
-    entry: BackendEntry
-    pool: UpstreamPool
-    observations: BackendObservations = field(default_factory=BackendObservations)
-    cold_pace: ColdStartRate = field(default_factory=ColdStartRate)
-    entry_revision: int = 0
-    leaving_since: float | None = None
-    lapsed: bool = False
-    unreadable: bool = False
-    ended: bool = False
-    readdressed: bool = False
-    evacuated: bool = False
-
-    @property
-    def backend_id(self) -> str:
-        """Return the id."""
-        return self.entry.backend_id
-
-    def is_cold(self, now: float) -> bool:
-        """Tell whether it is slow, and bears fewer requests, since it has just started."""
-        return now < self.observations.cold_until
-
-
 class BackendDirectory:
     """Follows the shared state; a back end's connections close when it is gone."""
 
@@ -109,14 +70,14 @@
         self._stood_still = stood_still
         self._is_closed = is_closed
         self._state = state
-        self._headers = headers
+        self._answers = AnswerCheck(headers)
         self._clock = clock
         self._last_resort_s = drain_s * LAST_RESORT_SHARE
         self._lapse_s = min(LAPSE_S, drain_s * LAPSE_SHARE)
         self._count_connection = count_connection
         self._callers = callers
         self._own_name = own_name
-        self._cold = cold
+        self._cold_starts = ColdStartLimits(state, own_name, callers, cold)
         self._backends: dict[str, Backend] = {}
         self._services: dict[str, list[Backend]] = {}
         self._shares: dict[str, float] = {}
@@ -161,7 +122,9 @@
         """
         now = self._clock()
         known = self._services.get(service, [])
-        backends = [one for one in known if self._is_wanted(one) and self._bears_call(one, now)]
+        backends = [
+            one for one in known if self._is_wanted(one) and self._cold_starts.bears_call(one, now)
+        ]
         staying = [
             backend
             for backend in backends
@@ -181,7 +144,7 @@
         if any(backend.unreadable for backend in backends):
             return "every back end left has an entry that cannot be read"
         now = self._clock()
-        if not all(self._bears_call(backend, now) for backend in backends):
+        if not all(self._cold_starts.bears_call(backend, now) for backend in backends):
             return "every back end left is cold and has had this gateway's part of calls"
         return "every back end is leaving" if backends else "no back end is known"
 
@@ -242,7 +205,7 @@
         now = self._clock()
         if backend.ended or backend.unreadable or backend.readdressed or backend.evacuated:
             return False
-        if not self._bears_call(backend, now):
+        if not self._cold_starts.bears_call(backend, now):
             return False
         if backend.leaving_since is None:
             return True
@@ -251,29 +214,7 @@
 
     def note_call(self, backend: Backend) -> None:
         """Count a call that leaves, where the back end bears only so many."""
-        now = self._clock()
-        if backend.is_cold(now) and self._cold_rate(backend) is not None:
-            backend.cold_pace.note_sent(now)
-
-    def _bears_call(self, backend: Backend, now: float) -> bool:
-        """Tell whether a call would keep to this gateway's part of what a cold one bears."""
-        if not backend.is_cold(now):
-            return True
-        rate = self._cold_rate(backend)
-        if rate is None:
-            return True
-        callers = self._callers(backend.entry.service)
-        part = own_part(rate, self._own_name, callers, backend.backend_id)
-        return backend.cold_pace.may_send(now, part)
-
-    def _cold_rate(self, backend: Backend) -> float | None:
-        """Return what a cold one may get from all gateways in a second; ``None``: any number."""
-        accepted = self._state.accepted
-        services = accepted.configuration.services if accepted is not None else {}
-        spec = services.get(backend.entry.service)
-        if spec is None or not spec.cold_calls_per_s:
-            return None
-        return self._cold.rate(spec.cold_calls_per_s)
+        self._cold_starts.note_call(backend, self._clock())
 
     def trim(self) -> None:
         """Close connections that back ends are about to close, and adapt their numbers."""
@@ -281,22 +222,6 @@
         for backend in self._backends.values():
             backend.pool.trim()
 
-    def check_answer(self, call: UpstreamCall, answer: HttpAnswer) -> CallOutcome:
-        """Tell a back end's answer to this call from a rejection and from foreign bytes."""
-        names = self._headers
-        if header_value(answer.headers, names.request_id) != call.request_id:
-            return Broken("the answer names another request")
-        if answer.status == WRONG_BACKEND_STATUS:
-            return Rejected(answer.status, wrong_backend=True)
-        if header_value(answer.headers, names.not_run) is not None:
-            return Rejected(answer.status, load=header_value(answer.headers, names.load))
-        if answer.successful:
-            if header_value(answer.headers, names.stamp) is None:
-                return Broken("a success without a signature")
-            if header_value(answer.headers, b"content-encoding") is not None:
-                return Broken("an encoded body was not asked for")
-        return Answered(answer)
-
     def _take_entry(self, backend: Backend, known: KnownBackend) -> None:
         """Take what a back end says of itself; it may say anew that it is cold at any time."""
         backend.entry = known.entry
@@ -317,7 +242,7 @@
         """Begin with a back end that was not known."""
         address = Address(entry.host, entry.port)
         pool = UpstreamPool(
-            address, self.check_answer, self._count_connection, self._memory, self._stood_still
+            address, self._answers.check, self._count_connection, self._memory, self._stood_still
         )
         observations = BackendObservations(slots=entry.slots)
         backend = Backend(entry, pool, observations)
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -12,7 +12,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.backends.backend_directory import Backend
+from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.decisions.fleet.load_news import (
     GATHER_S,
     MOST_AGE_S,
--- a/tinrudder/gateway/requests/call_context.py
+++ b/tinrudder/gateway/requests/call_context.py
@@ -11,7 +11,8 @@
 
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.common.rendezvous import rendezvous_score
-from tinrudder.gateway.backends.backend_directory import Backend, BackendDirectory
+from tinrudder.gateway.backends.backend import Backend
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
--- a/tinrudder/gateway/requests/call_observation.py
+++ b/tinrudder/gateway/requests/call_observation.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.backends.backend_directory import Backend
+from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import (
--- a/tinrudder/gateway/requests/shard_calls.py
+++ b/tinrudder/gateway/requests/shard_calls.py
@@ -7,7 +7,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.backends.backend_directory import Backend
+from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.decisions.admission.memory_bound import large_body_bytes
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
