--- a/tinrudder/gateway/backends/answer_reader.py
+++ b/tinrudder/gateway/backends/answer_reader.py
@@ -1,7 +1,8 @@
 """Reads one HTTP/1.1 answer at a time and says whether its connection may be used again.
 
 httptools splits the bytes; what it leaves open stands here: answers that end with their
-connection, answers to HEAD, interim answers, and bytes behind a whole answer.
+connection, answers to HEAD, interim answers, and bytes behind a whole answer.  Owns the bytes of
+the answer that it reads; a connection owns one reader for its life.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/backends/entry_rules.py
+++ b/tinrudder/gateway/backends/entry_rules.py
@@ -1,4 +1,8 @@
-"""What a back end's entry must hold to name a back end to use, whoever wrote it."""
+"""What a back end's entry must hold to name a back end to use, whoever wrote it.
+
+Owns nothing. Adapters ask it before an entry goes further; a broken rule is an error that names the
+field and the rule.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -1,7 +1,8 @@
-"""Tells other gateways of long queues at back ends that all of them call, and takes their word.
+"""Sends other gateways news of long queues at back ends that all of them call, and takes theirs.
 
-Only what an answer to this gateway said is told, so nothing is passed on, and news ends with the
-queues. What is sent is bounded by
+Only what an answer to this gateway reported is sent, so nothing is passed on, and news ends with
+the queues.  Owns what is to be sent and which services are under pressure; what was heard goes into
+the back ends' observations. What is sent is bounded by
 :class:`~tinrudder.gateway.decisions.fleet.load_news.PendingNews`.
 """
 
--- a/tinrudder/gateway/backends/load_reports.py
+++ b/tinrudder/gateway/backends/load_reports.py
@@ -1,4 +1,7 @@
-"""Reads back ends' load reports; unreadable ones are counted and logged, never lost in silence."""
+"""Reads back ends' load reports; unreadable ones are counted and logged, never lost in silence.
+
+Owns the count of unreadable reports; relies on the adapter's decoder for their form.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -1,4 +1,8 @@
-"""One HTTP/1.1 connection to a server, with at most one call at a time."""
+"""One HTTP/1.1 connection to a server, with at most one call at a time.
+
+Owns the socket and the outcome of the call on it. Says of a call that ended badly whether any byte
+of it may have been acted upon; that decides whether it may be sent again.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -1,7 +1,8 @@
 """Connections to one server, never more than this gateway's part of what the server accepts.
 
 A call takes an idle connection, or waits until one is free while another is opened.  Waiting calls
-have not been sent: no byte of theirs has left.
+have not been sent: no byte of theirs has left.  Owns the connections; its owner sets how many there
+may be, and how many bytes of bodies they may hold.
 """
 
 from __future__ import annotations
