--- a/tests/unit/common/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -8,10 +8,10 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.common.poison_requests import (
+from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.gateway.decisions.admission.poison_requests import (
     ALERT_S,
     CLEARED_KEPT_S,
-    ENOUGH_CRASHES,
     FIRST_BAR_S,
     KEPT_S,
     LONGEST_BAR_S,
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -14,7 +14,8 @@
 from hypothesis import strategies as st
 
 from tinrudder.common.address import Address
-from tinrudder.common.poison_requests import ENOUGH_CRASHES, MOST_REQUESTS, Standing
+from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.gateway.decisions.admission.poison_requests import MOST_REQUESTS, Standing
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import (
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -14,9 +14,9 @@
 from hypothesis import strategies as st
 from hypothesis.stateful import RuleBasedStateMachine, initialize, invariant, precondition, rule
 
-from tinrudder.common.poison_requests import PoisonRequests, RequestStanding
 from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.decisions.admission.poison_requests import PoisonRequests, RequestStanding
 from tinrudder.gateway.model.configuration import BackendEntry, HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.model.http_messages import (
     Answered,
--- a/tinrudder/common/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -26,11 +26,9 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
+from tinrudder.common.crash_limit import ENOUGH_CRASHES
+
 NEVER = float("-inf")
-ENOUGH_CRASHES = 3
-"""How many back ends must have been lost under a request, one of them in a trial, before it is
-barred: the users' rule counts from the third, and two may be lost by chance to a victim, whose
-retry goes to the next back end of a rack that is failing."""
 FIRST_BAR_S = 20.0
 BAR_GROWTH = 6.0
 LONGEST_BAR_S = 3600.0
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -15,7 +15,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.common.poison_requests import (
+from tinrudder.gateway.decisions.admission.poison_requests import (
     MOST_CRASHES_OF_A_KIND,
     NEVER,
     Crash,
--- a/tinrudder/gateway/requests/run_guard.py
+++ b/tinrudder/gateway/requests/run_guard.py
@@ -5,7 +5,7 @@
 from enum import Enum, auto
 from typing import Protocol
 
-from tinrudder.common.poison_requests import RequestStanding, Standing
+from tinrudder.gateway.decisions.admission.poison_requests import RequestStanding, Standing
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from tinrudder.common.poison_requests import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import ENOUGH_CRASHES
 from tinrudder.node.backends.messages import (
     Answered,
     BackendReply,
