--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -9,19 +9,21 @@
 from hypothesis import strategies as st
 
 from tinrudder.common.crash_limit import ENOUGH_CRASHES
-from tinrudder.gateway.decisions.admission.poison_requests import (
+from tinrudder.gateway.decisions.admission.crash_evidence import (
     ALERT_S,
     CLEARED_KEPT_S,
     FIRST_BAR_S,
     KEPT_S,
     LONGEST_BAR_S,
-    MOST_REQUESTS,
     NEVER,
+    Crash,
+    Evidence,
+)
+from tinrudder.gateway.decisions.admission.poison_requests import (
+    MOST_REQUESTS,
     RESTART_KNOWN_S,
     SOONEST_RESTART_S,
     TRIAL_S,
-    Crash,
-    Evidence,
     PoisonRequests,
     Standing,
 )
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -16,7 +16,7 @@
 import pytest
 
 from tinrudder.common.address import Address
-from tinrudder.gateway.decisions.admission.poison_requests import KEPT_S, Crash, Evidence
+from tinrudder.gateway.decisions.admission.crash_evidence import KEPT_S, Crash, Evidence
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member, PoisonReport
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -15,11 +15,13 @@
 
 from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
-from tinrudder.gateway.decisions.admission.poison_requests import (
+from tinrudder.gateway.decisions.admission.crash_evidence import (
     MOST_CRASHES_OF_A_KIND,
     NEVER,
     Crash,
     Evidence,
+)
+from tinrudder.gateway.decisions.admission.poison_requests import (
     PoisonRequests,
     RequestStanding,
     Standing,
