--- /dev/null
+++ b/tests/unit/gateway/decisions/test_zone_preference.py
@@ -0,0 +1,38 @@
+"""How much a replica in the own zone is preferred."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
+from tinrudder.gateway.decisions.placement.zone_preference import (
+    LARGEST_ADVANTAGE,
+    LEAST_ADVANTAGE,
+    is_slow,
+    zone_advantage,
+)
+
+
+@given(
+    usual_s=st.floats(0.001, 1.0),
+    longer=st.floats(1.0, 10.0),
+    hedge=st.floats(0.004, 0.5),
+    objective_s=st.floats(0.02, 2.0),
+)
+def test_the_own_zone_yields_as_calls_take_longer(
+    usual_s: float, longer: float, hedge: float, objective_s: float
+) -> None:
+    usual = zone_advantage(usual_s, hedge, objective_s)
+    loaded = zone_advantage(usual_s * longer, hedge * longer, objective_s)
+    assert LEAST_ADVANTAGE <= loaded <= usual <= LARGEST_ADVANTAGE
+
+
+def test_one_stall_is_not_slowness_but_two_slow_answers_are() -> None:
+    backend = BackendObservations()
+    backend.answered(backend.begin(0.0, 0.033), 0.2)
+    assert not is_slow(backend.expected_relative_latency(0.2))
+    slow = BackendObservations()
+    for sent_at in (0.0, 0.4):
+        slow.answered(slow.begin(sent_at, 0.033), sent_at + 0.33)
+    assert is_slow(slow.expected_relative_latency(0.8))
