--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -8,6 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
+from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter, ScatterRefusal
 from tinrudder.gateway.decisions.admission.retry_after import (
     HONOURED_SHARE,
     may_come_back,
@@ -26,9 +27,7 @@
     OVERLOAD_S,
     SHORT_WAIT,
     STANDING_S,
-    QueuedScatter,
     ScatterQueue,
-    ScatterRefusal,
 )
 
 HOLD_S = 0.05
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -12,7 +12,9 @@
 
 from msgspec import Struct, field
 
+from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter, ScatterRefusal
 from tinrudder.gateway.decisions.admission.scatter_concurrency import ScatterConcurrency
+from tinrudder.gateway.decisions.admission.tenant_turns import TenantTurns
 
 STANDING_S = 0.1
 """A queue that has not been empty for this long is no burst: what waits in it longer than
@@ -35,76 +37,6 @@
 EARLY_SHARE = 0.25
 """Part of the time until its objective within which a refusal is worth something to a caller, which
 can be served in time by another try.  Who has waited longer is better served late."""
-MOST_IDLE_LANES = 64
-"""Tenants that are remembered without a scatter that waits."""
-
-
-class QueuedScatter(Struct, eq=False):
-    """One scatter, and what decides on its place.
-
-    :param priority: 0 is the most urgent.
-    :param usual_s: how long such a scatter takes without waiting.
-    :param returning: its caller was refused before.
-    :param tenant: on whose behalf it comes; empty for nobody's.
-    :param late: it cannot meet its objective any more.
-    :param refusable_until: when a refusal stops being better than a late answer.
-    :param latest_start_at: when it is refused all the same.
-    :param turn: its place among the tenants' scatters: one that asks for much gets later turns.
-    """
-
-    priority: int
-    objective_at: float
-    deadline_at: float
-    usual_s: float
-    returning: bool = False
-    tenant: str = ""
-    late: bool = False
-    refusable_until: float = 0.0
-    latest_start_at: float = 0.0
-    turn: int = 0
-    number: int = 0
-
-    @property
-    def order(self) -> tuple[bool, int, int, bool, float, int]:
-        """Return the sort key; the smallest goes first.
-
-        What cannot be in time any more is worth little, whatever its priority, and goes last.
-        """
-        return (
-            self.late,
-            self.priority,
-            self.turn,
-            self.returning,
-            self.objective_at,
-            self.number,
-        )
-
-
-class ScatterRefusal(Struct, frozen=True):
-    """Why a scatter is refused, by the figures of that moment.
-
-    :param ahead: how many others wait before it.
-    :param expected_s: until it could start.
-    :param bearable_s: for how long it may wait.
-    :param held: room that is held; ``limit``: how much may be.
-    :param waiting: how many scatters wait.
-    """
-
-    priority: int
-    ahead: int
-    expected_s: float
-    bearable_s: float
-    held: float
-    limit: float
-    waiting: int
-
-    def __str__(self) -> str:
-        """Return the line that logs and callers get."""
-        return (
-            f"overload: place {self.ahead + 1} of {self.waiting + 1}, "
-            f"wait {self.expected_s:.3f} s, bearable {self.bearable_s:.3f} s, "
-            f"room {self.held:.1f} of {self.limit:.1f}, priority {self.priority}"
-        )
 
 
 class ScatterQueue(Struct):
@@ -122,8 +54,7 @@
     _waiting: list[QueuedScatter] = field(default_factory=list)
     _standing_since: float = 0.0
     _overload_until: float = 0.0
-    _turns: dict[int, int] = field(default_factory=dict)
-    _next_turn: dict[tuple[int, str], int] = field(default_factory=dict)
+    _turns: TenantTurns = field(default_factory=TenantTurns)
     _count: int = 0
 
     def __len__(self) -> int:
@@ -151,8 +82,8 @@
             held = held_before
         ahead = bisect.bisect(self._waiting, scatter.order, key=_order)
         if not ahead and self.room.bears_another(held):
-            self._take_turn(scatter)
-            self._started(scatter)
+            self._turns.take(scatter, self._waiting)
+            self._turns.start(scatter)
             return True
         refusal = self._judge(scatter, ahead, held, now)
         if refusal is not None and now >= scatter.refusable_until and not scatter.late:
@@ -163,7 +94,7 @@
             return refusal
         if not self._waiting:
             self._standing_since = now
-        self._take_turn(scatter)
+        self._turns.take(scatter, self._waiting)
         self._waiting.insert(ahead, scatter)
         return False
 
@@ -180,7 +111,7 @@
         if not self._waiting or not self.room.bears_another(held):
             return None
         scatter = self._waiting.pop(0)
-        self._started(scatter)
+        self._turns.start(scatter)
         return scatter
 
     def refuse_hopeless(
@@ -200,7 +131,7 @@
                 refused.append((scatter, refusal))
         self._waiting[:] = sorted(kept, key=_order)
         for scatter, _ in reversed(refused):
-            self._give_turn_back(scatter)
+            self._turns.give_back(scatter)
         return refused
 
     def _put_off(self, scatter: QueuedScatter, now: float) -> None:
@@ -213,7 +144,7 @@
         """Forget a scatter whose caller has gone, if it still waits."""
         if scatter in self._waiting:
             self._waiting.remove(scatter)
-            self._give_turn_back(scatter)
+            self._turns.give_back(scatter)
 
     @property
     def next_end_at(self) -> float | None:
@@ -229,11 +160,7 @@
             self._put_off(scatter, now)
         self._count += 1
         scatter.number = self._count
-        if scatter.tenant:
-            lane = scatter.priority, scatter.tenant
-            scatter.turn = max(self._turn(scatter), self._next_turn.get(lane, 0))
-        else:
-            scatter.turn = self._turn(scatter)
+        scatter.turn = self._turns.next_of(scatter)
 
     def _judge(
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
@@ -285,33 +212,6 @@
             len(self._waiting),
         )
 
-    def _turn(self, scatter: QueuedScatter) -> int:
-        """Return whose turn it is among the scatters of a priority."""
-        return self._turns.get(scatter.priority, 0)
-
-    def _take_turn(self, scatter: QueuedScatter) -> None:
-        """Let the tenant's next scatter come a turn later."""
-        if not scatter.tenant:
-            return
-        self._next_turn[scatter.priority, scatter.tenant] = scatter.turn + 1
-        if len(self._next_turn) > MOST_IDLE_LANES + len(self._waiting):
-            self._forget_idle()
-
-    def _give_turn_back(self, scatter: QueuedScatter) -> None:
-        """Let the tenant's next scatter have the turn of one that has not run."""
-        lane = scatter.priority, scatter.tenant
-        if self._next_turn.get(lane) == scatter.turn + 1:
-            self._next_turn[lane] = scatter.turn
-
-    def _started(self, scatter: QueuedScatter) -> None:
-        """Move on to the turn of a scatter that starts."""
-        self._turns[scatter.priority] = max(self._turn(scatter), scatter.turn)
-
-    def _forget_idle(self) -> None:
-        """Forget the turns of tenants of which nothing waits."""
-        waiting = {(one.priority, one.tenant) for one in self._waiting}
-        self._next_turn = {lane: turn for lane, turn in self._next_turn.items() if lane in waiting}
-
 
 def _order(scatter: QueuedScatter) -> tuple[bool, int, int, bool, float, int]:
     return scatter.order
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -13,14 +13,13 @@
 
 from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
+from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter, ScatterRefusal
 from tinrudder.gateway.decisions.admission.retry_after import (
     may_come_back,
     retry_after_by_place_s,
 )
 from tinrudder.gateway.decisions.admission.scatter_queue import (
-    QueuedScatter,
     ScatterQueue,
-    ScatterRefusal,
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
 from tinrudder.gateway.model.configuration import Route
