--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -1,4 +1,9 @@
-"""The platform's configuration and back-end entries, decoded into the product's values."""
+"""The platform's configuration and back-end entries, decoded into the product's values.
+
+Owns the names of the platform's documents, which no other folder of the product knows.  A comment
+stands at each field whose name says something else than it holds.  Relies on the product's types
+and on the rules for entries and tenants that do not depend on a platform.
+"""
 
 from __future__ import annotations
 
@@ -52,15 +57,22 @@
     name: str
     host: str
     path_prefix: str
+    # Whether a request may run more than once: it may where this is REPEATABLE_KIND.
     kind: str
+    # How long a request is held at most, counted from its arrival.
     timeout_ms: Milliseconds
+    # The latency objective.  It refuses nothing: an answer is worth little after it.
     goal_ms: Milliseconds
+    # Different back ends that one request may be sent to, for each shard; no number of calls.
     attempts: int = 1
+    # 0 is the most urgent.
     priority: int = 0
     service: str = ""
     split: list[_Split] = []
+    # The services that a scatter asks, each one a shard.
     gather: list[str] = []
     top_k: int = 0
+    # The least share of the shards that makes an answer, 0 to 1; it speaks of no version.
     oldest_version: float = 0.0
     public: bool = False
 
@@ -71,8 +83,9 @@
 
 class _Service(msgspec.Struct):
     name: str
+    # Connections that each back end takes from all gateways together.
     max_conns: int = 1
-    # Zero stands for no limit of its own: see docs/design/shifted-work.md.
+    # Calls a second that a cold back end bears from all gateways; zero stands for no such limit.
     cold_per_s: Annotated[float, Meta(ge=0)] = 0.0
 
 
@@ -95,11 +108,14 @@
     service: str
     addr: str
     zone: str
+    # Requests that it works on at once; more wait in its queue.
     slots: int
     state: Literal["ready", "draining"]
     cold_left_ms: Milliseconds = 0
+    # Checked for its form, not used: the store's revision orders entries.
     seq: Annotated[int, Meta(ge=0)] = 0
-    # Back ends of older software do not say it.
+    # When its process started, Unix milliseconds: it tells one start of an id from the next.  Back
+    # ends of older software do not say it.
     born: int = 0
 
 
--- a/tinrudder/platform/headers.py
+++ b/tinrudder/platform/headers.py
@@ -1,4 +1,4 @@
-"""The platform's header names."""
+"""The platform's header names, and what each holds where its name misleads."""
 
 from __future__ import annotations
 
@@ -6,12 +6,17 @@
 
 HEADERS = HeaderNames(
     request_id=b"tinrudder-request-id",
+    # A time that is left, not a moment.
     deadline_ms=b"tinrudder-deadline-ms",
+    # A back end's signature of its answer.
     stamp=b"tinrudder-server-stamp",
+    # The id of the only back end that may run the request.
     expected_backend=b"tinrudder-expect-instance",
     load=b"tinrudder-backend-load",
     not_run=b"tinrudder-not-run",
+    # The signatures of the parts that a merged answer holds, not the parts.
     parts=b"tinrudder-parts",
+    # How many parts it lacks, not which.
     missing_parts=b"tinrudder-missing-parts",
     tenant=b"tinrudder-tenant",
 )
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -15,6 +15,7 @@
 REMEMBERED = 1024
 """Values whose reports are kept: one comes with every answer, and a few hundred differ.  Reading
 one again takes 0.1 us in place of 3.4 us (best of five runs of 100,000)."""
+# The work time is a percentage of the usual one, no duration.
 _FIGURES = ("running", "waiting", "slots", "work time")
 
 
--- a/tinrudder/platform/settings_file.py
+++ b/tinrudder/platform/settings_file.py
@@ -1,5 +1,6 @@
 """The platform's settings file, decoded into a gateway's settings.
 
+Owns the names of the file; a comment stands at each field whose name says too little.
 Unknown fields are skipped: the platform may add some at any time.
 """
 
@@ -29,29 +30,39 @@
 
 
 class _Listen(msgspec.Struct):
+    # Where clients connect.
     front: str
+    # Where readiness is asked.
     ready: str
+    # Where other gateways reach this one; without it, it has no peers.
     control: str = ""
 
 
 class _Bounds(msgspec.Struct):
+    # How long a back end that is leaving still serves; not how long this gateway takes to stop.
     drain_ms: Positive = 3000
+    # Between the request to stop this gateway and its forced end.
     grace_s: Positive = 6
+    # The budget is of retries and hedges, for each service and for all gateways together.
     budget_ratio: NotNegative = 0.1
     budget_window_s: Positive = 10
     budget_extra: NotNegative = 10
+    # A factor of the rate that a cold back end bears, and calls a second on top of it.
     cold_excess: NotNegative = 1
     cold_slack: NotNegative = 0
     strict_revoke: bool = False
     revoke_ms: Positive = 5000
     quota_window_s: Positive = 5
+    # A part of a tenant's limit on top of it, and requests on top of that.
     quota_excess: NotNegative = 0.25
     quota_slack: NotNegative = 20
 
 
 class _Limits(msgspec.Struct):
+    # A part of each core; times their number it is the process's capacity.
     cpu_share: Positive = 1.0
     cores: Positive = 1.0
+    # Zero stands for no limit.
     memory_mb: NotNegative = 0
 
 
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -1,4 +1,7 @@
-"""Calls to the platform's metadata store."""
+"""Calls to the platform's metadata store.
+
+Owns the connections to it and the names of its answers; decodes keys and revisions, not values.
+"""
 
 from __future__ import annotations
 
@@ -56,17 +59,20 @@
 
 class _Item(_Place):
     value: bytes = b""
+    # The key was removed at this revision.
     gone: bool = False
 
 
 class _RangeAnswer(msgspec.Struct):
     items: list[msgspec.Raw]
+    # The store's revision when the page was read.
     at: Revision
     more: bool = False
 
 
 class _WatchAnswer(msgspec.Struct):
     events: list[msgspec.Raw]
+    # The revision up to which all changes are told; the next watch begins there.
     at: Revision
 
 
