--- /dev/null
+++ b/tests/unit/gateway/decisions/test_crash_evidence.py
@@ -0,0 +1,89 @@
+"""Evidence on crashes: the same from any order of reports, and what it bars."""
+
+from __future__ import annotations
+
+import random
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.gateway.decisions.admission.crash_evidence import (
+    NEVER,
+    Crash,
+    Evidence,
+)
+from tinrudder.gateway.decisions.admission.poison_requests import (
+    PoisonRequests,
+)
+
+ORIGIN = b"route"
+
+ASKED = b"fingerprint"
+
+crashes = st.builds(
+    Crash,
+    backend=st.integers(0, 4),
+    at=st.integers(0, 20).map(float),
+    trial=st.booleans(),
+    survived=st.booleans(),
+)
+
+deadlines = st.integers(0, 20).map(float)
+
+# How often it was cleared, and when that was last.
+clearings = st.just((0, NEVER)) | st.tuples(st.integers(1, 3), deadlines)
+
+pieces = st.lists(
+    st.one_of(
+        st.builds(lambda crash, cleared: Evidence(ORIGIN, (crash,), *cleared), crashes, clearings),
+        clearings.map(lambda cleared: Evidence(ORIGIN, (), *cleared)),
+        deadlines.map(lambda at: Evidence(ORIGIN, trial_at=at)),
+    ),
+    min_size=1,
+    max_size=8,
+)
+
+
+def together(evidence: list[Evidence]) -> Evidence:
+    table = PoisonRequests()
+    for one in evidence:
+        table.merge(ASKED, one)
+    found = table.find(ASKED)
+    assert found is not None
+    return found
+
+
+@given(pieces, st.integers(0, 10**6))
+def test_evidence_is_the_same_in_any_order_with_any_repeats(
+    evidence: list[Evidence], seed: int
+) -> None:
+    source = random.Random(seed)
+    again = evidence + source.choices(evidence, k=3)
+    source.shuffle(again)
+    assert together(again) == together([*evidence, *evidence])
+
+
+@given(pieces, st.integers(0, 8))
+def test_gateways_that_tell_each_other_agree_however_the_reports_are_divided(
+    evidence: list[Evidence], cut: int
+) -> None:
+    here, there = evidence[:cut], evidence[cut:]
+    if here and there:
+        told = together(here).merged(together(there))
+        assert told == together(there).merged(together(here))
+        assert told == together([*evidence, *evidence])
+
+
+@given(pieces)
+def test_only_what_lost_enough_back_ends_and_one_in_a_trial_is_barred(
+    evidence: list[Evidence],
+) -> None:
+    known = together(evidence)
+    barred = known.barred_until > known.last_crash_at
+    if barred:
+        assert len(known.held) >= ENOUGH_CRASHES
+        assert any(crash.trial for crash in known.held)
+        latest = max(one.cleared for one in evidence)
+        held = {crash.backend for one in evidence if one.cleared == latest for crash in one.crashes}
+        assert {crash.backend for crash in known.crashes} == held
--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -9,16 +9,8 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter, ScatterRefusal
-from tinrudder.gateway.decisions.admission.retry_after import (
-    HONOURED_SHARE,
-    may_come_back,
-    retry_after_by_place_s,
-)
 from tinrudder.gateway.decisions.admission.scatter_concurrency import (
     LEAST_FREE,
-    OVER_COMMITMENT,
-    QUEUE_HIGH,
-    QUEUE_LOW,
     ScatterConcurrency,
 )
 from tinrudder.gateway.decisions.admission.scatter_queue import (
@@ -31,7 +23,9 @@
 )
 
 HOLD_S = 0.05
+
 FULL = 2.0
+
 USUAL_S = 0.05
 
 
@@ -203,32 +197,6 @@
     assert started(line) == [again, stays]
 
 
-def test_the_room_follows_reports_and_stays_at_or_above_the_own_part() -> None:
-    room = ScatterConcurrency(hold_s=HOLD_S)
-    room.set_part(4.0)
-    begun = room.limit
-    assert begun == room.first_limit == 4.0 * OVER_COMMITMENT
-    for step in range(40):
-        room.judge(QUEUE_HIGH + 0.1, step * HOLD_S, in_use=True)
-    assert room.limit == room.floor == 4.0
-    for step in range(40):
-        room.judge(QUEUE_LOW - 0.1, step * HOLD_S, in_use=True)
-    assert room.limit > begun
-    for step in range(60):
-        room.judge(0.0, step * HOLD_S, in_use=False)
-    assert room.limit == pytest.approx(begun, rel=0.05)
-
-
-@given(st.floats(0.0, 5.0), st.floats(0.0, 5.0), st.floats(0.0, 1.0))
-def test_who_may_come_back_is_told_a_moment_that_it_waits_for(
-    room_in_s: float, left_s: float, draw: float
-) -> None:
-    told = retry_after_by_place_s(room_in_s, left_s, draw)
-    assert 0.0 <= told <= left_s
-    if may_come_back(room_in_s, left_s):
-        assert room_in_s <= told <= HONOURED_SHARE * left_s + 1e-9
-
-
 def test_many_seeds_of_arrivals_and_ends_never_stand_still_with_room_free() -> None:
     for seed in range(50):
         source = random.Random(seed)
