--- /dev/null
+++ b/tests/unit/gateway/decisions/test_process_pause.py
@@ -0,0 +1,32 @@
+"""A process that stood still is found by its own notes, whoever asks and when."""
+
+from __future__ import annotations
+
+from hypothesis import given
+from hypothesis import strategies as st
+
+from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, STOOD_STILL_S, ProcessPause
+
+
+@given(st.lists(st.floats(0.0, LOOK_S), max_size=20))
+def test_a_process_that_notes_in_time_never_stood_still(pauses: list[float]) -> None:
+    pause, now = ProcessPause(0.0), 0.0
+    for passed in pauses:
+        now += passed
+        pause.note(now)
+        assert not pause.covers(0.0, now)
+
+
+@given(st.floats(LOOK_S + STOOD_STILL_S + 0.001, 1000.0), st.booleans())
+def test_a_pause_is_found_before_the_next_note_and_after_it(passed: float, noted: bool) -> None:
+    pause = ProcessPause(10.0)
+    if noted:
+        pause.note(10.0 + passed)
+    assert pause.covers(10.0, 10.0 + passed)
+
+
+def test_what_began_after_the_awakening_is_not_touched_by_the_pause() -> None:
+    pause = ProcessPause(0.0)
+    pause.note(60.0)
+    assert pause.covers(59.9, 60.1)
+    assert not pause.covers(60.0, 60.1)
