--- a/tinrudder/common/crash_limit.py
+++ b/tinrudder/common/crash_limit.py
@@ -6,5 +6,5 @@
 
 ENOUGH_CRASHES = 3
 """How many back ends must have been lost under a request, one of them in a trial, before it is
-barred: the users' rule counts from the third, and two may be lost by chance to a victim, whose
-retry goes to the next back end of a rack that is failing."""
+barred.  What is promised of poison requests counts from the third, and two may be lost by chance to
+a victim, whose retry goes to the next back end of a rack that is failing."""
--- a/tinrudder/common/lifecycle.py
+++ b/tinrudder/common/lifecycle.py
@@ -1,4 +1,7 @@
-"""The lifecycle of a node, from its start to the end of a planned stop."""
+"""The lifecycle of a process, from its start to the end of a planned stop.
+
+Owns the state and which transitions there are; whoever owns the process triggers them.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/common/logs.py
+++ b/tinrudder/common/logs.py
@@ -1,4 +1,7 @@
-"""Structured logs: one JSON object a line, over absl.logging."""
+"""Structured logs: one JSON object a line, over absl.logging.
+
+Owns the form of a line; the names of events and their fields belong to who logs them.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/common/rendezvous.py
+++ b/tinrudder/common/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: every node computes the same ranking without talking."""
+"""Rendezvous hashing: every process computes the same ranking without talking.
+
+Owns the hash: gateways of two versions must agree on it, so it cannot change within a fleet.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/common/transport/frames.py
+++ b/tinrudder/common/transport/frames.py
@@ -1,6 +1,7 @@
 """Frames on a TCP connection between two nodes.
 
-A frame is a 4-byte length, a 1-byte type, an 8-byte request id and the payload.
+A frame is a 4-byte length, a 1-byte type, an 8-byte request id and the payload.  Owns that form and
+its bounds; what a payload holds is the callers'.
 """
 
 from __future__ import annotations
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -1,4 +1,8 @@
-"""Our connections to other nodes: one each, carrying many requests at once."""
+"""Connections that this process opens to others: one each, carrying many requests at once.
+
+Owns the connections and the requests that wait on them; relies on the server to answer each request
+or to report its progress.
+"""
 
 from __future__ import annotations
 
@@ -73,6 +77,12 @@
     reading: asyncio.Task[None] | None = None
     idle_timer: asyncio.TimerHandle | None = None
 
+    def add(self, waiting: _Waiting) -> int:
+        """Return the id under which a request waits for its answer."""
+        self.last_request_id += 1
+        self.waiting[self.last_request_id] = waiting
+        return self.last_request_id
+
 
 class PeerClient:
     """Sends requests to other nodes."""
@@ -115,28 +125,29 @@
         connection = await self._connection(destination, connect_s)
         if connection.writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             raise PeerNotSentError(f"{destination}: does not read what it is sent")
-        connection.last_request_id += 1
-        request_id = connection.last_request_id
         waiting = _Waiting(loop.create_future(), end, confirms=not begin_at_once)
-        answer = waiting.answer
-        connection.waiting[request_id] = waiting
-        kind = FrameType.ACKNOWLEDGED_REQUEST if acknowledged else FrameType.REQUEST
-        if acknowledged and begin_at_once:
-            kind = FrameType.TRACKED_REQUEST
+        request_id = connection.add(waiting)
+        kind = _request_type(acknowledged=acknowledged, begin_at_once=begin_at_once)
         _write(connection, Frame(kind, request_id, payload))
         try:
             async with asyncio.timeout_at(first_word_at) as waiting.patience:
-                return await answer
+                return await waiting.answer
         except TimeoutError as error:
             if acknowledged and not waiting.begun:
                 raise PeerSilentError(f"{destination}: silent") from error
             waited_s = timeout_s - (end - loop.time())
             raise PeerLostError(f"{destination}: no answer in {waited_s:.3f} s") from error
         finally:
-            connection.waiting.pop(request_id, None)
-            if answer.cancelled():
-                _write(connection, Frame(FrameType.CANCEL, request_id))
-            self._close_when_idle(destination, connection)
+            self._end_request(destination, connection, request_id)
+
+    def _end_request(
+        self, destination: PeerAddress, connection: _Connection, request_id: int
+    ) -> None:
+        """Forget a request that nobody waits for any more, and let the peer end it."""
+        waiting = connection.waiting.pop(request_id, None)
+        if waiting is not None and waiting.answer.cancelled():
+            _write(connection, Frame(FrameType.CANCEL, request_id))
+        self._close_when_idle(destination, connection)
 
     @property
     def held_bytes(self) -> int:
@@ -263,6 +274,13 @@
             answer.set_exception(PeerLostError(f"{peer}: {_text(frame)}"))
 
 
+def _request_type(*, acknowledged: bool, begin_at_once: bool) -> FrameType:
+    """Return the type of a request's frame; see :class:`FrameType`."""
+    if not acknowledged:
+        return FrameType.REQUEST
+    return FrameType.TRACKED_REQUEST if begin_at_once else FrameType.ACKNOWLEDGED_REQUEST
+
+
 def _text(frame: Frame) -> str:
     return frame.payload.decode(errors="replace")
 
--- a/tinrudder/common/transport/peer_server.py
+++ b/tinrudder/common/transport/peer_server.py
@@ -1,4 +1,7 @@
-"""Connections that other nodes open to us: read requests, run the handler, answer."""
+"""Connections that others open to this process: read requests, run the handler, answer.
+
+Owns the connections and one task for each request at work; a connection that ends ends its tasks.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -43,7 +43,8 @@
 (arithmetic)."""
 LONGEST_BAR_S = 3600.0
 """The longest bar, seconds.  At most three tries in a day may cost a back end once the request is
-known, by the rule of the users; a start of all gateways, which forgets it, takes one more."""
+known, as is promised of poison requests; a start of all gateways, which forgets it, takes one
+more."""
 KEPT_S = 600.0
 """How long evidence is kept after its last crash, and after the end of a bar, a choice: 37 times
 the longest pause seen between two tries of one client, 16 s."""
--- a/tinrudder/platform/settings_file.py
+++ b/tinrudder/platform/settings_file.py
@@ -85,12 +85,7 @@
 
     :raises SettingsFileError: it cannot be read or breaks a rule; the text names the field.
     """
-    try:
-        document = msgspec.convert(tomllib.loads(path.read_text()), _Settings, strict=False)
-    except OSError as error:
-        raise SettingsFileError(f"{path}: {error.strerror}") from error
-    except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.MsgspecError) as error:
-        raise SettingsFileError(f"{path}: {error}") from error
+    document = _read(path)
     listen = document.listen
     bounds = document.bounds
     limits = document.limits
@@ -113,6 +108,16 @@
     )
 
 
+def _read(path: Path) -> _Settings:
+    """Decode a settings file."""
+    try:
+        return msgspec.convert(tomllib.loads(path.read_text()), _Settings, strict=False)
+    except OSError as error:
+        raise SettingsFileError(f"{path}: {error.strerror}") from error
+    except (tomllib.TOMLDecodeError, UnicodeDecodeError, msgspec.MsgspecError) as error:
+        raise SettingsFileError(f"{path}: {error}") from error
+
+
 def _address(field: str, text: str) -> Address:
     """Read an address, naming its field in the error."""
     try:
