--- a/tinrudder/common/rendezvous.py
+++ b/tinrudder/common/rendezvous.py
@@ -1,4 +1,7 @@
-"""Rendezvous hashing: every node computes the same ranking without talking."""
+"""Rendezvous hashing: every process computes the same ranking without talking.
+
+Owns the hash: gateways of two versions must agree on it, so it cannot change within a fleet.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +10,8 @@
 import xxhash
 
 _UNUSED_BITS = 12
+"""Bits of the 64 of a hash that a score leaves out: the other 52 and the half that is added fit a
+float's 53 (arithmetic)."""
 _RANGE = 2.0 ** (64 - _UNUSED_BITS)
 
 
--- a/tinrudder/common/transport/frames.py
+++ b/tinrudder/common/transport/frames.py
@@ -1,6 +1,7 @@
 """Frames on a TCP connection between two nodes.
 
-A frame is a 4-byte length, a 1-byte type, an 8-byte request id and the payload.
+A frame is a 4-byte length, a 1-byte type, an 8-byte request id and the payload.  Owns that form and
+its bounds; what a payload holds is the callers'.
 """
 
 from __future__ import annotations
@@ -12,8 +13,13 @@
 from msgspec import Struct
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
+"""Largest payload, bytes. Chosen, not measured: it bounds what one frame of a peer can make this
+process hold."""
 MAX_ERROR_BYTES = 1024
+"""Largest text of an error, bytes. Chosen, not measured: it holds the name of an error's type."""
 FRAME_BODY_TIMEOUT_S = 10.0
+"""How long a payload may take after its header, seconds. Chosen, not measured: it ends a
+connection whose peer stops in the middle of a frame."""
 _HEADER = struct.Struct("!IBQ")
 
 
--- a/tinrudder/gateway/scatters/waiting_scatter.py
+++ b/tinrudder/gateway/scatters/waiting_scatter.py
@@ -10,7 +10,7 @@
 from typing import Protocol
 
 from tinrudder.gateway.clients.client_deadlines import Deadlines
-from tinrudder.gateway.decisions.admission.scatter_queue import QueuedScatter
+from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
