--- a/tests/functional/gateway/test_client_leaves.py
+++ b/tests/functional/gateway/test_client_leaves.py
@@ -55,7 +55,7 @@
         entry = next(
             index
             for index, node in enumerate(site.nodes)
-            if node.gateway is not None and not node.gateway.counters.coordinated
+            if node.gateway is not None and not node.gateway.process.counters.coordinated
         )
         await leave(site, "scatter", entry)
 
@@ -75,7 +75,7 @@
         await asyncio.sleep(ENDED_S)
         for node in site.nodes:
             assert node.gateway is not None
-            assert node.gateway.handler.in_progress == 0
-            assert node.gateway.scatters.in_progress == 0
+            assert node.gateway.requests.handler.in_progress == 0
+            assert node.gateway.requests.delegation_service.in_progress == 0
 
     run_many(scenario)
--- a/tests/functional/gateway/test_cold.py
+++ b/tests/functional/gateway/test_cold.py
@@ -49,7 +49,7 @@
         await asyncio.sleep(1.0)
         for node in site.nodes:
             assert node.gateway is not None
-            backends = node.gateway.directory.usable("shard-0")
+            backends = node.gateway.backends.directory.usable("shard-0")
             cold = [one.backend_id for one in backends if one.is_cold(site.loop.time())]
             assert cold == ["shard-0-0"]
 
--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -47,7 +47,7 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         parts = [
-            1.0 / node.gateway.coordinators.of_service(service).sharers
+            1.0 / node.gateway.backends.coordinators.of_service(service).sharers
             for service in ("shard-0", "single")
             for node in site.nodes
             if node.gateway is not None
@@ -178,7 +178,7 @@
             others = [node for node in site.nodes if node is not coordinator]
             for node in others:
                 assert node.gateway is not None
-                node.gateway.gates.of_route = lambda route: gate  # type: ignore[method-assign, assignment, return-value]
+                node.gateway.requests.scatter_admissions.of_route = lambda route: gate  # type: ignore[method-assign, assignment, return-value]
             coordinator.machine.pause()
             first = len(site.ledger.results)
             for node in others:
@@ -217,7 +217,7 @@
             for node in site.nodes
             if node.gateway is not None
             and node.name not in counted(site, "calls")
-            and not node.gateway.coordinators.of_service("shard-0").own
+            and not node.gateway.backends.coordinators.of_service("shard-0").own
         )
         result = await site.send("scatter", entry.index, leaves_after_s=0.1)
         assert result.status == 0
--- a/tests/functional/gateway/test_dead_shards.py
+++ b/tests/functional/gateway/test_dead_shards.py
@@ -78,14 +78,14 @@
         await site.traffic(3.0, 20.0, ("scatter",))
         entry = site.nodes[0].gateway
         assert entry is not None
-        coordination = entry.coordinators.of_service("shard-0")
+        coordination = entry.backends.coordinators.of_service("shard-0")
         own = coordination.own_shards(site.shard_services)
         assert coordination.handed_over
         assert own
         await end_service(site, *own)
         asked = site.request("scatter").target
         request = HttpRequest(b"GET", asked.encode(), ((b"host", SITE_HOST.encode()),), b"")
-        entry.poison.requests.note_crash(
+        entry.backends.poison_watch.requests.note_crash(
             fingerprint_of(request, HEADERS), b"", 1, site.loop.time(), trial=False
         )
         result = await site.send("scatter", 0, target=asked)
--- a/tests/functional/gateway/test_evacuation.py
+++ b/tests/functional/gateway/test_evacuation.py
@@ -114,7 +114,7 @@
         await asyncio.sleep(3.0)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert gateway.state.evacuations.zones == frozenset()
+        assert gateway.knowledge.state.evacuations.zones == frozenset()
 
     run_site(scenario)
 
@@ -165,7 +165,7 @@
         await asyncio.sleep(NOTICE_S)
         for node in site.nodes:
             assert node.gateway is not None
-            assert node.gateway.state.evacuations.zones == frozenset((ZONE,))
+            assert node.gateway.knowledge.state.evacuations.zones == frozenset((ZONE,))
 
     run_site(scenario)
 
@@ -179,7 +179,7 @@
         assert [(await site.send(route)).status for route in ALL_ROUTES] == [200] * 3
         for node in site.nodes:
             assert node.gateway is not None
-            assert node.gateway.state.evacuations.zones == frozenset()
+            assert node.gateway.knowledge.state.evacuations.zones == frozenset()
 
     run_site(scenario)
 
--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -10,7 +10,7 @@
 
 from tests.support.many_gateways import SETTLED_S, run_many
 from tinrudder.gateway.gateway import Gateway
-from tinrudder.gateway.store.staleness_keeper import FRESH_SHARE
+from tinrudder.gateway.store.configuration_freshness import FRESH_SHARE
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
 from tinrudder_lab.emulator.store import StoreMode
 
@@ -84,7 +84,7 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         for node in site.nodes:
-            scatters = gateway_of(node).scatters
+            scatters = gateway_of(node).requests.delegation_service
             serve = scatters.serve
 
             async def listen(scatter: Any, serve: Any = serve) -> Any:
@@ -296,7 +296,7 @@
         for node in site.nodes:
             site.start_node(node)
         await asyncio.sleep(0.01)
-        while not all(gateway_of(node).state.complete for node in site.nodes):
+        while not all(gateway_of(node).knowledge.state.complete for node in site.nodes):
             await asyncio.sleep(0.001)
         for node in range(len(site.nodes)):
             assert (await site.send("single", node, key="key-a")).status == 200
--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -215,7 +215,11 @@
                 asyncio.create_task(site.send("scatter", node, target=f"/all/popular-{popular}"))
             )
         await asyncio.gather(crashing, *tasks)
-        barred = sum(node.gateway.poison.refused for node in site.nodes if node.gateway is not None)
+        barred = sum(
+            node.gateway.backends.poison_watch.refused
+            for node in site.nodes
+            if node.gateway is not None
+        )
         assert barred <= len(tasks) / 1000
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
@@ -338,7 +342,7 @@
     return [
         node.name
         for node in site.nodes
-        if node.gateway is not None and node.gateway.poison.alerts() > 0
+        if node.gateway is not None and node.gateway.backends.poison_watch.alerts() > 0
     ]
 
 
--- a/tests/functional/gateway/test_restarted_back_ends.py
+++ b/tests/functional/gateway/test_restarted_back_ends.py
@@ -51,7 +51,9 @@
         await asyncio.sleep(0.1)
         for node in site.nodes:
             assert node.gateway is not None
-            backends = {one.backend_id: one for one in node.gateway.directory.usable("shard-0")}
+            backends = {
+                one.backend_id: one for one in node.gateway.backends.directory.usable("shard-0")
+            }
             restarted = backends["shard-0-0"]
             assert restarted.entry.started_ms == site.backends["shard-0-0"].started_ms
             assert restarted.observations.failures == 0
@@ -109,7 +111,7 @@
         assert arrivals_at(site, "shard-0-2", since) > 0
         for node in site.nodes:
             assert node.gateway is not None
-            assert node.gateway.unreadable_values.count == len(taken) + 1
+            assert node.gateway.knowledge.unreadable_values.count == len(taken) + 1
         for backend_id in taken:
             site.rewrite_entry(backend_id)
         await asyncio.sleep(LEARNED_S)
@@ -168,8 +170,8 @@
         await asyncio.sleep(LEARNED_S)
         for node in site.nodes:
             assert node.gateway is not None
-            assert node.gateway.state.backends["servers/shard-0-0"].leaving
-            assert node.gateway.unreadable_values.count > 0
+            assert node.gateway.knowledge.state.backends["servers/shard-0-0"].leaving
+            assert node.gateway.knowledge.unreadable_values.count > 0
 
     run_site(scenario, shards=26, node_count=2)
 
--- a/tests/functional/gateway/test_scatter_service.py
+++ b/tests/functional/gateway/test_scatter_service.py
@@ -43,17 +43,17 @@
             runs.append(RunThatWaits(on_outcome))
             return runs[-1]
 
-        monkeypatch.setattr(gateway.scatters, "_run", run)
+        monkeypatch.setattr(gateway.requests.delegation_service, "_run", run)
         headers = ((b"host", SITE_HOST.encode()), (b"tinrudder-request-id", b"r"))
         request = HttpRequest(b"GET", b"/all/1", headers, b"")
         scatter = ScatterRequest(request, b"r", 0.2, 2.0, False, 0)
-        serving = asyncio.create_task(gateway.scatters.serve(scatter))
+        serving = asyncio.create_task(gateway.requests.delegation_service.serve(scatter))
         await asyncio.sleep(0.01)
         serving.cancel()
         runs[0].end(NoAnswer("every call failed"))
         with pytest.raises(asyncio.CancelledError):
             await serving
         assert runs[0].abandoned
-        assert gateway.scatters.in_progress == 0
+        assert gateway.requests.delegation_service.in_progress == 0
 
     run_site(scenario)
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -43,7 +43,7 @@
 
 def told(site: EmulatedSite, kind: str) -> list[int]:
     gateways = [node.gateway for node in site.nodes if node.gateway is not None]
-    return [getattr(one.load_watch, kind) for one in gateways]
+    return [getattr(one.backends.load_news_exchange, kind) for one in gateways]
 
 
 def in_time(results: list[ClientResult]) -> int:
@@ -129,7 +129,7 @@
         teller, hearer = (node.gateway for node in site.nodes[:2])
         assert teller is not None
         assert hearer is not None
-        known = next(one for one in hearer.directory if one.entry.service == "single")
+        known = next(one for one in hearer.backends.directory if one.entry.service == "single")
         number = number_of(known.entry)
         absurd = [
             ReportedLoad(number + 1, 14, 2, 1.0, 0.1),
@@ -140,15 +140,15 @@
             ReportedLoad(number, 14, 2, 1.0, 0.1, work_s=10_000.0),
         ]
         before = known.observations.reported_at
-        teller.datagrams.send(LoadNews(tuple(absurd)), hearer.settings.peers)
+        teller.fleet.datagrams.send(LoadNews(tuple(absurd)), hearer.settings.peers)
         await asyncio.sleep(0.1)
         assert known.observations.reported_at == before
-        assert hearer.load_watch.ignored == len(absurd)
-        teller.datagrams.send(
+        assert hearer.backends.load_news_exchange.ignored == len(absurd)
+        teller.fleet.datagrams.send(
             LoadNews((ReportedLoad(number, 14, 2, 1.0, 0.1),)), hearer.settings.peers
         )
         await asyncio.sleep(0.1)
         assert known.observations.reported_backlog == 14
-        assert hearer.load_watch.taken == 1
+        assert hearer.backends.load_news_exchange.taken == 1
 
     run_shared(scenario)
--- a/tests/functional/gateway/test_site.py
+++ b/tests/functional/gateway/test_site.py
@@ -142,10 +142,10 @@
         await asyncio.sleep(1.0)
         for node in site.nodes:
             assert node.gateway is not None
-            accepted = node.gateway.state.accepted
+            accepted = node.gateway.knowledge.state.accepted
             assert accepted is not None
             assert accepted.configuration.version == site.version
-            assert node.gateway.state.backends["servers/shard-0-0"].leaving
+            assert node.gateway.knowledge.state.backends["servers/shard-0-0"].leaving
 
     run_site(scenario)
 
@@ -582,7 +582,9 @@
     """Send a request over a connection that the kernel has accepted."""
     gateway = site.nodes[0].gateway
     assert gateway is not None
-    connection = ClientConnection(gateway.handler, gateway._connections, gateway.memory)
+    connection = ClientConnection(
+        gateway.requests.handler, gateway._connections, gateway.process.memory
+    )
     request = site.request("single")
     client, accepted = async_solipsism.socketpair()
     loop = asyncio.get_running_loop()
@@ -613,9 +615,9 @@
         await site.traffic(2.0, 20.0, ("single",))
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        backends = gateway.directory.usable("single")
+        backends = gateway.backends.directory.usable("single")
         assert any(backend.observations.reported_at > 0 for backend in backends)
-        assert gateway.call_context.load_reports.unreadable == 0
+        assert gateway.backends.call_context.load_reports.unreadable == 0
 
     run_site(scenario)
 
@@ -628,6 +630,6 @@
         assert site.served_share() == 1.0
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert gateway.call_context.load_reports.unreadable > 0
+        assert gateway.backends.call_context.load_reports.unreadable > 0
 
     run_site(scenario)
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -143,11 +143,11 @@
         await asyncio.sleep(0.5)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert gateway.memory.clients > LARGE - SOCKETS_TAKE
+        assert gateway.process.memory.clients > LARGE - SOCKETS_TAKE
         gateway.request_stop()
         await asyncio.sleep(max(UNREAD_PRESSED_S, GRACE_S / 2) + 1.0)
-        assert gateway.lifecycle.state == "stopped"
-        assert gateway.memory.ended_unread == 1
+        assert gateway.process.lifecycle.state == "stopped"
+        assert gateway.process.memory.ended_unread == 1
 
     run_site(scenario)
 
@@ -156,24 +156,24 @@
     async def scenario(site: EmulatedSite) -> None:
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        gateway.memory.bound = 1_000_000.0
-        gateway.memory._near = 1.0
+        gateway.process.memory.bound = 1_000_000.0
+        gateway.process.memory._near = 1.0
         statuses: dict[str, list[int]] = {"scatter": [], "single": []}
         for held in (0, 800_000, 900_000, 1_000_000, 0):
-            gateway.memory.clients += held
+            gateway.process.memory.clients += held
             for route, seen in statuses.items():
                 result = await site.send(route)
                 seen.append(result.status)
                 if result.status == 503:
                     assert 0.1 <= float(result.headers["retry-after"]) <= 1.0
-            gateway.memory.clients -= held
+            gateway.process.memory.clients -= held
         # The scatter's priority is the more urgent one.
         assert statuses == {
             "scatter": [200, 200, 200, 503, 200],
             "single": [200, 200, 503, 503, 200],
         }
-        assert gateway.memory.refused == 3
-        assert gateway.memory.clients == 0
+        assert gateway.process.memory.refused == 3
+        assert gateway.process.memory.clients == 0
         assert site.broken_promises() == []
 
     run_site(scenario, node_count=1)
@@ -243,7 +243,7 @@
         await asyncio.sleep(2.0)
         for node in site.nodes:
             assert node.gateway is not None
-            account = node.gateway.memory
+            account = node.gateway.process.memory
             assert (account.clients, account.backends) == (0, 0)
 
     run_site(scenario)
@@ -261,11 +261,11 @@
         sending = asyncio.create_task(site.send("single"))
         await asyncio.sleep(PAUSE_S)
         # As if the process had not run for some time up to now.
-        gateway.still._noted_at -= stood_still_s
+        gateway.process.pause._noted_at -= stood_still_s
         await sending
-        backends = gateway.directory.usable("single")
+        backends = gateway.backends.directory.usable("single")
         assert any(one.observations.failures for one in backends) == (not stood_still_s)
-        assert (len(gateway.poison.requests) > 0) == (not stood_still_s)
+        assert (len(gateway.backends.poison_watch.requests) > 0) == (not stood_still_s)
         assert not any(one.observations.running for one in backends)
 
     run_site(scenario, node_count=1)
--- a/tests/functional/gateway/test_store_readers.py
+++ b/tests/functional/gateway/test_store_readers.py
@@ -28,13 +28,16 @@
         site.drain("single-0")
         await asyncio.sleep(2.0)
         revisions = {
-            (node.gateway.state.configuration_revision, node.gateway.state.backends_revision)
+            (
+                node.gateway.knowledge.state.configuration_revision,
+                node.gateway.knowledge.state.backends_revision,
+            )
             for node in site.nodes
             if node.gateway is not None
         }
         assert len(revisions) == 1
         assert site.nodes[0].gateway is not None
-        backends = site.nodes[0].gateway.state.backends
+        backends = site.nodes[0].gateway.knowledge.state.backends
         assert [known.leaving for key, known in backends.items() if "single-0" in key] == [True]
 
     run_many(scenario)
@@ -46,7 +49,7 @@
         alone = next(
             node
             for node in site.nodes
-            if node.gateway is not None and not node.gateway.readers.is_reader()
+            if node.gateway is not None and not node.gateway.store.readers.is_reader()
         )
         assert isinstance(site.loop, EmulatorLoop)
         site.loop.datagram_lost = lambda source, target: alone.host in (source[0], target[0])
@@ -55,11 +58,11 @@
         await asyncio.sleep(1.0)
         assert alone.gateway is not None
         revisions = {
-            node.gateway.state.configuration_revision
+            node.gateway.knowledge.state.configuration_revision
             for node in site.nodes
             if node.gateway is not None
         }
-        assert revisions == {alone.gateway.state.configuration_revision}
+        assert revisions == {alone.gateway.knowledge.state.configuration_revision}
 
     run_many(scenario)
 
@@ -70,7 +73,7 @@
         refused = [
             node
             for node in site.nodes
-            if node.gateway is not None and node.gateway.readers.is_reader()
+            if node.gateway is not None and node.gateway.store.readers.is_reader()
         ]
         assert 8 <= len(refused) < MANY
         for node in refused:
@@ -79,14 +82,14 @@
         site.configure(oldest_version=0.5)
         await asyncio.sleep(2.0)
         known = {
-            node.gateway.state.configuration_revision
+            node.gateway.knowledge.state.configuration_revision
             for node in site.nodes
             if node.gateway is not None
         }
         assert len(known) == 1
         accepted = site.nodes[0].gateway
-        assert accepted is not None and accepted.state.accepted is not None
-        assert accepted.state.accepted.configuration.version == site.version
+        assert accepted is not None and accepted.knowledge.state.accepted is not None
+        assert accepted.knowledge.state.accepted.configuration.version == site.version
 
     run_many(scenario)
 
@@ -96,12 +99,12 @@
         await asyncio.sleep(SETTLED_S)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        known = gateway.state.revision(Topic.BACKENDS)
+        known = gateway.knowledge.state.revision(Topic.BACKENDS)
         site.drain("single-0")
         await asyncio.sleep(1.0)
-        changes = gateway.state.snapshot(known)
+        changes = gateway.knowledge.state.snapshot(known)
         assert [value.key.rpartition("/")[2] for value in changes] == ["single-0"]
-        assert len(gateway.state.snapshot()) == len(site.backends)
+        assert len(gateway.knowledge.state.snapshot()) == len(site.backends)
 
     run_site(scenario)
 
@@ -112,7 +115,9 @@
 
 
 def all_complete(site: EmulatedSite) -> bool:
-    return all(node.gateway is not None and node.gateway.state.complete for node in site.nodes)
+    return all(
+        node.gateway is not None and node.gateway.knowledge.state.complete for node in site.nodes
+    )
 
 
 def restart_all(site: EmulatedSite) -> None:
@@ -144,7 +149,7 @@
         site.start_node(started)
         await asyncio.sleep(0.05)
         assert started.gateway is not None
-        assert started.gateway.state.complete
+        assert started.gateway.knowledge.state.complete
         assert site.store.reads == reads
 
     run_many(scenario)
@@ -172,7 +177,7 @@
         site.start_node(last)
         await asyncio.sleep(0.8)
         assert last.gateway is not None
-        assert last.gateway.state.complete
+        assert last.gateway.knowledge.state.complete
 
     run_many(scenario)
 
@@ -230,6 +235,6 @@
             site.start_node(node)
         await asyncio.sleep(0.06)
         assert last.gateway is not None
-        assert last.gateway.state.complete
+        assert last.gateway.knowledge.state.complete
 
     run_many(scenario)
--- a/tests/functional/gateway/test_zone_cut.py
+++ b/tests/functional/gateway/test_zone_cut.py
@@ -176,7 +176,7 @@
         silence(site, "zone-d")
         await scatters(site, here, 3.0)
         end_silence(site, "zone-d")
-        opened = sum(gateway_of(node).counters.connections_opened for node in site.nodes)
+        opened = sum(gateway_of(node).process.counters.connections_opened for node in site.nodes)
         await scatters(site, here, 3.0)
         used = [
             one
@@ -184,7 +184,7 @@
             if site.ledger.zones[one.backend_id] == "zone-d"
         ]
         assert used
-        after = sum(gateway_of(node).counters.connections_opened for node in site.nodes)
+        after = sum(gateway_of(node).process.counters.connections_opened for node in site.nodes)
         assert after - opened <= 60
         assert site.broken_promises() == []
 
@@ -213,7 +213,7 @@
         loop.datagram_lost = lambda source, target: site.random.random() < 0.3
         served = await scatters(site, list(range(8)), 20.0)
         assert {one.status for one in served} == {200}
-        assert sum(gateway_of(node).watch.closings for node in site.nodes) == 0
+        assert sum(gateway_of(node).fleet.zone_monitor.closings for node in site.nodes) == 0
 
     run_zones(scenario)
 
@@ -226,9 +226,9 @@
             site.kill_node(site.nodes[index])
         served = await scatters(site, here, 12.0)
         assert {one.status for one in served} == {200}
-        coordinating = [node for node in site.nodes if gateway_of(node).counters.calls]
+        coordinating = [node for node in site.nodes if gateway_of(node).process.counters.calls]
         assert not any(
-            gateway_of(node).watch.is_closed("zone-d")
+            gateway_of(node).fleet.zone_monitor.is_closed("zone-d")
             for node in coordinating
             if not node.machine.gone
         )
--- a/tests/support/many_gateways.py
+++ b/tests/support/many_gateways.py
@@ -19,9 +19,9 @@
 
 def counted(site: EmulatedSite, counter: str) -> dict[str, int]:
     return {
-        node.name: getattr(node.gateway.counters, counter)
+        node.name: getattr(node.gateway.process.counters, counter)
         for node in site.nodes
-        if node.gateway is not None and getattr(node.gateway.counters, counter)
+        if node.gateway is not None and getattr(node.gateway.process.counters, counter)
     }
 
 
--- a/tests/unit/gateway/test_gateway_metrics.py
+++ b/tests/unit/gateway/test_gateway_metrics.py
@@ -16,7 +16,10 @@
 
 
 def text_of(metrics: GatewayMetrics) -> str:
-    return metrics.render().decode()
+    # Loaded here, as at the first scrape.
+    from tinrudder.gateway.observability.metrics_text import metrics_text
+
+    return metrics_text(metrics).decode()
 
 
 def test_finished_requests_are_counted_by_priority_outcome_and_latency() -> None:
@@ -26,7 +29,7 @@
         await site.send("scatter")
         missing = (MissingShard("shard-0", "late"), MissingShard("shard-1", "late"))
         late = FinishedRequest(b"1", None, b"/", 1, TimedOut("late"), 0.25, missing)
-        gateway.metrics.observe(late)
+        gateway.requests.figures.observe(late)
         return text_of(gateway.metrics)
 
     lines = run_site(scenario).splitlines()
--- a/tests/unit/gateway/test_snapshot_codec.py
+++ b/tests/unit/gateway/test_snapshot_codec.py
@@ -65,11 +65,11 @@
 def test_the_state_of_a_site_takes_a_fifth_of_its_bytes_on_the_way() -> None:
     async def scenario(site: EmulatedSite) -> tuple[int, int]:
         gateway = site.nodes[0].gateway
-        assert gateway is not None and gateway.state.accepted is not None
-        known = gateway.state.snapshot()
-        snapshot = Snapshot(gateway.state.accepted.value, known, True)
+        assert gateway is not None and gateway.knowledge.state.accepted is not None
+        known = gateway.knowledge.state.snapshot()
+        snapshot = Snapshot(gateway.knowledge.state.accepted.value, known, True)
         plain = sum(len(value.key) + len(value.value or b"") for value in known)
-        plain += len(gateway.state.accepted.value.value or b"")
+        plain += len(gateway.knowledge.state.accepted.value.value or b"")
         return plain, len(encode_snapshot(snapshot))
 
     plain, sent = run_site(scenario, shards=87)
--- a/tests/unit/gateway/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -19,6 +19,7 @@
     WAIT_SPREAD,
     StoreFollower,
 )
+from tinrudder.gateway.store.store_status import StoreStatus
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic
 
 FIRST_REVISION = 10
@@ -67,7 +68,7 @@
             Topic.BACKENDS,
             store,  # type: ignore[arg-type]
             state,
-            lambda topic, reachable, detail: None,
+            StoreStatus(lambda topic, reachable, detail: None),
             lambda: nodes,
             AlwaysReads(),  # type: ignore[arg-type]
             random.Random(1),
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -42,7 +42,7 @@
             self.peers.heard_from(member, loop.time())
         datagrams = network.socket(own.address)
         self.probes = Probes(datagrams, lambda number: ProbeAnswer(number, 1), loop.time)
-        self.watch = ZoneMonitor(own.zone, self.peers, self.probes, source, lambda: None)
+        self.watch = ZoneMonitor(own.zone, self.peers, self.probes, source)
         datagrams.handle(Digest, lambda digest, _: self.watch.heard(digest))
         self.datagrams = datagrams
 
--- a/tinrudder/gateway/__init__.py
+++ b/tinrudder/gateway/__init__.py
@@ -3,6 +3,7 @@
 A request passes ``clients``, ``requests`` and, over many shards, ``scatters``; calls leave through
 ``backends``. ``store`` and ``peers`` keep what a gateway knows, ``quotas`` tenants' limits,
 ``observability`` logs and metrics; ``decisions`` holds the pure rules, ``model`` the values that
-all pass, ``wire`` the messages between gateways. ``node.py`` wires a process. Knows no adapter:
-:mod:`tinrudder.platform` translates into this package's values from outside.
+all pass, ``wire`` the messages between gateways. ``wiring`` builds the parts of a process, and
+``gateway`` starts and stops it. Knows no adapter: :mod:`tinrudder.platform` translates into this
+package's values from outside.
 """
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -1,80 +1,59 @@
-"""One gateway process: its parts, and its life from start to planned stop."""
+"""The life of one gateway process, from its start to a planned stop.
+
+Owns the listening sockets, the clients' connections and the tasks that run as long as the process;
+relies on :mod:`tinrudder.gateway.wiring` for all parts.
+"""
 
 from __future__ import annotations
 
 import asyncio
 import contextlib
-import random
 import socket
-from collections.abc import Callable
 
 from tinrudder.common.address import Address
-from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.logs import log_event
-from tinrudder.common.transport.peer_client import PeerClient
-from tinrudder.gateway.backends.backend_directory import BackendDirectory
-from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
-from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
-from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
-from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
-from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, ProcessPause
+from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S
 from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
-from tinrudder.gateway.observability.gateway_log import (
-    log_configuration,
-    log_coordination,
-    log_pull,
-    log_reachability,
-)
+from tinrudder.gateway.model.outcomes import FinalAnswer
+from tinrudder.gateway.observability.gateway_log import log_configuration
 from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
-from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
-from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
-from tinrudder.gateway.peers.peer_exchange import PeerExchange
-from tinrudder.gateway.peers.peer_list import PeerList
-from tinrudder.gateway.peers.peer_messages import Member, ProbeAnswer
-from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.peers.probes import Probes
-from tinrudder.gateway.peers.reachability import Reachability
-from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
-from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.authentication import Authentication
-from tinrudder.gateway.requests.call_context import CallContext, CallCounters
-from tinrudder.gateway.requests.request_handler import RequestHandler as ForwardingHandler
-from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
-from tinrudder.gateway.scatters.delegation_context import DelegationContext
-from tinrudder.gateway.scatters.delegation_service import DelegationService
-from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
-from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
-from tinrudder.gateway.store.shared_state import SharedState
-from tinrudder.gateway.store.staleness_bound import StalenessBound
-from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
-from tinrudder.gateway.store.store_follower import StoreFollower
-from tinrudder.gateway.store.store_readers import StoreReaders
-from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
-from tinrudder.gateway.store.unreadable_values import UnreadableValues
+from tinrudder.gateway.observability.metric_figures import MetricSources
+from tinrudder.gateway.store.stored_values import ValueDecoders
+from tinrudder.gateway.wiring import StoreFactory, Surroundings, build_gateway
 
 HOUSEKEEPING_S = LOOK_S
+"""Seconds between two rounds of housekeeping: as often as a pause of the process is looked for."""
 LEAVE_S = 2.6
+"""Seconds for which a gateway that stops still takes what arrives, at most half of the grace.
+Chosen, not measured: load balancers that ask for readiness once a second take it out after two
+misses, and then what they sent before is still on its way."""
 EXIT_MARGIN_S = 0.4
+"""Seconds of the grace kept for the end: a farewell to peers and the exit of the process.  Chosen,
+not measured: at least :data:`FAREWELL_S` and two looks at idle connections."""
 LAST_LOOK_S = 0.05
+"""Seconds between two looks for connections that have become idle.  Chosen, not measured."""
 QUIET_LOOKS = 2
+"""Looks in a row that must find no connection: one that the kernel has accepted a moment ago is not
+known at the first of them."""
 FAREWELL_S = 0.2
+"""Seconds for closing the connections to peers: a dead peer takes no last bytes, and nothing that
+matters to it is waiting.  Chosen, not measured: many round trips of a few milliseconds."""
 LISTEN_BACKLOG = 1024
+"""Connections that the kernel may accept ahead of the process.  Chosen, not measured: a process
+that stood still for a second must find its clients' attempts; the kernel must not drop them."""
 SEND_BUFFER_BYTES = 128 * 1024
 """What the kernel may hold of answers that a client has not taken, per connection; it takes twice
 that for its own.  Left to itself it took 3 to 3.9 MB for one client at 1 KB a second, on loopback,
 where no account counts it; 128 KB within 10 ms are 13 MB a second for one client."""
-NEWS_S = 2.0
-UNACKNOWLEDGED_S = 1.0
-STALE_AFTER_S = 6.0
-STALE_SPREAD_S = 2.0
-
-StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
 
 class Gateway:
-    """Serves clients until it is told to stop."""
+    """Serves clients until it is told to stop.
+
+    :ivar metrics: everything that the metrics address shows.
+    """
 
     def __init__(
         self,
@@ -84,236 +63,37 @@
         make_store: StoreFactory,
         metrics_address: Address | None = None,
     ) -> None:
-        """Wire everything together; nothing runs before :meth:`run`."""
+        """Wire everything together; nothing runs before :meth:`run`.
+
+        :param make_store: opens the store at an address, and counts its calls.
+        :param metrics_address: where metrics are served; ``None``: nowhere.
+        """
+        parts = build_gateway(Surroundings.of(settings, names, decoders, make_store))
         self.settings = settings
-        self.lifecycle = NodeLifecycle()
-        loop = asyncio.get_running_loop()
-        self._loop = loop
-        self._random = random.Random(settings.name)
+        self.process = parts.process
+        self.knowledge = parts.knowledge
+        self.fleet = parts.fleet
+        self.backends = parts.backends
+        self.requests = parts.requests
+        self.store = parts.store
+        self.metrics = GatewayMetrics(self._metric_sources())
+        self._exchange = parts.peer_exchange
+        self._loop = asyncio.get_running_loop()
+        self._metrics_address = metrics_address
         self._stop_requested = asyncio.Event()
         self._connections: set[ClientConnection] = set()
         self._servers: list[asyncio.Server] = []
-        self._metrics_address = metrics_address
-        self._own = settings.peers or settings.clients
-        self.peers = PeerList(self._own, self._random, loop.time(), settings.zone)
-        self.peers.set_seeds(settings.seeds)
-        self.datagrams = PeerDatagrams()
-        self.probes = Probes(self.datagrams, self._answer_probe, loop.time)
-        self.client = PeerClient(lambda: None, UNACKNOWLEDGED_S)
-        bound = account_bytes(settings.memory_mb)
-        self.memory = MemoryAccount(bound, loop.time, self._count_peer_bytes)
-        self.still = ProcessPause(loop.time())
-        self.watch = ZoneMonitor(
-            settings.zone, self.peers, self.probes, self._random, self._on_reach_change
-        )
-        self.unreadable_values = UnreadableValues(loop.time)
-        self.state = SharedState(decoders, loop.time, self.unreadable_values.note)
-        self.knowledge = StalenessBound(self.state, loop.time)
-        self.counters = CallCounters()
-        self.coordinators = Coordinators(
-            self.peers,
-            self.state,
-            loop.time,
-            self.describe,
-            self._replica_zones,
-            lambda index: self.call_context.sizes(index),
-            self._on_coordination,
-            self.watch.is_closed,
-        )
-        self.state.subscribe(self.coordinators.refresh)
-        self.directory = BackendDirectory(
-            self.state,
-            names,
-            loop.time,
-            settings.drain_s,
-            self._count_connection,
-            lambda service: self.coordinators.of_service(service).known_callers,
-            str(self._own),
-            settings.cold,
-            self.watch.is_closed,
-            self.memory,
-            lambda since: self.still.covers(since, loop.time()),
-        )
-        self.poison = PoisonWatch(
-            self.peers,
-            self.datagrams,
-            loop.time,
-            names,
-            random.Random(f"poison {settings.name}"),
-            lambda: loop.time() - self.state.unconfirmed_s(Topic.BACKENDS),
-        )
-        self.load_watch = LoadNewsExchange(self.peers, self.datagrams, loop, lambda: self.directory)
-        self.state.subscribe(self.load_watch.refresh)
-        self.call_context = CallContext(
-            loop=loop,
-            names=names,
-            zone=settings.zone,
-            directory=self.directory,
-            bounds=settings.repeats,
-            sharers=lambda service: self.coordinators.of_service(service).sharers,
-            started_at=loop.time(),
-            load_reports=LoadReports(decoders.load_report, loop.time),
-            evidence=self.poison,
-            counters=self.counters,
-            own_name=str(self._own),
-            load_watch=self.load_watch,
-            random=random.Random(f"forwarding {settings.name}"),
-            memory=self.memory,
-            zone_answered=self.watch.answered,
-            zone_doubted=self.watch.doubt,
-        )
-        self.reach = Reachability(self.directory, self.watch, loop.time)
-        self.quotas = Quotas(
-            self._own,
-            self.peers,
-            self.watch,
-            self.datagrams,
-            settings.quotas,
-            lambda name: self.handler.find_tenant(name),
-        )
-        self.metrics = GatewayMetrics(self)
-        delegation_context = DelegationContext(
-            client=self.client,
-            coordinators=self.coordinators,
-            call_context=self.call_context,
-            watch=self.watch,
-            configuration_revision=lambda: self.state.configuration_revision,
-            traffic=self.datagrams.traffic,
-        )
-        planner = ScatterPlanner(self.call_context, delegation_context, self._random)
-        self.gates = ScatterAdmissions(delegation_context, self._random)
-        self.handler = ForwardingHandler(
-            self.call_context,
-            self.state,
-            self._on_finished,
-            self._random,
-            self._knows_news,
-            delegation_context,
-            planner,
-            Authentication(names, lambda: self.keeper.too_old, self._knows_news, self._random),
-            self.quotas,
-            self.reach,
-            self.poison,
-            self.gates,
-        )
-        self.scatters = DelegationService(
-            self.call_context,
-            self.state,
-            self.gates,
-            planner,
-            lambda: self.handler.routes,
-            self.reach,
-            self.poison,
-        )
-        self.store_calls = 0
-        self._followers: list[StoreFollower] = []
-        store = make_store(settings.store, self._count_store_call)
-        self.readers = StoreReaders(
-            self._own,
-            self.peers,
-            self.state,
-            loop.time,
-            self.describe,
-            started_at=loop.time(),
-            stale_after_s=STALE_AFTER_S + self._random.uniform(0.0, STALE_SPREAD_S),
-            patience=self._random.uniform(1.0, 2.0),
-            seeds=settings.seeds,
-        )
-        self._followers = [
-            StoreFollower(
-                topic,
-                store,
-                self.state,
-                log_reachability,
-                self.nodes,
-                self.readers,
-                self._random,
-                self._on_complete_read,
-            )
-            for topic in Topic
-        ]
-        self.keeper = StalenessKeeper(
-            self.knowledge,
-            self.state,
-            store,
-            self.readers,
-            self.peers,
-            self.probes,
-            settings.zone,
-            settings.revocation_s,
-            lambda: self.handler.asks_for_keys,
-            self._catch_up,
-            self._random,
-        )
-        self._exchange: PeerExchange | None = None
-        if settings.peers is not None:
-            self._exchange = PeerExchange(
-                self.describe,
-                self.state,
-                self.peers,
-                delegation_context.client,
-                self.datagrams,
-                self.knowledge,
-                self.watch,
-                self.scatters.serve,
-                self.readers,
-                self._on_pull,
-                self._random,
-            )
+        self._tasks: list[asyncio.Task[None]] = []
         self._logged_version = 0
-        self.state.subscribe(self._on_state_change)
+        self.knowledge.state.subscribe(self._on_state_change)
 
     def nodes(self) -> int:
         """Return how many gateways there seem to be."""
-        return self.peers.nodes(self._loop.time())
-
-    def describe(self) -> Member:
-        """Return this gateway as others should see it now."""
-        return Member(
-            address=self._own,
-            zone=self.settings.zone,
-            capacity=self.settings.capacity,
-            leaving=self.lifecycle.is_stopping(),
-            starting=not self.state.complete,
-            without_store=any(follower.lost for follower in self._followers),
-        )
-
-    def _replica_zones(self, service: str) -> tuple[str, ...]:
-        """Return the zones of a service's back ends."""
-        return self.directory.replica_zones(service)
-
-    def _knows_news(self) -> bool:
-        """Tell whether a newer configuration would be known here: by peers, else by the store."""
-        if self.keeper.fresh is not None:
-            return self.keeper.fresh
-        now = self._loop.time()
-        if self.peers.has_peers:
-            return self.peers.silent_s(now) <= NEWS_S
-        return all(follower.reachable for follower in self._followers)
-
-    def _answer_probe(self, number: int) -> ProbeAnswer:
-        """Answer a peer that wants to know whether this gateway hears, and what it knows."""
-        return ProbeAnswer(number, self.state.operator_revision, self.knowledge.told_age_s)
-
-    def _catch_up(self, peer: Address) -> None:
-        """Fetch what a peer knows beyond this gateway."""
-        if self._exchange is not None:
-            self._exchange.catch_up(peer)
-
-    def _on_complete_read(self, topic: Topic, asked_at: float) -> None:
-        """Take what a complete read proves: a start serves keyed requests without another one."""
-        if topic is Topic.OPERATOR:
-            self.knowledge.prove(asked_at)
-
-    def _on_reach_change(self) -> None:
-        """Choose other coordinators; have those of the zone look as well."""
-        self.coordinators.reconsider()
-        if self._exchange is not None:
-            self._exchange.tell_zone()
+        return self.fleet.peers.nodes(self._loop.time())
 
     def is_ready(self) -> bool:
         """Tell whether clients should come here."""
-        return self.lifecycle.is_ready() and not self.reach.is_cut_off
+        return self.process.lifecycle.is_ready() and not self.requests.reachability.is_cut_off
 
     def request_stop(self) -> None:
         """Begin a planned stop; :meth:`run` returns when it is over."""
@@ -321,8 +101,8 @@
 
     def reload(self, settings: GatewaySettings) -> None:
         """Take over what may change while the process runs: the seeds."""
-        self.peers.set_seeds(settings.seeds)
-        self.readers.seeds = settings.seeds
+        self.fleet.peers.set_seeds(settings.seeds)
+        self.store.readers.seeds = settings.seeds
         log_event("reloaded", {"seeds": len(settings.seeds)})
 
     async def run(self) -> None:
@@ -339,23 +119,31 @@
         settings = self.settings
         ready = PlainHandler(lambda: readiness_answer(self.is_ready()))
         await self._listen(settings.health, ready, set())
-        await self._listen(settings.clients, self.handler, self._connections)
+        await self._listen(settings.clients, self.requests.handler, self._connections)
         if self._metrics_address is not None:
-            figures = PlainHandler(lambda: text_answer(self.metrics.render()))
-            await self._listen(self._metrics_address, figures, set())
+            await self._listen(self._metrics_address, PlainHandler(self._metrics_answer), set())
         if self._exchange is not None:
             await self._exchange.start()
-        self._tasks = [self._loop.create_task(follower.run()) for follower in self._followers]
-        parts = (self._keep_house(), self.keeper.run(), self.watch.run(), self.poison.run())
-        self._tasks.extend(self._loop.create_task(part) for part in parts)
+        parts = (
+            *(follower.run() for follower in self.store.followers),
+            self._keep_house(),
+            self.store.staleness_keeper.run(),
+            self.fleet.zone_monitor.run(),
+            self.backends.poison_watch.run(),
+        )
+        self._tasks = [self._loop.create_task(part) for part in parts]
         log_event("started", {"clients": str(settings.clients), "zone": settings.zone})
 
     async def _listen(
         self, address: Address, handler: RequestHandler, connections: set[ClientConnection]
     ) -> None:
-        """Accept connections for a handler."""
+        """Accept connections for a handler.
+
+        :raises OSError: the address is taken.
+        """
+        memory = self.process.memory
         server = await self._loop.create_server(
-            lambda: ClientConnection(handler, connections, self.memory),
+            lambda: ClientConnection(handler, connections, memory),
             address.host,
             address.port,
             backlog=LISTEN_BACKLOG,
@@ -369,33 +157,44 @@
     async def _stop(self) -> None:
         """Say that this gateway leaves, serve what still arrives, finish, and close."""
         stopped_at = self._loop.time()
-        self.lifecycle.trigger("leave")
-        self.handler.stop()
-        self.scatters.closing = True
+        grace_s = self.settings.stop_grace_s
+        lifecycle = self.process.lifecycle
+        handler = self.requests.handler
+        lifecycle.trigger("leave")
+        handler.stop()
+        self.requests.delegation_service.closing = True
         if self._exchange is not None:
             self._exchange.send_digests()
-        log_event("stopping", {"in_progress": self.handler.in_progress})
-        await asyncio.sleep(min(LEAVE_S, self.settings.stop_grace_s / 2))
-        self.lifecycle.trigger("drain")
-        last_moment = stopped_at + self.settings.stop_grace_s - EXIT_MARGIN_S
+        log_event("stopping", {"in_progress": handler.in_progress})
+        await asyncio.sleep(min(LEAVE_S, grace_s / 2))
+        lifecycle.trigger("drain")
         for server in self._servers:
             server.close()
+        await self._finish_requests(stopped_at + grace_s - EXIT_MARGIN_S)
+        for task in self._tasks:
+            task.cancel()
+        await self._leave_peers()
+        lifecycle.trigger("finish")
+        log_event("stopped", {"cut_off": handler.in_progress})
+
+    async def _finish_requests(self, last_moment: float) -> None:
+        """Wait until no connection is left, or until a moment of the event loop's time."""
         # A connection that was accepted a moment ago is not known yet, so one look is not enough.
         quiet_looks = 0
         while quiet_looks < QUIET_LOOKS and self._loop.time() < last_moment:
             self._close_idle()
             await asyncio.sleep(LAST_LOOK_S)
-            busy = bool(self._connections) or self.scatters.in_progress > 0
+            busy = bool(self._connections) or self.requests.delegation_service.in_progress > 0
             quiet_looks = 0 if busy else quiet_looks + 1
-        for task in self._tasks:
-            task.cancel()
-        if self._exchange is not None:
-            # A dead peer takes no last bytes; nothing that matters to it is waiting.
-            with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(FAREWELL_S):
-                    await self._exchange.stop()
-        self.lifecycle.trigger("finish")
-        log_event("stopped", {"cut_off": self.handler.in_progress})
+
+    async def _leave_peers(self) -> None:
+        """Close the connections to other gateways."""
+        if self._exchange is None:
+            return
+        # A dead peer takes no last bytes; nothing that matters to it is waiting.
+        with contextlib.suppress(TimeoutError):
+            async with asyncio.timeout(FAREWELL_S):
+                await self._exchange.stop()
 
     def _close_idle(self) -> None:
         """Close connections on which nothing is in progress."""
@@ -406,44 +205,52 @@
         """Drop what has become useless."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
-            self.still.note(self._loop.time())
-            self.memory.look()
-            self.state.forget_old_removals()
-            self.state.accept_older_starts()
-            self.directory.trim()
+            self.process.pause.note(self._loop.time())
+            self.process.memory.look()
+            self.knowledge.state.forget_old_removals()
+            self.knowledge.state.accept_older_starts()
+            self.backends.directory.trim()
 
     def _on_state_change(self) -> None:
         """Become ready as soon as enough is known; log a new configuration."""
-        accepted = self.state.accepted
+        state = self.knowledge.state
+        accepted = state.accepted
         if accepted is not None and accepted.configuration.version != self._logged_version:
             self._logged_version = accepted.configuration.version
             log_configuration(accepted)
-        if self.state.complete and self.lifecycle.is_before_ready():
-            self.lifecycle.trigger("serve")
-            log_event("ready", {"backends": len(self.directory)})
-
-    def _on_finished(self, request: FinishedRequest) -> None:
-        """Count and log one request."""
-        self.metrics.observe(request)
-        log_request(request)
+        if state.complete and self.process.lifecycle.is_before_ready():
+            self.process.lifecycle.trigger("serve")
+            log_event("ready", {"backends": len(self.backends.directory)})
 
-    def _on_coordination(self, coordination: Coordination) -> None:
-        """Log who calls the back ends of an index now."""
-        log_coordination(coordination, self.nodes())
+    def _metrics_answer(self) -> FinalAnswer:
+        """Return the text of the metrics; the library that writes it is loaded here.
 
-    def _on_pull(self, peer: str, result: str) -> None:
-        """Log what a peer taught."""
-        log_pull(peer, result, self.state.configuration_revision)
-
-    def _count_peer_bytes(self) -> int:
-        """Return the bytes of frames that peers have not taken, and of their requests at work."""
-        served = self._exchange.held_bytes if self._exchange is not None else 0
-        return served + self.client.held_bytes
-
-    def _count_connection(self) -> None:
-        """Count a connection opened to a back end."""
-        self.counters.connections_opened += 1
-
-    def _count_store_call(self) -> None:
-        """Count a call to the store."""
-        self.store_calls += 1
+        It takes a fifth of a process's start, which every restart would pay.
+        """
+        from tinrudder.gateway.observability.metrics_text import metrics_text
+
+        return text_answer(metrics_text(self.metrics))
+
+    def _metric_sources(self) -> MetricSources:
+        """Return the parts whose figures the metrics show."""
+        return MetricSources(
+            nodes=self.nodes,
+            is_ready=self.is_ready,
+            counters=self.process.counters,
+            memory=self.process.memory,
+            state=self.knowledge.state,
+            staleness_bound=self.knowledge.staleness_bound,
+            store_status=self.knowledge.store_status,
+            unreadable_values=self.knowledge.unreadable_values,
+            datagrams=self.fleet.datagrams,
+            zone_monitor=self.fleet.zone_monitor,
+            directory=self.backends.directory,
+            load_reports=self.backends.call_context.load_reports,
+            load_news_exchange=self.backends.load_news_exchange,
+            poison_watch=self.backends.poison_watch,
+            requests=self.requests.figures,
+            handler=self.requests.handler,
+            quotas=self.requests.quotas,
+            scatter_admissions=self.requests.scatter_admissions,
+            staleness_keeper=self.store.staleness_keeper,
+        )
--- /dev/null
+++ b/tinrudder/gateway/observability/metric_figures.py
@@ -0,0 +1,288 @@
+"""The figures of a gateway's metrics, each with its name, its help text and where it is read.
+
+Owns the tables; relies on the gateway's parts, which count anyway.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+from operator import attrgetter
+
+from msgspec import Struct
+
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.observability.request_figures import RequestFigures
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
+from tinrudder.gateway.quotas.quotas import Quotas
+from tinrudder.gateway.requests.call_context import CallCounters
+from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
+from tinrudder.gateway.store.store_status import StoreStatus
+from tinrudder.gateway.store.unreadable_values import UnreadableValues
+
+NEVER_PROVEN = -1.0
+"""What a gauge of an age in seconds shows where there is none."""
+
+
+class MetricSources(Struct, frozen=True):
+    """The parts of a gateway whose figures are shown.
+
+    :param nodes: returns how many gateways share budgets, this one included.
+    :param is_ready: tells whether clients should come here.
+    """
+
+    nodes: Callable[[], int]
+    is_ready: Callable[[], bool]
+    counters: CallCounters
+    memory: MemoryAccount
+    state: SharedState
+    staleness_bound: StalenessBound
+    store_status: StoreStatus
+    unreadable_values: UnreadableValues
+    datagrams: PeerDatagrams
+    zone_monitor: ZoneMonitor
+    directory: BackendDirectory
+    load_reports: LoadReports
+    load_news_exchange: LoadNewsExchange
+    poison_watch: PoisonWatch
+    requests: RequestFigures
+    handler: RequestHandler
+    quotas: Quotas
+    scatter_admissions: ScatterAdmissions
+    staleness_keeper: StalenessKeeper
+
+
+class FigureRow(Struct, frozen=True):
+    """One line of the tables below: a figure's name without the prefix, and where it is read."""
+
+    name: str
+    help: str
+    read: Callable[[MetricSources], float]
+
+
+def _age_shown(sources: MetricSources) -> float:
+    """Return the age of what is known, for a gauge, which has no word for never."""
+    age_s = sources.staleness_bound.told_age_s
+    return NEVER_PROVEN if age_s is None else age_s
+
+
+def _read(path: str) -> Callable[[MetricSources], float]:
+    """Return what reads an attribute of a part, such as ``counters.requests``."""
+    return attrgetter(path)
+
+
+COUNTERS = (
+    FigureRow("requests", "Requests read.", _read("counters.requests")),
+    FigureRow("calls", "Calls sent to back ends.", _read("counters.calls")),
+    FigureRow("hedges", "Calls sent beside one that was overdue.", _read("counters.hedges")),
+    FigureRow("retries", "Calls sent after one that failed.", _read("counters.retries")),
+    FigureRow(
+        "repeats_denied",
+        "Hedges and retries that the budget did not allow.",
+        _read("counters.repeats_denied"),
+    ),
+    FigureRow("rejections", "Calls that back ends rejected.", _read("counters.rejections")),
+    FigureRow("broken", "Calls without a usable answer.", _read("counters.broken")),
+    FigureRow(
+        "connections_opened",
+        "Connections opened to back ends.",
+        _read("counters.connections_opened"),
+    ),
+    FigureRow(
+        "refused",
+        "Requests refused since they could not have been served in time.",
+        _read("counters.refused"),
+    ),
+    FigureRow("relayed", "Scatters handed to coordinators.", _read("counters.relayed")),
+    FigureRow(
+        "delegated",
+        "Groups of shards handed to gateways beside their replicas.",
+        _read("counters.delegated"),
+    ),
+    FigureRow(
+        "delegations_run_here",
+        "Groups of shards asked from here since the other gateway did not.",
+        _read("counters.delegations_run_here"),
+    ),
+    FigureRow(
+        "relays_failed",
+        "Coordinators that did not serve a scatter.",
+        _read("counters.relays_failed"),
+    ),
+    FigureRow(
+        "relays_run_here",
+        "Scatters run here because no coordinator served them.",
+        _read("counters.relays_run_here"),
+    ),
+    FigureRow("coordinated", "Scatters run for other gateways.", _read("counters.coordinated")),
+    FigureRow(
+        "clients_left",
+        "Requests whose client left before the answer.",
+        _read("counters.clients_left"),
+    ),
+    FigureRow("store_calls", "Calls to the store.", _read("store_status.calls")),
+    FigureRow(
+        "unreadable_values",
+        "Values in the store that do not have the form agreed on.",
+        _read("unreadable_values.count"),
+    ),
+    FigureRow(
+        "unreadable_load_reports",
+        "Load reports of back ends that do not have the form agreed on.",
+        _read("load_reports.unreadable"),
+    ),
+    FigureRow(
+        "unreadable_datagrams",
+        "Datagrams that are none of the kinds that gateways send each other.",
+        _read("datagrams.unreadable"),
+    ),
+    FigureRow(
+        "knowledge_reads",
+        "Calls to the store to know that nothing newer is there.",
+        _read("staleness_keeper.reads"),
+    ),
+    FigureRow(
+        "zone_closings", "Times that a zone went out of reach.", _read("zone_monitor.closings")
+    ),
+    FigureRow(
+        "memory_refused",
+        "Requests refused since there was no room in memory.",
+        _read("memory.refused"),
+    ),
+    FigureRow(
+        "clients_ended_unread",
+        "Connections ended since nobody read answers.",
+        _read("memory.ended_unread"),
+    ),
+    FigureRow(
+        "reading_paused",
+        "Times that reading from a client was stopped.",
+        _read("memory.pauses"),
+    ),
+    FigureRow(
+        "poison_refused",
+        "Requests refused since back ends crash under them.",
+        _read("poison_watch.refused"),
+    ),
+    FigureRow(
+        "poison_reports_unsent",
+        "Reports of poison requests kept back by the bound on them.",
+        _read("poison_watch.unsent"),
+    ),
+    FigureRow(
+        "load_news_sent",
+        "Datagrams that told other gateways of long queues, each receiver counted.",
+        _read("load_news_exchange.sent"),
+    ),
+    FigureRow(
+        "load_news_taken",
+        "Loads of back ends told by other gateways and newer than what was known.",
+        _read("load_news_exchange.taken"),
+    ),
+    FigureRow(
+        "load_news_ignored",
+        "Loads told of back ends that are not known, or that cannot be true.",
+        _read("load_news_exchange.ignored"),
+    ),
+    FigureRow(
+        "missing_shards",
+        "Shards left out of merged answers.",
+        _read("requests.missing_shards"),
+    ),
+)
+"""Figures that only grow while the process lives."""
+
+GAUGES = (
+    FigureRow(
+        "held_clients_bytes",
+        "Bytes held for clients: requests, and answers that they have not taken.",
+        _read("memory.clients"),
+    ),
+    FigureRow(
+        "held_backends_bytes",
+        "Bytes held of back ends: requests not taken, answers until they are merged.",
+        _read("memory.backends"),
+    ),
+    FigureRow(
+        "held_peers_bytes",
+        "Bytes held for other gateways, at the latest look, one a second.",
+        _read("memory.peers"),
+    ),
+    FigureRow(
+        "held_bound_bytes",
+        "Bytes that may be held for all together.",
+        _read("memory.bound"),
+    ),
+    FigureRow(
+        "poison_alerts",
+        "Routes and callers all whose requests begin as canaries now.",
+        lambda sources: sources.poison_watch.alerts(),
+    ),
+    FigureRow(
+        "configuration_revision",
+        "Revision of the configuration in force.",
+        _read("state.configuration_revision"),
+    ),
+    FigureRow(
+        "nodes",
+        "Gateways that share budgets, this one included.",
+        lambda sources: sources.nodes(),
+    ),
+    FigureRow("backends", "Back ends known.", lambda sources: len(sources.directory)),
+    FigureRow(
+        "knowledge_age_seconds",
+        "How old what is known of the operator's word is at most; -1: it was never proven.",
+        _age_shown,
+    ),
+    FigureRow(
+        "zones_out_of_reach",
+        "Zones to which calls would only hang.",
+        lambda sources: len(sources.zone_monitor.paths.lost),
+    ),
+    FigureRow(
+        "heard_share",
+        "Part of the gateways known that can be reached, this one included.",
+        _read("zone_monitor.heard_share"),
+    ),
+    FigureRow("ready", "1 while clients should come here.", lambda sources: sources.is_ready()),
+    FigureRow(
+        "suspect_requests",
+        "Different requests under which back ends were lost lately.",
+        lambda sources: len(sources.poison_watch.requests),
+    ),
+    FigureRow(
+        "barred_requests",
+        "Different requests that no gateway sends now, since back ends crash under them.",
+        lambda sources: sources.poison_watch.barred(),
+    ),
+    FigureRow(
+        "evacuated_zones",
+        "Zones whose back ends get nothing since the operator evacuates them.",
+        lambda sources: len(sources.state.evacuations.zones),
+    ),
+    FigureRow(
+        "scatters_waiting",
+        "Scatters that wait here for room at the back ends.",
+        _read("scatter_admissions.waiting"),
+    ),
+    FigureRow(
+        "scatter_room_held",
+        "Slots of a typical shard that running scatters hold.",
+        _read("scatter_admissions.held"),
+    ),
+    FigureRow(
+        "scatter_room_limit",
+        "Slots of a typical shard that scatters of this gateway may hold now.",
+        _read("scatter_admissions.limit"),
+    ),
+    FigureRow("in_progress", "Requests being served.", _read("handler.in_progress")),
+)
+"""Figures that are as they are now."""
--- a/tinrudder/gateway/observability/metrics_text.py
+++ b/tinrudder/gateway/observability/metrics_text.py
@@ -1,4 +1,7 @@
-"""The metrics of a gateway in the text format; imported by the first scrape."""
+"""Writes the metrics of a gateway in the text format; imported by the first scrape.
+
+Owns nothing; relies on the library of the format, which takes a fifth of a process's start to load.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,15 @@
 )
 from prometheus_client.registry import Collector
 
-from tinrudder.gateway.observability.gateway_metrics import PREFIX, GatewayMetrics
-from tinrudder.gateway.observability.request_latencies import LATENCY_BUCKETS_S, LatencyCounts
+from tinrudder.gateway.observability.gateway_metrics import PREFIX, GatewayMetrics, TenantFigure
+from tinrudder.gateway.observability.request_latencies import (
+    LATENCY_BUCKETS_S,
+    LatencyCounts,
+    LatencyLabels,
+)
 
 UNBOUNDED = "+Inf"
+"""The upper bound of a histogram's last bucket, as the text format writes it."""
 
 
 class _GatewayCollector(Collector):
@@ -27,41 +35,16 @@
 
     def collect(self) -> Iterable[Metric]:
         """Return every figure as it is now."""
-        for figure in self._metrics.figures:
+        metrics = self._metrics
+        for figure in metrics.figures:
             family = CounterMetricFamily if figure.is_counter else GaugeMetricFamily
             yield family(figure.name, figure.help, value=figure.read())
-        latency = HistogramMetricFamily(
-            f"{PREFIX}_request_seconds",
-            "Time from a client's whole request to its outcome.",
-            labels=["priority", "outcome"],
-        )
-        for labels, counts in self._metrics.latencies.items():
-            buckets = list(_cumulative(counts))
-            latency.add_metric([labels.priority, labels.outcome], buckets, counts.total_s)
-        yield latency
-        requests = CounterMetricFamily(
-            f"{PREFIX}_tenant_requests",
-            "Requests with a tenant's key, by what its limit said.",
-            labels=["tenant", "decision"],
-        )
-        for decided in self._metrics.tenant_requests():
-            requests.add_metric([decided.tenant, decided.kind], decided.value)
-        yield requests
-        tokens = GaugeMetricFamily(
-            f"{PREFIX}_tenant_tokens",
-            "Requests that a tenant may ask now, where this gateway keeps its bucket.",
-            labels=["tenant"],
-        )
-        for held in self._metrics.tenant_tokens():
-            tokens.add_metric([held.tenant], held.value)
-        yield tokens
-        yield _by_kind(
-            f"{PREFIX}_peer_bytes", "Bytes sent to other gateways.", self._metrics.traffic.bytes
-        )
+        yield _latencies(metrics.latencies)
+        yield _tenant_requests(metrics.tenant_requests())
+        yield _tenant_tokens(metrics.tenant_tokens())
+        yield _by_kind("peer_bytes", "Bytes sent to other gateways.", metrics.traffic.bytes)
         yield _by_kind(
-            f"{PREFIX}_peer_messages",
-            "Messages sent to other gateways.",
-            self._metrics.traffic.messages,
+            "peer_messages", "Messages sent to other gateways.", metrics.traffic.messages
         )
 
 
@@ -72,9 +55,46 @@
     return generate_latest(registry)
 
 
+def _latencies(latencies: Mapping[LatencyLabels, LatencyCounts]) -> Metric:
+    """Return the histograms of finished requests."""
+    family = HistogramMetricFamily(
+        f"{PREFIX}_request_seconds",
+        "Time from a client's whole request to its outcome.",
+        labels=["priority", "outcome"],
+    )
+    for labels, counts in latencies.items():
+        buckets = list(_cumulative(counts))
+        family.add_metric([labels.priority, labels.outcome], buckets, counts.total_s)
+    return family
+
+
+def _tenant_requests(decisions: Iterable[TenantFigure]) -> Metric:
+    """Return a counter with a label for each tenant and decision."""
+    family = CounterMetricFamily(
+        f"{PREFIX}_tenant_requests",
+        "Requests with a tenant's key, by what its limit said.",
+        labels=["tenant", "decision"],
+    )
+    for decided in decisions:
+        family.add_metric([decided.tenant, decided.kind], decided.value)
+    return family
+
+
+def _tenant_tokens(held_tokens: Iterable[TenantFigure]) -> Metric:
+    """Return a gauge with a label for each tenant."""
+    family = GaugeMetricFamily(
+        f"{PREFIX}_tenant_tokens",
+        "Requests that a tenant may ask now, where this gateway keeps its bucket.",
+        labels=["tenant"],
+    )
+    for held in held_tokens:
+        family.add_metric([held.tenant], held.value)
+    return family
+
+
 def _by_kind(name: str, text: str, counts: Mapping[str, int]) -> Metric:
     """Return a counter with a label for each kind of message."""
-    family = CounterMetricFamily(name, text, labels=["kind"])
+    family = CounterMetricFamily(f"{PREFIX}_{name}", text, labels=["kind"])
     for kind, count in counts.items():
         family.add_metric([kind], count)
     return family
--- /dev/null
+++ b/tinrudder/gateway/parts.py
@@ -0,0 +1,122 @@
+"""The parts of a gateway, in groups, as they are built one after the other.
+
+Owns no state of its own: a group only names parts that belong together, so that what needs many of
+them takes one argument.  :mod:`tinrudder.gateway.wiring` makes the groups.
+"""
+
+from __future__ import annotations
+
+from dataclasses import dataclass
+
+from tinrudder.common.lifecycle import NodeLifecycle
+from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.decisions.fleet.process_pause import ProcessPause
+from tinrudder.gateway.observability.request_figures import RequestFigures
+from tinrudder.gateway.peers.held_for_peers import HeldForPeers
+from tinrudder.gateway.peers.own_member import OwnMember
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_exchange import PeerExchange
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.peers.probes import Probes
+from tinrudder.gateway.peers.reachability import Reachability
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
+from tinrudder.gateway.quotas.quotas import Quotas
+from tinrudder.gateway.requests.call_context import CallContext, CallCounters
+from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.scatters.coordinators import Coordinators
+from tinrudder.gateway.scatters.delegation_service import DelegationService
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
+from tinrudder.gateway.store.configuration_freshness import ConfigurationFreshness
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
+from tinrudder.gateway.store.store_follower import StoreFollower
+from tinrudder.gateway.store.store_readers import StoreReaders
+from tinrudder.gateway.store.store_status import StoreStatus
+from tinrudder.gateway.store.unreadable_values import UnreadableValues
+
+
+@dataclass(frozen=True, slots=True)
+class ProcessParts:
+    """What concerns the process as a whole."""
+
+    lifecycle: NodeLifecycle
+    pause: ProcessPause
+    held_for_peers: HeldForPeers
+    memory: MemoryAccount
+    counters: CallCounters
+
+
+@dataclass(frozen=True, slots=True)
+class KnowledgeParts:
+    """What is known of the store, whoever told it, and how old that is."""
+
+    unreadable_values: UnreadableValues
+    state: SharedState
+    staleness_bound: StalenessBound
+    store_status: StoreStatus
+    own_member: OwnMember
+
+
+@dataclass(frozen=True, slots=True)
+class FleetParts:
+    """The other gateways, and the ways to them."""
+
+    peers: PeerList
+    datagrams: PeerDatagrams
+    probes: Probes
+    client: PeerClient
+    zone_monitor: ZoneMonitor
+
+
+@dataclass(frozen=True, slots=True)
+class BackendParts:
+    """The back ends, what is seen of them, and who calls them."""
+
+    coordinators: Coordinators
+    directory: BackendDirectory
+    poison_watch: PoisonWatch
+    load_news_exchange: LoadNewsExchange
+    call_context: CallContext
+
+
+@dataclass(frozen=True, slots=True)
+class RequestParts:
+    """What a client's request passes, and what other gateways' scatters do."""
+
+    figures: RequestFigures
+    freshness: ConfigurationFreshness
+    reachability: Reachability
+    quotas: Quotas
+    scatter_admissions: ScatterAdmissions
+    handler: RequestHandler
+    delegation_service: DelegationService
+
+
+@dataclass(frozen=True, slots=True)
+class StoreParts:
+    """What asks the store."""
+
+    readers: StoreReaders
+    followers: tuple[StoreFollower, ...]
+    staleness_keeper: StalenessKeeper
+
+
+@dataclass(frozen=True, slots=True)
+class GatewayParts:
+    """All parts of one gateway.
+
+    :param peer_exchange: ``None`` where the settings name no address for peers.
+    """
+
+    process: ProcessParts
+    knowledge: KnowledgeParts
+    fleet: FleetParts
+    backends: BackendParts
+    requests: RequestParts
+    store: StoreParts
+    peer_exchange: PeerExchange | None
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -54,7 +54,7 @@
     ) -> None:
         """Start with nobody but ``own``; ``started_at`` is when this process began."""
         self._own = own
-        self._own_zone = own_zone
+        self.own_zone = own_zone
         self._settled_at = started_at + SETTLE_S
         self._random = random_source
         self._seeds: set[Address] = set()
@@ -194,7 +194,7 @@
     def is_elsewhere(self, address: Address) -> bool:
         """Tell whether a peer is known to be in another zone."""
         known = self._known.get(address)
-        return known is not None and known.member.zone != self._own_zone
+        return known is not None and known.member.zone != self.own_zone
 
     def _forget(self, now: float) -> None:
         """Drop peers that were silent for long."""
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -36,7 +36,7 @@
 class ZoneMonitor:
     """Keeps :class:`ZonePaths` up to date by questions.
 
-    :ivar closings: how often a way was closed; ``openings``: how often one was open again.
+    :ivar closings: how often a way was closed.
     """
 
     def __init__(
@@ -45,21 +45,23 @@
         peers: PeerList,
         probes: Probes,
         random_source: random.Random,
-        on_change: Callable[[], None],
     ) -> None:
-        """Begin with every way open; ``on_change`` is called when one closes or opens."""
+        """Begin with every way open."""
         self.paths = ZonePaths()
         self.closings = 0
-        self.openings = 0
         self._zone = zone
         self._peers = peers
         self._probes = probes
         self._random = random_source
-        self._on_change = on_change
+        self._listeners: list[Callable[[], None]] = []
         self._loop = asyncio.get_running_loop()
         self._asking: dict[str, asyncio.TimerHandle] = {}
         probes.subscribe(self._on_answer)
 
+    def subscribe(self, listener: Callable[[], None]) -> None:
+        """Call ``listener`` when a way closes or opens, after those that subscribed before."""
+        self._listeners.append(listener)
+
     @property
     def heard_share(self) -> float:
         """Return which part of the gateways known, this one included, can be reached."""
@@ -93,9 +95,8 @@
     def answered(self, zone: str) -> None:
         """Note an answer of a back end or a gateway in a zone."""
         if self.paths.answered(zone, self._loop.time()):
-            self.openings += 1
             self._log(zone)
-            self._on_change()
+            self._announce()
 
     def answered_by(self, peer: Address) -> None:
         """Note an answer of a gateway."""
@@ -146,7 +147,7 @@
                 self._on_closing(zone)
             else:
                 self._log(zone)
-                self._on_change()
+                self._announce()
         state = self.paths.path(zone).state
         if state is PathState.OPEN:
             return
@@ -161,7 +162,7 @@
         """Count and tell that a zone is out of reach."""
         self.closings += 1
         self._log(zone)
-        self._on_change()
+        self._announce()
 
     def _on_answer(self, sent: SentProbe, _answer: ProbeAnswer) -> None:
         """Take a gateway's answer, unless it was asked before the way came into doubt."""
@@ -169,6 +170,11 @@
         if zone is not None and sent.sent_at >= self.paths.path(zone).doubted_at:
             self.answered(zone)
 
+    def _announce(self) -> None:
+        """Tell everybody who asked of a way that has closed or opened."""
+        for listener in self._listeners:
+            listener()
+
     def _log(self, zone: str) -> None:
         """Log the state of a way, and what it was judged by."""
         path = self.paths.path(zone)
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -122,15 +122,6 @@
         """Return the configuration in force, ``None`` before there is one."""
         return self._routes
 
-    @property
-    def asks_for_keys(self) -> bool:
-        """Tell whether the configuration in force has tenants."""
-        return self._routes is not None and self._routes.keys.required
-
-    def find_tenant(self, name: str) -> Tenant | None:
-        """Return a tenant of the configuration in force."""
-        return self._routes.tenants.get(name) if self._routes is not None else None
-
     @property
     def limits(self) -> ClientLimits:
         """Return the limits in force."""
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -108,8 +108,6 @@
 
     :param describe_own: returns this gateway as it would describe itself now.
     :param on_change: is told of every change of an index's coordination.
-    :param replica_zones: returns the zone of each back end of a service that is not leaving.
-    :param sizes: returns how large answers of an index have been.
     :param is_closed: tells whether a zone is out of reach; nobody there is asked.
     """
 
@@ -117,10 +115,10 @@
     state: SharedState
     clock: Callable[[], float]
     describe_own: Callable[[], Member]
-    replica_zones: Callable[[str], tuple[str, ...]]
-    sizes: Callable[[tuple[str, ...]], ScatterSizes]
     on_change: Callable[[Coordination], None]
     is_closed: Callable[[str], bool]
+    _replica_zones: Callable[[str], tuple[str, ...]] = lambda service: ()
+    _sizes: Callable[[tuple[str, ...]], ScatterSizes] = lambda index: ScatterSizes()
     _by_index: dict[tuple[str, ...], Coordination] = field(default_factory=dict)
     _index_of: dict[str, tuple[str, ...]] = field(default_factory=dict)
     _avoided: dict[Address, _Avoided] = field(default_factory=dict)
@@ -128,6 +126,19 @@
     _all: Coordination | None = None
     _indexed: GatewayConfiguration | None = None
 
+    def connect(
+        self,
+        replica_zones: Callable[[str], tuple[str, ...]],
+        sizes: Callable[[tuple[str, ...]], ScatterSizes],
+    ) -> None:
+        """Learn where back ends are and how large answers have been; both ask this in turn.
+
+        :param replica_zones: returns the zone of each back end of a service that is not leaving.
+        :param sizes: returns how large answers of an index have been.
+        """
+        self._replica_zones = replica_zones
+        self._sizes = sizes
+
     def refresh(self) -> None:
         """Learn which services are shards of which index."""
         accepted = self.state.accepted
@@ -191,7 +202,7 @@
 
     def _decide(self, index: tuple[str, ...], now: float) -> Coordination:
         """Choose who calls the back ends of one index."""
-        zones = [self.replica_zones(service) for service in index]
+        zones = [self._replica_zones(service) for service in index]
         count = coordinators_needed(self._demand(index, zones), self.peers.nodes(now))
         others = [one for one in self.peers.candidates(now) if not self.is_closed(one.zone)]
         if count is None:
@@ -230,7 +241,7 @@
             own_zone,
             {member.zone for member in willing},
             dict(zip(index, zones, strict=True)),
-            self.sizes(index),
+            self._sizes(index),
         )
         return tuple(
             HandedShards(group.shards, _strong_in(group.zones, willing)) for group in groups
--- /dev/null
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -0,0 +1,50 @@
+"""Decides whether a refusal that ends a client's tries may be given from what is known here.
+
+A status such as 401 or 404 is final for a client, so it is given only where a newer configuration
+would be known.  Owns no state; relies on the staleness bound, on peers and on the store's status.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable
+
+from msgspec import Struct
+
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.store.store_status import StoreStatus
+
+FRESH_SHARE = 0.5
+"""Part of the bound within which a refusal that ends a client's tries may be given: below the time
+within which a change must be in force anyway, and above the usual age."""
+NEWS_S = 2.0
+"""Seconds without a message of any peer after which a newer configuration may be unknown here.
+Chosen, not measured: four intervals of digests, so that a few lost datagrams change nothing."""
+
+
+class ConfigurationFreshness(Struct, frozen=True):
+    """How far a refusal may rely on the configuration in force.
+
+    :param bound_s: seconds that the configuration may be old; ``None``: its age is not kept.
+    :param is_needed: tells whether the configuration in force asks for the bound, as it has keys.
+    :param clock: returns the time of the event loop, seconds.
+    """
+
+    staleness_bound: StalenessBound
+    bound_s: float | None
+    is_needed: Callable[[], bool]
+    peers: PeerList
+    store_status: StoreStatus
+    clock: Callable[[], float]
+
+    def is_too_old(self) -> bool:
+        """Tell whether a key that ended may still be believed here."""
+        return self.bound_s is not None and self.staleness_bound.age_s > self.bound_s
+
+    def would_know_newer(self) -> bool:
+        """Tell whether a newer configuration would be known here: by peers, else by the store."""
+        if self.bound_s is not None and self.is_needed():
+            return self.staleness_bound.age_s <= self.bound_s * FRESH_SHARE
+        if self.peers.has_peers:
+            return self.peers.silent_s(self.clock()) <= NEWS_S
+        return self.store_status.is_reachable
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -14,8 +14,8 @@
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes, SentProbe
+from tinrudder.gateway.store.configuration_freshness import ConfigurationFreshness
 from tinrudder.gateway.store.shared_state import SharedState
-from tinrudder.gateway.store.staleness_bound import StalenessBound
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
@@ -36,9 +36,6 @@
 """The same for readers of other zones, when the zone's own do not help."""
 READ_ALONE_SHARE = 0.6
 """The same for whoever is no reader: nobody that it can reach knows better."""
-FRESH_SHARE = 0.5
-"""Part of the bound within which a refusal that ends a client's tries may be given: below the time
-within which a change must be in force anyway, and above the usual age."""
 
 
 class StalenessKeeper:
@@ -46,35 +43,25 @@
 
     def __init__(
         self,
-        knowledge: StalenessBound,
+        freshness: ConfigurationFreshness,
         state: SharedState,
         store: MetadataStore,
         readers: StoreReaders,
         peers: PeerList,
         probes: Probes,
-        zone: str,
-        bound_s: float | None,
-        needed: Callable[[], bool],
-        catch_up: Callable[[Address], None],
         random_source: random.Random,
     ) -> None:
-        """Prepare.
-
-        :param bound_s: how old knowledge may be; ``None``: nothing needs to be kept young.
-        :param needed: tells whether the configuration in force asks for it.
-        :param catch_up: fetches what a peer knows beyond this gateway.
-        """
+        """Keep the age of ``freshness`` within its bound, where it has one."""
         self.reads = 0
-        self._knowledge = knowledge
+        self._freshness = freshness
+        self._staleness_bound = freshness.staleness_bound
         self._state = state
         self._store = store
         self._readers = readers
         self._peers = peers
         self._probes = probes
-        self._zone = zone
-        self._bound_s = bound_s
-        self._needed = needed
-        self._catch_up = catch_up
+        self._bound_s = freshness.bound_s
+        self._on_newer: list[Callable[[Address], None]] = []
         self._random = random_source
         self._loop = asyncio.get_running_loop()
         self._reading: asyncio.Task[None] | None = None
@@ -82,17 +69,9 @@
         probes.subscribe(self._on_answer)
         state.subscribe(self._on_state_change)
 
-    @property
-    def too_old(self) -> bool:
-        """Tell whether a key that ended may still be believed here."""
-        return self._bound_s is not None and self._knowledge.age_s > self._bound_s
-
-    @property
-    def fresh(self) -> bool | None:
-        """Tell whether what is not known here is not known anywhere; ``None``: it isn't kept."""
-        if self._bound_s is None or not self._needed():
-            return None
-        return self._knowledge.age_s <= self._bound_s * FRESH_SHARE
+    def subscribe_to_newer(self, listener: Callable[[Address], None]) -> None:
+        """Call ``listener`` with each peer that turns out to know more than this gateway."""
+        self._on_newer.append(listener)
 
     async def run(self) -> None:
         """Look for ever."""
@@ -104,9 +83,9 @@
 
     def look(self) -> None:
         """Do what the age asks for now."""
-        if self._bound_s is None or not self._needed():
+        if self._bound_s is None or not self._freshness.is_needed():
             return
-        share = self._knowledge.age_s / self._bound_s
+        share = self._staleness_bound.age_s / self._bound_s
         if share < ASK_SHARE:
             return
         place = self._readers.place()
@@ -118,7 +97,7 @@
 
     def _ask_beside(self) -> bool:
         """Ask one of the zone's readers; tell whether there is one."""
-        beside = self._readers.addresses(self._zone)
+        beside = self._readers.addresses(self._peers.own_zone)
         if beside:
             self._probes.ask(self._random.choice(beside))
         return bool(beside)
@@ -161,17 +140,18 @@
         self._state.apply_complete(Topic.OPERATOR, reading)
         self._state.confirm(Topic.OPERATOR, self._loop.time() - asked_at)
         if reading.whole:
-            self._knowledge.prove(asked_at)
+            self._staleness_bound.prove(asked_at)
 
     def _on_answer(self, sent: SentProbe, answer: ProbeAnswer) -> None:
         """Take a peer's word; fetch what it knows beyond this gateway."""
         if answer.knowledge_age_s is not None:
             at = sent.sent_at - answer.knowledge_age_s
-            self._knowledge.prove(at, answer.operator_revision)
+            self._staleness_bound.prove(at, answer.operator_revision)
         if answer.operator_revision > self._state.operator_revision:
-            self._catch_up(sent.peer)
+            for listener in self._on_newer:
+                listener(sent.peer)
 
     def _on_state_change(self) -> None:
         """Ask at once when this gateway begins to need it."""
-        if self._state.complete and self._knowledge.told_age_s is None:
+        if self._state.complete and self._staleness_bound.told_age_s is None:
             self.look()
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -14,6 +14,7 @@
 
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.store_readers import READERS, StoreReaders
+from tinrudder.gateway.store.store_status import StoreStatus
 from tinrudder.gateway.store.stored_values import (
     HistoryForgottenError,
     MetadataStore,
@@ -32,7 +33,6 @@
 LONGEST_REST_S = {Topic.OPERATOR: 0.1, Topic.BACKENDS: 1.0}
 REST_SPREAD = 0.6
 
-ReachabilityListener = Callable[[Topic, bool, str], None]
 CompleteReadListener = Callable[[Topic, float], None]
 
 
@@ -44,13 +44,13 @@
         topic: Topic,
         store: MetadataStore,
         state: SharedState,
-        on_reachability: ReachabilityListener,
+        status: StoreStatus,
         nodes: Callable[[], int],
         readers: StoreReaders,
         random_source: random.Random,
         on_complete_read: CompleteReadListener,
     ) -> None:
-        """Tell ``on_reachability`` when the store is lost or regained, and why.
+        """Note in ``status`` whether the store answers.
 
         :param nodes: tells how many gateways teach each other.
         :param readers: tells whether this gateway follows the store at all.
@@ -63,39 +63,27 @@
         self._topic = topic
         self._store = store
         self._state = state
-        self._on_reachability = on_reachability
+        self._status = status
         self._revision: int | None = None
-        self._reachable = False
-        self._lost = False
         self._forgotten = False
         self._retry_s = FIRST_RETRY_S
 
-    @property
-    def reachable(self) -> bool:
-        """Tell whether the last call was answered."""
-        return self._reachable
-
-    @property
-    def lost(self) -> bool:
-        """Tell whether this gateway asks the store and the last call was not answered."""
-        return self._lost
-
     async def run(self) -> None:
         """Follow for ever."""
         while True:
             if not self._readers.must_read(self._topic):
                 self._revision = None
-                self._lost = False
+                self._status.note_not_asked(self._topic)
                 await asyncio.sleep(RECHECK_S)
                 continue
             try:
                 await self._step()
             except StoreUnavailableError as error:
-                self._note(reachable=False, detail=str(error))
+                self._status.note_unanswered(self._topic, str(error))
                 await asyncio.sleep(self._readers.retry_pause_s(self._retry_s))
                 self._retry_s = min(LONGEST_RETRY_S, self._retry_s * 2)
             else:
-                self._note(reachable=True)
+                self._status.note_answered(self._topic)
                 self._retry_s = FIRST_RETRY_S
 
     async def _step(self) -> None:
@@ -157,10 +145,3 @@
     def _reader_count(self) -> int:
         """Return how many gateways follow the store."""
         return min(READERS, self._nodes())
-
-    def _note(self, *, reachable: bool, detail: str = "") -> None:
-        """Report a change."""
-        self._lost = not reachable
-        if reachable != self._reachable:
-            self._reachable = reachable
-            self._on_reachability(self._topic, reachable, detail)
--- /dev/null
+++ b/tinrudder/gateway/wiring.py
@@ -0,0 +1,441 @@
+"""Builds the parts of a gateway from its leaves up, a group of parts at a time.
+
+Owns no state: each function makes one group from those made before it.  Relies on their order.
+Listeners of the shared state are called in the order in which they subscribe, so that coordinators
+and back ends know a change before requests do, and peers hear of it after everybody here.  Where
+two parts need each other, the later one subscribes or connects to the earlier one.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import random
+from collections.abc import Callable
+from dataclasses import dataclass
+
+from tinrudder.common.address import Address
+from tinrudder.common.lifecycle import NodeLifecycle
+from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.clients.memory_account import MemoryAccount
+from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
+from tinrudder.gateway.decisions.fleet.process_pause import ProcessPause
+from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
+from tinrudder.gateway.observability.gateway_log import (
+    log_coordination,
+    log_pull,
+    log_reachability,
+)
+from tinrudder.gateway.observability.request_figures import RequestFigures
+from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
+from tinrudder.gateway.parts import (
+    BackendParts,
+    FleetParts,
+    GatewayParts,
+    KnowledgeParts,
+    ProcessParts,
+    RequestParts,
+    StoreParts,
+)
+from tinrudder.gateway.peers.held_for_peers import HeldForPeers
+from tinrudder.gateway.peers.own_member import OwnMember
+from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
+from tinrudder.gateway.peers.peer_exchange import PeerExchange
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import ProbeAnswer
+from tinrudder.gateway.peers.poison_watch import PoisonWatch
+from tinrudder.gateway.peers.probes import Probes
+from tinrudder.gateway.peers.reachability import Reachability
+from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
+from tinrudder.gateway.quotas.quotas import Quotas
+from tinrudder.gateway.quotas.tenants_in_force import TenantsInForce
+from tinrudder.gateway.requests.authentication import Authentication
+from tinrudder.gateway.requests.call_context import CallContext, CallCounters
+from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
+from tinrudder.gateway.scatters.delegation_service import DelegationService
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
+from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+from tinrudder.gateway.store.configuration_freshness import ConfigurationFreshness
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
+from tinrudder.gateway.store.store_follower import StoreFollower
+from tinrudder.gateway.store.store_readers import StoreReaders
+from tinrudder.gateway.store.store_status import StoreStatus
+from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
+from tinrudder.gateway.store.unreadable_values import UnreadableValues
+
+UNACKNOWLEDGED_S = 1.0
+"""Seconds that bytes sent to a peer may stay unacknowledged before its connection is given up.
+Chosen, not measured: long beside round trips of a few milliseconds between zones, and short beside
+the time that a client waits for a scatter which another gateway runs."""
+STALE_AFTER_S = 6.0
+"""Seconds without word from the store, by whatever way, after which a gateway that is no reader
+asks it too.  Chosen, not measured: it must stay above the 3.9 s that a watch of a lone reader takes
+at most, or others would ask beside it on calm days."""
+STALE_SPREAD_S = 2.0
+"""Seconds by which the above differs between gateways, so that not all ask the store at once when
+its readers are gone.  Chosen, not measured."""
+SHORTEST_PATIENCE = 1.0
+"""Least factor by which a start waits for peers before it reads the store itself."""
+LONGEST_PATIENCE = 2.0
+"""The largest one.  Chosen, not measured: gateways that start together are spread over as long as
+the shortest wait, so that one of them reads first and teaches the others."""
+
+StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
+
+
+@dataclass(frozen=True, slots=True)
+class Surroundings:
+    """What every part is built from.
+
+    :param own: the address under which other gateways know this one.
+    :param random: the gateway's one source of chance, seeded by its name; the order in which parts
+        draw from it decides what a seeded run does.
+    """
+
+    settings: GatewaySettings
+    names: HeaderNames
+    decoders: ValueDecoders
+    make_store: StoreFactory
+    loop: asyncio.AbstractEventLoop
+    own: Address
+    random: random.Random
+
+    @classmethod
+    def of(
+        cls,
+        settings: GatewaySettings,
+        names: HeaderNames,
+        decoders: ValueDecoders,
+        make_store: StoreFactory,
+    ) -> Surroundings:
+        """Return the surroundings of a gateway in the running event loop."""
+        loop = asyncio.get_running_loop()
+        own = settings.peers or settings.clients
+        source = random.Random(settings.name)
+        return cls(settings, names, decoders, make_store, loop, own, source)
+
+
+def build_gateway(around: Surroundings) -> GatewayParts:
+    """Return the parts of a gateway; nothing of them runs yet."""
+    process = _build_process(around)
+    knowledge = _build_knowledge(around, process)
+    fleet = _build_fleet(around, process, knowledge)
+    backends = _build_backends(around, process, knowledge, fleet)
+    requests = _build_requests(around, process, knowledge, fleet, backends)
+    store = _build_store(around, knowledge, fleet, requests)
+    exchange = _build_exchange(around, knowledge, fleet, requests, store)
+    if exchange is not None:
+        process.held_for_peers.add(exchange)
+        fleet.zone_monitor.subscribe(exchange.tell_zone)
+        store.staleness_keeper.subscribe_to_newer(exchange.catch_up)
+    return GatewayParts(process, knowledge, fleet, backends, requests, store, exchange)
+
+
+def _build_process(around: Surroundings) -> ProcessParts:
+    clock = around.loop.time
+    held_for_peers = HeldForPeers()
+    return ProcessParts(
+        lifecycle=NodeLifecycle(),
+        pause=ProcessPause(clock()),
+        held_for_peers=held_for_peers,
+        memory=MemoryAccount(account_bytes(around.settings.memory_mb), clock, held_for_peers.total),
+        counters=CallCounters(),
+    )
+
+
+def _build_knowledge(around: Surroundings, process: ProcessParts) -> KnowledgeParts:
+    clock = around.loop.time
+    settings = around.settings
+    unreadable_values = UnreadableValues(clock)
+    state = SharedState(around.decoders, clock, unreadable_values.note)
+    status = StoreStatus(log_reachability)
+    return KnowledgeParts(
+        unreadable_values,
+        state,
+        StalenessBound(state, clock),
+        status,
+        OwnMember(around.own, settings.zone, settings.capacity, process.lifecycle, state, status),
+    )
+
+
+def _build_fleet(
+    around: Surroundings, process: ProcessParts, knowledge: KnowledgeParts
+) -> FleetParts:
+    clock = around.loop.time
+    settings = around.settings
+    peers = PeerList(around.own, around.random, clock(), settings.zone)
+    peers.set_seeds(settings.seeds)
+    datagrams = PeerDatagrams()
+
+    def answer_probe(number: int) -> ProbeAnswer:
+        age_s = knowledge.staleness_bound.told_age_s
+        return ProbeAnswer(number, knowledge.state.operator_revision, age_s)
+
+    probes = Probes(datagrams, answer_probe, clock)
+    client = PeerClient(lambda: None, UNACKNOWLEDGED_S)
+    process.held_for_peers.add(client)
+    zone_monitor = ZoneMonitor(settings.zone, peers, probes, around.random)
+    return FleetParts(peers, datagrams, probes, client, zone_monitor)
+
+
+def _build_backends(
+    around: Surroundings, process: ProcessParts, knowledge: KnowledgeParts, fleet: FleetParts
+) -> BackendParts:
+    state = knowledge.state
+    coordinators = _build_coordinators(around, knowledge, fleet)
+    state.subscribe(coordinators.refresh)
+    fleet.zone_monitor.subscribe(coordinators.reconsider)
+    directory = _build_directory(around, process, state, fleet, coordinators)
+    poison_watch = _build_poison_watch(around, state, fleet)
+    load_news = LoadNewsExchange(fleet.peers, fleet.datagrams, around.loop, lambda: directory)
+    state.subscribe(load_news.refresh)
+    call_context = CallContext(
+        loop=around.loop,
+        names=around.names,
+        zone=around.settings.zone,
+        directory=directory,
+        bounds=around.settings.repeats,
+        sharers=lambda service: coordinators.of_service(service).sharers,
+        started_at=around.loop.time(),
+        load_reports=LoadReports(around.decoders.load_report, around.loop.time),
+        evidence=poison_watch,
+        counters=process.counters,
+        own_name=str(around.own),
+        load_watch=load_news,
+        random=random.Random(f"forwarding {around.settings.name}"),
+        memory=process.memory,
+        zone_answered=fleet.zone_monitor.answered,
+        zone_doubted=fleet.zone_monitor.doubt,
+    )
+    coordinators.connect(directory.replica_zones, call_context.sizes)
+    return BackendParts(coordinators, directory, poison_watch, load_news, call_context)
+
+
+def _build_coordinators(
+    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts
+) -> Coordinators:
+    def log_change(coordination: Coordination) -> None:
+        log_coordination(coordination, fleet.peers.nodes(around.loop.time()))
+
+    return Coordinators(
+        fleet.peers,
+        knowledge.state,
+        around.loop.time,
+        knowledge.own_member.describe,
+        log_change,
+        fleet.zone_monitor.is_closed,
+    )
+
+
+def _build_directory(
+    around: Surroundings,
+    process: ProcessParts,
+    state: SharedState,
+    fleet: FleetParts,
+    coordinators: Coordinators,
+) -> BackendDirectory:
+    clock = around.loop.time
+    counters = process.counters
+
+    def count_connection() -> None:
+        counters.connections_opened += 1
+
+    return BackendDirectory(
+        state,
+        around.names,
+        clock,
+        around.settings.drain_s,
+        count_connection,
+        lambda service: coordinators.of_service(service).known_callers,
+        str(around.own),
+        around.settings.cold,
+        fleet.zone_monitor.is_closed,
+        process.memory,
+        lambda since: process.pause.covers(since, clock()),
+    )
+
+
+def _build_poison_watch(around: Surroundings, state: SharedState, fleet: FleetParts) -> PoisonWatch:
+    clock = around.loop.time
+    return PoisonWatch(
+        fleet.peers,
+        fleet.datagrams,
+        clock,
+        around.names,
+        random.Random(f"poison {around.settings.name}"),
+        lambda: clock() - state.unconfirmed_s(Topic.BACKENDS),
+    )
+
+
+def _build_requests(
+    around: Surroundings,
+    process: ProcessParts,
+    knowledge: KnowledgeParts,
+    fleet: FleetParts,
+    backends: BackendParts,
+) -> RequestParts:
+    state = knowledge.state
+    call_context = backends.call_context
+    delegation_context = DelegationContext(
+        client=fleet.client,
+        coordinators=backends.coordinators,
+        call_context=call_context,
+        watch=fleet.zone_monitor,
+        configuration_revision=lambda: state.configuration_revision,
+        traffic=fleet.datagrams.traffic,
+    )
+    tenants = TenantsInForce(state)
+    freshness = _build_freshness(around, knowledge, fleet, tenants)
+    reachability = Reachability(backends.directory, fleet.zone_monitor, around.loop.time)
+    quotas = Quotas(
+        around.own,
+        fleet.peers,
+        fleet.zone_monitor,
+        fleet.datagrams,
+        around.settings.quotas,
+        tenants.find,
+    )
+    planner = ScatterPlanner(call_context, delegation_context, around.random)
+    admissions = ScatterAdmissions(delegation_context, around.random)
+    figures = RequestFigures()
+
+    def finish(request: FinishedRequest) -> None:
+        figures.observe(request)
+        log_request(request)
+
+    knows_newer = freshness.would_know_newer
+    handler = RequestHandler(
+        call_context,
+        state,
+        finish,
+        around.random,
+        knows_newer,
+        delegation_context,
+        planner,
+        Authentication(around.names, freshness.is_too_old, knows_newer, around.random),
+        quotas,
+        reachability,
+        backends.poison_watch,
+        admissions,
+    )
+    service = DelegationService(
+        call_context,
+        state,
+        admissions,
+        planner,
+        lambda: handler.routes,
+        reachability,
+        backends.poison_watch,
+    )
+    return RequestParts(figures, freshness, reachability, quotas, admissions, handler, service)
+
+
+def _build_freshness(
+    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts, tenants: TenantsInForce
+) -> ConfigurationFreshness:
+    return ConfigurationFreshness(
+        knowledge.staleness_bound,
+        around.settings.revocation_s,
+        tenants.are_there_any,
+        fleet.peers,
+        knowledge.store_status,
+        around.loop.time,
+    )
+
+
+def _build_store(
+    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts, requests: RequestParts
+) -> StoreParts:
+    store = around.make_store(around.settings.store, knowledge.store_status.count_call)
+    readers = _build_readers(around, knowledge, fleet)
+    followers = tuple(
+        _build_follower(around, topic, store, knowledge, fleet, readers) for topic in Topic
+    )
+    keeper = StalenessKeeper(
+        requests.freshness,
+        knowledge.state,
+        store,
+        readers,
+        fleet.peers,
+        fleet.probes,
+        around.random,
+    )
+    return StoreParts(readers, followers, keeper)
+
+
+def _build_readers(
+    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts
+) -> StoreReaders:
+    # Two draws, in this order.
+    stale_after_s = STALE_AFTER_S + around.random.uniform(0.0, STALE_SPREAD_S)
+    patience = around.random.uniform(SHORTEST_PATIENCE, LONGEST_PATIENCE)
+    return StoreReaders(
+        around.own,
+        fleet.peers,
+        knowledge.state,
+        around.loop.time,
+        knowledge.own_member.describe,
+        started_at=around.loop.time(),
+        stale_after_s=stale_after_s,
+        patience=patience,
+        seeds=around.settings.seeds,
+    )
+
+
+def _build_follower(
+    around: Surroundings,
+    topic: Topic,
+    store: MetadataStore,
+    knowledge: KnowledgeParts,
+    fleet: FleetParts,
+    readers: StoreReaders,
+) -> StoreFollower:
+    def prove(topic: Topic, asked_at: float) -> None:
+        # A start serves keyed requests by what its first reading proves, without another one.
+        if topic is Topic.OPERATOR:
+            knowledge.staleness_bound.prove(asked_at)
+
+    return StoreFollower(
+        topic,
+        store,
+        knowledge.state,
+        knowledge.store_status,
+        lambda: fleet.peers.nodes(around.loop.time()),
+        readers,
+        around.random,
+        prove,
+    )
+
+
+def _build_exchange(
+    around: Surroundings,
+    knowledge: KnowledgeParts,
+    fleet: FleetParts,
+    requests: RequestParts,
+    store: StoreParts,
+) -> PeerExchange | None:
+    if around.settings.peers is None:
+        return None
+
+    def log_result(peer: str, result: str) -> None:
+        log_pull(peer, result, knowledge.state.configuration_revision)
+
+    return PeerExchange(
+        knowledge.own_member.describe,
+        knowledge.state,
+        fleet.peers,
+        fleet.client,
+        fleet.datagrams,
+        knowledge.staleness_bound,
+        fleet.zone_monitor,
+        requests.delegation_service.serve,
+        store.readers,
+        log_result,
+        around.random,
+    )
