--- a/tests/functional/gateway/test_delegation.py
+++ b/tests/functional/gateway/test_delegation.py
@@ -68,7 +68,7 @@
         await site.traffic(2.0, 40.0, ("scatter",))
         entry = site.nodes[0]
         assert entry.gateway is not None
-        path = entry.gateway.handler._delegation_context._path_elsewhere
+        path = entry.gateway.handler._planner._delegation_context._path_elsewhere
         path.mean_s, path.deviation_s = 0.18, 0.0
         before = counted(site, "delegated")
         results = await send_from(site, [entry], 5)
--- a/tests/support/slow_clients.py
+++ b/tests/support/slow_clients.py
@@ -9,7 +9,7 @@
 from collections.abc import Callable, Coroutine
 from typing import Any, TypeVar
 
-from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
+from tinrudder.gateway.clients.client_connection import ClientConnection, HttpRequestHandler
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder_lab.emulator.loop import EmulatorLoop
 
@@ -75,7 +75,7 @@
 
 
 def run_served(
-    handler: RequestHandler,
+    handler: HttpRequestHandler,
     scenario: Callable[[MemoryAccount, set[ClientConnection]], Coroutine[Any, Any, Result]],
     bound: float = float("inf"),
 ) -> Result:
--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -56,7 +56,7 @@
         """Stop: the client has left."""
 
 
-class RequestHandler(Protocol):
+class HttpRequestHandler(Protocol):
     """Serves requests; tells what the connection must know."""
 
     @property
@@ -82,7 +82,7 @@
 
     def __init__(
         self,
-        handler: RequestHandler,
+        handler: HttpRequestHandler,
         open_connections: set[ClientConnection],
         memory: MemoryAccount,
     ) -> None:
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -15,7 +15,7 @@
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
 from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
-from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
+from tinrudder.gateway.clients.client_connection import ClientConnection, HttpRequestHandler
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
@@ -40,7 +40,10 @@
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.requests.authentication import Authentication
 from tinrudder.gateway.requests.call_context import CallContext, CallCounters
-from tinrudder.gateway.requests.request_handler import RequestHandler as ForwardingHandler
+from tinrudder.gateway.requests.refusals import Judges
+from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.requests.run_planner import RunPlanner
+from tinrudder.gateway.requests.service_admission import ServiceAdmission
 from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.scatters.delegation_service import DelegationService
@@ -182,19 +185,25 @@
         )
         planner = ScatterPlanner(self.call_context, delegation_context, self._random)
         self.gates = ScatterAdmissions(delegation_context, self._random)
-        self.handler = ForwardingHandler(
-            self.call_context,
-            self.state,
+        service_admission = ServiceAdmission(self.call_context)
+        self.handler = RequestHandler(
+            Judges(
+                call_context=self.call_context,
+                state=self.state,
+                is_fresh=self._knows_news,
+                authentication=Authentication(
+                    names, lambda: self.keeper.too_old, self._knows_news, self._random
+                ),
+                quotas=self.quotas,
+                reachability=self.reach,
+                poison=self.poison,
+                service_admission=service_admission,
+                random=self._random,
+            ),
+            RunPlanner(
+                self.call_context, service_admission, delegation_context, planner, self.gates
+            ),
             self._on_finished,
-            self._random,
-            self._knows_news,
-            delegation_context,
-            planner,
-            Authentication(names, lambda: self.keeper.too_old, self._knows_news, self._random),
-            self.quotas,
-            self.reach,
-            self.poison,
-            self.gates,
         )
         self.scatters = DelegationService(
             self.call_context,
@@ -351,7 +360,7 @@
         log_event("started", {"clients": str(settings.clients), "zone": settings.zone})
 
     async def _listen(
-        self, address: Address, handler: RequestHandler, connections: set[ClientConnection]
+        self, address: Address, handler: HttpRequestHandler, connections: set[ClientConnection]
     ) -> None:
         """Accept connections for a handler."""
         server = await self._loop.create_server(
--- /dev/null
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -0,0 +1,112 @@
+"""Where a request runs that no rule has refused: at a back end, here as a scatter, or elsewhere.
+
+Owns no state.  Relies on :class:`ScatterPlanner` for the shards that other gateways ask, on
+:class:`ScatterAdmissions` for the queues of scatters, and on the coordinators in force.
+"""
+
+from __future__ import annotations
+
+from tinrudder.gateway.model.outcomes import NotRun
+from tinrudder.gateway.requests.call_context import CallContext
+from tinrudder.gateway.requests.client_request import AuthorizedRequest, Run
+from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.requests.service_admission import ServiceAdmission
+from tinrudder.gateway.scatters.delegated_scatter import DelegatedScatter
+from tinrudder.gateway.scatters.delegation_context import DelegationContext
+from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
+from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
+
+
+class RunPlanner:
+    """Prepares the run of each request."""
+
+    def __init__(
+        self,
+        call_context: CallContext,
+        service_admission: ServiceAdmission,
+        delegation_context: DelegationContext,
+        scatter_planner: ScatterPlanner,
+        scatter_admissions: ScatterAdmissions,
+    ) -> None:
+        """Prepare runs that call back ends through ``call_context``.
+
+        :param service_admission: says when to come back to a service that turned a call away.
+        :param scatter_admissions: where scatters wait that this gateway runs.
+        """
+        self._call_context = call_context
+        self._service_admission = service_admission
+        self._delegation_context = delegation_context
+        self._scatter_planner = scatter_planner
+        self._scatter_admissions = scatter_admissions
+
+    def plan(self, request: AuthorizedRequest, on_outcome: OutcomeListener) -> Run:
+        """Return the run of a request, not started yet.
+
+        A coordinator judges by itself whether a scatter can be in time: it sees the queues.
+        """
+        if not request.route.shards:
+            return self._run_single(request, on_outcome)
+        coordination = self._delegation_context.coordinators.of_route(request.route)
+        if coordination.own:
+            return self._run_scatter_here(request, on_outcome)
+        return DelegatedScatter(
+            request.route,
+            request.admitted.request,
+            request.request_id,
+            request.deadlines,
+            self._delegation_context,
+            coordination.asked,
+            lambda listener: self._run_scatter_here(request, listener),
+            on_outcome,
+            request.priority,
+        )
+
+    def forget_unused(self, indexes: frozenset[tuple[str, ...]]) -> None:
+        """Drop what belongs to sets of shards that no route names any more."""
+        self._scatter_admissions.forget_unused(indexes)
+
+    def _run_scatter_here(
+        self, request: AuthorizedRequest, on_outcome: OutcomeListener
+    ) -> WaitingScatter:
+        """Queue a scatter whose shards are asked from here, or from gateways beside them."""
+        route = request.route
+        deadlines = request.deadlines
+        return WaitingScatter(
+            self._scatter_admissions.of_route(route),
+            route,
+            deadlines,
+            request.priority,
+            request.admitted.tenant_name,
+            lambda listener: self._scatter_planner.run(
+                route, request.admitted.request, request.request_id, deadlines, listener
+            ),
+            on_outcome,
+        )
+
+    def _run_single(self, request: AuthorizedRequest, on_outcome: OutcomeListener) -> RequestRun:
+        """Run a request at one back end of the service chosen."""
+        route = request.route
+        service = request.service
+        deadlines = request.deadlines
+        encoded = RequestBytes(
+            request.admitted.request,
+            request.request_id,
+            deadlines.deadline_at,
+            self._call_context.names,
+        )
+
+        def refuse_after_rejections(detail: str, least_s: float) -> NotRun:
+            return self._service_admission.after_rejections(
+                detail, route, service, deadlines, least_s
+            )
+
+        return RequestRun(
+            route,
+            (service,),
+            encoded,
+            deadlines,
+            self._call_context,
+            on_outcome,
+            turned_away=refuse_after_rejections,
+        )
