--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -32,6 +32,7 @@
 from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import RequestRun
+from tinrudder.gateway.requests.run_context import RunContext
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import StoredValue, Topic
 from tinrudder.platform.headers import HEADERS
@@ -157,9 +158,8 @@
         outcomes: list[RequestOutcome] = []
         began = time.perf_counter()
         encoded = RequestBytes(request, request_id, deadlines.deadline_at, HEADERS)
-        run = RequestRun(
-            route, route.shards, encoded, deadlines, self.call_context, outcomes.append
-        )
+        context = RunContext.of(self.call_context, route, encoded, deadlines)
+        run = RequestRun(context, route.shards, outcomes.append)
         run.start()
         sent = time.perf_counter()
         carriers = [shard._attempts[0].call.carrier for shard in run.shards]
--- a/bench/share_admission.py
+++ b/bench/share_admission.py
@@ -73,7 +73,7 @@
         if len(unloaded) < MINIMUM_OBSERVATIONS:
             return None
         usual_s = unloaded.quantile(0.5)
-        waits = [call_context.wait_s(service, usual_s, now) for service in services]
+        waits = [self._wait_s(service, usual_s, now) for service in services]
         wait_s = wait_of_shards(waits)
         left_s = deadlines.objective_at - now
         share = admission_share(
@@ -90,6 +90,11 @@
         detail = f"overload: wait {wait_s:.3f} s, usual {usual_s:.3f} s, left {left_s:.3f} s"
         return NotRun(detail, self._retry_after_s(deadlines))
 
+    def _wait_s(self, service: str, usual_s: float, now: float) -> float:
+        """Return how long a call would wait at the least loaded back end of a service."""
+        backends = self._call_context.directory.usable(service)
+        return min((one.observations.wait_s(now, usual_s) for one in backends), default=0.0)
+
     def _retry_after_s(self, deadlines: Deadlines) -> float:
         """Return when a refused client should come back: as late as it does come back, spread.
 
--- a/tests/unit/gateway/test_hedge_wiring.py
+++ b/tests/unit/gateway/test_hedge_wiring.py
@@ -10,11 +10,12 @@
     ManualLoop,
 )
 from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import RepeatBounds, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.run_guard import RunGuard
+from tinrudder.gateway.requests.run_context import RunContext
 from tinrudder.gateway.requests.shard_calls import ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
@@ -39,16 +40,9 @@
     for latency_s in latencies_s:
         call_context.latency(route).observe(latency_s)
     request = RequestBytes(HttpRequest(b"GET", b"/", (), b""), b"id", loop.now + 5.0, NAMES)
-    shard = ShardCalls(
-        SERVICE,
-        route,
-        request,
-        call_context,
-        lambda shard: None,
-        RunGuard(call_context.evidence, request, route),
-        loop.now + left_s,
-        relay_failures=False,
-    )
+    deadlines = Deadlines(loop.now, loop.now + left_s, loop.now + 5.0)
+    run = RunContext.of(call_context, route, request, deadlines)
+    shard = ShardCalls(SERVICE, run, lambda shard: None)
     shard.start(loop.now)
     return shard
 
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -17,6 +17,7 @@
 from tinrudder.common.poison_requests import PoisonRequests, RequestStanding
 from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.backends.load_reports import LoadReports
+from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import BackendEntry, HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.model.http_messages import (
     Answered,
@@ -30,8 +31,8 @@
 )
 from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.run_guard import RunGuard
-from tinrudder.gateway.requests.shard_calls import MAX_SENDS, NEVER, ShardCalls
+from tinrudder.gateway.requests.run_context import NEVER, RunContext
+from tinrudder.gateway.requests.shard_calls import MAX_SENDS, ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
 SERVICE = "shard-0"
@@ -175,16 +176,9 @@
         route = Route("r", "h", "/", repeatable, 5.0, 0.1, attempts, 0, shards=(SERVICE,))
         request = HttpRequest(b"GET", b"/", (), b"")
         encoded = RequestBytes(request, b"id", self.loop.now + 5.0, NAMES)
-        self.shard = ShardCalls(
-            SERVICE,
-            route,
-            encoded,
-            call_context,
-            lambda shard: None,
-            RunGuard(call_context.evidence, encoded, route),
-            self.loop.now + 0.085,
-            relay_failures=False,
-        )
+        deadlines = Deadlines(self.loop.now, self.loop.now + 0.085, self.loop.now + 5.0)
+        run = RunContext.of(call_context, route, encoded, deadlines)
+        self.shard = ShardCalls(SERVICE, run, lambda shard: None)
         self.shard.start(self.loop.now)
 
     @property
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -159,7 +159,7 @@
             evidence=self.poison,
             counters=self.counters,
             own_name=str(self._own),
-            load_watch=self.load_watch,
+            load_listener=self.load_watch,
             random=random.Random(f"forwarding {settings.name}"),
             memory=self.memory,
             zone_answered=self.watch.answered,
--- a/tinrudder/gateway/requests/call_context.py
+++ b/tinrudder/gateway/requests/call_context.py
@@ -38,7 +38,12 @@
 from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.requests.run_guard import CrashEvidence
 
+MEDIAN = 0.5
+"""The quantile that stands for how long calls without a queue take.  Chosen, not measured: unlike a
+mean, or a high quantile, it stays put while a part of the back ends is slow."""
 SIZE_GAIN = 0.1
+"""Weight of the latest answer in the mean size of answers, a share.  Chosen, not measured: some ten
+answers make the mean, so that a single odd one hardly moves it."""
 
 
 class CallCounters(Struct):
@@ -82,7 +87,7 @@
     :param sharers: tells in how many equal parts the fleet's repeats of a service are divided.
     :param evidence: what is held against requests since back ends were lost under them.
     :param own_name: differs between gateways, so that they do not all prefer the same back end.
-    :param load_watch: is told of long queues.
+    :param load_listener: is told of long queues.
     :param memory: counts what is held for others, and says who finds no room.
     :param zone_answered: is told of each answer from a zone.
     :param zone_doubted: is told of a call to a zone that is overdue, and when it was sent.
@@ -99,7 +104,7 @@
     evidence: CrashEvidence
     counters: CallCounters = field(default_factory=CallCounters)
     own_name: str = ""
-    load_watch: LoadListener = field(default_factory=NoLoadListener)
+    load_listener: LoadListener = field(default_factory=NoLoadListener)
     random: random.Random = field(default_factory=lambda: random.Random(0))
     memory: MemoryAccount = field(default_factory=MemoryAccount)
     zone_answered: Callable[[str], None] = lambda zone: None
@@ -131,13 +136,13 @@
             self._latencies[route.name] = window
         return window
 
-    def hedge_moments(self, route: Route) -> HedgeMoments:
-        """Return when calls of a route are hedged."""
-        deadlines = self._hedges.get(route.name)
-        if deadlines is None:
-            deadlines = HedgeMoments(self.latency(route))
-            self._hedges[route.name] = deadlines
-        return deadlines
+    def hedge_ages(self, route: Route) -> HedgeMoments:
+        """Return the ages at which calls of a route are hedged."""
+        ages = self._hedges.get(route.name)
+        if ages is None:
+            ages = HedgeMoments(self.latency(route))
+            self._hedges[route.name] = ages
+        return ages
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
         """Return the latencies of a route's calls that left no queue behind."""
@@ -147,6 +152,10 @@
             self._unloaded[route.name] = window
         return window
 
+    def unloaded_median_s(self, route: Route) -> float:
+        """Return the median time of a route's calls that left no queue behind, seconds."""
+        return self.unloaded_latency(route).quantile(MEDIAN)
+
     def sizes(self, index: tuple[str, ...]) -> ScatterSizes:
         """Return how large answers of an index have been."""
         return self._sizes.get(index, ScatterSizes())
@@ -172,12 +181,6 @@
         for route in self._unloaded.keys() - routes:
             del self._unloaded[route]
 
-    def wait_s(self, service: str, service_s: float, now: float) -> float:
-        """Return how long a call would wait at the least loaded back end of a service."""
-        backends = self.directory.usable(service)
-        waits = (backend.observations.wait_s(now, service_s) for backend in backends)
-        return min(waits, default=0.0)
-
     def observations(self, service: str) -> list[BackendObservations]:
         """Return what is known of the back ends of a service that may get new work."""
         return [backend.observations for backend in self.directory.usable(service)]
@@ -190,7 +193,7 @@
         """
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
-            return unloaded.quantile(0.5)
+            return unloaded.quantile(MEDIAN)
         return work_s_of(backends) or usual_latency_s(self.latency(route), route.objective_s)
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
--- a/tinrudder/gateway/requests/call_observation.py
+++ b/tinrudder/gateway/requests/call_observation.py
@@ -21,9 +21,6 @@
 SHED_STATUSES = frozenset((429, 503))
 """Rejections for load; others say that the request cannot be run there at all."""
 
-MEDIAN = 0.5
-"""How long calls without a queue take is told by the quantile that admission goes by too."""
-
 
 def observe_end(
     call_context: CallContext,
@@ -102,8 +99,8 @@
         if not route.shards:
             observations.worked(latency_s)
     if not route.shards:
-        work_s = call_context.unloaded_latency(route).quantile(MEDIAN)
-        call_context.load_watch.heard(backend, shed=False, work_s=work_s)
+        work_s = call_context.unloaded_median_s(route)
+        call_context.load_listener.heard(backend, shed=False, work_s=work_s)
 
 
 def _observe_shed(
@@ -113,5 +110,5 @@
     report = call_context.load_reports.read(load, backend.backend_id) if load is not None else None
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
-        work_s = call_context.unloaded_latency(route).quantile(MEDIAN)
-        call_context.load_watch.heard(backend, shed=True, work_s=work_s)
+        work_s = call_context.unloaded_median_s(route)
+        call_context.load_listener.heard(backend, shed=True, work_s=work_s)
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -9,7 +9,7 @@
 Owns no state.  Relies on the judges that are grouped in :class:`Judges`, each of which keeps its
 own.  Behind this list, a scatter can still be refused by the gateway that runs it
 (:mod:`tinrudder.gateway.scatters.scatter_admission`), and a run ends with a refusal where every
-back end turned it away (:mod:`tinrudder.gateway.requests.request_run`).
+back end turned it away (:mod:`tinrudder.gateway.requests.run_outcome`).
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/requests/request_run.py
+++ b/tinrudder/gateway/requests/request_run.py
@@ -1,38 +1,30 @@
-"""Runs one request to its outcome: a scatter over shards, or a single back end as one shard."""
+"""Runs one request to its outcome: a scatter over shards, or a single back end as one shard.
+
+Owns the shards of the run, one timer for all of them, and the decision when to answer
+(:mod:`tinrudder.gateway.decisions.attempts.answer_time`), which it asks after every change.  Relies
+on :class:`ShardCalls` for the calls of each shard, on :class:`DelegatedGroups` for what other
+gateways ask, and on :class:`RunGuard` where back ends were lost under the request.
+"""
 
 from __future__ import annotations
 
 from collections.abc import Callable, Sequence
 
-from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.attempts.answer_time import ScatterState, Verdict, decide
-from tinrudder.gateway.model.configuration import Route
-from tinrudder.gateway.model.http_messages import HttpAnswer, header_value
-from tinrudder.gateway.model.outcomes import (
-    Merged,
-    NoAnswer,
-    NotRun,
-    Relayed,
-    RequestOutcome,
-    TimedOut,
-)
+from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.run_guard import RunGuard
-from tinrudder.gateway.requests.shard_calls import NEVER, ShardCalls
+from tinrudder.gateway.requests.delegated_groups import DelegatedGroups
+from tinrudder.gateway.requests.run_context import NEVER, RunContext
+from tinrudder.gateway.requests.run_outcome import RefusalMaker, answer_of, failure_of
+from tinrudder.gateway.requests.shard_calls import ShardCalls
+from tinrudder.gateway.requests.shard_tally import ShardTally
 from tinrudder.gateway.scatters.delegated_shards import DelegatedShards
-from tinrudder.gateway.scatters.record_merge import greatest_records
 from tinrudder.timers import TimerHandle
 
-ABSORB_S = 0.3
-"""How long calls that nobody waits for may go on, since closing costs a connection: work for a
-client that has left must end within half a second, the ways there and back included."""
-RETRY_AFTER_S = 0.1
-"""When to come back after a refusal that another replica or a free slot may end, a choice."""
-RETRY_DEAD_S = 0.5
-"""When to come back where every back end of a shard has ended: processes take seconds to start, and
-the clients seen come back within a third of their deadline of 0.8 to 8 s at the latest."""
+ABANDONED_CALL_S = 0.3
+"""How long calls that nobody waits for may go on, seconds, since closing costs a connection.
+Chosen, not measured: work for a client that has left must end within half a second, the ways there
+and back included."""
 WHOLE = 1.0
 """The share of a single back end's answer: all of it."""
 
@@ -48,30 +40,22 @@
 
     def __init__(
         self,
-        route: Route,
+        context: RunContext,
         services: tuple[str, ...],
-        request: RequestBytes,
-        deadlines: Deadlines,
-        call_context: CallContext,
         on_outcome: OutcomeListener,
         *,
         minimum_share: float | None = None,
         delegated: Sequence[DelegatedShards] = (),
-        turned_away: Callable[[str, float], NotRun] = NotRun,
+        make_refusal: RefusalMaker = NotRun,
     ) -> None:
         """Prepare calls to ``services``: shards of the route, or the one service chosen.
 
         :param minimum_share: the least share that makes an answer; by the route if ``None``.
         :param delegated: the other shards of the scatter, asked by other gateways.
-        :param turned_away: makes the outcome where nothing has run, of why and a shortest pause.
         """
-        self._route = route
-        self._turned_away = turned_away
-        self._request = request
-        self._deadlines = deadlines
-        self._call_context = call_context
+        self._context = context
         self._on_outcome = on_outcome
-        self._scatter = bool(route.shards)
+        self._make_refusal = make_refusal
         self._finished = False
         self._starting = True
         self._timer: TimerHandle | None = None
@@ -80,42 +64,26 @@
         self.on_progress: Callable[[], None] = lambda: None
         self._started_at = 0.0
         self._answered_after_s = 0.0
-        self._included = 0
-        self._part_bytes = 0
-        self._ended: set[ShardCalls] = set()
-        self._hopeless: set[ShardCalls] = set()
-        self._unheard_may_run = False
         if minimum_share is None:
-            minimum_share = route.minimum_share if self._scatter else WHOLE
+            minimum_share = context.route.minimum_share if context.is_scatter else WHOLE
         self._minimum_share = minimum_share
         self._total = len(services) + sum(len(group.services) for group in delegated)
-        self._delegated = list(delegated)
-        self._held_groups: list[DelegatedShards] = []
-        self._guard = RunGuard(call_context.evidence, request, route)
+        self._tally = ShardTally(context.call_context.memory)
+        self._groups = DelegatedGroups(delegated)
         self._was_free = True
         self.shards = self._calls(services)
 
     def _calls(self, services: Sequence[str], *, asked_before: bool = False) -> list[ShardCalls]:
         """Prepare the calls of some shards."""
         return [
-            ShardCalls(
-                service,
-                self._route,
-                self._request,
-                self._call_context,
-                self._review,
-                self._guard,
-                self._deadlines.objective_at,
-                relay_failures=not self._scatter,
-                asked_before=asked_before,
-            )
+            ShardCalls(service, self._context, self._review, asked_before=asked_before)
             for service in services
         ]
 
     @property
     def included(self) -> int:
         """Return how many shards have answered."""
-        return self._included + sum(group.included for group in self._delegated)
+        return self._tally.included + self._groups.included
 
     @property
     def unanswered_share(self) -> float:
@@ -131,7 +99,7 @@
     def repeats(self) -> int:
         """Return how many calls were sent beyond the first of each shard."""
         here = sum(shard.repeats for shard in self.shards)
-        return here + sum(group.repeats for group in self._delegated)
+        return here + self._groups.repeats
 
     @property
     def missing_shards(self) -> tuple[MissingShard, ...]:
@@ -142,83 +110,64 @@
             if shard.part is None
         )
         asked_here = {shard.service for shard in self.shards}
-        elsewhere = (one for group in self._delegated for one in group.missing_shards)
+        elsewhere = self._groups.missing_shards
         return here + tuple(one for one in elsewhere if one.service not in asked_here)
 
     def start(self) -> None:
         """Send the first calls."""
-        now = self._call_context.loop.time()
+        now = self._context.call_context.loop.time()
         self._started_at = now
-        self._was_free = self._guard.is_free
-        for group in self._delegated:
-            group.on_end = self._on_group_end
-        self._held_groups = list(self._delegated)
+        self._was_free = self._context.guard.is_free
+        self._groups.follow(self._on_group_end)
         if self._was_free:
-            self._start_held_groups()
+            self._groups.start_held()
         for shard in self.shards:
             shard.start(now)
         self._starting = False
         for shard in self.shards:
-            self._count(shard)
+            self._tally.count(shard)
         self._follow_guard(now)
         self._act(now)
         self._arm_for_shards()
 
-    def _start_held_groups(self) -> None:
-        """Let other gateways ask their shards."""
-        held, self._held_groups = self._held_groups, []
-        for group in held:
-            group.start()
-
-    def _try_elsewhere(self) -> None:
-        """Let one other gateway find out whether the request crashes what runs it.
-
-        Where no back end can be asked from here, nothing else would ever end the wait for that.
-        """
-        waits_here = any(shard.hopeful for shard in self.shards)
-        waits_there = any(one.pending for one in self._delegated if one not in self._held_groups)
-        if self._held_groups and not waits_here and not waits_there:
-            self._held_groups.pop(0).start()
-
     def _follow_guard(self, now: float) -> None:
-        """Send what was held back once the run is free, or give it up."""
-        if self._guard.is_stopped:
-            self._give_up()
+        """Send what was held back once the run is free, or send nothing more."""
+        if self._context.guard.is_stopped:
+            self._stop_sending()
             return
-        is_free = self._guard.is_free
+        is_free = self._context.guard.is_free
         if is_free and not self._was_free:
-            self._start_held_groups()
+            self._groups.start_held()
             for shard in self.shards:
                 shard.resume(now)
-        elif not is_free:
-            self._try_elsewhere()
+        elif not is_free and not any(shard.hopeful for shard in self.shards):
+            # No back end can be asked from here: nothing else would ever end the wait.
+            self._groups.start_one()
         self._was_free = is_free
 
-    def _give_up(self) -> None:
+    def _stop_sending(self) -> None:
         """Send nothing more: back ends crash under this request."""
-        for group in self._held_groups:
-            group.withhold()
-        self._held_groups.clear()
+        self._groups.withhold()
         for shard in self.shards:
             if shard.part is None:
-                shard.give_up()
-                self._count(shard)
+                shard.stop_sending()
+                self._tally.count(shard)
 
     def abandon(self) -> None:
         """End for a client that has left; nobody is told an outcome."""
         if self._finished:
             return
-        self._call_context.counters.clients_left += 1
+        self._context.call_context.counters.clients_left += 1
         self._stop()
 
     def _review(self, shard: ShardCalls) -> None:
         """Decide anew after a change of one shard."""
         if self._finished or self._starting:
             return
-        now = self._call_context.loop.time()
-        before = self._included
-        self._count(shard)
-        self._answered_after_s += (self._included - before) * (now - self._started_at)
+        now = self._context.call_context.loop.time()
+        before = self._tally.included
+        self._tally.count(shard)
+        self._answered_after_s += (self._tally.included - before) * (now - self._started_at)
         self._follow_guard(now)
         self._act(now)
         if not self._finished:
@@ -229,11 +178,11 @@
         """Take what another gateway got, or ask here for what it did not."""
         if self._finished:
             return
-        now = self._call_context.loop.time()
+        now = self._context.call_context.loop.time()
         if group.may_run_here:
             self._take_over(group, now)
         if group.included:
-            self._guard.note_answered_elsewhere()
+            self._context.guard.note_answered_elsewhere()
             self._answered_after_s += group.included * (now - self._started_at)
         self._follow_guard(now)
         self._act(now)
@@ -243,9 +192,8 @@
 
     def _take_over(self, group: DelegatedShards, now: float) -> None:
         """Ask a group's shards from here."""
-        self._call_context.counters.delegations_run_here += 1
-        self._delegated.remove(group)
-        self._unheard_may_run |= group.may_have_run
+        self._context.call_context.counters.delegations_run_here += 1
+        self._groups.take_over(group)
         self._start_here(self._calls(group.services), now)
 
     def _ask_again_here(self, now: float) -> bool:
@@ -254,16 +202,15 @@
         Their answers left at the objective, each with as few shards as may be missing of the
         whole; together that can be too few.
         """
-        if not self._scatter or now >= self._deadlines.deadline_at:
+        if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
             return False
         asked_here = {shard.service for shard in self.shards}
-        fits_attempts = self._call_context.directory.fits_attempts
+        fits_attempts = self._context.call_context.directory.fits_attempts
         lacking = [
             one.service
-            for group in self._delegated
-            if not group.pending
-            for one in group.missing_shards
-            if one.service not in asked_here and fits_attempts(one.service, self._route.attempts)
+            for one in self._groups.missing_at_end
+            if one.service not in asked_here
+            and fits_attempts(one.service, self._context.route.attempts)
         ]
         self._start_here(self._calls(lacking, asked_before=True), now)
         return bool(lacking)
@@ -276,25 +223,7 @@
             shard.start(now)
         self._starting = False
         for shard in calls:
-            self._count(shard)
-
-    def _count(self, shard: ShardCalls) -> None:
-        """Keep the counts that the decision needs; a scatter reviews as often as it has shards."""
-        if shard in self._ended:
-            return
-        if shard.part is not None:
-            self._ended.add(shard)
-            self._included += 1
-            self._hold(len(shard.part.body))
-        if shard.hopeful or shard.part is not None:
-            self._hopeless.discard(shard)
-        else:
-            self._hopeless.add(shard)
-
-    def _hold(self, size: int) -> None:
-        """Count bytes of answers that wait for the others, or do not any more."""
-        self._part_bytes += size
-        self._call_context.memory.backends += size
+            self._tally.count(shard)
 
     def _act(self, now: float) -> None:
         """Wait, answer or fail, as decided now."""
@@ -306,20 +235,21 @@
         if decision.verdict is Verdict.WAIT:
             self._arm(decision.until)
         elif decision.verdict is Verdict.ANSWER:
-            self._finish(self._answer())
+            self._finish(answer_of(self._context, self.shards, self._groups, self._total))
         else:
-            self._finish(self._failure(now))
+            self._finish(
+                failure_of(self._context, self.shards, self._groups, self._make_refusal, now)
+            )
 
     def _state(self) -> ScatterState:
         """Return the inputs of the decision."""
-        here = len(self.shards) - self._included - len(self._hopeless)
         return ScatterState(
             shards=self._total,
             included=self.included,
-            hopeful=here + sum(group.hopeful for group in self._delegated),
+            hopeful=len(self.shards) - self._tally.settled + self._groups.hopeful,
             minimum_share=self._minimum_share,
-            objective_at=self._deadlines.objective_at,
-            deadline_at=self._deadlines.deadline_at,
+            objective_at=self._context.deadlines.objective_at,
+            deadline_at=self._context.deadlines.deadline_at,
         )
 
     def _arm(self, when: float) -> None:
@@ -331,7 +261,7 @@
         if when == NEVER:
             return
         self._timer_at = when
-        self._timer = self._call_context.loop.call_at(when, self._on_timer)
+        self._timer = self._context.call_context.loop.call_at(when, self._on_timer)
 
     def _arm_for_shards(self) -> None:
         """Set the timer to the next hedge or retry that is due."""
@@ -344,62 +274,15 @@
         if self._finished:
             return
         # The loop may call a little early, by its clock's resolution.
-        now = max(self._timer_at, self._call_context.loop.time())
+        now = max(self._timer_at, self._context.call_context.loop.time())
         for shard in self.shards:
             shard.on_time(now)
             if self._finished:
                 return
-            self._count(shard)
+            self._tally.count(shard)
         self._follow_guard(now)
         self._act(now)
         self._arm_for_shards()
-        self._arm_for_shards()
-
-    def _answer(self) -> RequestOutcome:
-        """Return what is in."""
-        parts = [shard.part for shard in self.shards if shard.part is not None]
-        if not self._scatter:
-            return Relayed(parts[0])
-        return self._merged(parts)
-
-    def _merged(self, parts: list[HttpAnswer]) -> Merged:
-        """Merge what came here with what other gateways merged."""
-        stamp = self._call_context.names.stamp
-        stamps = [header_value(part.headers, stamp) or b"" for part in parts]
-        bodies = [part.body for part in parts]
-        sizes = [len(body) for body in bodies]
-        for group in self._delegated:
-            if group.part is not None:
-                stamps.extend(group.part.stamps)
-                bodies.append(group.part.body)
-        body = greatest_records(bodies, self._route.top_records)
-        self._call_context.observe_sizes(self._route.shards, len(body), sizes)
-        return Merged(body, tuple(stamps), self._total - len(stamps))
-
-    def _failure(self, now: float) -> RequestOutcome:
-        """Say truthfully why there is no answer."""
-        detail = "; ".join(
-            sorted({shard.last_problem for shard in self.shards if shard.last_problem})
-        )
-        if not self._may_have_run:
-            detail = detail or "no back end is left"
-            none_listens = any(shard.is_dead for shard in self.shards)
-            if self._guard.barred_s or none_listens:
-                return NotRun(detail, self._guard.barred_s or RETRY_DEAD_S)
-            return self._turned_away(detail, RETRY_AFTER_S)
-        failure = None if self._scatter else self.shards[0].failure
-        if failure is not None:
-            return Relayed(failure)
-        if now >= self._deadlines.deadline_at:
-            return TimedOut(detail or "no answer in time")
-        return NoAnswer(detail)
-
-    @property
-    def _may_have_run(self) -> bool:
-        """Tell whether any back end may have got the request."""
-        here = any(shard.may_have_run for shard in self.shards)
-        elsewhere = any(group.may_have_run for group in self._delegated)
-        return here or elsewhere or self._unheard_may_run
 
     def _finish(self, outcome: RequestOutcome) -> None:
         """Report once."""
@@ -409,19 +292,18 @@
     def _stop(self) -> None:
         """Stop sending; what still runs is awaited a little, since closing costs a connection."""
         self._finished = True
-        self._hold(-self._part_bytes)
+        self._tally.release()
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        for group in self._delegated:
-            group.cancel()
+        self._groups.cancel()
         for shard in self.shards:
             shard.end()
         if any(shard.running for shard in self.shards):
-            self._call_context.loop.call_later(ABSORB_S, self._cancel_running)
+            self._context.call_context.loop.call_later(ABANDONED_CALL_S, self._cancel_running)
 
     def _cancel_running(self) -> None:
         """Close the connections of calls that took too long."""
-        now = self._call_context.loop.time()
+        now = self._context.call_context.loop.time()
         for shard in self.shards:
             shard.cancel_running(now)
--- /dev/null
+++ b/tinrudder/gateway/requests/run_outcome.py
@@ -0,0 +1,86 @@
+"""What a run says at its end: the answer from what is in, or truthfully why there is none.
+
+Owns no state.  "Not run" is said only where no back end can have run any part of the request, here
+or at another gateway; everything else is an answer, a failure or a timeout.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from tinrudder.gateway.model.http_messages import HttpAnswer, header_value
+from tinrudder.gateway.model.outcomes import (
+    Merged,
+    NoAnswer,
+    NotRun,
+    Relayed,
+    RequestOutcome,
+    TimedOut,
+)
+from tinrudder.gateway.requests.delegated_groups import DelegatedGroups
+from tinrudder.gateway.requests.run_context import RunContext
+from tinrudder.gateway.requests.shard_calls import ShardCalls
+from tinrudder.gateway.scatters.record_merge import greatest_records
+
+RETRY_AFTER_S = 0.1
+"""When to come back after a refusal that another replica or a free slot may end, seconds.  Chosen,
+not measured: long enough for a slot to come free, short against the deadlines of clients."""
+RETRY_DEAD_S = 0.5
+"""When to come back where every back end of a shard has ended, seconds.  Chosen, not measured:
+processes take seconds to start, and the clients seen come back within a third of their deadline of
+0.8 to 8 s at the latest."""
+
+RefusalMaker = Callable[[str, float], NotRun]
+"""Makes the refusal of a request that has not run, of why and of the shortest pause, seconds."""
+
+
+def answer_of(
+    run: RunContext, shards: Sequence[ShardCalls], groups: DelegatedGroups, total: int
+) -> RequestOutcome:
+    """Return what is in: one back end's answer, or what the shards' answers merge to.
+
+    :param total: how many shards the scatter has, those of other gateways included.
+    """
+    parts = [shard.part for shard in shards if shard.part is not None]
+    if not run.is_scatter:
+        return Relayed(parts[0])
+    return _merged(run, parts, groups, total)
+
+
+def _merged(
+    run: RunContext, parts: list[HttpAnswer], groups: DelegatedGroups, total: int
+) -> Merged:
+    """Merge what came here with what other gateways merged."""
+    stamp = run.call_context.names.stamp
+    stamps = [header_value(part.headers, stamp) or b"" for part in parts]
+    bodies = [part.body for part in parts]
+    sizes = [len(body) for body in bodies]
+    for part in groups.parts:
+        stamps.extend(part.stamps)
+        bodies.append(part.body)
+    body = greatest_records(bodies, run.route.top_records)
+    run.call_context.observe_sizes(run.route.shards, len(body), sizes)
+    return Merged(body, tuple(stamps), total - len(stamps))
+
+
+def failure_of(
+    run: RunContext,
+    shards: Sequence[ShardCalls],
+    groups: DelegatedGroups,
+    make_refusal: RefusalMaker,
+    now: float,
+) -> RequestOutcome:
+    """Say truthfully why there is no answer."""
+    detail = "; ".join(sorted({shard.last_problem for shard in shards if shard.last_problem}))
+    if not (groups.may_have_run or any(shard.may_have_run for shard in shards)):
+        detail = detail or "no back end is left"
+        none_listens = any(shard.is_dead for shard in shards)
+        if run.guard.barred_s or none_listens:
+            return NotRun(detail, run.guard.barred_s or RETRY_DEAD_S)
+        return make_refusal(detail, RETRY_AFTER_S)
+    failure = None if run.is_scatter else shards[0].failure
+    if failure is not None:
+        return Relayed(failure)
+    if now >= run.deadlines.deadline_at:
+        return TimedOut(detail or "no answer in time")
+    return NoAnswer(detail)
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -11,6 +11,7 @@
 from tinrudder.gateway.requests.client_request import AuthorizedRequest, Run
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.requests.run_context import RunContext
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
 from tinrudder.gateway.scatters.delegated_scatter import DelegatedScatter
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
@@ -101,12 +102,5 @@
                 detail, route, service, deadlines, least_s
             )
 
-        return RequestRun(
-            route,
-            (service,),
-            encoded,
-            deadlines,
-            self._call_context,
-            on_outcome,
-            turned_away=refuse_after_rejections,
-        )
+        context = RunContext.of(self._call_context, route, encoded, deadlines)
+        return RequestRun(context, (service,), on_outcome, make_refusal=refuse_after_rejections)
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -22,6 +22,7 @@
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
+from tinrudder.gateway.requests.run_context import RunContext
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
@@ -134,12 +135,10 @@
                 ),
                 on_outcome,
             )
+        request = self._request_bytes(scatter, deadlines)
         return RequestRun(
-            route,
+            RunContext.of(self._call_context, route, request, deadlines),
             scatter.shards,
-            self._request_bytes(scatter, deadlines),
-            deadlines,
-            self._call_context,
             on_outcome,
             minimum_share=scatter.minimum_share,
         )
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -11,6 +11,7 @@
 from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.request_bytes import RequestBytes
 from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.requests.run_context import RunContext
 from tinrudder.gateway.scatters.coordinators import Coordination
 from tinrudder.gateway.scatters.delegated_shards import (
     DelegatedShards,
@@ -55,11 +56,8 @@
             for one in delegations
         ]
         return RequestRun(
-            route,
+            RunContext.of(self._call_context, route, encoded, deadlines),
             tuple(shard for shard in route.shards if shard not in handed_over),
-            encoded,
-            deadlines,
-            self._call_context,
             on_outcome,
             delegated=delegated,
         )
