--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -29,10 +29,10 @@
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.request_run import RequestRun
-from tinrudder.gateway.requests.run_context import RunContext
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_run import RequestRun
+from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import StoredValue, Topic
 from tinrudder.platform.headers import HEADERS
--- a/bench/share_admission.py
+++ b/bench/share_admission.py
@@ -16,7 +16,7 @@
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.call_context import CallContext
+from tinrudder.gateway.runs.call_context import CallContext
 
 SPREAD_BY_CHANCE = 2.0
 """Callers come back between the moment told and this many times as late, a choice: refused by
--- a/tests/functional/gateway/test_dead_shards.py
+++ b/tests/functional/gateway/test_dead_shards.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.request_fingerprint import fingerprint_of
+from tinrudder.gateway.runs.request_fingerprint import fingerprint_of
 from tinrudder.platform.headers import HEADERS
 from tinrudder_lab.emulator.site import SITE_HOST, EmulatedSite, run_site
 
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -22,7 +22,7 @@
 from tinrudder.gateway.model.configuration import ClientLimits
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import FinalAnswer
-from tinrudder.gateway.requests.shard_calls import ShardCalls
+from tinrudder.gateway.runs.shard_calls import ShardCalls
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.site import CLIENT_PORT, GRACE_S, EmulatedSite, run_site
 
--- a/tests/unit/gateway/test_hedge_wiring.py
+++ b/tests/unit/gateway/test_hedge_wiring.py
@@ -13,10 +13,10 @@
 from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.model.configuration import RepeatBounds, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.run_context import RunContext
-from tinrudder.gateway.requests.shard_calls import ShardCalls
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.run_context import RunContext
+from tinrudder.gateway.runs.shard_calls import ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
 OBJECTIVE_S = 0.063
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -21,7 +21,7 @@
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member, PoisonReport
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
-from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.runs.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.platform.headers import HEADERS
 
 ORIGIN = b"o" * FINGERPRINT_BYTES
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -29,7 +29,7 @@
     MOST_IN_A_REPORT,
     PoisonWatch,
 )
-from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.runs.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 from tinrudder.platform.headers import HEADERS
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -29,10 +29,10 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.run_context import NEVER, RunContext
-from tinrudder.gateway.requests.shard_calls import MAX_SENDS, ShardCalls
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.run_context import NEVER, RunContext
+from tinrudder.gateway.runs.shard_calls import MAX_SENDS, ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
 SERVICE = "shard-0"
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -39,11 +39,11 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.requests.authentication import Authentication
-from tinrudder.gateway.requests.call_context import CallContext, CallCounters
 from tinrudder.gateway.requests.refusals import Judges
 from tinrudder.gateway.requests.request_handler import RequestHandler
 from tinrudder.gateway.requests.run_planner import RunPlanner
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
+from tinrudder.gateway.runs.call_context import CallContext, CallCounters
 from tinrudder.gateway.scatters.coordinators import Coordination, Coordinators
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.scatters.delegation_service import DelegationService
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -31,7 +31,7 @@
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import PoisonReport, ReportedCrash, ReportedEvidence
-from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
+from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
 GATHER_S = 0.05
 """How long news waits where no trial has failed: when a rack or all connections are lost, most
--- a/tinrudder/gateway/requests/__init__.py
+++ b/tinrudder/gateway/requests/__init__.py
@@ -1,5 +1,6 @@
-"""The way of one request: who asks, which route, may it run, and its calls until one outcome.
+"""The way of one request at its entry: who asks, which route, may it run, and where.
 
-Owns a request from arrival to outcome; asks :mod:`tinrudder.gateway.decisions` at each branch, and
-:mod:`tinrudder.gateway.scatters` where another gateway has a part in it.
+Owns a request from arrival to answer.  Each reason to refuse stands in
+:mod:`tinrudder.gateway.requests.refusals`; what may run is started as a run of
+:mod:`tinrudder.gateway.runs`, or handed to a coordinator by :mod:`tinrudder.gateway.scatters`.
 """
--- a/tinrudder/gateway/requests/client_request.py
+++ b/tinrudder/gateway/requests/client_request.py
@@ -20,8 +20,8 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder.gateway.requests.authentication import Admitted
-from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
+from tinrudder.gateway.runs.call_context import CallContext
 
 
 class Run(Protocol):
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -9,7 +9,7 @@
 Owns no state.  Relies on the judges that are grouped in :class:`Judges`, each of which keeps its
 own.  Behind this list, a scatter can still be refused by the gateway that runs it
 (:mod:`tinrudder.gateway.scatters.scatter_admission`), and a run ends with a refusal where every
-back end turned it away (:mod:`tinrudder.gateway.requests.run_outcome`).
+back end turned it away (:mod:`tinrudder.gateway.runs.run_outcome`).
 """
 
 from __future__ import annotations
@@ -31,9 +31,9 @@
 from tinrudder.gateway.peers.reachability import Reachability
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.requests.authentication import Admitted, Authentication
-from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.client_request import AuthorizedRequest, ClientRequest
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
+from tinrudder.gateway.runs.call_context import CallContext
 from tinrudder.gateway.store.shared_state import SharedState
 
 RETRY_AFTER_START_S = 0.3
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -7,12 +7,12 @@
 from __future__ import annotations
 
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.call_context import CallContext
 from tinrudder.gateway.requests.client_request import AuthorizedRequest, Run
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.requests.run_context import RunContext
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.scatters.delegated_scatter import DelegatedScatter
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -8,7 +8,7 @@
 from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
-from tinrudder.gateway.requests.call_context import CallContext
+from tinrudder.gateway.runs.call_context import CallContext
 
 
 class ServiceAdmission:
--- a/tinrudder/gateway/requests/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -36,7 +36,7 @@
     zone_advantage,
 )
 from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
-from tinrudder.gateway.requests.run_guard import CrashEvidence
+from tinrudder.gateway.runs.run_guard import CrashEvidence
 
 MEDIAN = 0.5
 """The quantile that stands for how long calls without a queue take.  Chosen, not measured: unlike a
--- a/tinrudder/gateway/requests/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -14,7 +14,7 @@
     Rejected,
     header_value,
 )
-from tinrudder.gateway.requests.call_context import CallContext
+from tinrudder.gateway.runs.call_context import CallContext
 
 SERVER_ERROR = 500
 """The first status that says that the back end failed, rather than the request."""
--- a/tinrudder/gateway/requests/crash_evidence.py
+++ b/tinrudder/gateway/runs/crash_evidence.py
@@ -1,7 +1,7 @@
 """What the end of a call says of its request: whether the back end crashed under it.
 
 Owns no state.  Relies on the run's guard, which stops a request that crashes back ends, and on the
-evidence that all gateways share (:class:`tinrudder.gateway.requests.run_guard.CrashEvidence`).
+evidence that all gateways share (:class:`tinrudder.gateway.runs.run_guard.CrashEvidence`).
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 from tinrudder.gateway.backends.backend_directory import Backend
 from tinrudder.gateway.model.http_messages import Answered, Broken, CallOutcome
 from tinrudder.gateway.observability.request_log import log_call_lost
-from tinrudder.gateway.requests.run_context import Attempt, RunContext
+from tinrudder.gateway.runs.run_context import Attempt, RunContext
 
 SURVIVAL_S = 0.04
 """When to look whether a back end that was lost with a call keeps other connections, seconds.  A
--- a/tinrudder/gateway/requests/hedge_timing.py
+++ b/tinrudder/gateway/runs/hedge_timing.py
@@ -11,7 +11,7 @@
 
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s
-from tinrudder.gateway.requests.run_context import NEVER, RunContext
+from tinrudder.gateway.runs.run_context import NEVER, RunContext
 
 
 class HedgeTimes(Struct, frozen=True):
--- a/tinrudder/gateway/requests/request_bytes.py
+++ b/tinrudder/gateway/runs/request_bytes.py
@@ -4,7 +4,7 @@
 
 from tinrudder.gateway.model.configuration import HeaderNames
 from tinrudder.gateway.model.http_messages import HttpRequest, end_to_end_headers
-from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
+from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
 MILLISECONDS = 1000.0
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
--- a/tinrudder/gateway/requests/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -13,11 +13,11 @@
 from tinrudder.gateway.decisions.attempts.answer_time import ScatterState, Verdict, decide
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.delegated_groups import DelegatedGroups
-from tinrudder.gateway.requests.run_context import NEVER, RunContext
-from tinrudder.gateway.requests.run_outcome import RefusalMaker, answer_of, failure_of
-from tinrudder.gateway.requests.shard_calls import ShardCalls
-from tinrudder.gateway.requests.shard_tally import ShardTally
+from tinrudder.gateway.runs.delegated_groups import DelegatedGroups
+from tinrudder.gateway.runs.run_context import NEVER, RunContext
+from tinrudder.gateway.runs.run_outcome import RefusalMaker, answer_of, failure_of
+from tinrudder.gateway.runs.shard_calls import ShardCalls
+from tinrudder.gateway.runs.shard_tally import ShardTally
 from tinrudder.gateway.scatters.delegated_shards import DelegatedShards
 from tinrudder.timers import TimerHandle
 
--- a/tinrudder/gateway/requests/run_context.py
+++ b/tinrudder/gateway/runs/run_context.py
@@ -13,9 +13,9 @@
 from tinrudder.gateway.decisions.placement.backend_observations import RunningCall
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import UpstreamCall
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.run_guard import RunGuard
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.run_guard import RunGuard
 
 NEVER = float("inf")
 """A time, in seconds of the loop's clock, at which nothing is due."""
--- a/tinrudder/gateway/requests/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -7,7 +7,7 @@
 
 from tinrudder.common.poison_requests import RequestStanding, Standing
 from tinrudder.gateway.model.configuration import Route
-from tinrudder.gateway.requests.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_bytes import RequestBytes
 
 CANARY_PATIENCE = 0.3
 """After this part of the route's objective a second canary leaves beside the first, which may stand
--- a/tinrudder/gateway/requests/run_outcome.py
+++ b/tinrudder/gateway/runs/run_outcome.py
@@ -17,9 +17,9 @@
     RequestOutcome,
     TimedOut,
 )
-from tinrudder.gateway.requests.delegated_groups import DelegatedGroups
-from tinrudder.gateway.requests.run_context import RunContext
-from tinrudder.gateway.requests.shard_calls import ShardCalls
+from tinrudder.gateway.runs.delegated_groups import DelegatedGroups
+from tinrudder.gateway.runs.run_context import RunContext
+from tinrudder.gateway.runs.shard_calls import ShardCalls
 from tinrudder.gateway.scatters.record_merge import greatest_records
 
 RETRY_AFTER_S = 0.1
--- a/tinrudder/gateway/requests/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -29,12 +29,12 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.requests.call_observation import SERVER_ERROR, observe_end
-from tinrudder.gateway.requests.crash_evidence import report_end
-from tinrudder.gateway.requests.hedge_timing import HedgeTimes, hedge_times
-from tinrudder.gateway.requests.run_context import NEVER, Attempt, RunContext
-from tinrudder.gateway.requests.run_guard import POISON, Permission
-from tinrudder.gateway.requests.shard_replicas import ShardReplicas
+from tinrudder.gateway.runs.call_observation import SERVER_ERROR, observe_end
+from tinrudder.gateway.runs.crash_evidence import report_end
+from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
+from tinrudder.gateway.runs.run_context import NEVER, Attempt, RunContext
+from tinrudder.gateway.runs.run_guard import POISON, Permission
+from tinrudder.gateway.runs.shard_replicas import ShardReplicas
 
 MAX_SENDS = 4
 """How many calls of one shard may leave for one request.  Chosen, not measured: two replicas, each
--- a/tinrudder/gateway/requests/shard_replicas.py
+++ b/tinrudder/gateway/runs/shard_replicas.py
@@ -12,7 +12,7 @@
 from collections import Counter
 
 from tinrudder.gateway.backends.backend_directory import Backend
-from tinrudder.gateway.requests.run_context import RunContext
+from tinrudder.gateway.runs.run_context import RunContext
 
 MAX_HEDGE_WAIT = 1.5
 """How long a hedge may have to wait for a slot, in usual latencies of the route.  Chosen, not
--- a/tinrudder/gateway/requests/shard_tally.py
+++ b/tinrudder/gateway/runs/shard_tally.py
@@ -8,7 +8,7 @@
 from __future__ import annotations
 
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.requests.shard_calls import ShardCalls
+from tinrudder.gateway.runs.shard_calls import ShardCalls
 
 
 class ShardTally:
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -11,7 +11,7 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NoAnswer, NotRun, RequestOutcome, TimedOut
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
-from tinrudder.gateway.requests.request_run import OutcomeListener
+from tinrudder.gateway.runs.request_run import OutcomeListener
 from tinrudder.gateway.scatters.delegation import (
     ANSWER_MARGIN_S,
     Lost,
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -14,7 +14,7 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NotRun
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
-from tinrudder.gateway.requests.run_guard import POISON
+from tinrudder.gateway.runs.run_guard import POISON
 from tinrudder.gateway.scatters.delegation import (
     ANSWER_MARGIN_S,
     Lost,
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -11,7 +11,7 @@
 from tinrudder.gateway.decisions.attempts.peer_round_trip import PeerRoundTrip
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
-from tinrudder.gateway.requests.call_context import CallContext
+from tinrudder.gateway.runs.call_context import CallContext
 from tinrudder.gateway.scatters.coordinators import Coordinators
 
 
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -18,11 +18,11 @@
 )
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.reachability import Reachability
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
-from tinrudder.gateway.requests.run_context import RunContext
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions, WaitingScatter
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.store.shared_state import SharedState
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -26,7 +26,7 @@
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
 from tinrudder.timers import TimerHandle
 
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -8,10 +8,10 @@
 from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
-from tinrudder.gateway.requests.run_context import RunContext
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.scatters.coordinators import Coordination
 from tinrudder.gateway.scatters.delegated_shards import (
     DelegatedShards,
--- a/tinrudder/gateway/wire/poison_report_codec.py
+++ b/tinrudder/gateway/wire/poison_report_codec.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from tinrudder.gateway.peers.peer_messages import PoisonReport, ReportedCrash, ReportedEvidence
-from tinrudder.gateway.requests.request_fingerprint import FINGERPRINT_BYTES
+from tinrudder.gateway.runs.request_fingerprint import FINGERPRINT_BYTES
 from tinrudder.gateway.wire import peer_datagram_pb2 as pb
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, age_of
 
