--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -9,14 +9,8 @@
 
 from tests.support.slow_clients import connect, connect_paced, run_served
 from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
-from tinrudder.gateway.clients.client_connection import (
-    PAUSED_S,
-    UNREAD_FULL_S,
-    UNREAD_PRESSED_S,
-    UNREAD_S,
-    WATCH_S,
-    ClientConnection,
-)
+from tinrudder.gateway.clients.answer_progress import UNREAD_FULL_S, UNREAD_PRESSED_S, UNREAD_S
+from tinrudder.gateway.clients.client_connection import PAUSED_S, WATCH_S, ClientConnection
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
 from tinrudder.gateway.model.configuration import ClientLimits
--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -1,4 +1,10 @@
-"""One connection from a client: reads whole requests, one at a time, and writes their answers."""
+"""One connection from a client: serves its requests one at a time, and bounds what it may hold.
+
+Owns the socket, the requests that were read and wait for the one before, and what is held for this
+client in the account of memory.  Relies on :class:`RequestReader` for whole requests, on a handler
+for their answers, and on :mod:`tinrudder.gateway.clients.answer_progress` for clients that do not
+read.
+"""
 
 from __future__ import annotations
 
@@ -6,47 +12,36 @@
 from collections import deque
 from typing import Protocol
 
-import httptools
-
+from tinrudder.gateway.clients.answer_progress import AnswerProgress, longest_unread_s
 from tinrudder.gateway.clients.answers import RETRY_AFTER, encode_answer
 from tinrudder.gateway.clients.memory_account import MemoryAccount
-from tinrudder.gateway.clients.tcp_progress import acknowledged_bytes
+from tinrudder.gateway.clients.request_reader import RequestReader
 from tinrudder.gateway.decisions.admission.memory_bound import RETRY_AFTER_S
 from tinrudder.gateway.model.configuration import ClientLimits
-from tinrudder.gateway.model.http_messages import Header, Headers, HttpRequest
+from tinrudder.gateway.model.http_messages import Headers, HttpRequest
 from tinrudder.gateway.model.outcomes import (
     REASONS,
-    STATUS_BAD_REQUEST,
-    STATUS_BODY_TOO_LARGE,
-    STATUS_HEADER_TOO_LARGE,
     STATUS_TIMEOUT,
     STATUS_UNAVAILABLE,
     FinalAnswer,
 )
 from tinrudder.timers import TimerHandle
 
-HTTP_1_1 = "1.1"
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 MAX_WAITING_REQUESTS = 16
+"""Whole requests that may wait on a connection behind the one in progress; with one more it is
+dropped.  Chosen, not measured: clients that pipeline at all send a few, and each is held in memory.
+"""
 LINGER_S = 1.0
+"""How long a refused connection stays open behind its answer, seconds.  Chosen, not measured: a
+reset that follows at once, while the client still sends, can take the answer from it."""
 WATCH_S = 0.25
 """How often a connection is looked at while its client does not read or reading from it has
-stopped, a choice; no other connection has such a timer."""
-UNREAD_S = 10.0
-"""How long a client may take nothing of its answer: 1 KB a second shows every 1.5 s on Ethernet,
-one segment at a time, and the kernel repeats a lost segment five times within 6.2 s.  Over
-loopback, whose segments are 64 KB, such a client shows every 6 s with 4 KB of buffer, every 24 s
-with 16 KB (``tcp_info`` read every 0.1 s for 60 s and 100 s)."""
-UNREAD_PRESSED_S = 2.0
-"""The same on a planned stop, of whose grace, 6 s, it is a third, and near the bound of memory: a
-client that takes 1 KB a second still shows in time, and who takes nothing goes before others'
-requests are refused.  Two gateways of 152 MB with 12 slow clients a second each refused 338 of
-1,372 ordinary requests while this was 10 s near the bound, none of 1,381 since."""
-UNREAD_FULL_S = 1.0
-"""The same while there is no room for anybody's requests, a choice."""
+stopped, seconds.  Chosen, not measured: a quarter of the shortest time that such looks tell of; no
+other connection has such a timer."""
 PAUSED_S = 1.0
-"""How long a body may wait half read for room, a choice: its request is refused while its client
-still has time to ask elsewhere."""
+"""How long a body may wait half read for room, seconds.  Chosen, not measured: its request is
+refused while its client still has time to ask elsewhere."""
 
 
 class RequestInProgress(Protocol):
@@ -71,7 +66,7 @@
         """Serve a request; exactly one :meth:`ClientConnection.answer` follows."""
 
 
-class ClientConnection(asyncio.Protocol):
+class ClientConnection(RequestReader, asyncio.Protocol):
     """Speaks HTTP/1.1 with one client.
 
     A request that breaks the protocol or a limit is answered and the connection closed.  What a
@@ -87,37 +82,27 @@
         memory: MemoryAccount,
     ) -> None:
         """Pass requests to ``handler``; stand in ``open_connections`` while open."""
+        super().__init__(handler)
+        self._handler = handler
+        self._open_connections = open_connections
+        self._loop = asyncio.get_running_loop()
+        self._transport: asyncio.Transport | None = None
         self._memory = memory
         self._held = 0
         self._unread = 0
-        self._progress = (0, 0)
-        self._progress_at = 0.0
+        self._answer_progress = AnswerProgress()
         self._paused_at: float | None = None
         self._paused_for_memory = False
         self._watch: TimerHandle | None = None
-        self._handler = handler
-        self._open_connections = open_connections
-        self._loop = asyncio.get_running_loop()
-        self._transport: asyncio.Transport | None = None
-        self._parser = httptools.HttpRequestParser(self)
         self._timer: TimerHandle | None = None
-        self._resting_since = self._loop.time()
+        self._idle_since = self._loop.time()
         self._reading_since: float | None = None
         self._current: HttpRequest | None = None
+        self._current_bytes = 0
         self._in_progress: RequestInProgress | None = None
-        self._answered_early = False
+        self._answered_at_once = False
         self._waiting: deque[HttpRequest] = deque()
         self._waiting_bytes: deque[int] = deque()
-        self._current_bytes = 0
-        self._refused = False
-        self._target = b""
-        self._headers: list[Header] = []
-        self._header_bytes = 0
-        self._head_bytes = 0
-        self._part_of_head = 0
-        self._head_complete = False
-        self._body: list[bytes] = []
-        self._body_bytes = 0
 
     @property
     def busy(self) -> bool:
@@ -149,8 +134,7 @@
         self._waiting.clear()
         self._waiting_bytes.clear()
         self._current_bytes = 0
-        # The cycle of the two would keep a body until the collector's next run.
-        del self._parser
+        self._stop_reading()
         self._hold(-self._held)
         self._note_unread(0)
         if self._in_progress is not None:
@@ -165,14 +149,13 @@
         """Count what the client does not read, and serve and read nothing more of it meanwhile."""
         assert self._transport is not None
         self._note_unread(self._transport.get_write_buffer_size())
-        self._progress = self._progress_now()
-        self._progress_at = self._loop.time()
+        self._answer_progress.begin(self._transport, self._loop.time())
         self._pause()
 
     def resume_writing(self) -> None:
         """Go on: the socket has taken everything."""
         self._note_unread(0)
-        self._resting_since = self._loop.time()
+        self._idle_since = self._loop.time()
         self._resume()
         if self._waiting:
             self._loop.call_soon(self._serve_next)
@@ -184,15 +167,7 @@
         if self._reading_since is None:
             self._reading_since = self._loop.time()
             self._arm()
-        if not self._head_complete:
-            self._header_bytes += len(data)
-        try:
-            self._parser.feed_data(data)
-        except httptools.HttpParserUpgrade:
-            self.refuse(STATUS_BAD_REQUEST)
-        except httptools.HttpParserError:
-            if not self._refused:
-                self.refuse(STATUS_BAD_REQUEST)
+        self._feed(data)
         if self._refused:
             return
         if not self._head_complete and self._reading_since is not None:
@@ -202,19 +177,12 @@
             self._memory.pauses += 1
             self._pause()
 
-    def _take_part_of_head(self, size: int) -> None:
-        """Count a head that has not come whole, and refuse one that is too large."""
-        self._part_of_head += size
-        self._hold(size)
-        if self._header_bytes > self._handler.limits.max_header_bytes:
-            self.refuse(STATUS_HEADER_TOO_LARGE)
-
     def answer(self, answer: FinalAnswer) -> None:
         """Write the answer of the request in progress and go on to the next."""
         request = self._current
         self._current = None
         self._in_progress = None
-        self._answered_early = True
+        self._answered_at_once = True
         self._hold(-self._current_bytes)
         self._current_bytes = 0
         if self._transport is None or request is None:
@@ -226,7 +194,7 @@
         if close:
             self._transport.close()
             return
-        self._resting_since = self._loop.time()
+        self._idle_since = self._loop.time()
         self._arm()
         if self._waiting:
             self._loop.call_soon(self._serve_next)
@@ -249,70 +217,16 @@
         if not self.busy and self._transport is not None:
             self._transport.close()
 
-    def on_message_begin(self) -> None:
-        """Begin a request (called by the parser)."""
-        self._target = b""
-        self._headers = []
-        self._body = []
-        self._body_bytes = 0
-
-    def on_url(self, url: bytes) -> None:
-        """Collect the target (called by the parser)."""
-        self._target += url
-
-    def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header (called by the parser)."""
-        self._headers.append((name.lower(), value))
-
-    def on_headers_complete(self) -> None:
-        """Check what the head alone tells (called by the parser)."""
-        head_bytes = len(self._target) + sum(
-            len(name) + len(value) for name, value in self._headers
-        )
-        self._head_complete = True
-        self._head_bytes = head_bytes
-        self._hold(head_bytes - self._part_of_head)
-        self._part_of_head = 0
-        if head_bytes > self._handler.limits.max_header_bytes:
-            self.refuse(STATUS_HEADER_TOO_LARGE)
-            return
-        names = [name for name, _ in self._headers]
-        if b"expect" in names and self._transport is not None:
+    def _send_continue(self) -> None:
+        """Tell a client that waits with its body to go on."""
+        if self._transport is not None:
             self._transport.write(CONTINUE)
-        if names.count(b"content-length") > 1 or (
-            b"content-length" in names and b"transfer-encoding" in names
-        ):
-            self.refuse(STATUS_BAD_REQUEST)
 
-    def on_body(self, body: bytes) -> None:
-        """Collect the body (called by the parser)."""
-        if self._refused:
-            return
-        self._body.append(body)
-        self._body_bytes += len(body)
-        self._hold(len(body))
-        if self._body_bytes > self._handler.limits.max_body_bytes:
-            self.refuse(STATUS_BODY_TOO_LARGE)
-
-    def on_message_complete(self) -> None:
-        """Serve a whole request, or keep it until the one before is answered (by the parser)."""
-        if self._refused:
-            return
+    def _on_request(self, request: HttpRequest, size: int) -> None:
+        """Serve a whole request, or keep it until the one before is answered."""
         self._reading_since = None
-        self._header_bytes = 0
-        self._head_complete = False
-        keep_alive = self._parser.should_keep_alive()
-        keep_alive = keep_alive and self._parser.get_http_version() == HTTP_1_1
-        request = HttpRequest(
-            self._parser.get_method(),
-            self._target,
-            tuple(self._headers),
-            b"".join(self._body),
-            keep_alive,
-        )
-        self._body = []
         self._waiting.append(request)
-        self._waiting_bytes.append(self._head_bytes + self._body_bytes)
+        self._waiting_bytes.append(size)
         if len(self._waiting) > MAX_WAITING_REQUESTS:
             self._refused = True
             self._abort()
@@ -328,9 +242,9 @@
         request = self._waiting.popleft()
         self._current = request
         self._current_bytes = self._waiting_bytes.popleft()
-        self._answered_early = False
+        self._answered_at_once = False
         in_progress = self._handler.handle(request, self)
-        if not self._answered_early:
+        if not self._answered_at_once:
             self._in_progress = in_progress
 
     def _arm(self) -> None:
@@ -355,7 +269,7 @@
             if now - self._reading_since >= limits.header_timeout_s:
                 self.refuse(STATUS_TIMEOUT)
                 return
-        elif not self.busy and now - self._resting_since >= limits.idle_timeout_s:
+        elif not self.busy and now - self._idle_since >= limits.idle_timeout_s:
             self._transport.close()
             return
         self._arm()
@@ -390,7 +304,7 @@
             return
         paused_s = self._loop.time() - self._paused_at
         self._paused_at = None
-        self._resting_since += paused_s
+        self._idle_since += paused_s
         if self._reading_since is not None:
             self._reading_since += paused_s
         if self._transport is not None:
@@ -413,23 +327,14 @@
         """End the connection if its client takes nothing for too long."""
         assert self._transport is not None
         self._note_unread(self._transport.get_write_buffer_size())
-        progress = self._progress_now()
-        if progress != self._progress:
-            self._progress = progress
-            self._progress_at = now
+        idle_s = self._answer_progress.idle_s(self._transport, now)
+        has_just_read = idle_s == 0.0
+        if has_just_read:
             return
-        idle_s = now - self._progress_at
-        if idle_s >= self._longest_unread_s():
+        if idle_s >= longest_unread_s(self._memory, closing=self._handler.closing):
             self._memory.note_ended_unread(self._unread, idle_s)
             self._abort()
 
-    def _longest_unread_s(self) -> float:
-        """Return how long this client may take nothing now."""
-        if self._memory.is_full:
-            return UNREAD_FULL_S
-        pressed = self._handler.closing or self._memory.is_near
-        return UNREAD_PRESSED_S if pressed else UNREAD_S
-
     def _look_for_room(self, now: float) -> None:
         """Read on when there is room; refuse what has waited for it too long."""
         if not self._memory.is_near:
@@ -442,8 +347,3 @@
             self._memory.note_refused_body()
             retry_after = b"%.3f" % RETRY_AFTER_S
             self.refuse(STATUS_UNAVAILABLE, ((RETRY_AFTER, retry_after),))
-
-    def _progress_now(self) -> tuple[int, int]:
-        """Return two figures of which one changes whenever the client takes anything."""
-        assert self._transport is not None
-        return (self._transport.get_write_buffer_size(), acknowledged_bytes(self._transport))
