--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -1,4 +1,8 @@
-"""What all requests of a gateway share: back ends, budgets, latencies, names, clock."""
+"""What all requests of a gateway share: back ends, budgets, latencies, names, clock.
+
+Owns what is learnt of routes and services while the process runs, and drops it when no
+configuration names them any more.  Relies on the directory for what is known of each back end.
+"""
 
 from __future__ import annotations
 
@@ -10,31 +14,21 @@
 from msgspec import Struct, field
 
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.backends.backend_directory import Backend, BackendDirectory
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
-    extra_cost,
     has_room,
-    least_work_s,
-    two_of,
     work_s_of,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
     MINIMUM_OBSERVATIONS,
-    hedge_delay_s,
     usual_latency_s,
 )
 from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes
-from tinrudder.gateway.decisions.placement.zone_preference import (
-    LEAST_ADVANTAGE,
-    is_slow,
-    zone_advantage,
-)
 from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.runs.run_guard import CrashEvidence
 
@@ -47,7 +41,15 @@
 
 
 class CallCounters(Struct):
-    """Counts since the start of the process."""
+    """Counts since the start of the process; each is a metric, see its text there.
+
+    :param repeats_denied: repeats that the budget did not allow.
+    :param relayed: scatters handed to a coordinator; ``relays_failed``: coordinators that did not
+        serve one; ``relays_run_here``: scatters run here since none did.
+    :param coordinated: scatters merged for other gateways.
+    :param delegated: groups of shards that another gateway was to ask; ``delegations_run_here``:
+        that were asked from here after it did not.
+    """
 
     requests: int = 0
     calls: int = 0
@@ -67,6 +69,17 @@
     delegations_run_here: int = 0
 
 
+class ZoneAdvantage(Struct, frozen=True):
+    """By how much back ends of other zones must be faster, in usual latencies.
+
+    :param at: when this was worked out, by the loop's clock; other routes and times differ.
+    """
+
+    route: Route
+    at: float
+    advantage: float
+
+
 class LoadListener(Protocol):
     """Is told of the load of back ends that many gateways may call."""
 
@@ -75,7 +88,7 @@
 
 
 class NoLoadListener:
-    """Tells nobody."""
+    """Passes on nothing, where there are no other gateways."""
 
     def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Do nothing."""
@@ -85,12 +98,15 @@
     """Everything a request needs besides its own state.
 
     :param sharers: tells in how many equal parts the fleet's repeats of a service are divided.
+    :param started_at: when the process started, by the loop's clock.
     :param evidence: what is held against requests since back ends were lost under them.
     :param own_name: differs between gateways, so that they do not all prefer the same back end.
+    :param random: draws back ends, and the share of requests that is admitted.
     :param load_listener: is told of long queues.
     :param memory: counts what is held for others, and says who finds no room.
     :param zone_answered: is told of each answer from a zone.
     :param zone_doubted: is told of a call to a zone that is overdue, and when it was sent.
+    :param latest_advantage: is the same for all shards that one scatter asks at one time.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -114,10 +130,7 @@
     _unloaded: dict[str, LatencyWindow] = field(default_factory=dict)
     _hedges: dict[str, HedgeMoments] = field(default_factory=dict)
     _sizes: dict[tuple[str, ...], ScatterSizes] = field(default_factory=dict)
-    # The same for all shards that one scatter asks at one moment.
-    _advantage: float = 0.0
-    _advantage_at: float | None = None
-    _advantage_of: Route | None = None
+    latest_advantage: ZoneAdvantage | None = None
 
     def budget(self, service: str) -> FleetRetryBudget:
         """Return a service's repeat budget."""
@@ -201,55 +214,6 @@
         backends = self.observations(service)
         return has_room(backends, now, self.usual_s(route, backends), left_s)
 
-    def choose(self, candidates: Sequence[Backend], route: Route, now: float) -> Backend:
-        """Return the most promising back end, one in the own zone where that is soon enough."""
-        if len(candidates) == 1:
-            return candidates[0]
-        if not route.shards:
-            return self._choose_single(candidates, route, now)
-        advantage = self._zone_advantage(candidates, route, now)
-
-        def cost(backend: Backend) -> float:
-            local = backend.entry.zone == self.zone
-            return backend.observations.cost(now) + (0.0 if local else advantage)
-
-        return min(candidates, key=cost)
-
-    def _choose_single(self, candidates: Sequence[Backend], route: Route, now: float) -> Backend:
-        """Return a back end for a call of which many gateways make a few each.
-
-        Most know nothing of any back end, so that the first of equal ones would get the calls of
-        all: with half of the load that four back ends bear, 0.02 of the arrivals were shed.
-        """
-        advantage = self._zone_advantage(candidates, route, now)
-        drawn = two_of(candidates, lambda one: one.observations, now, self.random)
-        least_s = 0.0
-        if drawn is not candidates:
-            least_s = least_work_s([one.observations for one in candidates])
-
-        def cost(backend: Backend) -> tuple[float, int]:
-            local = backend.entry.zone == self.zone
-            cost = backend.observations.cost(now) + (0.0 if local else advantage)
-            cost += extra_cost(backend.observations, least_s, now)
-            return cost, -rendezvous_score(self.own_name, backend.backend_id)
-
-        return min(drawn, key=cost)
-
-    def _zone_advantage(self, candidates: Sequence[Backend], route: Route, now: float) -> float:
-        """Return by how much back ends elsewhere must be faster, in usual latencies."""
-        for backend in candidates:
-            local = backend.entry.zone == self.zone
-            if local and is_slow(backend.observations.expected_relative_latency(now)):
-                return LEAST_ADVANTAGE
-        if self._advantage_at != now or self._advantage_of is not route:
-            latency = self.latency(route)
-            usual_s = usual_latency_s(latency, route.objective_s)
-            hedged_s = hedge_delay_s(latency, route.objective_s, budget_fill=1.0)
-            self._advantage = zone_advantage(usual_s, hedged_s, route.objective_s)
-            self._advantage_at = now
-            self._advantage_of = route
-        return self._advantage
-
 
 def _smoothed(former: float, seen: float) -> float:
     """Return a mean in which the latest value weighs a little; the first one counts whole."""
--- /dev/null
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -0,0 +1,90 @@
+"""Which of the back ends that may get a call gets it.
+
+Inputs are the expected cost of each back end, in usual latencies (latency as observed, queues as
+reported by it or by other gateways), the zone of this gateway, and the usual latency of the route,
+seconds.  A back end in the own zone is preferred as long as the objective allows
+(:mod:`tinrudder.gateway.decisions.placement.zone_preference`), since bytes between zones are paid
+for.  Where many gateways make a few calls each, two are drawn and the better one is taken
+(:func:`tinrudder.gateway.decisions.admission.shared_service.two_of`).
+
+Owns no state: the latest advantage of the own zone, which is the same for all shards that one
+scatter asks at one time, is kept in the context of calls.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Sequence
+
+from tinrudder.common.rendezvous import rendezvous_score
+from tinrudder.gateway.backends.backend_directory import Backend
+from tinrudder.gateway.decisions.admission.shared_service import extra_cost, least_work_s, two_of
+from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
+from tinrudder.gateway.decisions.placement.zone_preference import (
+    LEAST_ADVANTAGE,
+    is_slow,
+    zone_advantage,
+)
+from tinrudder.gateway.model.configuration import Route
+from tinrudder.gateway.runs.call_context import CallContext, ZoneAdvantage
+
+
+def choose_replica(
+    call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
+) -> Backend:
+    """Return the most promising back end, one in the own zone where that is soon enough.
+
+    :param candidates: at least one.
+    """
+    if len(candidates) == 1:
+        return candidates[0]
+    if not route.shards:
+        return _choose_single(call_context, candidates, route, now)
+    advantage = _zone_advantage(call_context, candidates, route, now)
+
+    def cost(backend: Backend) -> float:
+        local = backend.entry.zone == call_context.zone
+        return backend.observations.cost(now) + (0.0 if local else advantage)
+
+    return min(candidates, key=cost)
+
+
+def _choose_single(
+    call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
+) -> Backend:
+    """Return a back end for a call of which many gateways make a few each.
+
+    Most know nothing of any back end, so that the first of equal ones would get the calls of all:
+    with half of the load that four back ends bear, 0.02 of the arrivals were shed.
+    """
+    advantage = _zone_advantage(call_context, candidates, route, now)
+    drawn = two_of(candidates, lambda one: one.observations, now, call_context.random)
+    least_s = 0.0
+    if drawn is not candidates:
+        least_s = least_work_s([one.observations for one in candidates])
+
+    def cost(backend: Backend) -> tuple[float, int]:
+        local = backend.entry.zone == call_context.zone
+        cost = backend.observations.cost(now) + (0.0 if local else advantage)
+        cost += extra_cost(backend.observations, least_s, now)
+        return cost, -rendezvous_score(call_context.own_name, backend.backend_id)
+
+    return min(drawn, key=cost)
+
+
+def _zone_advantage(
+    call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
+) -> float:
+    """Return by how much back ends elsewhere must be faster, in usual latencies."""
+    for backend in candidates:
+        local = backend.entry.zone == call_context.zone
+        if local and is_slow(backend.observations.expected_relative_latency(now)):
+            return LEAST_ADVANTAGE
+    latest = call_context.latest_advantage
+    if latest is None or latest.at != now or latest.route is not route:
+        latency = call_context.latency(route)
+        usual_s = usual_latency_s(latency, route.objective_s)
+        hedged_s = hedge_delay_s(latency, route.objective_s, budget_fill=1.0)
+        advantage = zone_advantage(usual_s, hedged_s, route.objective_s)
+        latest = ZoneAdvantage(route, now, advantage)
+        call_context.latest_advantage = latest
+    return latest.advantage
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -32,6 +32,7 @@
 from tinrudder.gateway.runs.call_observation import SERVER_ERROR, observe_end
 from tinrudder.gateway.runs.crash_evidence import report_end
 from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
+from tinrudder.gateway.runs.replica_choice import choose_replica
 from tinrudder.gateway.runs.run_context import NEVER, Attempt, RunContext
 from tinrudder.gateway.runs.run_guard import POISON, Permission
 from tinrudder.gateway.runs.shard_replicas import ShardReplicas
@@ -231,7 +232,7 @@
             return
         if hedge:
             self._run.call_context.counters.hedges += 1
-        backend = self._run.call_context.choose(candidates, self._run.route, now)
+        backend = choose_replica(self._run.call_context, candidates, self._run.route, now)
         self._send(backend, now, is_paid=is_paid)
 
     def _doubt_zones(self) -> None:
