--- a/tests/unit/gateway/test_refusals.py
+++ b/tests/unit/gateway/test_refusals.py
@@ -8,7 +8,7 @@
 from tests.unit.gateway.test_shard_calls_machine import NAMES
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Invalid, NotRun, UnknownRoute
-from tinrudder.gateway.requests.authentication import Admitted
+from tinrudder.gateway.requests.authentication import AuthenticatedRequest
 from tinrudder.gateway.requests.refusals import (
     RETRY_AFTER_START_S,
     RULES,
@@ -87,7 +87,7 @@
 
     poisoned = NotRun("poison", 1.0)
     request: Any = SimpleNamespace(
-        route=SimpleNamespace(shards=()), admitted=Admitted(WELL_FORMED, None)
+        route=SimpleNamespace(shards=()), authenticated=AuthenticatedRequest(WELL_FORMED, None)
     )
     refusal = refusal_at_start(
         judges(reachability=judge("zone", None), poison=judge("poison", poisoned)), request
--- a/tinrudder/gateway/clients/answers.py
+++ b/tinrudder/gateway/clients/answers.py
@@ -1,4 +1,8 @@
-"""Builds the answer that a client is sent from an outcome."""
+"""Builds the answer that a client is sent from an outcome, and its bytes.
+
+Owns no state.  Relies on :func:`tinrudder.gateway.model.outcomes.status_of` for the one table from
+outcomes to statuses.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +20,8 @@
 )
 
 RETRY_AFTER = b"retry-after"
+STATUSES_WITHOUT_BODY = (204, 304)
+"""No Content and Not Modified, whose answers name no length here (RFC 9110)."""
 
 
 def build_answer(
@@ -47,7 +53,7 @@
     """
     lines = [b"HTTP/1.1 %d %b" % (answer.status, answer.reason)]
     lines.extend(b"%b: %b" % header for header in answer.headers)
-    if answer.status not in (204, 304):
+    if answer.status not in STATUSES_WITHOUT_BODY:
         lines.append(b"Content-Length: %d" % len(answer.body))
     if close:
         lines.append(b"Connection: close")
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -1,4 +1,8 @@
-"""When an answer to a client is worth most, and when the last moment for it has come."""
+"""When an answer to a client is worth most, and when the last one must leave.
+
+Owns, for each route, the longest time that a client has named.  Relies on clients that name what is
+left of their time when they ask again; whoever names nothing gets the route's own timeout.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +14,21 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 
 MILLISECONDS = 1000.0
+"""In a second."""
 ANSWER_MARGIN_S = 0.015
-"""A client counts from when it begins to connect: four times 3 ms of a path between cities for
-connecting, the request and the answer, and 3 ms of work."""
+"""How long before the objective an answer leaves, seconds.  Chosen, not measured: a client counts
+from when it begins to connect, so four times 3 ms of a path between cities for connecting, the
+request and the answer, and 3 ms of work."""
 DEADLINE_MARGIN_S = 0.02
-"""How long before the deadline the final answer leaves, a choice: a little more than the path of
-:data:`ANSWER_MARGIN_S`, since nothing after it is worth anything."""
+"""How long before the deadline the final answer leaves, seconds.  Chosen, not measured: a little
+more than the path of :data:`ANSWER_MARGIN_S`, since nothing after it is worth anything."""
+LARGEST_MARGIN_SHARE = 0.25
+"""The most of a client's time that :data:`DEADLINE_MARGIN_S` may take, a share.  Chosen, not
+measured: who waits for 0.08 s or less still gets most of that time."""
 RETURNING_AFTER_S = 0.01
 """A request that names so much less time than the longest on its route is of a client that came
-before, a choice: more than rounding makes, less than clients wait after a refusal."""
+before, seconds.  Chosen, not measured: more than rounding makes, less than clients wait after a
+refusal."""
 
 
 class Deadlines(Struct, frozen=True):
@@ -38,7 +48,7 @@
 
 
 class ClientDeadlines:
-    """Works out moments from what clients say of their patience.
+    """Works out deadlines from what clients say of their patience.
 
     A client that asks again names what is left of its time, so the longest time that was named on
     a route tells how long a request has been under way already.
@@ -50,7 +60,7 @@
         self._longest_s: dict[str, float] = {}
 
     def of(self, route: Route, request: HttpRequest, received_at: float) -> Deadlines:
-        """Return the moments of one request."""
+        """Return the deadlines of one request."""
         wait_s = self._wait_s(request)
         if wait_s is None:
             wait_s = route.timeout_s
@@ -64,7 +74,9 @@
         return Deadlines(
             received_at=received_at,
             objective_at=started_at + route.objective_s - ANSWER_MARGIN_S,
-            deadline_at=received_at + limit_s - min(DEADLINE_MARGIN_S, limit_s / 4),
+            deadline_at=received_at
+            + limit_s
+            - min(DEADLINE_MARGIN_S, limit_s * LARGEST_MARGIN_SHARE),
             returning=already_s > RETURNING_AFTER_S,
             late=already_s >= route.objective_s,
         )
--- a/tinrudder/gateway/clients/held_bytes.py
+++ b/tinrudder/gateway/clients/held_bytes.py
@@ -1,4 +1,7 @@
-"""The bytes that a gateway holds for others, as those count them who hold them."""
+"""The bytes that a gateway holds for others, as those count them who hold them.
+
+Owns three sums.  Connections and runs add to them; :class:`MemoryAccount` bounds them.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -1,4 +1,9 @@
-"""Bounds what a gateway holds for clients, back ends and peers, and says who finds no room."""
+"""Bounds what a gateway holds for clients, back ends and peers, and says who finds no room.
+
+Owns the counts of what was refused or ended for lack of room, and the log lines of that.  Relies on
+those who hold bytes to count them (:class:`HeldBytes`), and on
+:mod:`tinrudder.gateway.decisions.admission.memory_bound` for who is refused how early.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +21,8 @@
 from tinrudder.gateway.model.outcomes import NotRun
 
 LOG_PAUSE_S = 1.0
-"""Time between two lines of one kind, a choice: what is left out of them, metrics count."""
+"""Least time between two log lines of one kind, seconds.  Chosen, not measured: metrics count what
+is left out."""
 
 
 class MemoryAccount(HeldBytes):
--- a/tinrudder/gateway/clients/plain_answers.py
+++ b/tinrudder/gateway/clients/plain_answers.py
@@ -1,4 +1,7 @@
-"""Answers for the platform's own questions: readiness, and this process's figures."""
+"""Answers for the platform's own questions: readiness, and this process's metrics.
+
+Owns no state; what is answered is asked of a function at each request.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,8 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import REASONS, STATUS_UNAVAILABLE, FinalAnswer
 
-OK = 200
+STATUS_OK = 200
+"""HTTP status (RFC 9110)."""
 
 
 class PlainHandler:
@@ -33,10 +37,12 @@
 
 def readiness_answer(ready: bool) -> FinalAnswer:
     """Return 200 or 503."""
-    status = OK if ready else STATUS_UNAVAILABLE
+    status = STATUS_OK if ready else STATUS_UNAVAILABLE
     return FinalAnswer(status, REASONS[status], (), b"")
 
 
 def text_answer(body: bytes) -> FinalAnswer:
     """Return a text."""
-    return FinalAnswer(OK, REASONS[OK], ((b"content-type", b"text/plain; version=0.0.4"),), body)
+    return FinalAnswer(
+        STATUS_OK, REASONS[STATUS_OK], ((b"content-type", b"text/plain; version=0.0.4"),), body
+    )
--- a/tinrudder/gateway/clients/tcp_progress.py
+++ b/tinrudder/gateway/clients/tcp_progress.py
@@ -1,4 +1,7 @@
-"""How much of what was written to a connection the other side has taken."""
+"""How much of what was written to a connection the other side has taken.
+
+Owns no state; asks the kernel (Linux) at each call.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/model/outcomes.py
+++ b/tinrudder/gateway/model/outcomes.py
@@ -1,5 +1,7 @@
 """Tagged outcomes of a whole request, and the one table from them to statuses.
 
+Owns no state and relies on no other part: runs, peers, logs and clients' answers all use these.
+
 A status 408, 421, 429 or 503 promises that the request has not run and never will; 502 and 504
 promise nothing.
 """
@@ -10,16 +12,17 @@
 
 from tinrudder.gateway.model.http_messages import Headers, HttpAnswer
 
-STATUS_BAD_REQUEST = 400
-STATUS_UNAUTHORIZED = 401
-STATUS_NOT_FOUND = 404
-STATUS_TIMEOUT = 408
-STATUS_BODY_TOO_LARGE = 413
-STATUS_TOO_MANY_REQUESTS = 429
-STATUS_HEADER_TOO_LARGE = 431
-STATUS_BAD_GATEWAY = 502
-STATUS_UNAVAILABLE = 503
-STATUS_GATEWAY_TIMEOUT = 504
+# HTTP statuses (RFC 9110 and 6585), and what a gateway says by each.
+STATUS_BAD_REQUEST = 400  # the request breaks a rule of the protocol
+STATUS_UNAUTHORIZED = 401  # no tenant has the key
+STATUS_NOT_FOUND = 404  # no route
+STATUS_TIMEOUT = 408  # the request did not come whole in time
+STATUS_BODY_TOO_LARGE = 413  # a limit of the configuration
+STATUS_TOO_MANY_REQUESTS = 429  # over the tenant's quota
+STATUS_HEADER_TOO_LARGE = 431  # a limit of the configuration
+STATUS_BAD_GATEWAY = 502  # a back end may have run it; no usable answer
+STATUS_UNAVAILABLE = 503  # not run; Retry-After says when to come back
+STATUS_GATEWAY_TIMEOUT = 504  # a back end may have run it; no answer in time
 REASONS = {
     200: b"OK",
     400: b"Bad Request",
--- a/tinrudder/gateway/requests/api_keys.py
+++ b/tinrudder/gateway/requests/api_keys.py
@@ -1,5 +1,7 @@
 """Who asks: the key of a request, looked up in the configuration in force.
 
+Owns the secret of this process and, per configuration, the index of keys.  Relies on nothing else.
+
 Keys are kept and compared as keyed digests under a secret of this process, so neither the time of a
 look-up nor a dump of the configuration in memory tells anything of a key.
 """
@@ -16,9 +18,11 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 
 LONGEST_KEY_BYTES = 1024
-"""Of one key, chosen: fifty times the platform's examples, far below the limit on headers."""
+"""Longest key, bytes.  Chosen, not measured: fifty times the keys seen, far below the limit on
+headers."""
 DIGEST_BYTES = 16
-"""Of a key's digest: two of a million keys share one by chance in one of 10^27 configurations."""
+"""Length of a key's digest, bytes: two of a million keys share one by chance in one of 10^27
+configurations."""
 AUTHORIZATION = b"authorization"
 SCHEME = b"token"
 _SECRET = os.urandom(32)
--- a/tinrudder/gateway/requests/authentication.py
+++ b/tinrudder/gateway/requests/authentication.py
@@ -1,4 +1,8 @@
-"""Decides on whose behalf a request runs, before anything else sees it."""
+"""Decides on whose behalf a request runs, before anything behind the entry sees it.
+
+Owns no state.  Relies on the keys of the configuration in force
+(:mod:`tinrudder.gateway.requests.api_keys`) and on how old this gateway's knowledge of them may be.
+"""
 
 from __future__ import annotations
 
@@ -18,15 +22,16 @@
 from tinrudder.gateway.requests.api_keys import Ambiguous, Known, Unknown, without_credentials
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 
-RETRY_TOO_OLD_S = 0.5
-"""When to come back to a gateway whose knowledge is too old: a round trip to a peer or the store
-makes it young again, and it tries several times in this time."""
+RETRY_STALE_S = 0.5
+"""When to come back to a gateway whose knowledge is too old, seconds.  Chosen, not measured: a
+round trip to a peer or the store makes it fresh again, and several fit into this time."""
 RETRY_SPREAD = 0.5
-"""Clients come back within this part of that time more, not all at the same moment."""
+"""Part of :data:`RETRY_STALE_S` by which clients come back later at most, so that not all come at
+one time.  Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
-class Admitted:
+class AuthenticatedRequest:
     """A request as everybody behind the entry sees it.
 
     :param tenant: on whose behalf; ``None`` where no key is asked for.
@@ -56,46 +61,49 @@
     def __init__(
         self,
         names: HeaderNames,
-        too_old: Callable[[], bool],
-        knows_news: Callable[[], bool],
+        is_stale: Callable[[], bool],
+        is_fresh: Callable[[], bool],
         random_source: random.Random,
     ) -> None:
-        """Judge by the age of knowledge.
+        """Judge by the age of what is known here.
 
-        :param too_old: tells whether a key that ended long ago may still be believed here.
-        :param knows_news: tells whether a newer configuration would be known here.
+        :param is_stale: tells whether a key that ended long ago may still be believed here.
+        :param is_fresh: tells whether a newer configuration would be known here.
         """
         self._names = names
-        self._too_old = too_old
-        self._knows_news = knows_news
+        self._is_stale = is_stale
+        self._is_fresh = is_fresh
         self._random = random_source
 
-    def admit(
+    def authenticate(
         self, routes: RoutesInForce, route: Route, request: HttpRequest
-    ) -> Admitted | RequestOutcome:
-        """Return the request without its key, or why it may not run."""
+    ) -> AuthenticatedRequest | RequestOutcome:
+        """Return the request without its key, or why it may not run.
+
+        Two sets of credentials are refused whatever is known: no newer configuration allows them.
+        """
         if not routes.keys.required:
-            return Admitted(without_tenant(request, self._names), None)
+            return AuthenticatedRequest(without_tenant(request, self._names), None)
         identity = routes.keys.identify(request)
         if isinstance(identity, Ambiguous):
             return Invalid(STATUS_BAD_REQUEST, "authorization: must stand at most once")
         if not route.public:
-            if self._too_old():
+            if self._is_stale():
                 return self._not_run("what the operator asked for lately may not be known here")
             if isinstance(identity, Unknown):
                 return self._unknown(identity)
         tenant = identity.tenant if isinstance(identity, Known) else None
-        return Admitted(without_credentials(request, tenant, self._names), tenant)
+        return AuthenticatedRequest(without_credentials(request, tenant, self._names), tenant)
 
     def _unknown(self, identity: Unknown) -> RequestOutcome:
         """Refuse a key for good, or until it is certain that it is not new."""
-        if self._knows_news():
+        if self._is_fresh():
             return Unauthorized(identity.detail)
         return self._not_run(f"{identity.detail}, and no word from store or peers lately")
 
     def _not_run(self, detail: str) -> NotRun:
         spread = self._random.uniform(1.0, 1.0 + RETRY_SPREAD)
-        return NotRun(detail, RETRY_TOO_OLD_S * spread)
+        return NotRun(detail, RETRY_STALE_S * spread)
 
 
 def without_tenant(request: HttpRequest, names: HeaderNames) -> HttpRequest:
--- a/tinrudder/gateway/requests/client_request.py
+++ b/tinrudder/gateway/requests/client_request.py
@@ -19,7 +19,7 @@
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.observability.request_log import FinishedRequest
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.authentication import Admitted
+from tinrudder.gateway.requests.authentication import AuthenticatedRequest
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 from tinrudder.gateway.runs.call_context import CallContext
 
@@ -61,13 +61,13 @@
 class AuthorizedRequest(Struct):
     """A request that its caller may make: what is needed to judge and to plan its run.
 
-    :param admitted: the request as everybody behind the entry sees it, and its tenant.
+    :param authenticated: the request as everybody behind the entry sees it, and its tenant.
     :param service: the one chosen of a route to a single back end; empty for a scatter.
     """
 
     routes: RoutesInForce
     route: Route
-    admitted: Admitted
+    authenticated: AuthenticatedRequest
     request_id: bytes
     deadlines: Deadlines
     service: str = ""
@@ -75,7 +75,7 @@
     @property
     def priority(self) -> int:
         """Return the priority; a smaller one is more urgent."""
-        return self.admitted.priority(self.route)
+        return self.authenticated.priority(self.route)
 
     @property
     def steps_below_urgent(self) -> int:
@@ -106,7 +106,7 @@
         self.request_id = b""
         self.version = 0
         self.route: Route | None = None
-        self.admitted: Admitted | None = None
+        self.authenticated: AuthenticatedRequest | None = None
         self.run: Run | None = None
         self.granted = False
         self.abandoned = False
@@ -117,14 +117,16 @@
     @property
     def tenant(self) -> Tenant | None:
         """Return on whose behalf it runs, as far as that is known."""
-        return self.admitted.tenant if self.admitted is not None else None
+        return self.authenticated.tenant if self.authenticated is not None else None
 
     def authorized(self, deadlines: Deadlines) -> AuthorizedRequest:
         """Return what was found out, once its route and its caller are known."""
         assert self.routes is not None
         assert self.route is not None
-        assert self.admitted is not None
-        return AuthorizedRequest(self.routes, self.route, self.admitted, self.request_id, deadlines)
+        assert self.authenticated is not None
+        return AuthorizedRequest(
+            self.routes, self.route, self.authenticated, self.request_id, deadlines
+        )
 
     def end(self, outcome: RequestOutcome) -> None:
         """Answer the client."""
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -30,7 +30,7 @@
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.reachability import Reachability
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.authentication import Admitted, Authentication
+from tinrudder.gateway.requests.authentication import AuthenticatedRequest, Authentication
 from tinrudder.gateway.requests.client_request import AuthorizedRequest, ClientRequest
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
 from tinrudder.gateway.runs.call_context import CallContext
@@ -155,10 +155,12 @@
 def _judge_key(judges: Judges, request: ClientRequest) -> RequestOutcome | None:
     assert request.routes is not None
     assert request.route is not None
-    admitted = judges.authentication.admit(request.routes, request.route, request.http_request)
-    if not isinstance(admitted, Admitted):
-        return admitted
-    request.admitted = admitted
+    authenticated = judges.authentication.authenticate(
+        request.routes, request.route, request.http_request
+    )
+    if not isinstance(authenticated, AuthenticatedRequest):
+        return authenticated
+    request.authenticated = authenticated
     return None
 
 
@@ -174,7 +176,7 @@
 
 
 def _judge_poison(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
-    return judges.poison.refusal(request.route, request.admitted.request)
+    return judges.poison.refusal(request.route, request.authenticated.request)
 
 
 def _judge_overload(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
@@ -187,7 +189,7 @@
         request.service,
         request.deadlines,
         request.steps_below_urgent,
-        request.admitted.tenant_name,
+        request.authenticated.tenant_name,
     )
 
 
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -100,8 +100,10 @@
     def _start(self, request: ClientRequest) -> None:
         """Run a request, or refuse it at once."""
         assert request.route is not None
-        assert request.admitted is not None
-        deadlines = self._deadlines.of(request.route, request.admitted.request, request.received_at)
+        assert request.authenticated is not None
+        deadlines = self._deadlines.of(
+            request.route, request.authenticated.request, request.received_at
+        )
         authorized = request.authorized(deadlines)
         refusal = refusal_at_start(self._judges, authorized)
         if refusal is not None:
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -1,4 +1,8 @@
-"""The configuration in force, indexed for finding the route of a request."""
+"""The configuration in force, indexed for finding the route of a request.
+
+Owns the index, and whose turn it is among the services of a route.  It is made anew from each
+configuration, so nothing of an older one stays.
+"""
 
 from __future__ import annotations
 
@@ -13,8 +17,9 @@
 from tinrudder.gateway.requests.api_keys import KeyRing
 
 FIRST_TURNS = 240
-"""Gateways begin at different turns, drawn from whole rounds of most weights (a number with many
-divisors), so that the shares hold over all of them although each sees few requests."""
+"""Turns of which one is drawn to begin with.  Chosen, not measured: a number with many divisors
+holds whole rounds of most weights.  Gateways begin at different turns, so that the shares hold over
+all of them although each sees few requests."""
 
 
 class RoutesInForce(Struct):
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -53,7 +53,7 @@
             return self._run_scatter_here(request, on_outcome)
         return DelegatedScatter(
             request.route,
-            request.admitted.request,
+            request.authenticated.request,
             request.request_id,
             request.deadlines,
             self._delegation_context,
@@ -78,9 +78,9 @@
             route,
             deadlines,
             request.priority,
-            request.admitted.tenant_name,
+            request.authenticated.tenant_name,
             lambda listener: self._scatter_planner.run(
-                route, request.admitted.request, request.request_id, deadlines, listener
+                route, request.authenticated.request, request.request_id, deadlines, listener
             ),
             on_outcome,
         )
@@ -91,7 +91,7 @@
         service = request.service
         deadlines = request.deadlines
         encoded = RequestBytes(
-            request.admitted.request,
+            request.authenticated.request,
             request.request_id,
             deadlines.deadline_at,
             self._call_context.names,
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -1,4 +1,10 @@
-"""Refuses at once what the back ends of one service can probably not answer in time."""
+"""Refuses at once what the back ends of one service can probably not answer in time.
+
+For requests that one back end runs; scatters wait in
+:mod:`tinrudder.gateway.scatters.scatter_admission`.  Owns what each tenant asked lately.  Relies on
+the rule in :mod:`tinrudder.gateway.decisions.admission.shared_service`; its inputs are the queues
+that back ends reported to this gateway or to others, and the usual time of a call, seconds.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +18,10 @@
 
 
 class ServiceAdmission:
-    """Judges requests that one of a service's back ends may run.
-
-    See :mod:`tinrudder.gateway.decisions.admission.shared_service`; what is known of the queues
-    comes from own calls and from other gateways.
-    """
+    """Judges requests that one of a service's back ends may run."""
 
     def __init__(self, call_context: CallContext) -> None:
-        """Read the queues through ``forwarding``."""
+        """Read the queues through ``call_context``."""
         self._call_context = call_context
         self._tenants = TenantShares()
 
--- a/tinrudder/gateway/requests/tenant_configuration.py
+++ b/tinrudder/gateway/requests/tenant_configuration.py
@@ -1,4 +1,7 @@
-"""Checks what a configuration says of its tenants, and makes them."""
+"""Checks what a configuration says of its tenants, and makes them.
+
+Owns no state, and keeps no key: a tenant has the digests of its keys.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -1,4 +1,8 @@
-"""What a gateway learns from the end of one call, also when nobody waits for it any more."""
+"""What a gateway learns from the end of one call, also when nobody waits for it any more.
+
+Owns no state: latencies and sizes go to the context of calls, queues and failures to the back end's
+observations, long queues of shared services to other gateways, answers to the monitor of zones.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/runs/request_bytes.py
+++ b/tinrudder/gateway/runs/request_bytes.py
@@ -1,4 +1,8 @@
-"""A client's request as it is sent to back ends: unaltered but for what the gateway sets."""
+"""A client's request as it is sent to back ends: unaltered but for what the gateway sets.
+
+Owns the bytes that are the same for all back ends; what differs (time left, back end asked) is
+added to each.  Relies on nothing else.
+"""
 
 from __future__ import annotations
 
@@ -7,6 +11,7 @@
 from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
 MILLISECONDS = 1000.0
+"""In a second."""
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
--- a/tinrudder/gateway/runs/request_fingerprint.py
+++ b/tinrudder/gateway/runs/request_fingerprint.py
@@ -1,4 +1,7 @@
-"""Tells whether two requests ask the same thing for the same caller."""
+"""Tells whether two requests ask the same thing for the same caller.
+
+Owns no state.  Gateways tell each other of requests by these bytes, so all must make the same.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,9 @@
 from tinrudder.gateway.model.http_messages import HttpRequest, header_value
 
 FINGERPRINT_BYTES = 16
-"""Length of a fingerprint, bytes: nobody finds a second request with the fingerprint of another's,
-which would let one caller have another's request taken for its own."""
+"""Length of a fingerprint, bytes.  Chosen, not measured: with 16 nobody finds a second request with
+the fingerprint of another's, which would let one caller have another's request taken for its own.
+"""
 _LENGTH_BYTES = 4
 """Length of the number that stands before each field, bytes: fields are shorter than 4 GB."""
 
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -1,4 +1,8 @@
-"""What one run of a request may still send, given the back ends that were lost under it."""
+"""What one run of a request may still send, given the back ends that were lost under it.
+
+Owns what this run has seen: calls in progress, calls lost, whether a back end has answered.  Relies
+on the evidence of all gateways (:class:`CrashEvidence`) for other tries of the same request.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,7 @@
 
 CANARY_PATIENCE = 0.3
 """After this part of the route's objective a second canary leaves beside the first, which may stand
-still; a choice that leaves most of the objective to the other shards."""
+still.  Chosen, not measured: it leaves most of the objective to the other shards."""
 POISON = "back ends crashed under this request: it is not sent again"
 """What is said of shards that are not asked for that reason."""
 
@@ -44,7 +48,7 @@
         """Clear a request that a back end has answered."""
 
     def note_alive(self, life: str, sent_at: float) -> None:
-        """Take it that a back end has answered what was sent at a moment."""
+        """Take note that a back end has answered what was sent at that time."""
 
     def begin_trial(self, fingerprint: bytes) -> None:
         """Keep other gateways from a trial while one begins here."""
