--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -31,8 +31,9 @@
 )
 from tinrudder.gateway.runs.call_context import CallContext
 from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.retry_rule import MAX_SENDS
 from tinrudder.gateway.runs.run_context import NEVER, RunContext
-from tinrudder.gateway.runs.shard_calls import MAX_SENDS, ShardCalls
+from tinrudder.gateway.runs.shard_calls import ShardCalls
 from tinrudder.platform.load_header import decode_load_report
 
 SERVICE = "shard-0"
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -33,22 +33,18 @@
 from tinrudder.gateway.runs.crash_evidence import report_end
 from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
 from tinrudder.gateway.runs.replica_choice import choose_replica
+from tinrudder.gateway.runs.retry_rule import (
+    AT_ONCE,
+    MAX_SENDS,
+    MAX_TRIES,
+    TRIES_AT_ONCE,
+    ShardTries,
+    retry_pause_s,
+)
 from tinrudder.gateway.runs.run_context import NEVER, Attempt, RunContext
 from tinrudder.gateway.runs.run_guard import POISON, Permission
 from tinrudder.gateway.runs.shard_replicas import ShardReplicas
 
-MAX_SENDS = 4
-"""How many calls of one shard may leave for one request.  Chosen, not measured: two replicas, each
-twice."""
-MAX_TRIES = 8
-"""How often a back end is chosen for one shard, calls that never left included.  Chosen, not
-measured: with the pauses of :data:`RETRY_PAUSE_S`, tries end after 0.8 s."""
-TRIES_AT_ONCE = 2
-"""Tries, and back ends rejecting, up to which the next try follows without a pause.  Chosen, not
-measured: most shards have two replicas, and the other one may well answer."""
-RETRY_PAUSE_S = 0.03
-"""Pause before a later try, seconds, times the tries so far.  Chosen, not measured: eight tries
-take 0.8 s."""
 DENIED_PAUSE_S = 0.02
 """When to look again where the budget of repeats or the back ends' queues denied a call, seconds.
 Chosen, not measured: like :data:`HELD_PAUSE_S`, a third of the tightest objective seen."""
@@ -266,6 +262,7 @@
             return False
         if attempt.is_paid or not self._next_is_repeat:
             return True
+        # Chosen as the first call, overtaken by another one while it waited: it leaves beside that.
         return self._may_repeat(now, hedge=True)
 
     def _may_repeat(self, now: float, *, hedge: bool) -> bool:
@@ -381,18 +378,16 @@
     def _on_failure(
         self, problem: str, now: float, *, at_once: bool, is_dead: bool = False
     ) -> None:
-        """Try again where that is allowed and nothing else is running.
-
-        :param is_dead: nobody listened, so the next try is at another back end, if there is one.
-        """
+        """Try again where that is allowed and nothing else is running, see :mod:`retry_rule`."""
         self.last_problem = problem
         if self._attempts:
             return
         self.next_at = NEVER
-        if self.may_have_run and not self._run.route.repeatable:
-            return
-        if is_dead or (at_once and self._tries < TRIES_AT_ONCE):
+        repeatable = self._run.route.repeatable
+        done = ShardTries(self._tries, self.sends, self.may_have_run, repeatable)
+        pause_s = retry_pause_s(done, at_once=at_once, is_dead=is_dead)
+        if pause_s == AT_ONCE:
             self._run.call_context.counters.retries += 1
             self._try_next(now)
-        elif self._tries < MAX_TRIES and self.sends < MAX_SENDS:
-            self.next_at = now + RETRY_PAUSE_S * self._tries
+        elif pause_s is not None:
+            self.next_at = now + pause_s
