--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -30,8 +30,8 @@
     Withdrawn,
 )
 from tinrudder.gateway.runs.call_observation import SERVER_ERROR, observe_end
-from tinrudder.gateway.runs.crash_evidence import report_end
 from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
+from tinrudder.gateway.runs.lost_calls import report_end
 from tinrudder.gateway.runs.replica_choice import choose_replica
 from tinrudder.gateway.runs.retry_rule import (
     AT_ONCE,
