--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -185,6 +185,7 @@
         self._answered_at_once = True
         self._hold(-self._current_bytes)
         self._current_bytes = 0
+        # The client may have left while its request ran: nobody reads the answer.
         if self._transport is None or request is None:
             return
         close = not request.keep_alive or self._handler.closing
@@ -203,6 +204,7 @@
         """Answer what cannot be served, and close."""
         self._refused = True
         self._body = []
+        # An answer written now would be taken for that of the request that is still being served.
         if self._transport is None or self.busy_with_whole:
             self._abort()
             return
@@ -237,6 +239,7 @@
         """Serve the oldest request that was read."""
         if self._current is not None or not self._waiting or self._transport is None:
             return
+        # Called soon after an answer that its client may not have read: one answer is held at most.
         if self._unread:
             return
         request = self._waiting.popleft()
@@ -244,6 +247,7 @@
         self._current_bytes = self._waiting_bytes.popleft()
         self._answered_at_once = False
         in_progress = self._handler.handle(request, self)
+        # Refusals are answered within that call: then there is nothing to abandon.
         if not self._answered_at_once:
             self._in_progress = in_progress
 
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -90,6 +90,7 @@
         """Start a request that its tenant may ask, unless its client has left meanwhile."""
         if refusal is None:
             request.granted = True
+            # The client may leave while another gateway is asked: then nothing runs.
             if request.abandoned:
                 request.give_back()
             else:
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -162,6 +162,7 @@
 
     def _review(self, shard: ShardCalls) -> None:
         """Decide anew after a change of one shard."""
+        # Calls that end while the first ones are sent are counted when all have been.
         if self._finished or self._starting:
             return
         now = self._context.call_context.loop.time()
@@ -176,6 +177,7 @@
 
     def _on_group_end(self, group: DelegatedShards) -> None:
         """Take what another gateway got, or ask here for what it did not."""
+        # Its answer crosses with the end of the run, which cancels the group.
         if self._finished:
             return
         now = self._context.call_context.loop.time()
@@ -277,6 +279,7 @@
         now = max(self._timer_at, self._context.call_context.loop.time())
         for shard in self.shards:
             shard.on_time(now)
+            # What it sends may fail or be answered within that call, which ends the run.
             if self._finished:
                 return
             self._tally.count(shard)
