--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -12,7 +12,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.common.logs import log_event
-from tinrudder.gateway.clients.client_connection import ClientConnection, RequestHandler
+from tinrudder.gateway.clients.client_connection import ClientConnection, HttpRequestHandler
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
 from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S
 from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
@@ -135,7 +135,7 @@
         log_event("started", {"clients": str(settings.clients), "zone": settings.zone})
 
     async def _listen(
-        self, address: Address, handler: RequestHandler, connections: set[ClientConnection]
+        self, address: Address, handler: HttpRequestHandler, connections: set[ClientConnection]
     ) -> None:
         """Accept connections for a handler.
 
--- a/tinrudder/gateway/observability/metric_figures.py
+++ b/tinrudder/gateway/observability/metric_figures.py
@@ -19,8 +19,8 @@
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.call_context import CallCounters
 from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.runs.call_context import CallCounters
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.staleness_bound import StalenessBound
--- a/tinrudder/gateway/parts.py
+++ b/tinrudder/gateway/parts.py
@@ -25,8 +25,8 @@
 from tinrudder.gateway.peers.reachability import Reachability
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.quotas.quotas import Quotas
-from tinrudder.gateway.requests.call_context import CallContext, CallCounters
 from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.runs.call_context import CallContext, CallCounters
 from tinrudder.gateway.scatters.coordinators import Coordinators
 from tinrudder.gateway.scatters.delegation_service import DelegationService
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
--- a/tinrudder/gateway/requests/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -1,4 +1,8 @@
-"""What a gateway learns from the end of one call, also when nobody waits for it any more."""
+"""What a gateway learns from the end of one call, also when nobody waits for it any more.
+
+Owns no state: latencies and sizes go to the context of calls, queues and failures to the back end's
+observations, long queues of shared services to other gateways, answers to the monitor of zones.
+"""
 
 from __future__ import annotations
 
@@ -14,16 +18,13 @@
     Rejected,
     header_value,
 )
-from tinrudder.gateway.requests.call_context import CallContext
+from tinrudder.gateway.runs.call_context import CallContext
 
 SERVER_ERROR = 500
 """The first status that says that the back end failed, rather than the request."""
 SHED_STATUSES = frozenset((429, 503))
 """Rejections for load; others say that the request cannot be run there at all."""
 
-MEDIAN = 0.5
-"""How long calls without a queue take is told by the quantile that admission goes by too."""
-
 
 def observe_end(
     call_context: CallContext,
@@ -102,8 +103,8 @@
         if not route.shards:
             observations.worked(latency_s)
     if not route.shards:
-        work_s = call_context.unloaded_latency(route).quantile(MEDIAN)
-        call_context.load_watch.heard(backend, shed=False, work_s=work_s)
+        work_s = call_context.unloaded_median_s(route)
+        call_context.load_listener.heard(backend, shed=False, work_s=work_s)
 
 
 def _observe_shed(
@@ -113,5 +114,5 @@
     report = call_context.load_reports.read(load, backend.backend_id) if load is not None else None
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
-        work_s = call_context.unloaded_latency(route).quantile(MEDIAN)
-        call_context.load_watch.heard(backend, shed=True, work_s=work_s)
+        work_s = call_context.unloaded_median_s(route)
+        call_context.load_listener.heard(backend, shed=True, work_s=work_s)
--- a/tinrudder/gateway/requests/request_bytes.py
+++ b/tinrudder/gateway/runs/request_bytes.py
@@ -1,12 +1,17 @@
-"""A client's request as it is sent to back ends: unaltered but for what the gateway sets."""
+"""A client's request as it is sent to back ends: unaltered but for what the gateway sets.
+
+Owns the bytes that are the same for all back ends; what differs (time left, back end asked) is
+added to each.  Relies on nothing else.
+"""
 
 from __future__ import annotations
 
 from tinrudder.gateway.model.configuration import HeaderNames
 from tinrudder.gateway.model.http_messages import HttpRequest, end_to_end_headers
-from tinrudder.gateway.requests.request_fingerprint import fingerprint_of, origin_of
+from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
 MILLISECONDS = 1000.0
+"""In a second."""
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
--- /dev/null
+++ b/tinrudder/gateway/runs/request_run.py
@@ -0,0 +1,312 @@
+"""Runs one request to its outcome: a scatter over shards, or a single back end as one shard.
+
+Owns the shards of the run, one timer for all of them, and the decision when to answer
+(:mod:`tinrudder.gateway.decisions.attempts.answer_time`), which it asks after every change.  Relies
+on :class:`ShardCalls` for the calls of each shard, on :class:`DelegatedGroups` for what other
+gateways ask, and on :class:`RunGuard` where back ends were lost under the request.
+"""
+
+from __future__ import annotations
+
+from collections.abc import Callable, Sequence
+
+from tinrudder.gateway.decisions.attempts.answer_time import ScatterState, Verdict, decide
+from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
+from tinrudder.gateway.peers.peer_messages import MissingShard
+from tinrudder.gateway.runs.delegated_groups import DelegatedGroups
+from tinrudder.gateway.runs.run_context import NEVER, RunContext
+from tinrudder.gateway.runs.run_outcome import RefusalMaker, answer_of, failure_of
+from tinrudder.gateway.runs.shard_calls import ShardCalls
+from tinrudder.gateway.runs.shard_tally import ShardTally
+from tinrudder.gateway.scatters.delegated_shards import DelegatedShards
+from tinrudder.timers import TimerHandle
+
+ABANDONED_CALL_S = 0.3
+"""How long calls that nobody waits for may go on, seconds, since closing costs a connection.
+Chosen, not measured: work for a client that has left must end within half a second, the ways there
+and back included."""
+WHOLE = 1.0
+"""The share of a single back end's answer: all of it."""
+
+OutcomeListener = Callable[[RequestOutcome], None]
+
+
+class RequestRun:
+    """One request; its outcome is reported exactly once, unless the client leaves before.
+
+    :ivar decided_at: monotonic time of the latest decision; merging comes after the last one.
+    :ivar on_progress: is told whenever shards have ended and the request goes on.
+    """
+
+    def __init__(
+        self,
+        context: RunContext,
+        services: tuple[str, ...],
+        on_outcome: OutcomeListener,
+        *,
+        minimum_share: float | None = None,
+        delegated: Sequence[DelegatedShards] = (),
+        make_refusal: RefusalMaker = NotRun,
+    ) -> None:
+        """Prepare calls to ``services``: shards of the route, or the one service chosen.
+
+        :param minimum_share: the least share that makes an answer; by the route if ``None``.
+        :param delegated: the other shards of the scatter, asked by other gateways.
+        """
+        self._context = context
+        self._on_outcome = on_outcome
+        self._make_refusal = make_refusal
+        self._finished = False
+        self._starting = True
+        self._timer: TimerHandle | None = None
+        self._timer_at = NEVER
+        self.decided_at = 0.0
+        self.on_progress: Callable[[], None] = lambda: None
+        self._started_at = 0.0
+        self._answered_after_s = 0.0
+        if minimum_share is None:
+            minimum_share = context.route.minimum_share if context.is_scatter else WHOLE
+        self._minimum_share = minimum_share
+        self._total = len(services) + sum(len(group.services) for group in delegated)
+        self._tally = ShardTally(context.call_context.memory)
+        self._groups = DelegatedGroups(delegated)
+        self._was_free = True
+        self.shards = self._calls(services)
+
+    def _calls(self, services: Sequence[str], *, asked_before: bool = False) -> list[ShardCalls]:
+        """Prepare the calls of some shards."""
+        return [
+            ShardCalls(service, self._context, self._review, asked_before=asked_before)
+            for service in services
+        ]
+
+    @property
+    def included(self) -> int:
+        """Return how many shards have answered."""
+        return self._tally.included + self._groups.included
+
+    @property
+    def unanswered_share(self) -> float:
+        """Return the part of the shards that has not answered, 0 to 1."""
+        return 1.0 - self.included / self._total
+
+    def hold_s(self, now: float) -> float:
+        """Return for how long it has held the room of a shard so far, in the mean of all."""
+        elapsed_s = now - self._started_at
+        return self._answered_after_s / self._total + self.unanswered_share * elapsed_s
+
+    @property
+    def repeats(self) -> int:
+        """Return how many calls were sent beyond the first of each shard."""
+        here = sum(shard.repeats for shard in self.shards)
+        return here + self._groups.repeats
+
+    @property
+    def missing_shards(self) -> tuple[MissingShard, ...]:
+        """Return the shards without an answer, and why."""
+        here = tuple(
+            MissingShard(shard.service, shard.last_problem or "no answer yet")
+            for shard in self.shards
+            if shard.part is None
+        )
+        asked_here = {shard.service for shard in self.shards}
+        elsewhere = self._groups.missing_shards
+        return here + tuple(one for one in elsewhere if one.service not in asked_here)
+
+    def start(self) -> None:
+        """Send the first calls."""
+        now = self._context.call_context.loop.time()
+        self._started_at = now
+        self._was_free = self._context.guard.is_free
+        self._groups.follow(self._on_group_end)
+        if self._was_free:
+            self._groups.start_held()
+        for shard in self.shards:
+            shard.start(now)
+        self._starting = False
+        for shard in self.shards:
+            self._tally.count(shard)
+        self._follow_guard(now)
+        self._act(now)
+        self._arm_for_shards()
+
+    def _follow_guard(self, now: float) -> None:
+        """Send what was held back once the run is free, or send nothing more."""
+        if self._context.guard.is_stopped:
+            self._stop_sending()
+            return
+        is_free = self._context.guard.is_free
+        if is_free and not self._was_free:
+            self._groups.start_held()
+            for shard in self.shards:
+                shard.resume(now)
+        elif not is_free and not any(shard.hopeful for shard in self.shards):
+            # No back end can be asked from here: nothing else would ever end the wait.
+            self._groups.start_one()
+        self._was_free = is_free
+
+    def _stop_sending(self) -> None:
+        """Send nothing more: back ends crash under this request."""
+        self._groups.withhold()
+        for shard in self.shards:
+            if shard.part is None:
+                shard.stop_sending()
+                self._tally.count(shard)
+
+    def abandon(self) -> None:
+        """End for a client that has left; nobody is told an outcome."""
+        if self._finished:
+            return
+        self._context.call_context.counters.clients_left += 1
+        self._stop()
+
+    def _review(self, shard: ShardCalls) -> None:
+        """Decide anew after a change of one shard."""
+        # Calls that end while the first ones are sent are counted when all have been.
+        if self._finished or self._starting:
+            return
+        now = self._context.call_context.loop.time()
+        before = self._tally.included
+        self._tally.count(shard)
+        self._answered_after_s += (self._tally.included - before) * (now - self._started_at)
+        self._follow_guard(now)
+        self._act(now)
+        if not self._finished:
+            self._arm(shard.next_at)
+            self.on_progress()
+
+    def _on_group_end(self, group: DelegatedShards) -> None:
+        """Take what another gateway got, or ask here for what it did not."""
+        # Its answer crosses with the end of the run, which cancels the group.
+        if self._finished:
+            return
+        now = self._context.call_context.loop.time()
+        if group.may_run_here:
+            self._take_over(group, now)
+        if group.included:
+            self._context.guard.note_answered_elsewhere()
+            self._answered_after_s += group.included * (now - self._started_at)
+        self._follow_guard(now)
+        self._act(now)
+        self._arm_for_shards()
+        if not self._finished:
+            self.on_progress()
+
+    def _take_over(self, group: DelegatedShards, now: float) -> None:
+        """Ask a group's shards from here."""
+        self._context.call_context.counters.delegations_run_here += 1
+        self._groups.take_over(group)
+        self._start_here(self._calls(group.services), now)
+
+    def _ask_again_here(self, now: float) -> bool:
+        """Ask for shards that other gateways ended without; tell whether there are any.
+
+        Their answers left at the objective, each with as few shards as may be missing of the
+        whole; together that can be too few.
+        """
+        if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
+            return False
+        asked_here = {shard.service for shard in self.shards}
+        fits_attempts = self._context.call_context.directory.fits_attempts
+        lacking = [
+            one.service
+            for one in self._groups.missing_at_end
+            if one.service not in asked_here
+            and fits_attempts(one.service, self._context.route.attempts)
+        ]
+        self._start_here(self._calls(lacking, asked_before=True), now)
+        return bool(lacking)
+
+    def _start_here(self, calls: list[ShardCalls], now: float) -> None:
+        """Start calls of further shards."""
+        self.shards.extend(calls)
+        self._starting = True
+        for shard in calls:
+            shard.start(now)
+        self._starting = False
+        for shard in calls:
+            self._tally.count(shard)
+
+    def _act(self, now: float) -> None:
+        """Wait, answer or fail, as decided now."""
+        self.decided_at = now
+        decision = decide(self._state(), now)
+        if decision.verdict is Verdict.FAIL and self._ask_again_here(now):
+            decision = decide(self._state(), now)
+            self._arm_for_shards()
+        if decision.verdict is Verdict.WAIT:
+            self._arm(decision.until)
+        elif decision.verdict is Verdict.ANSWER:
+            self._finish(answer_of(self._context, self.shards, self._groups, self._total))
+        else:
+            self._finish(
+                failure_of(self._context, self.shards, self._groups, self._make_refusal, now)
+            )
+
+    def _state(self) -> ScatterState:
+        """Return the inputs of the decision."""
+        return ScatterState(
+            shards=self._total,
+            included=self.included,
+            hopeful=len(self.shards) - self._tally.settled + self._groups.hopeful,
+            minimum_share=self._minimum_share,
+            objective_at=self._context.deadlines.objective_at,
+            deadline_at=self._context.deadlines.deadline_at,
+        )
+
+    def _arm(self, when: float) -> None:
+        """Set the one timer to a moment, unless it is set to an earlier one anyway."""
+        if self._timer is not None:
+            if self._timer_at <= when:
+                return
+            self._timer.cancel()
+        if when == NEVER:
+            return
+        self._timer_at = when
+        self._timer = self._context.call_context.loop.call_at(when, self._on_timer)
+
+    def _arm_for_shards(self) -> None:
+        """Set the timer to the next hedge or retry that is due."""
+        if not self._finished:
+            self._arm(min((shard.next_at for shard in self.shards), default=NEVER))
+
+    def _on_timer(self) -> None:
+        """Hedge and retry what is due, then decide."""
+        self._timer = None
+        if self._finished:
+            return
+        # The loop may call a little early, by its clock's resolution.
+        now = max(self._timer_at, self._context.call_context.loop.time())
+        for shard in self.shards:
+            shard.on_time(now)
+            # What it sends may fail or be answered within that call, which ends the run.
+            if self._finished:
+                return
+            self._tally.count(shard)
+        self._follow_guard(now)
+        self._act(now)
+        self._arm_for_shards()
+
+    def _finish(self, outcome: RequestOutcome) -> None:
+        """Report once."""
+        self._stop()
+        self._on_outcome(outcome)
+
+    def _stop(self) -> None:
+        """Stop sending; what still runs is awaited a little, since closing costs a connection."""
+        self._finished = True
+        self._tally.release()
+        if self._timer is not None:
+            self._timer.cancel()
+            self._timer = None
+        self._groups.cancel()
+        for shard in self.shards:
+            shard.end()
+        if any(shard.running for shard in self.shards):
+            self._context.call_context.loop.call_later(ABANDONED_CALL_S, self._cancel_running)
+
+    def _cancel_running(self) -> None:
+        """Close the connections of calls that took too long."""
+        now = self._context.call_context.loop.time()
+        for shard in self.shards:
+            shard.cancel_running(now)
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -22,10 +22,11 @@
 )
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.reachability import Reachability
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmissions
 from tinrudder.gateway.scatters.scatter_planner import ScatterPlanner
 from tinrudder.gateway.scatters.waiting_scatter import WaitingScatter
@@ -139,12 +140,10 @@
                 ),
                 on_outcome,
             )
+        request = self._request_bytes(scatter, deadlines)
         return RequestRun(
-            route,
+            RunContext.of(self._call_context, route, request, deadlines),
             scatter.shards,
-            self._request_bytes(scatter, deadlines),
-            deadlines,
-            self._call_context,
             on_outcome,
             minimum_share=scatter.minimum_share,
         )
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -11,9 +11,10 @@
 from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.call_context import CallContext
-from tinrudder.gateway.requests.request_bytes import RequestBytes
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.call_context import CallContext
+from tinrudder.gateway.runs.request_bytes import RequestBytes
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.scatters.coordination import Coordination
 from tinrudder.gateway.scatters.delegated_shards import (
     DelegatedShards,
@@ -58,11 +59,8 @@
             for one in delegations
         ]
         return RequestRun(
-            route,
+            RunContext.of(self._call_context, route, encoded, deadlines),
             tuple(shard for shard in route.shards if shard not in elsewhere),
-            encoded,
-            deadlines,
-            self._call_context,
             on_outcome,
             delegated=delegated,
         )
--- a/tinrudder/gateway/scatters/waiting_scatter.py
+++ b/tinrudder/gateway/scatters/waiting_scatter.py
@@ -14,7 +14,7 @@
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun, RequestOutcome
 from tinrudder.gateway.peers.peer_messages import MissingShard
-from tinrudder.gateway.requests.request_run import OutcomeListener, RequestRun
+from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
 
 MakeRun = Callable[[OutcomeListener], RequestRun]
 
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -52,8 +52,11 @@
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.quotas.tenants_in_force import TenantsInForce
 from tinrudder.gateway.requests.authentication import Authentication
-from tinrudder.gateway.requests.call_context import CallContext, CallCounters
+from tinrudder.gateway.requests.refusals import Judges
 from tinrudder.gateway.requests.request_handler import RequestHandler
+from tinrudder.gateway.requests.run_planner import RunPlanner
+from tinrudder.gateway.requests.service_admission import ServiceAdmission
+from tinrudder.gateway.runs.call_context import CallContext, CallCounters
 from tinrudder.gateway.scatters.coordination import Coordination
 from tinrudder.gateway.scatters.coordinators import Coordinators
 from tinrudder.gateway.scatters.delegation_context import DelegationContext
@@ -208,7 +211,7 @@
         evidence=poison_watch,
         counters=process.counters,
         own_name=str(around.own),
-        load_watch=load_news,
+        load_listener=load_news,
         random=random.Random(f"forwarding {around.settings.name}"),
         memory=process.memory,
         zone_answered=fleet.zone_monitor.answered,
@@ -311,19 +314,23 @@
         log_request(request)
 
     knows_newer = freshness.would_know_newer
+    service_admission = ServiceAdmission(call_context)
     handler = RequestHandler(
-        call_context,
-        state,
+        Judges(
+            call_context=call_context,
+            state=state,
+            is_fresh=knows_newer,
+            authentication=Authentication(
+                around.names, freshness.is_too_old, knows_newer, around.random
+            ),
+            quotas=quotas,
+            reachability=reachability,
+            poison=backends.poison_watch,
+            service_admission=service_admission,
+            random=around.random,
+        ),
+        RunPlanner(call_context, service_admission, delegation_context, planner, admissions),
         finish,
-        around.random,
-        knows_newer,
-        delegation_context,
-        planner,
-        Authentication(around.names, freshness.is_too_old, knows_newer, around.random),
-        quotas,
-        reachability,
-        backends.poison_watch,
-        admissions,
     )
     service = DelegationService(
         call_context,
--- a/tinrudder_lab/decisions_page.py
+++ b/tinrudder_lab/decisions_page.py
@@ -110,7 +110,7 @@
     Chapter(
         "Which back end?",
         "`gateway/backends/backend_directory.py` leaves those that may get a call, "
-        "`gateway/requests/call_context.py` chooses the cheapest of them by the rules below.",
+        "`gateway/runs/call_context.py` chooses the cheapest of them by the rules below.",
         (
             "placement/weighted_rotation",
             "placement/cold_start_rate",
@@ -120,15 +120,15 @@
     ),
     Chapter(
         "When a second call, and when a retry?",
-        "`gateway/requests/shard_calls.py` asks for each shard. Before any call "
-        "`gateway/requests/run_guard.py` says whether it may leave after back ends were lost."
+        "`gateway/runs/shard_calls.py` asks for each shard. Before any call "
+        "`gateway/runs/run_guard.py` says whether it may leave after back ends were lost."
         " A retry needs no age: it leaves when a call has failed and was provably not run, or"
         " may be repeated, at most `MAX_SENDS` times a shard.",
         ("attempts/hedge_gain", "attempts/hedge_delay", "attempts/fleet_retry_budget"),
     ),
     Chapter(
         "When does the answer leave, and when is it given up?",
-        "`gateway/requests/request_run.py` decides after each part and when a moment comes.",
+        "`gateway/runs/request_run.py` decides after each part and when a moment comes.",
         ("attempts/answer_time",),
     ),
     Chapter(
