--- a/Makefile
+++ b/Makefile
@@ -4,7 +4,7 @@
 BIN := $(VENV)/bin
 JOBS ?= 6
 
-.PHONY: setup protobuf test demo bench format lint types imports unit proof clean
+.PHONY: setup protobuf test demo soak bench format lint types imports unit proof clean
 
 setup: $(VENV)/.ready
 
@@ -41,6 +41,10 @@
 demo: setup
 	$(BIN)/python -m tinrudder_lab.demo
 
+# Three gateways as processes against stand-ins, with faults at random; logs in build/soak/1.
+soak: setup
+	$(BIN)/tinrudder-lab soak --folder build/soak
+
 bench: setup
 	$(BIN)/python -m bench.call_cost
 
