--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -71,7 +71,7 @@
 class _Service(msgspec.Struct):
     name: str
     max_conns: int = 1
-    # Zero stands for no limit of its own: see docs/records/shifted-work.md.
+    # Zero stands for no limit of its own: see docs/design/cold-and-evacuated.md.
     cold_per_s: Annotated[float, Meta(ge=0)] = 0.0
 
 
