--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -142,6 +142,14 @@
     assert [one for one in links if not (page.parent / one.partition("#")[0]).exists()] == []
 
 
+def test_every_page_stands_in_the_index() -> None:
+    index = DOCS / "README.md"
+    linked = {(DOCS / one).resolve() for one in LINK.findall(prose(index)) if "://" not in one}
+    assert {
+        one for one in DOCS.rglob("*.md") if one != index and one.resolve() not in linked
+    } == set()
+
+
 @pytest.mark.parametrize("page", [one for one in PAGES if one != RENAMES], ids=page_id)
 def test_every_path_that_a_page_names_exists(page: Path) -> None:
     assert sorted(one for one in quoted(page) if is_path(one) and not exists(one)) == []
@@ -156,7 +164,7 @@
 def test_every_log_event_of_the_architecture_exists() -> None:
     words = {one for one in quoted(ARCHITECTURE) if re.fullmatch(r"[a-z]+(_[a-z]+)*", one)}
     adapter = "".join(path.read_text() for path in (ROOT / "tinrudder/platform").glob("*.py"))
-    settings = {one for one in words if re.search(rf"\b{one}\b", adapter)}
+    settings = {one for one in words if re.search(rf"^    {one}: ", adapter, re.MULTILINE)}
     metrics = {one for one in words if one.startswith("tinrudder_gateway_")}
     named = words - settings - metrics - {"request_stop"}
     named = {one for one in named if not one.startswith("test_")}
@@ -173,6 +181,15 @@
     assert {one for one in named if one not in shown and f"{one}_total" not in shown} == set()
 
 
+def test_every_counter_that_operators_are_told_of_by_its_short_name_exists() -> None:
+    text = (DOCS / "OPERATIONS.md").read_text()
+    names = set(re.findall(r"`_?([a-z]\w*)_total\b", text))
+    short = {one for one in names if not one.startswith("tinrudder_")}
+    assert len(short) > 10
+    shown = {one.removesuffix("_total") for one in metric_names()}
+    assert {one for one in short if f"tinrudder_gateway_{one}" not in shown} == set()
+
+
 def test_every_class_and_constant_of_the_architecture_exists() -> None:
     named = {
         one
