--- a/tinrudder/node/node_metrics.py
+++ b/tinrudder/node/node_metrics.py
@@ -7,7 +7,7 @@
 
 
 def show_node(metrics: NodeMetrics, node: Node) -> None:
-    """Add a node's own figures; docs/OPERATIONS.md says what to make of each."""
+    """Add a node's own figures; docs/NODE_OPERATIONS.md says what to make of each."""
     dispatcher = node.dispatcher
     counters = node.entry.counters
     calls = node.coordinator.counters
