--- a/tests/unit/gateway/decisions/test_decisions_page.py
+++ b/tests/unit/gateway/decisions/test_decisions_page.py
@@ -40,7 +40,7 @@
     text = PAGE.read_text()
     headings = re.findall(r"^### (.*)$", text, re.MULTILINE)
     assert headings == [read_rule(path).question for path in rule_paths()]
-    places = [text.index(f"`decisions/{path}.py`") for path in rule_paths()]
+    places = [text.index(f"`gateway/decisions/{path}.py`") for path in rule_paths()]
     assert places == sorted(places)
 
 
--- a/tinrudder_lab/decisions_page.py
+++ b/tinrudder_lab/decisions_page.py
@@ -73,7 +73,7 @@
 CHAPTERS = (
     Chapter(
         "May it be served here?",
-        "`gateway/requests/request_handler.py` asks in this order: a configuration is known; "
+        "`gateway/requests/refusals.py` asks in this order: a configuration is known; "
         "the request has a route; its key is good (`gateway/requests/authentication.py`, with"
         " the bound of `gateway/store/staleness_bound.py` on how old that knowledge may be); "
         "its tenant's quota; a way to enough back ends (`gateway/peers/reachability.py`); "
@@ -202,7 +202,7 @@
 
 def _render_rule(rule: Rule) -> Iterator[str]:
     """Yield the lines of one rule."""
-    yield from ("", f"### {rule.question}", "", f"`decisions/{rule.path}.py`", "")
+    yield from ("", f"### {rule.question}", "", f"`gateway/decisions/{rule.path}.py`", "")
     for paragraph in rule.paragraphs:
         label, _, text = paragraph.partition(": ")
         if label in LABELS:
