--- a/tests/unit/gateway/decisions/test_decisions_page.py
+++ b/tests/unit/gateway/decisions/test_decisions_page.py
@@ -7,7 +7,15 @@
 
 import pytest
 
-from tinrudder_lab.decisions_page import LABELS, PAGE, RULES, read_rule, render, rule_paths
+from tinrudder_lab.decisions_page import (
+    LABELS,
+    PAGE,
+    REFUSALS,
+    RULES,
+    read_rule,
+    render,
+    rule_paths,
+)
 
 GATEWAY = Path(RULES).parent
 ONLY_TYPES = {"admission/queued_scatter"}
@@ -40,7 +48,7 @@
     text = PAGE.read_text()
     headings = re.findall(r"^### (.*)$", text, re.MULTILINE)
     assert headings == [read_rule(path).question for path in rule_paths()]
-    places = [text.index(f"`decisions/{path}.py`") for path in rule_paths()]
+    places = [text.index(f"\n\n`decisions/{path}.py`\n") for path in rule_paths()]
     assert places == sorted(places)
 
 
@@ -64,6 +72,12 @@
             assert name in written
 
 
+def test_the_details_of_refusals_are_those_that_the_gateway_writes() -> None:
+    written = "\n".join(one.read_text() for one in GATEWAY.rglob("*.py"))
+    assert [one.detail for one in REFUSALS if one.detail not in written] == []
+    assert {one.rule for one in REFUSALS if one.rule} <= set(rule_paths())
+
+
 def test_the_modules_that_the_page_names_exist() -> None:
     for named in re.findall(r"`(gateway/[\w/]+\.py)`", PAGE.read_text()):
         assert (GATEWAY.parent / named).exists(), named
--- a/tinrudder_lab/decisions_page.py
+++ b/tinrudder_lab/decisions_page.py
@@ -58,6 +58,18 @@
     rules: tuple[str, ...]
 
 
+class Refusal(Struct, frozen=True):
+    """What the log says of a request that was refused, and which rule decided it.
+
+    :param detail: a part of the field ``detail`` that never changes.
+    :param rule: its path; empty where no rule of the package decides.
+    """
+
+    detail: str
+    rule: str
+    meaning: str
+
+
 INTRODUCTION = """\
 # Decisions of a gateway
 
@@ -70,6 +82,54 @@
 with outcome `NotRun` and a `detail` that says what refused it.
 """
 
+REFUSALS = (
+    Refusal(
+        "no configuration is known yet",
+        "",
+        "a process that has just started; neither the store nor a peer has answered",
+    ),
+    Refusal(
+        "no word from store or peers lately",
+        "placement/route_table",
+        "no such route or key here, and a newer configuration may be in force elsewhere",
+    ),
+    Refusal(
+        "quota: no home of the tenant answers",
+        "admission/token_buckets",
+        "the owner of the tenant's token bucket is silent, and so are those asked after it",
+    ),
+    Refusal(
+        " a second and ", "admission/token_buckets", "outcome `OverQuota`: the limit is used up"
+    ),
+    Refusal("no back end is in reach", "fleet/zone_paths", "all are in zones out of reach"),
+    Refusal(
+        "of the shards are in reach", "fleet/zone_paths", "too few shards can be had from here"
+    ),
+    Refusal(
+        "of what may be held", "admission/memory_bound", "the account of memory is nearly full"
+    ),
+    Refusal(
+        "poison: back ends crashed under this request",
+        "admission/poison_requests",
+        "barred before it began",
+    ),
+    Refusal(
+        "back ends crashed under this request: it is not sent again",
+        "admission/poison_requests",
+        "barred while it was at work, or its canary was lost",
+    ),
+    Refusal("overload: wait ", "admission/shared_service", "the queues of one service's back ends"),
+    Refusal("overload: place ", "admission/scatter_queue", "the queue of an index at one gateway"),
+    Refusal(
+        "every back end left is cold and has had this gateway's part of calls",
+        "placement/cold_start_rate",
+        "all have just started",
+    ),
+    Refusal("every back end left is in an evacuated zone", "", "the operator evacuates zones"),
+    Refusal("every back end left is in a zone out of reach", "fleet/zone_paths", "as above"),
+    Refusal("no back end is known", "", "the store has no entry for the service"),
+)
+
 CHAPTERS = (
     Chapter(
         "May it be served here?",
@@ -187,6 +247,11 @@
         for path in chapter.rules:
             question = read_rule(path).question
             lines.append(f"   - [{question}](#{_anchor(question)})")
+    lines += ["", "## From a log line to its rule", ""]
+    lines += ["| `detail` contains | what it means | decided by |", "|---|---|---|"]
+    for refusal in REFUSALS:
+        rule = f"`decisions/{refusal.rule}.py`" if refusal.rule else "no rule of this package"
+        lines.append(f"| `{refusal.detail.strip()}` | {refusal.meaning} | {rule} |")
     for number, chapter in enumerate(CHAPTERS, 1):
         lines += ["", f"## {number}. {chapter.title}", "", chapter.words]
         for path in chapter.rules:
