--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -49,7 +49,8 @@
 """How long evidence is kept after its last crash, and after the end of a bar, a choice: 37 times
 the longest pause seen between two tries of one client, 16 s."""
 CLEARED_KEPT_S = 30.0
-"""How long an answer is kept: until every gateway has heard that it clears the request."""
+"""How long an answer is kept, seconds. Chosen, not measured: until every gateway has heard that it
+clears the request."""
 ALERT_S = 60.0
 """How long after a back end was lost in a trial all requests of that caller on that route may begin
 as canaries, since a caller that varies its body sends a new poison request each time: 40 such
--- a/tinrudder/gateway/decisions/admission/memory_bound.py
+++ b/tinrudder/gateway/decisions/admission/memory_bound.py
@@ -37,7 +37,8 @@
 """What may be held however little memory is left, a choice: the platform's figure may be meant
 otherwise, and who refuses everything serves nobody.  Thirty of the largest bodies fit in."""
 URGENT_FILL = 0.95
-"""Fill from which the most urgent requests are refused: what is in progress grows on."""
+"""Fill, 0 to 1, from which the most urgent requests are refused. Chosen, not measured: what is in
+progress grows on."""
 FILL_STEP = 0.1
 """How much earlier a request is refused for each priority that is more urgent than its own: room
 for a tenth of the account's requests, a choice."""
@@ -51,9 +52,11 @@
 """When to come back, a choice: as long as most requests in progress take to end, and within a third
 of most deadlines seen, 0.8 to 8 s."""
 RETRY_AFTER_STEP_S = 0.1
-"""How much later for each priority that is more urgent: those are served again first."""
+"""How much later to come back for each priority that is more urgent, seconds. Chosen, not
+measured: those are served again first."""
 SMALL_BODY_BYTES = 16 * 1024
-"""Bodies up to this size are no load on a back end's memory: as much as any head may be."""
+"""Bodies up to this size are no load on a back end's memory, bytes. Chosen, not measured: as much
+as the head of a request may be."""
 WAITING_PER_SLOT = 1
 """Whole bodies that may be on the way to a back end for each of its slots, beside the one that the
 slot works on, a choice: the next is there when a slot becomes free."""
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -51,8 +51,8 @@
 itself, and a canary costs each request of the route a call's time, 0.03 to 0.15 of the worth of a
 calm day where all of them begin so."""
 SOONEST_RESTART_S = 0.5
-"""An answer to a call that was sent within this time after a loss comes from the process of before:
-the ones seen take seconds until they listen again."""
+"""An answer to a call that was sent within this time after a loss, seconds, comes from the process
+of before. A bound: the restarts seen take seconds until they listen again."""
 RESTART_KNOWN_S = 4.0
 """After this time a restart would be known by the entry that the new process writes: three of its
 heartbeats of 1.2 s, and the way through the store."""
--- a/tinrudder/gateway/decisions/admission/retry_after.py
+++ b/tinrudder/gateway/decisions/admission/retry_after.py
@@ -24,7 +24,8 @@
 WAITED_SHARE = 1.0 / 3.0
 """Part of the time that they have left that clients wait at most, by the platform's protocol."""
 HONOURED_SHARE = 0.9 * WAITED_SHARE
-"""The same for a place that is kept for a caller: the way there takes some of it."""
+"""The same for a place that is kept for a caller. Chosen, not measured: the way there takes some
+of the time."""
 PLACE_SPREAD = 1.25
 """Callers come back between the moment told and this many times as late, a choice: each has a
 moment of its own anyway, and what is told late is a place that stays empty."""
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -25,36 +25,40 @@
 from msgspec import Struct
 
 OVER_COMMITMENT = 1.5
-"""How many times its part of the slots a gateway uses before it hears of queues.  A scatter waits
-for its slowest shard while most of its slots are free again; back ends' queues take the surplus of
-a burst's first moment, half a call's time."""
+"""How many times its part of the slots a gateway uses before it hears of queues. Chosen, not
+measured: a scatter waits for its slowest shard while most of its slots are free again; back ends'
+queues take the surplus of a burst's first moment, half a call's time."""
 LEAST_FREE = 0.5
-"""Room that must be free for another scatter: a few slow shards of one that runs hold none of it
-back, be it that one back end of 20 pauses."""
+"""Room that must be free for another scatter, in scatters. Chosen, not measured: a few slow shards
+of one that runs hold none of it back, be it that one back end of 20 pauses."""
 LEAST_SCATTERS = 0.6
-"""The limit of a gateway whose part is less: the next scatter starts when nine tenths of the shards
-of the one that runs have answered."""
+"""The limit of a gateway whose part is less, in scatters. Chosen, not measured: the next one
+starts when nine tenths of the shards of the one that runs have answered."""
 FIRST_SCATTERS = 1.5
-"""The least limit while no queue is heard of: on calm days a second scatter in the same moment does
-not wait for the first."""
+"""The least limit while no queue is heard of, in scatters. Chosen, not measured: on calm days a
+second one in the same moment does not wait for the first."""
 QUEUE_LOW = 0.3
 """Below this wait at the typical back end, in calls' times, there is room for more, a choice."""
 QUEUE_HIGH = 0.6
-"""Above it the room shrinks.  Eight gateways of 40 back ends with two slots left more of these
-idle with 0.25 and 0.1: 81,213 calls came in a day of overload, 86,748 with these figures."""
+"""Wait at the typical back end, in calls' times, above which the room shrinks. Eight gateways of
+40 back ends with two slots left more of these idle with 0.25 here and 0.1 for the bound below:
+81,213 calls came in a day of overload, 86,748 with these figures."""
 INCREASE = 0.1
-"""Growth in one call's time of full use, as a part of the gateway's part of the slots: unused room
-of others is taken over in half a second."""
+"""Growth in one call's time of full use, as a part of the gateway's part of the slots. Chosen, not
+measured: unused room of others is taken over in half a second."""
 DECREASE = 0.85
-"""What is left of the room after one call's time with a queue: a surplus of two is gone after four
-calls' times."""
+"""What is left of the room after one call's time with a queue, as a part. Chosen, not measured: a
+surplus of two is gone after four calls' times."""
 HOLD_GAIN = 0.1
-"""Weight of one scatter in the usual time for which scatters hold their slots."""
+"""Weight of one scatter in the usual time for which scatters hold their slots. Chosen, not
+measured: a mean of the last ten or so."""
 RETURN_GAIN = 0.1
-"""How fast an unused limit goes back to where it began, for each call's time."""
+"""Part of the way back to where it began that an unused limit goes in each call's time. Chosen,
+not measured."""
 
 UNCHANGED = 0.05
-"""A limit that is this near to where it began needs no reports."""
+"""Part of its first value within which a limit counts as unchanged and needs no reports. Chosen,
+not measured."""
 
 
 class ScatterConcurrency(Struct):
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -31,26 +31,30 @@
 from tinrudder.gateway.decisions.admission.tenant_turns import TenantTurns
 
 STANDING_S = 0.1
-"""A queue that has not been empty for this long is no burst: what waits in it longer than
-:data:`SHORT_WAIT` only makes every answer late, since more comes than can be served."""
+"""A queue that has not been empty for this long, seconds, is no burst. Chosen, not measured: what
+waits in it longer than :data:`SHORT_WAIT` only makes every answer late, since more comes than can
+be served."""
 OVERLOAD_S = 1.0
-"""How long after a scatter that would have waited too long a queue still counts as standing: under
-four times the load it is empty for a moment several times a second."""
+"""How long after a scatter that would have waited too long a queue still counts as standing,
+seconds. Chosen, not measured: under four times the load it is empty for a moment several times a
+second."""
 BEARABLE_SHARE = 0.5
 """Part of the time until its latest useful start that a newcomer may have to wait, by what is
-expected: more urgent ones and others that come back overtake it, and none of those that wait is
-to be refused late for that."""
+expected. Chosen, not measured: more urgent ones and others that come back overtake it, and none of
+those that wait is to be refused late for that."""
 SHORT_WAIT = 0.6
 """How long a scatter may wait in a standing queue behind others, in usual times of one, a choice: a
 longer one serves no more, and all of it later."""
 OVERTAKEN_WAIT = 1.5 * SHORT_WAIT
-"""The same for one that others have overtaken, which would make the queue as long again."""
+"""The same as :data:`SHORT_WAIT`, in usual times, for one that others have overtaken. Chosen, not
+measured: waiting on would make the queue as long again."""
 LATE_WAIT_SHARE = 0.5
 """Part of its time left that a scatter waits which cannot meet its objective any more, a choice:
 half of the time is left for another try."""
 EARLY_SHARE = 0.25
-"""Part of the time until its objective within which a refusal is worth something to a caller, which
-can be served in time by another try.  Who has waited longer is better served late."""
+"""Part of the time until its objective within which a refusal is worth something to a caller.
+Chosen, not measured: it can be served in time by another try; who has waited longer is better
+served late."""
 
 
 class ScatterQueue(Struct):
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -23,10 +23,12 @@
 from msgspec import Struct, field
 
 MEMORY_S = 2.0
-"""How fast what was asked is forgotten, by a factor of e: longer than the pauses of a tenant that
-asks once a second, shorter than the time in which one turns hot and calms down."""
+"""How fast what was asked is forgotten, seconds for a factor of e. Chosen, not measured: longer
+than the pauses of a tenant that asks once a second, shorter than the time in which one turns hot
+and calms down."""
 LEAST_ASKED = 0.01
-"""Below this much, in requests, a tenant is forgotten: nine times :data:`MEMORY_S` after one."""
+"""Below this much, in requests, a tenant is forgotten. Chosen, not measured: nine times
+:data:`MEMORY_S` after one request."""
 
 
 class _Asked(Struct):
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -32,30 +32,39 @@
 in bunches.  A tenant of 3 a second with a limit of 5 and a burst of 5 is refused 1 in 156 by a
 bucket of its burst alone, 1 in 7,400 by this one (random arrivals, one seed)."""
 NEW_OWNER_MARGIN = 0.25
-"""Part of it that a bucket holds at most when it is new: the gateway that kept it before may have
-granted the whole limit a moment ago, and the next one may lose it a moment later."""
+"""Part of what lies above the limit that a bucket holds at most when it is new. Chosen, not
+measured: the gateway that kept it before may have granted the whole limit a moment ago, and the
+next one may lose it a moment later."""
 PRESSED_BELOW = 0.4
-"""Part of what a bucket can hold by now below which entries must ask first, so that what they
-admit until they hear of it finds tokens."""
+"""Part of what a bucket can hold by now below which entries must ask first. Chosen, not measured:
+what they admit until they hear of it must still find tokens."""
 RELIEVED_ABOVE = 0.7
-"""Part of it at which they need not ask any more."""
+"""Part of what a bucket can hold by now from which entries need not ask any more. Chosen, not
+measured: well above :data:`PRESSED_BELOW`, so that a tenant does not change between the two with
+each request."""
 LONGEST_PRESSED_S = 2.0
-"""How long a word lasts that entries must ask, so that it ends by itself; it is given anew."""
+"""How long a word lasts that entries must ask, seconds. Chosen, not measured: it ends by itself
+where the owner dies, and is given anew where it lives."""
 LONGEST_WAIT_S = 10.0
-"""The longest time that a refused caller is told to wait: limits change meanwhile."""
+"""The longest time that a refused caller is told to wait, seconds. Chosen, not measured: limits
+change meanwhile."""
 RETURN_SPREAD_S = 2.0
-"""Refused callers are told moments one token apart, over this time, then from its beginning again.
-Most callers give up within seconds: places kept for all of them would be empty."""
+"""Refused callers are told moments one token apart, over this time in seconds, then from its
+beginning again. Chosen, not measured: most callers give up within seconds, and places kept for all
+of them would be empty."""
 LONGEST_DEBT = 1.0
-"""How far below zero a bucket falls, in buckets: what is admitted unasked must be made up for, but
-not for minutes."""
+"""How far below zero a bucket falls, in buckets. Chosen, not measured: what is admitted unasked
+must be made up for, but not for minutes."""
 FORGOTTEN_AFTER_S = 60.0
-"""A bucket that nobody asked for so long is full: ten windows."""
+"""After this time without a question a bucket is forgotten, seconds. Chosen, not measured: ten
+windows of 5 s, after which it is full."""
 LEAST_CAPACITY = 1.0
-"""Of a bucket: with less nothing would ever be granted."""
+"""Tokens that a bucket holds at least: with less than one request's nothing would ever be
+granted."""
 FIRST_TOKENS = 2.0
-"""In a bucket at the start of a process; it fills by the rate from there.  When all processes start
-at once several believe for a second that they are the owner of a tenant's bucket."""
+"""Tokens in a bucket at the start of a process; it fills by the rate from there. Chosen, not
+measured: when all processes start at once several believe for a second that they are the owner of
+a tenant's bucket."""
 
 
 class QuotaLimit(Struct, frozen=True):
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -33,7 +33,9 @@
 """Slices of the window. Chosen, not measured: requests of the oldest slice count for nothing, so
 that a twentieth of the allowance is given up at most."""
 SAFETY = 0.9
-"""Part of ratio and extra that a node spends once it has lived for a window."""
+"""Part of ratio and extra that a gateway spends once it has lived for a window. Chosen, not
+measured: the rest covers gateways that start and those that count fewer gateways than there
+are."""
 START_SHARE = 1.0 - SAFETY
 """Part of the extra that a node may spend in its first window, since the life before it left it.
 With nothing of it, after a start of all 76 gateways of a deployment, a scatter over 135 shards
--- a/tinrudder/gateway/decisions/attempts/hedge_gain.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_gain.py
@@ -26,24 +26,29 @@
 """Calls of a route from which on their latencies tell how many are late, a choice: with 200, four
 late ones are expected where one in fifty is."""
 REFRESH_CALLS = 256
-"""Calls after which latencies are looked at again: three scatters over 90 shards."""
+"""Calls after which latencies are looked at again. Chosen, not measured: three scatters over 90
+shards."""
 STEPS = 24
-"""Ages that are compared.  At an objective of 48 ms two of them are 2 ms apart."""
+"""Ages that are compared. Chosen, not measured: at an objective of 48 ms two of them are 2 ms
+apart."""
 FILL_STEPS = 8
-"""Degrees of the budget's fill that are told apart."""
+"""Degrees of the budget's fill that are told apart. Chosen, not measured: so many conclusions are
+kept for one time left."""
 USED_SHARE = 0.9
 """Part of the time left by which a second call should be in, a choice: parts also have to be read
 and merged, and a path may be longer than those seen."""
 LEAST_LATE_SHARE = 0.02
-"""Part of the calls that is taken to be late at least.  Where latencies show none, a back end may
-still stand still or vanish, and a second call that is late in any case helps nobody."""
+"""Part of the calls that is taken to be late at least. Chosen, not measured: where latencies show
+none, a back end may still stand still or vanish, and a second call that is late in any case helps
+nobody."""
 PRICE = 0.01
 """What a second call must raise the chance of its part by, while the whole budget is there.  On
 moments of slowness (15% of the time, 2.5 times) 0.01, 0.03 and 0.06 leave 0.25%, 0.43% and 0.66%
 of the worth of an objective of 98 ms, at 0.19, 0.14 and 0.13 second calls a call; the rule by
 medians left 1.08% at 0.14 (simulated, two seeds)."""
 LEAST_FILL = 0.05
-"""A budget that is emptier than this is one that is as good as gone."""
+"""Fill of the budget, 0 to 1, below which the price of a second call rises no more. Chosen, not
+measured: such a budget is as good as gone."""
 
 
 class HedgeMoments:
--- a/tinrudder/gateway/decisions/attempts/peer_round_trip.py
+++ b/tinrudder/gateway/decisions/attempts/peer_round_trip.py
@@ -21,19 +21,21 @@
 from msgspec import Struct
 
 ASSUMED_S = 0.004
-"""Before anything is seen: twice 1.4 ms between zones, and a little work at both ends."""
+"""Mean before anything is seen, seconds. Chosen, not measured: twice 1.4 ms between zones, and a
+little work at both ends."""
 ASSUMED_DEVIATION_S = 0.001
 """The same of the deviation, seconds. Chosen, not measured: with four deviations the first
 allowance is twice the assumed mean."""
 GAIN = 0.125
-"""Weights of a new value in the mean and in the deviation, those of TCP's retransmission timer."""
+"""Weight of a new value in the mean, that of TCP's retransmission timer (RFC 6298)."""
 DEVIATION_GAIN = 0.25
 """Weight of a new value in the deviation, that of TCP's retransmission timer (RFC 6298)."""
 DEVIATIONS = 4.0
-"""Also from that timer.  An answer that comes too late loses nine tenths of its worth, one that
-leaves early a few parts."""
+"""Deviations on top of the mean, as in that timer. An answer that comes too late loses nine tenths
+of its worth, one that leaves early a few parts."""
 LONGEST_SEEN_S = 0.05
-"""Longer ones are stalls of one gateway and say nothing of the next request."""
+"""The most that one value counts, seconds. Chosen, not measured: longer ones are stalls of one
+gateway and say nothing of the next request."""
 
 
 class PeerRoundTrip(Struct):
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -35,23 +35,28 @@
 """What may leave at once after a pause, a choice: a gateway of 730 sees an answer of such a service
 once in ten seconds, and has to tell a sixth of the others of it."""
 DATAGRAM_BYTES = 34
-"""Of a datagram without its back ends: 28 of IP and UDP, and 6 of our own at most."""
+"""Bytes of a datagram without its back ends: 28 of IP and UDP, and 6 of our own at most
+(arithmetic)."""
 LOAD_BYTES = 26
-"""Of one back end in a datagram, at most."""
+"""Bytes of one back end in a datagram, at most (arithmetic; a test of the encoding holds it)."""
 MOST_IN_A_DATAGRAM = 4
 """Back ends in one datagram, a choice: as many as such a service has."""
 GATHER_S = 0.02
 """How long news waits for more, a choice: short beside calls whose queue hundreds must know of."""
 NEXT_S = 0.1
-"""When to look again where nothing may leave now: by then a datagram of two back ends may."""
+"""When to look again where nothing may leave now, seconds. Chosen, not measured: by then a
+datagram of two back ends may."""
 MOST_AGE_S = 0.8
-"""What is older says nothing of the queue any more; see ``BACKLOG_LIFETIME_S``."""
+"""Age from which a report says nothing of the queue any more, seconds: ``BACKLOG_LIFETIME_S`` of
+the observations. Chosen, not measured."""
 LONGEST_WORK_S = 600.0
-"""Longer than any call is waited for; a figure above is no time of work."""
+"""Longest time of work that is believed, seconds: longer than any call is waited for, so a figure
+above is none."""
 MOST_CALLS = 100_000
-"""More than any back end holds; a figure above is no count of calls."""
+"""Most calls and slots that are believed: more than any back end holds, so a figure above is no
+count."""
 MOST_SLOWDOWN = 1000.0
-"""More than any back end lives with; a figure above, or none above zero, is no slowdown."""
+"""Largest slowdown that is believed, 1 is usual: more than any back end lives with."""
 
 
 class ReportedLoad(Struct, frozen=True):
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -19,7 +19,8 @@
 from __future__ import annotations
 
 LOOK_S = 1.0
-"""How often the process notes that it runs; its housekeeping does, so that this costs nothing."""
+"""How often the process notes that it runs, seconds. Chosen, not measured: housekeeping comes as
+often, so that this costs nothing."""
 STOOD_STILL_S = 0.5
 """How much later than due a note must be, a choice: a pause of 1.5 s is always found, and back ends
 give an answer that is not read some seconds."""
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -28,19 +28,23 @@
 from msgspec import Struct, field
 
 SILENT_AFTER_S = 1.5
-"""How long nothing may be heard from anywhere else until the paths are tried: where each gateway
-sends one digest in 0.5 s to another zone, that happens by chance once in twenty times."""
+"""How long nothing may be heard from anywhere else until the paths are tried, seconds: where each
+gateway sends one digest in 0.5 s to another zone, that happens by chance once in twenty times
+(arithmetic)."""
 CLOSED_AFTER_S = 0.25
-"""How long all questions must stay unanswered until a path is closed: 80 round trips of 3 ms, or a
-pause of a gateway that stands still for a moment."""
+"""How long all questions must stay unanswered until a path is closed, seconds. Chosen, not
+measured: 80 round trips of 3 ms, or a pause of a gateway that stands still for a moment."""
 LEAST_ROUNDS = 3
-"""And how many rounds of questions: with three gateways asked in each, of which half of all
-datagrams get lost, one path in 13 is closed wrongly, and opens with the next answer."""
+"""And how many rounds of questions must: with three gateways asked in each, of which half of all
+datagrams get lost, one path in 13 is closed wrongly, and opens with the next answer
+(arithmetic)."""
 FIRST_CLOSED_S = 5.0
-"""How long a closed path stays closed before calls may try it.  Where a zone has lost all its
-gateways and not its back ends, nobody there answers questions, but calls are answered."""
+"""How long a closed path stays closed before calls may try it, seconds. Chosen, not measured:
+where a zone has lost all its gateways and not its back ends, nobody there answers questions, but
+calls are answered."""
 LONGEST_CLOSED_S = 40.0
-"""Each time that a call finds it closed the time doubles, up to this."""
+"""The time doubles with each call that finds the path closed, up to this, seconds. Chosen, not
+measured: it bounds for how long a zone without gateways stays unused."""
 
 
 class PathState(enum.Enum):
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -57,11 +57,12 @@
 """How long a report says something of the queue, seconds, a choice: it fades to nothing over this
 time, in which queues fill or empty."""
 SLOWDOWN_LIFETIME_S = 0.5
-"""How long a reported slowdown says something of the next call, seconds: back ends report another
-one several times a second.  Its weight falls to nothing over this time."""
+"""How long a reported slowdown says something of the next call, seconds; its weight falls to
+nothing over this time. Chosen, not measured: back ends report another one several times a
+second."""
 TYPICAL_SLOWDOWN_GAIN = 0.1
-"""Weight of one report in what is typical of a back end: momentary ones, a few in a hundred,
-hardly move it."""
+"""Weight of one report in what is typical of a back end. Chosen, not measured: momentary ones, a
+few in a hundred, hardly move it."""
 
 WORK_GAIN = 0.1
 """Weight of one answer in how long calls hold a slot, a choice: times of work spread by half of
--- a/tinrudder/gateway/decisions/placement/cold_start_rate.py
+++ b/tinrudder/gateway/decisions/placement/cold_start_rate.py
@@ -28,10 +28,11 @@
 from tinrudder.common.rendezvous import rendezvous_score
 
 WINDOW_S = 1.1
-"""Calls sent within this time may arrive within one second: paths differ by less than 0.1 s."""
+"""Calls sent within this time, seconds, may arrive within one second: a bound, since paths differ
+by less than 0.1 s."""
 RATE_SHARE = 0.8
-"""Part of the rate that is divided.  The rest is for gateways that do not know of each other yet,
-and for calls that the process before this one has just sent."""
+"""Part of the rate that is divided. Chosen, not measured: the rest is for gateways that do not
+know of each other yet, and for calls that the process before this one has just sent."""
 
 
 class Callers(Struct, frozen=True):
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -29,13 +29,17 @@
 from tinrudder.common.latency_window import LatencyWindow
 
 CALL_OVERHEAD_BYTES = 400.0
-"""Heads of one call and of its answer."""
+"""Heads of one call and of its answer, bytes. Chosen, not measured: heads are not counted while
+running."""
 HANDOVER_BYTES = 700.0
-"""A request handed over, the words that it was taken, and the answer without what it holds."""
+"""A request handed over, the words that it was taken, and the answer without what it holds, bytes.
+Chosen, not measured."""
 STAMP_BYTES = 48.0
-"""A shard's name in the request and its part's signature in the answer."""
+"""A shard's name in the request and its part's signature in the answer, bytes. Chosen, not
+measured."""
 LEAST_GAIN = 2.0
-"""Handing over must cross so many times fewer bytes: it also costs a hop and another gateway."""
+"""How many times fewer bytes must cross where shards are handed over. Chosen, not measured: that
+also costs a hop and another gateway."""
 MOST_LATE_BY_PATH = 0.25
 """Part of the calls that may be late for having been handed over, before second calls, which bring
 most of it back.  A choice between the two ends seen on a small fleet with little processor time: a
--- a/tinrudder/gateway/decisions/placement/zone_preference.py
+++ b/tinrudder/gateway/decisions/placement/zone_preference.py
@@ -22,13 +22,20 @@
 from __future__ import annotations
 
 LEAST_ADVANTAGE = 0.35
-"""What a replica elsewhere must be faster by in any case, in usual latencies: the longer path."""
+"""What a replica elsewhere must be faster by in any case, in usual latencies: the longer path. The
+mean worth of 13 simulated days on two sites was 0.7867 and 0.8541 with it, 0.7864 and 0.8537 with
+0.15: no difference beyond noise."""
 LARGEST_ADVANTAGE = 5.0
-"""Less than what a replica is charged that stands still: no zone is worth waiting for one."""
+"""The most that a replica elsewhere must be faster by, in usual latencies. Chosen, not measured:
+it must stay below ``STALLED_PENALTY``, since no zone is worth waiting for a replica that stands
+still."""
 ROOM_SHARE = 0.85
-"""Part of the objective within which a hedged call must end: answers also have to be merged."""
+"""Part of the objective within which a hedged call must end, since answers also have to be merged.
+On three simulated days the mean worth was 0.8417, with 1.0 in its place 0.8401."""
 SLOW = 2.6
-"""Expected latency of a replica, in usual ones, that a single stall does not bring about."""
+"""Expected latency of a replica, in usual ones, that a single stall does not bring about. On two
+sites the mean worth of simulated days was 0.8678 and 0.9199, with 1.9 in its place 0.8679 and
+0.9177, without the rule 0.8640 and 0.9193."""
 
 
 def zone_advantage(usual_s: float, hedge_delay_s: float, objective_s: float) -> float:
