--- a/tests/functional/lab/test_lab_scenarios.py
+++ b/tests/functional/lab/test_lab_scenarios.py
@@ -20,7 +20,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_everything_keeps_every_promise(seed: int) -> None:
-    assert run_scenario(_short("everything"), seed, "default", alone=True).violations == ()
+    assert run_scenario(_short("everything"), seed).violations == ()
 
 
 @pytest.mark.parametrize(
@@ -29,5 +29,5 @@
 )
 def test_a_planted_defect_is_reported(plant: str) -> None:
     planted = PLANTS_BY_NAME[plant]
-    result = run_scenario(BY_NAME[planted.scenario], 3, "default", planted)
+    result = run_scenario(BY_NAME[planted.scenario], 3, planted)
     assert planted.promise in {violation.promise for violation in result.violations}
--- a/tests/unit/node/decisions/test_routing_policies.py
+++ b/tests/unit/node/decisions/test_routing_policies.py
@@ -24,7 +24,7 @@
     QuantileHedge,
     is_widespread,
 )
-from tinrudder.node.decisions.registry import BASELINE, DEFAULTS, Role, names_by_role
+from tinrudder.node.decisions.registry import DEFAULTS, Role, names_by_role
 from tinrudder.node.decisions.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
 from tinrudder.node.decisions.service_routing import RoutingTable
 
@@ -237,7 +237,13 @@
     assert table.routing_of("t", {}).retry is not one.retry
 
 
-def test_every_role_has_its_default_and_its_baseline() -> None:
+def test_every_name_that_a_stored_rule_may_hold_is_accepted() -> None:
     names = names_by_role()
+    assert names == {
+        "replica_choice": {"least-loaded", "random"},
+        "hedge": {"quantile", "none"},
+        "retry": {"budgeted", "unbudgeted"},
+        "ejection": {"outlier", "never"},
+    }
     for role in Role:
-        assert {DEFAULTS[role], BASELINE[role]} <= names[role.value]
+        assert DEFAULTS[role] in names[role.value]
--- a/tinrudder/node/decisions/registry.py
+++ b/tinrudder/node/decisions/registry.py
@@ -1,7 +1,7 @@
 """Policies by role and name, as query rules name them in ``policies``.
 
 An unknown role or name is a validation error of the rule (see
-``tinrudder.node.resources.validation``); ``BASELINE`` is what every policy is measured against.
+``tinrudder.node.resources.validation``).  Stored rules may hold any of these names: none may go.
 """
 
 from __future__ import annotations
@@ -65,12 +65,6 @@
     Role.RETRY: "budgeted",
     Role.EJECTION: "outlier",
 }
-BASELINE: Final[Mapping[Role, str]] = {
-    Role.REPLICA_CHOICE: "random",
-    Role.HEDGE: "none",
-    Role.RETRY: "unbudgeted",
-    Role.EJECTION: "never",
-}
 
 
 def names_by_role() -> dict[str, frozenset[str]]:
--- a/tinrudder_lab/jobs.py
+++ b/tinrudder_lab/jobs.py
@@ -13,7 +13,6 @@
 
 from tinrudder_lab.experiment import LabError, run_scenario
 from tinrudder_lab.plants import PLANTS_BY_NAME
-from tinrudder_lab.policies import DEFAULT_POLICY
 from tinrudder_lab.report import RunResult
 from tinrudder_lab.scenarios import BY_NAME
 
@@ -25,17 +24,12 @@
 class Job:
     """One run to do.
 
-    :param alone: without its companion runs.
-    :param parameter: an attribute of the topology set to ``value`` first, empty for none.
+    :param plant: the planted defect, empty for none.
     """
 
     scenario: str
     seed: int
-    policy: str = DEFAULT_POLICY
     plant: str = ""
-    alone: bool = True
-    parameter: str = ""
-    value: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,11 +49,9 @@
     """Run one job in this process."""
     started = time.perf_counter()
     scenario = BY_NAME[job.scenario]
-    if job.parameter:
-        scenario = scenario.with_parameter(job.parameter, job.value)
     plant = PLANTS_BY_NAME[job.plant] if job.plant else None
     try:
-        result = run_scenario(scenario, job.seed, job.policy, plant, alone=job.alone)
+        result = run_scenario(scenario, job.seed, plant)
     except LabError as error:
         return Done(job, None, time.perf_counter() - started, str(error))
     return Done(job, result, time.perf_counter() - started)
@@ -82,8 +74,3 @@
     path = RESULTS / f"{name}.json"
     path.write_bytes(msgspec.json.format(msgspec.json.encode(results), indent=1))
     return path
-
-
-def load_results(path: Path) -> list[RunResult]:
-    """Read results written by :func:`save_results`."""
-    return msgspec.json.decode(path.read_bytes(), type=list[RunResult])
--- a/tinrudder_lab/main.py
+++ b/tinrudder_lab/main.py
@@ -1,4 +1,4 @@
-"""``tinrudder-lab``: list, run, compare, sweep, plot and faults."""
+"""``tinrudder-lab``: list, faults, run and soak."""
 
 from __future__ import annotations
 
@@ -12,27 +12,20 @@
 import msgspec
 
 from tinrudder_lab.checkers.violation import Promise
-from tinrudder_lab.compare import compare_results
-from tinrudder_lab.experiment import run_scenario, simulate_with_policy
-from tinrudder_lab.jobs import Job, load_results, run_jobs, save_results
+from tinrudder_lab.experiment import run_scenario
 from tinrudder_lab.plants import PLANTS, PLANTS_BY_NAME
-from tinrudder_lab.plot import plot_worlds
-from tinrudder_lab.policies import BASELINE_POLICY, DEFAULT_POLICY, UnknownPolicyError
 from tinrudder_lab.process_mode.experiment import (
     PROCESS,
     ProcessModeError,
     run_process_scenario,
 )
 from tinrudder_lab.process_mode.scenarios import PROCESS_BY_NAME
-from tinrudder_lab.report import RunResult
 from tinrudder_lab.scenarios import BY_NAME, SCENARIOS, Scenario
 from tinrudder_lab.soak.regressions import REGRESSIONS, RegressionSeed
 from tinrudder_lab.soak.run import soak
-from tinrudder_lab.topology import PARAMETERS
 
 EXIT_VIOLATIONS = 1
 EXIT_USAGE = 2
-DEFAULT_SEEDS = 5
 SIM = "sim"
 
 
@@ -52,27 +45,17 @@
     what: str
 
 
-class SweepRow(msgspec.Struct, frozen=True):
-    """One value of a swept parameter."""
-
-    value: float
-    results: tuple[RunResult, ...]
-
-
 def main(arguments: list[str] | None = None) -> int:
     """Run one command; exit 1 on violations, 2 on wrong usage."""
     parser = argparse.ArgumentParser(prog="tinrudder-lab", description=__doc__)
     commands = parser.add_subparsers(required=True)
     _add_list(commands)
     _add_run(commands)
-    _add_compare(commands)
-    _add_sweep(commands)
-    _add_plot(commands)
     _add_soak(commands)
     parsed = parser.parse_args(arguments)
     try:
         code: int = parsed.run(parsed)
-    except (UnknownPolicyError, ProcessModeError) as error:
+    except ProcessModeError as error:
         print(f"tinrudder-lab: {error}", file=sys.stderr)
         return EXIT_USAGE
     return code
@@ -95,41 +78,11 @@
     running.add_argument("scenario", choices=sorted(BY_NAME))
     running.add_argument("--seed", type=int, default=1)
     running.add_argument("--mode", choices=(SIM, PROCESS), default=SIM)
-    running.add_argument("--policy", default=DEFAULT_POLICY)
     running.add_argument("--plant", choices=sorted(PLANTS_BY_NAME))
-    running.add_argument("--alone", action="store_true", help="without baseline")
     running.add_argument("--json", action="store_true", help="the last line is JSON in any case")
     running.set_defaults(run=_run)
 
 
-def _add_compare(commands: Commands) -> None:
-    comparing = commands.add_parser("compare", help="compare two policies, or two saved results")
-    comparing.add_argument("first", help="a policy, or a file of results")
-    comparing.add_argument("second", help="a policy, or a file of results")
-    comparing.add_argument("--scenario", choices=sorted(BY_NAME), default="straggler")
-    comparing.add_argument("--seeds", type=int, default=DEFAULT_SEEDS)
-    comparing.set_defaults(run=_compare)
-
-
-def _add_sweep(commands: Commands) -> None:
-    sweeping = commands.add_parser("sweep", help="run a scenario over values of one parameter")
-    sweeping.add_argument("scenario", choices=sorted(BY_NAME))
-    sweeping.add_argument("--parameter", choices=PARAMETERS, required=True)
-    sweeping.add_argument("--values", type=float, nargs="+", required=True)
-    sweeping.add_argument("--seeds", type=int, default=1)
-    sweeping.add_argument("--policy", default=DEFAULT_POLICY)
-    sweeping.set_defaults(run=_sweep)
-
-
-def _add_plot(commands: Commands) -> None:
-    plotting = commands.add_parser("plot", help="draw a scenario under a policy and the baseline")
-    plotting.add_argument("scenario", choices=sorted(BY_NAME))
-    plotting.add_argument("--seed", type=int, default=1)
-    plotting.add_argument("--policy", default=DEFAULT_POLICY)
-    plotting.add_argument("--output", type=Path, required=True, metavar="FILE.png")
-    plotting.set_defaults(run=_plot)
-
-
 def _list(arguments: argparse.Namespace) -> int:
     if arguments.json:
         print(msgspec.json.encode({s.name: _row(s) for s in SCENARIOS}).decode())
@@ -157,15 +110,11 @@
 
 def _run(arguments: argparse.Namespace) -> int:
     if arguments.mode == PROCESS:
-        result = run_process_scenario(
-            arguments.scenario, arguments.seed, arguments.policy, arguments.plant
-        )
+        result = run_process_scenario(arguments.scenario, arguments.seed, arguments.plant)
     else:
         scenario = BY_NAME[arguments.scenario]
         plant = PLANTS_BY_NAME[arguments.plant] if arguments.plant else None
-        result = run_scenario(
-            scenario, arguments.seed, arguments.policy, plant, alone=arguments.alone
-        )
+        result = run_scenario(scenario, arguments.seed, plant)
     if not arguments.json:
         for violation in result.violations:
             print(f"VIOLATION {violation.promise}: {violation.detail}")
@@ -173,59 +122,6 @@
     return EXIT_VIOLATIONS if result.violations else 0
 
 
-def _compare(arguments: argparse.Namespace) -> int:
-    sides = []
-    for name in (arguments.first, arguments.second):
-        if name.endswith(".json"):
-            sides.append(load_results(Path(name)))
-            continue
-        jobs = [Job(arguments.scenario, seed, name) for seed in range(1, arguments.seeds + 1)]
-        results = [done.result for done in run_jobs(jobs) if done.result is not None]
-        save_results(f"{arguments.scenario}-{name}".replace("=", "-"), results)
-        sides.append(results)
-    rows = compare_results(*sides)
-    print(
-        f"{'metric':<16}{arguments.first[-16:]:>18}{arguments.second[-16:]:>18}  difference [95%]"
-    )
-    for row in rows:
-        interval = f"{row.difference:+.4f} [{row.low:+.4f}, {row.high:+.4f}]"
-        print(f"{row.metric:<16}{row.first:>18.4f}{row.second:>18.4f}  {interval}")
-    print(msgspec.json.encode(rows).decode())
-    return 0
-
-
-def _sweep(arguments: argparse.Namespace) -> int:
-    jobs = [
-        Job(arguments.scenario, seed, arguments.policy, "", True, arguments.parameter, value)
-        for value in arguments.values
-        for seed in range(1, arguments.seeds + 1)
-    ]
-    done = [one for one in run_jobs(jobs) if one.result is not None]
-    rows = []
-    for value in arguments.values:
-        of_value = sorted((d for d in done if d.job.value == value), key=lambda d: d.job.seed)
-        results = tuple(one.result for one in of_value if one.result is not None)
-        rows.append(SweepRow(value, results))
-        for result in results:
-            figures = f"p50 {result.p50_ms:.1f} ms  p99 {result.p99_ms:.1f} ms"
-            load = f"extra load {result.extra_load:.4f}  refused {result.refused}"
-            print(f"{arguments.parameter} {value:g}  seed {result.seed}  {figures}  {load}")
-    print(msgspec.json.encode(rows).decode())
-    return EXIT_VIOLATIONS if any(r.violations for row in rows for r in row.results) else 0
-
-
-def _plot(arguments: argparse.Namespace) -> int:
-    scenario = BY_NAME[arguments.scenario]
-    policies = (arguments.policy, BASELINE_POLICY)
-    worlds = {
-        policy: simulate_with_policy(scenario, scenario.topology, arguments.seed, policy)
-        for policy in policies
-    }
-    plot_worlds(f"{scenario.name}, seed {arguments.seed}", worlds, arguments.output)
-    print(arguments.output)
-    return 0
-
-
 def _add_soak(commands: Commands) -> None:
     soak_parser = commands.add_parser("soak", help="real gateways on loopback, faults at random")
     soak_parser.add_argument("--seed", type=int, default=1)
--- a/tinrudder_lab/measures.py
+++ b/tinrudder_lab/measures.py
@@ -17,7 +17,6 @@
     REFUSED,
     ROUND_MS,
     ROUND_RATIO,
-    Figures,
     RunResult,
     TenantFigures,
 )
@@ -70,23 +69,8 @@
     return len(ended.included) / total if total else 1.0
 
 
-def figures_of(history: History, sent_calls: int) -> Figures:
-    """Return the figures that any run has."""
-    latencies = latencies_ms(history)
-    covered = [coverage_of(e) for e in history.ended.values() if e.included or e.missing]
-    return Figures(
-        queries=len(history.sent),
-        p50_ms=round(percentile(latencies, 0.5), ROUND_MS),
-        p99_ms=round(percentile(latencies, 0.99), ROUND_MS),
-        p999_ms=round(percentile(latencies, 0.999), ROUND_MS),
-        coverage_mean=round(sum(covered) / max(1, len(covered)), ROUND_RATIO),
-        extra_load=round(extra_load(history, sent_calls), ROUND_RATIO),
-        refused=sum(1 for e in history.ended.values() if e.outcome == REFUSED),
-    )
-
-
-def tenant_figures(world: World, alone: World | None) -> dict[str, TenantFigures]:
-    """Return each tenant's figures, beside those it has without the noise."""
+def tenant_figures(world: World) -> dict[str, TenantFigures]:
+    """Return each tenant's figures."""
     history = world.history
     tenants = sorted({sent.tenant for sent in history.sent.values()})
     answered = {tenant: len(latencies_ms(history, tenant)) for tenant in tenants}
@@ -105,8 +89,6 @@
             p99_ms=_p99(history, tenant),
             served=round(answered[tenant] / max(1, queries), ROUND_RATIO),
             share=round(answered[tenant] / total, ROUND_RATIO),
-            alone_p99_ms=_p99(alone.history, tenant) if alone else None,
-            alone_served=_served(alone.history, tenant) if alone else None,
         )
     return figures
 
@@ -115,11 +97,6 @@
     return round(percentile(latencies_ms(history, tenant), 0.99), ROUND_MS)
 
 
-def _served(history: History, tenant: str) -> float:
-    queries = sum(1 for sent in history.sent.values() if sent.tenant == tenant)
-    return round(len(latencies_ms(history, tenant)) / max(1, queries), ROUND_RATIO)
-
-
 def goodput(scenario: Scenario, world: World) -> float:
     """Return answered queries over what the shared service could answer in the time."""
     capacity = world.topology.capacity(SHARED_SERVICE) * scenario.duration_s
@@ -133,39 +110,23 @@
     return round(world.sent_calls / max(1, needed), ROUND_RATIO)
 
 
-@dataclass(frozen=True, slots=True)
-class CompanionRuns:
-    """Runs on the same seed that a result is set beside."""
-
-    baseline: Figures | None = None
-    alone: World | None = None
-
-
 def result_of(
-    scenario: Scenario,
-    seed: int,
-    policy: str,
-    world: World,
-    violations: tuple[Violation, ...],
-    companions: CompanionRuns,
+    scenario: Scenario, seed: int, world: World, violations: tuple[Violation, ...]
 ) -> RunResult:
     """Return the last line of a simulated run."""
     plain = plain_result(
         scenario.name,
         seed,
-        policy,
         Deployed("sim", len(world.members), len(world.backends)),
         world.history,
         world.sent_calls,
         violations,
     )
-    if companions.baseline is not None:
-        plain = msgspec.structs.replace(plain, baseline=companions.baseline)
     if world.topology.shards == 1:
         return plain
     return msgspec.structs.replace(
         plain,
-        tenants=tenant_figures(world, companions.alone),
+        tenants=tenant_figures(world),
         goodput=goodput(scenario, world),
         calls_per_accepted=calls_per_accepted(world),
     )
@@ -183,29 +144,28 @@
 def plain_result(
     scenario: str,
     seed: int,
-    policy: str,
     deployed: Deployed,
     history: History,
     sent_calls: int,
     violations: tuple[Violation, ...],
 ) -> RunResult:
     """Return what any run of either mode reports."""
-    figures = figures_of(history, sent_calls)
+    latencies = latencies_ms(history)
+    covered = [coverage_of(e) for e in history.ended.values() if e.included or e.missing]
     outcomes = Counter(ended.outcome for ended in history.ended.values())
     return RunResult(
         scenario=scenario,
         seed=seed,
         mode=deployed.mode,
-        policy=policy,
         nodes=deployed.nodes,
         backends=deployed.backends,
-        queries=figures.queries,
-        p50_ms=figures.p50_ms,
-        p99_ms=figures.p99_ms,
-        p999_ms=figures.p999_ms,
-        coverage_mean=figures.coverage_mean,
-        extra_load=figures.extra_load,
-        refused=figures.refused,
+        queries=len(history.sent),
+        p50_ms=round(percentile(latencies, 0.5), ROUND_MS),
+        p99_ms=round(percentile(latencies, 0.99), ROUND_MS),
+        p999_ms=round(percentile(latencies, 0.999), ROUND_MS),
+        coverage_mean=round(sum(covered) / max(1, len(covered)), ROUND_RATIO),
+        extra_load=round(extra_load(history, sent_calls), ROUND_RATIO),
+        refused=outcomes[REFUSED],
         violations=violations,
         outcomes=dict(sorted(outcomes.items())),
         config_in_force_s=_rounded(seconds_in_force(history)),
--- a/tinrudder_lab/process_mode/experiment.py
+++ b/tinrudder_lab/process_mode/experiment.py
@@ -11,7 +11,6 @@
 
 from tinrudder_lab.checkers.all import check_history
 from tinrudder_lab.measures import Deployed, plain_result
-from tinrudder_lab.policies import DEFAULT_POLICY
 from tinrudder_lab.process_mode.call_log import name_absent_nodes, read_calls
 from tinrudder_lab.process_mode.cluster import CLOCK_SKEW_S, ProcessCluster
 from tinrudder_lab.process_mode.faults import Step
@@ -32,7 +31,7 @@
     """A scenario, policy or plant that process mode does not have, or a process that died."""
 
 
-def run_process_scenario(name: str, seed: int, policy: str, plant: str | None) -> RunResult:
+def run_process_scenario(name: str, seed: int, plant: str | None) -> RunResult:
     """Run a scenario once.
 
     :raises ProcessModeError: naming what process mode does not have.
@@ -43,8 +42,8 @@
             f"{name} {SIM_ONLY}: process mode has {', '.join(PROCESS_BY_NAME)}; nothing here"
             " cuts the traffic between real processes or bends a stand-in's reports"
         )
-    if policy != DEFAULT_POLICY or plant is not None:
-        raise ProcessModeError(f"policies and planted defects: {SIM_ONLY}")
+    if plant is not None:
+        raise ProcessModeError(f"planted defects: {SIM_ONLY}")
     # Without this a SIGTERM would leave the processes behind, some of them asleep.
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(EXIT_TERMINATED))
     with tempfile.TemporaryDirectory(prefix="tinrudder-lab-") as directory:
@@ -58,7 +57,6 @@
     return plain_result(
         scenario.name,
         seed,
-        DEFAULT_POLICY,
         Deployed(PROCESS, len(cluster.nodes), len(cluster.deployment.backends)),
         run.history,
         run.sent_calls,
--- a/tinrudder_lab/proof.py
+++ b/tinrudder_lab/proof.py
@@ -16,12 +16,9 @@
 
 from tinrudder_lab.jobs import MAX_WORKERS, Done, Job, run_jobs, save_results
 from tinrudder_lab.plants import PLANTS, PLANTS_BY_NAME
-from tinrudder_lab.scenarios import SCENARIOS
+from tinrudder_lab.scenarios import EVERYTHING_SEEDS, SCENARIOS
 
 EVERYTHING = "everything"
-EVERYTHING_SEEDS = 200
-SCENARIO_SEEDS = 2
-FAULT_SEEDS = 5
 PLANT_SEEDS = 3
 
 
@@ -67,9 +64,7 @@
     """Return all runs; the long ones come first, so that no worker ends late."""
     jobs = []
     for scenario in SCENARIOS:
-        seeds = FAULT_SEEDS if not scenario.with_baseline else SCENARIO_SEEDS
-        if scenario.name == EVERYTHING:
-            seeds = everything_seeds
+        seeds = everything_seeds if scenario.name == EVERYTHING else scenario.proof_seeds
         jobs += [Job(scenario.name, seed) for seed in range(1, seeds + 1)]
     for plant in PLANTS:
         jobs += [Job(plant.scenario, seed, plant=plant.name) for seed in range(1, PLANT_SEEDS + 1)]
--- a/tinrudder_lab/report.py
+++ b/tinrudder_lab/report.py
@@ -17,7 +17,6 @@
 
     :param served: its answered queries over those it sent.
     :param share: its answered queries over everybody's.
-    :param alone_p99_ms: its p99 on the same seed when the noisy tenant keeps to its share.
     """
 
     queries: int
@@ -25,20 +24,6 @@
     p99_ms: float
     served: float
     share: float
-    alone_p99_ms: float | None = None
-    alone_served: float | None = None
-
-
-class Figures(msgspec.Struct, frozen=True):
-    """What one policy measured."""
-
-    queries: int
-    p50_ms: float
-    p99_ms: float
-    p999_ms: float
-    coverage_mean: float
-    extra_load: float
-    refused: int
 
 
 class RunResult(msgspec.Struct, frozen=True, omit_defaults=True):
@@ -51,7 +36,6 @@
     scenario: str
     seed: int
     mode: str
-    policy: str
     nodes: int
     backends: int
     queries: int
@@ -68,4 +52,3 @@
     tenants: dict[str, TenantFigures] | None = None
     goodput: float | None = None
     calls_per_accepted: float | None = None
-    baseline: Figures | None = None
--- a/tinrudder_lab/scenarios.py
+++ b/tinrudder_lab/scenarios.py
@@ -8,7 +8,7 @@
 
 import random
 from collections.abc import Callable
-from dataclasses import dataclass, replace
+from dataclasses import dataclass
 
 from tinrudder.node.resources.model import Priority
 from tinrudder_lab import faults
@@ -19,7 +19,6 @@
     TenantLoad,
     Topology,
     both_deployments,
-    set_parameter,
     shared_service,
     wide_service,
     with_purchases,
@@ -33,6 +32,10 @@
 PLATA_NODES = tuple(f"{zone}-n0" for zone in PLATA_ZONES)
 ALL_WEIGHTS = sum(WEIGHTS.values())
 NOISY = "bronze"
+FAULT_SEEDS = 5
+LOAD_SEEDS = 2
+"""Scenarios with many queries take longest and have few faults that a seed can move."""
+EVERYTHING_SEEDS = 200
 
 
 def _no_faults(_: random.Random) -> list[Step]:
@@ -43,8 +46,7 @@
 class Scenario:
     """One experiment.
 
-    :param with_baseline: whether the simplest policy runs too, on the same seed and trace.
-    :param without_noise: the same topology without its noisy tenant, for "alone" figures.
+    :param proof_seeds: how many seeds ``make proof`` plays.
     """
 
     name: str
@@ -52,18 +54,7 @@
     topology: Callable[[], Topology]
     duration_s: float
     steps: MakeSteps = _no_faults
-    with_baseline: bool = False
-    without_noise: Callable[[], Topology] | None = None
-
-    def with_parameter(self, name: str, value: float) -> Scenario:
-        """Return the scenario on a topology with one parameter set; see ``PARAMETERS``."""
-
-        def make() -> Topology:
-            topology = self.topology()
-            set_parameter(topology, name, value)
-            return topology
-
-        return replace(self, topology=make)
+    proof_seeds: int = FAULT_SEEDS
 
 
 def _tenants(total: float, noisy_factor: float) -> tuple[TenantLoad, ...]:
@@ -208,7 +199,7 @@
         "no fault; one service, fan-out 130 over 130 back ends, 4 nodes",
         lambda: wide_service(rate=100.0),
         10.0,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "straggler",
@@ -216,7 +207,7 @@
         lambda: wide_service(rate=100.0),
         10.0,
         _straggler,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "replica-loss",
@@ -224,7 +215,7 @@
         lambda: both_deployments(rate=20.0),
         10.0,
         _replica_loss,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "cold-start",
@@ -232,7 +223,7 @@
         lambda: both_deployments(rate=20.0),
         10.0,
         _cold_start,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "lying-health",
@@ -240,7 +231,7 @@
         lambda: both_deployments(rate=20.0),
         10.0,
         _lying_health,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "repartition",
@@ -261,8 +252,7 @@
         "four tenants with weights 1:2:4:8 at 0.7 of capacity, the first at 10 times its share",
         lambda: shared_service(_tenants(0.7, 10.0), 1000),
         10.0,
-        with_baseline=True,
-        without_noise=lambda: shared_service(_tenants(0.7, 1.0), 1000),
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "fair-shares",
@@ -271,14 +261,14 @@
             tuple(TenantLoad(name, weight, 2.0) for name, weight in WEIGHTS.items()), 1000
         ),
         8.0,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "overload",
         "twice the capacity: interactive 0.5, batch 1.5",
         lambda: _overload(retries=0, load=2.0),
         10.0,
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "retry-storm",
@@ -286,7 +276,7 @@
         lambda: _overload(retries=3, load=1.2),
         10.0,
         lambda _: [Step(3.0, faults.slow_everything(3.0, 2.0))],
-        with_baseline=True,
+        proof_seeds=LOAD_SEEDS,
     ),
     Scenario(
         "drain",
@@ -350,6 +340,7 @@
         lambda: with_purchases(rate=5.0, purchases=5.0),
         12.0,
         random_steps,
+        proof_seeds=EVERYTHING_SEEDS,
     ),
 )
 
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -274,34 +274,3 @@
     names = tuple(tenant.name for tenant in tenants)
     spec = ServiceSpec(region=PLATA_REGION, tenants=names)
     deployment.replace(Kind.SERVICE, SHARED_SERVICE, spec)
-
-
-PARAMETERS = ("load", "service_ms", "nodes_per_zone", "coordinators")
-
-
-def set_parameter(topology: Topology, name: str, value: float) -> None:
-    """Set one of ``PARAMETERS``.
-
-    ``load`` multiplies every rate; ``coordinators`` is that of every service.
-    """
-    if name == "load":
-        topology.streams = [replace(one, rate=one.rate * value) for one in topology.streams]
-    elif name == "service_ms":
-        topology.service_median_s = value / 1000
-    elif name == "nodes_per_zone":
-        topology.nodes_per_zone = int(value)
-    else:
-        for raw in tuple(topology.deployment.resources):
-            if raw.kind == Kind.SERVICE.value:
-                spec = msgspec.json.decode(raw.spec, type=ServiceSpec)
-                changed = msgspec.structs.replace(spec, coordinators=int(value))
-                topology.deployment.replace(Kind.SERVICE, raw.name, changed)
-
-
-def set_policies(deployment: Deployment, policies: dict[str, str]) -> None:
-    """Name policies in every query rule."""
-    for raw in tuple(deployment.resources):
-        if raw.kind == Kind.QUERY_RULE.value:
-            spec = msgspec.json.decode(raw.spec, type=QueryRuleSpec)
-            changed = msgspec.structs.replace(spec, policies=policies)
-            deployment.replace(Kind.QUERY_RULE, raw.name, changed)
