--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -1,4 +1,4 @@
-"""Shares, isolation and cost of the fair queue and the baseline.
+"""Shares, isolation and cost of the fair queue, by its burst.
 
 Virtual time, on a plain model of back ends.
 
@@ -21,7 +21,7 @@
 from functools import partial
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.call_queue import CallQueue, FirstInFirstOutQueue
+from tinrudder.node.decisions.load.call_queue import CallQueue
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_call import PendingCall
 from tinrudder.node.resources.model import Priority
@@ -59,14 +59,8 @@
         self.now = end
 
 
-QUEUES: dict[str, Callable[[Callable[[], float]], CallQueue]] = {
-    "fifo": lambda clock: FirstInFirstOutQueue(),
-    "burst-0": lambda clock: StartTimeFairQueue(clock, 0.0),
-    "burst-16": lambda clock: StartTimeFairQueue(clock, 16.0),
-    "burst-32": lambda clock: StartTimeFairQueue(clock, 32.0),
-    "burst-64": lambda clock: StartTimeFairQueue(clock, 64.0),
-    "burst-128": lambda clock: StartTimeFairQueue(clock, 128.0),
-}
+BURSTS = (0.0, 16.0, 32.0, 64.0, 128.0)
+"""Calls by which a tenant may be served ahead of its share after idleness."""
 
 
 @dataclass
@@ -128,10 +122,10 @@
         on_done()
 
 
-def measure_shares(name: str, seed: int) -> float:
+def measure_shares(burst: float, seed: int) -> float:
     """Return the largest relative error of the shares 1:2:4:8, all tenants backlogged 60 s."""
     clock = VirtualTime()
-    service = Service(clock, QUEUES[name](clock.time), random.Random(seed))
+    service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
 
     def keep_going(tenant: str, weight: int) -> None:
         service.submit(tenant, weight, 0, lambda: keep_going(tenant, weight))
@@ -188,10 +182,10 @@
         self.noise_waiting -= 1
 
 
-def measure_isolation(name: str, seed: int, *, noisy: bool) -> list[float]:
+def measure_isolation(burst: float, seed: int, *, noisy: bool) -> list[float]:
     """Return the latencies of light tenants' queries over 60 s."""
     clock = VirtualTime()
-    service = Service(clock, QUEUES[name](clock.time), random.Random(seed + 2000))
+    service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed + 2000))
     isolation = Isolation(service, random.Random(seed), random.Random(seed + 1000))
     for number in range(3):
         tenant = f"light{number}"
@@ -202,10 +196,10 @@
     return isolation.latencies
 
 
-def measure_stall(name: str, seed: int) -> float:
+def measure_stall(burst: float, seed: int) -> float:
     """Return the longest time without a call of a tenant, long alone, when an equal arrives."""
     clock = VirtualTime()
-    service = Service(clock, QUEUES[name](clock.time), random.Random(seed))
+    service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
     done_at: list[float] = []
 
     def keep_going(tenant: str) -> None:
@@ -223,9 +217,9 @@
     return max(after - before for before, after in itertools.pairwise(done_at))
 
 
-def measure_cost(name: str, tenants: int, backends: int) -> float:
+def measure_cost(burst: float, tenants: int, backends: int) -> float:
     """Return microseconds of one push and one pop, with eight calls waiting per tenant."""
-    queue = QUEUES[name](lambda: 0.0)
+    queue = StartTimeFairQueue(lambda: 0.0, burst)
     records = [BackendRecord(f"b{n}", "127.0.0.1", 1, "z", 3, 3) for n in range(backends)]
 
     def call_of(number: int) -> PendingCall:
@@ -252,27 +246,27 @@
 
 
 def main() -> None:
-    """Measure every queue."""
+    """Measure every burst."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(parser.parse_args().seeds)
     results: dict[str, dict[str, float]] = {}
-    for name in QUEUES:
-        alone = [measure_isolation(name, seed, noisy=False) for seed in seeds]
-        beside = [measure_isolation(name, seed, noisy=True) for seed in seeds]
+    for burst in BURSTS:
+        alone = [measure_isolation(burst, seed, noisy=False) for seed in seeds]
+        beside = [measure_isolation(burst, seed, noisy=True) for seed in seeds]
         ratios = [quantile(b, 0.99) / quantile(a, 0.99) for a, b in zip(alone, beside, strict=True)]
-        results[name] = {
-            "share_error": statistics.median(measure_shares(name, seed) for seed in seeds),
+        results[f"{burst:g}"] = {
+            "share_error": statistics.median(measure_shares(burst, seed) for seed in seeds),
             "alone_p99_ms": statistics.median(quantile(a, 0.99) * 1e3 for a in alone),
             "beside_p99_ms": statistics.median(quantile(b, 0.99) * 1e3 for b in beside),
             "p99_ratio": statistics.median(ratios),
-            "stall_ms": statistics.median(measure_stall(name, seed) * 1e3 for seed in seeds),
-            "us_8_tenants_4_backends": measure_cost(name, 8, 4),
-            "us_500_tenants_4_backends": measure_cost(name, 500, 4),
-            "us_500_tenants_200_backends": measure_cost(name, 500, 200),
+            "stall_ms": statistics.median(measure_stall(burst, seed) * 1e3 for seed in seeds),
+            "us_8_tenants_4_backends": measure_cost(burst, 8, 4),
+            "us_500_tenants_4_backends": measure_cost(burst, 500, 4),
+            "us_500_tenants_200_backends": measure_cost(burst, 500, 200),
         }
-        row = "  ".join(f"{key} {value:8.4f}" for key, value in results[name].items())
-        print(f"{name:14} {row}", flush=True)
+        row = "  ".join(f"{key} {value:8.4f}" for key, value in results[f"{burst:g}"].items())
+        print(f"burst {burst:5g} {row}", flush=True)
     print(json.dumps(results))
 
 
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -18,11 +18,7 @@
 
 from bench.fair_queue import VirtualTime, quantile
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.backend_limit import (
-    AdaptiveLimit,
-    BackendLimitPolicy,
-    FixedLimit,
-)
+from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_call import PendingCall
 from tinrudder.node.resources.model import Priority
@@ -35,10 +31,6 @@
 DURATION_S = 20.0
 LIGHT_SHARE = 0.5
 HEADROOM = 2.0
-POLICIES: dict[str, Callable[[], BackendLimitPolicy]] = {
-    "fixed": FixedLimit,
-    "adaptive": AdaptiveLimit,
-}
 
 
 @dataclass(frozen=True, slots=True)
@@ -83,7 +75,6 @@
     """One run."""
 
     case: Case
-    policy: BackendLimitPolicy
     source: random.Random
     clock: VirtualTime = field(default_factory=VirtualTime)
     latencies: list[float] = field(default_factory=list)
@@ -93,6 +84,7 @@
     def __post_init__(self) -> None:
         """Make the back ends."""
         self.queue = StartTimeFairQueue(self.clock.time)
+        self.limit = AdaptiveLimit()
         share = self.case.share
         self.backends = {}
         for number in range(BACKENDS):
@@ -185,14 +177,14 @@
 
         def answered() -> None:
             self.answered += 1
-            self.policy.on_answer(record)
+            self.limit.on_answer(record)
             record.in_flight -= 1
             done()
             self._fill(record)
 
         def refused() -> None:
             self.shed += 1
-            self.policy.on_shed(record, sent_at, self.clock.now)
+            self.limit.on_shed(record, sent_at, self.clock.now)
             record.in_flight -= 1
             self._submit(tenant, shard, done)
 
@@ -203,9 +195,9 @@
         return SERVICE_S * factor * self.source.lognormvariate(0.0, SIGMA)
 
 
-def measure(case: Case, policy: str, seeds: range) -> dict[str, float]:
+def measure(case: Case, seeds: range) -> dict[str, float]:
     """Return medians over the seeds."""
-    runs = [Bench(case, POLICIES[policy](), random.Random(seed)) for seed in seeds]
+    runs = [Bench(case, random.Random(seed)) for seed in seeds]
     for run in runs:
         run.run()
     limits = [statistics.mean(record.limit for record in run.records) for run in runs]
@@ -218,18 +210,16 @@
 
 
 def main() -> None:
-    """Measure every policy in every case."""
+    """Measure every case."""
     parser = argparse.ArgumentParser(description="Limits of back ends, in virtual time.")
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(parser.parse_args().seeds)
-    results: dict[str, dict[str, dict[str, float]]] = {}
+    results: dict[str, dict[str, float]] = {}
     for case in CASES:
-        results[case.name] = {}
-        for policy in POLICIES:
-            figures = measure(case, policy, seeds)
-            results[case.name][policy] = figures
-            row = "  ".join(f"{name} {value:9.3f}" for name, value in figures.items())
-            print(f"{case.name:18} {policy:9} {row}", flush=True)
+        figures = measure(case, seeds)
+        results[case.name] = figures
+        row = "  ".join(f"{name} {value:9.3f}" for name, value in figures.items())
+        print(f"{case.name:18} {row}", flush=True)
     print(json.dumps(results))
 
 
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,9 +1,8 @@
 """Goodput over offered load: what callers get in time when more comes than back ends can do.
 
 Plays the emulator (real gateways, virtual time, emulated back ends): a site of several gateways and
-one index.  Less urgent scatters make up the load, a few urgent ones come beside them.  Three ways
-on the same seeds: ``standing``, refusals by chance from reported queues; ``none``, no admission;
-``gate``, scatters wait whole at the gateway.
+one index.  Less urgent scatters make up the load, a few urgent ones come beside them.  Two ways
+on the same seeds: ``none``, no admission; ``gate``, scatters wait whole at the gateway.
 
 Run as ``python -m bench.overload [--ways gate,none] [--loads 1,2] [--seed 1]``.
 """
@@ -18,8 +17,6 @@
 from dataclasses import dataclass
 from typing import Any
 
-from bench.share_admission import Admission
-from tinrudder.gateway.model.outcomes import NotRun
 from tinrudder.gateway.scatters.scatter_admission import ScatterAdmission, Ticket
 from tinrudder_lab.emulator.records import ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
@@ -134,25 +131,7 @@
     gate._start(ticket)
 
 
-def by_chance(gate: ScatterAdmission, ticket: Ticket) -> None:
-    """Refuse by chance from reported queues, as single requests are."""
-    entrance = ticket.entrance
-    admission: Admission = gate.__dict__.setdefault(
-        "admission", Admission(gate._call_context, gate._random)
-    )
-    coordination = gate._delegation_context.coordinators.of_route(entrance.route)
-    shards = coordination.own_shards(gate._index)
-    refusal: NotRun | None = admission.refusal(
-        entrance.route, shards, entrance.deadlines, entrance.priority, entrance.tenant
-    )
-    if refusal is None:
-        gate._start(ticket)
-    else:
-        entrance.refuse(refusal, entrance.deadlines.received_at)
-
-
 WAYS: dict[str, Callable[[ScatterAdmission, Ticket], None]] = {
-    "standing": by_chance,
     "none": admit_all,
     "gate": ScatterAdmission.enter,
 }
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -19,7 +19,6 @@
 
 from bench.fair_queue import VirtualTime
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.gateway.decisions.admission.load_forecast import admission_share
 from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import (
     AdmittedShare,
@@ -73,42 +72,12 @@
 """Calls of one request at most."""
 RETRY_PAUSE_S = 0.03
 """Pause after a call that was turned away, times the calls of its request until then."""
-OWN_RETRY_AFTER_SHARE = 0.3
-"""Part of its time left after which a refused client comes back where gateways do not judge."""
 OWN_RETRY_AFTER_S = 0.1
 """Wait that a pause is reckoned from where the budget allows no other call."""
 ANSWER_MARGIN_S = 0.015
 """How long before its objective an answer leaves."""
 
 
-@dataclass(frozen=True)
-class Way:
-    """How gateways decide.
-
-    :param judges: they judge by all back ends, else by the least wait that is known, and only after
-        twenty calls of their own that left no queue.
-    :param news: they tell each other of long queues.
-    :param passes_on: a datagram has all that its sender knows of the service, with ages.
-    :param of_two: they choose the better of two back ends drawn by chance, under pressure.
-    """
-
-    name: str
-    judges: bool = True
-    news: bool = True
-    passes_on: bool = False
-    of_two: bool = True
-
-
-WAYS = (
-    Way("standing", judges=False, news=False, of_two=False),
-    Way("own", news=False),
-    Way("least wait", judges=False),
-    Way("best of all", of_two=False),
-    Way("news"),
-    Way("passed on", passes_on=True),
-)
-
-
 @dataclass(eq=False)
 class Request:
     """One request of a client, over both of its tries."""
@@ -180,30 +149,23 @@
     def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
         """Judge a request."""
         usual_s = self.usual_s()
-        if self.fleet.way.judges:
-            return judge(
-                self.known,
-                now,
-                usual_s,
-                left_s,
-                priority_steps=0,
-                returning=returning,
-                late=late,
-            )
-        if len(self.unloaded) < MINIMUM_OBSERVATIONS and not self.fleet.way.news:
-            return AdmittedShare(1.0, 0.0)
-        wait_s = min(one.wait_s(now, usual_s) for one in self.known)
-        share = admission_share(wait_s, usual_s, left_s, priority_steps=0, returning=returning)
-        return AdmittedShare(share, wait_s)
+        return judge(
+            self.known,
+            now,
+            usual_s,
+            left_s,
+            priority_steps=0,
+            returning=returning,
+            late=late,
+        )
 
     def choose(self, now: float, avoided: set[int]) -> int:
         """Choose a back end."""
         fresh = [index for index in range(BACKENDS) if index not in avoided]
         candidates: Sequence[int] = fresh or list(range(BACKENDS))
-        if self.fleet.way.of_two:
-            candidates = two_of(candidates, self.known.__getitem__, now, self.fleet.source)
+        candidates = two_of(candidates, self.known.__getitem__, now, self.fleet.source)
         extra = {index: 0.0 for index in candidates}
-        if self.fleet.way.judges and len(candidates) == 2:
+        if len(candidates) == 2:
             least_s = least_work_s(self.known)
             extra = {index: extra_cost(self.known[index], least_s, now) for index in candidates}
         return min(
@@ -216,7 +178,7 @@
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
             self.pressed_at = now
-        if self.fleet.way.news and now - self.pressed_at < MOST_AGE_S:
+        if now - self.pressed_at < MOST_AGE_S:
             heard_at = self.known[index].reported_at
             self.pending.note(Noted(index, shed, self.unloaded.quantile(0.5), heard_at))
             self._tell_after(GATHER_S)
@@ -231,13 +193,6 @@
         now = self.fleet.clock.now
         peers = [one for one in self.fleet.gateways if one is not self]
         told, copies = self.pending.take(now, len(peers))
-        if self.fleet.way.passes_on and copies:
-            named = {one.backend for one in told}
-            told += [
-                Noted(index, False, 0.0, self.known[index].reported_at)
-                for index in range(BACKENDS)
-                if index not in named
-            ]
         loads = (tell_load(one, self.known[one.backend], now) for one in told)
         news = tuple(one for one in loads if one is not None)
         self.fleet.count["copies"] += copies
@@ -261,7 +216,6 @@
 class Fleet:
     """Gateways, back ends and clients."""
 
-    way: Way
     load: float
     seconds: float
     seed: int
@@ -340,11 +294,8 @@
         if request.tries > 1:
             self.count["refused twice"] += request.counted
             return
-        if self.way.judges:
-            chance = self.source.random()
-            pause_s = retry_after_by_share_s(judgement.wait_s, judgement.share, left_s, chance)
-        else:
-            pause_s = left_s * OWN_RETRY_AFTER_SHARE * self.source.uniform(0.5, 1.0)
+        chance = self.source.random()
+        pause_s = retry_after_by_share_s(judgement.wait_s, judgement.share, left_s, chance)
         self.clock.call_at(now + min(pause_s, left_s / 3), lambda: self._enter(request))
 
     def served(self, request: Request) -> None:
@@ -398,7 +349,7 @@
         if load is None:
             fleet.count["shed"] += self.request.counted
             known.failed(running, now)
-            if fleet.way.judges and known.shed(now):
+            if known.shed(now):
                 gateway.heard(index, 0, shed=True)
             self._rejected(now)
             return
@@ -416,7 +367,7 @@
         fleet, gateway = self.fleet, self.gateway
         usual_s = gateway.usual_s()
         left_s = self.objective_at - now
-        room = not fleet.way.judges or has_room(gateway.known, now, usual_s, left_s)
+        room = has_room(gateway.known, now, usual_s, left_s)
         if not room or self.tries >= MOST_SENDS:
             judgement = gateway.judge(now, left_s, returning=True, late=False)
             fleet.refuse(self.request, judgement)
@@ -427,29 +378,32 @@
 
 
 def main() -> None:
-    """Run all ways at all loads."""
+    """Run all loads."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--size", type=int, default=113)
     parser.add_argument("--objective", type=float, default=OBJECTIVE_S)
     parser.add_argument("--slowdown", type=float, default=1.0, help="of the first back end")
-    parser.add_argument("--ways", default="")
     arguments = parser.parse_args()
     results = []
     print(f"{arguments.size} gateways, {CAPACITY:.1f} requests a second can be done")
-    for way in WAYS:
-        if arguments.ways and way.name not in arguments.ways.split("|"):
-            continue
-        for load in LOADS:
-            runs = [
-                Fleet(way, load, arguments.seconds, seed, arguments.size, arguments.objective).run()
-                for seed in range(arguments.seeds)
-            ]
-            mean = {key: statistics.mean(run[key] for run in runs) for key in runs[0]}
-            results.append({"way": way.name, "load": load} | mean)
-            shown = " ".join(f"{key} {value:.3f}" for key, value in mean.items())
-            print(f"{way.name:14} {load:4} {shown}", flush=True)
+    for load in LOADS:
+        runs = [
+            Fleet(
+                load,
+                arguments.seconds,
+                seed,
+                arguments.size,
+                arguments.objective,
+                arguments.slowdown,
+            ).run()
+            for seed in range(arguments.seeds)
+        ]
+        mean = {key: statistics.mean(run[key] for run in runs) for key in runs[0]}
+        results.append({"load": load} | mean)
+        shown = " ".join(f"{key} {value:.3f}" for key, value in mean.items())
+        print(f"{load:4} {shown}", flush=True)
     print(json.dumps(results))
 
 
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -66,8 +66,6 @@
 """In means."""
 REMEMBERED_S = 1.0
 MILLISECONDS = 1000.0
-SLOW_MOMENT = 1.6
-"""Reported slowdown from which on a moment counts as slow."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -245,8 +243,6 @@
     """The product: the own zone first, hedges when they buy most, not later than by medians."""
 
     name = "product"
-    shared_s: float | None = None
-    """After what time a report reaches all callers; ``None``: only who got the answer."""
 
     def choose(self, world: World, shard: Shard, candidates: list[int]) -> int:
         """Return the replica for the next call."""
@@ -283,22 +279,6 @@
         return math.inf if age_s is None else min(overdue_at, now + age_s)
 
 
-class ByGainAlone(Way):
-    """Hedges when a second call buys most, however late that is."""
-
-    name = "hedged by gain alone"
-
-    def hedge_at(self, shard: Shard, now: float) -> float:
-        """Return when a call that is sent now is hedged."""
-        caller, kind = shard.scatter.caller, shard.scatter.kind
-        fill = caller.fill(shard.number, now)
-        moments = caller.hedges[kind.name]
-        if not moments.is_known:
-            return now + hedge_delay_s(caller.latencies[kind.name], kind.objective_s, fill)
-        age_s = moments.age_s(shard.scatter.leaves_at - now, fill)
-        return math.inf if age_s is None else now + age_s
-
-
 class ByMedians(Way):
     """Hedges after so many medians, by how full the budget is, for all calls alike."""
 
@@ -311,16 +291,6 @@
         return now + hedge_delay_s(caller.latencies[kind.name], kind.objective_s, fill)
 
 
-class NoHedge(Way):
-    """The product's choice alone."""
-
-    name = "not hedged"
-
-    def hedge_at(self, shard: Shard, now: float) -> float:
-        """Hedge never."""
-        return math.inf
-
-
 class RandomReplica(Way):
     """Knows nothing of replicas."""
 
@@ -348,76 +318,7 @@
         return min(candidates, key=answered_at)
 
 
-class OracleByMedians(Oracle, ByMedians):
-    """What the best choice gains with the former hedges."""
-
-    name = "oracle, by medians"
-
-
-class LeastExpected(Way):
-    """The own zone counts only for its shorter path."""
-
-    name = "least expected"
-
-    def advantage(
-        self, caller: Caller, kind: Kind, local: Sequence[BackendObservations], now: float
-    ) -> float:
-        """Return the least."""
-        return LEAST_ADVANTAGE
-
-
-class TwoChoices(LeastExpected):
-    """The better of two at random."""
-
-    name = "two at random"
-
-    def choose(self, world: World, shard: Shard, candidates: list[int]) -> int:
-        """Return the better of two."""
-        two = world.source.sample(candidates, min(2, len(candidates)))
-        return super().choose(world, shard, two)
-
-
-class YieldsToReports(Way):
-    """The own zone yields while its replica has lately reported a slow moment."""
-
-    name = "yields to reports"
-
-    def advantage(
-        self, caller: Caller, kind: Kind, local: Sequence[BackendObservations], now: float
-    ) -> float:
-        """Return the least while the own replica is slow."""
-        if any(seen.momentary_slowdown(now) > SLOW_MOMENT for seen in local):
-            return LEAST_ADVANTAGE
-        return super().advantage(caller, kind, local, now)
-
-
-class SharedReports(YieldsToReports):
-    """The same where reports reach all callers."""
-
-    name = "shared reports"
-    shared_s = 0.05
-
-
-WAYS: tuple[Way, ...] = (
-    RandomReplica(),
-    NoHedge(),
-    ByMedians(),
-    ByGainAlone(),
-    Way(),
-    OracleByMedians(),
-    Oracle(),
-    LeastExpected(),
-    TwoChoices(),
-    YieldsToReports(),
-    SharedReports(),
-)
-
-
-def _tell(
-    seen: BackendObservations, report: tuple[int, int, int], now: float, slowdown: float
-) -> None:
-    """Let a caller hear of a report."""
-    seen.reported(*report, now, slowdown)
+WAYS: tuple[Way, ...] = (RandomReplica(), ByMedians(), Way(), Oracle())
 
 
 class World:
@@ -520,7 +421,6 @@
         seen = scatter.caller.seen[shard.number][call.replica]
         seen.reported(*report, self.now, slowdown)
         seen.answered(call.running, self.now)
-        self._share(call, report, slowdown)
         scatter.caller.latencies[scatter.kind.name].observe(self.now - call.running.sent_at)
         if shard.done or scatter.left_at:
             return
@@ -529,16 +429,6 @@
         if scatter.included == SHARDS:
             scatter.left_at = self.now
 
-    def _share(self, call: Call, report: tuple[int, int, int], slowdown: float) -> None:
-        """Tell the other callers of a report, where they are told."""
-        if self.way.shared_s is None:
-            return
-        for caller in self.callers:
-            if caller is not call.shard.scatter.caller:
-                seen = caller.seen[call.shard.number][call.replica]
-                told_at = self.now + self.way.shared_s
-                self.at(told_at, partial(_tell, seen, report, told_at, slowdown))
-
     def _leave(self, scatter: Scatter) -> None:
         """Let an answer leave with what is in."""
         if not scatter.left_at:
--- a/tests/unit/gateway/decisions/test_decisions.py
+++ b/tests/unit/gateway/decisions/test_decisions.py
@@ -10,7 +10,6 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from bench.share_admission import wait_of_shards
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.decisions.admission.load_forecast import admission_share
 from tinrudder.gateway.decisions.attempts.answer_time import (
@@ -167,10 +166,6 @@
         assert admission_share(0.007, 0.025, left_s, priority_steps=1, returning=False) == 1.0
 
 
-def test_one_slow_shard_does_not_refuse_a_query() -> None:
-    assert wait_of_shards([0.0] * 15 + [9.0]) == 0.0
-
-
 def test_a_stalled_back_end_goes_behind_a_busy_one() -> None:
     stalled, busy = BackendObservations(slots=2), BackendObservations(slots=2)
     stalled.begin(0.0, 0.02)
--- a/tests/unit/node/test_fan_out.py
+++ b/tests/unit/node/test_fan_out.py
@@ -10,7 +10,7 @@
 from tests.support.fakes import ManualTimers, RecordingTransport
 from tinrudder.node.backends.messages import Broken, Draining, NotSent, Shed
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.call_queue import FirstInFirstOutQueue
+from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
 from tinrudder.node.decisions.service_routing import RoutingTable
 from tinrudder.node.outcomes import (
@@ -73,7 +73,10 @@
             for name in self.names
         )
         self.dispatcher = Dispatcher(
-            self.timers, self.transport, FirstInFirstOutQueue(), LeastLoadedReplica()
+            self.timers,
+            self.transport,
+            StartTimeFairQueue(self.timers.time),
+            LeastLoadedReplica(),
         )
         shards = tuple(
             PlannedShard(
--- a/tinrudder/node/decisions/load/admission.py
+++ b/tinrudder/node/decisions/load/admission.py
@@ -50,14 +50,6 @@
         """Return why the query is refused, ``None`` to start it."""
 
 
-class AdmitAll:
-    """Starts every query: the baseline."""
-
-    def check(self, demand: QueryDemand, now: float) -> Overload | None:
-        """Refuse nothing."""
-        return None
-
-
 class ExpectedWaitAdmission:
     """Refuses a query whose last needed shard is expected after its deadline.
 
--- a/tinrudder/node/decisions/load/backend_limit.py
+++ b/tinrudder/node/decisions/load/backend_limit.py
@@ -25,16 +25,6 @@
         """Learn of a call refused for load."""
 
 
-class FixedLimit:
-    """The share of the configured slots, whatever happens: the baseline."""
-
-    def on_answer(self, backend: BackendRecord) -> None:
-        """Learn nothing."""
-
-    def on_shed(self, backend: BackendRecord, sent_at: float, now: float) -> None:
-        """Learn nothing."""
-
-
 class AdaptiveLimit:
     """Additive increase while the limit is used, multiplicative decrease on refusals.
 
--- a/tinrudder/node/decisions/load/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -2,7 +2,6 @@
 
 from __future__ import annotations
 
-from collections import deque
 from dataclasses import dataclass
 from typing import Protocol
 
@@ -55,56 +54,3 @@
 
     def __len__(self) -> int:
         """Return the number of waiting calls."""
-
-
-class FirstInFirstOutQueue:
-    """Arrival order per back end: the baseline, fair to nobody.
-
-    When to use: to compare against.  Cost: the lowest.
-    """
-
-    def __init__(self) -> None:
-        """Start empty."""
-        self._by_backend: dict[str, deque[PendingCall]] = {}
-        self._size = 0
-
-    def push(self, call: PendingCall) -> None:
-        """Add a waiting call."""
-        call.waiting = True
-        self._size += 1
-        for backend in call.candidates:
-            backend.waiting += 1
-            self._by_backend.setdefault(backend.name, deque()).append(call)
-
-    def pop(self, backend: BackendRecord) -> PendingCall | None:
-        """Take the oldest call that ``backend`` may serve."""
-        queue = self._by_backend.get(backend.name)
-        while queue:
-            call = queue.popleft()
-            if call.waiting:
-                self.discard(call)
-                return call
-        return None
-
-    def pop_lagging(self, backend: BackendRecord) -> PendingCall | None:
-        """Take the oldest call: no tenant has a share here."""
-        return self.pop(backend)
-
-    def discard(self, call: PendingCall) -> None:
-        """Drop a call; its places in other queues are skipped when reached."""
-        if call.waiting:
-            call.waiting = False
-            self._size -= 1
-            for backend in call.candidates:
-                backend.waiting -= 1
-
-    def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
-        """Keep no accounts."""
-
-    def expected_wait_s(self, backend: BackendRecord, newcomer: Newcomer) -> float:
-        """Count everything that waits, whoever it belongs to."""
-        return (backend.waiting + newcomer.work) * newcomer.seconds_per_work
-
-    def __len__(self) -> int:
-        """Return the number of waiting calls."""
-        return self._size
