--- a/Makefile
+++ b/Makefile
@@ -23,6 +23,7 @@
 lint: setup
 	$(BIN)/ruff format --check .
 	$(BIN)/ruff check .
+	$(BIN)/vulture
 
 types: setup
 	$(BIN)/mypy
