--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -29,7 +29,7 @@
 from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, QueryDemand
 from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
 from tinrudder.node.environment import ReplyListener
--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -23,7 +23,7 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 from tinrudder.node.decisions.load.call_queue import CallQueue
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.resources.model import Priority
 
 SERVICE_MEDIAN_S = 0.004
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -20,7 +20,7 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.resources.model import Priority
 
 BACKENDS = 8
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -12,8 +12,11 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 from tinrudder.node.decisions.load.call_queue import Newcomer
 from tinrudder.node.decisions.load.fair_queue import SWEEP_SLACK, StartTimeFairQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
-from tinrudder.node.decisions.load.tenant_flow import COMPACTION_SLACK, MAX_PASSED_OVER
+from tinrudder.node.decisions.load.pending_calls import (
+    COMPACTION_SLACK,
+    MAX_PASSED_OVER,
+    PendingCall,
+)
 from tinrudder.node.resources.model import Priority
 
 WEIGHTS = {"a": 1, "b": 2, "c": 8}
--- a/tinrudder/node/decisions/load/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -6,7 +6,7 @@
 from typing import Protocol
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.resources.model import Priority
 
 
--- a/tinrudder/node/decisions/load/fair_queue.py
+++ b/tinrudder/node/decisions/load/fair_queue.py
@@ -15,8 +15,7 @@
 
 from tinrudder.node.decisions.backend_record import BackendRecord
 from tinrudder.node.decisions.load.call_queue import Newcomer
-from tinrudder.node.decisions.load.pending_call import PendingCall
-from tinrudder.node.decisions.load.tenant_flow import TenantFlow
+from tinrudder.node.decisions.load.pending_calls import PendingCall, TenantFlow
 
 DEFAULT_BURST = 64.0
 DEFAULT_LAG = 4.0
--- a/tinrudder/node/decisions/load/tenant_flow.py
+++ b/tinrudder/node/decisions/load/pending_calls.py
@@ -1,12 +1,18 @@
-"""Calls of one tenant that wait for one back end, in three priority classes."""
+"""Calls that wait for room at a back end: one call, and one tenant's calls at one back end.
+
+Owns the order within a tenant: three priority classes, none passed over without end.  Relies on
+the queue (``fair_queue``) for the order among tenants and for taking a call out of every flow.
+"""
 
 from __future__ import annotations
 
 from collections import deque
+from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.service_pace import NEVER, ServicePace
+from tinrudder.node.decisions.replica_choice import ReplicaChoicePolicy
 from tinrudder.node.resources.model import Priority
 
 CLASS_RANK: dict[Priority, int] = {
@@ -19,39 +25,34 @@
 COMPACTION_SLACK = 64
 
 
-PACE_SMOOTHING = 0.05
-PACE_MINIMUM_SAMPLES = 8
-NEVER = -1.0
+def _ignore_shed() -> None:
+    """Do nothing: for callers that only watch their deadline."""
 
 
 @dataclass(slots=True, eq=False)
-class ServicePace:
-    """How fast a tenant's waiting calls are taken, by observation.
-
-    :param seconds_per_work: smoothed; times in which nothing waited do not count.
-    :param last_at: when a call was last taken while more waited, else ``NEVER``.
+class PendingCall:
+    """A call that wants any one of its candidate back ends.
+
+    :param cost: estimated work, in shards.
+    :param deadline: monotonic time after which it is not worth sending.
+    :param choice: how a replica is chosen among the candidates with room.
+    :param on_dispatch: called with the chosen back end once there is room.
+    :param on_shed: called instead when the call can no longer be answered in time, or its
+        tenant has no queue place left; nothing of it was sent.
+    :param places: where it stands in the queue; owned by the queue.
     """
 
-    seconds_per_work: float = 0.0
-    samples: int = 0
-    last_at: float = NEVER
-
-    @property
-    def is_known(self) -> bool:
-        """Tell whether enough was observed."""
-        return self.samples >= PACE_MINIMUM_SAMPLES
-
-    def observe(self, now: float, work: float, *, more: bool) -> None:
-        """Learn that a call was taken.
-
-        :param more: whether the tenant has more calls waiting.
-        """
-        if self.last_at != NEVER:
-            sample = (now - self.last_at) / work
-            self.samples += 1
-            weight = max(PACE_SMOOTHING, 1.0 / self.samples)
-            self.seconds_per_work += weight * (sample - self.seconds_per_work)
-        self.last_at = now if more else NEVER
+    tenant: str
+    weight: int
+    priority: Priority
+    cost: float
+    candidates: tuple[BackendRecord, ...]
+    deadline: float
+    on_dispatch: Callable[[BackendRecord], None]
+    on_shed: Callable[[], None] = _ignore_shed
+    choice: ReplicaChoicePolicy | None = None
+    waiting: bool = False
+    places: tuple[TenantFlow, ...] = ()
 
 
 @dataclass(slots=True, eq=False)
--- a/tinrudder/node/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -6,7 +6,7 @@
 
 from tinrudder.node.backends.messages import SearchRequest
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.query.dispatcher import Dispatcher
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.node.query.shard_progress import ShardProgress
--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -24,7 +24,7 @@
     BackendLimitPolicy,
 )
 from tinrudder.node.decisions.load.call_queue import CallQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
 from tinrudder.node.decisions.replica_choice import ReplicaChoicePolicy
 from tinrudder.node.environment import BackendTransport
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -17,7 +17,7 @@
     VersionGone,
 )
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.outcomes import (
     Answer,
     Complete,
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -6,7 +6,7 @@
 
 from tinrudder.node.backends.messages import BackendReply, ShardRows
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.outcomes import MissingReason
 from tinrudder.node.query.dispatcher import SentCall
 from tinrudder.node.query.plan import PlannedShard
