--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -26,8 +26,8 @@
     SearchRequest,
 )
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, QueryDemand
 from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.expected_wait_admission import ExpectedWaitAdmission, QueryDemand
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -23,7 +23,7 @@
     ShardRows,
 )
 from tinrudder.node.decisions.backend_table import BackendTable
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
+from tinrudder.node.decisions.load.expected_wait_admission import ExpectedWaitAdmission
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
--- a/tests/unit/node/decisions/test_admission.py
+++ b/tests/unit/node/decisions/test_admission.py
@@ -5,7 +5,11 @@
 import random
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, Overload, QueryDemand
+from tinrudder.node.decisions.load.expected_wait_admission import (
+    ExpectedWaitAdmission,
+    Overload,
+    QueryDemand,
+)
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.resources.model import Priority
--- a/tests/unit/node/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -11,8 +11,8 @@
 from tests.unit.node.test_fan_out import DEADLINE_S, request_of
 from tinrudder.node.backends.messages import Answered, SearchAnswer, ShardRows, Shed
 from tinrudder.node.decisions.backend_table import BackendTable
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
 from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.expected_wait_admission import ExpectedWaitAdmission
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -12,8 +12,8 @@
 from tinrudder.node.decisions.backend_table import BackendTable
 from tinrudder.node.decisions.coordinator_ranking import CoordinatorRanking
 from tinrudder.node.decisions.coordinator_set import SLOT_HEADROOM
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission
 from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.expected_wait_admission import ExpectedWaitAdmission
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
--- a/tinrudder/node/query/admission_gate.py
+++ b/tinrudder/node/query/admission_gate.py
@@ -6,7 +6,7 @@
 import random
 from collections.abc import Callable
 
-from tinrudder.node.decisions.load.admission import AdmissionPolicy, QueryDemand
+from tinrudder.node.decisions.load.expected_wait_admission import AdmissionPolicy, QueryDemand
 from tinrudder.node.decisions.load.tenant_usage import (
     Cap,
     QueryPermit,
