--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -71,7 +71,7 @@
     """One run."""
 
     def __init__(self, cluster: DemoCluster) -> None:
-        """Run against a cluster that has been started."""
+        """Run against a cluster, which is to be started before :meth:`run`."""
         self.cluster = cluster
         kinds = cluster.deployment.query_kinds
         self.callers = DemoCallers(cluster.nodes, kinds)
@@ -136,7 +136,7 @@
         counters = await self._counters(self.cluster.deployment.backends[VICTIM])
         self._received_by_dead += counters.received
         self._dead_backends.add(VICTIM)
-        self.cluster.kill_victim()
+        await self.cluster.kill_victim()
         self.events.append(f"killed back end {VICTIM}")
 
     async def _change_configuration(self) -> None:
@@ -163,8 +163,7 @@
         """Stop a node as planned; callers learn of it from its readiness alone."""
         node: DemoNode = self.cluster.nodes[STOPPED_NODE]
         started = time.monotonic()
-        self.cluster.processes.begin_stop(node.name)
-        code = await asyncio.to_thread(self.cluster.processes.wait, node.name)
+        code = await self.cluster.stop_node(node)
         self.timings.node_stop_s = round(time.monotonic() - started, 3)
         self.events.append(
             f"stopped node {node.name}: exit {code} after {self.timings.node_stop_s} s"
@@ -249,19 +248,23 @@
 def main() -> int:
     """Run the demo; non-zero on any violation."""
     with tempfile.TemporaryDirectory(prefix="tinrudder-demo-") as directory:
-        cluster = DemoCluster(Path(directory), VICTIM)
-        try:
-            cluster.start()
-            demo = Demo(cluster)
-            extra_load = asyncio.run(demo.run())
-        finally:
-            cluster.processes.stop_all()
+        demo = Demo(DemoCluster(Path(directory), VICTIM))
+        extra_load = asyncio.run(_play(demo))
         result = result_of(demo, extra_load)
     print_table(demo)
     print(msgspec.json.encode(result).decode())
     return 0 if _has_passed(result) else 1
 
 
+async def _play(demo: Demo) -> float:
+    """Start the processes, run, and end every process whatever happened."""
+    try:
+        await demo.cluster.start()
+        return await demo.run()
+    finally:
+        await demo.cluster.processes.stop_all()
+
+
 def _has_passed(result: DemoResult) -> bool:
     """Tell whether nothing was broken and callers were really served.
 
--- a/tinrudder_lab/demo_cluster.py
+++ b/tinrudder_lab/demo_cluster.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import itertools
+import signal
 import socket
 from dataclasses import dataclass
 from pathlib import Path
@@ -79,28 +80,34 @@
         self.nodes = make_nodes(first_port)
         self.deployment: Deployment = build_deployment(first_port + BACKEND_OFFSET)
 
-    def start(self) -> None:
+    async def start(self) -> None:
         """Start everything."""
-        self._start_platform()
-        self._start_backends()
+        await self._start_platform()
+        await self._start_backends()
         for node in self.nodes:
-            self._start_node(node)
+            await self._start_node(node)
 
-    def kill_victim(self) -> None:
+    async def kill_victim(self) -> None:
         """End the victim without warning."""
-        self.processes.kill("victim")
+        self.processes.send_signal("victim", signal.SIGKILL)
+        await self.processes.wait("victim")
+
+    async def stop_node(self, node: DemoNode) -> int | None:
+        """Stop a node as planned; return its exit code, ``None`` if it did not end."""
+        self.processes.send_signal(node.name, signal.SIGTERM)
+        return await self.processes.wait(node.name)
 
     def stopped_fields(self) -> list[StoppedFields]:
         """Return what every node logged at its end."""
         found = []
         for node in self.nodes:
-            for line in (self.directory / f"{node.name}.log").read_bytes().splitlines():
+            for line in self.processes.log_of(node.name).read_bytes().splitlines():
                 fields = _stopped_fields(line)
                 if fields is not None:
                     found.append(fields)
         return found
 
-    def _start_platform(self) -> None:
+    async def _start_platform(self) -> None:
         members = tuple(
             PlatformMember(node.name, node.zone, node.region, LOOPBACK, node.peer_port)
             for node in self.nodes
@@ -109,25 +116,25 @@
         path = self.directory / "platform.json"
         path.write_bytes(msgspec.json.encode(PlatformState(document, MemberList(1, members))))
         arguments = ("--port", str(self.platform_port), "--state", str(path))
-        self.processes.start("platform", "tinrudder_lab.platform_server", *arguments)
+        await self.processes.start("platform", "tinrudder_lab.platform_server", *arguments)
 
-    def _start_backends(self) -> None:
+    async def _start_backends(self) -> None:
         groups: list[list[str]] = [[] for _ in range(BACKEND_PROCESSES)]
         others = [name for name in self.deployment.backends if name != self.victim]
         for number, name in enumerate(others):
             groups[number % BACKEND_PROCESSES].append(name)
         for number, names in enumerate(groups):
-            self._start_backend_process(f"backends-{number}", names)
-        self._start_backend_process("victim", [self.victim])
+            await self._start_backend_process(f"backends-{number}", names)
+        await self._start_backend_process("victim", [self.victim])
 
-    def _start_backend_process(self, process: str, names: list[str]) -> None:
+    async def _start_backend_process(self, process: str, names: list[str]) -> None:
         arguments = ["--service-ms", str(SERVICE_MS)]
         for name in names:
             spec = self.deployment.backends[name]
             arguments += ["--backend", f"{name}:{spec.port}:{spec.slots}"]
-        self.processes.start(process, "tinrudder_lab.backend_server", *arguments)
+        await self.processes.start(process, "tinrudder_lab.backend_server", *arguments)
 
-    def _start_node(self, node: DemoNode) -> None:
+    async def _start_node(self, node: DemoNode) -> None:
         flags = [
             f"--name={node.name}",
             f"--zone={node.zone}",
@@ -136,7 +143,7 @@
             f"--peer-port={node.peer_port}",
             f"--platform-url={self.platform_url}",
         ]
-        self.processes.start(node.name, "tinrudder.cli.main", "serve", *flags)
+        await self.processes.start(node.name, "tinrudder.cli.main", "serve", *flags)
 
 
 def find_free_block() -> int:
--- a/tinrudder_lab/processes.py
+++ b/tinrudder_lab/processes.py
@@ -1,52 +1,82 @@
-"""Starts and ends the lab's own processes; remembers each by its id."""
+"""Starts, watches and ends the lab's own processes; the demo and the soak use it.
+
+Owns the processes of one run, each by its name, and their log files.  Relies on the running event
+loop to notice that one has ended.
+"""
 
 from __future__ import annotations
 
+import asyncio
 import signal
-import subprocess
 import sys
 from dataclasses import dataclass, field
 from pathlib import Path
 
 STOP_TIMEOUT_S = 20.0
+"""Seconds for a process to end after it was asked to, before it is killed: above the longest grace
+of a planned stop."""
 
 
 @dataclass
 class ProcessGroup:
-    """Processes of one run."""
+    """Processes of one run.
+
+    :param log_directory: where each has a log file, which goes on when it is started again.
+    """
 
     log_directory: Path
-    running: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
-
-    def start(self, name: str, module: str, *arguments: str) -> None:
-        """Run ``python -m module`` with its output in a log file of its own."""
-        log = (self.log_directory / f"{name}.log").open("wb")
-        command = [sys.executable, "-m", module, *arguments]
-        self.running[name] = subprocess.Popen(command, stdout=log, stderr=log)
-        log.close()
-
-    def kill(self, name: str) -> None:
-        """End a process without warning."""
-        process = self.running.pop(name)
-        process.kill()
-        process.wait()
-
-    def begin_stop(self, name: str) -> None:
-        """Ask a process to stop."""
-        self.running[name].send_signal(signal.SIGTERM)
-
-    def wait(self, name: str) -> int:
-        """Wait for a process that was asked to stop; return its exit code."""
-        return self.running.pop(name).wait(STOP_TIMEOUT_S)
-
-    def stop_all(self) -> None:
-        """End everything that still runs."""
-        for process in self.running.values():
-            process.send_signal(signal.SIGCONT)
-            process.terminate()
-        for process in self.running.values():
-            try:
-                process.wait(STOP_TIMEOUT_S)
-            except subprocess.TimeoutExpired:
-                process.kill()
-        self.running.clear()
+    _processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
+
+    def log_of(self, name: str) -> Path:
+        """Return the log file of a process."""
+        return self.log_directory / f"{name}.log"
+
+    async def start(self, name: str, module: str, *arguments: str) -> None:
+        """Run ``python -m module`` with its output in its log file."""
+        command = (sys.executable, "-m", module, *arguments)
+        with self.log_of(name).open("ab") as log:
+            self._processes[name] = await asyncio.create_subprocess_exec(
+                *command, stdout=log, stderr=log
+            )
+
+    def pid_of(self, name: str) -> int | None:
+        """Return the id of a process, ``None`` unless it runs."""
+        process = self._processes.get(name)
+        return process.pid if process is not None and process.returncode is None else None
+
+    def send_signal(self, name: str, number: signal.Signals) -> None:
+        """Send a signal to a process, if it runs."""
+        if self.pid_of(name) is not None:
+            self._processes[name].send_signal(number)
+
+    async def wait(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
+        """Wait until a process has ended; return its exit code, ``None`` if it has not."""
+        try:
+            async with asyncio.timeout(timeout_s):
+                return await self._processes[name].wait()
+        except TimeoutError:
+            return None
+
+    def ended(self) -> dict[str, int]:
+        """Return the exit codes of the processes that have ended and were not started again."""
+        return {
+            name: process.returncode
+            for name, process in self._processes.items()
+            if process.returncode is not None
+        }
+
+    async def stop_all(self) -> None:
+        """Ask everything that still runs to stop, also what sleeps; kill what does not."""
+        for name in self._processes:
+            self.send_signal(name, signal.SIGCONT)
+            self.send_signal(name, signal.SIGTERM)
+        for name in self._processes:
+            await self.wait(name)
+        await self.kill_all()
+
+    async def kill_all(self) -> None:
+        """End everything that still runs without warning."""
+        for name in self._processes:
+            self.send_signal(name, signal.SIGKILL)
+        for process in self._processes.values():
+            await process.wait()
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -5,7 +5,6 @@
 import asyncio
 import contextlib
 import signal
-import sys
 from collections.abc import AsyncIterator
 from dataclasses import dataclass, field
 from pathlib import Path
@@ -24,6 +23,7 @@
     EmulatedNode,
     EmulatedSite,
 )
+from tinrudder_lab.processes import ProcessGroup
 from tinrudder_lab.soak.proxy import LinkProxy
 
 LOOPBACK = 127
@@ -50,11 +50,15 @@
     folder: Path = field(default_factory=Path)
     network: int = LOOPBACK
     links: dict[str, LinkProxy] = field(default_factory=dict)
-    processes: dict[str, asyncio.subprocess.Process] = field(default_factory=dict)
+    processes: ProcessGroup = field(init=False)
     problems: list[str] = field(default_factory=list)
     peak_mb: float = 0.0
     _locks: dict[str, asyncio.Lock] = field(default_factory=dict)
 
+    def __post_init__(self) -> None:
+        """Keep the gateways' logs in the folder."""
+        self.processes = ProcessGroup(self.folder)
+
     async def reachable_at(self, backend_id: str, address: Address) -> Address:
         """Put a proxy before a back end."""
         proxied = Address(address.host.replace("127.128.", "127.129."), BACKEND_PORT)
@@ -74,20 +78,11 @@
         await self._link_to_store(node)
         settings = self.folder / f"{node.name}.toml"
         settings.write_text(self._settings_text(node))
-        path = self.folder / f"{node.name}.log"
-        with path.open("ab") as log:
-            before = log.tell()
-            self.processes[node.name] = await asyncio.create_subprocess_exec(
-                sys.executable,
-                "-m",
-                "tinrudder.cli.gateway_process",
-                "--settings",
-                str(settings),
-                stdout=log,
-                stderr=log,
-            )
-
-        await self._wait_for_first_line(node, path, before)
+        log = self.processes.log_of(node.name)
+        before = log.stat().st_size if log.exists() else 0
+        arguments = ("--settings", str(settings))
+        await self.processes.start(node.name, "tinrudder.cli.gateway_process", *arguments)
+        await self._wait_for_first_line(node, log, before)
 
     async def _wait_for_first_line(self, node: EmulatedNode, path: Path, before: int) -> None:
         """Wait until a process has written to its log."""
@@ -110,9 +105,7 @@
 
     def signal_node(self, node: EmulatedNode, number: signal.Signals) -> None:
         """Send a signal to a gateway that this soak started."""
-        process = self.processes.get(node.name)
-        if process is not None and process.returncode is None:
-            process.send_signal(number)
+        self.processes.send_signal(node.name, number)
 
     def kill_node(self, node: EmulatedNode) -> None:
         """Kill a gateway's process."""
@@ -120,26 +113,17 @@
 
     async def wait_for_end(self, node: EmulatedNode) -> int | None:
         """Wait until a gateway's process has ended; return its code, ``None`` if it has not."""
-        try:
-            async with asyncio.timeout(STOP_TIMEOUT_S):
-                return await self.processes[node.name].wait()
-        except TimeoutError:
-            return None
+        return await self.processes.wait(node.name, STOP_TIMEOUT_S)
 
     def ended_by_themselves(self) -> list[str]:
         """Name the gateways that are not running although nothing ended them."""
         return [
-            f"own exit: {name} ended with {process.returncode}"
-            for name, process in self.processes.items()
-            if process.returncode is not None
+            f"own exit: {name} ended with {code}" for name, code in self.processes.ended().items()
         ]
 
     async def close(self) -> None:
         """End every process that this soak started."""
-        for node in self.nodes:
-            self.kill_node(node)
-        for process in self.processes.values():
-            await process.wait()
+        await self.processes.kill_all()
         for link in self.links.values():
             link.close()
 
--- a/tinrudder_lab/soak/slow_readers.py
+++ b/tinrudder_lab/soak/slow_readers.py
@@ -78,11 +78,11 @@
 
 def peak_mb(site: ProcessSite, node: EmulatedNode) -> float:
     """Return the most that a gateway's process took so far, megabytes; 0 if it has ended."""
-    process = site.processes.get(node.name)
-    if process is None or process.returncode is not None:
+    process_id = site.processes.pid_of(node.name)
+    if process_id is None:
         return 0.0
     try:
-        text = Path(f"/proc/{process.pid}/status").read_text()
+        text = Path(f"/proc/{process_id}/status").read_text()
     except OSError:
         return 0.0
     found = _PEAK.search(text)
