--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -44,12 +44,14 @@
     parse_operator_credentials,
     read_cluster_keys,
 )
-from tinrudder.node.tls import Identity, TlsError
+from tinrudder.node.tls import Identity, TlsEdges, TlsError
 from tinrudder.node.wire.peer_transport import TcpPeerTransport
 
 EXIT_OK = 0
 EXIT_USAGE = 2
 CALLER_KEEP_ALIVE_S = 75
+"""Seconds for which an idle connection of a caller is kept.  Chosen, not measured: a caller that
+asks once a minute need not connect anew."""
 
 
 class CallerServer(uvicorn.Server):
@@ -98,9 +100,33 @@
         loop.add_signal_handler(signal_number, stop_requested.set)
     edges = build_edges(settings)
     platform = PlatformClient(settings.platform_url)
+    node = await _open_node(settings, edges, platform, cluster_keys)
+    await node.start()
+    tune_garbage_collection()
+    callers = _build_callers(node, settings, cluster_keys)
+    app = CloseWhenStopping(callers.app, node.lifecycle)
+    server = CallerServer(caller_config(settings, app, edges.callers))
+    serving = asyncio.create_task(server.serve())
+    reloading = asyncio.create_task(follow_files(edges, settings.tls_check_s))
+    await stop_requested.wait()
+    await node.leave()
+    server.should_exit = True
+    await serving
+    await node.stop()
+    reloading.cancel()
+    await platform.close()
+
+
+async def _open_node(
+    settings: NodeSettings,
+    edges: TlsEdges,
+    platform: PlatformClient,
+    cluster_keys: tuple[bytes, ...],
+) -> Node:
+    """Open the port for other nodes and build the node on it; nothing of it runs yet."""
     peers = TcpPeerTransport(settings.host, settings.peer_port, edges.peers)
     environment = Environment(
-        timers=loop,
+        timers=asyncio.get_running_loop(),
         wall_clock=time.time,
         random=random.Random(),
         backends=HttpBackendTransport(edges),
@@ -109,9 +135,14 @@
         cluster_keys=cluster_keys,
     )
     address = await peers.open()
-    node = Node(msgspec.structs.replace(settings, peer_port=address.port), environment)
-    await node.start()
-    tune_garbage_collection()
+    return Node(msgspec.structs.replace(settings, peer_port=address.port), environment)
+
+
+def _build_callers(
+    node: Node, settings: NodeSettings, cluster_keys: tuple[bytes, ...]
+) -> CallerApplication:
+    """Return the HTTP application of callers, with the routes of operators beside theirs."""
+    loop = asyncio.get_running_loop()
     metrics = NodeMetrics()
     show_node(metrics, node)
     explanations = NodeExplanations(node)
@@ -124,26 +155,13 @@
         loop, node.entry, node.configuration, CursorCodec(cluster_keys), observers
     )
     operators = parse_operator_credentials(settings.operator_credentials)
-    callers.app.router.routes.append(
-        operation_route(loop, node.operations, node.configuration, observers)
-    )
-    callers.app.router.routes.append(metrics_route(metrics, operators))
-    callers.app.router.routes.append(
-        explain_route(explanations.lookup.find, operators, node.configuration)
-    )
-    callers.app.router.routes.extend(health_routes(node.lifecycle, node.configuration))
-    callers.app.router.routes.extend(resource_routes(node))
-    app = CloseWhenStopping(callers.app, node.lifecycle)
-    server = CallerServer(caller_config(settings, app, edges.callers))
-    serving = asyncio.create_task(server.serve())
-    reloading = asyncio.create_task(follow_files(edges, settings.tls_check_s))
-    await stop_requested.wait()
-    await node.leave()
-    server.should_exit = True
-    await serving
-    await node.stop()
-    reloading.cancel()
-    await platform.close()
+    routes = callers.app.router.routes
+    routes.append(operation_route(loop, node.operations, node.configuration, observers))
+    routes.append(metrics_route(metrics, operators))
+    routes.append(explain_route(explanations.lookup.find, operators, node.configuration))
+    routes.extend(health_routes(node.lifecycle, node.configuration))
+    routes.extend(resource_routes(node))
+    return callers
 
 
 def caller_config(
--- a/tinrudder/node/query/coordinator.py
+++ b/tinrudder/node/query/coordinator.py
@@ -75,14 +75,8 @@
         if isinstance(permit, NotRun):
             return permit
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        fan_out = FanOut(
-            plan,
-            self._dispatcher,
-            self._timers,
-            partial(_settle, future),
-            self._planner,
-            permit,
-        )
+        settle = partial(_settle, future)
+        fan_out = FanOut(plan, self._dispatcher, self._timers, settle, self._planner, permit)
         self.in_progress += 1
         try:
             started = self._timers.time()
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -36,6 +36,7 @@
 from tinrudder.node.query.plan import Planner, QueryPlan
 from tinrudder.node.query.request import QueryRequest
 from tinrudder.node.resources.configuration import Configuration
+from tinrudder.node.resources.model import IndexSpec
 from tinrudder.node.wire.relay_codec import RelayCodecError, decode_outcome
 from tinrudder.timers import Timers, WallClock
 
@@ -132,14 +133,7 @@
         configuration = self._configuration()
         rule = configuration.rules.get(request.rule)
         index = configuration.indexes.get(request.index)
-        version = None
-        shards: tuple[str, ...] = ()
-        if index is not None:
-            newest = max(index.versions, key=lambda one: one.version)
-            version = newest.version
-            names = sorted(shard.shard for shard in newest.shards)
-            chosen = xxhash.xxh3_64_intdigest(request.request_key.encode()) % len(names)
-            shards = (names[chosen],)
+        version, shards = _shard_of(request, index) if index is not None else (None, ())
         query = QueryRequest(
             request.query_id,
             request.tenant,
@@ -291,6 +285,14 @@
             return MayHaveRun(MayHaveRunReason.ALREADY_CLAIMED, detail)
 
 
+def _shard_of(request: OperationRequest, index: IndexSpec) -> tuple[int, tuple[str, ...]]:
+    """Return the newest version, and the one shard of it that the request's key falls on."""
+    newest = max(index.versions, key=lambda one: one.version)
+    names = sorted(shard.shard for shard in newest.shards)
+    chosen = xxhash.xxh3_64_intdigest(request.request_key.encode()) % len(names)
+    return newest.version, (names[chosen],)
+
+
 def _outcome_of(answer: StoredAnswer) -> Outcome:
     """Turn the word of a key's holder into the duplicate's outcome."""
     match answer.status:
