--- a/tinrudder/node/backends/messages.py
+++ b/tinrudder/node/backends/messages.py
@@ -11,7 +11,7 @@
 
 import msgspec
 
-DEFAULT_MAX_CONNECTIONS = 70
+from tinrudder.node.decisions.backend_record import DEFAULT_MAX_CONNECTIONS
 
 
 class SearchRequest(msgspec.Struct, frozen=True):
--- a/tinrudder/node/decisions/backend_health.py
+++ b/tinrudder/node/decisions/backend_health.py
@@ -1,4 +1,7 @@
-"""What one node knows of a back end's health: its own judgement first, others' words as hints."""
+"""What one node knows of a back end's health: its own judgement first, others' words as hints.
+
+State of ``ejection`` and of load reports, held in the back-end record.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/backend_record.py
+++ b/tinrudder/node/decisions/backend_record.py
@@ -1,4 +1,8 @@
-"""What this node has itself observed of each back end, and what it may send there."""
+"""What this node has itself observed of each back end, and what it may send there.
+
+Owns the counts, the latency and the limit of one back end; the policies for limits and ejection
+move them.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -1,4 +1,8 @@
-"""All back ends this node knows, kept in step with the configuration."""
+"""All back ends this node knows, kept in step with the configuration.
+
+Owns the records.  Relies on the configuration for which there are, and on the coordinator sets for
+the share of each.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/call_retry_budget.py
+++ b/tinrudder/node/decisions/call_retry_budget.py
@@ -1,4 +1,8 @@
-"""Budgets for extra calls: a fraction of first calls, so that extra load stays bounded."""
+"""Budgets for extra calls: a fraction of first calls, so that extra load stays bounded.
+
+Owns the tokens of one service on one node; the gateway has a budget over its whole fleet instead
+(docs/DESIGN.md).
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/coordinator_ranking.py
+++ b/tinrudder/node/decisions/coordinator_ranking.py
@@ -1,4 +1,8 @@
-"""In which order an entry asks the coordinators of a service."""
+"""In which order an entry asks the coordinators of a service.
+
+Owns what this entry has seen of each coordinator; relies on ``query.coordinator_watch`` for
+probes.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/hedge_by_quantile.py
+++ b/tinrudder/node/decisions/hedge_by_quantile.py
@@ -1,4 +1,7 @@
-"""When a second copy of a call that has not been answered is sent to another replica."""
+"""When a second copy of a call that has not been answered is sent to another replica.
+
+Owns the hedge budget of one service; relies on the service's latency window.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/load/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -1,4 +1,7 @@
-"""Queues of calls that wait for room at a back end."""
+"""Queues of calls that wait for room at a back end.
+
+The interface that the dispatcher relies on; ``fair_queue`` has the rule.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/load/expected_wait_admission.py
+++ b/tinrudder/node/decisions/load/expected_wait_admission.py
@@ -1,4 +1,7 @@
-"""Refusing a query before anything of it is sent, when it would come too late anyway."""
+"""Refusing a query before anything of it is sent, when it would come too late anyway.
+
+Owns nothing; relies on the call queue for the expected wait and on the records for latency.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/replica_choice.py
+++ b/tinrudder/node/decisions/replica_choice.py
@@ -1,4 +1,7 @@
-"""Which replica of a shard gets a call."""
+"""Which replica of a shard gets a call.
+
+Owns nothing; relies on the back-end records and on a clock that ages load reports.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/service_routing.py
+++ b/tinrudder/node/decisions/service_routing.py
@@ -1,4 +1,8 @@
-"""One service's routing: its policies and everything learned of its calls on this node."""
+"""One service's routing: its policies and everything learned of its calls on this node.
+
+Owns the latency window and the policies of each service, by name; relies on ``registry`` to make
+them.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/decisions/version_hints.py
+++ b/tinrudder/node/decisions/version_hints.py
@@ -1,4 +1,7 @@
-"""Which index versions back ends have lately said they do not serve."""
+"""Which index versions back ends have lately said they do not serve.
+
+Owns the hints; relies on a clock to let them age.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/admission_gate.py
+++ b/tinrudder/node/query/admission_gate.py
@@ -1,4 +1,8 @@
-"""Where a planned query is let in or refused, before anything of it is sent."""
+"""Where a planned query is let in or refused, before anything of it is sent.
+
+Owns nothing; relies on ``tenant_usage`` for a tenant's caps and on the admission policy for the
+wait.
+"""
 
 from __future__ import annotations
 
@@ -20,7 +24,10 @@
 from tinrudder.timers import Timers
 
 TENANT_RETRY_AFTER_S = 0.1
+"""Seconds after which a tenant at its cap is asked back, spread up to twice that.  Chosen, not
+measured: about as long as a query takes."""
 ROUNDING_SLACK = 1e-9
+"""Keeps a coverage of exactly so many shards from being rounded up to one more."""
 
 
 class AdmissionGate:
--- a/tinrudder/node/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -1,4 +1,8 @@
-"""Puts the calls of one query on their way and takes them back."""
+"""Puts the calls of one query on their way and takes them back.
+
+Owns no state beyond its plan; relies on the dispatcher for room, and on the routing of the service
+for what a call teaches.
+"""
 
 from __future__ import annotations
 
@@ -13,6 +17,7 @@
 from tinrudder.timers import Timers
 
 SHARD_COST = 1.0
+"""Work of one call, in shards: a call asks for one."""
 
 
 class CallSender:
--- a/tinrudder/node/query/coordinator.py
+++ b/tinrudder/node/query/coordinator.py
@@ -1,4 +1,8 @@
-"""Runs queries on this node: plans, fans out, and waits for the outcome."""
+"""Runs queries on this node: plans, fans out, and waits for the outcome.
+
+Owns the queries in progress and their counters.  Relies on the planner, the admission gate and
+``fan_out``, which does the work in callbacks.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/coordinator_sets.py
+++ b/tinrudder/node/query/coordinator_sets.py
@@ -1,4 +1,8 @@
-"""The coordinator sets of every service, kept in step with members and configuration."""
+"""The coordinator sets of every service, kept in step with members and configuration.
+
+Owns the sets until members or configuration change; relies on ``decisions.coordinator_set`` for
+the rule.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/coordinator_watch.py
+++ b/tinrudder/node/query/coordinator_watch.py
@@ -15,8 +15,13 @@
 from tinrudder.timers import Timers
 
 LONGEST_PROBE_S = 0.25
+"""Seconds that a coordinator has to answer a probe.  With LONGEST_SILENCE_S of the entry it bounds
+what a silent cut costs a query, 0.1 to 0.35 s (docs/COORDINATORS.md)."""
 SHORT_PROBE_S = 0.05
+"""The same where a query of another node waits for it.  Chosen, not measured: fifty times the way
+between zones."""
 ANSWER_VALID_S = 0.5
+"""Seconds for which an answer stands for the next question.  Chosen, not measured."""
 
 
 class CoordinatorProbe(Protocol):
--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -31,8 +31,14 @@
 from tinrudder.timers import Timers
 
 MAXIMUM_PAUSE_S = 1.0
+"""Seconds of a back end's Retry-After that are honoured at most: a wrong one must not take it out
+of use.  Chosen, not measured."""
 MAXIMUM_HANDOVER_S = 1.0
+"""Seconds for which a coordinator whose share shrank keeps its former limit while calls wait.
+Without it one of 378 queries of the rolling stop failed (docs/LIMITS.md)."""
 QUICK_ANSWER_SHARE = 0.5
+"""Part of a back end's usual latency that a waiting call must have left, else it is dropped
+unsent.  Chosen, not measured: hardly any answer is quicker."""
 
 SentCallListener = Callable[["SentCall", BackendReply], None]
 
--- a/tinrudder/node/query/entry.py
+++ b/tinrudder/node/query/entry.py
@@ -24,11 +24,23 @@
 from tinrudder.timers import Timers
 
 MAX_SENT_ATTEMPTS = 2
+"""Coordinators that may ever have received one query: it bounds extra load when relays are
+lost."""
 MAX_ASKED = 4
+"""Coordinators asked for one query, those included that cannot be connected to.  Chosen, not
+measured."""
 SHORTEST_WATCHED_S = 0.15
+"""Seconds that a query must have left for its coordinator to be watched: with less there is no
+time to ask another (docs/COORDINATORS.md)."""
 LONGEST_SILENCE_S = 0.1
+"""Seconds without an outcome after which the coordinator is probed, at the latest.  Probes took
+the queries that ended as may_have_run in the zone cut from 13 and 8 to 1 and 2 (two seeds,
+docs/COORDINATORS.md)."""
 SILENCE_SHARE = 0.4
+"""The same as a part of the time that the query has: the rest must do for a probe and another
+coordinator."""
 PROBE_SHARE = 0.2
+"""Part of the time that the query has for which the probe may take."""
 
 
 class QueryRelay(Protocol):
--- a/tinrudder/node/query/explanations/explain.py
+++ b/tinrudder/node/query/explanations/explain.py
@@ -12,7 +12,9 @@
 import msgspec
 
 QUERIES_PER_TENANT = 16
+"""Explanations kept for a tenant, the latest; bounds memory."""
 MAX_TENANTS = 128
+"""Tenants whose explanations are kept, those that asked last; bounds memory."""
 
 
 class CallExplanation(msgspec.Struct, frozen=True):
--- a/tinrudder/node/query/explanations/explain_lookup.py
+++ b/tinrudder/node/query/explanations/explain_lookup.py
@@ -23,6 +23,7 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 
 ASK_TIMEOUT_S = 1.0
+"""Seconds for another node to answer; an operator waits for it.  Chosen, not measured."""
 
 
 class ExplainLookup:
--- a/tinrudder/node/query/explanations/explain_recorder.py
+++ b/tinrudder/node/query/explanations/explain_recorder.py
@@ -1,4 +1,7 @@
-"""Condenses finished fan-outs and finished callers' queries into explanations."""
+"""Condenses finished fan-outs and finished callers' queries into explanations.
+
+Owns nothing; relies on the ring of ``explain`` to keep them.
+"""
 
 from __future__ import annotations
 
@@ -24,6 +27,7 @@
 from tinrudder.node.query.shard_progress import ShardProgress
 
 MILLISECONDS = 1000.0
+"""In a second."""
 OUTCOME_NAMES: dict[type[Outcome], str] = {
     Complete: "complete",
     Partial: "partial",
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -33,8 +33,13 @@
 from tinrudder.timers import TimerHandle, Timers
 
 MAX_ATTEMPTS_PER_SHARD = 3
+"""Calls of one shard, hedges apart, in one plan.  Chosen, not measured: with two replicas each is
+asked, one of them twice."""
 MAX_REPLANS = 1
+"""Times that a query starts again on another version: it bounds its calls to twice as many."""
 REFUSAL_PATIENCE_S = 0.02
+"""Seconds that a query which cannot reach its coverage waits for refusals of what is in flight,
+where no hedge delay is known.  Chosen, not measured."""
 OutcomeListener = Callable[[Outcome], None]
 
 
--- a/tinrudder/node/query/hedger.py
+++ b/tinrudder/node/query/hedger.py
@@ -1,4 +1,8 @@
-"""Which calls of a running query are overdue, and which of them are hedged first."""
+"""Which calls of a running query are overdue, and which of them are hedged first.
+
+Owns nothing; relies on the hedge policy for delay and budget and on ``shard_progress`` for the
+calls.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +15,10 @@
 from tinrudder.node.resources.model import Preference
 
 LOOK_WITHOUT_DELAY_S = 0.02
+"""Seconds between looks while too few latencies are known for a delay.  Chosen, not measured."""
 LOOK_AGAIN_SHARE = 0.25
+"""Part of the delay after which an overdue call that found no room or budget is looked at again.
+Chosen, not measured."""
 SendHedge = Callable[[ShardProgress, BackendRecord], None]
 
 
--- a/tinrudder/node/query/judgement.py
+++ b/tinrudder/node/query/judgement.py
@@ -1,4 +1,7 @@
-"""The outcome of a query, judged from its shards as they stand at one moment."""
+"""The outcome of a query, judged from its shards as they stand at one moment.
+
+Pure: reads the progress of the shards and changes nothing.
+"""
 
 from __future__ import annotations
 
@@ -26,6 +29,7 @@
 UNREACHABLE_REASONS = frozenset(
     {MissingReason.NO_REPLICA, MissingReason.BROKEN, MissingReason.VERSION_GONE}
 )
+"""Reasons of shards that no back end could serve: a query refused for these alone says so."""
 
 
 def judge(
--- a/tinrudder/node/query/merge.py
+++ b/tinrudder/node/query/merge.py
@@ -1,4 +1,7 @@
-"""Merging sorted rows of many shards into one sorted page."""
+"""Merging sorted rows of many shards into one sorted page.
+
+Pure; relies on each shard to have sorted its rows as asked.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -44,7 +44,9 @@
 """Part of the remaining time that asking for votes may take; the rest is for the back end."""
 
 ORDER_BY = "time"
+"""Field by which a back end sorts the rows of its answer; callers of operations name none."""
 RETRY_AFTER_S = 1.0
+"""Seconds after which a submission without a majority may be made again.  Chosen, not measured."""
 LOST = NotRun(
     NotRunReason.NO_QUORUM,
     "other submissions of this key were made at the same time, and none got a majority",
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -1,4 +1,7 @@
-"""Sends one claimed operation to one back end, and never again once bytes may have left."""
+"""Sends one claimed operation to one back end, and never again once bytes may have left.
+
+Owns the one call; relies on the claim for the permission to send, and on the dispatcher for room.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/operations/operation_outcomes.py
+++ b/tinrudder/node/query/operations/operation_outcomes.py
@@ -21,9 +21,14 @@
 from tinrudder.node.wire.relay_codec import RelayCodecError, encode_outcome
 
 MAX_OPERATIONS_PER_TENANT = 5_000
+"""Operations of one tenant held in one window; further ones are not run.  Bounds memory, and keeps
+one tenant from taking what all have."""
 MAX_OPERATIONS = 20_000
+"""Operations held in all."""
 MAX_OUTCOME_BYTES = 64 * 1024
+"""Largest outcome that is kept for duplicates; a larger one is told once."""
 MAX_TOTAL_BYTES = 16 * 1024 * 1024
+"""Bytes of outcomes kept in all; the oldest are dropped."""
 
 
 @dataclass(slots=True, eq=False)
--- a/tinrudder/node/query/operations/operation_request.py
+++ b/tinrudder/node/query/operations/operation_request.py
@@ -1,4 +1,7 @@
-"""A request that must run at most once, as the core sees it."""
+"""A request that must run at most once, as the core sees it.
+
+Immutable; its content digest tells whether a duplicate is the same request.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 import msgspec
 
 CONTENT_BYTES = 16
+"""Bytes of the digest that tells two requests under one key apart."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/node/query/plan.py
+++ b/tinrudder/node/query/plan.py
@@ -1,4 +1,8 @@
-"""Planning: check the request against the configuration and pin one index version."""
+"""Planning: check the request against the configuration and pin one index version.
+
+Owns what is joined once for each configuration, and the latest choice among versions.  Relies on
+the configuration in force and on the back-end table.
+"""
 
 from __future__ import annotations
 
@@ -16,6 +20,8 @@
 from tinrudder.timers import Timers
 
 VERSION_CHOICE_LIFETIME_S = 0.05
+"""Seconds for which a choice among several versions stands: choosing looks at every replica of
+every shard.  Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/node/query/relay.py
+++ b/tinrudder/node/query/relay.py
@@ -23,8 +23,14 @@
 from tinrudder.timers import Timers, WallClock
 
 RETURN_ALLOWANCE_S = 0.005
+"""Seconds that the coordinator must end before the entry, for the way of its outcome: five times
+the way between zones.  At load 20 to 35 on 12 cores 0 to 2 of some 4,500 queries came too late all
+the same (docs/COORDINATORS.md)."""
 RETURN_ALLOWANCE_SHARE = 0.1
+"""The same as a part of the time left, for queries with little of it."""
 MAX_CLOCK_SKEW_S = 1.0
+"""Seconds by which the wall clocks of two nodes may differ before a relayed query is taken for one
+that waited in a paused process."""
 
 RelayedRunner = Callable[[QueryRequest, bool], Awaitable[Outcome]]
 """Runs a relayed query; the flag tells that it was forwarded and must not go further."""
--- a/tinrudder/node/query/relay_attempts.py
+++ b/tinrudder/node/query/relay_attempts.py
@@ -1,4 +1,7 @@
-"""What became of one query's relays, and what may truthfully be said of them."""
+"""What became of one query's relays, and what may truthfully be said of them.
+
+Owns the relays that are still silent, until the query ends.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/reply_reading.py
+++ b/tinrudder/node/query/reply_reading.py
@@ -1,4 +1,7 @@
-"""What a back end's reply means for the shard that was asked."""
+"""What a back end's reply means for the shard that was asked.
+
+Pure; the one table from replies to reasons in a coverage.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/request.py
+++ b/tinrudder/node/query/request.py
@@ -1,4 +1,7 @@
-"""A query as the core sees it: already authenticated, its tenant taken from the credential."""
+"""A query as the core sees it: already authenticated, its tenant taken from the credential.
+
+Immutable; made by the API from a body, and by ``relay`` from another node.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -1,4 +1,7 @@
-"""How far each shard of a running query has come."""
+"""How far each shard of a running query has come.
+
+Owns the calls of one shard; relies on its listener, the fan-out, to act on what happens to them.
+"""
 
 from __future__ import annotations
 
