--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -26,10 +26,10 @@
     SearchRequest,
 )
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, QueryDemand
 from tinrudder.node.decisions.load.backend_limit import AdaptiveLimit
+from tinrudder.node.decisions.load.expected_wait_admission import ExpectedWaitAdmission, QueryDemand
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.decisions.load.tenant_usage import TenantUsageTable
 from tinrudder.node.decisions.replica_choice import LeastLoadedReplica
 from tinrudder.node.environment import ReplyListener
@@ -115,7 +115,7 @@
     def _call(self, number: int) -> PendingCall:
         tenant = self.tenants[number // FAN_OUT % len(self.tenants)]
         return PendingCall(
-            tenant, 1, Priority.INTERACTIVE, 1.0, self.replicas(number), 9.0, 0.0, self._send
+            tenant, 1, Priority.INTERACTIVE, 1.0, self.replicas(number), 9.0, self._send
         )
 
     def _send(self, backend: BackendRecord) -> None:
--- a/tests/unit/node/decisions/test_admission.py
+++ b/tests/unit/node/decisions/test_admission.py
@@ -5,9 +5,13 @@
 import random
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.admission import ExpectedWaitAdmission, Overload, QueryDemand
+from tinrudder.node.decisions.load.expected_wait_admission import (
+    ExpectedWaitAdmission,
+    Overload,
+    QueryDemand,
+)
 from tinrudder.node.decisions.load.fair_queue import StartTimeFairQueue
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.resources.model import Priority
 
 LATENCY_S = 0.01
@@ -28,7 +32,7 @@
     ) -> None:
         for _ in range(calls):
             call = PendingCall(
-                tenant, weight, priority, 1.0, self.backends, 9.0, 0.0, lambda backend: None
+                tenant, weight, priority, 1.0, self.backends, 9.0, lambda backend: None
             )
             self.queue.push(call)
 
--- a/tinrudder/cluster/claims/claims_service.py
+++ b/tinrudder/cluster/claims/claims_service.py
@@ -54,6 +54,7 @@
 from tinrudder.timers import TimerHandle, Timers, WallClock
 
 TELL_INTERVAL_S = 1.0
+"""Seconds between the rounds in which some nodes are told, while a list waits for that."""
 TELL_EVERYONE_S = 60.0
 """While a list waits for it, every node is told once in this time which list this node knows."""
 
@@ -74,8 +75,6 @@
 
     claims: int = 0
     won: int = 0
-    votes_asked: int = 0
-    votes_given: int = 0
     sent_bytes: int = 0
 
 
@@ -226,7 +225,6 @@
             timeout_s = until - self._timers.time()
             task = asyncio.create_task(self._ask_voter(voter, request, timeout_s))
             asking[task] = voter
-            self.counters.votes_asked += 1
 
     async def _ask_voter(
         self, voter: Voter, request: VoteRequest, timeout_s: float
@@ -307,9 +305,7 @@
             return Abstained(AbstainReason.LIST_UNSETTLED)
         same_list = list_digest == self._list_digest
         required = history.left_out(request.key, request.valid_until, same_list=same_list)
-        reply = self._voter.vote(request, required, self._wall_clock())
-        self.counters.votes_given += 1
-        return reply
+        return self._voter.vote(request, required, self._wall_clock())
 
     def _tell_some(self) -> None:
         """Tell a part of the nodes which list this one knows, while a list waits for that.
--- a/tinrudder/cluster/view.py
+++ b/tinrudder/cluster/view.py
@@ -1,9 +1,11 @@
-"""What one node believes of the others: an immutable view, replaced as a whole."""
+"""What one node believes of the others: an immutable view, replaced as a whole.
+
+Owned by membership, which builds a new one with every change; a reader keeps the one it has read.
+"""
 
 from __future__ import annotations
 
 import enum
-from collections.abc import Callable
 from dataclasses import dataclass, field
 
 from tinrudder.peers import PeerAddress
@@ -49,9 +51,6 @@
         return tuple(m for m in self.members if m.status is MemberStatus.ALIVE)
 
 
-ViewSource = Callable[[], MemberView]
-
-
 def build_view(members: tuple[Member, ...], list_revision: int) -> MemberView:
     """Return a view, sorted by name.
 
--- a/tinrudder/node/decisions/load/admission.py
+++ b/tinrudder/node/decisions/load/expected_wait_admission.py
@@ -1,4 +1,7 @@
-"""Refusing a query before anything of it is sent, when it would come too late anyway."""
+"""Refusing a query before anything of it is sent, when it would come too late anyway.
+
+Owns nothing; relies on the call queue for the expected wait and on the records for latency.
+"""
 
 from __future__ import annotations
 
@@ -13,10 +16,20 @@
 from tinrudder.node.resources.model import Priority
 
 TAIL_LATENCIES = 2.0
+"""Latencies of the back end that the answer is allowed once its call leaves: most of the tail of a
+call.  Chosen, not measured."""
 SAFETY_FACTOR = 1.2
+"""Factor on the expected time.  Chosen, not measured: a query that is started and fails has cost
+its calls, one that is refused nothing."""
 MINIMUM_RETRY_AFTER_S = 0.05
+"""Seconds after which a refused caller is asked back at the earliest: no busy loop of refusals.
+Chosen, not measured."""
 MAXIMUM_RETRY_AFTER_S = 5.0
+"""Seconds after which it is asked back at the latest: an estimate over longer is a guess.  Chosen,
+not measured."""
 RETRY_JITTER = 0.5
+"""Part by which the time is spread, so that callers refused together do not return together.
+Chosen, not measured."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -50,14 +63,6 @@
         """Return why the query is refused, ``None`` to start it."""
 
 
-class AdmitAll:
-    """Starts every query: the baseline."""
-
-    def check(self, demand: QueryDemand, now: float) -> Overload | None:
-        """Refuse nothing."""
-        return None
-
-
 class ExpectedWaitAdmission:
     """Refuses a query whose last needed shard is expected after its deadline.
 
--- a/tinrudder/node/decisions/version_hints.py
+++ b/tinrudder/node/decisions/version_hints.py
@@ -1,4 +1,7 @@
-"""Which index versions back ends have lately said they do not serve."""
+"""Which index versions back ends have lately said they do not serve.
+
+Owns the hints; relies on a clock to let them age.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,11 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 
 HINT_LIFETIME_S = 2.0
+"""Seconds for which a refusal is remembered.  Chosen, not measured: a back end may be about to
+load the version it lacks."""
 MAX_HINTS = 8192
+"""Hints kept at most, then all are forgotten: it bounds memory, and what is forgotten is met again
+at the cost of a refused call."""
 
 
 class VersionHints:
--- a/tinrudder/node/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -1,4 +1,8 @@
-"""Puts the calls of one query on their way and takes them back."""
+"""Puts the calls of one query on their way and takes them back.
+
+Owns no state beyond its plan; relies on the dispatcher for room, and on the routing of the service
+for what a call teaches.
+"""
 
 from __future__ import annotations
 
@@ -6,13 +10,14 @@
 
 from tinrudder.node.backends.messages import SearchRequest
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.query.dispatcher import Dispatcher
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.timers import Timers
 
 SHARD_COST = 1.0
+"""Work of one call, in shards: a call asks for one."""
 
 
 class CallSender:
@@ -25,9 +30,7 @@
         self._dispatcher = dispatcher
         self._timers = timers
 
-    def submit(
-        self, progress: ShardProgress, candidates: tuple[BackendRecord, ...], now: float
-    ) -> None:
+    def submit(self, progress: ShardProgress, candidates: tuple[BackendRecord, ...]) -> None:
         """Hand in a call for any of ``candidates``; it goes out once one of them has room."""
         plan = self._plan
         request = plan.request
@@ -38,7 +41,6 @@
             SHARD_COST,
             candidates,
             request.deadline,
-            now,
             progress.dispatch,
             progress.shed,
             choice=self._routing.choice,
--- a/tinrudder/node/query/coordinator.py
+++ b/tinrudder/node/query/coordinator.py
@@ -1,4 +1,8 @@
-"""Runs queries on this node: plans, fans out, and waits for the outcome."""
+"""Runs queries on this node: plans, fans out, and waits for the outcome.
+
+Owns the queries in progress and their counters.  Relies on the planner, the admission gate and
+``fan_out``, which does the work in callbacks.
+"""
 
 from __future__ import annotations
 
@@ -75,14 +79,8 @@
         if isinstance(permit, NotRun):
             return permit
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        fan_out = FanOut(
-            plan,
-            self._dispatcher,
-            self._timers,
-            partial(_settle, future),
-            self._planner,
-            permit,
-        )
+        settle = partial(_settle, future)
+        fan_out = FanOut(plan, self._dispatcher, self._timers, settle, self._planner, permit)
         self.in_progress += 1
         try:
             started = self._timers.time()
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -33,8 +33,13 @@
 from tinrudder.timers import TimerHandle, Timers
 
 MAX_ATTEMPTS_PER_SHARD = 3
+"""Calls of one shard, hedges apart, in one plan.  Chosen, not measured: with two replicas each is
+asked, one of them twice."""
 MAX_REPLANS = 1
+"""Times that a query starts again on another version: it bounds its calls to twice as many."""
 REFUSAL_PATIENCE_S = 0.02
+"""Seconds that a query which cannot reach its coverage waits for refusals of what is in flight,
+where no hedge delay is known.  Chosen, not measured."""
 OutcomeListener = Callable[[Outcome], None]
 
 
@@ -123,7 +128,7 @@
         for progress in self._progress:
             candidates = self._candidates(progress, now)
             if candidates:
-                self._sender.submit(progress, candidates, now)
+                self._sender.submit(progress, candidates)
             else:
                 self._settle(progress, MissingReason.NO_REPLICA)
             if self._finished or self._hopeless or self._plan is not plan:
@@ -209,7 +214,7 @@
                 progress.tried = ()
             candidates = self._candidates(progress, now)
             if candidates and (type(reply) is NotSent or self._may_spend_retry(progress)):
-                self._sender.submit(progress, candidates, now)
+                self._sender.submit(progress, candidates)
                 return
         self._settle(progress, progress.last_reason or MissingReason.NO_REPLICA)
 
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -1,4 +1,7 @@
-"""Sends one claimed operation to one back end, and never again once bytes may have left."""
+"""Sends one claimed operation to one back end, and never again once bytes may have left.
+
+Owns the one call; relies on the claim for the permission to send, and on the dispatcher for room.
+"""
 
 from __future__ import annotations
 
@@ -17,7 +20,7 @@
     VersionGone,
 )
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.outcomes import (
     Answer,
     Complete,
@@ -89,7 +92,6 @@
             1.0,
             candidates,
             self._request.deadline,
-            self._timers.time(),
             self._send,
             self._on_queue_refusal,
             choice=self._plan.routing.choice,
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -1,4 +1,7 @@
-"""How far each shard of a running query has come."""
+"""How far each shard of a running query has come.
+
+Owns the calls of one shard; relies on its listener, the fan-out, to act on what happens to them.
+"""
 
 from __future__ import annotations
 
@@ -6,7 +9,7 @@
 
 from tinrudder.node.backends.messages import BackendReply, ShardRows
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.pending_call import PendingCall
+from tinrudder.node.decisions.load.pending_calls import PendingCall
 from tinrudder.node.outcomes import MissingReason
 from tinrudder.node.query.dispatcher import SentCall
 from tinrudder.node.query.plan import PlannedShard
--- a/tinrudder_lab/decisions_page.py
+++ b/tinrudder_lab/decisions_page.py
@@ -250,7 +250,9 @@
     lines += ["", "## From a log line to its rule", ""]
     lines += ["| `detail` contains | what it means | decided by |", "|---|---|---|"]
     for refusal in REFUSALS:
-        rule = f"`gateway/decisions/{refusal.rule}.py`" if refusal.rule else "no rule of this package"
+        rule = (
+            f"`gateway/decisions/{refusal.rule}.py`" if refusal.rule else "no rule of this package"
+        )
         lines.append(f"| `{refusal.detail.strip()}` | {refusal.meaning} | {rule} |")
     for number, chapter in enumerate(CHAPTERS, 1):
         lines += ["", f"## {number}. {chapter.title}", "", chapter.words]
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -103,10 +103,6 @@
     service_median_s: float = 0.004
     shards: int = 1
 
-    def kind_of(self, service: str) -> QueryKind:
-        """Return the kind of query of a service."""
-        return next(kind for kind in self.deployment.query_kinds if kind.rule == service)
-
     def all_streams(self, rate: float, *, pages: int = 1, impatient: float = 0.0) -> None:
         """Let every kind of query arrive at ``rate`` queries a second."""
         self.streams = [
@@ -178,13 +174,6 @@
     return replace(gate, rule="gate-purchase")
 
 
-def both_deployments_resources(first_port: int) -> Deployment:
-    """Return what :func:`with_purchases` deploys, its back ends from ``first_port`` on."""
-    deployment = build_deployment(first_port, services_per_shape=1)
-    add_purchases(deployment)
-    return deployment
-
-
 def with_purchases(rate: float, purchases: float) -> Topology:
     """Return both deployments with fans who buy, some of them twice.
 
@@ -274,34 +263,3 @@
     names = tuple(tenant.name for tenant in tenants)
     spec = ServiceSpec(region=PLATA_REGION, tenants=names)
     deployment.replace(Kind.SERVICE, SHARED_SERVICE, spec)
-
-
-PARAMETERS = ("load", "service_ms", "nodes_per_zone", "coordinators")
-
-
-def set_parameter(topology: Topology, name: str, value: float) -> None:
-    """Set one of ``PARAMETERS``.
-
-    ``load`` multiplies every rate; ``coordinators`` is that of every service.
-    """
-    if name == "load":
-        topology.streams = [replace(one, rate=one.rate * value) for one in topology.streams]
-    elif name == "service_ms":
-        topology.service_median_s = value / 1000
-    elif name == "nodes_per_zone":
-        topology.nodes_per_zone = int(value)
-    else:
-        for raw in tuple(topology.deployment.resources):
-            if raw.kind == Kind.SERVICE.value:
-                spec = msgspec.json.decode(raw.spec, type=ServiceSpec)
-                changed = msgspec.structs.replace(spec, coordinators=int(value))
-                topology.deployment.replace(Kind.SERVICE, raw.name, changed)
-
-
-def set_policies(deployment: Deployment, policies: dict[str, str]) -> None:
-    """Name policies in every query rule."""
-    for raw in tuple(deployment.resources):
-        if raw.kind == Kind.QUERY_RULE.value:
-            spec = msgspec.json.decode(raw.spec, type=QueryRuleSpec)
-            changed = msgspec.structs.replace(spec, policies=policies)
-            deployment.replace(Kind.QUERY_RULE, raw.name, changed)
