--- a/tinrudder/gateway/observability/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -1,4 +1,7 @@
-"""One structured line for each finished request, with what decided it."""
+"""One structured line for each finished request, with what decided it.
+
+Owns the names and fields of the lines; relies on the handler to describe how a request ended.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +27,9 @@
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
 
 CLIENT_LEFT = "client_left"
+"""The outcome of a request whose client left before the answer, as the log names it."""
 MILLISECONDS = 1000.0
+"""In a second."""
 
 
 class FinishedRequest(Struct, frozen=True):
--- a/tinrudder/gateway/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -1,4 +1,7 @@
-"""Turns requests between gateways into protobuf and back, refusing what is no message."""
+"""Turns requests between gateways into protobuf and back, refusing what is no message.
+
+Owns the form of requests between gateways; relies on the generated classes of protobuf.
+"""
 
 from __future__ import annotations
 
@@ -20,6 +23,7 @@
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 
 MICROSECONDS = 1e6
+"""In a second: durations travel in microseconds."""
 
 
 def encode_request(request: PeerRequest) -> bytes:
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -1,4 +1,7 @@
-"""Turns news of long queues into protobuf and back."""
+"""Turns news of long queues into protobuf and back.
+
+Owns the form of load news; relies on the generated classes of protobuf.
+"""
 
 from __future__ import annotations
 
@@ -8,6 +11,7 @@
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, milliseconds_above
 
 PERCENT = 100.0
+"""In a whole: shares travel in percent."""
 LARGEST = 2**32 - 1
 """What a field holds; a figure beyond it is none that a receiver believes."""
 
