--- a/tests/unit/gateway/decisions/test_peer_round_trip.py
+++ b/tests/unit/gateway/decisions/test_peer_round_trip.py
@@ -4,7 +4,7 @@
 
 import random
 
-from hypothesis import given
+from hypothesis import example, given
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.attempts.peer_round_trip import LONGEST_SEEN_S, PeerRoundTrip
@@ -18,6 +18,9 @@
 
 
 @given(st.floats(0.0005, 0.04), st.integers(0, 1000))
+@example(0.001, 33)
+@example(0.001, 527)
+@example(0.001, 956)
 def test_nearly_all_of_what_comes_next_takes_no_longer(usual_s: float, seed: int) -> None:
     source = random.Random(seed)
     path = seen([usual_s * source.uniform(0.8, 1.2) for _ in range(60)])
@@ -26,6 +29,13 @@
     assert path.allowance_s <= 2.0 * usual_s
 
 
+@given(st.floats(0.0005, 0.04), st.integers(0, 1000))
+def test_the_allowance_is_at_most_twice_what_is_usual(usual_s: float, seed: int) -> None:
+    source = random.Random(seed)
+    path = seen([usual_s * source.uniform(0.8, 1.2) for _ in range(60)])
+    assert path.allowance_s <= 2.0 * usual_s
+
+
 def test_a_single_stall_asks_for_little_more_and_is_soon_forgotten() -> None:
     path = seen([0.004] * 60)
     path.observe(5.0)
