--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -93,7 +93,7 @@
 
             exchange = gateway_of(node)._exchange
             assert exchange is not None
-            exchange._serve_scatter = listen
+            exchange._service._serve_scatter = listen
         for index in range(len(site.nodes)):
             assert (await site.send("scatter", index, key="key-a")).status == 200
         assert site.broken_promises() == []
--- /dev/null
+++ b/tinrudder/gateway/peers/peer_service.py
@@ -0,0 +1,114 @@
+"""Answers the requests of other gateways by TCP: snapshots of what is known, and scatters.
+
+Owns the listening socket for peers and the connections that it accepts; relies on the shared state
+for snapshots, and on whoever runs scatters for their answers.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Awaitable, Callable
+
+from tinrudder.common.address import Address
+from tinrudder.common.transport.peer_server import PeerServer
+from tinrudder.gateway.peers.own_member import OwnMember
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import (
+    ReportedMember,
+    ScatterAnswer,
+    ScatterRequest,
+    Snapshot,
+    SnapshotRequest,
+)
+from tinrudder.gateway.peers.peer_traffic import PeerTraffic
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.wire.gateway_relay_codec import decode_request, encode_answer
+from tinrudder.gateway.wire.snapshot_codec import encode_snapshot
+
+ScatterServer = Callable[[ScatterRequest], Awaitable[ScatterAnswer]]
+
+
+class PeerService:
+    """Serves other gateways from when it is started until it is closed."""
+
+    def __init__(
+        self,
+        own_member: OwnMember,
+        state: SharedState,
+        staleness_bound: StalenessBound,
+        peers: PeerList,
+        traffic: PeerTraffic,
+        serve_scatter: ScatterServer,
+    ) -> None:
+        """Answer from ``state``; ``serve_scatter`` runs a scatter, and ends it when cancelled."""
+        self._own_member = own_member
+        self._state = state
+        self._staleness_bound = staleness_bound
+        self._peers = peers
+        self._traffic = traffic
+        self._serve_scatter = serve_scatter
+        self._loop = asyncio.get_running_loop()
+        self._connections = PeerServer(lambda: self._serve)
+        self._listener: asyncio.Server | None = None
+
+    @property
+    def held_bytes(self) -> int:
+        """Return the bytes held for peers that ask."""
+        return self._connections.held_bytes
+
+    async def start(self, address: Address) -> None:
+        """Listen.
+
+        :raises OSError: the address is taken.
+        """
+        self._listener = await asyncio.start_server(
+            self._connections.serve, address.host, address.port
+        )
+
+    async def close(self) -> None:
+        """Stop listening, and close every connection once its answers have left."""
+        if self._listener is not None:
+            self._listener.close()
+        await self._connections.close()
+
+    async def _serve(self, _peer: Address, asked: bytes) -> bytes:
+        """Answer one request of a peer.
+
+        :raises MalformedPeerMessageError: it is none.
+        """
+        request = decode_request(asked)
+        answer: ScatterAnswer | Snapshot
+        if isinstance(request, ScatterRequest):
+            answer = await self._serve_scatter(request)
+            payload = encode_answer(answer)
+        else:
+            answer = self._snapshot(request)
+            payload = encode_snapshot(answer)
+        self._traffic.note(answer, len(payload))
+        return payload
+
+    def _snapshot(self, request: SnapshotRequest) -> Snapshot:
+        """Return this gateway's state."""
+        accepted = self._state.accepted
+        configuration = None
+        if accepted is not None and accepted.value.revision > request.operator_revision:
+            configuration = accepted.value
+        # Removals are forgotten after a while: what is older can be told only as a whole.
+        after = request.backends_revision
+        if after < self._state.forgotten_up_to:
+            after = 0
+        members: tuple[ReportedMember, ...] = ()
+        if request.members_wanted:
+            own = ReportedMember(self._own_member.describe(), 0.0)
+            members = (own, *self._peers.all_told(self._loop.time()))
+        backends = self._state.snapshot(after)
+        return Snapshot(
+            configuration=configuration,
+            backends=backends,
+            backends_read=self._state.backends_read,
+            changes_only=after > 0,
+            members=members,
+            evacuations=self._state.evacuations.snapshot(request.operator_revision),
+            knowledge_age_s=self._staleness_bound.told_age_s,
+        )
--- /dev/null
+++ b/tinrudder/gateway/peers/snapshot_pulls.py
@@ -0,0 +1,169 @@
+"""Learns from peers that know more: compares their digests with the shared state, and pulls.
+
+Owns the one pull that is under way and how long this gateway has been behind; relies on the client
+for connections, and on the readers of the store to tell whether the store brings the news anyway.
+"""
+
+from __future__ import annotations
+
+import asyncio
+from collections.abc import Callable
+
+from tinrudder.common.address import Address
+from tinrudder.common.transport.peer_client import PeerClient
+from tinrudder.gateway.peers.peer_list import PeerList
+from tinrudder.gateway.peers.peer_messages import Digest, Snapshot, SnapshotRequest
+from tinrudder.gateway.peers.peer_traffic import PeerTraffic
+from tinrudder.gateway.store.shared_state import SharedState
+from tinrudder.gateway.store.staleness_bound import StalenessBound
+from tinrudder.gateway.store.store_readers import StoreReaders
+from tinrudder.gateway.store.stored_values import Reading, Topic
+from tinrudder.gateway.wire.gateway_relay_codec import encode_request
+from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError, decode_snapshot
+from tinrudder.peers import PeerLostError, PeerNotSentError
+
+PULL_PATIENCE_S = 0.25
+"""Seconds for which a gateway that follows the store itself waits for it to bring what a peer's
+digest promised.  Chosen, not measured: a change reaches all watches of the store at about the same
+moment, and a pull for each of them would be for nothing."""
+PULL_TIMEOUT_S = 1.0
+"""Seconds within which a peer must answer with its snapshot.  Chosen, not measured: a snapshot of
+hundreds of back ends takes milliseconds to write, and the next digest names another peer."""
+
+PullListener = Callable[[str, str], None]
+
+
+class SnapshotPulls:
+    """Asks a peer for its snapshot when its digest shows that it knows more."""
+
+    def __init__(
+        self,
+        state: SharedState,
+        staleness_bound: StalenessBound,
+        peers: PeerList,
+        client: PeerClient,
+        traffic: PeerTraffic,
+        readers: StoreReaders,
+        on_pull: PullListener,
+    ) -> None:
+        """Tell ``on_pull`` the peer and the result of every pull.
+
+        :param readers: tells whether this gateway follows the store itself, which then probably
+            brings news before a peer has to be asked.
+        """
+        self._state = state
+        self._staleness_bound = staleness_bound
+        self._peers = peers
+        self._client = client
+        self._traffic = traffic
+        self._readers = readers
+        self._on_pull = on_pull
+        self._loop = asyncio.get_running_loop()
+        self._behind_since: float | None = None
+        self._pulling: asyncio.Task[None] | None = None
+        # The event loop alone would not keep a task alive.
+        self._introductions: set[asyncio.Task[None]] = set()
+
+    async def close(self) -> None:
+        """Close the connections to peers."""
+        await self._client.close()
+
+    def catch_up(self, peer: Address) -> None:
+        """Fetch what a peer knows beyond this gateway."""
+        if self._pulling is None:
+            self._pulling = self._loop.create_task(self._pull(peer))
+
+    def compare(self, digest: Digest, now: float) -> None:
+        """Pull from a peer that knows more, unless the store brings it soon anyway."""
+        self._take_confirmations(digest)
+        if not self._is_behind(digest):
+            return
+        if self._behind_since is None:
+            self._behind_since = now
+            self._loop.call_later(PULL_PATIENCE_S, self._pull_if_behind, digest)
+        patient = self._state.complete and self._readers.is_reader()
+        if not patient or now - self._behind_since >= PULL_PATIENCE_S:
+            self._pull_if_behind(digest)
+
+    def learn_members(self, *, seeds_only: bool) -> None:
+        """Ask a peer for everybody whom it knows."""
+        teacher = self._peers.teacher(seeds_only=seeds_only)
+        if teacher is not None:
+            task = self._loop.create_task(self._introduce(teacher))
+            self._introductions.add(task)
+            task.add_done_callback(self._introductions.discard)
+
+    def _take_confirmations(self, digest: Digest) -> None:
+        """Learn that the store had nothing newer, where this gateway knows as much."""
+        state = self._state
+        age_s = digest.operator_unconfirmed_s
+        if age_s is not None and digest.operator_revision <= state.operator_revision:
+            state.confirm(Topic.OPERATOR, age_s)
+        age_s = digest.backends_unconfirmed_s
+        if age_s is not None and digest.backends_revision <= state.backends_revision:
+            state.confirm(Topic.BACKENDS, age_s)
+
+    def _pull_if_behind(self, digest: Digest) -> None:
+        """Start a pull if the store has not brought what the digest promised."""
+        if self._is_behind(digest):
+            self.catch_up(digest.sender.address)
+        else:
+            self._behind_since = None
+
+    def _is_behind(self, digest: Digest) -> bool:
+        """Tell whether a peer knows something newer."""
+        state = self._state
+        return (
+            digest.operator_revision > state.operator_revision
+            or digest.backends_revision > state.backends_revision
+        )
+
+    async def _pull(self, peer: Address) -> None:
+        """Fetch a peer's snapshot and take what is newer."""
+        try:
+            await self._learn_from(peer)
+        except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
+            self._readers.note_pull(succeeded=False)
+            self._on_pull(str(peer), f"failed: {error!r}")
+        else:
+            self._readers.note_pull(succeeded=True)
+            self._on_pull(str(peer), "applied")
+        finally:
+            self._pulling = None
+            self._behind_since = None
+
+    async def _learn_from(self, peer: Address) -> None:
+        """Take a peer's snapshot, and how far its knowledge reached when this was asked for."""
+        asked_at = self._loop.time()
+        snapshot = await self._request_snapshot(peer)
+        self._apply(snapshot, peer)
+        if snapshot.knowledge_age_s is not None:
+            self._staleness_bound.prove(asked_at - snapshot.knowledge_age_s)
+
+    async def _request_snapshot(self, peer: Address) -> Snapshot:
+        """Ask one peer."""
+        state = self._state
+        known = state.backends_revision if state.backends_read else 0
+        settling = self._peers.is_settling(self._loop.time())
+        request = SnapshotRequest(state.operator_revision, known, settling)
+        payload = encode_request(request)
+        self._traffic.note(request, len(payload))
+        return decode_snapshot(await self._client.request(peer, payload, PULL_TIMEOUT_S))
+
+    def _apply(self, snapshot: Snapshot, peer: Address) -> None:
+        """Take what is newer."""
+        self._peers.heard_of(snapshot.members, self._loop.time())
+        configuration = () if snapshot.configuration is None else (snapshot.configuration,)
+        self._state.apply(Topic.OPERATOR, configuration + snapshot.evacuations, str(peer))
+        if snapshot.backends_read and not snapshot.changes_only:
+            revision = max((value.revision for value in snapshot.backends), default=0)
+            self._state.apply_complete(Topic.BACKENDS, Reading(snapshot.backends, revision))
+        else:
+            self._state.apply(Topic.BACKENDS, snapshot.backends)
+
+    async def _introduce(self, teacher: Address) -> None:
+        """Learn from one peer; one that fails is no reason to doubt the others."""
+        try:
+            await self._learn_from(teacher)
+        except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
+            self._on_pull(str(teacher), f"introduction failed: {error!r}")
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -45,9 +45,11 @@
 from tinrudder.gateway.peers.peer_exchange import PeerExchange
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import ProbeAnswer
+from tinrudder.gateway.peers.peer_service import PeerService
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.probes import Probes
 from tinrudder.gateway.peers.reachability import Reachability
+from tinrudder.gateway.peers.snapshot_pulls import SnapshotPulls
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.quotas.tenants_in_force import TenantsInForce
@@ -129,11 +131,7 @@
     backends = _build_backends(around, process, knowledge, fleet)
     requests = _build_requests(around, process, knowledge, fleet, backends)
     store = _build_store(around, knowledge, fleet, requests)
-    exchange = _build_exchange(around, knowledge, fleet, requests, store)
-    if exchange is not None:
-        process.held_for_peers.add(exchange)
-        fleet.zone_monitor.subscribe(exchange.tell_zone)
-        store.staleness_keeper.subscribe_to_newer(exchange.catch_up)
+    exchange = _build_exchange(around, process, knowledge, fleet, requests, store)
     return GatewayParts(process, knowledge, fleet, backends, requests, store, exchange)
 
 
@@ -415,6 +413,7 @@
 
 def _build_exchange(
     around: Surroundings,
+    process: ProcessParts,
     knowledge: KnowledgeParts,
     fleet: FleetParts,
     requests: RequestParts,
@@ -426,16 +425,35 @@
     def log_result(peer: str, result: str) -> None:
         log_pull(peer, result, knowledge.state.configuration_revision)
 
-    return PeerExchange(
-        knowledge.own_member.describe,
+    traffic = fleet.datagrams.traffic
+    pulls = SnapshotPulls(
         knowledge.state,
+        knowledge.staleness_bound,
         fleet.peers,
         fleet.client,
-        fleet.datagrams,
-        knowledge.staleness_bound,
-        fleet.zone_monitor,
-        requests.delegation_service.serve,
+        traffic,
         store.readers,
         log_result,
+    )
+    service = PeerService(
+        knowledge.own_member,
+        knowledge.state,
+        knowledge.staleness_bound,
+        fleet.peers,
+        traffic,
+        requests.delegation_service.serve,
+    )
+    exchange = PeerExchange(
+        knowledge.own_member,
+        knowledge.state,
+        fleet.peers,
+        fleet.datagrams,
+        fleet.zone_monitor,
+        pulls,
+        service,
         around.random,
     )
+    process.held_for_peers.add(service)
+    fleet.zone_monitor.subscribe(exchange.send_to_zone)
+    store.staleness_keeper.subscribe_to_newer(pulls.catch_up)
+    return exchange
