--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -1,4 +1,7 @@
-"""The lines that a gateway logs of what it learns and of whom it can reach."""
+"""The lines that a gateway logs of what it learns and of whom it can reach.
+
+Owns the names and fields of these events; relies on the parts to call it.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/observability/log_stream.py
+++ b/tinrudder/gateway/observability/log_stream.py
@@ -2,6 +2,8 @@
 
 Whoever reads the logs may stall.  Lines that cannot be written at once, or that go beyond the rate,
 are dropped and counted; the count is written once there is room again.
+
+Owns the file descriptor and what waits for it; relies on the clock alone.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/observability/request_latencies.py
+++ b/tinrudder/gateway/observability/request_latencies.py
@@ -1,4 +1,7 @@
-"""Counts of finished requests by latency, cheap to keep; a scrape turns them into text."""
+"""Counts of finished requests by latency, cheap to keep; a scrape turns them into text.
+
+Owns the bounds of the buckets; whoever keeps a histogram owns its counts.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/observability/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -1,4 +1,7 @@
-"""One structured line for each finished request, with what decided it."""
+"""One structured line for each finished request, with what decided it.
+
+Owns the names and fields of the lines; relies on the handler to describe how a request ended.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/peers/correlation_ids.py
+++ b/tinrudder/gateway/peers/correlation_ids.py
@@ -1,4 +1,7 @@
-"""Numbers that match answers to questions between gateways."""
+"""Numbers that match answers to questions between gateways.
+
+Owns nothing: each part that asks counts on from the number drawn here.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/peers/peer_datagrams.py
+++ b/tinrudder/gateway/peers/peer_datagrams.py
@@ -1,4 +1,8 @@
-"""The one UDP socket between gateways: every kind of datagram goes to the part that handles it."""
+"""The one UDP socket between gateways: every kind of datagram goes to the part that handles it.
+
+Owns the socket, the table of handlers and the count of bytes sent; relies on the codec to tell
+what a datagram is, and on each part to register for its kind.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -3,6 +3,9 @@
 Gateways tell each other in digests whom they know and how old that knowledge is.  The age, not a
 time of day, travels, so that clocks need not agree; it only grows, so a gateway that has gone is
 forgotten everywhere at about the same moment.
+
+Owns the members, the seeds and when each was last heard of; relies on the exchange of digests to
+tell it.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -1,4 +1,7 @@
-"""What gateways tell each other."""
+"""What gateways tell each other.
+
+Owns nothing: values only.  The codecs in ``wire`` turn them into bytes and back.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/peers/peer_traffic.py
+++ b/tinrudder/gateway/peers/peer_traffic.py
@@ -1,6 +1,8 @@
 """What a gateway sends other gateways, by kind of message.
 
 Bytes between zones are paid for, and a kind that grows by itself shows here first.
+
+Owns the counts; relies on whoever sends to note it.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -3,6 +3,9 @@
 News goes to every gateway at once, in a large fleet by way of others.  What one of them missed,
 since it was cut off, stood still or had not started yet, it hears within a second or two, by the
 reports that repeat.
+
+Owns the evidence of this gateway and the budgets of the datagrams that tell of it; relies on the
+rule of poison requests to judge, and on the calls to report what was lost under them.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -2,6 +2,9 @@
 
 An answer is matched by its number to the moment at which the question left.  Whatever delays it,
 and however often it comes, it proves something of that moment or later, never of one before.
+
+Owns the questions under way; relies on the datagrams between gateways, and on who answers to
+describe what it knows.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -1,4 +1,8 @@
-"""What cannot be had from where this gateway stands, while ways to some zones are closed."""
+"""What cannot be had from where this gateway stands, while ways to some zones are closed.
+
+Owns a short memory of counts; relies on the zone monitor for closed ways and on the directory for
+back ends.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -3,6 +3,9 @@
 Every answer from a zone shows that its way is open; a call that gets none has gateways there asked.
 Gateways of a zone that was cut off find that out one by one within a second, since each hears of
 the others' doubts.
+
+Owns the state of each zone's way and the rounds of questions; relies on the rule of zone paths to
+judge, on probes to ask, and on calls to report answers and doubts.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -1,4 +1,8 @@
-"""The side of tenants' limits that a gateway carries for the whole fleet: the tenants' buckets."""
+"""The side of tenants' limits that a gateway carries for the whole fleet: the tenants' buckets.
+
+Owns the token buckets that fall to this gateway; relies on the rule of token buckets, on the
+datagrams between gateways, and on the zone monitor for the part of the fleet that it hears.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -1,4 +1,7 @@
-"""Which gateway keeps a tenant's bucket, as one gateway sees it."""
+"""Which gateway keeps a tenant's bucket, as one gateway sees it.
+
+Owns a short memory of choices and of owners that did not answer; relies on the list of peers.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -2,6 +2,9 @@
 
 Requests of a tenant that keeps well within its limit run at once and are reported behind; only
 while its bucket is nearly empty do entries ask first.  See docs/design/quotas.md.
+
+Owns the reports under way and what was decided for each tenant; relies on the choice of each
+bucket's owner, and on the owner to grant.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/evacuations.py
+++ b/tinrudder/gateway/store/evacuations.py
@@ -3,6 +3,8 @@
 Like everything that gateways teach each other, the highest revision of a key wins, whoever told
 it.  Removals are kept for the life of the process: there is at most one for each zone that was
 ever named, and without it an older word of a peer would bring the evacuation back.
+
+Owns the newest value of each key; relies on the shared state to hand it values.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -4,6 +4,9 @@
 gateways merge by one rule: the highest revision of a key wins.  Removals are kept for a while, and
 values that cannot be read as long as they stand, or an older value from a peer would bring a back
 end back.
+
+Owns the newest value of each key and what is in force; relies on the decoders of the platform's
+values, and tells its listeners of every change in the order in which they subscribed.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/staleness_bound.py
+++ b/tinrudder/gateway/store/staleness_bound.py
@@ -3,6 +3,8 @@
 A lower bound of the moment, by this process's steady clock, up to which it knows all that the store
 has acknowledged.  Proofs count from when a question *left*: a pause of this process, bytes held up
 on the way or an answer that comes twice can only make the bound older than it might be.
+
+Owns the bound and proofs that wait; relies on followers, keeper and pulls to report proofs.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -2,6 +2,9 @@
 
 Readers read the store, everybody else asks them: a question to a peer in the own zone costs
 nothing, a call to the store and bytes between zones are paid for.
+
+Owns its one reading of the store; relies on the bound for the age, on probes to ask peers, and on
+the choice of readers for whom to ask.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -4,6 +4,9 @@
 read.  A watch that was silently cut is noticed when its wait ends.  Calls are priced, so of many
 gateways only a few readers follow the store, and digests tell the others.  Digests also tell how
 old the store's last word is: where no reader gets through, everybody tries.
+
+Owns its place in the store's history; relies on the choice of readers to tell whether it has to
+follow, and hands what it reads to the shared state.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -1,4 +1,8 @@
-"""Which gateways follow the metadata store for all."""
+"""Which gateways follow the metadata store for all.
+
+Owns a short memory of the choice and of a pull that failed; relies on the list of peers and on the
+rule that ranks candidates.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/store/stored_values.py
+++ b/tinrudder/gateway/store/stored_values.py
@@ -1,4 +1,7 @@
-"""What a gateway reads from its platform, whichever platform it is."""
+"""What a gateway reads from its platform, whichever platform it is.
+
+Owns nothing: values, and the interface of a store, which an adapter implements.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/store/unreadable_values.py
+++ b/tinrudder/gateway/store/unreadable_values.py
@@ -1,4 +1,7 @@
-"""Counts and logs stored values that cannot be read, however many there are."""
+"""Counts and logs stored values that cannot be read, however many there are.
+
+Owns the count and the bound on log lines; relies on the shared state to report each value.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -1,4 +1,7 @@
-"""Turns requests between gateways into protobuf and back, refusing what is no message."""
+"""Turns requests between gateways into protobuf and back, refusing what is no message.
+
+Owns the form of requests between gateways; relies on the generated classes of protobuf.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -1,4 +1,7 @@
-"""Turns news of long queues into protobuf and back."""
+"""Turns news of long queues into protobuf and back.
+
+Owns the form of load news; relies on the generated classes of protobuf.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/wire/peer_datagram_codec.py
+++ b/tinrudder/gateway/wire/peer_datagram_codec.py
@@ -1,4 +1,7 @@
-"""Turns the datagrams between gateways into protobuf and back, refusing what is none."""
+"""Turns the datagrams between gateways into protobuf and back, refusing what is none.
+
+Owns the envelope of all datagrams; relies on the codec of each kind.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/wire/poison_report_codec.py
+++ b/tinrudder/gateway/wire/poison_report_codec.py
@@ -1,4 +1,7 @@
-"""Turns reports of requests that may be poison into protobuf and back."""
+"""Turns reports of requests that may be poison into protobuf and back.
+
+Owns the form of poison reports; relies on the generated classes of protobuf.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -1,4 +1,7 @@
-"""Turns what gateways tell each other into protobuf and back, refusing what is no message."""
+"""Turns what gateways tell each other into protobuf and back, refusing what is no message.
+
+Owns the form of snapshots and their compression; relies on the generated classes of protobuf.
+"""
 
 from __future__ import annotations
 
