--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -63,7 +63,7 @@
 
 
 def home_of(site: EmulatedSite, tenant: str = "limited") -> EmulatedNode:
-    address = gateway_of(site.nodes[0]).requests.quotas.home_of(tenant)
+    address = gateway_of(site.nodes[0]).requests.quotas.owner_of(tenant)
     return next(node for node in site.nodes if node.host == address.host)
 
 
@@ -166,7 +166,7 @@
         await asyncio.sleep(5.0)
         for turn in range(12):
             alive = next(node for node in site.nodes if not node.machine.gone)
-            address = gateway_of(alive).requests.quotas.home_of("limited")
+            address = gateway_of(alive).requests.quotas.owner_of("limited")
             home = next(node for node in site.nodes if node.host == address.host)
             if turn % 3 == 2:
                 home.machine.pause()
@@ -327,11 +327,11 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         gateway = gateway_of(site.nodes[0])
-        tokens = gateway.requests.quotas.homes.buckets.tokens("limited")
+        tokens = gateway.requests.quotas.bucket_owner.buckets.tokens("limited")
         for payload in (b"\xff\xff\xff", b"", b"not a datagram at all", bytes(2000)):
             gateway.fleet.datagrams.datagram_received(payload, ("10.9.9.9", 1))
         assert gateway.fleet.datagrams.unreadable == 4
-        assert gateway.requests.quotas.homes.buckets.tokens("limited") == tokens
+        assert gateway.requests.quotas.bucket_owner.buckets.tokens("limited") == tokens
 
     run_limited(scenario)
 
@@ -354,7 +354,7 @@
 def test_addresses_are_told_as_homes() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        homes = {gateway_of(node).requests.quotas.home_of("limited") for node in site.nodes}
+        homes = {gateway_of(node).requests.quotas.owner_of("limited") for node in site.nodes}
         assert len(homes) == 1
         assert isinstance(homes.pop(), Address)
 
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tinrudder.gateway.backends.load_news_exchange import number_of
+from tinrudder.gateway.backends.load_news_exchange import start_number
 from tinrudder.gateway.decisions.fleet.load_news import (
     BYTES_PER_S,
     DATAGRAM_BYTES,
@@ -130,7 +130,7 @@
         assert teller is not None
         assert hearer is not None
         known = next(one for one in hearer.backends.directory if one.entry.service == "single")
-        number = number_of(known.entry)
+        number = start_number(known.entry)
         absurd = [
             ReportedLoad(number + 1, 14, 2, 1.0, 0.1),
             ReportedLoad(number, 2_000_000, 2, 1.0, 0.1),
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -11,7 +11,11 @@
 from tests.support.fakes import ManualTimers
 from tinrudder.common.address import Address
 from tinrudder.gateway.backends import load_news_exchange
-from tinrudder.gateway.backends.load_news_exchange import LOG_PAUSE_S, LoadNewsExchange, number_of
+from tinrudder.gateway.backends.load_news_exchange import (
+    LOG_PAUSE_S,
+    LoadNewsExchange,
+    start_number,
+)
 from tinrudder.gateway.decisions.fleet.load_news import (
     BYTES_PER_S,
     GATHER_S,
@@ -81,7 +85,7 @@
     one.observations.reported(4, 12, 4, timers.now)
     watch.heard(one, shed=False, work_s=0.25)
     timers.advance(GATHER_S / 2)
-    told = ReportedLoad(number_of(one.entry), 7, 4, 1.0, 0.001)
+    told = ReportedLoad(start_number(one.entry), 7, 4, 1.0, 0.001)
     wire.handler(LoadNews((told,)), Address("10.0.1.1", 1))
     timers.advance(GATHER_S)
     assert one.observations.reported_backlog == 7
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -38,7 +38,7 @@
 NEVER = float("-inf")
 
 
-def number_of(entry: BackendEntry) -> int:
+def start_number(entry: BackendEntry) -> int:
     """Return the number that stands for one start of a back end; 4 bytes in place of some 40."""
     return crc32(entry.life.encode())
 
@@ -92,7 +92,7 @@
             self._note_pressure(backend, observations.reported_at, "")
         elif not self._is_pressed(backend.entry.service):
             return
-        number = number_of(backend.entry)
+        number = start_number(backend.entry)
         self._pending.note(Noted(number, shed, work_s, observations.reported_at))
         self._tell_after(GATHER_S)
 
@@ -168,5 +168,5 @@
     def _find(self, number: int) -> Backend | None:
         """Return a back end by the number of its start."""
         if self._by_number is None:
-            self._by_number = {number_of(one.entry): one for one in self._backends()}
+            self._by_number = {start_number(one.entry): one for one in self._backends()}
         return self._by_number.get(number)
--- a/tinrudder/gateway/observability/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -88,7 +88,7 @@
 
     def tenant_tokens(self) -> list[TenantFigure]:
         """Return what the emptiest buckets hold, of tenants whose bucket this gateway owns."""
-        buckets = self._sources.quotas.homes.buckets.held()
+        buckets = self._sources.quotas.bucket_owner.buckets.held()
         held = sorted(buckets.items(), key=lambda one: one[1])[:MOST_TENANTS]
         return [TenantFigure(tenant, "held", tokens) for tenant, tokens in held]
 
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -35,18 +35,18 @@
     """
 
     directory: BackendDirectory
-    watch: ZoneMonitor
+    zone_monitor: ZoneMonitor
     clock: Callable[[], float]
     _counted: dict[tuple[str, ...], _Reachable] = field(default_factory=dict)
 
     @property
     def is_cut_off(self) -> bool:
         """Tell whether clients are served better by gateways elsewhere."""
-        return self.watch.is_cut_off
+        return self.zone_monitor.is_cut_off
 
     def refusal(self, route: Route) -> NotRun | None:
         """Refuse a request that cannot have enough shards, or no back end; ``None``: it can."""
-        closed = self.watch.paths.closed
+        closed = self.zone_monitor.paths.closed
         if not closed:
             self._counted.clear()
             return None
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -27,46 +27,46 @@
 TO_EVERYBODY = 0
 """Number of a word that answers no report."""
 ALONE_SHARE = 0.49
-"""Of the fleet, for whoever hears no home: less than half, or it would grant the whole rate."""
+"""Of the fleet, for whoever hears no owner: less than half, or it would grant the whole rate."""
 
 
 class BucketOwner:
     """Answers entries' reports, and tells everybody of a tenant that is near its limit.
 
-    :ivar buckets: of the tenants whose home this gateway is.
+    :ivar buckets: of the tenants whose bucket this gateway owns.
     """
 
     def __init__(
         self,
         peers: PeerList,
-        watch: ZoneMonitor,
+        zone_monitor: ZoneMonitor,
         datagrams: PeerDatagrams,
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
     ) -> None:
         """Find tenants, by their names, in the configuration in force."""
         self._peers = peers
-        self._watch = watch
+        self._zone_monitor = zone_monitor
         self._datagrams = datagrams
         self._bounds = bounds
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
         self.buckets = TokenBuckets(self._loop.time())
-        # Where no home answers.  Apart, since what other entries ask for here is not to suffer.
+        # Where no owner answers.  Apart, since what other entries ask for here is not to suffer.
         self._alone = TokenBuckets(self._loop.time())
         self._told_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
 
     def judge(self, report: QuotaReport) -> QuotaVerdict:
-        """Answer a report as the tenant's home."""
-        share = part_of_rate(self._watch.heard_share, self._bounds.excess)
+        """Answer a report as the owner of the tenant's bucket."""
+        share = part_of_rate(self._zone_monitor.heard_share, self._bounds.excess)
         verdict = self._grant(self.buckets, report, share)
         if verdict.pressed_s > 0.0:
             self._tell_everybody(verdict)
         return verdict
 
     def judge_alone(self, report: QuotaReport) -> QuotaVerdict:
-        """Answer an own report as one of many that hear no home."""
+        """Answer an own report as one of many that hear no owner."""
         nodes = self._peers.nodes(self._loop.time())
         share = part_of_rate(min(1.0 / nodes, ALONE_SHARE), self._bounds.excess)
         return self._grant(self._alone, report, share)
@@ -82,7 +82,7 @@
         """Answer an entry."""
         self._datagrams.send(self.judge(report), entry)
 
-    def _grant(self, home: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
+    def _grant(self, buckets: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
         """Draw on a tenant's bucket."""
         tenant = self._find_tenant(report.tenant)
         if tenant is None or tenant.rate_per_s <= 0.0:
@@ -91,7 +91,7 @@
         limit = QuotaLimit.of(
             tenant.rate_per_s, tenant.burst, bounds.window_s, bounds.excess, bounds.slack
         )
-        grant = home.report(
+        grant = buckets.report(
             report.tenant,
             limit,
             self._loop.time(),
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -15,46 +15,46 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 AVOIDED_S = 3.0
-"""How long a home that did not answer is passed over: one that stood still is not asked each time,
-and one that has come back is found again."""
+"""How long an owner that did not answer is passed over: one that stood still is not asked each
+time, and one that has come back is found again."""
 KEPT_S = 0.5
 """How long a choice is remembered; ranking 730 gateways takes 0.3 ms."""
 
 
 class _Choice(Struct, frozen=True):
-    """A tenant's home, as chosen at a moment."""
+    """The owner of a tenant's bucket, as chosen at a moment."""
 
-    home: Address
+    owner: Address
     chosen_at: float
 
 
 class BucketOwnerChoice(Struct):
     """Ranks the live gateways by rendezvous hashing of the tenant's name.
 
-    Views of two gateways may differ for seconds: then a tenant has two homes, which is one of the
+    Views of two gateways may differ for seconds: then a bucket has two owners, which is one of the
     things that the margin above its limit is for.
     """
 
     own: Address
     peers: PeerList
-    watch: ZoneMonitor
+    zone_monitor: ZoneMonitor
     clock: Callable[[], float]
     _chosen: dict[str, _Choice] = field(default_factory=dict)
     _avoided: dict[Address, float] = field(default_factory=dict)
 
-    def home_of(self, tenant: str) -> Address:
+    def owner_of(self, tenant: str) -> Address:
         """Return the gateway that keeps a tenant's bucket."""
         now = self.clock()
         known = self._chosen.get(tenant)
         if known is None or now - known.chosen_at >= KEPT_S:
             known = _Choice(self._choose(tenant, now), now)
             self._chosen[tenant] = known
-        return known.home
+        return known.owner
 
-    def failed(self, home: Address) -> None:
-        """Pass over a home that did not answer, for a while."""
-        self._avoided[home] = self.clock() + AVOIDED_S
-        self._chosen = {name: one for name, one in self._chosen.items() if one.home != home}
+    def failed(self, owner: Address) -> None:
+        """Pass over an owner that did not answer, for a while."""
+        self._avoided[owner] = self.clock() + AVOIDED_S
+        self._chosen = {name: one for name, one in self._chosen.items() if one.owner != owner}
 
     def forget_unused(self, tenants: Set[str]) -> None:
         """Drop what belongs to tenants that no configuration names any more."""
@@ -65,7 +65,7 @@
         willing = [
             member.address
             for member in self.peers.candidates(now)
-            if not self.watch.is_closed(member.zone)
+            if not self.zone_monitor.is_closed(member.zone)
             and now >= self._avoided.get(member.address, 0.0)
         ]
         return max((*willing, self.own), key=lambda address: rendezvous_score(tenant, str(address)))
