--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -18,7 +18,11 @@
 
 from tinrudder.cli.gateway import DECODERS
 from tinrudder.common.address import Address
-from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.backend_directory import (
+    BackendDirectory,
+    ConnectionHooks,
+    DirectorySettings,
+)
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection
 from tinrudder.gateway.clients.client_deadlines import Deadlines
@@ -83,11 +87,9 @@
             self.state,
             HEADERS,
             loop.time,
-            5.0,
-            lambda: None,
+            DirectorySettings("own", 5.0, ColdBounds()),
+            ConnectionHooks(lambda: None),
             lambda service: Callers(("own",), 1),
-            "own",
-            ColdBounds(),
             lambda zone: False,
         )
         self._configure()
--- a/tests/unit/gateway/test_backend_starts.py
+++ b/tests/unit/gateway/test_backend_starts.py
@@ -11,7 +11,11 @@
 from hypothesis import strategies as st
 
 from tests.unit.gateway.test_shared_state import DECODERS
-from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.backend_directory import (
+    BackendDirectory,
+    ConnectionHooks,
+    DirectorySettings,
+)
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.model.configuration import ColdBounds
 from tinrudder.gateway.model.http_messages import CallOutcome, UpstreamCall, Withdrawn
@@ -170,11 +174,9 @@
         told.state,
         HEADERS,
         lambda: told.now,
-        drain_s=3.0,
-        count_connection=lambda: None,
+        DirectorySettings(own_name="own", drain_s=3.0, cold=ColdBounds()),
+        ConnectionHooks(count_opened=lambda: None),
         callers=lambda service: Callers(("own",), 1),
-        own_name="own",
-        cold=ColdBounds(),
         is_closed=lambda zone: False,
     )
 
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -9,6 +9,8 @@
 import math
 from collections.abc import Callable, Iterator
 
+from msgspec import Struct
+
 from tinrudder.common.address import Address
 from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.backends.answer_check import AnswerCheck
@@ -41,6 +43,31 @@
 """Part of the time that a back end serves after its entry is gone, whoever removed that."""
 
 
+class DirectorySettings(Struct, frozen=True):
+    """What a gateway's settings say of its calls to back ends.
+
+    :param own_name: differs between gateways, so that they do not all pick the same replicas.
+    :param drain_s: how long back ends serve after they said that they leave.
+    """
+
+    own_name: str
+    drain_s: float
+    cold: ColdBounds
+
+
+class ConnectionHooks(Struct, frozen=True):
+    """What connections to back ends need of the process.
+
+    :param count_opened: is called for each that is opened.
+    :param memory: counts what is held for back ends; without it, nobody asks for that.
+    :param stood_still: tells whether this process did not run for a while since a moment.
+    """
+
+    count_opened: Callable[[], None]
+    memory: HeldBytes | None = None
+    stood_still: Callable[[float], bool] = never_stood_still
+
+
 class BackendDirectory:
     """Follows the shared state; a back end's connections close when it is gone."""
 
@@ -49,35 +76,26 @@
         state: SharedState,
         headers: HeaderNames,
         clock: Callable[[], float],
-        drain_s: float,
-        count_connection: Callable[[], None],
+        settings: DirectorySettings,
+        connections: ConnectionHooks,
         callers: Callable[[str], Callers],
-        own_name: str,
-        cold: ColdBounds,
         is_closed: Callable[[str], bool],
-        memory: HeldBytes | None = None,
-        stood_still: Callable[[float], bool] = never_stood_still,
     ) -> None:
         """Follow ``state``.
 
         :param callers: tells which gateways call the back ends of a service.
-        :param own_name: differs between gateways, so that they do not all pick the same replicas.
         :param is_closed: tells whether calls to a zone would only hang.
-        :param memory: counts what is held for back ends; without it, nobody asks for that.
-        :param stood_still: tells whether this process did not run for a while since a moment.
         """
-        self._memory = memory
-        self._stood_still = stood_still
+        self._connections = connections
         self._is_closed = is_closed
         self._state = state
         self._answers = AnswerCheck(headers)
         self._clock = clock
-        self._last_resort_s = drain_s * LAST_RESORT_SHARE
-        self._lapse_s = min(LAPSE_S, drain_s * LAPSE_SHARE)
-        self._count_connection = count_connection
+        self._last_resort_s = settings.drain_s * LAST_RESORT_SHARE
+        self._lapse_s = min(LAPSE_S, settings.drain_s * LAPSE_SHARE)
         self._callers = callers
-        self._own_name = own_name
-        self._cold_starts = ColdStartLimits(state, own_name, callers, cold)
+        self._own_name = settings.own_name
+        self._cold_starts = ColdStartLimits(state, settings.own_name, callers, settings.cold)
         self._backends: dict[str, Backend] = {}
         self._services: dict[str, list[Backend]] = {}
         self._shares: dict[str, float] = {}
@@ -241,8 +259,9 @@
     def _add(self, key: str, entry: BackendEntry) -> Backend:
         """Begin with a back end that was not known."""
         address = Address(entry.host, entry.port)
+        hooks = self._connections
         pool = UpstreamPool(
-            address, self._answers.check, self._count_connection, self._memory, self._stood_still
+            address, self._answers.check, hooks.count_opened, hooks.memory, hooks.stood_still
         )
         observations = BackendObservations(slots=entry.slots)
         backend = Backend(entry, pool, observations)
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -16,7 +16,11 @@
 from tinrudder.common.address import Address
 from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.transport.peer_client import PeerClient
-from tinrudder.gateway.backends.backend_directory import BackendDirectory
+from tinrudder.gateway.backends.backend_directory import (
+    BackendDirectory,
+    ConnectionHooks,
+    DirectorySettings,
+)
 from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
@@ -252,14 +256,14 @@
         state,
         around.names,
         clock,
-        around.settings.drain_s,
-        count_connection,
+        DirectorySettings(str(around.own), around.settings.drain_s, around.settings.cold),
+        ConnectionHooks(
+            count_connection,
+            process.memory,
+            lambda since: process.pause.covers(since, clock()),
+        ),
         lambda service: coordinators.of_service(service).known_callers,
-        str(around.own),
-        around.settings.cold,
         fleet.zone_monitor.is_closed,
-        process.memory,
-        lambda since: process.pause.covers(since, clock()),
     )
 
 
