--- a/tinrudder/node/backends/connection.py
+++ b/tinrudder/node/backends/connection.py
@@ -22,9 +22,14 @@
 from tinrudder.node.environment import ReplyListener
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
+"""Largest answer that is read; a larger one breaks the connection."""
 READ_BUFFER_BYTES = 16 * 1024
+"""Bytes of a connection's read buffer, in place of asyncio's allocation of 256 KiB a read
+(docs/CALL_COST.md)."""
 OK_ANSWER_START = b"HTTP/1.1 200"
+"""What an answer starts with whose bytes need not be kept: of others the headers may be wanted."""
 REUSABLE_STATUSES = (STATUS_OK, *REFUSAL_STATUSES)
+"""Statuses after which the connection may take another call."""
 
 _encoder = msgspec.json.Encoder()
 
--- a/tinrudder/node/backends/connection_pool.py
+++ b/tinrudder/node/backends/connection_pool.py
@@ -18,7 +18,11 @@
 
 SEARCH_PATH = "/v1/search"
 CONNECT_TIMEOUT_S = 1.0
+"""Seconds for a connection to open, TLS included.  Chosen, not measured: a thousand times the way
+between zones."""
 IDLE_TIMEOUT_S = 30.0
+"""Seconds after which an idle connection is closed: back ends count connections against a limit.
+Chosen, not measured."""
 CLOSED_DETAIL = "the transport is closed"
 PERMISSION_DETAIL = "the permission to send has ended"
 
--- a/tinrudder/node/backends/http_transport.py
+++ b/tinrudder/node/backends/http_transport.py
@@ -15,6 +15,7 @@
 from tinrudder.node.environment import ReplyListener
 
 TRIM_INTERVAL_S = 5.0
+"""Seconds between looks for idle connections; it adds to how long one stays."""
 
 
 class TlsContextSource(Protocol):
--- a/tinrudder/node/backends/reply_decoding.py
+++ b/tinrudder/node/backends/reply_decoding.py
@@ -23,6 +23,7 @@
 RETRY_AFTER_HEADER = b"retry-after"
 DRAINING_REASON = "draining"
 MAX_RETRY_AFTER_S = 3600.0
+"""Longest Retry-After, in seconds, that is taken for one; a longer or negative one is ignored."""
 
 
 class Refusal(msgspec.Struct, frozen=True):
--- a/tinrudder/node/configuration_service/client.py
+++ b/tinrudder/node/configuration_service/client.py
@@ -17,7 +17,9 @@
 )
 
 REQUEST_TIMEOUT_S = 2.0
+"""Seconds for one read of the platform.  Chosen, not measured."""
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
+"""Largest answer that is read: twice the largest document that is accepted."""
 READ_HEADERS = {"Accept-Encoding": "gzip"}
 STATUS_OK = 200
 STATUS_NOT_MODIFIED = 304
--- a/tinrudder/node/configuration_service/poll_pace.py
+++ b/tinrudder/node/configuration_service/poll_pace.py
@@ -5,7 +5,11 @@
 import random
 
 TIER_POLLS_PER_S = 4.0
+"""Reads a second by all nodes together.  At 730 nodes a change is in force everywhere within 0.80
+to 1.05 s (bench.configuration_spread, docs/CAPACITY.md)."""
 JITTER = 0.5
+"""Part of the mean by which a delay varies, so that nodes that started together do not read
+together."""
 
 
 def poll_delay_s(reachable_nodes: int, shortest_s: float, source: random.Random) -> float:
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -40,7 +40,10 @@
 from tinrudder.node.wire.channels import Channel, ChannelRouter
 
 DRAIN_CHECK_S = 0.02
+"""Seconds between looks at what is still in progress while a planned stop drains."""
 REFUSAL_LINGER_S = 0.2
+"""Seconds for which a drained node still answers, so that refusals and last outcomes leave its
+sockets.  Chosen, not measured."""
 
 
 class Node:
--- a/tinrudder/node/node_claims.py
+++ b/tinrudder/node/node_claims.py
@@ -14,6 +14,8 @@
 from tinrudder.peers import PeerAddress
 
 LONGEST_PAUSE_S = 60.0
+"""Seconds that a machine off the list may still be paused and wake as a voter: a majority that is
+gone for good is replaced only after that (docs/CLAIMS.md).  Chosen, not measured."""
 
 
 class NodeClaims:
--- a/tinrudder/node/node_configuration.py
+++ b/tinrudder/node/node_configuration.py
@@ -21,6 +21,8 @@
 from tinrudder.peers import PeerAddress
 
 LEARN_TIMEOUT_S = 3.0
+"""Seconds that a starting node waits for peers to state their configuration; it then begins with
+what the platform says.  Chosen, not measured."""
 WHOLE_READ_S = 900.0
 """Mean time between reads that do not say which revision is known.
 
--- a/tinrudder/node/node_membership.py
+++ b/tinrudder/node/node_membership.py
@@ -24,7 +24,10 @@
 """Changes come in bursts; the coordinator sets are computed once for each burst."""
 
 JOIN_CHECK_S = 0.02
+"""Seconds between looks at who has answered while joining."""
 JOIN_PATIENCE_S = 1.0
+"""Seconds that a starting node waits for others, so as not to act as if alone.  Chosen, not
+measured: two probe intervals of membership."""
 
 ViewListener = Callable[[MemberView], None]
 
--- a/tinrudder/node/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -13,6 +13,7 @@
 from tinrudder.timers import TimerHandle, Timers
 
 RECHECK_INTERVAL_S = 1.0
+"""Seconds between looks for drain signs that have ended; they last 60 to 120 s."""
 
 
 class NodeObservations:
