--- a/tinrudder/gateway/decisions/admission/memory_bound.py
+++ b/tinrudder/gateway/decisions/admission/memory_bound.py
@@ -25,7 +25,6 @@
 
 BYTES_PER_MB = 1_000_000
 """Bytes in a megabyte, as the settings count memory: a unit."""
-"""Bytes in a megabyte, as the settings count memory: a unit."""
 BARE_PROCESS_BYTES = 44 * BYTES_PER_MB
 """What a gateway takes that holds nothing for others: the most that was resident at once, 38.9 MB
 idle with 1,019 back ends known, 42.3 MB after 250 requests, and a little."""
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -14,8 +14,8 @@
 
 Owns: the evidence on at most 1,024 requests; what decides nothing any more is forgotten.
 
-Shown by: without evidence a request is free; a process that has just started asks others for
-theirs.
+Shown by: log line ``request_barred``; a refused request's ``detail`` begins with ``poison:``;
+metrics ``tinrudder_gateway_poison_refused``, ``tinrudder_gateway_poison_alerts``.
 
 When an input is missing or old: without evidence a request is free; a process that has just
 started asks others for theirs.
--- a/tinrudder_lab/decisions_page.py
+++ b/tinrudder_lab/decisions_page.py
@@ -118,7 +118,12 @@
         "admission/poison_requests",
         "barred while it was at work, or its canary was lost",
     ),
-    Refusal("overload: wait ", "admission/shared_service", "the queues of one service's back ends"),
+    Refusal(
+        "overload: wait ",
+        "admission/shared_service",
+        "the queues of one service's back ends: the least of the shares by the wait "
+        "(load_forecast), by what fits into the queues, and the tenant's (tenant_shares)",
+    ),
     Refusal("overload: place ", "admission/scatter_queue", "the queue of an index at one gateway"),
     Refusal(
         "every back end left is cold and has had this gateway's part of calls",
@@ -170,7 +175,7 @@
     Chapter(
         "Which back end?",
         "`gateway/backends/backend_directory.py` leaves those that may get a call, "
-        "`gateway/runs/call_context.py` chooses the cheapest of them by the rules below.",
+        "`gateway/runs/replica_choice.py` chooses the cheapest of them by the rules below.",
         (
             "placement/weighted_rotation",
             "placement/cold_start_rate",
