--- a/tinrudder/gateway/observability/metric_figures.py
+++ b/tinrudder/gateway/observability/metric_figures.py
@@ -6,7 +6,6 @@
 from __future__ import annotations
 
 from collections.abc import Callable
-from operator import attrgetter
 
 from msgspec import Struct
 
@@ -74,128 +73,137 @@
     return NEVER_PROVEN if age_s is None else age_s
 
 
-def _read(path: str) -> Callable[[MetricSources], float]:
-    """Return what reads an attribute of a part, such as ``counters.requests``."""
-    return attrgetter(path)
-
-
 COUNTERS = (
-    FigureRow("requests", "Requests read.", _read("counters.requests")),
-    FigureRow("calls", "Calls sent to back ends.", _read("counters.calls")),
-    FigureRow("hedges", "Calls sent beside one that was overdue.", _read("counters.hedges")),
-    FigureRow("retries", "Calls sent after one that failed.", _read("counters.retries")),
+    FigureRow("requests", "Requests read.", lambda sources: sources.counters.requests),
+    FigureRow("calls", "Calls sent to back ends.", lambda sources: sources.counters.calls),
+    FigureRow(
+        "hedges", "Calls sent beside one that was overdue.", lambda sources: sources.counters.hedges
+    ),
+    FigureRow(
+        "retries", "Calls sent after one that failed.", lambda sources: sources.counters.retries
+    ),
     FigureRow(
         "repeats_denied",
         "Hedges and retries that the budget did not allow.",
-        _read("counters.repeats_denied"),
+        lambda sources: sources.counters.repeats_denied,
     ),
-    FigureRow("rejections", "Calls that back ends rejected.", _read("counters.rejections")),
-    FigureRow("broken", "Calls without a usable answer.", _read("counters.broken")),
+    FigureRow(
+        "rejections", "Calls that back ends rejected.", lambda sources: sources.counters.rejections
+    ),
+    FigureRow("broken", "Calls without a usable answer.", lambda sources: sources.counters.broken),
     FigureRow(
         "connections_opened",
         "Connections opened to back ends.",
-        _read("counters.connections_opened"),
+        lambda sources: sources.counters.connections_opened,
     ),
     FigureRow(
         "refused",
         "Requests refused since they could not have been served in time.",
-        _read("counters.refused"),
+        lambda sources: sources.counters.refused,
+    ),
+    FigureRow(
+        "relayed", "Scatters handed to coordinators.", lambda sources: sources.counters.relayed
     ),
-    FigureRow("relayed", "Scatters handed to coordinators.", _read("counters.relayed")),
     FigureRow(
         "delegated",
         "Groups of shards handed to gateways beside their replicas.",
-        _read("counters.delegated"),
+        lambda sources: sources.counters.delegated,
     ),
     FigureRow(
         "delegations_run_here",
         "Groups of shards asked from here since the other gateway did not.",
-        _read("counters.delegations_run_here"),
+        lambda sources: sources.counters.delegations_run_here,
     ),
     FigureRow(
         "relays_failed",
         "Coordinators that did not serve a scatter.",
-        _read("counters.relays_failed"),
+        lambda sources: sources.counters.relays_failed,
     ),
     FigureRow(
         "relays_run_here",
         "Scatters run here because no coordinator served them.",
-        _read("counters.relays_run_here"),
+        lambda sources: sources.counters.relays_run_here,
+    ),
+    FigureRow(
+        "coordinated",
+        "Scatters run for other gateways.",
+        lambda sources: sources.counters.coordinated,
     ),
-    FigureRow("coordinated", "Scatters run for other gateways.", _read("counters.coordinated")),
     FigureRow(
         "clients_left",
         "Requests whose client left before the answer.",
-        _read("counters.clients_left"),
+        lambda sources: sources.counters.clients_left,
     ),
-    FigureRow("store_calls", "Calls to the store.", _read("store_status.calls")),
+    FigureRow("store_calls", "Calls to the store.", lambda sources: sources.store_status.calls),
     FigureRow(
         "unreadable_values",
         "Values in the store that do not have the form agreed on.",
-        _read("unreadable_values.count"),
+        lambda sources: sources.unreadable_values.count,
     ),
     FigureRow(
         "unreadable_load_reports",
         "Load reports of back ends that do not have the form agreed on.",
-        _read("load_reports.unreadable"),
+        lambda sources: sources.load_reports.unreadable,
     ),
     FigureRow(
         "unreadable_datagrams",
         "Datagrams that are none of the kinds that gateways send each other.",
-        _read("datagrams.unreadable"),
+        lambda sources: sources.datagrams.unreadable,
     ),
     FigureRow(
         "knowledge_reads",
         "Calls to the store to know that nothing newer is there.",
-        _read("staleness_keeper.reads"),
+        lambda sources: sources.staleness_keeper.reads,
     ),
     FigureRow(
-        "zone_closings", "Times that a zone went out of reach.", _read("zone_monitor.closings")
+        "zone_closings",
+        "Times that a zone went out of reach.",
+        lambda sources: sources.zone_monitor.closings,
     ),
     FigureRow(
         "memory_refused",
         "Requests refused since there was no room in memory.",
-        _read("memory.refused"),
+        lambda sources: sources.memory.refused,
     ),
     FigureRow(
         "clients_ended_unread",
         "Connections ended since nobody read answers.",
-        _read("memory.ended_unread"),
+        lambda sources: sources.memory.ended_unread,
     ),
     FigureRow(
         "reading_paused",
         "Times that reading from a client was stopped.",
-        _read("memory.pauses"),
+        lambda sources: sources.memory.pauses,
     ),
     FigureRow(
         "poison_refused",
         "Requests refused since back ends crash under them.",
-        _read("poison_watch.refused"),
+        lambda sources: sources.poison_watch.refused,
     ),
     FigureRow(
         "poison_reports_unsent",
         "Reports of poison requests kept back by the bound on them.",
-        _read("poison_watch.unsent"),
+        lambda sources: sources.poison_watch.unsent,
     ),
     FigureRow(
         "load_news_sent",
         "Datagrams that told other gateways of long queues, each receiver counted.",
-        _read("load_news_exchange.sent"),
+        lambda sources: sources.load_news_exchange.sent,
     ),
     FigureRow(
         "load_news_taken",
         "Loads of back ends told by other gateways and newer than what was known.",
-        _read("load_news_exchange.taken"),
+        lambda sources: sources.load_news_exchange.taken,
     ),
     FigureRow(
         "load_news_ignored",
         "Loads told of back ends that are not known, or that cannot be true.",
-        _read("load_news_exchange.ignored"),
+        lambda sources: sources.load_news_exchange.ignored,
     ),
     FigureRow(
         "missing_shards",
         "Shards left out of merged answers.",
-        _read("requests.missing_shards"),
+        lambda sources: sources.requests.missing_shards,
     ),
 )
 """Figures that only grow while the process lives."""
@@ -204,22 +212,22 @@
     FigureRow(
         "held_clients_bytes",
         "Bytes held for clients: requests, and answers that they have not taken.",
-        _read("memory.clients"),
+        lambda sources: sources.memory.clients,
     ),
     FigureRow(
         "held_backends_bytes",
         "Bytes held of back ends: requests not taken, answers until they are merged.",
-        _read("memory.backends"),
+        lambda sources: sources.memory.backends,
     ),
     FigureRow(
         "held_peers_bytes",
         "Bytes held for other gateways, at the latest look, one a second.",
-        _read("memory.peers"),
+        lambda sources: sources.memory.peers,
     ),
     FigureRow(
         "held_bound_bytes",
         "Bytes that may be held for all together.",
-        _read("memory.bound"),
+        lambda sources: sources.memory.bound,
     ),
     FigureRow(
         "poison_alerts",
@@ -229,7 +237,7 @@
     FigureRow(
         "configuration_revision",
         "Revision of the configuration in force.",
-        _read("state.configuration_revision"),
+        lambda sources: sources.state.configuration_revision,
     ),
     FigureRow(
         "nodes",
@@ -250,7 +258,7 @@
     FigureRow(
         "heard_share",
         "Part of the gateways known that can be reached, this one included.",
-        _read("zone_monitor.heard_share"),
+        lambda sources: sources.zone_monitor.heard_share,
     ),
     FigureRow("ready", "1 while clients should come here.", lambda sources: sources.is_ready()),
     FigureRow(
@@ -271,18 +279,18 @@
     FigureRow(
         "scatters_waiting",
         "Scatters that wait here for room at the back ends.",
-        _read("scatter_admissions.waiting"),
+        lambda sources: sources.scatter_admissions.waiting,
     ),
     FigureRow(
         "scatter_room_held",
         "Slots of a typical shard that running scatters hold.",
-        _read("scatter_admissions.held"),
+        lambda sources: sources.scatter_admissions.held,
     ),
     FigureRow(
         "scatter_room_limit",
         "Slots of a typical shard that scatters of this gateway may hold now.",
-        _read("scatter_admissions.limit"),
+        lambda sources: sources.scatter_admissions.limit,
     ),
-    FigureRow("in_progress", "Requests being served.", _read("handler.in_progress")),
+    FigureRow("in_progress", "Requests being served.", lambda sources: sources.handler.in_progress),
 )
 """Figures that are as they are now."""
