--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -142,6 +142,7 @@
                     "addr": f"10.0.{copy}.{number + 1}:80",
                     "zone": ZONES[(number + copy) % len(ZONES)],
                     "slots": 2,
+                    "state": "ready",
                 }
                 key = f"servers/i-{name}-{copy}"
                 entries.append(StoredValue(key, len(entries) + 2, json.dumps(entry).encode()))
