--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -9,6 +9,8 @@
 import asyncio
 import contextlib
 import socket
+from functools import cached_property
+from typing import TYPE_CHECKING
 
 from tinrudder.common.address import Address
 from tinrudder.common.logs import log_event
@@ -18,11 +20,13 @@
 from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
 from tinrudder.gateway.model.outcomes import FinalAnswer
 from tinrudder.gateway.observability.gateway_log import log_configuration
-from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
-from tinrudder.gateway.observability.metric_figures import MetricSources
 from tinrudder.gateway.store.stored_values import ValueDecoders
 from tinrudder.gateway.wiring import StoreFactory, Surroundings, build_gateway
 
+if TYPE_CHECKING:
+    from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
+    from tinrudder.gateway.observability.metric_figures import MetricSources
+
 HOUSEKEEPING_S = LOOK_S
 """Seconds between two rounds of housekeeping: as often as a pause of the process is looked for."""
 LEAVE_S = 2.6
@@ -76,7 +80,6 @@
         self.backends = parts.backends
         self.requests = parts.requests
         self.store = parts.store
-        self.metrics = GatewayMetrics(self._metric_sources())
         self._exchange = parts.peer_exchange
         self._loop = asyncio.get_running_loop()
         self._metrics_address = metrics_address
@@ -222,6 +225,13 @@
             self.process.lifecycle.trigger("serve")
             log_event("ready", {"backends": len(self.backends.directory)})
 
+    @cached_property
+    def metrics(self) -> GatewayMetrics:
+        """Return what the metrics address shows; its tables are loaded by the first who asks."""
+        from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
+
+        return GatewayMetrics(self._metric_sources())
+
     def _metrics_answer(self) -> FinalAnswer:
         """Return the text of the metrics; the library that writes it is loaded here.
 
@@ -233,6 +243,8 @@
 
     def _metric_sources(self) -> MetricSources:
         """Return the parts whose figures the metrics show."""
+        from tinrudder.gateway.observability.metric_figures import MetricSources
+
         return MetricSources(
             nodes=self.nodes,
             is_ready=self.is_ready,
--- a/tinrudder/gateway/parts.py
+++ b/tinrudder/gateway/parts.py
@@ -6,7 +6,7 @@
 
 from __future__ import annotations
 
-from dataclasses import dataclass
+from msgspec import Struct
 
 from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.transport.peer_client import PeerClient
@@ -40,8 +40,7 @@
 from tinrudder.gateway.store.unreadable_values import UnreadableValues
 
 
-@dataclass(frozen=True, slots=True)
-class ProcessParts:
+class ProcessParts(Struct, frozen=True):
     """What concerns the process as a whole."""
 
     lifecycle: NodeLifecycle
@@ -51,8 +50,7 @@
     counters: CallCounters
 
 
-@dataclass(frozen=True, slots=True)
-class KnowledgeParts:
+class KnowledgeParts(Struct, frozen=True):
     """What is known of the store, whoever told it, and how old that is."""
 
     unreadable_values: UnreadableValues
@@ -62,8 +60,7 @@
     own_member: OwnMember
 
 
-@dataclass(frozen=True, slots=True)
-class FleetParts:
+class FleetParts(Struct, frozen=True):
     """The other gateways, and the ways to them."""
 
     peers: PeerList
@@ -73,8 +70,7 @@
     zone_monitor: ZoneMonitor
 
 
-@dataclass(frozen=True, slots=True)
-class BackendParts:
+class BackendParts(Struct, frozen=True):
     """The back ends, what is seen of them, and who calls them."""
 
     coordinators: Coordinators
@@ -84,8 +80,7 @@
     call_context: CallContext
 
 
-@dataclass(frozen=True, slots=True)
-class RequestParts:
+class RequestParts(Struct, frozen=True):
     """What a client's request passes, and what other gateways' scatters do."""
 
     figures: RequestFigures
@@ -97,8 +92,7 @@
     delegation_service: DelegationService
 
 
-@dataclass(frozen=True, slots=True)
-class StoreParts:
+class StoreParts(Struct, frozen=True):
     """What asks the store."""
 
     readers: StoreReaders
@@ -106,8 +100,7 @@
     staleness_keeper: StalenessKeeper
 
 
-@dataclass(frozen=True, slots=True)
-class GatewayParts:
+class GatewayParts(Struct, frozen=True):
     """All parts of one gateway.
 
     :param peer_exchange: ``None`` where the settings name no address for peers.
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -11,7 +11,8 @@
 import asyncio
 import random
 from collections.abc import Callable
-from dataclasses import dataclass
+
+from msgspec import Struct
 
 from tinrudder.common.address import Address
 from tinrudder.common.lifecycle import NodeLifecycle
@@ -99,8 +100,7 @@
 StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
 
-@dataclass(frozen=True, slots=True)
-class Surroundings:
+class Surroundings(Struct, frozen=True):
     """What every part is built from.
 
     :param own: the address under which other gateways know this one.
