--- a/tinrudder_lab/emulator/store.py
+++ b/tinrudder_lab/emulator/store.py
@@ -66,6 +66,7 @@
         self._items: dict[str, _Item] = {}
         self._watches: list[_Watch] = []
         self._connections: dict[int, set[ServerConnection]] = {}
+        self._servers: list[asyncio.Server] = []
         self._loop = asyncio.get_running_loop()
 
     async def listen(self, port: int) -> None:
@@ -80,7 +81,12 @@
                 self._loop.call_soon(connection.abort)
             return connection
 
-        await self._loop.create_server(accept, self.host, port)
+        self._servers.append(await self._loop.create_server(accept, self.host, port))
+
+    def close(self) -> None:
+        """Give back the addresses."""
+        for server in self._servers:
+            server.close()
 
     def set_mode(self, mode: StoreMode, *ports: int) -> None:
         """Treat the machines at ``ports`` (all of them if none is given) another way."""
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -122,10 +122,13 @@
         ]
 
     async def close(self) -> None:
-        """End every process that this soak started."""
+        """End every process that this soak started, and give back all addresses."""
         await self.processes.kill_all()
         for link in self.links.values():
             link.close()
+        for backend in self.backends.values():
+            backend.stop()
+        self.store.close()
 
     def came_back(self, backend_id: str, again: str) -> None:
         """Know the link to a back end by its new id too."""
