--- a/tinrudder/gateway/backends/http_fetch.py
+++ b/tinrudder/gateway/backends/http_fetch.py
@@ -1,6 +1,7 @@
 """A plain request with one answer, for servers that are no back ends, such as the platform's store.
 
-Relies on a pool for the connection; turns every way to get no whole answer into one error.
+Owns nothing. Relies on a pool for the connection; turns every way to get no whole answer into one
+error.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/model/configuration.py
+++ b/tinrudder/gateway/model/configuration.py
@@ -1,6 +1,7 @@
 """What a gateway is configured with, in the product's own terms.
 
-An adapter (``tinrudder.platform``) makes these values from whatever an operator's platform stores.
+Owns the types alone.  An adapter (``tinrudder.platform``) makes these values from whatever an
+operator's platform stores, and checks them.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -1,4 +1,7 @@
-"""Requests and answers as bytes, and the tagged outcomes of one call to a back end."""
+"""Requests and answers as bytes, and the tagged outcomes of one call to a back end.
+
+Owns the types alone; bodies are held by whoever holds the message.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/scatters/record_merge.py
+++ b/tinrudder/gateway/scatters/record_merge.py
@@ -1,4 +1,7 @@
-"""Merges parts of an answer: fixed-size records, compared byte by byte, the greatest first."""
+"""Merges parts of an answer: fixed-size records, compared byte by byte, the greatest first.
+
+Owns nothing; pure functions on bytes.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/platform/headers.py
+++ b/tinrudder/platform/headers.py
@@ -1,4 +1,7 @@
-"""The platform's header names, and what each holds where its name misleads."""
+"""The platform's header names, and what each holds where its name misleads.
+
+Owns the one table of them; the gateway gets it as a value.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -1,4 +1,7 @@
-"""The header in which back ends tell their load, decoded into the product's report."""
+"""The header in which back ends tell their load, decoded into the product's report.
+
+Owns nothing; what it cannot read is an error that the gateway counts.
+"""
 
 from __future__ import annotations
 
