--- a/tinrudder/gateway/decisions/__init__.py
+++ b/tinrudder/gateway/decisions/__init__.py
@@ -1,6 +1,7 @@
-"""Pure rules of a gateway, one a module: who is admitted, where it runs, what is sent again.
+"""Pure decision rules of a gateway, one per module: admission, placement, attempts, fleet.
 
-Reads no clock, no network and no configuration of its own: time, observations and randomness are
-arguments. Rooms: ``admission`` (may it run, and when to come back), ``placement`` (where),
-``attempts`` (second calls, retries, the answer's time), ``fleet`` (what gateways settle together).
+The rules read no clock, network or configuration; time, observations and randomness are arguments.
+Subpackages: ``admission`` (whether a request may run, and when a refused caller should retry),
+``placement`` (where it runs), ``attempts`` (hedges, retries and when the answer is sent), ``fleet``
+(state that the gateways agree on).
 """
--- a/tinrudder/gateway/decisions/admission/__init__.py
+++ b/tinrudder/gateway/decisions/admission/__init__.py
@@ -1,1 +1,1 @@
-"""Rules on whether a request may run here now, in which order, and when refused callers return."""
+"""Admission rules: whether a request may run now, in which order, and when to retry if refused."""
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -1,25 +1,27 @@
-"""What do the crashes under one request say against it, and for how long?
+"""Which crashes count against a request, and how long does it stay barred?
 
-Evidence merges to the same result in any order, however often it is told. Moments travel between
-gateways as ages, which the way there makes too short, so what clears a request is told by a count
-and not by comparing moments, and of two moments of one event the earlier holds. With the later one
-holding, cleared evidence comes back wherever its way is longer than that of the answer, and keeps
-itself alive: one request that lost a call and was answered 0.15 s later made each of 113 gateways,
-whose datagrams took 0.05 to 0.5 s, send 32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5
-s. With the count and the earlier moment, 40 gateways each send 14 for such a request and then only
-what repeats (virtual time).
+Merging evidence is commutative, associative and idempotent, so gateways agree whatever the order or
+number of reports. Gateways exchange timestamps as ages, and network delay makes an age too small on
+arrival. Therefore clearing is ordered by a counter instead of by time, and of two timestamps for
+one event the earlier one wins. If the later one won, cleared evidence would return wherever its
+path is slower than that of the answer, and would keep itself alive: one request that lost a call
+and was answered 0.15 s later made each of 113 gateways, with datagram delays of 0.05 to 0.5 s, send
+32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5 s. With the counter and the earlier
+timestamp, 40 gateways each send 14 datagrams for such a request, and then only the periodic repeats
+(virtual time).
 
-Inputs: back ends that were lost under the request, each with the moment of its loss (monotonic
-seconds of this gateway), how often answers cleared it, and trials; own and told by others.
+Inputs: the back ends lost while running the request, each with the time of the loss (monotonic
+seconds of this gateway), how often answers cleared the request, and trials; observed here and
+reported by other gateways.
 
-Answer: from when on the next trial is allowed, until when others of its origin begin as canaries,
-and until when the evidence is kept.
+Answer: when the next trial is allowed, until when other requests of the same origin begin as
+canaries, and until when the evidence is kept.
 
 Owns: nothing; evidence is immutable and kept in the table of poison requests.
 
 Shown by: log line ``request_barred`` with the fields ``crashes`` and ``failed_trials``.
 
-When an input is missing or old: a crash that was not told of counts for nothing; all evidence ends
+When an input is missing or old: a crash that was not reported does not count; all evidence expires
 by its own age.
 """
 
@@ -33,40 +35,41 @@
 from tinrudder.common.crash_limit import ENOUGH_CRASHES
 
 NEVER = float("-inf")
-"""A moment that never came, monotonic seconds."""
+"""Time of an event that has not happened, monotonic seconds."""
 FIRST_BAR_S = 20.0
-"""How long a request is barred after one failed trial, seconds.  A victim, barred since a rack
-failed under it and under its trial, is out again this soon; chosen, not measured."""
+"""How long a request is barred after its first failed trial, seconds. Short, so that an innocent
+request is soon free again if a failing rack took down its back ends and that of its trial."""
 BAR_GROWTH = 6.0
-"""How many times longer each further failed trial bars: with :data:`FIRST_BAR_S` and
-:data:`LONGEST_BAR_S` a poison request costs one back end more at 20, 140 and 860 s, then each hour
-(arithmetic)."""
+"""Factor by which each further failed trial lengthens the bar. With :data:`FIRST_BAR_S` and
+:data:`LONGEST_BAR_S` a poison request costs one more back end at 20, 140 and 860 s, then one an
+hour."""
 LONGEST_BAR_S = 3600.0
-"""The longest bar, seconds.  At most three tries in a day may cost a back end once the request is
-known, as is promised of poison requests; a start of all gateways, which forgets it, takes one
-more."""
+"""Longest bar, seconds. The guarantee for poison requests is that a known one costs a back end in
+at most three tries a day; restarting all gateways discards the evidence and allows one more."""
 KEPT_S = 600.0
-"""How long evidence is kept after its last crash, and after the end of a bar, a choice: 37 times
-the longest pause seen between two tries of one client, 16 s."""
+"""How long evidence is kept after the last crash and after the end of a bar, seconds: 37 times the
+longest pause seen between two tries of one client, 16 s."""
 CLEARED_KEPT_S = 30.0
-"""How long an answer is kept, seconds. Chosen, not measured: until every gateway has heard that it
-clears the request."""
+"""How long the record that an answer cleared a request is kept, seconds: long enough for every
+gateway to receive it."""
 ALERT_S = 60.0
-"""How long after a back end was lost in a trial all requests of that caller on that route may begin
-as canaries, since a caller that varies its body sends a new poison request each time: 40 such
-scatters over 10 shards, 1.5 s apart, cost 68 back ends, without this 365 (emulated, 8 gateways)."""
+"""How long, in seconds, a back end lost in a trial makes other requests of the same caller and
+route begin as canaries. A caller that varies the body sends a new poison request each time: 40 such
+scatters over 10 shards, 1.5 s apart, cost 68 back ends, and 365 without this rule (emulated, 8
+gateways)."""
 MOST_CRASHES_OF_A_KIND = 5
-"""Crashes kept of a request, the latest inside and outside of trials each: more decide nothing."""
+"""Crashes kept per request, the latest ones in trials and the latest ones outside trials each.
+Further crashes do not change any decision."""
 
 
 class Crash(Struct, frozen=True):
-    """A back end that was lost under a request; one start of a back end is lost once.
+    """A back end lost while it ran a request; each incarnation of a back end is counted once.
 
-    :param backend: a number drawn from its id and the moment of its start.
-    :param at: monotonic time at which its connection ended.
-    :param trial: the call was the only one in progress of a request that was under suspicion.
-    :param survived: it turned out that only the connection was lost.  That is remembered, or other
-        gateways' word would bring the crash back.
+    :param backend: a hash of the back end's id and start time.
+    :param at: monotonic time at which the connection ended.
+    :param trial: the call was the only one in progress for a request under suspicion.
+    :param survived: the back end was still running, only the connection was lost. Kept, because
+        reports from other gateways would otherwise restore the crash.
     """
 
     backend: int
@@ -75,7 +78,7 @@
     survived: bool = False
 
     def merged(self, other: Crash) -> Crash:
-        """Return what two gateways say together of the same loss."""
+        """Merge two gateways' records of the same crash."""
         return Crash(
             self.backend,
             min(self.at, other.at),
@@ -85,13 +88,13 @@
 
 
 class Evidence(Struct, frozen=True):
-    """What is known of one request.
+    """The evidence on one request.
 
     :param origin: the route and the caller; see :meth:`PoisonRequests.judge`.
-    :param crashes: those that no answer to it has cleared, the survived ones among them.
-    :param cleared: how often what was held against it has been dropped; of two pieces of evidence,
-        the one that was cleared more often holds, and of the other only its trial.
-    :param cleared_at: when that was last; :data:`NEVER` if it was not.
+    :param crashes: crashes not cleared by an answer, including those marked as survived.
+    :param cleared: how often the evidence has been cleared. When two records differ in this, the
+        higher one wins, and only the trial time of the other is kept.
+    :param cleared_at: when the evidence was last cleared; :data:`NEVER` if it was not.
     :param trial_at: when the latest trial began.
     """
 
@@ -103,17 +106,17 @@
 
     @property
     def held(self) -> tuple[Crash, ...]:
-        """Return the crashes that are held against the request."""
+        """Return the crashes that count against the request."""
         return tuple(crash for crash in self.crashes if not crash.survived)
 
     @property
     def last_crash_at(self) -> float:
-        """Return when the latest back end was lost."""
+        """Return when the latest counted crash happened."""
         return max((crash.at for crash in self.held), default=NEVER)
 
     @property
     def failed_trials(self) -> int:
-        """Count the trials that cost a back end when enough others had been lost."""
+        """Count the trials that lost a back end once enough crashes had been recorded."""
         in_order = sorted(self.held, key=lambda crash: (crash.at, crash.backend))
         return sum(crash.trial for crash in in_order[ENOUGH_CRASHES - 1 :])
 
@@ -134,14 +137,14 @@
 
     @property
     def kept_until(self) -> float:
-        """Return when it decides nothing any more."""
+        """Return when this evidence can be discarded."""
         if not self.held:
             latest = max((crash.at for crash in self.crashes), default=NEVER)
             return max(self.cleared_at, latest) + CLEARED_KEPT_S
         return max(self.last_crash_at, self.barred_until) + KEPT_S
 
     def merged(self, other: Evidence) -> Evidence:
-        """Return what both say together; the order does not matter."""
+        """Merge two records; the result does not depend on their order."""
         trial_at = max(self.trial_at, other.trial_at)
         if self.cleared != other.cleared:
             newer = self if self.cleared > other.cleared else other
@@ -159,7 +162,7 @@
 
 
 def _latest(crashes: Iterable[Crash]) -> tuple[Crash, ...]:
-    """Return the crashes that are kept, in one order whatever order they came in."""
+    """Return the crashes to keep, in an order that does not depend on the input order."""
     in_order = sorted(crashes, key=lambda crash: (crash.at, crash.backend), reverse=True)
     trials = [crash for crash in in_order if crash.trial][:MOST_CRASHES_OF_A_KIND]
     others = [crash for crash in in_order if not crash.trial][:MOST_CRASHES_OF_A_KIND]
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -1,24 +1,24 @@
 """May this request be sent, or has it crashed the back ends that ran it?
 
-A call that is lost with its connection accuses two: the back end and the request. The back end may
-have crashed by itself, and then every request at work there looks guilty. What tells them apart is
-an answer: a poison request never gets one, from any back end, while a victim gets one from the
-next. So requests with lost calls are tried on one back end at a time, as canaries; an answer
-clears them, and only those whose trial costs a back end too are barred.
+When a call is lost with its connection, either the back end or the request may be at fault. If the
+back end crashed by itself, every request running there looks guilty. An answer tells them apart: a
+poison request gets none from any back end, while an innocent one gets an answer from the next.
+Requests with lost calls are therefore tried on one back end at a time, as canaries; an answer
+clears them, and only a request whose trial also loses a back end is barred.
 
-Inputs: the request's fingerprint and its origin (route and caller), the moment (monotonic
-seconds), and the evidence of this gateway and of others, which tell news at once and repeat it.
+Inputs: the request's fingerprint and its origin (route and caller), the current time (monotonic
+seconds), and the evidence of this and other gateways, which report changes at once and repeat them.
 
 Answer: free, suspect (one call at a time), on trial elsewhere (no call now), or barred for some
 seconds.
 
-Owns: the evidence on at most 1,024 requests; what decides nothing any more is forgotten.
+Owns: the evidence on at most 1,024 requests; evidence that no longer affects a decision is evicted.
 
 Shown by: log line ``request_barred``; a refused request's ``detail`` begins with ``poison:``;
 metrics ``tinrudder_gateway_poison_refused``, ``tinrudder_gateway_poison_alerts``.
 
-When an input is missing or old: without evidence a request is free; a process that has just
-started asks others for theirs.
+When an input is missing or old: without evidence a request is free; a process that has just started
+asks other gateways for their evidence.
 """
 
 from __future__ import annotations
@@ -37,28 +37,29 @@
 )
 
 TRIAL_S = 1.0
-"""How long one gateway's trial keeps all others from one: a call takes tens of milliseconds, and
-after this its gateway is taken for dead."""
+"""How long one gateway's trial prevents other gateways from starting one, seconds. A call takes
+tens of milliseconds; after this time the gateway that began the trial is presumed dead."""
 LEAST_LEFT_S = 60.0
-"""How much longer evidence must be kept to be taken where nothing is known of the request: each
-gateway forgets by its own clock, and would take back from others what they forget a moment later,
-and pass it on.  Twice a pause of 30 s in which news is not read, a choice.  Without this, ten
-requests that lost a call and were never answered made each of 113 gateways, whose datagrams took
-0.05 to 0.5 s, send 24 datagrams a second, all that its bucket allows, from 600 s on and without end
-(virtual time)."""
+"""Minimum remaining retention, in seconds, for evidence on an unknown request to be accepted from
+another gateway. Each gateway expires evidence by its own clock, and would accept and forward again
+what others are about to expire. Twice a pause of 30 s in which reports are not read. Without this,
+ten requests that lost a call and were never answered made each of 113 gateways, with datagram
+delays of 0.05 to 0.5 s, send 24 datagrams a second, the limit of its token bucket, from 600 s on
+and without end (virtual time)."""
 ENOUGH_ALARMS = 2
-"""How many different requests must have lost one: a single one that comes again is barred by
-itself, and a canary costs each request of the route a call's time, 0.03 to 0.15 of the worth of a
-calm day where all of them begin so."""
+"""Number of different requests that must have lost a back end in a trial to raise an alert for
+their origin. A single request is barred by itself if it returns. Starting all requests of a route
+as canaries costs each of them a call's time, and 0.03 to 0.15 of the answers' worth on a calm
+day."""
 SOONEST_RESTART_S = 0.5
-"""An answer to a call that was sent within this time after a loss, seconds, comes from the process
-of before. A bound: the restarts seen take seconds until they listen again."""
+"""An answer to a call sent within this time after a loss, seconds, comes from the old process:
+observed restarts take seconds until the process listens again."""
 RESTART_KNOWN_S = 4.0
-"""After this time a restart would be known by the entry that the new process writes: three of its
-heartbeats of 1.2 s, and the way through the store."""
+"""Time after which a restart is visible through the entry that the new process writes, seconds:
+three of its heartbeats of 1.2 s, and the propagation through the store."""
 MOST_REQUESTS = 1024
-"""How many requests evidence is kept for, 1.5 KB each at most (traced allocations, ten crashes
-each), so 1.5 MB in all; what changed longest ago is dropped."""
+"""Maximum number of requests with evidence: at most 1.5 KB each (traced allocations, ten crashes
+each), 1.5 MB in all. The one that changed longest ago is evicted first."""
 
 
 def _shows_same_process(lost_at: float, sent_at: float, starts_known_at: float) -> bool:
@@ -69,8 +70,8 @@
 class Standing(Enum):
     """What may be done with a request now.
 
-    ``FREE``: anything.  ``SUSPECT``: one call at a time until a back end answers.  ``ON_TRIAL``:
-    nothing until another gateway's trial has ended.  ``BARRED``: nothing.
+    ``FREE``: no restriction. ``SUSPECT``: one call at a time until a back end answers.
+    ``ON_TRIAL``: no call until another gateway's trial has ended. ``BARRED``: no call.
     """
 
     FREE = auto()
@@ -80,7 +81,7 @@
 
 
 class RequestStanding(Struct, frozen=True):
-    """The standing of a request, and for a barred one how long it stays so, seconds."""
+    """The standing of a request; for a barred one also the remaining time, seconds."""
 
     standing: Standing
     barred_s: float = 0.0
@@ -92,7 +93,7 @@
 
 
 class PoisonRequests:
-    """Evidence on requests, by their fingerprints, bounded in number.
+    """Evidence on requests, keyed by fingerprint and bounded in number.
 
     >>> table = PoisonRequests()
     >>> for number in range(2):
@@ -109,20 +110,19 @@
     """
 
     def __init__(self) -> None:
-        """Know nothing."""
         self._evidence: dict[bytes, Evidence] = {}
-        # By back end: the requests that it is held against.
+        # For each back end, the requests that its loss counts against.
         self._lost_under: dict[int, set[bytes]] = {}
-        # By origin and fingerprint: an answer takes back what its request alone had raised.
+        # By origin and fingerprint: an answer withdraws only the alert that its request raised.
         self._alerts: dict[bytes, dict[bytes, float]] = {}
 
     def __len__(self) -> int:
-        """Return for how many requests evidence is kept."""
+        """Return the number of requests with evidence."""
         return len(self._evidence)
 
     @property
     def is_empty(self) -> bool:
-        """Tell whether no evidence is kept."""
+        """Return whether no evidence is kept."""
         return not self._evidence
 
     def barred(self, now: float) -> int:
@@ -130,18 +130,18 @@
         return sum(evidence.barred_until > now for evidence in self._evidence.values())
 
     def find(self, fingerprint: bytes) -> Evidence | None:
-        """Return what is known of a request."""
+        """Return the evidence on a request, if any."""
         return self._evidence.get(fingerprint)
 
     def all(self) -> list[tuple[bytes, Evidence]]:
-        """Return everything, what was lost latest last."""
+        """Return all evidence, the most recently changed last."""
         return list(self._evidence.items())
 
     def judge(self, fingerprint: bytes, origin: bytes, now: float) -> RequestStanding:
         """Decide what may be done with a request.
 
-        :param origin: its route and caller, all whose requests are suspect for a while after two
-            different ones have lost a back end in a trial.
+        :param origin: its route and caller. All requests of an origin are suspect for a while after
+            two different ones have lost a back end in a trial.
         """
         evidence = self._evidence.get(fingerprint)
         if evidence is None or not evidence.held:
@@ -154,26 +154,27 @@
         return ON_TRIAL if under_way and now - evidence.trial_at < TRIAL_S else SUSPECT
 
     def is_alert(self, origin: bytes, now: float) -> bool:
-        """Tell whether requests of that route and caller have cost back ends a short while ago."""
+        """Return whether several requests of this route and caller have lost back ends recently."""
         alarms = sum(now < until for until in self._alerts.get(origin, {}).values())
         return alarms >= ENOUGH_ALARMS
 
     def alerts(self, now: float) -> int:
-        """Return for how many routes and callers that is so."""
+        """Return the number of origins under alert."""
         return sum(self.is_alert(origin, now) for origin in self._alerts)
 
     def note_crash(
         self, fingerprint: bytes, origin: bytes, backend: int, at: float, *, trial: bool
     ) -> Evidence:
-        """Hold a lost back end against a request."""
+        """Record a lost back end against a request."""
         known = self._evidence.get(fingerprint, Evidence(origin))
         crash = Crash(backend, at, trial)
         return self.merge(fingerprint, replace(known, origin=origin, crashes=(crash,)))
 
     def note_answer(self, fingerprint: bytes, at: float) -> bool:
-        """Clear a request that a back end has answered; tell whether anything was held against it.
+        """Clear a request that a back end has answered; return whether a crash counted against it.
 
-        Where nothing was, nothing is noted: a popular request would never be forgotten.
+        Without such a crash nothing is recorded: otherwise a popular request would never be
+        evicted.
         """
         evidence = self._evidence.get(fingerprint)
         if evidence is None or not evidence.held:
@@ -183,7 +184,7 @@
         return True
 
     def note_survivor(self, fingerprint: bytes, backend: int) -> bool:
-        """Take back one crash; tell whether it was held against the request."""
+        """Withdraw one crash; return whether it counted against the request."""
         evidence = self._evidence.get(fingerprint)
         if evidence is None:
             return False
@@ -196,14 +197,15 @@
     def lost_under(
         self, backend: int, sent_at: float, starts_known_at: float = math.inf
     ) -> tuple[bytes, ...]:
-        """Return the requests that a back end cannot have crashed under, since it answers.
+        """Return the requests that did not crash a back end after all, because it still answers.
 
-        An answer shows that it has not if it comes before a crashed process could have started
-        again, or so late that the new process would be known as another back end.
+        An answer shows that the process survived if it comes before a crashed process could have
+        restarted, or so late that a new process would be known as another back end.
 
-        :param sent_at: when the call left that it has answered.
-        :param starts_known_at: up to when all entries of back ends are known; while the store is
-            away, one that has started again at the same address answers under its old entry.
+        :param sent_at: when the answered call was sent.
+        :param starts_known_at: time up to which all entries of back ends are known. While the store
+            is unavailable, a back end that restarted at the same address answers under its old
+            entry.
         """
         return tuple(
             fingerprint
@@ -213,7 +215,7 @@
         )
 
     def begin_trial(self, fingerprint: bytes, now: float) -> bool:
-        """Note that a trial begins here; tell whether others must wait for its end."""
+        """Record that a trial begins here; return whether other gateways must wait for its end."""
         evidence = self._evidence.get(fingerprint)
         if evidence is None or len(evidence.held) < ENOUGH_CRASHES:
             return False
@@ -221,17 +223,21 @@
         return True
 
     def is_worth_taking(self, fingerprint: bytes, told: Evidence, now: float) -> bool:
-        """Tell whether another gateway's word is more than what is forgotten everywhere soon."""
+        """Return whether evidence from another gateway should be accepted.
+
+        Crashes of an unknown request are accepted only if they will be kept for
+        :data:`LEAST_LEFT_S`.
+        """
         if fingerprint in self._evidence or not told.held:
             return True
         return told.kept_until - now >= LEAST_LEFT_S
 
     def merge(self, fingerprint: bytes, told: Evidence) -> Evidence:
-        """Take evidence from here or from another gateway; return all there is now."""
+        """Merge evidence observed here or reported by another gateway; return the result."""
         known = self._evidence.pop(fingerprint, None)
         evidence = told if known is None else known.merged(told)
         self._index(fingerprint, known, evidence)
-        # At the end: what changed latest is dropped last.
+        # Inserted at the end: eviction starts with the one that changed longest ago.
         self._evidence[fingerprint] = evidence
         self._note_alert(fingerprint, evidence)
         while len(self._evidence) > MOST_REQUESTS:
@@ -239,7 +245,7 @@
         return evidence
 
     def _index(self, fingerprint: bytes, known: Evidence | None, evidence: Evidence | None) -> None:
-        """Keep track of which back ends are held against a request."""
+        """Update the index from back ends to the requests that their crashes count against."""
         for crash in known.held if known is not None else ():
             requests = self._lost_under.get(crash.backend, set())
             requests.discard(fingerprint)
@@ -249,7 +255,7 @@
             self._lost_under.setdefault(crash.backend, set()).add(fingerprint)
 
     def _note_alert(self, fingerprint: bytes, evidence: Evidence) -> None:
-        """Raise or take back what a request means for others of its origin."""
+        """Raise or withdraw the alert that a request causes for its origin."""
         until = evidence.alert_until
         if until != NEVER:
             self._alerts.setdefault(evidence.origin, {})[fingerprint] = until
@@ -263,13 +269,13 @@
             self._alerts.pop(origin, None)
 
     def _drop(self, fingerprint: bytes) -> None:
-        """Forget a request."""
+        """Evict a request."""
         evidence = self._evidence.pop(fingerprint)
         self._index(fingerprint, evidence, None)
         self._take_back_alert(fingerprint, evidence.origin)
 
     def forget(self, now: float) -> None:
-        """Drop what decides nothing any more."""
+        """Evict expired evidence."""
         ended = [one for one, evidence in self._evidence.items() if evidence.kept_until <= now]
         for fingerprint in ended:
             self._drop(fingerprint)
--- a/tinrudder/gateway/decisions/admission/queued_scatter.py
+++ b/tinrudder/gateway/decisions/admission/queued_scatter.py
@@ -1,7 +1,7 @@
-"""What decides on the place of a scatter that waits, and why one is refused.
+"""A scatter that waits for admission, and the reason for refusing one.
 
 Owns the two types that :mod:`tinrudder.gateway.decisions.admission.scatter_queue` and its callers
-share; it decides nothing.  Times are monotonic seconds.
+share; it decides nothing. Times are monotonic seconds.
 """
 
 from __future__ import annotations
@@ -10,16 +10,17 @@
 
 
 class QueuedScatter(Struct, eq=False):
-    """One scatter, and what decides on its place.
+    """One scatter, with everything that determines its position in the queue.
 
     :param priority: 0 is the most urgent.
-    :param usual_s: how long such a scatter takes without waiting.
+    :param usual_s: how long such a scatter typically takes without waiting.
     :param returning: its caller was refused before.
-    :param tenant: on whose behalf it comes; empty for nobody's.
-    :param late: it cannot meet its objective any more.
-    :param refusable_until: when a refusal stops being better than a late answer.
-    :param latest_start_at: when it is refused all the same.
-    :param turn: its place among the tenants' scatters: one that asks for much gets later turns.
+    :param tenant: the tenant it runs for; empty for none.
+    :param late: it can no longer meet its objective.
+    :param refusable_until: time after which a late answer is better than a refusal.
+    :param latest_start_at: time at which it is refused if it has not started.
+    :param turn: its position among the tenants' scatters; a tenant that sends many gets later
+        turns.
     """
 
     priority: int
@@ -38,7 +39,8 @@
     def order(self) -> tuple[bool, int, int, bool, float, int]:
         """Return the sort key; the smallest goes first.
 
-        What cannot be in time any more is worth little, whatever its priority, and goes last.
+        Scatters that can no longer meet their objective are worth little and go last, whatever
+        their priority.
         """
         return (
             self.late,
@@ -51,13 +53,13 @@
 
 
 class ScatterRefusal(Struct, frozen=True):
-    """Why a scatter is refused, by the figures of that moment.
+    """Why a scatter is refused, with the figures at that time.
 
-    :param ahead: how many others wait before it.
-    :param expected_s: until it could start.
-    :param bearable_s: for how long it may wait.
-    :param held: room that is held; ``limit``: how much may be.
-    :param waiting: how many scatters wait.
+    :param ahead: number of scatters queued before it.
+    :param expected_s: expected wait until it could start.
+    :param bearable_s: longest acceptable wait.
+    :param held: capacity held by running scatters; ``limit``: the maximum.
+    :param waiting: number of scatters in the queue.
     """
 
     priority: int
--- a/tinrudder/gateway/decisions/admission/retry_after.py
+++ b/tinrudder/gateway/decisions/admission/retry_after.py
@@ -1,13 +1,13 @@
 """When should a caller that was refused for load come back?
 
-It comes back when it would be served. Two cases. Where places are known (a scatter's queue, whose
-pace is counted), each refused caller gets the moment of its own place. Where only the share that
-is admitted is known (a service that all gateways call), whoever comes back during the burst takes
-the place of one who comes anew, or is refused again: there the pause reaches beyond the queue of
-now, as far as clients wait at all.
+It should come back when it will be served. There are two cases. Where queue positions are known (a
+scatter queue, whose throughput is counted), each refused caller gets the time of its own position.
+Where only the admitted share is known (a service that all gateways call), a caller that retries
+during the burst displaces a new one or is refused again; the pause then reaches past the current
+queue, up to the longest time that clients wait.
 
-Inputs: the wait until there is room, or the wait for a slot with the share that is admitted (0 to
-1), and the time that the caller has left; all times in seconds. A draw by chance, 0 to 1.
+Inputs: the wait until there is room, or the wait for a slot with the admitted share (0 to 1), and
+the time that the caller has left; all times in seconds. A random draw, 0 to 1.
 
 Answer: the pause, seconds, sent as Retry-After.
 
@@ -15,35 +15,35 @@
 
 Shown by: the Retry-After header of the answer; log line ``request`` with outcome and detail.
 
-When an input is missing or old: a wait that is not known counts as 0.05 s, a share as 0.1 at
-least.
+When an input is missing or old: an unknown wait counts as 0.05 s, a share as at least 0.1.
 """
 
 from __future__ import annotations
 
 WAITED_SHARE = 1.0 / 3.0
-"""Part of the time that they have left that clients wait at most, by the platform's protocol."""
+"""Fraction of their remaining time that clients wait at most, by the platform's protocol."""
 HONOURED_SHARE = 0.9 * WAITED_SHARE
-"""The same for a place that is kept for a caller. Chosen, not measured: the way there takes some
-of the time."""
+"""Fraction of its remaining time within which a caller's reserved position must come up; smaller
+than :data:`WAITED_SHARE`, since the network round trip takes some of the time."""
 PLACE_SPREAD = 1.25
-"""Callers come back between the moment told and this many times as late, a choice: each has a
-moment of its own anyway, and what is told late is a place that stays empty."""
+"""Jitter: the announced time is up to this many times the expected one. Small, because each caller
+has its own time anyway, and a position announced too late stays empty."""
 LEAST_S = 0.05
-"""Shortest wait that is reckoned with, a choice: reports are replaced within this time."""
+"""Shortest wait used in the calculation, seconds: reports are replaced within this time."""
 LEAST_SHARE = 0.1
-"""Lowest share that is reckoned with, a choice: what is longer, clients do not wait."""
+"""Lowest admitted share used in the calculation: clients do not wait for the longer pauses that a
+lower one would give."""
 WAITS = 8.0
-"""How many waits for a slot a burst lasts, a choice.  Of the clients of 15 s that were refused in
-3 s of 1.4 and 2 times of what four back ends can do, 0.94 and 0.92 were served when they came
-back; with 1 in place of this 0.54 and 0.42, with 4 0.83 and 0.82.  As many were in time."""
+"""Assumed length of a burst, in waits for a slot. Of the clients with 15 s that were refused in 3 s
+of 1.4 and 2 times the capacity of four back ends, 0.94 and 0.92 were served on their return; with 1
+instead of this 0.54 and 0.42, with 4 0.83 and 0.82. The number served in time was the same."""
 PAUSE_SPREAD = 0.5
-"""Pauses are up to this part shorter or longer, a choice: who is refused at one moment must not
-come back at one moment."""
+"""Jitter: pauses are shortened or lengthened by up to this fraction, so that callers refused
+together do not come back together."""
 
 
 def may_come_back(room_in_s: float, left_s: float) -> bool:
-    """Tell whether a caller would wait for a moment.
+    """Return whether a caller would wait until room is expected.
 
     >>> may_come_back(0.4, 2.0), may_come_back(0.7, 2.0)
     (True, False)
@@ -54,13 +54,13 @@
 def retry_after_by_place_s(
     room_in_s: float, left_s: float, draw: float, spread: float = PLACE_SPREAD
 ) -> float:
-    """Return when to come back, seconds from now, where the moment of room is known.
+    """Return when to come back, seconds from now, where the time of free room is known.
 
-    A moment beyond what callers wait for is told as it is: they need not come back.
+    A time beyond what callers wait for is returned as it is: they need not come back.
 
-    :param room_in_s: when there will be room for this caller, by what is known now.
-    :param left_s: until its deadline.
-    :param draw: by chance, 0 to 1, so that callers do not come back together.
+    :param room_in_s: expected time until there is room for this caller.
+    :param left_s: time until its deadline.
+    :param draw: random number, 0 to 1, so that callers do not come back together.
 
     >>> retry_after_by_place_s(0.2, 2.0, draw=0.0), retry_after_by_place_s(0.2, 2.0, draw=1.0)
     (0.2, 0.25)
@@ -71,14 +71,14 @@
 
 
 def retry_after_by_share_s(wait_s: float, share: float, left_s: float, draw: float) -> float:
-    """Return when to come back, seconds from now, where the share that is admitted is known.
+    """Return when to come back, seconds from now, where the admitted share is known.
 
-    It is the later, the longer the queue and the fewer are admitted.
+    The pause grows with the queue and shrinks with the admitted share.
 
     :param wait_s: how long a call would wait for a slot.
-    :param share: which part of such requests is admitted now.
+    :param share: fraction of such requests that is admitted now.
     :param left_s: how long the caller will wait in all.
-    :param draw: by chance, 0 to 1, so that callers do not come back together.
+    :param draw: random number, 0 to 1, so that callers do not come back together.
 
     >>> retry_after_by_share_s(0.3, 0.8, 12.0, 0.5), retry_after_by_share_s(0.3, 0.8, 12.0, 1.0)
     (2.6666666666666665, 4.0)
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -1,23 +1,23 @@
 """How many scatters of one index may this gateway have running?
 
-Every scatter asks every shard, so one slot at the typical shard is the room for one scatter. A
-gateway begins with its part of the slots, and follows what the back ends report of their queues:
-it takes more while others leave their parts unused, and gives back as soon as calls wait. It is a
+Every scatter calls every shard, so one slot at the typical shard is the capacity for one scatter. A
+gateway starts with its share of the slots and follows the queues that back ends report: it takes
+more while others leave their shares unused, and gives back as soon as calls wait. It is a
 concurrency limit with additive increase and multiplicative decrease.
 
-Inputs: this gateway's part of the slots (scatters' worth, worked out each second), the wait at the
-typical shard in calls' times (reports at most 0.8 s old), for how long scatters held their slots
+Inputs: this gateway's share of the slots (in scatters, recomputed each second), the wait at the
+typical shard in call times (reports at most 0.8 s old), how long scatters held their slots
 (seconds), and whether scatters wait.
 
-Answer: the limit, in scatters' worth of slots, and the wait until there is room (seconds).
+Answer: the limit, in scatters, and the wait until there is room (seconds).
 
 Owns: one limit for each index of the configuration in force.
 
 Shown by: metrics ``tinrudder_gateway_scatter_room_limit`` and
 ``tinrudder_gateway_scatter_room_held``.
 
-When an input is missing or old: without fresh reports the limit stays as it is; before any, it is
-1.5 times the gateway's part of the slots.
+When an input is missing or old: without fresh reports the limit stays as it is; before the first
+report, it is 1.5 times the gateway's share of the slots.
 """
 
 from __future__ import annotations
@@ -25,48 +25,46 @@
 from msgspec import Struct
 
 OVER_COMMITMENT = 1.5
-"""How many times its part of the slots a gateway uses before it hears of queues. Chosen, not
-measured: a scatter waits for its slowest shard while most of its slots are free again; back ends'
-queues take the surplus of a burst's first moment, half a call's time."""
+"""Multiple of its share of the slots that a gateway uses before any queue is reported. A scatter
+waits for its slowest shard while most of its slots are free again; at the start of a burst the back
+ends' queues absorb the surplus, half a call's time."""
 LEAST_FREE = 0.5
-"""Room that must be free for another scatter, in scatters. Chosen, not measured: a few slow shards
-of one that runs hold none of it back, be it that one back end of 20 pauses."""
+"""Room that must be free for another scatter to start, in scatters. A few slow shards of a running
+scatter then do not block the next one, even if one back end of 20 pauses."""
 LEAST_SCATTERS = 0.6
-"""The limit of a gateway whose part is less, in scatters. Chosen, not measured: the next one
-starts when nine tenths of the shards of the one that runs have answered."""
+"""Limit of a gateway whose share is smaller than this, in scatters. The next scatter starts when
+nine tenths of the running one's shards have answered."""
 FIRST_SCATTERS = 1.5
-"""The least limit while no queue is heard of, in scatters. Chosen, not measured: on calm days a
-second one in the same moment does not wait for the first."""
+"""Minimum limit while no queue is reported, in scatters. At low load a second simultaneous scatter
+does not wait for the first."""
 QUEUE_LOW = 0.3
-"""Below this wait at the typical back end, in calls' times, there is room for more, a choice."""
+"""Wait at the typical back end, in call times, below which the limit may grow."""
 QUEUE_HIGH = 0.6
-"""Wait at the typical back end, in calls' times, above which the room shrinks. Eight gateways of
-40 back ends with two slots left more of these idle with 0.25 here and 0.1 for the bound below:
-81,213 calls came in a day of overload, 86,748 with these figures."""
+"""Wait at the typical back end, in call times, above which the limit shrinks. Eight gateways of 40
+back ends with two slots left more of these idle with 0.25 here and 0.1 for :data:`QUEUE_LOW`:
+81,213 calls arrived in a day of overload, 86,748 with the present values."""
 INCREASE = 0.1
-"""Growth in one call's time of full use, as a part of the gateway's part of the slots. Chosen, not
-measured: unused room of others is taken over in half a second."""
+"""Growth during one call time of full use, as a fraction of the gateway's share of the slots.
+Unused capacity of others is taken over in half a second."""
 DECREASE = 0.85
-"""What is left of the room after one call's time with a queue, as a part. Chosen, not measured: a
-surplus of two is gone after four calls' times."""
+"""Factor applied to the limit after one call time with a queue. A twofold surplus is gone after
+four call times."""
 HOLD_GAIN = 0.1
-"""Weight of one scatter in the usual time for which scatters hold their slots. Chosen, not
-measured: a mean of the last ten or so."""
+"""Weight of one scatter in the moving average of slot hold times: averages about the last ten."""
 RETURN_GAIN = 0.1
-"""Part of the way back to where it began that an unused limit goes in each call's time. Chosen,
-not measured."""
+"""Fraction of the distance to its initial value by which an unused limit returns in each call
+time."""
 
 UNCHANGED = 0.05
-"""Part of its first value within which a limit counts as unchanged and needs no reports. Chosen,
-not measured."""
+"""Fraction of the initial limit within which a limit counts as unchanged and needs no reports."""
 
 
 class ScatterConcurrency(Struct):
-    """The room of one index at one gateway, in scatters' worth of slots.
+    """The concurrency limit of one index at one gateway, in scatters.
 
-    :param part: this gateway's part of the slots of the typical shard.
-    :param limit: how much of it may be held now.
-    :param hold_s: for how long a scatter holds a shard's slot, in the mean; 0: not known.
+    :param part: this gateway's share of the slots of the typical shard.
+    :param limit: how much may be in use now.
+    :param hold_s: mean time for which a scatter holds a shard's slot; 0: not known.
     """
 
     part: float = LEAST_SCATTERS
@@ -76,21 +74,21 @@
 
     @property
     def first_limit(self) -> float:
-        """Return the limit while nothing is known of queues."""
+        """Return the limit that applies while no queue is known."""
         return max(FIRST_SCATTERS, self.part * OVER_COMMITMENT)
 
     @property
     def floor(self) -> float:
-        """Return what the limit never falls below."""
+        """Return the smallest value of the limit."""
         return max(LEAST_SCATTERS, self.part)
 
     @property
     def has_changed(self) -> bool:
-        """Tell whether the limit is not where it began."""
+        """Return whether the limit differs from its initial value."""
         return abs(self.limit - self.first_limit) > UNCHANGED * self.first_limit
 
     def set_part(self, part: float) -> None:
-        """Take another part of the slots; what was learned of the limit stays in proportion."""
+        """Set the gateway's share of the slots; the learned limit is scaled in proportion."""
         if part == self.part:
             return
         learned = self.limit / self.first_limit
@@ -98,12 +96,12 @@
         self.limit = max(self.floor, learned * self.first_limit)
 
     def bears_another(self, held: float) -> bool:
-        """Tell whether one more scatter may start; where nothing runs, one always may."""
+        """Return whether one more scatter may start; when nothing runs, one always may."""
         return held <= 0.0 or held + LEAST_FREE <= self.limit
 
     @property
     def pace(self) -> float:
-        """Return how many scatters can start in a second; 0: not known."""
+        """Return how many scatters can start per second; 0: not known."""
         return self.limit / self.hold_s if self.hold_s else 0.0
 
     def wait_s(self, held: float, ahead: int) -> float:
@@ -118,19 +116,19 @@
         return excess / self.pace
 
     def note_hold(self, seconds: float) -> None:
-        """Learn for how long a scatter that has ended held the slot of a shard, in the mean."""
+        """Update the mean hold time with that of a scatter that has ended."""
         if not self.hold_s:
             self.hold_s = seconds
         self.hold_s += HOLD_GAIN * (seconds - self.hold_s)
 
     def may_judge(self, now: float) -> bool:
-        """Tell whether reports may have changed since the limit did: one call's time later."""
+        """Return whether one call time has passed, so that reports can reflect the last change."""
         return now - self._judged_at >= self.hold_s
 
     def judge(self, queue: float, now: float, *, in_use: bool) -> None:
-        """Change the limit by what back ends report.
+        """Adjust the limit to the queues that back ends report.
 
-        :param queue: the wait for a slot at the typical shard, in calls' times.
+        :param queue: the wait for a slot at the typical shard, in call times.
         :param in_use: whether scatters wait for room.
         """
         self._judged_at = now
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -1,22 +1,22 @@
 """Does a scatter start now, wait, or is it refused?
 
-A scatter waits as a whole before any of its calls has left, so that a refusal is true: nothing has
-run. Calls that wait in back ends' queues make all scatters late together; calls that are shed
-there make the other calls of their scatters worthless.
+A scatter waits as a whole before any of its calls is sent, so a refusal guarantees that nothing has
+run. Calls that wait in the back ends' queues would delay all scatters together, and calls shed
+there would waste the other calls of their scatters.
 
-Inputs: the scatter's priority, objective and deadline (monotonic seconds), its usual time
+Inputs: the scatter's priority, objective and deadline (monotonic seconds), its typical time
 (seconds), whether its caller was refused before, its tenant; the room that running scatters hold.
 
 Answer: started, waiting, or a refusal with the figures that decided it.
 
-Owns: the scatters of one index that wait at this gateway, in their order; each ends by a start, a
-refusal or its caller's leaving.
+Owns: the scatters of one index that wait at this gateway, in their order; each leaves the queue by
+a start, a refusal or its caller's disconnect.
 
 Shown by: log line ``request`` with a detail that begins with overload and names place, wait and
 room; metrics ``tinrudder_gateway_scatters_waiting`` and ``tinrudder_gateway_refused``.
 
-When an input is missing or old: where it is not known for how long scatters hold their slots, no
-wait is expected and nothing is refused for it.
+When an input is missing or old: while it is unknown how long scatters hold their slots, the
+expected wait is 0 and nothing is refused for it.
 """
 
 from __future__ import annotations
@@ -31,41 +31,38 @@
 from tinrudder.gateway.decisions.admission.tenant_turns import TenantTurns
 
 STANDING_S = 0.1
-"""A queue that has not been empty for this long, seconds, is no burst. Chosen, not measured: what
-waits in it longer than :data:`SHORT_WAIT` only makes every answer late, since more comes than can
-be served."""
+"""A queue that has not been empty for this long, seconds, is persistent overload and no burst: more
+arrives than can be served, and waiting longer than :data:`SHORT_WAIT` only makes every answer
+late."""
 OVERLOAD_S = 1.0
-"""How long after a scatter that would have waited too long a queue still counts as standing,
-seconds. Chosen, not measured: under four times the load it is empty for a moment several times a
-second."""
+"""How long a queue still counts as overloaded after a scatter that would have waited too long,
+seconds. Under four times the load it is empty for a moment several times a second."""
 BEARABLE_SHARE = 0.5
-"""Part of the time until its latest useful start that a newcomer may have to wait, by what is
-expected. Chosen, not measured: more urgent ones and others that come back overtake it, and none of
-those that wait is to be refused late for that."""
+"""Fraction of the time until its latest useful start that a new scatter may be expected to wait.
+More urgent and retried scatters overtake it, and this reserve keeps it from being refused late."""
 SHORT_WAIT = 0.6
-"""How long a scatter may wait in a standing queue behind others, in usual times of one, a choice: a
-longer one serves no more, and all of it later."""
+"""Longest wait behind others in an overloaded queue, in typical scatter times: a longer queue
+serves no more requests, and serves all of them later."""
 OVERTAKEN_WAIT = 1.5 * SHORT_WAIT
-"""The same as :data:`SHORT_WAIT`, in usual times, for one that others have overtaken. Chosen, not
-measured: waiting on would make the queue as long again."""
+"""The same as :data:`SHORT_WAIT` for a scatter that others have overtaken, in typical scatter
+times: waiting longer would make the queue as long again."""
 LATE_WAIT_SHARE = 0.5
-"""Part of its time left that a scatter waits which cannot meet its objective any more, a choice:
-half of the time is left for another try."""
+"""Fraction of its remaining time that a scatter waits after it can no longer meet its objective;
+the other half is left for another try."""
 EARLY_SHARE = 0.25
-"""Part of the time until its objective within which a refusal is worth something to a caller.
-Chosen, not measured: it can be served in time by another try; who has waited longer is better
-served late."""
+"""Fraction of the time until the objective during which a refusal is useful to a caller: another
+try can still be in time. A caller that has waited longer is better served late."""
 
 
 class ScatterQueue(Struct):
     """The scatters of one index that wait at one gateway.
 
-    Order: priority; then tenants by turns, so that one that asks for much waits behind those that
-    ask for little; then new callers before those that come back, which have lost half of what an
-    answer is worth to them: with these first, 1,732 of 4,414 were served in time in a burst of six
-    seconds, with these last 2,457; then the earliest objective.
+    Ordered by priority; then by tenants in turn, so that a tenant that sends many waits behind
+    those that send few; then new callers before retrying ones, for which an answer has lost half of
+    its worth: with retrying callers first, 1,732 of 4,414 were served in time in a burst of six
+    seconds, with new callers first 2,457; then by the earliest objective.
 
-    :param room: how much may run.
+    :param room: the concurrency limit.
     """
 
     room: ScatterConcurrency = field(default_factory=ScatterConcurrency)
@@ -76,24 +73,25 @@
     _count: int = 0
 
     def __len__(self) -> int:
-        """Return how many wait."""
+        """Return the number of waiting scatters."""
         return len(self._waiting)
 
     def __iter__(self) -> Iterator[QueuedScatter]:
-        """Yield those that wait, the next one first."""
+        """Iterate over the waiting scatters, the next one to start first."""
         return iter(self._waiting)
 
     def arrive(
         self, scatter: QueuedScatter, held: float, now: float, *, held_before: float | None = None
     ) -> ScatterRefusal | bool:
-        """Take a scatter: ``True`` starts it now, ``False`` lets it wait.
+        """Admit or queue a scatter: ``True`` starts it now, ``False`` lets it wait.
 
         :param held: room that running scatters hold.
-        :param held_before: the part of it that such as are as urgent hold, which is all that bars
-            this one from starting; ``None``: all of it.  Less urgent ones may have taken all room
-            that was free, and an urgent one cannot wait until they have ended.  Of 89 urgent ones
-            with 48 ms each, beside sixteen times the usual load of a less urgent kind for 6 s, 43
-            were in time and 23 refused where all room counted, 71 and none where this does.
+        :param held_before: the part of ``held`` that belongs to scatters of at least the same
+            urgency; only this part can keep the scatter from starting. ``None``: all of it. Less
+            urgent scatters may have taken all free room, and an urgent one cannot wait until they
+            have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load of a
+            less urgent kind for 6 s, 43 were in time and 23 refused when all room counted, 71 and
+            none with this rule.
         """
         self._prepare(scatter, now)
         if held_before is not None and not scatter.late:
@@ -122,9 +120,9 @@
         return self._waiting[0] if self._waiting else None
 
     def next_ready(self, held: float) -> QueuedScatter | None:
-        """Return the scatter that starts now, ``None`` if there is none or no room.
+        """Remove and return the scatter that starts now, ``None`` if there is none or no room.
 
-        :param held: room that running scatters hold which go before the first one.
+        :param held: room held by running scatters that take precedence over the first waiting one.
         """
         if not self._waiting or not self.room.bears_another(held):
             return None
@@ -135,7 +133,7 @@
     def refuse_hopeless(
         self, held: float, now: float
     ) -> list[tuple[QueuedScatter, ScatterRefusal]]:
-        """Take out what cannot start in time any more: overtaken, or its moment has passed."""
+        """Remove and return scatters that were overtaken or can no longer start in time."""
         refused: list[tuple[QueuedScatter, ScatterRefusal]] = []
         kept: list[QueuedScatter] = []
         for scatter in self._waiting:
@@ -153,24 +151,24 @@
         return refused
 
     def _put_off(self, scatter: QueuedScatter, now: float) -> None:
-        """Let a scatter that cannot be in time any more wait behind all that can."""
+        """Move a scatter that can no longer be in time behind all that can."""
         scatter.late = True
         left_s = max(0.0, scatter.deadline_at - now)
         scatter.latest_start_at = now + left_s * LATE_WAIT_SHARE
 
     def leave(self, scatter: QueuedScatter) -> None:
-        """Forget a scatter whose caller has gone, if it still waits."""
+        """Remove a scatter whose caller has disconnected, if it still waits."""
         if scatter in self._waiting:
             self._waiting.remove(scatter)
             self._turns.give_back(scatter)
 
     @property
     def next_end_at(self) -> float | None:
-        """Return when the first of those that wait can not start in time any more."""
+        """Return the earliest time at which a waiting scatter can no longer start in time."""
         return min((one.latest_start_at for one in self._waiting), default=None)
 
     def _prepare(self, scatter: QueuedScatter, now: float) -> None:
-        """Give a scatter its latest useful start and its place."""
+        """Set a scatter's latest useful start and its sort key."""
         scatter.latest_start_at = scatter.objective_at - scatter.usual_s
         early_s = 0.0 if scatter.returning else EARLY_SHARE * (scatter.objective_at - now)
         scatter.refusable_until = now + early_s
@@ -183,7 +181,7 @@
     def _judge(
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
     ) -> ScatterRefusal | None:
-        """Refuse a newcomer that would wait too long."""
+        """Return a refusal for a new scatter that would wait too long."""
         bearable_s = BEARABLE_SHARE * (scatter.latest_start_at - now)
         short_s = min(bearable_s, SHORT_WAIT * scatter.usual_s)
         if (
@@ -197,7 +195,7 @@
         return self._refusal(scatter, ahead, held, bearable_s)
 
     def _stands(self, now: float) -> bool:
-        """Tell whether more comes than can be served, and not for a moment only."""
+        """Return whether the queue is in sustained overload, as opposed to a short burst."""
         if now < self._overload_until:
             return True
         return bool(self._waiting) and now - self._standing_since >= STANDING_S
@@ -205,7 +203,10 @@
     def _overtaken(
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
     ) -> ScatterRefusal | None:
-        """Refuse one that waits and would start too late now; the first in line is still served."""
+        """Return a refusal for a waiting scatter that would start too late.
+
+        The first one in the queue is still served if it can start in time.
+        """
         bearable_s = scatter.latest_start_at - now
         if bearable_s > 0.0 and not ahead:
             return None
@@ -216,7 +217,7 @@
     def _refusal(
         self, scatter: QueuedScatter, ahead: int, held: float, bearable_s: float
     ) -> ScatterRefusal | None:
-        """Compare the wait that is expected with the one that is bearable."""
+        """Return a refusal if the expected wait exceeds the acceptable one."""
         expected_s = self.room.wait_s(held, ahead)
         if bearable_s > 0.0 and expected_s <= bearable_s:
             return None
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -1,18 +1,19 @@
 """Which share of the requests to a service that many gateways call is admitted?
 
-No gateway sees more than a few answers of such a service in the time in which its queues fill, and
-hundreds react to one report. So the wait that admission goes by is a mean over the back ends, by
-the freshness of what is known of each: the least wait would be that of the back end of which least
-is known. And a back end is chosen among two drawn by chance: the best of all by one report would
-get what all gateways send until the next. Its figures were measured in a simulation of 113
-gateways and four back ends of four slots and 12 places in the queue, calls of 0.25 s, an objective
-of 0.9 s.
+A gateway sees only a few answers of such a service in the time in which its queues fill, and
+hundreds of gateways react to one report. Admission therefore uses the mean wait over the back ends,
+weighted by the freshness of each report: the minimum would be that of the back end with the least
+information. Back ends are chosen as the better of two random candidates: if every gateway took the
+best one by a report, it would get all calls until the next report. The figures below come from a
+simulation of 113 gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and
+an objective of 0.9 s.
 
-Inputs: the observations of each back end (reports at most 0.8 s old count, fading with their age),
-the usual time of a call, the time left until the objective, both in seconds; more urgent
-priorities; whether the caller was refused before, and whether its objective passed meanwhile.
+Inputs: the observations of each back end (reports at most 0.8 s old, with a weight that falls with
+age), the typical time of a call and the time left until the objective, both in seconds; the number
+of more urgent priorities; whether the caller was refused before, and whether its objective has
+passed meanwhile.
 
-Answer: the share to admit, 0 to 1, with the wait that it was judged by, seconds.
+Answer: the share to admit, 0 to 1, and the wait that it was derived from, seconds.
 
 Owns: nothing; it is a function of its inputs.
 
@@ -20,7 +21,7 @@
 ``tinrudder_gateway_refused``.
 
 When an input is missing or old: a back end without a fresh report counts as free, with less weight
-where it had a queue lately; without any queue known all are admitted.
+if it recently had a queue; while no queue is known all requests are admitted.
 """
 
 from __future__ import annotations
@@ -40,36 +41,37 @@
 Candidate = TypeVar("Candidate")
 
 UNHEARD_WEIGHT = 0.25
-"""Weight of a back end that had a queue and of which nothing is known since: its queue counts as
-empty, with this weight.  By 1 in place of this, 0.043 in place of 0.015 of the arrivals were shed
-at 1.4 times of what the back ends can do.  One that had no queue has 1: it is free."""
+"""Weight of a back end that had a queue and has not reported since; it counts as empty with this
+weight. With 1 instead, 0.043 rather than 0.015 of the arrivals were shed at 1.4 times the back
+ends' capacity. A back end that had no queue counts as free with weight 1."""
 FULL_ABOVE = 0.75
-"""Part of the places in the queues above which nobody is admitted, where back ends shed lately:
-what is on its way fills the rest.  Between this less :data:`FULL_SPAN` and this, the share falls
-evenly.  At four times the load 0.084 were shed, without it 0.133."""
+"""Fraction of the queue places above which nothing is admitted, if back ends shed calls recently:
+calls in flight fill the rest. The admitted share falls linearly from :data:`FULL_SPAN` below this
+value. At four times the load 0.084 were shed, without this rule 0.133."""
 FULL_SPAN = 0.4
-"""See :data:`FULL_ABOVE`; a choice: gateways that know different reports decide alike."""
+"""Width of the range described at :data:`FULL_ABOVE`: wide enough that gateways with different
+reports decide alike."""
 ENOUGH_SEEN = 5
-"""Calls after which how long they hold a slot is known of one back end, a choice: until then it may
-be wrong by half, and that of the whole service counts."""
+"""Calls after which the time that one back end holds a slot counts as known. Until then it may be
+wrong by half, and the mean of the whole service is used."""
 LATE_FACTOR = 1.5
-"""By how much less time counts for a caller whose objective has passed while it was refused: its
-answer is worth less, so it is served from what those leave free who can still be in time.  At four
-times the load 52 a second were served in time, with 1 in place of this 32."""
+"""Divisor of the time left for a caller whose objective passed while it was refused. Its answer is
+worth less, so it only gets capacity that callers still in time leave free. At four times the load
+52 a second were served in time, with 1 instead of this 32."""
 
 
 class AdmittedShare(Struct, frozen=True):
-    """Which share of such requests to admit, and how long a call waits for a slot, seconds."""
+    """The share of such requests to admit, and how long a call waits for a slot, seconds."""
 
     share: float
     wait_s: float
 
 
 class _Queue(Struct, frozen=True, order=True):
-    """What is known of one back end.
+    """The known queue of one back end.
 
-    :param wait_s: for a slot there; ``weight`` is how far it counts, 0 to 1.
-    :param least_weight: how far the back end counts at least, as free.
+    :param wait_s: wait for a slot; ``weight`` is the weight of this value, 0 to 1.
+    :param least_weight: minimum weight with which the back end counts, as free.
     """
 
     wait_s: float
@@ -78,7 +80,7 @@
 
 
 def work_s_of(backends: Sequence[BackendObservations]) -> float:
-    """Return how long calls hold a slot of a service in the mean, seconds; 0: not known."""
+    """Return the mean time for which calls hold a slot of a service, seconds; 0: not known."""
     known = [one.work_s for one in backends if one.work_seen]
     return sum(known) / len(known) if known else 0.0
 
@@ -86,8 +88,8 @@
 def expected_wait_s(backends: Sequence[BackendObservations], now: float, usual_s: float) -> float:
     """Return the wait for a slot of a service, seconds.
 
-    It is what a call meets that takes the better of two back ends drawn by chance: with one back
-    end of four that is slow, and has a queue, the mean of all would refuse what the others can do.
+    It is the expected wait of a call that takes the better of two random back ends. With one slow
+    back end of four that has a queue, a plain mean would refuse requests that the others can serve.
     """
     work_s = work_s_of(backends) or usual_s
     known = sorted(_queue(one, now, work_s) for one in backends)
@@ -110,15 +112,15 @@
     returning: bool,
     late: bool,
 ) -> AdmittedShare:
-    """Decide on a request that one of some back ends may run.
+    """Return the share of requests to admit that any of these back ends may run.
 
-    :param usual_s: how long a call of its route takes without waiting.
+    :param usual_s: how long a call of the route takes without waiting.
     :param left_s: time until the objective.
-    :param priority_steps: how many more urgent priorities the back ends serve too.
-    :param returning: the caller was refused before and has come back.
-    :param late: the objective passed meanwhile; ``left_s`` is that of a new request.
+    :param priority_steps: number of more urgent priorities that the back ends also serve.
+    :param returning: the caller was refused before and is retrying.
+    :param late: its objective has passed meanwhile; ``left_s`` is that of a new request.
     """
-    # The rest costs ten times as much, and queues are rare.
+    # Shortcut: queues are rare, and the computation below costs ten times as much.
     if not any(one.wait_s(now, 1.0) for one in backends):
         return AdmittedShare(1.0, 0.0)
     wait_s = expected_wait_s(backends, now, usual_s)
@@ -135,10 +137,10 @@
 def has_room(
     backends: Sequence[BackendObservations], now: float, usual_s: float, left_s: float
 ) -> bool:
-    """Tell whether some back end would answer a call in time, by what is known of its queue.
+    """Return whether some back end would answer a call in time, given its known queue.
 
-    One without a queue has room, however long calls of the route take: answers are delivered late
-    too, and back ends that are leaving reject calls as well.
+    A back end without a queue has room, however long calls of the route take: answers are also
+    delivered late, and draining back ends reject calls as well.
     """
     work_s = work_s_of(backends) or usual_s
     return any(
@@ -154,9 +156,9 @@
     now: float,
     random_source: random.Random,
 ) -> Sequence[Candidate]:
-    """Leave two candidates, drawn by chance, while a call would wait at any of them.
+    """Return two random candidates if a call would wait at any of them, otherwise all.
 
-    With all of them, 0.058 in place of 0.015 of the arrivals were shed at 1.4 times the load.
+    With all of them, 0.058 rather than 0.015 of the arrivals were shed at 1.4 times the load.
     """
     if len(candidates) <= 2 or not any(observations(one).wait_s(now, 1.0) for one in candidates):
         return candidates
@@ -164,10 +166,10 @@
 
 
 def extra_cost(one: BackendObservations, least_work_s: float, now: float) -> float:
-    """Return what slow work adds to :meth:`BackendObservations.cost`, which is in usual calls.
+    """Return what slow calls add to :meth:`BackendObservations.cost`, in typical calls.
 
-    A gateway that sees a back end once in seconds has not learned from its own calls that it is
-    slow, when others have told it.
+    A gateway that calls a back end only once in several seconds cannot learn from its own calls
+    that it is slow; reports from others tell it earlier.
     """
     work_s = _work_s(one, least_work_s)
     if not least_work_s or work_s <= least_work_s:
@@ -181,18 +183,18 @@
 
 
 def _work_s(one: BackendObservations, usual_s: float) -> float:
-    """Return how long calls hold a slot of one back end."""
+    """Return how long calls hold a slot of one back end, ``usual_s`` while not known."""
     return one.work_s if one.work_seen >= ENOUGH_SEEN else usual_s
 
 
 def _queue(one: BackendObservations, now: float, work_s: float) -> _Queue:
-    """Return what is known of one back end by its newest report."""
+    """Return the queue of one back end by its newest report."""
     wait_s = _ahead(one) * _work_s(one, work_s)
     return _Queue(wait_s, _weight(now - one.reported_at), _least_weight(one, now))
 
 
 def _least_weight(one: BackendObservations, now: float) -> float:
-    """Return how far a back end counts as free where nothing else is known of it."""
+    """Return the weight with which a back end counts as free without a fresh report."""
     return UNHEARD_WEIGHT if one.had_queue(now) else 1.0
 
 
@@ -203,12 +205,12 @@
 
 
 def _weight(age_s: float) -> float:
-    """Return what a report counts, 0 to 1."""
+    """Return the weight of a report of this age, 0 to 1."""
     return max(0.0, 1.0 - age_s / BACKLOG_LIFETIME_S)
 
 
 def _share_by_room(backends: Sequence[BackendObservations], now: float) -> float:
-    """Return which share leaves the queues some room, where back ends shed lately."""
+    """Return the share that keeps some queue places free, if back ends shed calls recently."""
     filled = 0.0
     weights = 0.0
     for one in backends:
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -1,19 +1,19 @@
-"""Whose requests are refused when only a part can be served?
+"""Which tenants' requests are refused when only a part can be served?
 
-Max-min fairness: while there is room for a part of what is asked, everybody gets the same, and
-whoever asks for less than that gets all of it; what one leaves goes to the others.
+Max-min fairness: when demand exceeds capacity, every tenant has the same limit; a tenant that asks
+for less gets all of it, and what it leaves is divided among the others.
 
-Inputs: the tenants' requests at this gateway, counted with a memory of seconds; the share of all
-requests that can be admitted, 0 to 1.
+Inputs: the tenants' requests at this gateway, counted with exponential decay over seconds; the
+share of all requests that can be admitted, 0 to 1.
 
-Answer: the part of one tenant's requests to admit, 0 to 1.
+Answer: the share of one tenant's requests to admit, 0 to 1.
 
-Owns: what each tenant asked lately; one that asks nothing is forgotten after some 18 s, when
-shares are next worked out.
+Owns: each tenant's recent request count; an idle tenant is evicted after some 18 s, when shares are
+next computed.
 
 Shown by: log line ``request`` with a detail that names the share, and the field ``tenant``.
 
-When an input is missing or old: a tenant that has not asked before gets all that it asks for.
+When an input is missing or old: a tenant without earlier requests gets all that it asks for.
 """
 
 from __future__ import annotations
@@ -23,16 +23,16 @@
 from msgspec import Struct, field
 
 MEMORY_S = 2.0
-"""How fast what was asked is forgotten, seconds for a factor of e. Chosen, not measured: longer
-than the pauses of a tenant that asks once a second, shorter than the time in which one turns hot
-and calms down."""
+"""Time constant of the request counts' exponential decay, seconds: longer than the pauses of a
+tenant that sends one request a second, shorter than the time in which a tenant's load rises and
+falls again."""
 LEAST_ASKED = 0.01
-"""Below this much, in requests, a tenant is forgotten. Chosen, not measured: nine times
-:data:`MEMORY_S` after one request."""
+"""Count, in requests, below which a tenant is evicted: reached nine times :data:`MEMORY_S` after a
+single request."""
 
 
 class _Asked(Struct):
-    """What one tenant asked lately, in requests, as of a moment."""
+    """A decaying count of one tenant's requests, as of a point in time."""
 
     amount: float
     at: float
@@ -42,7 +42,7 @@
 
 
 class TenantShares(Struct):
-    """Counts what tenants ask of one gateway, and divides what it can serve among them."""
+    """Counts the tenants' requests at one gateway and divides its capacity among them."""
 
     _asked: dict[str, _Asked] = field(default_factory=dict)
 
@@ -56,9 +56,9 @@
         asked.at = now
 
     def share_of(self, tenant: str, share: float, now: float) -> float:
-        """Return which part of a tenant's requests to admit.
+        """Return the share of a tenant's requests to admit.
 
-        :param share: the part of all requests that can be admitted.
+        :param share: share of all requests that can be admitted.
         """
         if share <= 0.0 or share >= 1.0:
             return share
@@ -71,7 +71,7 @@
 
 
 def fair_level(asked: list[float], share: float) -> float:
-    """Return what each of several may get at most when a share of all that is asked is given.
+    """Return the max-min fair limit per tenant when a share of all demand is served.
 
     >>> fair_level([7.0, 1.0, 1.0, 1.0], share=0.5)
     2.0
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -1,26 +1,27 @@
 """May a tenant run one more request now?
 
 All gateways together may let a tenant run (rate x window + burst) x (1 + excess) + slack requests
-in any window. One gateway owns a tenant's bucket, grants the limit and a part of what lies above
-it; the rest is for requests that are admitted before a word of the owner arrives, for a new owner
-that cannot know what the one before granted, and for parts of a fleet that cannot hear each other.
+in any window. One gateway owns a tenant's bucket and grants the limit and a part of the margin
+above it. The rest of the margin covers requests admitted before the owner's reply arrives, a new
+owner that cannot know what the previous one granted, and partitions of the fleet that cannot reach
+each other.
 
 Inputs: the tenant's limit (requests a second, requests of burst and margin), the requests admitted
-since the last report, what another owner held (tokens, with its age in seconds), and the part of
-the rate that this owner may grant, 0 to 1.
+since the last report, what another owner's bucket held (tokens, with its age in seconds), and the
+part of the rate that this owner may grant, 0 to 1.
 
-Answer: Grant: whether the request may run, when to come back (seconds), and for how long entries
-must ask first (seconds).
+Answer: Grant: whether the request may run, when to come back (seconds), and for how long entry
+gateways must ask before admitting (seconds).
 
-Owns: the buckets of the tenants that this gateway was asked for; a full one is forgotten after a
-minute.
+Owns: the buckets of the tenants for which this gateway received reports; an idle bucket is evicted
+after a minute.
 
 Shown by: log lines ``quota_pressed`` and ``quota_home_silent``; metrics
 ``tinrudder_gateway_tenant_requests`` and ``tinrudder_gateway_tenant_tokens``.
 
-When an input is missing or old: a new owner begins with a small bucket; an owner that hears half
-of the fleet or less grants a part of the rate; an entry without an owner's word admits a few
-requests and refuses the rest as not run.
+When an input is missing or old: a new owner begins with a small bucket; an owner that reaches half
+of the fleet or less grants a part of the rate; an entry gateway without a reply from the owner
+admits a few requests and refuses the rest as not run.
 """
 
 from __future__ import annotations
@@ -28,47 +29,43 @@
 from msgspec import Struct, field
 
 GRANTED_MARGIN = 0.15
-"""Part of what lies above the limit that an owner grants, a deeper bucket: callers' requests come
-in bunches.  A tenant of 3 a second with a limit of 5 and a burst of 5 is refused 1 in 156 by a
-bucket of its burst alone, 1 in 7,400 by this one (random arrivals, one seed)."""
+"""Part of the margin above the limit that an owner grants as a deeper bucket, because requests
+arrive in bursts. For a tenant of 3 a second with a limit of 5 and a burst of 5, a bucket of its
+burst alone refuses 1 in 156, this one 1 in 7,400 (random arrivals, one seed)."""
 NEW_OWNER_MARGIN = 0.25
-"""Part of what lies above the limit that a bucket holds at most when it is new. Chosen, not
-measured: the gateway that kept it before may have granted the whole limit a moment ago, and the
-next one may lose it a moment later."""
+"""Part of the margin above the limit that a new bucket holds at most: the previous owner may just
+have granted the whole limit, and the next one may take over a moment later."""
 PRESSED_BELOW = 0.4
-"""Part of what a bucket can hold by now below which entries must ask first. Chosen, not measured:
-what they admit until they hear of it must still find tokens."""
+"""Fill level, as a part of the current capacity, below which entry gateways must ask before
+admitting: what they admit until this reaches them must still find tokens."""
 RELIEVED_ABOVE = 0.7
-"""Part of what a bucket can hold by now from which entries need not ask any more. Chosen, not
-measured: well above :data:`PRESSED_BELOW`, so that a tenant does not change between the two with
-each request."""
+"""Fill level, as a part of the current capacity, from which entry gateways may admit without
+asking. Well above :data:`PRESSED_BELOW`, so that a tenant does not change state with each
+request."""
 LONGEST_PRESSED_S = 2.0
-"""How long a word lasts that entries must ask, seconds. Chosen, not measured: it ends by itself
-where the owner dies, and is given anew where it lives."""
+"""Longest validity of an instruction to ask first, seconds: it expires by itself if the owner dies,
+and a live owner renews it."""
 LONGEST_WAIT_S = 10.0
-"""The longest time that a refused caller is told to wait, seconds. Chosen, not measured: limits
-change meanwhile."""
+"""Longest retry delay sent to a refused caller, seconds: limits may change meanwhile."""
 RETURN_SPREAD_S = 2.0
-"""Refused callers are told moments one token apart, over this time in seconds, then from its
-beginning again. Chosen, not measured: most callers give up within seconds, and places kept for all
-of them would be empty."""
+"""Refused callers get retry times one token apart within this period, seconds, then starting again
+from its beginning. Most callers give up within seconds, and slots reserved for all of them would
+stay unused."""
 LONGEST_DEBT = 1.0
-"""How far below zero a bucket falls, in buckets. Chosen, not measured: what is admitted unasked
-must be made up for, but not for minutes."""
+"""How far below zero a bucket may fall, in capacities: requests admitted without asking must be
+paid back, but not over minutes."""
 FORGOTTEN_AFTER_S = 60.0
-"""After this time without a question a bucket is forgotten, seconds. Chosen, not measured: ten
-windows of 5 s, after which it is full."""
+"""Idle time after which a bucket is evicted, seconds: ten windows of 5 s, after which it is
+full."""
 LEAST_CAPACITY = 1.0
-"""Tokens that a bucket holds at least: with less than one request's nothing would ever be
-granted."""
+"""Minimum capacity of a bucket, tokens: with less than one nothing would ever be granted."""
 FIRST_TOKENS = 2.0
-"""Tokens in a bucket at the start of a process; it fills by the rate from there. Chosen, not
-measured: when all processes start at once several believe for a second that they are the owner of
-a tenant's bucket."""
+"""Tokens in a bucket when a process starts; it fills at the tenant's rate from there. When all
+processes start at once, several assume for a second that they own a tenant's bucket."""
 
 
 class QuotaLimit(Struct, frozen=True):
-    """What a tenant may ask of all gateways together, and how far that may be exceeded.
+    """A tenant's limit over all gateways, and how far it may be exceeded.
 
     :param margin: requests in any window above the limit.
     """
@@ -90,7 +87,7 @@
 
     @property
     def capacity(self) -> float:
-        """Return how many tokens a bucket holds."""
+        """Return the capacity of a bucket, tokens."""
         return max(LEAST_CAPACITY, self.burst + GRANTED_MARGIN * self.margin)
 
 
@@ -102,12 +99,12 @@
 
 
 class Grant(Struct, frozen=True):
-    """An owner's word to an entry.
+    """The owner's reply to an entry gateway.
 
-    :param granted: whether the request asked for may run.
-    :param wait_s: when to come back, if not.
-    :param pressed_s: for how long entries must ask first; 0: they need not.
-    :param tokens: what the bucket holds after this.
+    :param granted: whether the requested admission is granted.
+    :param wait_s: when to come back if it is not.
+    :param pressed_s: how long entry gateways must ask before admitting; 0: not at all.
+    :param tokens: what the bucket holds afterwards.
     """
 
     granted: bool
@@ -119,7 +116,7 @@
 class _Bucket(Struct):
     """One tenant's tokens.
 
-    :param return_offset_s: how long after the next token the last refused caller was told to come.
+    :param return_offset_s: delay after the next token that the next refused caller is given.
     """
 
     tokens: float
@@ -130,24 +127,24 @@
 
 
 class TokenBuckets(Struct):
-    """Buckets by tenant.
+    """Token buckets by tenant.
 
-    :param started_at: of this process.
+    :param started_at: start time of this process.
     """
 
     started_at: float
     _buckets: dict[str, _Bucket] = field(default_factory=dict)
 
     def __len__(self) -> int:
-        """Return of how many tenants this gateway was asked lately."""
+        """Return the number of tenants with a bucket here."""
         return len(self._buckets)
 
     def held(self) -> dict[str, float]:
-        """Return what each bucket held when it was last asked for."""
+        """Return each bucket's tokens as of its last report."""
         return {tenant: bucket.tokens for tenant, bucket in self._buckets.items()}
 
     def tokens(self, tenant: str) -> float:
-        """Return what a tenant's bucket held when it was last asked for; 0 where there is none."""
+        """Return a tenant's tokens as of its last report; 0 without a bucket."""
         bucket = self._buckets.get(tenant)
         return bucket.tokens if bucket is not None else 0.0
 
@@ -162,14 +159,14 @@
         asks: bool,
         held: HeldTokens | None = None,
     ) -> Grant:
-        """Count what an entry let run, and grant one request more if it asks.
-
-        :param share: which part of the tenant's rate this gateway may grant; below one where it
-            hears only a smaller part of the fleet.
-        :param held: what an owner told the entry lately.  Where owners die and pause one after
-            another, at seven times a limit 68 requests ran in a window for which 50 are allowed;
-            with this and smaller new buckets at most 39 (tests/functional/gateway/test_quotas.py,
-            six runs).
+        """Count what an entry gateway admitted, and grant one more request if it asks.
+
+        :param share: the part of the tenant's rate that this gateway may grant; below one if it
+            reaches half of the fleet or less.
+        :param held: what another owner recently told the entry gateway. While owners died and
+            paused one after another, at seven times a limit 68 requests ran in a window for which
+            50 are allowed; with this and smaller new buckets at most 39
+            (tests/functional/gateway/test_quotas.py, six runs).
         """
         most = self._most(limit, now, share)
         bucket = self._bucket(tenant, limit, now, share)
@@ -188,13 +185,13 @@
         return Grant(granted, wait_s, pressed_s, bucket.tokens)
 
     def forget_idle(self, now: float) -> None:
-        """Drop buckets that are full by now."""
+        """Evict buckets that have been idle long enough to be full."""
         horizon = now - FORGOTTEN_AFTER_S
         for tenant in [t for t, one in self._buckets.items() if one.filled_at < horizon]:
             del self._buckets[tenant]
 
     def _bucket(self, tenant: str, limit: QuotaLimit, now: float, share: float) -> _Bucket:
-        """Return a tenant's bucket, filled up to now by the limit in force."""
+        """Return a tenant's bucket, refilled up to now by the limit in force."""
         most = self._most(limit, now, share)
         bucket = self._buckets.get(tenant)
         if bucket is None:
@@ -209,13 +206,13 @@
         return bucket
 
     def _most(self, limit: QuotaLimit, now: float, share: float) -> float:
-        """Return what a bucket can hold by now."""
+        """Return the current capacity of a bucket."""
         since_start = FIRST_TOKENS + limit.rate_per_s * max(0.0, now - self.started_at)
         return min(limit.capacity, since_start) * share
 
 
 def _next_return_s(bucket: _Bucket, share: float) -> float:
-    """Return after what time a refused caller may find a token, others told before it counted."""
+    """Return when a refused caller may find a token, after the callers that were refused before."""
     rate = bucket.limit.rate_per_s * share
     if rate <= 0.0:
         return LONGEST_WAIT_S
@@ -226,9 +223,9 @@
 
 
 def _pressed_s(bucket: _Bucket, now: float, share: float, most: float) -> float:
-    """Return for how long entries must ask first.
+    """Return how long entry gateways must ask before admitting.
 
-    :param most: what the bucket can hold by now.
+    :param most: current capacity of the bucket.
     """
     if bucket.tokens >= RELIEVED_ABOVE * most:
         bucket.pressed_until = now
@@ -243,10 +240,11 @@
 
 
 def part_of_rate(heard_share: float, excess: float) -> float:
-    """Return which part of a tenant's rate an owner may grant that hears some of the fleet.
+    """Return the part of a tenant's rate that an owner may grant if it reaches some of the fleet.
 
-    At most one side of a cut hears more than half of the fleet; all other sides together hear at
-    most half, and so grant at most ``excess`` of the rate together.  Halves divide it evenly.
+    In a network partition at most one side reaches more than half of the fleet. All other sides
+    together reach at most half, and so grant at most ``excess`` of the rate together. Two equal
+    halves divide the rate evenly.
 
     >>> part_of_rate(0.75, excess=0.25), part_of_rate(0.25, excess=0.25)
     (1.0, 0.125)
--- a/tinrudder/gateway/decisions/attempts/__init__.py
+++ b/tinrudder/gateway/decisions/attempts/__init__.py
@@ -1,1 +1,1 @@
-"""Rules on second calls and retries, on their budget, and on when an answer leaves."""
+"""Rules on hedges and retries, their budget, and the time at which an answer is sent."""
--- a/tinrudder/gateway/decisions/attempts/answer_time.py
+++ b/tinrudder/gateway/decisions/attempts/answer_time.py
@@ -1,21 +1,21 @@
-"""When does a scatter's answer leave, and when is it given up?
+"""When is a scatter's answer sent, and when does the scatter fail?
 
-An answer is worth the square of the share that is in, within the objective, and a small part of it
-later. So before the objective waiting costs nothing and may add parts; at the objective the next
-part would have to be worth ten times what is in, so the answer leaves; after it, it leaves as soon
-as it suffices.
+Within the objective an answer is worth the square of the share of shards included, after it a small
+fraction of that. Before the objective, waiting costs nothing and may add shards. At the objective
+the next shard would have to add ten times the current worth, so the answer is sent. After the
+objective, it is sent as soon as it has enough shards.
 
-Inputs: how many shards there are, have answered and may still answer; the least share that makes
-an answer, 0 to 1; objective and deadline (monotonic seconds).
+Inputs: the number of shards, of those that have answered and of those that may still answer; the
+minimum share for an answer, 0 to 1; objective and deadline (monotonic seconds).
 
-Answer: wait until a moment, answer, or fail.
+Answer: wait until a time, answer, or fail.
 
 Owns: nothing; it is a function of its inputs.
 
 Shown by: log line ``request`` with the fields ``included``, ``missing_shards`` and ``reasons``;
 metric ``tinrudder_gateway_missing_shards``.
 
-When an input is missing or old: all inputs are this gateway's own and of this moment.
+When an input is missing or old: does not happen; all inputs are this gateway's own and current.
 """
 
 from __future__ import annotations
@@ -28,8 +28,8 @@
 class Verdict(enum.Enum):
     """What to do now.
 
-    ``WAIT``: until :attr:`Decision.until` or the next change.  ``FAIL``: no answer can come any
-    more, or none in time.
+    ``WAIT``: until :attr:`Decision.until` or the next change. ``FAIL``: no sufficient answer is
+    possible any more, or the deadline has passed.
     """
 
     WAIT = "wait"
@@ -38,14 +38,14 @@
 
 
 class ScatterState(Struct, frozen=True):
-    """How far a scatter has come.
-
-    :param shards: how many shards its configuration names.
-    :param included: how many have answered.
-    :param hopeful: how many others may still answer: a call runs, or one may be sent.
-    :param minimum_share: the least share of the shards that makes an answer.
-    :param objective_at: monotonic time at which an answer must leave to be worth most.
-    :param deadline_at: monotonic time at which a final answer must leave.
+    """The progress of a scatter.
+
+    :param shards: number of shards in its configuration.
+    :param included: number that have answered.
+    :param hopeful: number of others that may still answer: a call runs or can be sent.
+    :param minimum_share: the minimum share of shards for an answer.
+    :param objective_at: monotonic time until which an answer has its full worth.
+    :param deadline_at: monotonic time at which a final answer must be sent.
     """
 
     shards: int
@@ -57,7 +57,7 @@
 
     @property
     def suffices(self) -> bool:
-        """Tell whether what is in makes an answer."""
+        """Return whether enough shards have answered."""
         return suffices(self.included, self.shards, self.minimum_share)
 
 
@@ -69,7 +69,7 @@
 
 
 def suffices(included: int, shards: int, minimum_share: float) -> bool:
-    """Tell whether a share is enough; at least one part is needed.
+    """Return whether enough shards have answered; at least one is required.
 
     >>> suffices(18, 20, 0.89), suffices(17, 20, 0.89), suffices(0, 20, 0.0)
     (True, False, False)
@@ -78,13 +78,7 @@
 
 
 def decide(state: ScatterState, now: float) -> Decision:
-    """Decide whether to wait, answer or fail.
-
-    An answer is worth the square of the share that is in, within the objective, and a small part
-    of it later.  So before the objective waiting costs nothing and may add parts; at the objective
-    the next part would have to be worth ten times what is in, so the answer leaves; after it, it
-    leaves as soon as it suffices.
-    """
+    """Decide whether to wait, answer or fail; the module docstring gives the reasons."""
     if state.included == state.shards:
         return Decision(Verdict.ANSWER)
     if not suffices(state.included + state.hopeful, state.shards, state.minimum_share):
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -1,25 +1,25 @@
 """Does the fleet's retry budget have room for one more call?
 
-In every sliding window a service may get the ratio of calls beyond the first for each request, and
-the extra on top, from all gateways together, although they share no counter. Each one spends the
-ratio of its own requests, and an equal part of the extra. Sums of the first hold by themselves.
-The parts of the second hold when no gateway counts fewer gateways than there are, and when one
-that starts, which has forgotten what its earlier life spent, takes for one window only what
-earlier lives leave untouched.
+In every sliding window all gateways together may send a service a ratio of extra calls (hedges and
+retries) per request, plus a fixed number, although they share no counter. Each gateway spends the
+ratio of its own requests and an equal part of the fixed number. The ratio parts add up by
+themselves. The fixed parts stay within the bound if no gateway underestimates the number of
+gateways, and if a restarted one, which has lost its counts, spends for one window only what its
+earlier incarnations leave unused.
 
 Inputs: the bounds of the deployment (calls for each request, calls, seconds of the window), the
-requests and repeats of this gateway, and in how many parts the extra is divided.
+requests and repeats of this gateway, and into how many parts the fixed number is divided.
 
-Answer: whether one more call may leave, and how much of the allowance is left, 0 to 1.
+Answer: whether one more call may be sent, and how much of the allowance is left, 0 to 1.
 
-Owns: one service's counts in slices of the window; they end with the window.
+Owns: one service's counts in slices of the window; they expire with the window.
 
 Shown by: metrics ``tinrudder_gateway_repeats_denied`` and ``tinrudder_gateway_retries``; field
 ``repeats`` of log line ``request``.
 
-When an input is missing or old: a peer counts for long after it falls silent, so that parts are
-too small rather than too large; a gateway that has just started spends a tenth of the extra for
-one window.
+When an input is missing or old: a silent peer continues to count for a long time, so that the parts
+are too small rather than too large; a gateway that has just started spends a tenth of the fixed
+number for one window.
 """
 
 from __future__ import annotations
@@ -30,24 +30,23 @@
 from msgspec import Struct
 
 BUCKETS_PER_WINDOW = 20
-"""Slices of the window. Chosen, not measured: requests of the oldest slice count for nothing, so
-that a twentieth of the allowance is given up at most."""
+"""Slices of the window. Requests of the oldest slice do not count, which costs at most a twentieth
+of the allowance."""
 SAFETY = 0.9
-"""Part of ratio and extra that a gateway spends once it has lived for a window. Chosen, not
-measured: the rest covers gateways that start and those that count fewer gateways than there
-are."""
+"""Part of the ratio and of the fixed number that a gateway spends once it has run for a window. The
+rest covers gateways that start and those that underestimate the number of gateways."""
 START_SHARE = 1.0 - SAFETY
-"""Part of the extra that a node may spend in its first window, since the life before it left it.
-With nothing of it, after a start of all 76 gateways of a deployment, a scatter over 135 shards
-repeated 1.2 calls where 9 are usual, and lacked 6.5 shards where it lacks 0.8, in the mean of two
-seconds of their logs."""
+"""Part of the fixed number that a node may spend in its first window, since its earlier incarnation
+left it unused. Without it, after a restart of all 76 gateways of a deployment, a scatter over 135
+shards repeated 1.2 calls instead of the usual 9 and lacked 6.5 shards instead of 0.8, averaged over
+two seconds of their logs."""
 KEPT_FOR_RETRIES = 0.25
-"""Part of the allowance that hedges leave to retries. Chosen, not measured: a shard whose call has
-failed has no answer coming, one whose call is late has."""
+"""Part of the allowance that hedges leave for retries. A shard whose call has failed has no answer
+on the way; one whose call is late does."""
 
 
 class _Bucket(Struct):
-    """What happened in one slice of time."""
+    """Counts of one time slice."""
 
     index: int
     requests: int = 0
@@ -55,21 +54,21 @@
 
 
 class FleetRetryBudget:
-    """One service's part of the budget on this node.
+    """One node's part of a service's budget.
 
-    :meth:`may_repeat` is asked before every call beyond the first of a request.  Hedges leave a
+    Callers use :meth:`may_repeat` before every call after the first of a request. Hedges leave a
     part of the allowance to retries, which are needed more.
     """
 
     def __init__(self, ratio: float, extra: float, window_s: float, started_at: float) -> None:
-        """Take the bounds of the whole fleet; ``started_at`` is when this process began."""
+        """Set the bounds of the whole fleet; ``started_at`` is the start time of this process."""
         self._ratio = ratio * SAFETY
         self._extra = extra
         self._window_s = window_s
         self._slice_s = window_s / BUCKETS_PER_WINDOW
         self._extra_from = started_at + window_s
         self._buckets: deque[_Bucket] = deque()
-        # Sums over the buckets, kept along: a scatter asks for them three times a shard.
+        # Running sums over the buckets: a scatter needs them three times per shard.
         self._requests = 0
         self._repeats = 0
 
@@ -79,9 +78,9 @@
         self._requests += 1
 
     def may_repeat(self, now: float, nodes: float, *, hedge: bool) -> bool:
-        """Count one more call if the budget has room for it.
+        """Count one more call if the budget has room for it; return whether it has.
 
-        :param nodes: in how many equal parts the extra is divided, one of them this node's.
+        :param nodes: number of equal parts, one per node, into which the fixed number is divided.
         """
         if self.remaining(now, nodes, hedge=hedge) < 1.0:
             return False
@@ -90,7 +89,7 @@
         return True
 
     def remaining(self, now: float, nodes: float, *, hedge: bool = False) -> float:
-        """Return how many calls the budget has room for."""
+        """Return how many more calls the budget allows."""
         allowed = self._allowed(now, nodes)
         if hedge:
             allowed *= 1.0 - KEPT_FOR_RETRIES
@@ -104,7 +103,7 @@
         return min(1.0, max(0.0, (allowed - self._repeats) / allowed))
 
     def _allowed(self, now: float, nodes: float) -> float:
-        """Return what may be spent in the window that ends now."""
+        """Return the allowance of the window that ends now."""
         self._forget(now)
         oldest = self._index(now - self._window_s)
         requests = self._requests
@@ -114,7 +113,7 @@
         return self._ratio * requests + share * self._extra / max(1, nodes)
 
     def _index(self, now: float) -> int:
-        """Return the slice that a moment belongs to."""
+        """Return the slice that contains a time."""
         return math.floor(now / self._slice_s)
 
     def _bucket(self, now: float) -> _Bucket:
@@ -126,7 +125,7 @@
         return self._buckets[-1]
 
     def _forget(self, now: float) -> None:
-        """Drop slices that lie wholly before the window."""
+        """Drop slices that lie entirely before the window."""
         oldest = self._index(now - self._window_s)
         while self._buckets and self._buckets[0].index < oldest:
             bucket = self._buckets.popleft()
