--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -31,7 +31,7 @@
 GRANTED_MARGIN = 0.15
 """Part of the margin above the limit that an owner grants as a deeper bucket, because requests
 arrive in bursts. For a tenant of 3 a second with a limit of 5 and a burst of 5, a bucket of its
-burst alone refuses 1 in 156, this one 1 in 7,400 (random arrivals, one seed)."""
+burst alone refuses 1 in 156 and this one 1 in 7,400 (random arrivals, one seed)."""
 NEW_OWNER_MARGIN = 0.25
 """Part of the margin above the limit that a new bucket holds at most: the previous owner may just
 have granted the whole limit, and the next one may take over a moment later."""
