--- a/tests/unit/gateway/decisions/test_answer_time.py
+++ b/tests/unit/gateway/decisions/test_answer_time.py
@@ -57,10 +57,12 @@
         share = (included / shards) ** 2
         return share if moment <= objective else late_worth * share
 
-    deadlines = sorted({*(arrival for arrival in arrivals if arrival <= deadline), objective})
-    best_in_time = max((worth(moment) for moment in deadlines if moment <= objective), default=0.0)
+    candidate_times = sorted({*(arrival for arrival in arrivals if arrival <= deadline), objective})
+    best_in_time = max(
+        (worth(moment) for moment in candidate_times if moment <= objective), default=0.0
+    )
     reached = 0.0
-    for moment in deadlines:
+    for moment in candidate_times:
         included = sum(1 for arrival in arrivals if arrival <= moment)
         state = ScatterState(
             shards, included, shards - included, minimum_share, objective, deadline
@@ -69,7 +71,7 @@
             reached = worth(moment)
             break
     assert reached >= best_in_time
-    if any(worth(moment) > 0 for moment in deadlines):
+    if any(worth(moment) > 0 for moment in candidate_times):
         assert reached > 0
 
 
--- a/tests/unit/gateway/decisions/test_crash_evidence.py
+++ b/tests/unit/gateway/decisions/test_crash_evidence.py
@@ -19,7 +19,7 @@
 
 ORIGIN = b"route"
 
-ASKED = b"fingerprint"
+FINGERPRINT = b"fingerprint"
 
 crashes = st.builds(
     Crash,
@@ -29,27 +29,27 @@
     survived=st.booleans(),
 )
 
-deadlines = st.integers(0, 20).map(float)
+timestamps = st.integers(0, 20).map(float)
 
 # How often it was cleared, and when that was last.
-clearings = st.just((0, NEVER)) | st.tuples(st.integers(1, 3), deadlines)
+clearings = st.just((0, NEVER)) | st.tuples(st.integers(1, 3), timestamps)
 
 pieces = st.lists(
     st.one_of(
         st.builds(lambda crash, cleared: Evidence(ORIGIN, (crash,), *cleared), crashes, clearings),
         clearings.map(lambda cleared: Evidence(ORIGIN, (), *cleared)),
-        deadlines.map(lambda at: Evidence(ORIGIN, trial_at=at)),
+        timestamps.map(lambda at: Evidence(ORIGIN, trial_at=at)),
     ),
     min_size=1,
     max_size=8,
 )
 
 
-def together(evidence: list[Evidence]) -> Evidence:
+def merge_all(evidence: list[Evidence]) -> Evidence:
     table = PoisonRequests()
     for one in evidence:
-        table.merge(ASKED, one)
-    found = table.find(ASKED)
+        table.merge(FINGERPRINT, one)
+    found = table.find(FINGERPRINT)
     assert found is not None
     return found
 
@@ -61,7 +61,7 @@
     source = random.Random(seed)
     again = evidence + source.choices(evidence, k=3)
     source.shuffle(again)
-    assert together(again) == together([*evidence, *evidence])
+    assert merge_all(again) == merge_all([*evidence, *evidence])
 
 
 @given(pieces, st.integers(0, 8))
@@ -70,16 +70,16 @@
 ) -> None:
     here, there = evidence[:cut], evidence[cut:]
     if here and there:
-        told = together(here).merged(together(there))
-        assert told == together(there).merged(together(here))
-        assert told == together([*evidence, *evidence])
+        merged_reports = merge_all(here).merged(merge_all(there))
+        assert merged_reports == merge_all(there).merged(merge_all(here))
+        assert merged_reports == merge_all([*evidence, *evidence])
 
 
 @given(pieces)
 def test_only_what_lost_enough_back_ends_and_one_in_a_trial_is_barred(
     evidence: list[Evidence],
 ) -> None:
-    known = together(evidence)
+    known = merge_all(evidence)
     barred = known.barred_until > known.last_crash_at
     if barred:
         assert len(known.held) >= ENOUGH_CRASHES
--- a/tests/unit/gateway/decisions/test_peer_round_trip.py
+++ b/tests/unit/gateway/decisions/test_peer_round_trip.py
@@ -7,7 +7,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.attempts.peer_round_trip import LONGEST_SEEN_S, PeerRoundTrip
+from tinrudder.gateway.decisions.attempts.peer_round_trip import MAX_SAMPLE_S, PeerRoundTrip
 
 
 def seen(values: list[float]) -> PeerRoundTrip:
@@ -39,7 +39,7 @@
 def test_a_single_stall_asks_for_little_more_and_is_soon_forgotten() -> None:
     path = seen([0.004] * 60)
     path.observe(5.0)
-    assert path.allowance_s <= 2.0 * LONGEST_SEEN_S
+    assert path.allowance_s <= 2.0 * MAX_SAMPLE_S
     for _ in range(30):
         path.observe(0.004)
     assert path.allowance_s < 0.008
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -7,16 +7,16 @@
 from tinrudder.common.crash_limit import ENOUGH_CRASHES
 from tinrudder.gateway.decisions.admission.crash_evidence import (
     ALERT_S,
-    CLEARED_KEPT_S,
+    CLEARED_RETENTION_S,
     FIRST_BAR_S,
     KEPT_S,
-    LONGEST_BAR_S,
+    MAX_BAR_S,
 )
 from tinrudder.gateway.decisions.admission.poison_requests import (
+    MIN_RESTART_S,
     MOST_REQUESTS,
-    RESTART_KNOWN_S,
-    SOONEST_RESTART_S,
-    TRIAL_S,
+    RESTART_DETECTION_S,
+    TRIAL_TIMEOUT_S,
     PoisonRequests,
     Standing,
 )
@@ -25,65 +25,65 @@
 
 OTHER = b"another"
 
-ASKED = b"fingerprint"
+FINGERPRINT = b"fingerprint"
 
 
-def convicted(table: PoisonRequests, at: float) -> None:
+def bar_request(table: PoisonRequests, at: float) -> None:
     for backend in range(ENOUGH_CRASHES):
-        table.note_crash(ASKED, ORIGIN, backend, at, trial=backend == ENOUGH_CRASHES - 1)
+        table.note_crash(FINGERPRINT, ORIGIN, backend, at, trial=backend == ENOUGH_CRASHES - 1)
 
 
-def standing(table: PoisonRequests, now: float, asked: bytes = ASKED) -> Standing:
+def standing(table: PoisonRequests, now: float, asked: bytes = FINGERPRINT) -> Standing:
     return table.judge(asked, ORIGIN, now).standing
 
 
 def test_a_victim_of_crashes_is_suspect_until_any_back_end_answers() -> None:
     table = PoisonRequests()
     for backend in range(20):
-        table.note_crash(ASKED, ORIGIN, backend, 1.0, trial=False)
+        table.note_crash(FINGERPRINT, ORIGIN, backend, 1.0, trial=False)
     assert standing(table, 1.1) is Standing.SUSPECT
-    assert table.note_answer(ASKED, 1.2)
+    assert table.note_answer(FINGERPRINT, 1.2)
     assert standing(table, 1.3) is Standing.FREE
-    assert not table.note_answer(ASKED, 1.4)
+    assert not table.note_answer(FINGERPRINT, 1.4)
 
 
 def test_one_gateway_at_a_time_tries_what_lost_enough_back_ends() -> None:
     table = PoisonRequests()
     for backend in range(ENOUGH_CRASHES):
-        table.note_crash(ASKED, ORIGIN, backend, 1.0, trial=False)
-    assert table.begin_trial(ASKED, 2.0)
+        table.note_crash(FINGERPRINT, ORIGIN, backend, 1.0, trial=False)
+    assert table.begin_trial(FINGERPRINT, 2.0)
     assert standing(table, 2.1) is Standing.ON_TRIAL
-    assert standing(table, 2.1 + TRIAL_S) is Standing.SUSPECT
+    assert standing(table, 2.1 + TRIAL_TIMEOUT_S) is Standing.SUSPECT
 
 
 def test_each_failed_trial_bars_for_longer_and_there_are_few_in_a_day() -> None:
     table = PoisonRequests()
-    convicted(table, 0.0)
+    bar_request(table, 0.0)
     now, trials, backend = 0.0, 0, 100
     while now < 86_400.0:
-        judgement = table.judge(ASKED, ORIGIN, now)
+        judgement = table.judge(FINGERPRINT, ORIGIN, now)
         if judgement.standing is Standing.BARRED:
-            assert judgement.barred_s <= LONGEST_BAR_S + 1e-6
+            assert judgement.barred_s <= MAX_BAR_S + 1e-6
             now += judgement.barred_s
             continue
         trials += 1
         backend += 1
-        table.note_crash(ASKED, ORIGIN, backend, now + 0.1, trial=True)
+        table.note_crash(FINGERPRINT, ORIGIN, backend, now + 0.1, trial=True)
         now += 0.1
         if now < 120.0:
             assert trials <= 1
     assert trials <= 30
 
 
-def lost_in_a_trial(table: PoisonRequests, asked: bytes, at: float) -> None:
+def lose_in_trial(table: PoisonRequests, asked: bytes, at: float) -> None:
     table.note_crash(asked, ORIGIN, 9, at, trial=True)
 
 
 def test_two_that_lost_back_ends_alone_make_the_callers_others_canaries_for_a_while() -> None:
     table = PoisonRequests()
-    lost_in_a_trial(table, ASKED, 0.0)
+    lose_in_trial(table, FINGERPRINT, 0.0)
     assert standing(table, 1.0, OTHER) is Standing.FREE
-    lost_in_a_trial(table, b"second", 2.0)
+    lose_in_trial(table, b"second", 2.0)
     assert standing(table, 3.0, OTHER) is Standing.SUSPECT
     assert table.judge(OTHER, b"other caller", 3.0).standing is Standing.FREE
     assert standing(table, ALERT_S + 0.1, OTHER) is Standing.FREE
@@ -99,30 +99,30 @@
 
 def test_an_answer_takes_back_the_alarm_of_its_request() -> None:
     table = PoisonRequests()
-    lost_in_a_trial(table, ASKED, 0.0)
-    lost_in_a_trial(table, b"second", 0.0)
+    lose_in_trial(table, FINGERPRINT, 0.0)
+    lose_in_trial(table, b"second", 0.0)
     assert table.is_alert(ORIGIN, 1.0)
-    table.note_answer(ASKED, 2.0)
+    table.note_answer(FINGERPRINT, 2.0)
     assert not table.is_alert(ORIGIN, 3.0)
 
 
 def test_a_back_end_that_survived_is_held_against_nobody_whoever_tells_it_again() -> None:
     table, other = PoisonRequests(), PoisonRequests()
-    convicted(table, 0.0)
-    told = table.find(ASKED)
-    assert told is not None
-    other.merge(ASKED, told)
-    assert table.note_survivor(ASKED, 0)
+    bar_request(table, 0.0)
+    reported = table.find(FINGERPRINT)
+    assert reported is not None
+    other.merge(FINGERPRINT, reported)
+    assert table.note_survivor(FINGERPRINT, 0)
     assert standing(table, 0.1) is Standing.SUSPECT
-    assert not table.note_survivor(ASKED, 0)
+    assert not table.note_survivor(FINGERPRINT, 0)
     for backend in range(1, ENOUGH_CRASHES):
-        assert table.note_survivor(ASKED, backend)
+        assert table.note_survivor(FINGERPRINT, backend)
     assert standing(table, 0.1) is Standing.FREE
-    table.merge(ASKED, told)
+    table.merge(FINGERPRINT, reported)
     assert standing(table, 0.1) is Standing.FREE
-    cleared = table.find(ASKED)
+    cleared = table.find(FINGERPRINT)
     assert cleared is not None
-    other.merge(ASKED, cleared)
+    other.merge(FINGERPRINT, cleared)
     assert standing(other, 0.1) is Standing.FREE
 
 
@@ -131,20 +131,20 @@
     [
         (-0.01, False),
         (0.0, True),
-        (SOONEST_RESTART_S, True),
-        (SOONEST_RESTART_S + 0.1, False),
-        (RESTART_KNOWN_S - 0.1, False),
-        (RESTART_KNOWN_S, True),
+        (MIN_RESTART_S, True),
+        (MIN_RESTART_S + 0.1, False),
+        (RESTART_DETECTION_S - 0.1, False),
+        (RESTART_DETECTION_S, True),
     ],
 )
 def test_an_answer_shows_that_a_back_end_lives_unless_it_may_have_been_restarted(
     later_s: float, innocent: bool
 ) -> None:
     table = PoisonRequests()
-    table.note_crash(ASKED, ORIGIN, 1, 10.0, trial=True)
+    table.note_crash(FINGERPRINT, ORIGIN, 1, 10.0, trial=True)
     table.note_crash(b"second", ORIGIN, 2, 10.0, trial=True)
-    assert table.lost_under(1, 10.0 + later_s) == ((ASKED,) if innocent else ())
-    assert table.note_survivor(ASKED, 1)
+    assert table.lost_under(1, 10.0 + later_s) == ((FINGERPRINT,) if innocent else ())
+    assert table.note_survivor(FINGERPRINT, 1)
     assert table.lost_under(1, 10.0) == ()
     assert table.lost_under(2, 10.0) == (b"second",)
     table.note_answer(b"second", 10.1)
@@ -153,14 +153,14 @@
 
 def test_everything_is_forgotten_in_the_end() -> None:
     table = PoisonRequests()
-    convicted(table, 0.0)
+    bar_request(table, 0.0)
     table.forget(FIRST_BAR_S + KEPT_S - 1.0)
     assert len(table) == 1
     table.forget(FIRST_BAR_S + KEPT_S + 1.0)
     assert len(table) == 0
-    convicted(table, 1_000.0)
-    table.note_answer(ASKED, 1_001.0)
-    table.forget(1_002.0 + CLEARED_KEPT_S)
+    bar_request(table, 1_000.0)
+    table.note_answer(FINGERPRINT, 1_001.0)
+    table.forget(1_002.0 + CLEARED_RETENTION_S)
     assert len(table) == 0
 
 
@@ -169,16 +169,16 @@
     for number in range(2 * MOST_REQUESTS):
         table.note_crash(number.to_bytes(4, "big"), ORIGIN, 0, float(number), trial=False)
         if number % 100 == 0:
-            convicted(table, float(number))
+            bar_request(table, float(number))
     assert len(table) == MOST_REQUESTS
-    assert table.find(ASKED) is not None
+    assert table.find(FINGERPRINT) is not None
 
 
 def test_while_the_store_is_away_a_late_answer_does_not_show_that_a_back_end_has_lived_on() -> None:
     """It may have started again at the same address, and its entry is not known."""
     table = PoisonRequests()
-    table.note_crash(ASKED, ORIGIN, 1, 10.0, trial=True)
-    late = 10.0 + 2 * RESTART_KNOWN_S
+    table.note_crash(FINGERPRINT, ORIGIN, 1, 10.0, trial=True)
+    late = 10.0 + 2 * RESTART_DETECTION_S
     assert table.lost_under(1, late, starts_known_at=10.0) == ()
-    assert table.lost_under(1, late, starts_known_at=10.0 + RESTART_KNOWN_S) == (ASKED,)
-    assert table.lost_under(1, 10.0 + SOONEST_RESTART_S, starts_known_at=0.0) == (ASKED,)
+    assert table.lost_under(1, late, starts_known_at=10.0 + RESTART_DETECTION_S) == (FINGERPRINT,)
+    assert table.lost_under(1, 10.0 + MIN_RESTART_S, starts_known_at=0.0) == (FINGERPRINT,)
--- a/tests/unit/gateway/decisions/test_retry_after.py
+++ b/tests/unit/gateway/decisions/test_retry_after.py
@@ -6,8 +6,8 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.admission.retry_after import (
-    HONOURED_SHARE,
-    WAITED_SHARE,
+    MAX_RESERVED_WAIT_SHARE,
+    MAX_WAIT_SHARE,
     may_come_back,
     retry_after_by_place_s,
     retry_after_by_share_s,
@@ -18,10 +18,10 @@
 def test_who_may_come_back_is_told_a_moment_that_it_waits_for(
     room_in_s: float, left_s: float, draw: float
 ) -> None:
-    told = retry_after_by_place_s(room_in_s, left_s, draw)
-    assert 0.0 <= told <= left_s
+    announced_s = retry_after_by_place_s(room_in_s, left_s, draw)
+    assert 0.0 <= announced_s <= left_s
     if may_come_back(room_in_s, left_s):
-        assert room_in_s <= told <= HONOURED_SHARE * left_s + 1e-9
+        assert room_in_s <= announced_s <= MAX_RESERVED_WAIT_SHARE * left_s + 1e-9
 
 
 @given(
@@ -34,4 +34,4 @@
     wait_s: float, admitted: float, left_s: float, chance: float
 ) -> None:
     pause_s = retry_after_by_share_s(wait_s, admitted, left_s, chance)
-    assert 0.0 <= pause_s <= max(0.0, left_s) * WAITED_SHARE
+    assert 0.0 <= pause_s <= max(0.0, left_s) * MAX_WAIT_SHARE
--- a/tests/unit/gateway/decisions/test_scatter_concurrency.py
+++ b/tests/unit/gateway/decisions/test_scatter_concurrency.py
@@ -18,7 +18,7 @@
     room = ScatterConcurrency(hold_s=HOLD_S)
     room.set_part(4.0)
     begun = room.limit
-    assert begun == room.first_limit == 4.0 * OVER_COMMITMENT
+    assert begun == room.initial_limit == 4.0 * OVER_COMMITMENT
     for step in range(40):
         room.judge(QUEUE_HIGH + 0.1, step * HOLD_S, in_use=True)
     assert room.limit == room.floor == 4.0
--- a/tests/unit/gateway/decisions/test_tenant_shares.py
+++ b/tests/unit/gateway/decisions/test_tenant_shares.py
@@ -7,7 +7,11 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.admission.tenant_shares import MEMORY_S, TenantShares, fair_level
+from tinrudder.gateway.decisions.admission.tenant_shares import (
+    DECAY_TIME_S,
+    TenantShares,
+    fair_level,
+)
 
 AMOUNTS = st.lists(st.floats(0.1, 100.0), min_size=1, max_size=12)
 
@@ -55,7 +59,7 @@
     for _ in range(100):
         shares.note("hot", 0.0)
     shares.note("calm", 0.0)
-    later = 12 * MEMORY_S
+    later = 12 * DECAY_TIME_S
     shares.note("hot", later)
     shares.note("calm", later)
     assert abs(shares.share_of("hot", 0.5, later) - shares.share_of("calm", 0.5, later)) < 0.01
--- a/tests/unit/gateway/decisions/test_tenant_turns.py
+++ b/tests/unit/gateway/decisions/test_tenant_turns.py
@@ -6,12 +6,12 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter
-from tinrudder.gateway.decisions.admission.tenant_turns import MOST_IDLE_LANES, TenantTurns
+from tinrudder.gateway.decisions.admission.tenant_turns import MAX_IDLE_LANES, TenantTurns
 
 
 def arrive(turns: TenantTurns, tenant: str, priority: int = 1) -> QueuedScatter:
     scatter = QueuedScatter(priority, 10.0, 20.0, 0.1, tenant=tenant)
-    scatter.turn = turns.next_of(scatter)
+    scatter.turn = turns.next_turn(scatter)
     turns.take(scatter, [scatter])
     return scatter
 
@@ -49,7 +49,7 @@
 def test_tenants_that_wait_are_not_forgotten_however_many_come() -> None:
     turns = TenantTurns()
     waiting = arrive(turns, "waits")
-    for number in range(3 * MOST_IDLE_LANES):
+    for number in range(3 * MAX_IDLE_LANES):
         other = QueuedScatter(1, 10.0, 20.0, 0.1, tenant=f"t{number}")
         turns.take(other, [waiting])
     assert arrive(turns, "waits").turn == 1
--- a/tests/unit/gateway/decisions/test_token_buckets.py
+++ b/tests/unit/gateway/decisions/test_token_buckets.py
@@ -1,4 +1,4 @@
-"""The bucket of a tenant at its home: what it grants, and how far the fleet may exceed a limit."""
+"""The token bucket of a tenant at its owner: grants, and how far the fleet may exceed a limit."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 """Start of a process that has run for long."""
 
 
-def ask(home: TokenBuckets, now: float, share: float = 1.0, limit: QuotaLimit = LIMIT) -> bool:
-    return home.report("t", limit, now, share, admitted=0, asks=True).granted
+def ask(owner: TokenBuckets, now: float, share: float = 1.0, limit: QuotaLimit = LIMIT) -> bool:
+    return owner.report("t", limit, now, share, admitted=0, asks=True).granted
 
 
-def most_in_window(deadlines: list[float], window_s: float = WINDOW_S) -> int:
+def most_in_window(admitted_at: list[float], window_s: float = WINDOW_S) -> int:
     return max(
-        (sum(1 for at in deadlines if first <= at < first + window_s) for first in deadlines),
+        (sum(1 for at in admitted_at if first <= at < first + window_s) for first in admitted_at),
         default=0,
     )
 
@@ -37,19 +37,19 @@
     """At 3 of 5 a second, by chance: 27 of 200,000 refused, and 1,284 by a bucket of the burst
     alone (one seed)."""
     source = random.Random(1)
-    home, plain, now, refused, refused_plain = TokenBuckets(OLD), 5.0, 0.0, 0, 0
+    owner, burst_only, now, refused, refused_burst_only = TokenBuckets(OLD), 5.0, 0.0, 0, 0
     filled_at = 0.0
     for _ in range(20_000):
         now += source.expovariate(3.0)
-        refused += not ask(home, now)
-        plain = min(5.0, plain + (now - filled_at) * 5.0)
+        refused += not ask(owner, now)
+        burst_only = min(5.0, burst_only + (now - filled_at) * 5.0)
         filled_at = now
-        if plain >= 1.0:
-            plain -= 1.0
+        if burst_only >= 1.0:
+            burst_only -= 1.0
         else:
-            refused_plain += 1
+            refused_burst_only += 1
     assert refused <= 20
-    assert refused_plain >= 10 * max(1, refused)
+    assert refused_burst_only >= 10 * max(1, refused)
 
 
 @given(st.floats(0.1, 200.0), st.floats(0.0, 100.0), st.floats(1.0, 20.0), st.integers(0, 2**16))
@@ -57,66 +57,66 @@
     rate: float, burst: float, times: float, seed: int
 ) -> None:
     limit = QuotaLimit.of(rate, burst, WINDOW_S, 0.25, 20.0)
-    source, home, now, granted = random.Random(seed), TokenBuckets(OLD), 0.0, []
+    source, owner, now, granted = random.Random(seed), TokenBuckets(OLD), 0.0, []
     for _ in range(400):
         now += source.expovariate(rate * times)
-        if ask(home, now, limit=limit):
+        if ask(owner, now, limit=limit):
             granted.append(now)
     allowed = rate * WINDOW_S + max(1.0, burst + GRANTED_MARGIN * limit.margin)
     assert most_in_window(granted) <= allowed + 1.0
 
 
 def test_what_was_admitted_unasked_is_made_up_for() -> None:
-    home = TokenBuckets(OLD)
-    home.report("t", LIMIT, 0.0, 1.0, admitted=int(LIMIT.capacity) + 3, asks=False)
-    assert not ask(home, 0.1)
-    assert not ask(home, 0.4)
-    assert ask(home, 1.25)
+    owner = TokenBuckets(OLD)
+    owner.report("t", LIMIT, 0.0, 1.0, admitted=int(LIMIT.capacity) + 3, asks=False)
+    assert not ask(owner, 0.1)
+    assert not ask(owner, 0.4)
+    assert ask(owner, 1.25)
 
 
 def test_refused_callers_come_back_one_by_one() -> None:
-    home = TokenBuckets(OLD)
-    home.report("t", LIMIT, 0.0, 1.0, admitted=12, asks=False)
-    waits = [home.report("t", LIMIT, 0.0, 1.0, admitted=0, asks=True).wait_s for _ in range(5)]
+    owner = TokenBuckets(OLD)
+    owner.report("t", LIMIT, 0.0, 1.0, admitted=12, asks=False)
+    waits = [owner.report("t", LIMIT, 0.0, 1.0, admitted=0, asks=True).wait_s for _ in range(5)]
     gaps = [later - sooner for sooner, later in itertools.pairwise(waits)]
     assert waits[0] > 0.0
     assert all(abs(gap - 0.2) < 1e-9 for gap in gaps)
-    assert ask(home, waits[0] + 1e-6)
+    assert ask(owner, waits[0] + 1e-6)
 
 
 def test_no_caller_is_told_to_come_back_after_limits_have_changed() -> None:
-    home = TokenBuckets(OLD)
+    owner = TokenBuckets(OLD)
     slow = QuotaLimit.of(0.01, 0.0, WINDOW_S, 0.0, 0.0)
     for _ in range(5):
-        grant = home.report("t", slow, 0.0, 1.0, admitted=0, asks=True)
+        grant = owner.report("t", slow, 0.0, 1.0, admitted=0, asks=True)
     assert grant.wait_s <= LONGEST_WAIT_S
 
 
 def test_entries_ask_first_only_while_the_bucket_is_low() -> None:
-    home = TokenBuckets(OLD)
-    calm = home.report("t", LIMIT, 0.0, 1.0, admitted=1, asks=False)
-    low = home.report("t", LIMIT, 0.0, 1.0, admitted=8, asks=False)
-    rising = home.report("t", LIMIT, 0.5, 1.0, admitted=0, asks=False)
-    full = home.report("t", LIMIT, 3.0, 1.0, admitted=0, asks=False)
+    owner = TokenBuckets(OLD)
+    calm = owner.report("t", LIMIT, 0.0, 1.0, admitted=1, asks=False)
+    low = owner.report("t", LIMIT, 0.0, 1.0, admitted=8, asks=False)
+    rising = owner.report("t", LIMIT, 0.5, 1.0, admitted=0, asks=False)
+    full = owner.report("t", LIMIT, 3.0, 1.0, admitted=0, asks=False)
     assert calm.pressed_s == 0.0 < low.pressed_s
     assert rising.pressed_s > 0.0 == full.pressed_s
 
 
 def test_a_lower_limit_cuts_the_bucket_and_a_higher_one_fills_faster() -> None:
-    home = TokenBuckets(OLD)
-    ask(home, 0.0)
+    owner = TokenBuckets(OLD)
+    ask(owner, 0.0)
     lower = QuotaLimit.of(0.5, 1.0, WINDOW_S, 0.25, 0.0)
-    assert [ask(home, 0.1, limit=lower) for _ in range(3)] == [True, False, False]
+    assert [ask(owner, 0.1, limit=lower) for _ in range(3)] == [True, False, False]
     higher = QuotaLimit.of(50.0, 50.0, WINDOW_S, 0.25, 20.0)
-    assert all(ask(home, 0.5, limit=higher) for _ in range(10))
+    assert all(ask(owner, 0.5, limit=higher) for _ in range(10))
 
 
 def test_a_limit_without_a_burst_lets_single_requests_pass() -> None:
     none = QuotaLimit.of(1.0, 0.0, WINDOW_S, 0.0, 0.0)
-    home = TokenBuckets(OLD)
-    assert ask(home, 0.0, limit=none)
-    assert not ask(home, 0.1, limit=none)
-    assert ask(home, 1.2, limit=none)
+    owner = TokenBuckets(OLD)
+    assert ask(owner, 0.0, limit=none)
+    assert not ask(owner, 0.1, limit=none)
+    assert ask(owner, 1.2, limit=none)
 
 
 def test_a_burst_without_a_rate_is_no_limit_of_its_own() -> None:
@@ -130,18 +130,18 @@
     first, second = TokenBuckets(OLD), TokenBuckets(OLD)
     for step in range(2000):
         now = step * 0.01
-        home = first if now < 10.0 else second
-        if ask(home, now):
+        owner = first if now < 10.0 else second
+        if ask(owner, now):
             granted.append(now)
     assert most_in_window(granted) <= 30.0 + LIMIT.margin
 
 
 def test_processes_that_start_at_once_grant_little_until_they_know_each_other() -> None:
     """Eight of them believe for a second that the tenant is theirs, beside what ran before."""
-    homes = [TokenBuckets(0.0) for _ in range(8)]
+    owners = [TokenBuckets(0.0) for _ in range(8)]
     granted = 0
     for step in range(100):
-        granted += sum(ask(home, step * 0.01) for home in homes)
+        granted += sum(ask(owner, step * 0.01) for owner in owners)
     alone = TokenBuckets(0.0)
     granted_alone = sum(ask(alone, step * 0.01) for step in range(100))
     assert granted_alone <= 8
--- a/tests/unit/gateway/decisions/test_token_buckets_of_a_fleet.py
+++ b/tests/unit/gateway/decisions/test_token_buckets_of_a_fleet.py
@@ -46,20 +46,20 @@
     return 1.0 - len(ran) / asked, most
 
 
-def home_with_reports(gateways: int) -> Decide:
-    """Admit at once and report behind; ask first while the home says that the tenant is pressed."""
-    home = TokenBuckets(-1000.0)
+def owner_with_reports(gateways: int) -> Decide:
+    """Admit at once and report later; ask first while the owner says that the tenant is pressed."""
+    owner = TokenBuckets(-1000.0)
     reports: list[float] = []
     pressed: list[tuple[float, float]] = []
 
     def decide(now: float, _place: int) -> bool:
         while reports and reports[0] <= now:
             at = heapq.heappop(reports)
-            grant = home.report("t", LIMIT, at, 1.0, admitted=1, asks=False)
+            grant = owner.report("t", LIMIT, at, 1.0, admitted=1, asks=False)
             if grant.pressed_s:
                 pressed.append((at + REPORT_S, at + REPORT_S + grant.pressed_s))
         if any(since <= now < until for since, until in pressed):
-            grant = home.report("t", LIMIT, now, 1.0, admitted=0, asks=True)
+            grant = owner.report("t", LIMIT, now, 1.0, admitted=0, asks=True)
             if grant.pressed_s:
                 pressed.append((now, now + grant.pressed_s))
             return grant.granted
@@ -104,8 +104,8 @@
 
 @pytest.mark.parametrize("gateways", FLEETS)
 def test_a_home_with_reports_refuses_little_and_keeps_the_bound(gateways: int) -> None:
-    refused, _ = run(home_with_reports(gateways), CALM)
-    _, most = run(home_with_reports(gateways), HOT)
+    refused, _ = run(owner_with_reports(gateways), CALM)
+    _, most = run(owner_with_reports(gateways), HOT)
     assert refused <= 0.005
     assert most <= 36 < BOUND
 
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -41,15 +41,15 @@
 request is soon free again if a failing rack took down its back ends and that of its trial."""
 BAR_GROWTH = 6.0
 """Factor by which each further failed trial lengthens the bar. With :data:`FIRST_BAR_S` and
-:data:`LONGEST_BAR_S` a poison request costs one more back end at 20, 140 and 860 s, then one an
+:data:`MAX_BAR_S` a poison request costs one more back end at 20, 140 and 860 s, then one an
 hour."""
-LONGEST_BAR_S = 3600.0
+MAX_BAR_S = 3600.0
 """Longest bar, seconds. The guarantee for poison requests is that a known one costs a back end in
 at most three tries a day; restarting all gateways discards the evidence and allows one more."""
 KEPT_S = 600.0
 """How long evidence is kept after the last crash and after the end of a bar, seconds: 37 times the
 longest pause seen between two tries of one client, 16 s."""
-CLEARED_KEPT_S = 30.0
+CLEARED_RETENTION_S = 30.0
 """How long the record that an answer cleared a request is kept, seconds: long enough for every
 gateway to receive it."""
 ALERT_S = 60.0
@@ -126,7 +126,7 @@
         failed = self.failed_trials
         if not failed:
             return NEVER
-        bar_s = min(LONGEST_BAR_S, FIRST_BAR_S * BAR_GROWTH ** (failed - 1))
+        bar_s = min(MAX_BAR_S, FIRST_BAR_S * BAR_GROWTH ** (failed - 1))
         return self.last_crash_at + bar_s
 
     @property
@@ -140,7 +140,7 @@
         """Return when this evidence can be discarded."""
         if not self.held:
             latest = max((crash.at for crash in self.crashes), default=NEVER)
-            return max(self.cleared_at, latest) + CLEARED_KEPT_S
+            return max(self.cleared_at, latest) + CLEARED_RETENTION_S
         return max(self.last_crash_at, self.barred_until) + KEPT_S
 
     def merged(self, other: Evidence) -> Evidence:
--- a/tinrudder/gateway/decisions/admission/load_forecast.py
+++ b/tinrudder/gateway/decisions/admission/load_forecast.py
@@ -21,14 +21,14 @@
 
 from __future__ import annotations
 
-SURE_BELOW = 0.7
+ADMIT_ALL_BELOW = 0.7
 """Expected time, as a fraction of the time left, below which all requests are admitted. In bursts
 of 3 and 5 times the traffic, bounds of 0.8 and 1.3 kept 0.413 of the answers' worth and these
 bounds 0.460, with scatters refused by this rule."""
-HOPELESS_ABOVE = 1.1
+ADMIT_NONE_ABOVE = 1.1
 """Expected time, as a fraction of the time left, above which no request is admitted; see
-:data:`SURE_BELOW`."""
-LATER_PRIORITY_FACTOR = 1.1
+:data:`ADMIT_ALL_BELOW`."""
+PRIORITY_STEP_FACTOR = 1.1
 """Factor applied to a request's expected time for each more urgent priority: less urgent requests
 are refused slightly earlier, and none is shut out by its priority alone."""
 RETURNING_FACTOR = 0.85
@@ -37,7 +37,7 @@
 USUAL_FACTOR = 1.8
 """Time reserved for the call itself, in typical call times without a queue. Above the median,
 because most calls, and not half of them, should finish in time."""
-HARMLESS_WAIT = 0.5
+NEGLIGIBLE_WAIT = 0.5
 """Wait, in typical call times, up to which nothing is refused: calls wait this long by chance even
 where back ends are not full."""
 
@@ -62,13 +62,13 @@
     >>> admission_share(0.4, 0.04, 0.25, priority_steps=0, returning=False)
     0.0
     """
-    if wait_s <= HARMLESS_WAIT * usual_s:
+    if wait_s <= NEGLIGIBLE_WAIT * usual_s:
         return 1.0
     if left_s <= 0.0:
         return 0.0
     load = (wait_s + USUAL_FACTOR * usual_s) / left_s
-    load *= LATER_PRIORITY_FACTOR**priority_steps
+    load *= PRIORITY_STEP_FACTOR**priority_steps
     if returning:
         load *= RETURNING_FACTOR
-    share = (HOPELESS_ABOVE - load) / (HOPELESS_ABOVE - SURE_BELOW)
+    share = (ADMIT_NONE_ABOVE - load) / (ADMIT_NONE_ABOVE - ADMIT_ALL_BELOW)
     return min(1.0, max(0.0, share))
--- a/tinrudder/gateway/decisions/admission/memory_bound.py
+++ b/tinrudder/gateway/decisions/admission/memory_bound.py
@@ -59,7 +59,7 @@
 SMALL_BODY_BYTES = 16 * 1024
 """Bodies up to this size are not counted against a back end's memory, bytes; equals the limit for a
 request's head."""
-WAITING_PER_SLOT = 1
+QUEUED_BODIES_PER_SLOT = 1
 """Whole bodies that may be in flight to a back end per slot, in addition to the one being
 processed: the next one is already there when a slot becomes free."""
 
@@ -112,5 +112,5 @@
     >>> body_bytes_on_the_way(slots=2, callers=113, largest_body=262_144) // 262_144
     1
     """
-    together = slots * (1 + WAITING_PER_SLOT) * largest_body
-    return max(largest_body, together // max(1, callers))
+    total_bytes = slots * (1 + QUEUED_BODIES_PER_SLOT) * largest_body
+    return max(largest_body, total_bytes // max(1, callers))
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -36,25 +36,25 @@
     Evidence,
 )
 
-TRIAL_S = 1.0
+TRIAL_TIMEOUT_S = 1.0
 """How long one gateway's trial prevents other gateways from starting one, seconds. A call takes
 tens of milliseconds; after this time the gateway that began the trial is presumed dead."""
-LEAST_LEFT_S = 60.0
+MIN_REMAINING_RETENTION_S = 60.0
 """Minimum remaining retention, in seconds, for evidence on an unknown request to be accepted from
 another gateway. Each gateway expires evidence by its own clock, and would accept and forward again
 what others are about to expire. Twice a pause of 30 s in which reports are not read. Without this,
 ten requests that lost a call and were never answered made each of 113 gateways, with datagram
 delays of 0.05 to 0.5 s, send 24 datagrams a second, the limit of its token bucket, from 600 s on
 and without end (virtual time)."""
-ENOUGH_ALARMS = 2
+MIN_ALERT_REQUESTS = 2
 """Number of different requests that must have lost a back end in a trial to raise an alert for
 their origin. A single request is barred by itself if it returns. Starting all requests of a route
 as canaries costs each of them a call's time, and 0.03 to 0.15 of the answers' worth on a calm
 day."""
-SOONEST_RESTART_S = 0.5
+MIN_RESTART_S = 0.5
 """An answer to a call sent within this time after a loss, seconds, comes from the old process:
 observed restarts take seconds until the process listens again."""
-RESTART_KNOWN_S = 4.0
+RESTART_DETECTION_S = 4.0
 """Time after which a restart is visible through the entry that the new process writes, seconds:
 three of its heartbeats of 1.2 s, and the propagation through the store."""
 MOST_REQUESTS = 1024
@@ -63,8 +63,8 @@
 
 
 def _shows_same_process(lost_at: float, sent_at: float, starts_known_at: float) -> bool:
-    soon = 0.0 <= sent_at - lost_at <= SOONEST_RESTART_S
-    return soon or min(sent_at, starts_known_at) - lost_at >= RESTART_KNOWN_S
+    soon = 0.0 <= sent_at - lost_at <= MIN_RESTART_S
+    return soon or min(sent_at, starts_known_at) - lost_at >= RESTART_DETECTION_S
 
 
 class Standing(Enum):
@@ -112,7 +112,7 @@
     def __init__(self) -> None:
         self._evidence: dict[bytes, Evidence] = {}
         # For each back end, the requests that its loss counts against.
-        self._lost_under: dict[int, set[bytes]] = {}
+        self._requests_by_backend: dict[int, set[bytes]] = {}
         # By origin and fingerprint: an answer withdraws only the alert that its request raised.
         self._alerts: dict[bytes, dict[bytes, float]] = {}
 
@@ -150,13 +150,13 @@
             return RequestStanding(Standing.BARRED, evidence.barred_until - now)
         if len(evidence.held) < ENOUGH_CRASHES:
             return SUSPECT
-        under_way = evidence.trial_at > evidence.last_crash_at
-        return ON_TRIAL if under_way and now - evidence.trial_at < TRIAL_S else SUSPECT
+        trial_running = evidence.trial_at > evidence.last_crash_at
+        return ON_TRIAL if trial_running and now - evidence.trial_at < TRIAL_TIMEOUT_S else SUSPECT
 
     def is_alert(self, origin: bytes, now: float) -> bool:
         """Return whether several requests of this route and caller have lost back ends recently."""
         alarms = sum(now < until for until in self._alerts.get(origin, {}).values())
-        return alarms >= ENOUGH_ALARMS
+        return alarms >= MIN_ALERT_REQUESTS
 
     def alerts(self, now: float) -> int:
         """Return the number of origins under alert."""
@@ -209,7 +209,7 @@
         """
         return tuple(
             fingerprint
-            for fingerprint in self._lost_under.get(backend, ())
+            for fingerprint in self._requests_by_backend.get(backend, ())
             for crash in self._evidence[fingerprint].held
             if crash.backend == backend and _shows_same_process(crash.at, sent_at, starts_known_at)
         )
@@ -222,20 +222,20 @@
         self.merge(fingerprint, replace(evidence, trial_at=now))
         return True
 
-    def is_worth_taking(self, fingerprint: bytes, told: Evidence, now: float) -> bool:
+    def is_worth_taking(self, fingerprint: bytes, reported: Evidence, now: float) -> bool:
         """Return whether evidence from another gateway should be accepted.
 
         Crashes of an unknown request are accepted only if they will be kept for
-        :data:`LEAST_LEFT_S`.
+        :data:`MIN_REMAINING_RETENTION_S`.
         """
-        if fingerprint in self._evidence or not told.held:
+        if fingerprint in self._evidence or not reported.held:
             return True
-        return told.kept_until - now >= LEAST_LEFT_S
+        return reported.kept_until - now >= MIN_REMAINING_RETENTION_S
 
-    def merge(self, fingerprint: bytes, told: Evidence) -> Evidence:
+    def merge(self, fingerprint: bytes, reported: Evidence) -> Evidence:
         """Merge evidence observed here or reported by another gateway; return the result."""
         known = self._evidence.pop(fingerprint, None)
-        evidence = told if known is None else known.merged(told)
+        evidence = reported if known is None else known.merged(reported)
         self._index(fingerprint, known, evidence)
         # Inserted at the end: eviction starts with the one that changed longest ago.
         self._evidence[fingerprint] = evidence
@@ -247,12 +247,12 @@
     def _index(self, fingerprint: bytes, known: Evidence | None, evidence: Evidence | None) -> None:
         """Update the index from back ends to the requests that their crashes count against."""
         for crash in known.held if known is not None else ():
-            requests = self._lost_under.get(crash.backend, set())
+            requests = self._requests_by_backend.get(crash.backend, set())
             requests.discard(fingerprint)
             if not requests:
-                self._lost_under.pop(crash.backend, None)
+                self._requests_by_backend.pop(crash.backend, None)
         for crash in evidence.held if evidence is not None else ():
-            self._lost_under.setdefault(crash.backend, set()).add(fingerprint)
+            self._requests_by_backend.setdefault(crash.backend, set()).add(fingerprint)
 
     def _note_alert(self, fingerprint: bytes, evidence: Evidence) -> None:
         """Raise or withdraw the alert that a request causes for its origin."""
@@ -260,9 +260,9 @@
         if until != NEVER:
             self._alerts.setdefault(evidence.origin, {})[fingerprint] = until
         else:
-            self._take_back_alert(fingerprint, evidence.origin)
+            self._withdraw_alert(fingerprint, evidence.origin)
 
-    def _take_back_alert(self, fingerprint: bytes, origin: bytes) -> None:
+    def _withdraw_alert(self, fingerprint: bytes, origin: bytes) -> None:
         alerts = self._alerts.get(origin, {})
         alerts.pop(fingerprint, None)
         if not alerts:
@@ -272,7 +272,7 @@
         """Evict a request."""
         evidence = self._evidence.pop(fingerprint)
         self._index(fingerprint, evidence, None)
-        self._take_back_alert(fingerprint, evidence.origin)
+        self._withdraw_alert(fingerprint, evidence.origin)
 
     def forget(self, now: float) -> None:
         """Evict expired evidence."""
--- a/tinrudder/gateway/decisions/admission/retry_after.py
+++ b/tinrudder/gateway/decisions/admission/retry_after.py
@@ -20,24 +20,24 @@
 
 from __future__ import annotations
 
-WAITED_SHARE = 1.0 / 3.0
+MAX_WAIT_SHARE = 1.0 / 3.0
 """Fraction of their remaining time that clients wait at most, by the platform's protocol."""
-HONOURED_SHARE = 0.9 * WAITED_SHARE
+MAX_RESERVED_WAIT_SHARE = 0.9 * MAX_WAIT_SHARE
 """Fraction of its remaining time within which a caller's reserved position must come up; smaller
-than :data:`WAITED_SHARE`, since the network round trip takes some of the time."""
-PLACE_SPREAD = 1.25
+than :data:`MAX_WAIT_SHARE`, since the network round trip takes some of the time."""
+POSITION_JITTER = 1.25
 """Jitter: the announced time is up to this many times the expected one. Small, because each caller
 has its own time anyway, and a position announced too late stays empty."""
-LEAST_S = 0.05
+MIN_WAIT_S = 0.05
 """Shortest wait used in the calculation, seconds: reports are replaced within this time."""
-LEAST_SHARE = 0.1
+MIN_ADMITTED_SHARE = 0.1
 """Lowest admitted share used in the calculation: clients do not wait for the longer pauses that a
 lower one would give."""
-WAITS = 8.0
+BURST_WAITS = 8.0
 """Assumed length of a burst, in waits for a slot. Of the clients with 15 s that were refused in 3 s
 of 1.4 and 2 times the capacity of four back ends, 0.94 and 0.92 were served on their return; with 1
 instead of this 0.54 and 0.42, with 4 0.83 and 0.82. The number served in time was the same."""
-PAUSE_SPREAD = 0.5
+PAUSE_JITTER = 0.5
 """Jitter: pauses are shortened or lengthened by up to this fraction, so that callers refused
 together do not come back together."""
 
@@ -48,11 +48,11 @@
     >>> may_come_back(0.4, 2.0), may_come_back(0.7, 2.0)
     (True, False)
     """
-    return room_in_s * PLACE_SPREAD <= left_s * HONOURED_SHARE
+    return room_in_s * POSITION_JITTER <= left_s * MAX_RESERVED_WAIT_SHARE
 
 
 def retry_after_by_place_s(
-    room_in_s: float, left_s: float, draw: float, spread: float = PLACE_SPREAD
+    room_in_s: float, left_s: float, draw: float, spread: float = POSITION_JITTER
 ) -> float:
     """Return when to come back, seconds from now, where the time of free room is known.
 
@@ -85,6 +85,6 @@
     >>> retry_after_by_share_s(0.1, 1.0, 12.0, 0.5)
     0.8
     """
-    longest_s = max(0.0, left_s) * WAITED_SHARE / (1.0 + PAUSE_SPREAD)
-    pause_s = min(longest_s, WAITS * max(LEAST_S, wait_s) / max(LEAST_SHARE, share))
-    return pause_s * (1.0 + PAUSE_SPREAD * (2.0 * draw - 1.0))
+    longest_s = max(0.0, left_s) * MAX_WAIT_SHARE / (1.0 + PAUSE_JITTER)
+    pause_s = min(longest_s, BURST_WAITS * max(MIN_WAIT_S, wait_s) / max(MIN_ADMITTED_SHARE, share))
+    return pause_s * (1.0 + PAUSE_JITTER * (2.0 * draw - 1.0))
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -28,7 +28,7 @@
 """Multiple of its share of the slots that a gateway uses before any queue is reported. A scatter
 waits for its slowest shard while most of its slots are free again; at the start of a burst the back
 ends' queues absorb the surplus, half a call's time."""
-LEAST_FREE = 0.5
+MIN_FREE_ROOM = 0.5
 """Room that must be free for another scatter to start, in scatters. A few slow shards of a running
 scatter then do not block the next one, even if one back end of 20 pauses."""
 LEAST_SCATTERS = 0.6
@@ -51,11 +51,11 @@
 four call times."""
 HOLD_GAIN = 0.1
 """Weight of one scatter in the moving average of slot hold times: averages about the last ten."""
-RETURN_GAIN = 0.1
+RESET_GAIN = 0.1
 """Fraction of the distance to its initial value by which an unused limit returns in each call
 time."""
 
-UNCHANGED = 0.05
+UNCHANGED_TOLERANCE = 0.05
 """Fraction of the initial limit within which a limit counts as unchanged and needs no reports."""
 
 
@@ -73,7 +73,7 @@
     _judged_at: float = 0.0
 
     @property
-    def first_limit(self) -> float:
+    def initial_limit(self) -> float:
         """Return the limit that applies while no queue is known."""
         return max(FIRST_SCATTERS, self.part * OVER_COMMITMENT)
 
@@ -85,19 +85,19 @@
     @property
     def has_changed(self) -> bool:
         """Return whether the limit differs from its initial value."""
-        return abs(self.limit - self.first_limit) > UNCHANGED * self.first_limit
+        return abs(self.limit - self.initial_limit) > UNCHANGED_TOLERANCE * self.initial_limit
 
     def set_part(self, part: float) -> None:
         """Set the gateway's share of the slots; the learned limit is scaled in proportion."""
         if part == self.part:
             return
-        learned = self.limit / self.first_limit
+        learned = self.limit / self.initial_limit
         self.part = part
-        self.limit = max(self.floor, learned * self.first_limit)
+        self.limit = max(self.floor, learned * self.initial_limit)
 
     def bears_another(self, held: float) -> bool:
         """Return whether one more scatter may start; when nothing runs, one always may."""
-        return held <= 0.0 or held + LEAST_FREE <= self.limit
+        return held <= 0.0 or held + MIN_FREE_ROOM <= self.limit
 
     @property
     def pace(self) -> float:
@@ -110,7 +110,7 @@
         >>> ScatterConcurrency(part=2.0, limit=2.0, hold_s=0.05).wait_s(held=2.5, ahead=3)
         0.1
         """
-        excess = held + ahead + LEAST_FREE - self.limit
+        excess = held + ahead + MIN_FREE_ROOM - self.limit
         if excess <= 0.0 or not self.hold_s:
             return 0.0
         return excess / self.pace
@@ -137,4 +137,4 @@
         elif in_use and queue < QUEUE_LOW:
             self.limit += INCREASE * max(LEAST_SCATTERS, self.part)
         elif not in_use:
-            self.limit += RETURN_GAIN * (self.first_limit - self.limit)
+            self.limit += RESET_GAIN * (self.initial_limit - self.limit)
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -30,26 +30,26 @@
 from tinrudder.gateway.decisions.admission.scatter_concurrency import ScatterConcurrency
 from tinrudder.gateway.decisions.admission.tenant_turns import TenantTurns
 
-STANDING_S = 0.1
-"""A queue that has not been empty for this long, seconds, is persistent overload and no burst: more
-arrives than can be served, and waiting longer than :data:`SHORT_WAIT` only makes every answer
-late."""
-OVERLOAD_S = 1.0
+PERSISTENT_QUEUE_S = 0.1
+"""A queue that has not been empty for this long, seconds, indicates sustained overload instead of a
+burst: more arrives than can be served, and waiting longer than :data:`MAX_OVERLOAD_WAIT` only makes
+every answer late."""
+OVERLOAD_HOLD_S = 1.0
 """How long a queue still counts as overloaded after a scatter that would have waited too long,
 seconds. Under four times the load it is empty for a moment several times a second."""
-BEARABLE_SHARE = 0.5
+ACCEPTABLE_WAIT_SHARE = 0.5
 """Fraction of the time until its latest useful start that a new scatter may be expected to wait.
 More urgent and retried scatters overtake it, and this reserve keeps it from being refused late."""
-SHORT_WAIT = 0.6
+MAX_OVERLOAD_WAIT = 0.6
 """Longest wait behind others in an overloaded queue, in typical scatter times: a longer queue
 serves no more requests, and serves all of them later."""
-OVERTAKEN_WAIT = 1.5 * SHORT_WAIT
-"""The same as :data:`SHORT_WAIT` for a scatter that others have overtaken, in typical scatter
-times: waiting longer would make the queue as long again."""
+MAX_OVERTAKEN_WAIT = 1.5 * MAX_OVERLOAD_WAIT
+"""The same as :data:`MAX_OVERLOAD_WAIT` for a scatter that others have overtaken, in typical
+scatter times: waiting longer would make the queue as long again."""
 LATE_WAIT_SHARE = 0.5
 """Fraction of its remaining time that a scatter waits after it can no longer meet its objective;
 the other half is left for another try."""
-EARLY_SHARE = 0.25
+EARLY_REFUSAL_SHARE = 0.25
 """Fraction of the time until the objective during which a refusal is useful to a caller: another
 try can still be in time. A caller that has waited longer is better served late."""
 
@@ -101,11 +101,11 @@
             self._turns.take(scatter, self._waiting)
             self._turns.start(scatter)
             return True
-        refusal = self._judge(scatter, ahead, held, now)
+        refusal = self._refusal_on_arrival(scatter, ahead, held, now)
         if refusal is not None and now >= scatter.refusable_until and not scatter.late:
-            self._put_off(scatter, now)
+            self._defer(scatter, now)
             ahead = bisect.bisect(self._waiting, scatter.order, key=_order)
-            refusal = self._judge(scatter, ahead, held, now)
+            refusal = self._refusal_on_arrival(scatter, ahead, held, now)
         if refusal is not None:
             return refusal
         if not self._waiting:
@@ -137,9 +137,9 @@
         refused: list[tuple[QueuedScatter, ScatterRefusal]] = []
         kept: list[QueuedScatter] = []
         for scatter in self._waiting:
-            refusal = self._overtaken(scatter, len(kept), held, now)
+            refusal = self._refusal_while_waiting(scatter, len(kept), held, now)
             if refusal is not None and now >= scatter.refusable_until and not scatter.late:
-                self._put_off(scatter, now)
+                self._defer(scatter, now)
                 refusal = None
             if refusal is None:
                 kept.append(scatter)
@@ -150,7 +150,7 @@
             self._turns.give_back(scatter)
         return refused
 
-    def _put_off(self, scatter: QueuedScatter, now: float) -> None:
+    def _defer(self, scatter: QueuedScatter, now: float) -> None:
         """Move a scatter that can no longer be in time behind all that can."""
         scatter.late = True
         left_s = max(0.0, scatter.deadline_at - now)
@@ -170,37 +170,37 @@
     def _prepare(self, scatter: QueuedScatter, now: float) -> None:
         """Set a scatter's latest useful start and its sort key."""
         scatter.latest_start_at = scatter.objective_at - scatter.usual_s
-        early_s = 0.0 if scatter.returning else EARLY_SHARE * (scatter.objective_at - now)
+        early_s = 0.0 if scatter.returning else EARLY_REFUSAL_SHARE * (scatter.objective_at - now)
         scatter.refusable_until = now + early_s
         if scatter.latest_start_at <= now:
-            self._put_off(scatter, now)
+            self._defer(scatter, now)
         self._count += 1
         scatter.number = self._count
-        scatter.turn = self._turns.next_of(scatter)
+        scatter.turn = self._turns.next_turn(scatter)
 
-    def _judge(
+    def _refusal_on_arrival(
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
     ) -> ScatterRefusal | None:
         """Return a refusal for a new scatter that would wait too long."""
-        bearable_s = BEARABLE_SHARE * (scatter.latest_start_at - now)
-        short_s = min(bearable_s, SHORT_WAIT * scatter.usual_s)
+        bearable_s = ACCEPTABLE_WAIT_SHARE * (scatter.latest_start_at - now)
+        overload_wait_s = min(bearable_s, MAX_OVERLOAD_WAIT * scatter.usual_s)
         if (
             not scatter.late
             and ahead
-            and self._stands(now)
-            and self.room.wait_s(held, ahead) > short_s
+            and self._is_overloaded(now)
+            and self.room.wait_s(held, ahead) > overload_wait_s
         ):
-            self._overload_until = now + OVERLOAD_S
-            bearable_s = short_s
+            self._overload_until = now + OVERLOAD_HOLD_S
+            bearable_s = overload_wait_s
         return self._refusal(scatter, ahead, held, bearable_s)
 
-    def _stands(self, now: float) -> bool:
+    def _is_overloaded(self, now: float) -> bool:
         """Return whether the queue is in sustained overload, as opposed to a short burst."""
         if now < self._overload_until:
             return True
-        return bool(self._waiting) and now - self._standing_since >= STANDING_S
+        return bool(self._waiting) and now - self._standing_since >= PERSISTENT_QUEUE_S
 
-    def _overtaken(
+    def _refusal_while_waiting(
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
     ) -> ScatterRefusal | None:
         """Return a refusal for a waiting scatter that would start too late.
@@ -211,7 +211,7 @@
         if bearable_s > 0.0 and not ahead:
             return None
         if now < self._overload_until and not scatter.late:
-            bearable_s = min(bearable_s, OVERTAKEN_WAIT * scatter.usual_s)
+            bearable_s = min(bearable_s, MAX_OVERTAKEN_WAIT * scatter.usual_s)
         return self._refusal(scatter, ahead, held, bearable_s)
 
     def _refusal(
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -40,18 +40,18 @@
 
 Candidate = TypeVar("Candidate")
 
-UNHEARD_WEIGHT = 0.25
+UNREPORTED_WEIGHT = 0.25
 """Weight of a back end that had a queue and has not reported since; it counts as empty with this
 weight. With 1 instead, 0.043 rather than 0.015 of the arrivals were shed at 1.4 times the back
 ends' capacity. A back end that had no queue counts as free with weight 1."""
-FULL_ABOVE = 0.75
+ADMIT_NONE_FILL = 0.75
 """Fraction of the queue places above which nothing is admitted, if back ends shed calls recently:
-calls in flight fill the rest. The admitted share falls linearly from :data:`FULL_SPAN` below this
-value. At four times the load 0.084 were shed, without this rule 0.133."""
-FULL_SPAN = 0.4
-"""Width of the range described at :data:`FULL_ABOVE`: wide enough that gateways with different
+calls in flight fill the rest. The admitted share falls linearly from :data:`ADMISSION_FILL_SPAN`
+below this value. At four times the load 0.084 were shed, without this rule 0.133."""
+ADMISSION_FILL_SPAN = 0.4
+"""Width of the range described at :data:`ADMIT_NONE_FILL`: wide enough that gateways with different
 reports decide alike."""
-ENOUGH_SEEN = 5
+MIN_OBSERVED_CALLS = 5
 """Calls after which the time that one back end holds a slot counts as known. Until then it may be
 wrong by half, and the mean of the whole service is used."""
 LATE_FACTOR = 1.5
@@ -131,7 +131,7 @@
         priority_steps=priority_steps,
         returning=returning and not late,
     )
-    return AdmittedShare(min(share, _share_by_room(backends, now)), wait_s)
+    return AdmittedShare(min(share, _share_by_fill(backends, now)), wait_s)
 
 
 def has_room(
@@ -179,46 +179,46 @@
 
 def least_work_s(backends: Sequence[BackendObservations]) -> float:
     """Return how long calls hold a slot at the fastest back end, seconds; 0: not known."""
-    return min((one.work_s for one in backends if one.work_seen >= ENOUGH_SEEN), default=0.0)
+    return min((one.work_s for one in backends if one.work_seen >= MIN_OBSERVED_CALLS), default=0.0)
 
 
 def _work_s(one: BackendObservations, usual_s: float) -> float:
     """Return how long calls hold a slot of one back end, ``usual_s`` while not known."""
-    return one.work_s if one.work_seen >= ENOUGH_SEEN else usual_s
+    return one.work_s if one.work_seen >= MIN_OBSERVED_CALLS else usual_s
 
 
 def _queue(one: BackendObservations, now: float, work_s: float) -> _Queue:
     """Return the queue of one back end by its newest report."""
-    wait_s = _ahead(one) * _work_s(one, work_s)
-    return _Queue(wait_s, _weight(now - one.reported_at), _least_weight(one, now))
+    wait_s = _relative_wait(one) * _work_s(one, work_s)
+    return _Queue(wait_s, _report_weight(now - one.reported_at), _least_weight(one, now))
 
 
 def _least_weight(one: BackendObservations, now: float) -> float:
     """Return the weight with which a back end counts as free without a fresh report."""
-    return UNHEARD_WEIGHT if one.had_queue(now) else 1.0
+    return UNREPORTED_WEIGHT if one.had_queue(now) else 1.0
 
 
-def _ahead(one: BackendObservations) -> float:
+def _relative_wait(one: BackendObservations) -> float:
     """Return the wait at one back end as a multiple of the time that a call holds a slot."""
     ahead = one.reported_backlog + one.sent_since_report - one.slots + 1
     return max(0, ahead) / max(1, one.slots)
 
 
-def _weight(age_s: float) -> float:
+def _report_weight(age_s: float) -> float:
     """Return the weight of a report of this age, 0 to 1."""
     return max(0.0, 1.0 - age_s / BACKLOG_LIFETIME_S)
 
 
-def _share_by_room(backends: Sequence[BackendObservations], now: float) -> float:
+def _share_by_fill(backends: Sequence[BackendObservations], now: float) -> float:
     """Return the share that keeps some queue places free, if back ends shed calls recently."""
     filled = 0.0
     weights = 0.0
     for one in backends:
-        weight = _weight(now - one.reported_at)
+        weight = _report_weight(now - one.reported_at)
         places = one.sheds_above(now)
         if places:
-            filled += weight * _ahead(one) * max(1, one.slots) / places
+            filled += weight * _relative_wait(one) * max(1, one.slots) / places
         weights += max(weight, _least_weight(one, now))
     if not filled:
         return 1.0
-    return min(1.0, max(0.0, (FULL_ABOVE - filled / weights) / FULL_SPAN))
+    return min(1.0, max(0.0, (ADMIT_NONE_FILL - filled / weights) / ADMISSION_FILL_SPAN))
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -22,13 +22,13 @@
 
 from msgspec import Struct, field
 
-MEMORY_S = 2.0
+DECAY_TIME_S = 2.0
 """Time constant of the request counts' exponential decay, seconds: longer than the pauses of a
 tenant that sends one request a second, shorter than the time in which a tenant's load rises and
 falls again."""
-LEAST_ASKED = 0.01
-"""Count, in requests, below which a tenant is evicted: reached nine times :data:`MEMORY_S` after a
-single request."""
+MIN_TRACKED_REQUESTS = 0.01
+"""Count, in requests, below which a tenant is evicted: reached nine times :data:`DECAY_TIME_S`
+after a single request."""
 
 
 class _Asked(Struct):
@@ -38,7 +38,7 @@
     at: float
 
     def now(self, now: float) -> float:
-        return self.amount * math.exp(-(now - self.at) / MEMORY_S)
+        return self.amount * math.exp(-(now - self.at) / DECAY_TIME_S)
 
 
 class TenantShares(Struct):
@@ -63,7 +63,9 @@
         if share <= 0.0 or share >= 1.0:
             return share
         asked = {name: one.now(now) for name, one in self._asked.items()}
-        self._asked = {name: self._asked[name] for name, a in asked.items() if a >= LEAST_ASKED}
+        self._asked = {
+            name: self._asked[name] for name, a in asked.items() if a >= MIN_TRACKED_REQUESTS
+        }
         own = asked.get(tenant, 0.0)
         if own <= 0.0:
             return 1.0
--- a/tinrudder/gateway/decisions/admission/tenant_turns.py
+++ b/tinrudder/gateway/decisions/admission/tenant_turns.py
@@ -26,7 +26,7 @@
 
 from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter
 
-MOST_IDLE_LANES = 64
+MAX_IDLE_LANES = 64
 """Number of tenants whose next turn is remembered although none of their scatters waits. Bounds the
 memory; an evicted tenant only loses the record of turns it used ahead of the others."""
 
@@ -37,7 +37,7 @@
     _reached: dict[int, int] = field(default_factory=dict)
     _next: dict[tuple[int, str], int] = field(default_factory=dict)
 
-    def next_of(self, scatter: QueuedScatter) -> int:
+    def next_turn(self, scatter: QueuedScatter) -> int:
         """Return the turn of a scatter that arrives now."""
         reached = self._reached.get(scatter.priority, 0)
         if not scatter.tenant:
@@ -52,8 +52,8 @@
         if not scatter.tenant:
             return
         self._next[scatter.priority, scatter.tenant] = scatter.turn + 1
-        if len(self._next) > MOST_IDLE_LANES + len(waiting):
-            self._forget_idle(waiting)
+        if len(self._next) > MAX_IDLE_LANES + len(waiting):
+            self._evict_idle(waiting)
 
     def give_back(self, scatter: QueuedScatter) -> None:
         """Return the turn of a scatter that has not run, for the tenant's next scatter."""
@@ -66,7 +66,7 @@
         reached = self._reached.get(scatter.priority, 0)
         self._reached[scatter.priority] = max(reached, scatter.turn)
 
-    def _forget_idle(self, waiting: Collection[QueuedScatter]) -> None:
+    def _evict_idle(self, waiting: Collection[QueuedScatter]) -> None:
         """Evict the turns of tenants that have no waiting scatter."""
         lanes = {(one.priority, one.tenant) for one in waiting}
         self._next = {lane: turn for lane, turn in self._next.items() if lane in lanes}
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -42,7 +42,7 @@
 """Fill level, as a part of the current capacity, from which entry gateways may admit without
 asking. Well above :data:`PRESSED_BELOW`, so that a tenant does not change state with each
 request."""
-LONGEST_PRESSED_S = 2.0
+MAX_PRESSED_S = 2.0
 """Longest validity of an instruction to ask first, seconds: it expires by itself if the owner dies,
 and a live owner renews it."""
 LONGEST_WAIT_S = 10.0
@@ -51,15 +51,15 @@
 """Refused callers get retry times one token apart within this period, seconds, then starting again
 from its beginning. Most callers give up within seconds, and slots reserved for all of them would
 stay unused."""
-LONGEST_DEBT = 1.0
+MAX_DEBT = 1.0
 """How far below zero a bucket may fall, in capacities: requests admitted without asking must be
 paid back, but not over minutes."""
 FORGOTTEN_AFTER_S = 60.0
 """Idle time after which a bucket is evicted, seconds: ten windows of 5 s, after which it is
 full."""
-LEAST_CAPACITY = 1.0
+MIN_CAPACITY = 1.0
 """Minimum capacity of a bucket, tokens: with less than one nothing would ever be granted."""
-FIRST_TOKENS = 2.0
+INITIAL_TOKENS = 2.0
 """Tokens in a bucket when a process starts; it fills at the tenant's rate from there. When all
 processes start at once, several assume for a second that they own a tenant's bucket."""
 
@@ -88,7 +88,7 @@
     @property
     def capacity(self) -> float:
         """Return the capacity of a bucket, tokens."""
-        return max(LEAST_CAPACITY, self.burst + GRANTED_MARGIN * self.margin)
+        return max(MIN_CAPACITY, self.burst + GRANTED_MARGIN * self.margin)
 
 
 class HeldTokens(Struct, frozen=True):
@@ -168,20 +168,20 @@
             50 are allowed; with this and smaller new buckets at most 39
             (tests/functional/gateway/test_quotas.py, six runs).
         """
-        most = self._most(limit, now, share)
+        max_tokens = self._current_max_tokens(limit, now, share)
         bucket = self._bucket(tenant, limit, now, share)
         if held is not None:
             by_now = held.tokens + limit.rate_per_s * share * held.age_s
             bucket.tokens = min(bucket.tokens, by_now)
-        floor = -LONGEST_DEBT * limit.capacity
-        bucket.tokens = max(floor, min(most, bucket.tokens - admitted))
+        floor = -MAX_DEBT * limit.capacity
+        bucket.tokens = max(floor, min(max_tokens, bucket.tokens - admitted))
         granted = asks and bucket.tokens >= 1.0
         wait_s = 0.0
         if granted:
             bucket.tokens -= 1.0
         elif asks:
-            wait_s = _next_return_s(bucket, share)
-        pressed_s = _pressed_s(bucket, now, share, most)
+            wait_s = _next_retry_s(bucket, share)
+        pressed_s = _pressed_s(bucket, now, share, max_tokens)
         return Grant(granted, wait_s, pressed_s, bucket.tokens)
 
     def forget_idle(self, now: float) -> None:
@@ -192,26 +192,26 @@
 
     def _bucket(self, tenant: str, limit: QuotaLimit, now: float, share: float) -> _Bucket:
         """Return a tenant's bucket, refilled up to now by the limit in force."""
-        most = self._most(limit, now, share)
+        max_tokens = self._current_max_tokens(limit, now, share)
         bucket = self._buckets.get(tenant)
         if bucket is None:
-            first = max(LEAST_CAPACITY, NEW_OWNER_MARGIN * limit.margin)
-            bucket = _Bucket(min(most, first * share), now, limit)
+            first = max(MIN_CAPACITY, NEW_OWNER_MARGIN * limit.margin)
+            bucket = _Bucket(min(max_tokens, first * share), now, limit)
             self._buckets[tenant] = bucket
             return bucket
         filled = bucket.tokens + limit.rate_per_s * share * max(0.0, now - bucket.filled_at)
-        bucket.tokens = min(most, filled)
+        bucket.tokens = min(max_tokens, filled)
         bucket.filled_at = now
         bucket.limit = limit
         return bucket
 
-    def _most(self, limit: QuotaLimit, now: float, share: float) -> float:
+    def _current_max_tokens(self, limit: QuotaLimit, now: float, share: float) -> float:
         """Return the current capacity of a bucket."""
-        since_start = FIRST_TOKENS + limit.rate_per_s * max(0.0, now - self.started_at)
+        since_start = INITIAL_TOKENS + limit.rate_per_s * max(0.0, now - self.started_at)
         return min(limit.capacity, since_start) * share
 
 
-def _next_return_s(bucket: _Bucket, share: float) -> float:
+def _next_retry_s(bucket: _Bucket, share: float) -> float:
     """Return when a refused caller may find a token, after the callers that were refused before."""
     rate = bucket.limit.rate_per_s * share
     if rate <= 0.0:
@@ -222,19 +222,19 @@
     return min(wait_s, LONGEST_WAIT_S)
 
 
-def _pressed_s(bucket: _Bucket, now: float, share: float, most: float) -> float:
+def _pressed_s(bucket: _Bucket, now: float, share: float, max_tokens: float) -> float:
     """Return how long entry gateways must ask before admitting.
 
-    :param most: current capacity of the bucket.
+    :param max_tokens: current capacity of the bucket.
     """
-    if bucket.tokens >= RELIEVED_ABOVE * most:
+    if bucket.tokens >= RELIEVED_ABOVE * max_tokens:
         bucket.pressed_until = now
         return 0.0
-    if bucket.tokens >= PRESSED_BELOW * most and now >= bucket.pressed_until:
+    if bucket.tokens >= PRESSED_BELOW * max_tokens and now >= bucket.pressed_until:
         return 0.0
     rate = bucket.limit.rate_per_s * share
-    missing = RELIEVED_ABOVE * most - bucket.tokens
-    pressed_s = min(LONGEST_PRESSED_S, missing / rate) if rate > 0.0 else LONGEST_PRESSED_S
+    missing = RELIEVED_ABOVE * max_tokens - bucket.tokens
+    pressed_s = min(MAX_PRESSED_S, missing / rate) if rate > 0.0 else MAX_PRESSED_S
     bucket.pressed_until = now + pressed_s
     return pressed_s
 
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -32,15 +32,15 @@
 BUCKETS_PER_WINDOW = 20
 """Slices of the window. Requests of the oldest slice do not count, which costs at most a twentieth
 of the allowance."""
-SAFETY = 0.9
+SAFETY_FACTOR = 0.9
 """Part of the ratio and of the fixed number that a gateway spends once it has run for a window. The
 rest covers gateways that start and those that underestimate the number of gateways."""
-START_SHARE = 1.0 - SAFETY
+FIRST_WINDOW_SHARE = 1.0 - SAFETY_FACTOR
 """Part of the fixed number that a node may spend in its first window, since its earlier incarnation
 left it unused. Without it, after a restart of all 76 gateways of a deployment, a scatter over 135
 shards repeated 1.2 calls instead of the usual 9 and lacked 6.5 shards instead of 0.8, averaged over
 two seconds of their logs."""
-KEPT_FOR_RETRIES = 0.25
+RETRY_RESERVE = 0.25
 """Part of the allowance that hedges leave for retries. A shard whose call has failed has no answer
 on the way; one whose call is late does."""
 
@@ -62,7 +62,7 @@
 
     def __init__(self, ratio: float, extra: float, window_s: float, started_at: float) -> None:
         """Set the bounds of the whole fleet; ``started_at`` is the start time of this process."""
-        self._ratio = ratio * SAFETY
+        self._ratio = ratio * SAFETY_FACTOR
         self._extra = extra
         self._window_s = window_s
         self._slice_s = window_s / BUCKETS_PER_WINDOW
@@ -92,12 +92,12 @@
         """Return how many more calls the budget allows."""
         allowed = self._allowed(now, nodes)
         if hedge:
-            allowed *= 1.0 - KEPT_FOR_RETRIES
+            allowed *= 1.0 - RETRY_RESERVE
         return allowed - self._repeats
 
     def fill(self, now: float, nodes: float) -> float:
         """Return how much of the allowance for hedges is left, 0 to 1."""
-        allowed = self._allowed(now, nodes) * (1.0 - KEPT_FOR_RETRIES)
+        allowed = self._allowed(now, nodes) * (1.0 - RETRY_RESERVE)
         if allowed < 1.0:
             return 0.0
         return min(1.0, max(0.0, (allowed - self._repeats) / allowed))
@@ -109,7 +109,7 @@
         requests = self._requests
         if self._buckets and self._buckets[0].index == oldest:
             requests -= self._buckets[0].requests
-        share = SAFETY if now >= self._extra_from else START_SHARE
+        share = SAFETY_FACTOR if now >= self._extra_from else FIRST_WINDOW_SHARE
         return self._ratio * requests + share * self._extra / max(1, nodes)
 
     def _index(self, now: float) -> int:
--- a/tinrudder/gateway/decisions/attempts/hedge_gain.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_gain.py
@@ -22,28 +22,28 @@
 
 from tinrudder.common.latency_window import LatencyWindow
 
-LEAST_OBSERVATIONS = 200
+MIN_OBSERVATIONS = 200
 """Calls of a route after which the share of late ones can be estimated: among 200, four late ones
 are expected where one in fifty is late."""
 REFRESH_CALLS = 256
 """Calls after which the ages are recomputed: three scatters over 90 shards."""
-STEPS = 24
+AGE_STEPS = 24
 """Number of ages compared: with an objective of 48 ms they are 2 ms apart."""
 FILL_STEPS = 8
 """Number of levels to which the budget's fill is rounded; bounds the cached ages per remaining
 time."""
-USED_SHARE = 0.9
+USABLE_TIME_SHARE = 0.9
 """Fraction of the remaining time by which a hedge's answer should arrive: it also has to be read
 and merged, and a path may be slower than those observed."""
-LEAST_LATE_SHARE = 0.02
+MIN_LATE_SHARE = 0.02
 """Minimum share of calls assumed to be late. Where no observed latency is late, a back end may
 still pause or fail; and a hedge that is late in any case is useless."""
-PRICE = 0.01
+HEDGE_PRICE = 0.01
 """Minimum increase in the probability that a shard is included that justifies a hedge, while the
 whole budget is left. With periods of slowness (15% of the time, 2.5 times) 0.01, 0.03 and 0.06 lose
 0.25%, 0.43% and 0.66% of the worth of answers with an objective of 98 ms, at 0.19, 0.14 and 0.13
 hedges per call; the rule by medians lost 1.08% at 0.14 (simulated, two seeds)."""
-LEAST_FILL = 0.05
+MIN_FILL = 0.05
 """Fill of the budget, 0 to 1, below which the price of a hedge no longer rises: such a budget is
 practically empty."""
 
@@ -71,7 +71,7 @@
     @property
     def is_known(self) -> bool:
         """Return whether enough calls were observed to estimate the share of late ones."""
-        return len(self._latency) >= LEAST_OBSERVATIONS
+        return len(self._latency) >= MIN_OBSERVATIONS
 
     def age_s(self, left_s: float, budget_fill: float) -> float | None:
         """Return the age at which a call that is sent now is hedged, seconds.
@@ -86,7 +86,7 @@
             return None
         key = left_ms, round(budget_fill * FILL_STEPS)
         if key not in self._ages:
-            price = PRICE / max(LEAST_FILL, key[1] / FILL_STEPS)
+            price = HEDGE_PRICE / max(MIN_FILL, key[1] / FILL_STEPS)
             self._ages[key] = self._best_age_s(left_ms, price)
         return self._ages[key]
 
@@ -100,15 +100,15 @@
 
     def _best_age_s(self, left_ms: int, price: float) -> float | None:
         """Return the age with the highest gain minus price, ``None`` if none is positive."""
-        used_s = USED_SHARE * left_ms / 1000.0
+        usable_s = USABLE_TIME_SHARE * left_ms / 1000.0
         if left_ms not in self._shares:
-            times = [used_s * step / STEPS for step in range(STEPS + 1)]
+            times = [usable_s * step / AGE_STEPS for step in range(AGE_STEPS + 1)]
             self._shares[left_ms] = self._latency.shares_above(times)
-        above = self._shares[left_ms]
-        late = max(LEAST_LATE_SHARE, above[STEPS])
+        share_above = self._shares[left_ms]
+        late = max(MIN_LATE_SHARE, share_above[AGE_STEPS])
         best, best_age_s = 0.0, None
-        for step in range(1, STEPS):
-            value = late * (1.0 - above[STEPS - step]) - price * above[step]
+        for step in range(1, AGE_STEPS):
+            value = late * (1.0 - share_above[AGE_STEPS - step]) - price * share_above[step]
             if value > best:
-                best, best_age_s = value, used_s * step / STEPS
+                best, best_age_s = value, usable_s * step / AGE_STEPS
         return best_age_s
--- a/tinrudder/gateway/decisions/attempts/peer_round_trip.py
+++ b/tinrudder/gateway/decisions/attempts/peer_round_trip.py
@@ -26,7 +26,7 @@
 ASSUMED_DEVIATION_S = 0.001
 """Deviation before the first observation, seconds: with four deviations the first allowance is
 twice the assumed mean."""
-GAIN = 0.125
+MEAN_GAIN = 0.125
 """Weight of a new value in the mean, that of TCP's retransmission timer (RFC 6298)."""
 RISING_DEVIATION_GAIN = 0.25
 """Weight of a new value above the deviation, that of TCP's retransmission timer (RFC 6298)."""
@@ -39,7 +39,7 @@
 DEVIATIONS = 4.0
 """Deviations on top of the mean, as in that timer. An answer that arrives too late loses nine
 tenths of its worth, one that is sent early only a few shards."""
-LONGEST_SEEN_S = 0.05
+MAX_SAMPLE_S = 0.05
 """Upper bound on a single observation, seconds: longer ones are stalls of one gateway and do not
 predict the next request."""
 
@@ -64,9 +64,9 @@
 
     def observe(self, seconds: float) -> None:
         """Add the round-trip time of a request and its answer."""
-        seen_s = min(LONGEST_SEEN_S, max(0.0, seconds))
-        error_s = seen_s - self.mean_s
-        self.mean_s += GAIN * error_s
+        sample_s = min(MAX_SAMPLE_S, max(0.0, seconds))
+        error_s = sample_s - self.mean_s
+        self.mean_s += MEAN_GAIN * error_s
         change_s = abs(error_s) - self.deviation_s
         gain = RISING_DEVIATION_GAIN if change_s > 0.0 else FALLING_DEVIATION_GAIN
         self.deviation_s += gain * change_s
