--- a/tests/unit/gateway/decisions/test_answer_time.py
+++ b/tests/unit/gateway/decisions/test_answer_time.py
@@ -1,4 +1,4 @@
-"""When a scatter's answer leaves."""
+"""When a scatter's answer is sent: the rule's cases, and an oracle that knows all arrivals."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
     minimum_share=st.floats(0.0, 1.0),
 )
 def test_no_other_moment_is_worth_more(arrivals: list[float], minimum_share: float) -> None:
-    """Against an oracle that knows when each part arrives."""
+    """Compares with an oracle that knows when each part arrives."""
     objective, deadline, late_worth = 1.0, 2.0, 0.1
     shards = len(arrivals)
 
--- a/tests/unit/gateway/decisions/test_crash_evidence.py
+++ b/tests/unit/gateway/decisions/test_crash_evidence.py
@@ -1,4 +1,4 @@
-"""Evidence on crashes: the same from any order of reports, and what it bars."""
+"""Merging crash evidence is independent of order and repeats; which evidence bars a request."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 timestamps = st.integers(0, 20).map(float)
 
-# How often it was cleared, and when that was last.
+# How often the evidence was cleared, and when it was last cleared.
 clearings = st.just((0, NEVER)) | st.tuples(st.integers(1, 3), timestamps)
 
 pieces = st.lists(
--- a/tests/unit/gateway/decisions/test_decisions_page.py
+++ b/tests/unit/gateway/decisions/test_decisions_page.py
@@ -1,4 +1,4 @@
-"""docs/DECISIONS.md names every rule once, in order, and says what the rules' docstrings say."""
+"""docs/DECISIONS.md lists every rule once, in order, with the text of the rules' docstrings."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 GATEWAY = Path(RULES).parent
 ONLY_TYPES = {"admission/queued_scatter"}
-"""Modules that decide nothing."""
+"""Modules that contain types only and no rule."""
 METRIC_PREFIX = "tinrudder_gateway_"
 
 
@@ -29,7 +29,7 @@
 
 
 def shown_by(path: str) -> list[str]:
-    """Return the names of log lines, their fields and metrics that show a rule."""
+    """Return the log lines, fields and metrics that a rule's ``Shown by`` paragraph names."""
     paragraph = next(one for one in read_rule(path).paragraphs if one.startswith("Shown by: "))
     return re.findall(r"``(\w+)``", paragraph)
 
--- a/tests/unit/gateway/decisions/test_fleet_retry_budget.py
+++ b/tests/unit/gateway/decisions/test_fleet_retry_budget.py
@@ -1,4 +1,4 @@
-"""The repeat budget over many nodes that share nothing: restarts, cuts and uneven traffic."""
+"""The retry budget over many nodes without shared state: restarts, uneven traffic, greedy nodes."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def over_budget(requests: list[float], repeats: list[float]) -> bool:
-    """The rule as it is judged, with the fewest requests that it may count."""
+    """Check the fleet's bound in every window, with the lowest request count that it allows for."""
     for end in repeats:
         spent = sum(1 for at in repeats if end - WINDOW_S < at <= end)
         counted = sum(1 for at in requests if end - WINDOW_S < at <= end)
@@ -23,7 +23,7 @@
 
 
 def run_fleet(seed: int, *, restarts: bool, nodes: int = 8, seconds: float = 40.0) -> bool:
-    """Every node repeats as much as it may; tell whether the fleet went over its budget."""
+    """Let every node repeat as much as it may; return whether the fleet exceeded its budget."""
     source = random.Random(seed)
     rates = [source.choice([0.0, 5.0, 40.0]) for _ in range(nodes)]
     budgets = [FleetRetryBudget(RATIO, EXTRA, WINDOW_S, -WINDOW_S) for _ in range(nodes)]
@@ -92,7 +92,7 @@
 
 
 def test_a_fresh_node_may_hedge_after_its_first_requests() -> None:
-    """One of twelve coordinators of a service whose extra is 192."""
+    """One of twelve coordinators of a service whose fixed number of repeats is 192."""
     budget = FleetRetryBudget(RATIO, 192.0, WINDOW_S, 100.0)
     budget.note_request(100.5)
     budget.note_request(101.0)
--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -1,4 +1,4 @@
-"""What callers get where back ends are uneven, played in virtual time with the real decisions."""
+"""Included shards and hedges where back ends are uneven, simulated with the real rules."""
 
 from __future__ import annotations
 
@@ -23,12 +23,13 @@
 
 LENGTH_S = 14.0
 MOST_REPEATS = 0.4
-"""The budget allows 0.2 of a call and, at these rates, more than one from the extra."""
+"""Hedges per call. The budget allows 0.2 of a call and, at these rates, more than one from the
+extra."""
 LOAD = {load.name: load for load in LOADS}
 
 
 def urgent(load: Load, way: Way) -> Figures:
-    """Play the urgent kind of a load alone."""
+    """Simulate only the urgent kind of a load."""
     kind = next(one for one in load.kinds if one in (ALERT, SUGGEST))
     return play(replace(load, kinds=(kind,)), way, (1,), LENGTH_S)[kind.name]
 
@@ -47,11 +48,11 @@
 def test_urgent_scatters_lack_few_shards_where_back_ends_are_uneven(
     name: str, before: float, least: float
 ) -> None:
-    """Mean of the squared share of shards in, hedged by medians and by what a call buys.
+    """Compares the mean squared share of included shards, hedged by medians and by gain.
 
-    Pauses of 200 ms, objective 63 ms: 0.9962 and 1.0000; beside them 15% of the back ends slow by
-    6: 0.9595 and 0.9945; moments of 2.5, pauses of 250 ms and these, objective 98 ms: 0.9860 and
-    0.9949.  44, 46 and 30 scatters.
+    Pauses of 200 ms, objective 63 ms: 0.9962 and 1.0000. With 15% of the back ends also slowed by a
+    factor of 6: 0.9595 and 0.9945. Periods of 2.5 times the latency, pauses of 250 ms and these
+    slow back ends, objective 98 ms: 0.9860 and 0.9949. 44, 46 and 30 scatters.
     """
     load = replace(LOAD[name], long_from_s=WARM_UP_S)
     assert urgent(load, ByMedians()).squares < before
@@ -61,7 +62,7 @@
 
 
 def test_a_hedge_leaves_while_its_answer_can_be_in_time() -> None:
-    """One of 25 calls stands still; others take 10 ms, up to 20."""
+    """One of 25 calls pauses; the others take 10 to 20 ms."""
     latencies = [0.2 if number % 25 == 0 else 0.010 + number % 10 * 0.001 for number in range(1000)]
     hedge_ages = HedgeMoments(seen(latencies))
     for left_s in (0.040, 0.063, 0.1):
@@ -77,7 +78,7 @@
 
 
 def test_a_scarce_budget_goes_where_it_buys_most() -> None:
-    """Slow calls, 15%, are mostly in time: with little left those that stand still count."""
+    """Most slow calls, 15%, are in time: with a small budget only those that pause are hedged."""
     latencies = [0.010] * 800 + [0.025] * 150 + [0.2] * 50
     hedge_ages = HedgeMoments(seen(latencies))
     plenty, scarce = hedge_ages.age_s(0.048, 1.0), hedge_ages.age_s(0.048, 0.1)
@@ -97,7 +98,7 @@
 
 
 def test_an_urgent_scatter_is_not_handed_over_a_long_path() -> None:
-    """On machines with an eighth of a core a path took 23 of 48 ms: 13 of 23 parts lacked."""
+    """On machines with an eighth of a core a path took 23 of 48 ms; 13 of 23 shards were missing."""
     window = seen([0.010 + number % 30 * 0.001 for number in range(300)])
     assert not leaves_time(window, left_s=0.048, path_s=0.023)
     assert leaves_time(window, left_s=0.048, path_s=0.006)
--- a/tests/unit/gateway/decisions/test_imports.py
+++ b/tests/unit/gateway/decisions/test_imports.py
@@ -1,4 +1,4 @@
-"""Rules import values and plain computation alone, so that a test needs no clock and no network."""
+"""Rules import only values and pure computation, so that tests need no clock and no network."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     {"asyncio", "concurrent", "http", "io", "logging", "multiprocessing", "os", "pathlib"}
     | {"selectors", "signal", "socket", "ssl", "subprocess", "sys", "threading", "time", "urllib"}
 )
-"""Modules of the standard library that read a clock, wait, or reach outside the process."""
+"""Standard library modules that read a clock, wait, or access anything outside the process."""
 
 
 def imported(path: Path) -> set[str]:
--- a/tests/unit/gateway/decisions/test_load_forecast.py
+++ b/tests/unit/gateway/decisions/test_load_forecast.py
@@ -1,4 +1,4 @@
-"""Which share of requests is admitted beside a queue."""
+"""Which share of requests is admitted, given a queue."""
 
 from __future__ import annotations
 
@@ -22,6 +22,6 @@
 
 
 def test_a_wait_that_is_short_beside_the_call_is_no_overload() -> None:
-    """A calm day's request with a tight objective: wait 7 ms, usually 25 ms, 83 ms left."""
+    """A request with a tight objective at low load: wait 7 ms, typical call 25 ms, 83 ms left."""
     for left_s in (0.083, 0.05, 0.001):
         assert admission_share(0.007, 0.025, left_s, priority_steps=1, returning=False) == 1.0
--- a/tests/unit/gateway/decisions/test_peer_round_trip.py
+++ b/tests/unit/gateway/decisions/test_peer_round_trip.py
@@ -1,4 +1,4 @@
-"""How much earlier than needed an answer is asked for follows what paths were seen to take."""
+"""The allowance for a peer's answer follows the observed round-trip times."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -1,4 +1,4 @@
-"""Evidence on poison requests: the same from any order of reports, and what it decides."""
+"""The table of poison requests: standing, trials, alerts, withdrawn crashes and eviction."""
 
 from __future__ import annotations
 
@@ -175,7 +175,7 @@
 
 
 def test_while_the_store_is_away_a_late_answer_does_not_show_that_a_back_end_has_lived_on() -> None:
-    """It may have started again at the same address, and its entry is not known."""
+    """It may have restarted at the same address without its new entry being known."""
     table = PoisonRequests()
     table.note_crash(FINGERPRINT, ORIGIN, 1, 10.0, trial=True)
     late = 10.0 + 2 * RESTART_DETECTION_S
--- a/tests/unit/gateway/decisions/test_retry_after.py
+++ b/tests/unit/gateway/decisions/test_retry_after.py
@@ -1,4 +1,4 @@
-"""When refused callers come back."""
+"""When refused callers are told to come back."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -1,4 +1,4 @@
-"""Order, room and refusals of scatters that wait at a gateway, against plain oracles."""
+"""Order, room and refusals of scatters that wait at a gateway, checked against simple oracles."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 def started(queue: ScatterQueue) -> list[QueuedScatter]:
-    """Return what starts as one after another ends."""
+    """Return the scatters in the order in which they start, one after another."""
     order = []
     while (one := queue.next_ready(0.0)) is not None:
         order.append(one)
@@ -114,7 +114,7 @@
         kept += 1
     assert isinstance(verdict, ScatterRefusal)
     assert verdict.expected_s > ACCEPTABLE_WAIT_SHARE * 0.2
-    # A call's time starts two scatters, and 0.2 s are left to wait.
+    # Two scatters start in one call time, and 0.2 s are left to wait.
     assert kept == pytest.approx(ACCEPTABLE_WAIT_SHARE * 0.2 / HOLD_S * FULL, abs=1)
 
 
@@ -128,7 +128,7 @@
     refused = queue.refuse_hopeless(FULL, 0.05)
     assert refused
     assert {one.priority for one, _ in refused} == {1}
-    # What is left of 0.15 s suffices for six, the urgent ones among them.
+    # The 0.15 s left suffice for six scatters, including the urgent ones.
     assert len(queue) == 6
     assert started(queue)[:3] == urgent[:3]
 
@@ -177,7 +177,7 @@
     assert isinstance(verdict, ScatterRefusal)
     assert verdict.bearable_s == pytest.approx(MAX_OVERLOAD_WAIT * USUAL_S)
     started(queue)
-    # Empty for a moment, it still stands; a second later it does not.
+    # After being empty briefly the queue still counts as overloaded; a second later it does not.
     assert queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1) is False
     assert isinstance(
         queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1), ScatterRefusal
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -1,4 +1,4 @@
-"""Requests to a service of few back ends that many gateways call."""
+"""Admission to a service with few back ends that many gateways call."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def service(*waiting: int, age_s: float = 0.1) -> list[BackendObservations]:
-    """Return four back ends that reported so many waiting calls; others are not heard."""
+    """Return four back ends that reported this many waiting calls; the others have not reported."""
     backends = [BackendObservations(slots=SLOTS) for _ in range(4)]
     for known, calls in zip(backends, waiting, strict=False):
         known.reported(SLOTS, calls, SLOTS, NOW, age_s=age_s)
@@ -33,11 +33,11 @@
     assert share(service(0, 0, 0, 0)) == 1.0
     assert share(service(12, 12, 12, 12)) == 0.0
     assert 0.0 < share(service(6, 6, 6, 6)) < 1.0
-    # One is stale: it must not count as free.
+    # One report is stale: its back end must not count as free.
     stale = service(12, 12, 12, 12)
     stale[0].reported_at = NOW - 0.79
     assert share(stale) < 0.1
-    # One is slow, the others are free, or not heard since they had no queue.
+    # One is slow; the others are free, or have not reported and had no queue.
     assert share(service(12, 0, 0, 0)) > 0.9
     assert share(service(12)) == 1.0
     assert share(service(12, 12, 12, 12, age_s=0.8)) == 1.0
@@ -73,5 +73,5 @@
 
 
 def test_a_rejected_call_goes_elsewhere_where_nobody_waits_however_long_calls_take() -> None:
-    """A back end that is leaving rejects as well, and a late answer is worth something."""
+    """A draining back end rejects calls as well, and a late answer still has some worth."""
     assert has_room(service(0, 0), NOW, usual_s=1.5, left_s=0.9)
--- a/tests/unit/gateway/decisions/test_tenant_shares.py
+++ b/tests/unit/gateway/decisions/test_tenant_shares.py
@@ -1,4 +1,4 @@
-"""Who is refused when not all can be served."""
+"""Which tenants' requests are refused when not all can be served."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 def admitted_share(shares: TenantShares, rates: dict[str, float], room: float) -> dict[str, float]:
-    """Ask for a while, each tenant at its own rate, with room for a part of all requests."""
+    """Send requests of each tenant at its own rate, with capacity for a part of all requests."""
     source = random.Random(3)
     asked, admitted = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0)
     now = 0.0
@@ -43,7 +43,7 @@
 
 
 def test_a_tenant_at_seven_times_the_others_is_refused_in_their_place() -> None:
-    """With room for half: the others keep 0.95 and more of theirs; without tenants, 0.5."""
+    """With capacity for half, the others keep 0.95 or more of theirs; without tenants, 0.5."""
     got = admitted_share(TenantShares(), {"hot": 70.0, "a": 10.0, "b": 10.0, "c": 10.0}, room=0.5)
     assert min(got["a"], got["b"], got["c"]) >= 0.95
     assert 0.2 <= got["hot"] <= 0.35
--- a/tests/unit/gateway/decisions/test_tenant_turns.py
+++ b/tests/unit/gateway/decisions/test_tenant_turns.py
@@ -1,4 +1,4 @@
-"""Tenants take turns: who asks for much waits behind who asks for little."""
+"""Tenants take turns: a tenant that sends many scatters waits behind those that send few."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_token_buckets.py
+++ b/tests/unit/gateway/decisions/test_token_buckets.py
@@ -19,7 +19,7 @@
 WINDOW_S = 5.0
 LIMIT = QuotaLimit.of(5.0, 5.0, WINDOW_S, 0.25, 20.0)
 OLD = -1000.0
-"""Start of a process that has run for long."""
+"""Start time of a process that has run for a long time, seconds."""
 
 
 def ask(owner: TokenBuckets, now: float, share: float = 1.0, limit: QuotaLimit = LIMIT) -> bool:
@@ -34,8 +34,10 @@
 
 
 def test_what_is_within_the_limit_is_granted() -> None:
-    """At 3 of 5 a second, by chance: 27 of 200,000 refused, and 1,284 by a bucket of the burst
-    alone (one seed)."""
+    """Random arrivals at 3 of 5 a second.
+
+    Of 200,000 requests 27 were refused, and 1,284 by a bucket of the burst alone (one seed).
+    """
     source = random.Random(1)
     owner, burst_only, now, refused, refused_burst_only = TokenBuckets(OLD), 5.0, 0.0, 0, 0
     filled_at = 0.0
@@ -120,12 +122,12 @@
 
 
 def test_a_burst_without_a_rate_is_no_limit_of_its_own() -> None:
-    """What has no rate is never reported; asked all the same, it grants the burst."""
+    """A tenant without a rate is never reported; if asked for it, the bucket grants the burst."""
     assert QuotaLimit.of(0.0, 5.0, WINDOW_S, 0.25, 20.0).capacity > 5.0
 
 
 def test_a_new_home_and_one_that_was_killed_stay_within_the_bound_together() -> None:
-    """The first grants all that it may; the second knows nothing of that."""
+    """The first owner grants all that it may; the second one does not know of these grants."""
     granted: list[float] = []
     first, second = TokenBuckets(OLD), TokenBuckets(OLD)
     for step in range(2000):
@@ -137,7 +139,7 @@
 
 
 def test_processes_that_start_at_once_grant_little_until_they_know_each_other() -> None:
-    """Eight of them believe for a second that the tenant is theirs, beside what ran before."""
+    """Eight processes assume for a second that they own the tenant, besides what ran before."""
     owners = [TokenBuckets(0.0) for _ in range(8)]
     granted = 0
     for step in range(100):
@@ -152,7 +154,7 @@
 def test_the_parts_of_a_fleet_in_pieces_add_up_to_the_bound(
     pieces: list[int], excess: float
 ) -> None:
-    """Each piece grants its part of the rate: together the rate and the excess, at most."""
+    """Each partition grants its part of the rate: together at most the rate plus the excess."""
     fleet = sum(pieces)
     shares = [part_of_rate(piece / fleet, excess) for piece in pieces]
     assert sum(shares) <= 1.0 + excess + 1e-9
--- a/tests/unit/gateway/decisions/test_token_buckets_of_a_fleet.py
+++ b/tests/unit/gateway/decisions/test_token_buckets_of_a_fleet.py
@@ -1,6 +1,7 @@
-"""Ways to hold a tenant's limit over a fleet, on the same arrivals: what each runs and refuses.
+"""Compares ways to enforce a tenant's limit over a fleet: requests run and refused.
 
-A limit of 5 a second with a burst of 5 may be exceeded to 57.5 requests in any 5 s.
+All ways get the same arrivals. A limit of 5 a second with a burst of 5 may be exceeded to 57.5
+requests in any 5 s.
 """
 
 from __future__ import annotations
@@ -19,9 +20,9 @@
 CALM, HOT = 0.6 * RATE, 7.0 * RATE
 SECONDS = 60.0
 REPORT_S = 0.024
-"""A report's pause and its way across zones, and the verdict's way back."""
+"""Seconds: the delay of a report, its path across zones, and the path of the verdict back."""
 DIGEST_S = 2.0
-"""How long a count needs to reach 74 gateways, each telling three in half a second."""
+"""Seconds that a count needs to reach 74 gateways, when each tells three in half a second."""
 FLEETS = (7, 74, 730)
 
 Decide = Callable[[float, int], bool]
@@ -35,7 +36,7 @@
 
 
 def run(decide: Decide, per_second: float) -> tuple[float, int]:
-    """Return which part was refused, and the most that ran in any window."""
+    """Return the refused share, and the largest number that ran in any window."""
     ran, asked = [], 0
     for now, place in arrivals(per_second):
         asked += 1
@@ -47,7 +48,7 @@
 
 
 def owner_with_reports(gateways: int) -> Decide:
-    """Admit at once and report later; ask first while the owner says that the tenant is pressed."""
+    """Admit at once and report later; ask first while the owner reports the tenant as pressed."""
     owner = TokenBuckets(-1000.0)
     reports: list[float] = []
     pressed: list[tuple[float, float]] = []
@@ -70,7 +71,7 @@
 
 
 def equal_parts(gateways: int, whole_tokens: bool) -> Decide:
-    """Each gateway has its part of the rate, and a bucket of its part of the burst or of one."""
+    """Give each gateway its part of the rate, and its part of the burst or one token to hold."""
     capacity = max(1.0, BURST / gateways) if whole_tokens else BURST / gateways
     tokens = [capacity] * gateways
     filled = [0.0] * gateways
@@ -89,7 +90,7 @@
 
 
 def counts_in_digests(gateways: int) -> Decide:
-    """Every gateway knows what ran until some seconds ago, and drops what lies above."""
+    """Let every gateway know what ran until some seconds ago, and refuse what exceeds the limit."""
     ran: list[float] = []
 
     def decide(now: float, _place: int) -> bool:
