--- a/tests/unit/gateway/decisions/test_answer_time.py
+++ b/tests/unit/gateway/decisions/test_answer_time.py
@@ -24,7 +24,9 @@
     minimum_share=st.floats(0.0, 1.0),
     now=st.floats(0.0, 3.0),
 )
-def test_the_answer_moment(state: tuple[int, int, int], minimum_share: float, now: float) -> None:
+def test_decisions_follow_from_state_and_time(
+    state: tuple[int, int, int], minimum_share: float, now: float
+) -> None:
     shards, included, hopeful = state
     scatter = ScatterState(shards, included, hopeful, minimum_share, 1.0, 2.0)
     decision = decide(scatter, now)
@@ -45,7 +47,7 @@
     arrivals=st.lists(st.floats(0.0, 3.0), min_size=1, max_size=12),
     minimum_share=st.floats(0.0, 1.0),
 )
-def test_no_other_moment_is_worth_more(arrivals: list[float], minimum_share: float) -> None:
+def test_no_other_time_is_worth_more(arrivals: list[float], minimum_share: float) -> None:
     """Compares with an oracle that knows when each part arrives."""
     objective, deadline, late_worth = 1.0, 2.0, 0.1
     shards = len(arrivals)
@@ -75,6 +77,6 @@
         assert reached > 0
 
 
-def test_what_cannot_suffice_any_more_fails_at_once() -> None:
+def test_a_scatter_that_can_no_longer_suffice_fails_at_once() -> None:
     state = ScatterState(20, 10, 5, 0.89, 1.0, 2.0)
     assert decide(state, 0.0).verdict is Verdict.FAIL
--- a/tests/unit/gateway/decisions/test_crash_evidence.py
+++ b/tests/unit/gateway/decisions/test_crash_evidence.py
@@ -65,7 +65,7 @@
 
 
 @given(pieces, st.integers(0, 8))
-def test_gateways_that_tell_each_other_agree_however_the_reports_are_divided(
+def test_gateways_agree_after_an_exchange_however_the_reports_are_divided(
     evidence: list[Evidence], cut: int
 ) -> None:
     here, there = evidence[:cut], evidence[cut:]
@@ -76,7 +76,7 @@
 
 
 @given(pieces)
-def test_only_what_lost_enough_back_ends_and_one_in_a_trial_is_barred(
+def test_only_requests_with_enough_crashes_and_one_in_a_trial_are_barred(
     evidence: list[Evidence],
 ) -> None:
     known = merge_all(evidence)
--- a/tests/unit/gateway/decisions/test_decisions_page.py
+++ b/tests/unit/gateway/decisions/test_decisions_page.py
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize("path", rule_paths())
-def test_a_rule_says_its_question_inputs_answer_state_signs_and_gaps(path: str) -> None:
+def test_a_rule_has_a_question_and_all_labelled_paragraphs(path: str) -> None:
     rule = read_rule(path)
     assert rule.question.endswith("?") and "\n" not in rule.question
     labels = [one.partition(": ")[0] for one in rule.paragraphs]
--- a/tests/unit/gateway/decisions/test_fleet_retry_budget.py
+++ b/tests/unit/gateway/decisions/test_fleet_retry_budget.py
@@ -52,11 +52,11 @@
 
 
 @pytest.mark.parametrize("seed", range(4))
-def test_restarts_that_forget_do_not_break_it(seed: int) -> None:
+def test_restarts_that_lose_counts_stay_within_the_fleet_budget(seed: int) -> None:
     assert not run_fleet(seed, restarts=True)
 
 
-def test_a_fresh_node_takes_no_more_of_the_extra_than_earlier_lives_left() -> None:
+def test_a_restarted_node_spends_only_what_its_earlier_incarnation_left() -> None:
     spent_before = FleetRetryBudget(RATIO, EXTRA, WINDOW_S, 0.0)
     repeats = 0
     while spent_before.may_repeat(99.9, 1, hedge=False):
--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -77,7 +77,7 @@
     assert hedge_ages.age_s(-0.001, budget_fill=1.0) is None
 
 
-def test_a_scarce_budget_goes_where_it_buys_most() -> None:
+def test_a_scarce_budget_goes_where_it_gains_most() -> None:
     """Most slow calls, 15%, are in time: with a small budget only those that pause are hedged."""
     latencies = [0.010] * 800 + [0.025] * 150 + [0.2] * 50
     hedge_ages = HedgeMoments(seen(latencies))
@@ -86,14 +86,14 @@
     assert plenty < scarce
 
 
-def test_also_where_nothing_is_late_a_call_that_stands_still_is_hedged_in_time() -> None:
+def test_a_paused_call_is_hedged_in_time_even_where_no_latency_is_late() -> None:
     hedge_ages = HedgeMoments(seen([0.010 + number % 10 * 0.001 for number in range(1000)]))
     age_s = hedge_ages.age_s(0.1, budget_fill=1.0)
     assert age_s is not None
     assert 0.02 <= age_s <= 0.08
 
 
-def test_few_calls_tell_nothing_yet() -> None:
+def test_latencies_are_unknown_after_few_calls() -> None:
     assert not HedgeMoments(seen([0.01] * (MIN_OBSERVATIONS - 1))).is_known
 
 
--- a/tests/unit/gateway/decisions/test_peer_round_trip.py
+++ b/tests/unit/gateway/decisions/test_peer_round_trip.py
@@ -21,7 +21,7 @@
 @example(0.001, 33)
 @example(0.001, 527)
 @example(0.001, 956)
-def test_nearly_all_of_what_comes_next_takes_no_longer(usual_s: float, seed: int) -> None:
+def test_nearly_all_later_answers_stay_within_the_allowance(usual_s: float, seed: int) -> None:
     source = random.Random(seed)
     path = seen([usual_s * source.uniform(0.8, 1.2) for _ in range(60)])
     late = sum(usual_s * source.uniform(0.8, 1.2) > path.allowance_s for _ in range(100))
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -47,7 +47,7 @@
     assert not table.note_answer(FINGERPRINT, 1.4)
 
 
-def test_one_gateway_at_a_time_tries_what_lost_enough_back_ends() -> None:
+def test_only_one_gateway_at_a_time_runs_a_trial() -> None:
     table = PoisonRequests()
     for backend in range(ENOUGH_CRASHES):
         table.note_crash(FINGERPRINT, ORIGIN, backend, 1.0, trial=False)
@@ -79,7 +79,7 @@
     table.note_crash(asked, ORIGIN, 9, at, trial=True)
 
 
-def test_two_that_lost_back_ends_alone_make_the_callers_others_canaries_for_a_while() -> None:
+def test_two_requests_with_crashed_trials_make_others_of_the_caller_canaries() -> None:
     table = PoisonRequests()
     lose_in_trial(table, FINGERPRINT, 0.0)
     assert standing(table, 1.0, OTHER) is Standing.FREE
@@ -106,7 +106,7 @@
     assert not table.is_alert(ORIGIN, 3.0)
 
 
-def test_a_back_end_that_survived_is_held_against_nobody_whoever_tells_it_again() -> None:
+def test_a_withdrawn_crash_stays_withdrawn_when_it_is_reported_again() -> None:
     table, other = PoisonRequests(), PoisonRequests()
     bar_request(table, 0.0)
     reported = table.find(FINGERPRINT)
@@ -151,7 +151,7 @@
     assert table.lost_under(2, 10.0) == ()
 
 
-def test_everything_is_forgotten_in_the_end() -> None:
+def test_all_evidence_expires() -> None:
     table = PoisonRequests()
     bar_request(table, 0.0)
     table.forget(FIRST_BAR_S + KEPT_S - 1.0)
@@ -174,7 +174,7 @@
     assert table.find(FINGERPRINT) is not None
 
 
-def test_while_the_store_is_away_a_late_answer_does_not_show_that_a_back_end_has_lived_on() -> None:
+def test_without_the_store_a_late_answer_does_not_prove_that_a_back_end_survived() -> None:
     """It may have restarted at the same address without its new entry being known."""
     table = PoisonRequests()
     table.note_crash(FINGERPRINT, ORIGIN, 1, 10.0, trial=True)
--- a/tests/unit/gateway/decisions/test_retry_after.py
+++ b/tests/unit/gateway/decisions/test_retry_after.py
@@ -15,7 +15,7 @@
 
 
 @given(st.floats(0.0, 5.0), st.floats(0.0, 5.0), st.floats(0.0, 1.0))
-def test_who_may_come_back_is_told_a_moment_that_it_waits_for(
+def test_an_announced_retry_time_is_one_that_the_caller_waits_for(
     room_in_s: float, left_s: float, draw: float
 ) -> None:
     announced_s = retry_after_by_place_s(room_in_s, left_s, draw)
--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -118,7 +118,7 @@
     assert kept == pytest.approx(ACCEPTABLE_WAIT_SHARE * 0.2 / HOLD_S * FULL, abs=1)
 
 
-def test_an_urgent_scatter_goes_first_and_who_has_no_time_left_then_is_refused() -> None:
+def test_an_urgent_scatter_goes_first_and_others_without_time_left_are_refused() -> None:
     queue = make_queue()
     while queue.arrive(scatter(objective_at=0.28), FULL, 0.0) is False:
         pass
@@ -133,7 +133,7 @@
     assert started(queue)[:3] == urgent[:3]
 
 
-def test_who_has_waited_for_long_is_put_off_and_refused_when_half_its_time_has_passed() -> None:
+def test_a_late_scatter_is_deferred_and_refused_after_half_its_remaining_time() -> None:
     queue = make_queue()
     waits, overtakes = scatter(objective_at=0.28), scatter(objective_at=9.0)
     assert queue.arrive(waits, FULL, 0.0) is False
@@ -159,7 +159,7 @@
     assert list(queue)[-1] is again
 
 
-def test_what_is_late_anyway_waits_behind_all_others_and_not_for_long() -> None:
+def test_a_scatter_that_arrives_late_waits_behind_all_others_for_a_limited_time() -> None:
     queue = make_queue()
     late = scatter(priority=0, objective_at=0.01)
     usual = scatter(priority=1)
@@ -169,7 +169,7 @@
     assert started(queue) == [usual, late]
 
 
-def test_a_standing_queue_is_kept_short_until_the_overload_is_over() -> None:
+def test_a_persistent_queue_is_kept_short_until_the_overload_is_over() -> None:
     queue = make_queue()
     for _ in range(4):
         assert queue.arrive(scatter(usual_s=USUAL_S), FULL, 0.0) is False
@@ -187,7 +187,7 @@
     assert [queue.arrive(scatter(usual_s=USUAL_S), FULL, calm) for _ in range(3)] == [False] * 3
 
 
-def test_a_caller_that_leaves_takes_its_place_and_its_turn_with_it() -> None:
+def test_a_caller_that_disconnects_frees_its_position_and_its_turn() -> None:
     queue = make_queue()
     gone, stays = scatter(tenant="a"), scatter(tenant="b")
     queue.arrive(gone, FULL, 0.0)
@@ -199,7 +199,7 @@
     assert started(queue) == [again, stays]
 
 
-def test_many_seeds_of_arrivals_and_ends_never_stand_still_with_room_free() -> None:
+def test_no_scatter_waits_while_room_is_free() -> None:
     for seed in range(50):
         source = random.Random(seed)
         queue, held, now = make_queue(), 0.0, 0.0
@@ -216,14 +216,14 @@
             assert held <= FULL + 1.0 - MIN_FREE_ROOM
 
 
-def test_less_urgent_ones_that_hold_all_room_do_not_bar_an_urgent_one_that_cannot_wait() -> None:
+def test_less_urgent_scatters_that_hold_all_room_do_not_block_an_urgent_one() -> None:
     urgent = scatter(priority=0, objective_at=0.041, usual_s=0.036)
     assert isinstance(make_queue().arrive(urgent, FULL, 0.0), ScatterRefusal)
     assert make_queue().arrive(urgent, FULL, 0.0, held_before=0.0) is True
     assert isinstance(make_queue().arrive(urgent, FULL, 0.0, held_before=FULL), ScatterRefusal)
 
 
-def test_what_cannot_be_in_time_any_more_waits_for_all_that_run_whatever_its_priority() -> None:
+def test_a_late_scatter_waits_for_all_running_ones_whatever_its_priority() -> None:
     queue = make_queue()
     too_late = scatter(priority=0, objective_at=0.01)
     assert queue.arrive(too_late, FULL, 0.0, held_before=0.0) is False
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -28,7 +28,7 @@
     return judgement.share
 
 
-def test_who_is_admitted_follows_from_what_is_known_of_all_back_ends() -> None:
+def test_the_admitted_share_follows_from_the_reports_of_all_back_ends() -> None:
     assert share(service()) == 1.0
     assert share(service(0, 0, 0, 0)) == 1.0
     assert share(service(12, 12, 12, 12)) == 0.0
@@ -43,7 +43,7 @@
     assert share(service(12, 12, 12, 12, age_s=0.8)) == 1.0
 
 
-def test_who_comes_late_is_served_from_what_is_left_free() -> None:
+def test_late_callers_get_only_capacity_that_others_leave_free() -> None:
     assert share(service(3, 3, 3, 3), late=True) < share(service(3, 3, 3, 3))
     assert share(service(0, 0, 0, 0), late=True) == 1.0
 
@@ -62,7 +62,7 @@
     assert has_room(service(12, 12, 12), NOW, 0.25, 0.3)
 
 
-def test_without_queues_all_back_ends_stay_to_choose_from() -> None:
+def test_without_queues_all_back_ends_remain_candidates() -> None:
     backends = service()
     for known in backends:
         known.reported(SLOTS - 1, 0, SLOTS, NOW)
@@ -72,6 +72,6 @@
     assert all(len(set(map(id, two))) == 2 for two in drawn)
 
 
-def test_a_rejected_call_goes_elsewhere_where_nobody_waits_however_long_calls_take() -> None:
+def test_a_rejected_call_goes_to_a_back_end_without_a_queue_however_long_calls_take() -> None:
     """A draining back end rejects calls as well, and a late answer still has some worth."""
     assert has_room(service(0, 0), NOW, usual_s=1.5, left_s=0.9)
--- a/tests/unit/gateway/decisions/test_tenant_shares.py
+++ b/tests/unit/gateway/decisions/test_tenant_shares.py
@@ -49,12 +49,12 @@
     assert 0.2 <= got["hot"] <= 0.35
 
 
-def test_idle_shares_go_to_who_asks() -> None:
+def test_unused_shares_go_to_tenants_that_ask() -> None:
     got = admitted_share(TenantShares(), {"only": 50.0}, room=0.6)
     assert 0.55 <= got["only"] <= 0.65
 
 
-def test_what_was_asked_is_forgotten() -> None:
+def test_past_requests_decay() -> None:
     shares = TenantShares()
     for _ in range(100):
         shares.note("hot", 0.0)
--- a/tests/unit/gateway/decisions/test_tenant_turns.py
+++ b/tests/unit/gateway/decisions/test_tenant_turns.py
@@ -25,7 +25,7 @@
         assert own == list(range(len(own)))
 
 
-def test_who_comes_later_begins_with_the_turn_being_served_and_has_no_credit() -> None:
+def test_a_new_tenant_begins_with_the_current_turn_and_has_no_credit() -> None:
     turns = TenantTurns()
     for _ in range(5):
         turns.start(arrive(turns, "busy"))
@@ -46,7 +46,7 @@
     assert arrive(turns, "a").turn == 3
 
 
-def test_tenants_that_wait_are_not_forgotten_however_many_come() -> None:
+def test_waiting_tenants_are_not_evicted_however_many_arrive() -> None:
     turns = TenantTurns()
     waiting = arrive(turns, "waits")
     for number in range(3 * MAX_IDLE_LANES):
--- a/tests/unit/gateway/decisions/test_token_buckets.py
+++ b/tests/unit/gateway/decisions/test_token_buckets.py
@@ -55,7 +55,7 @@
 
 
 @given(st.floats(0.1, 200.0), st.floats(0.0, 100.0), st.floats(1.0, 20.0), st.integers(0, 2**16))
-def test_one_home_grants_the_limit_and_its_part_of_the_margin(
+def test_one_owner_grants_the_limit_and_its_part_of_the_margin(
     rate: float, burst: float, times: float, seed: int
 ) -> None:
     limit = QuotaLimit.of(rate, burst, WINDOW_S, 0.25, 20.0)
@@ -68,7 +68,7 @@
     assert most_in_window(granted) <= allowed + 1.0
 
 
-def test_what_was_admitted_unasked_is_made_up_for() -> None:
+def test_requests_admitted_without_asking_are_paid_back() -> None:
     owner = TokenBuckets(OLD)
     owner.report("t", LIMIT, 0.0, 1.0, admitted=int(LIMIT.capacity) + 3, asks=False)
     assert not ask(owner, 0.1)
@@ -126,7 +126,7 @@
     assert QuotaLimit.of(0.0, 5.0, WINDOW_S, 0.25, 20.0).capacity > 5.0
 
 
-def test_a_new_home_and_one_that_was_killed_stay_within_the_bound_together() -> None:
+def test_a_new_owner_and_a_killed_one_stay_within_the_bound_together() -> None:
     """The first owner grants all that it may; the second one does not know of these grants."""
     granted: list[float] = []
     first, second = TokenBuckets(OLD), TokenBuckets(OLD)
@@ -151,7 +151,7 @@
 
 
 @given(st.lists(st.integers(1, 400), min_size=1, max_size=6), st.floats(0.0, 0.5))
-def test_the_parts_of_a_fleet_in_pieces_add_up_to_the_bound(
+def test_the_parts_of_a_partitioned_fleet_add_up_to_the_bound(
     pieces: list[int], excess: float
 ) -> None:
     """Each partition grants its part of the rate: together at most the rate plus the excess."""
--- a/tests/unit/gateway/decisions/test_token_buckets_of_a_fleet.py
+++ b/tests/unit/gateway/decisions/test_token_buckets_of_a_fleet.py
@@ -104,7 +104,7 @@
 
 
 @pytest.mark.parametrize("gateways", FLEETS)
-def test_a_home_with_reports_refuses_little_and_keeps_the_bound(gateways: int) -> None:
+def test_an_owner_with_reports_refuses_little_and_keeps_the_bound(gateways: int) -> None:
     refused, _ = run(owner_with_reports(gateways), CALM)
     _, most = run(owner_with_reports(gateways), HOT)
     assert refused <= 0.005
@@ -112,7 +112,7 @@
 
 
 @pytest.mark.parametrize("gateways", FLEETS[1:])
-def test_equal_parts_refuse_everything_or_pass_the_bound(gateways: int) -> None:
+def test_equal_parts_refuse_everything_or_exceed_the_bound(gateways: int) -> None:
     refused, _ = run(equal_parts(gateways, whole_tokens=False), CALM)
     _, most = run(equal_parts(gateways, whole_tokens=True), HOT)
     assert refused == 1.0
