--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -98,7 +98,7 @@
 
 
 def test_an_urgent_scatter_is_not_handed_over_a_long_path() -> None:
-    """On machines with an eighth of a core a path took 23 of 48 ms; 13 of 23 shards were missing."""
+    """On machines with an eighth of a core a path took 23 of 48 ms; 13 of 23 shards lacked."""
     window = seen([0.010 + number % 30 * 0.001 for number in range(300)])
     assert not leaves_time(window, left_s=0.048, path_s=0.023)
     assert leaves_time(window, left_s=0.048, path_s=0.006)
--- a/tinrudder/gateway/decisions/admission/tenant_turns.py
+++ b/tinrudder/gateway/decisions/admission/tenant_turns.py
@@ -56,7 +56,7 @@
             self._evict_idle(waiting)
 
     def give_back(self, scatter: QueuedScatter) -> None:
-        """Return the turn of a scatter that has not run, for the tenant's next scatter."""
+        """Release the turn of a scatter that has not run, for the tenant's next scatter."""
         lane = scatter.priority, scatter.tenant
         if self._next.get(lane) == scatter.turn + 1:
             self._next[lane] = scatter.turn
