--- a/tests/unit/gateway/decisions/test_token_buckets.py
+++ b/tests/unit/gateway/decisions/test_token_buckets.py
@@ -10,7 +10,7 @@
 
 from tinrudder.gateway.decisions.admission.token_buckets import (
     GRANTED_MARGIN,
-    LONGEST_WAIT_S,
+    MAX_RETRY_DELAY_S,
     QuotaLimit,
     TokenBuckets,
     part_of_rate,
@@ -91,7 +91,7 @@
     slow = QuotaLimit.of(0.01, 0.0, WINDOW_S, 0.0, 0.0)
     for _ in range(5):
         grant = owner.report("t", slow, 0.0, 1.0, admitted=0, asks=True)
-    assert grant.wait_s <= LONGEST_WAIT_S
+    assert grant.wait_s <= MAX_RETRY_DELAY_S
 
 
 def test_entries_ask_first_only_while_the_bucket_is_low() -> None:
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -154,14 +154,14 @@
             found[crash.backend] = crash.merged(found.get(crash.backend, crash))
         return Evidence(
             self.origin,
-            _latest(found.values()),
+            _latest_crashes(found.values()),
             self.cleared,
             min(self.cleared_at, other.cleared_at),
             trial_at,
         )
 
 
-def _latest(crashes: Iterable[Crash]) -> tuple[Crash, ...]:
+def _latest_crashes(crashes: Iterable[Crash]) -> tuple[Crash, ...]:
     """Return the crashes to keep, in an order that does not depend on the input order."""
     in_order = sorted(crashes, key=lambda crash: (crash.at, crash.backend), reverse=True)
     trials = [crash for crash in in_order if crash.trial][:MOST_CRASHES_OF_A_KIND]
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -155,8 +155,8 @@
 
     def is_alert(self, origin: bytes, now: float) -> bool:
         """Return whether several requests of this route and caller have lost back ends recently."""
-        alarms = sum(now < until for until in self._alerts.get(origin, {}).values())
-        return alarms >= MIN_ALERT_REQUESTS
+        alerting_requests = sum(now < until for until in self._alerts.get(origin, {}).values())
+        return alerting_requests >= MIN_ALERT_REQUESTS
 
     def alerts(self, now: float) -> int:
         """Return the number of origins under alert."""
@@ -236,15 +236,17 @@
         """Merge evidence observed here or reported by another gateway; return the result."""
         known = self._evidence.pop(fingerprint, None)
         evidence = reported if known is None else known.merged(reported)
-        self._index(fingerprint, known, evidence)
+        self._update_index(fingerprint, known, evidence)
         # Inserted at the end: eviction starts with the one that changed longest ago.
         self._evidence[fingerprint] = evidence
         self._note_alert(fingerprint, evidence)
         while len(self._evidence) > MOST_REQUESTS:
-            self._drop(next(iter(self._evidence)))
+            self._evict(next(iter(self._evidence)))
         return evidence
 
-    def _index(self, fingerprint: bytes, known: Evidence | None, evidence: Evidence | None) -> None:
+    def _update_index(
+        self, fingerprint: bytes, known: Evidence | None, evidence: Evidence | None
+    ) -> None:
         """Update the index from back ends to the requests that their crashes count against."""
         for crash in known.held if known is not None else ():
             requests = self._requests_by_backend.get(crash.backend, set())
@@ -268,14 +270,14 @@
         if not alerts:
             self._alerts.pop(origin, None)
 
-    def _drop(self, fingerprint: bytes) -> None:
+    def _evict(self, fingerprint: bytes) -> None:
         """Evict a request."""
         evidence = self._evidence.pop(fingerprint)
-        self._index(fingerprint, evidence, None)
+        self._update_index(fingerprint, evidence, None)
         self._withdraw_alert(fingerprint, evidence.origin)
 
     def forget(self, now: float) -> None:
         """Evict expired evidence."""
         ended = [one for one, evidence in self._evidence.items() if evidence.kept_until <= now]
         for fingerprint in ended:
-            self._drop(fingerprint)
+            self._evict(fingerprint)
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -45,7 +45,7 @@
 MAX_PRESSED_S = 2.0
 """Longest validity of an instruction to ask first, seconds: it expires by itself if the owner dies,
 and a live owner renews it."""
-LONGEST_WAIT_S = 10.0
+MAX_RETRY_DELAY_S = 10.0
 """Longest retry delay sent to a refused caller, seconds: limits may change meanwhile."""
 RETURN_SPREAD_S = 2.0
 """Refused callers get retry times one token apart within this period, seconds, then starting again
@@ -54,7 +54,7 @@
 MAX_DEBT = 1.0
 """How far below zero a bucket may fall, in capacities: requests admitted without asking must be
 paid back, but not over minutes."""
-FORGOTTEN_AFTER_S = 60.0
+IDLE_RETENTION_S = 60.0
 """Idle time after which a bucket is evicted, seconds: ten windows of 5 s, after which it is
 full."""
 MIN_CAPACITY = 1.0
@@ -186,7 +186,7 @@
 
     def forget_idle(self, now: float) -> None:
         """Evict buckets that have been idle long enough to be full."""
-        horizon = now - FORGOTTEN_AFTER_S
+        horizon = now - IDLE_RETENTION_S
         for tenant in [t for t, one in self._buckets.items() if one.filled_at < horizon]:
             del self._buckets[tenant]
 
@@ -215,11 +215,11 @@
     """Return when a refused caller may find a token, after the callers that were refused before."""
     rate = bucket.limit.rate_per_s * share
     if rate <= 0.0:
-        return LONGEST_WAIT_S
+        return MAX_RETRY_DELAY_S
     next_token_s = (1.0 - bucket.tokens) / rate
     wait_s = next_token_s + bucket.return_offset_s
     bucket.return_offset_s = (bucket.return_offset_s + 1.0 / rate) % RETURN_SPREAD_S
-    return min(wait_s, LONGEST_WAIT_S)
+    return min(wait_s, MAX_RETRY_DELAY_S)
 
 
 def _pressed_s(bucket: _Bucket, now: float, share: float, max_tokens: float) -> float:
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -29,7 +29,7 @@
 
 from msgspec import Struct
 
-BUCKETS_PER_WINDOW = 20
+SLICES_PER_WINDOW = 20
 """Slices of the window. Requests of the oldest slice do not count, which costs at most a twentieth
 of the allowance."""
 SAFETY_FACTOR = 0.9
@@ -45,7 +45,7 @@
 on the way; one whose call is late does."""
 
 
-class _Bucket(Struct):
+class _Slice(Struct):
     """Counts of one time slice."""
 
     index: int
@@ -65,16 +65,16 @@
         self._ratio = ratio * SAFETY_FACTOR
         self._extra = extra
         self._window_s = window_s
-        self._slice_s = window_s / BUCKETS_PER_WINDOW
+        self._slice_s = window_s / SLICES_PER_WINDOW
         self._extra_from = started_at + window_s
-        self._buckets: deque[_Bucket] = deque()
-        # Running sums over the buckets: a scatter needs them three times per shard.
+        self._slices: deque[_Slice] = deque()
+        # Running sums over the slices: a scatter needs them three times per shard.
         self._requests = 0
         self._repeats = 0
 
     def note_request(self, now: float) -> None:
         """Count one request for the service."""
-        self._bucket(now).requests += 1
+        self._current_slice(now).requests += 1
         self._requests += 1
 
     def may_repeat(self, now: float, nodes: float, *, hedge: bool) -> bool:
@@ -84,7 +84,7 @@
         """
         if self.remaining(now, nodes, hedge=hedge) < 1.0:
             return False
-        self._bucket(now).repeats += 1
+        self._current_slice(now).repeats += 1
         self._repeats += 1
         return True
 
@@ -104,30 +104,30 @@
 
     def _allowed(self, now: float, nodes: float) -> float:
         """Return the allowance of the window that ends now."""
-        self._forget(now)
-        oldest = self._index(now - self._window_s)
+        self._drop_expired(now)
+        oldest = self._slice_index(now - self._window_s)
         requests = self._requests
-        if self._buckets and self._buckets[0].index == oldest:
-            requests -= self._buckets[0].requests
+        if self._slices and self._slices[0].index == oldest:
+            requests -= self._slices[0].requests
         share = SAFETY_FACTOR if now >= self._extra_from else FIRST_WINDOW_SHARE
         return self._ratio * requests + share * self._extra / max(1, nodes)
 
-    def _index(self, now: float) -> int:
+    def _slice_index(self, now: float) -> int:
         """Return the slice that contains a time."""
         return math.floor(now / self._slice_s)
 
-    def _bucket(self, now: float) -> _Bucket:
+    def _current_slice(self, now: float) -> _Slice:
         """Return the current slice's counts."""
-        index = self._index(now)
-        if not self._buckets or self._buckets[-1].index != index:
-            self._buckets.append(_Bucket(index))
-            self._forget(now)
-        return self._buckets[-1]
+        index = self._slice_index(now)
+        if not self._slices or self._slices[-1].index != index:
+            self._slices.append(_Slice(index))
+            self._drop_expired(now)
+        return self._slices[-1]
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drop slices that lie entirely before the window."""
-        oldest = self._index(now - self._window_s)
-        while self._buckets and self._buckets[0].index < oldest:
-            bucket = self._buckets.popleft()
-            self._requests -= bucket.requests
-            self._repeats -= bucket.repeats
+        oldest = self._slice_index(now - self._window_s)
+        while self._slices and self._slices[0].index < oldest:
+            expired = self._slices.popleft()
+            self._requests -= expired.requests
+            self._repeats -= expired.repeats
