--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -3,10 +3,10 @@
 A gateway sees only a few answers of such a service in the time in which its queues fill, and
 hundreds of gateways react to one report. Admission therefore uses the mean wait over the back ends,
 weighted by the freshness of each report: the minimum would be that of the back end with the least
-information. Back ends are chosen as the better of two random candidates: if every gateway took the
-best one by a report, it would get all calls until the next report. The figures below come from a
-simulation of 113 gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and
-an objective of 0.9 s.
+information. A call goes to the better of two random back ends: if every gateway took the best one
+by a report, it would get all calls until the next report. The figures below come from a simulation
+of 113 gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and an
+objective of 0.9 s.
 
 Inputs: the observations of each back end (reports at most 0.8 s old, with a weight that falls with
 age), the typical time of a call and the time left until the objective, both in seconds; the number
