--- /dev/null
+++ b/tinrudder_lab/mixed_builds.py
@@ -0,0 +1,244 @@
+"""Runs processes of two builds beside each other, as during a rolling upgrade, and checks both.
+
+    python -m tinrudder_lab.mixed_builds gateways --other CHECKOUT [--seed N] [--gateways N]
+    python -m tinrudder_lab.mixed_builds nodes --other CHECKOUT
+
+CHECKOUT is a directory with the other build and a virtual environment in ``.venv``.  Half of the
+processes of every zone run from there.  Owns the choice of the build and the search of the logs;
+relies on the soak's site, faults and checks for gateways, and on the demo for nodes of the
+loopback program.
+"""
+
+from __future__ import annotations
+
+import argparse
+import asyncio
+import json
+import random
+import signal
+import sys
+import tempfile
+from collections import Counter
+from collections.abc import Iterator
+from dataclasses import dataclass, field
+from pathlib import Path
+
+import msgspec
+
+from tinrudder_lab.demo import VICTIM, Demo, DemoResult, _has_passed, _play, print_table, result_of
+from tinrudder_lab.demo_cluster import DemoCluster
+from tinrudder_lab.processes import ProcessGroup
+from tinrudder_lab.soak import faults
+from tinrudder_lab.soak.process_site import REVOCATION_S, ProcessSite
+from tinrudder_lab.soak.proxy import LinkMode
+from tinrudder_lab.soak.run import ROUTES, SETTLE_S, START_S, _broken, ask_poison, ask_too_much
+
+GATEWAYS = 12
+"""Processes: from this number on scatters are run by coordinators for other gateways."""
+REQUESTS_PER_SECOND = 40.0
+CALM_S = 4.0
+"""Traffic without faults, before them and after them."""
+FAULTS_S = 14.0
+"""Time within which all faults come and end."""
+SUSPECT_WORDS = ("malformed", "unreadable", "unknown message", "exception", "Traceback", "failed:")
+"""A log line with one of these, of any build, is shown: no message may be misunderstood."""
+EXPECTED_WORDS = ("unreadable_load_report",)
+"""Events with such a word that the emulator's back ends cause on purpose."""
+
+
+@dataclass
+class MixedProcesses(ProcessGroup):
+    """Starts half of the programs of ``module`` from the other checkout.
+
+    :param other: the other checkout; ``None`` runs everything from this one.
+    :param module: of the processes that alternate; the stand-ins always run from this checkout.
+    :param builds: which build each process runs, by name.
+    """
+
+    other: Path | None = None
+    module: str = ""
+    builds: dict[str, str] = field(default_factory=dict)
+
+    async def start(self, name: str, module: str, *arguments: str) -> None:
+        """Run ``python -m module``, from the other checkout for half of the names."""
+        if module == self.module and name not in self.builds:
+            # Zones alternate from process to process: own, other, other, own mixes each of them.
+            other = len(self.builds) % 4 in (1, 2)
+            self.builds[name] = "other" if other and self.other is not None else "own"
+        if self.builds.get(name) != "other" or self.other is None:
+            await super().start(name, module, *arguments)
+            return
+        command = (str(self.other / ".venv/bin/python"), "-m", module, *arguments)
+        with self.log_of(name).open("ab") as log:
+            # The working directory comes first on Python's path: it decides which build runs.
+            self._processes[name] = await asyncio.create_subprocess_exec(
+                *command, stdout=log, stderr=log, cwd=self.other
+            )
+
+
+class MixedResult(msgspec.Struct, frozen=True):
+    """What a run with gateways of two builds showed.
+
+    :param served_before: share of requests served before the first fault; likewise ``after``.
+    :param coordinated: scatters that a coordinator of one build ran for an entry of another,
+        and those within one build, by ``entry>coordinator``.
+    :param suspect_lines: log lines that tell of a message which was not understood.
+    """
+
+    seed: int
+    builds: dict[str, int]
+    requests: int
+    served_before: float
+    served_after: float
+    statuses_calm: dict[str, int]
+    coordinated: dict[str, int]
+    events: dict[str, int]
+    broken: list[str]
+    suspect_lines: list[str]
+
+
+async def run_gateways(other: Path | None, seed: int, count: int, folder: Path) -> MixedResult:
+    """Run gateways of two builds through calm, faults and calm again."""
+    loop = asyncio.get_running_loop()
+    site = ProcessSite(
+        loop,
+        seed=seed,
+        folder=folder,
+        node_count=count,
+        tenants=faults.TENANTS,
+        revocation_s=REVOCATION_S,
+    )
+    site.processes = MixedProcesses(folder, other=other, module="tinrudder.cli.gateway_process")
+    try:
+        await site.start()
+        await asyncio.sleep(START_S)
+        first = await _served(site)
+        await asyncio.gather(
+            site.traffic(FAULTS_S, REQUESTS_PER_SECOND, ROUTES),
+            ask_too_much(site, FAULTS_S),
+            ask_poison(site, FAULTS_S),
+            _disturb(site),
+        )
+        await asyncio.sleep(SETTLE_S)
+        last = await _served(site)
+        served_before, served_after = _share(first), _share(last)
+        return MixedResult(
+            seed,
+            dict(Counter(site.processes.builds.values())),
+            len(site.ledger.results),
+            served_before,
+            served_after,
+            dict(Counter(str(status) for status in first + last)),
+            dict(_coordinated(site.processes)),
+            dict(Counter(str(line.get("event")) for line in _lines(site.processes))),
+            _broken(site, min(served_before, served_after)),
+            _suspect_lines(site.processes),
+        )
+    finally:
+        await site.close()
+
+
+async def _served(site: ProcessSite) -> list[int]:
+    """Return the statuses of a calm span."""
+    before = len(site.ledger.results)
+    await site.traffic(CALM_S, REQUESTS_PER_SECOND, ROUTES)
+    return [result.status for result in site.ledger.results[before:]]
+
+
+def _share(statuses: list[int]) -> float:
+    return sum(status == 200 for status in statuses) / max(1, len(statuses))
+
+
+async def _disturb(site: ProcessSite) -> None:
+    """Change the configuration, lose connections to the store, stop and kill of either build."""
+    own, other = site.nodes[2], site.nodes[3]
+    await asyncio.sleep(1.0)
+    await faults.configure(site)
+    await faults.end_key(site)
+    for node in (own, other):
+        site.links[node.name].set_mode(LinkMode.RESETTING)
+    await asyncio.sleep(2.0)
+    await faults.change_limit(site)
+    for node in (own, other):
+        site.links[node.name].set_mode(LinkMode.PASSING)
+    for node in (own, other):
+        site.signal_node(node, signal.SIGTERM)
+        code = await site.wait_for_end(node)
+        if code != 0:
+            site.problems.append(f"planned stop: {node.name} ended with {code}")
+        await site.launch(node)
+    await faults.kill(site)
+    await faults.configure(site)
+
+
+def _lines(processes: MixedProcesses) -> Iterator[dict[str, object]]:
+    """Yield the log lines of all processes that alternate."""
+    for name in processes.builds:
+        for text in processes.log_of(name).read_text(errors="replace").splitlines():
+            try:
+                yield {**json.loads(text), "process": name}
+            except ValueError:
+                yield {"event": "", "process": name, "text": text}
+
+
+def _coordinated(processes: MixedProcesses) -> Counter[str]:
+    """Count the scatters that one gateway ran for another, by the builds of both."""
+    entries: dict[object, str] = {}
+    coordinators: dict[object, str] = {}
+    for line in _lines(processes):
+        if line.get("event") == "request":
+            entries[line.get("request")] = processes.builds[str(line["process"])]
+        elif line.get("event") == "coordinated":
+            coordinators[line.get("request")] = processes.builds[str(line["process"])]
+    pairs = (f"{entries[one]}>{build}" for one, build in coordinators.items() if one in entries)
+    return Counter(pairs)
+
+
+def _suspect_lines(processes: MixedProcesses) -> list[str]:
+    """Return the log lines that tell of something a process did not understand."""
+    found = []
+    for line in _lines(processes):
+        text = json.dumps(line)
+        expected = line.get("event") in EXPECTED_WORDS
+        if not expected and any(word in text for word in SUSPECT_WORDS):
+            found.append(f"{processes.builds[str(line['process'])]}: {text}")
+    return found
+
+
+def run_nodes(other: Path | None, folder: Path) -> tuple[DemoResult, list[str]]:
+    """Run the demo with half of the nodes of the other build; return its result and bad lines."""
+    cluster = DemoCluster(folder, VICTIM)
+    processes = MixedProcesses(folder, other=other, module="tinrudder.cli.main")
+    cluster.processes = processes
+    demo = Demo(cluster)
+    extra_load = asyncio.run(_play(demo))
+    result = result_of(demo, extra_load)
+    print_table(demo)
+    print("builds:", dict(Counter(processes.builds.values())))
+    return result, _suspect_lines(processes)
+
+
+def main() -> int:
+    """Run what the command line names; 1 if a check failed or a message was misunderstood."""
+    parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
+    parser.add_argument("programs", choices=("gateways", "nodes"))
+    parser.add_argument("--other", type=Path, help="checkout of the other build; default: none")
+    parser.add_argument("--seed", type=int, default=1)
+    parser.add_argument("--gateways", type=int, default=GATEWAYS)
+    parser.add_argument("--folder", type=Path, help="for settings and logs")
+    parsed = parser.parse_args()
+    folder = parsed.folder or Path(tempfile.mkdtemp(prefix="tinrudder-mixed-"))
+    folder.mkdir(parents=True, exist_ok=True)
+    random.seed(parsed.seed)
+    if parsed.programs == "nodes":
+        nodes, suspect = run_nodes(parsed.other, folder)
+        print("\n".join(suspect))
+        print(msgspec.json.encode(nodes).decode())
+        return 0 if _has_passed(nodes) and not suspect else 1
+    gateways = asyncio.run(run_gateways(parsed.other, parsed.seed, parsed.gateways, folder))
+    print(msgspec.json.encode(gateways).decode())
+    return 1 if gateways.broken or gateways.suspect_lines else 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
