--- a/tinrudder/gateway/decisions/fleet/__init__.py
+++ b/tinrudder/gateway/decisions/fleet/__init__.py
@@ -1,1 +1,1 @@
-"""Rules on what gateways settle together: news of queues, zones that are cut off, own pauses."""
+"""Rules for cooperation between gateways: load reports, unreachable zones, own process pauses."""
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -1,21 +1,22 @@
-"""Which queues does a gateway tell others of, and what does it make of being told?
+"""Which back-end queues does a gateway report to its peers, and which peer reports does it use?
 
-The load answered: a service of few back ends that every gateway calls. Each gateway sees a few of
-its answers a second there, too few to know which back end is full. A report is told by who heard
-the back end and not passed on: by each way that it took it would look younger.
+Meant for services with few back ends that every gateway calls: each gateway gets only a few answers
+a second from them, too few to know which back end is full. Only the gateway that received a load
+report from the back end sends it to peers; peers do not forward it. Its age does not include time
+in transit, so each hop would make it look younger.
 
-Inputs: reports of back ends' load with their age in seconds, and how many peers there are.
+Inputs: load reports of back ends with their age in seconds, and the number of peers.
 
-Answer: reports to tell and to how many peers, or whether a report that was told is newer than what
-is known.
+Answer: the reports to send and the number of peers to send them to, or whether a peer's report is
+newer than the known one.
 
-Owns: the back ends that wait to be told of, and the budget of bytes.
+Owns: the back ends whose report is yet to be sent, and the byte budget.
 
 Shown by: log line ``queues_long``; metrics ``tinrudder_gateway_load_news_sent``,
 ``tinrudder_gateway_load_news_taken`` and ``tinrudder_gateway_load_news_ignored``.
 
-When an input is missing or old: a report older than 0.8 s is neither told nor taken; figures that
-no back end can have are ignored.
+When an input is missing or old: a report older than 0.8 s is neither sent nor used; implausible
+figures are ignored.
 """
 
 from __future__ import annotations
@@ -26,47 +27,48 @@
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 
 TOLD_FROM = 1.0
-"""Waiting calls for each slot from which a queue is told: a call waits there for as long as calls
-take, and longer.  From half of that on, no fewer were shed, and queues of chance were told too."""
+"""Waiting calls per slot from which a queue is reported to peers: a call waits there at least as
+long as calls take.  With half of it no fewer calls were shed, and random short queues were reported
+as well."""
 BYTES_PER_S = 900.0
-"""What one gateway sends in a second, all peers together, headers counted, a choice: a third of
-what all of its messages may take in a fleet of 730."""
+"""Bytes a second that one gateway sends to all peers together, headers included: a third of what
+all its messages may take in a fleet of 730."""
 MOST_BYTES = 7_000.0
-"""What may leave at once after a pause, a choice: a gateway of 730 sees an answer of such a service
-once in ten seconds, and has to tell a sixth of the others of it."""
+"""Burst of the byte budget: a gateway in a fleet of 730 gets an answer from such a service once in
+ten seconds, and has to report it to a sixth of its peers."""
 DATAGRAM_BYTES = 34
-"""Bytes of a datagram without its back ends: 28 of IP and UDP, and 6 of our own at most
-(arithmetic)."""
+"""Maximum bytes of a datagram without its back ends: 28 of IP and UDP headers, 6 of the message."""
 LOAD_BYTES = 26
-"""Bytes of one back end in a datagram, at most (arithmetic; a test of the encoding holds it)."""
+"""Maximum bytes of one back end in a datagram; a test of the encoding checks it."""
 MOST_IN_A_DATAGRAM = 4
-"""Back ends in one datagram, a choice: as many as such a service has."""
+"""Maximum number of back ends in one datagram: as many as such a service has."""
 GATHER_S = 0.02
-"""How long news waits for more, a choice: short beside calls whose queue hundreds must know of."""
+"""Batching delay of reports, seconds: short compared with the calls of a service that hundreds of
+gateways share."""
 NEXT_S = 0.1
-"""When to look again where nothing may leave now, seconds. Chosen, not measured: by then a
-datagram of two back ends may."""
+"""Retry interval while the byte budget is exhausted, seconds: by then it allows a datagram with two
+back ends."""
 MOST_AGE_S = 0.8
-"""Age from which a report says nothing of the queue any more, seconds: ``BACKLOG_LIFETIME_S`` of
-the observations. Chosen, not measured."""
+"""Age from which a report is too old to use, seconds; equals ``BACKLOG_LIFETIME_S`` of the
+back-end observations."""
 LONGEST_WORK_S = 600.0
-"""Longest time of work that is believed, seconds: longer than any call is waited for, so a figure
-above is none."""
+"""Maximum plausible service time, seconds: longer than any call timeout, so a larger figure is
+invalid."""
 MOST_CALLS = 100_000
-"""Most calls and slots that are believed: more than any back end holds, so a figure above is no
-count."""
+"""Maximum plausible number of calls or slots: more than any back end holds, so a larger figure is
+invalid."""
 MOST_SLOWDOWN = 1000.0
-"""Largest slowdown that is believed, 1 is usual: more than any back end lives with."""
+"""Maximum plausible slowdown, where 1 is usual: no back end keeps running at a larger one."""
 
 
 class ReportedLoad(Struct, frozen=True):
-    """One report of a back end's load, as gateways tell it to each other.
+    """One load report of a back end, as gateways send it to each other.
 
-    :param backend: a number drawn from what names this start of the back end.
-    :param calls: that run or wait there.
-    :param age_s: how old the report is; it is told by who heard the back end, and not passed on.
-    :param shed: the back end turned a call away at that moment.
-    :param work_s: how long calls hold a slot there by what the teller saw itself; 0: not known.
+    :param backend: a number derived from the identity of this back-end process.
+    :param calls: calls that run or wait there.
+    :param age_s: age of the report at the gateway that received it from the back end.
+    :param shed: whether the back end shed a call at that time.
+    :param work_s: mean time that a call holds a slot there, observed by the sender; 0: unknown.
     """
 
     backend: int
@@ -79,7 +81,7 @@
 
     @property
     def is_credible(self) -> bool:
-        """Tell whether the figures can be those of a back end, and are of use still."""
+        """Return whether the figures are plausible and recent enough to use."""
         return (
             0 <= self.calls <= MOST_CALLS
             and 0 < self.slots <= MOST_CALLS
@@ -90,14 +92,14 @@
 
     @property
     def is_long(self) -> bool:
-        """Tell whether it is of a queue worth speaking of."""
+        """Return whether the queue is long enough to be reported."""
         return self.shed or is_long(self.calls - self.slots, self.slots)
 
 
 class Noted(Struct, frozen=True):
-    """A back end that others are to hear of, see :class:`ReportedLoad`.
+    """A back end whose load is to be reported to peers, see :class:`ReportedLoad`.
 
-    :param heard_at: moment of the report that an answer to this gateway brought.
+    :param heard_at: time of the load report that this gateway received with an answer.
     """
 
     backend: int
@@ -107,7 +109,7 @@
 
 
 def is_long(waiting: int, slots: int) -> bool:
-    """Tell whether a queue is worth speaking of.
+    """Return whether a queue is long enough to be reported.
 
     >>> is_long(3, 4), is_long(4, 4), is_long(0, 0)
     (False, True, False)
@@ -116,9 +118,10 @@
 
 
 def tell_load(noted: Noted, known: BackendObservations, now: float) -> ReportedLoad | None:
-    """Return a report as it is told now; ``None`` if others have told a newer one meanwhile.
+    """Return the report to send now; ``None`` if a peer has sent a newer one since.
 
-    That is theirs to tell: passed on, it would look younger by each way that it took.
+    The newer one is not forwarded: its age does not include time in transit, so each hop would make
+    it look younger.
     """
     if known.reported_at != noted.heard_at:
         return None
@@ -134,7 +137,7 @@
 
 
 def take_load(told: ReportedLoad, known: BackendObservations, now: float) -> bool:
-    """Take what another gateway told of a back end, and return whether it is newer."""
+    """Apply a peer's load report, and return whether it is newer than the known one."""
     if told.shed:
         newer = known.shed(now, told.age_s, told.calls)
     else:
@@ -152,24 +155,27 @@
 
 
 class PendingNews:
-    """Back ends that others are to hear of, the latest of each once, however often it is noted."""
+    """Back ends whose load is to be reported to peers; holds only the latest entry for each."""
 
     def __init__(self) -> None:
-        """Hold nothing."""
+        """Start empty, with a full byte budget."""
         self._budget = SendBudget(MOST_BYTES, BYTES_PER_S)
         self._noted: dict[int, Noted] = {}
 
     def __len__(self) -> int:
-        """Return how many back ends wait to be told of."""
+        """Return the number of back ends yet to be reported."""
         return len(self._noted)
 
     def note(self, noted: Noted) -> None:
-        """Hold a back end until there is room to tell of it; the newest are told first."""
+        """Add a back end, to be reported when the budget allows; the newest are sent first."""
         self._noted.pop(noted.backend, None)
         self._noted[noted.backend] = noted
 
     def take(self, now: float, peers: int) -> tuple[list[Noted], int]:
-        """Return back ends for one datagram, and to how many peers it may go; 0: later."""
+        """Remove back ends for one datagram; return them and the number of peers to send it to.
+
+        Returns 0 peers while the budget is exhausted. Without peers the back ends are dropped.
+        """
         if not peers:
             self._noted.clear()
         most = min(MOST_IN_A_DATAGRAM, len(self._noted))
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -1,33 +1,34 @@
-"""Did this process itself stand still for a while?
+"""Was this process paused recently?
 
-Then silence and cut connections are its own doing: what a process that was paused, or whose
-machine was, left unread meanwhile, others cut off, and it would take that for their failure.
+While a process or its machine is paused, it reads nothing, and the other sides close their
+connections. Without this rule the process would take silence and closed connections during its own
+pause for failures of others.
 
-Inputs: the moments at which housekeeping noted that the process runs, monotonic seconds that count
-suspensions.
+Inputs: the times at which housekeeping recorded that the process runs, in seconds of a monotonic
+clock that includes suspensions.
 
-Answer: whether it stood still at some time since a moment.
+Answer: whether the process was paused at any time since a given time.
 
-Owns: the latest note and the latest awakening.
+Owns: the time of the latest record and the end of the latest pause.
 
-Shown by: nothing by itself; connections that were cut during a pause are not held against back
-ends or requests.
+Shown by: nothing of its own; connections that were closed during a pause do not count as failures
+of back ends or requests.
 
-When an input is missing or old: before the first note it counts from the start of the process.
+When an input is missing or old: before the first record the start of the process counts as one.
 """
 
 from __future__ import annotations
 
 LOOK_S = 1.0
-"""How often the process notes that it runs, seconds. Chosen, not measured: housekeeping comes as
-often, so that this costs nothing."""
+"""Interval at which the process records that it runs, seconds: the interval of housekeeping, so
+that it costs no extra timer."""
 STOOD_STILL_S = 0.5
-"""How much later than due a note must be, a choice: a pause of 1.5 s is always found, and back ends
-give an answer that is not read some seconds."""
+"""Delay of a record beyond its interval that counts as a pause, seconds.  Pauses of 1.5 s or more
+are always detected; back ends wait some seconds for an answer to be read."""
 
 
 class ProcessPause:
-    """Remembers when the process was last seen running, and when it woke.
+    """Records when the process last ran, and when its latest pause ended.
 
     >>> still = ProcessPause(0.0)
     >>> still.note(1.0)
@@ -39,20 +40,20 @@
     """
 
     def __init__(self, now: float) -> None:
-        """Begin to run."""
+        """Take ``now`` as the first record."""
         self._noted_at = now
         self._woke_at = float("-inf")
 
     def note(self, now: float) -> None:
-        """Note that the process runs; to be called every :data:`LOOK_S`."""
+        """Record that the process runs; to be called every :data:`LOOK_S`."""
         if self._is_late(now):
             self._woke_at = now
         self._noted_at = now
 
     def covers(self, since: float, now: float) -> bool:
-        """Tell whether the process stood still at some time since a moment.
+        """Return whether the process was paused at any time after ``since``.
 
-        What woke it may be asked about before the next note.
+        Also detects a pause that has just ended, before the next call of :meth:`note`.
         """
         return self._woke_at > since or self._is_late(now)
 
--- a/tinrudder/gateway/decisions/fleet/send_budget.py
+++ b/tinrudder/gateway/decisions/fleet/send_budget.py
@@ -1,14 +1,14 @@
-"""How much may a gateway send now, whatever gives it reason to?
+"""How much may a gateway send now, whatever triggers it?
 
-A token bucket bounds what news costs the network when something goes round in circles or much
-happens at once.
+A token bucket limits the network load of messages between gateways when they circulate in a loop or
+many events occur at once.
 
-Inputs: the messages wanted, the size of each in the budget's unit, and the moment in monotonic
-seconds.
+Inputs: the number of messages to send, the size of each in the budget's unit, and the time in
+monotonic seconds.
 
 Answer: how many of them may be sent.
 
-Owns: what was used lately of one budget.
+Owns: the recent use of one budget.
 
 Shown by: metrics ``tinrudder_gateway_poison_reports_unsent`` and
 ``tinrudder_gateway_peer_messages``.
@@ -22,10 +22,10 @@
 
 
 class SendBudget(Struct):
-    """A token bucket of messages or bytes, full at first.
+    """A token bucket of messages or bytes, full at the start.
 
-    :param burst: how much may be sent at once.
-    :param rate_per_s: how much a second after that.
+    :param burst: capacity of the bucket: the amount that may be sent at once.
+    :param rate_per_s: refill rate, messages or bytes a second.
 
     >>> budget = SendBudget(burst=3, rate_per_s=1.0)
     >>> budget.take(2, now=0.0), budget.take(2, now=0.0), budget.take(2, now=1.0)
@@ -38,9 +38,9 @@
     _used_at: float = 0.0
 
     def take(self, wanted: int, now: float, size: int = 1) -> int:
-        """Return how many of the messages wanted may be sent, and count them.
+        """Return how many of the wanted messages may be sent, and charge them to the budget.
 
-        :param size: what each takes of the budget.
+        :param size: cost of each message in the budget's unit.
         """
         used = max(0.0, self._used - (now - self._used_at) * self.rate_per_s)
         allowed = min(wanted, int((self.burst - used) / size))
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -1,24 +1,24 @@
-"""Can a zone be reached from here?
+"""Can this gateway reach a zone?
 
-A zone that was cut off is silent: calls to it hang until somebody stops waiting. One call that
-gets no answer while nothing else from the zone does either makes the path suspect, for all calls
-at once; questions to gateways there then decide within a fraction of a second. A single slow back
-end closes nothing, since others in its zone answer meanwhile. It is a circuit breaker for each
-zone.
+A zone that is cut off is silent: calls to it hang until they time out. A call without an answer
+makes the path suspect if nothing else from the zone was answered since the call was sent. Probes to
+gateways of the zone then decide for all calls within a fraction of a second. A single slow back end
+does not close the path, since other back ends of its zone answer meanwhile. This is a circuit
+breaker for each zone.
 
-Inputs: answers and messages from a zone, calls and questions without an answer, doubts of other
-gateways; moments in monotonic seconds.
+Inputs: answers and messages from a zone, calls and probes without an answer, doubts reported by
+other gateways; times in monotonic seconds.
 
 Answer: the state of the path: open, suspect, closed, or trial (half-open).
 
-Owns: one path for each zone that this gateway knows of; a path without news keeps its state, and a
-closed one ends in a trial by its timer.
+Owns: one path for each zone that this gateway knows of; without further events a path keeps its
+state, except that a closed one changes to trial after a timeout.
 
 Shown by: log line ``zone_path`` at each change; metrics ``tinrudder_gateway_zones_out_of_reach``
 and ``tinrudder_gateway_zone_closings``. A refused request says which zones are out of reach.
 
-When an input is missing or old: a zone that is new is open; silence from all other zones at once
-makes all of them suspect.
+When an input is missing or old: the path to a new zone is open; silence from all other zones at
+once makes all their paths suspect.
 """
 
 from __future__ import annotations
@@ -28,29 +28,28 @@
 from msgspec import Struct, field
 
 SILENT_AFTER_S = 1.5
-"""How long nothing may be heard from anywhere else until the paths are tried, seconds: where each
-gateway sends one digest in 0.5 s to another zone, that happens by chance once in twenty times
-(arithmetic)."""
+"""Time without any message from other zones after which their paths become suspect, seconds: where
+each gateway sends one digest to another zone every 0.5 s, such a silence arises by chance once in
+twenty times."""
 CLOSED_AFTER_S = 0.25
-"""How long all questions must stay unanswered until a path is closed, seconds. Chosen, not
-measured: 80 round trips of 3 ms, or a pause of a gateway that stands still for a moment."""
+"""Time for which all probes must stay unanswered before a path is closed, seconds: 80 round trips
+of 3 ms, or a short pause of a gateway."""
 LEAST_ROUNDS = 3
-"""And how many rounds of questions must: with three gateways asked in each, of which half of all
-datagrams get lost, one path in 13 is closed wrongly, and opens with the next answer
-(arithmetic)."""
+"""Rounds of probes that must stay unanswered before a path is closed: with three gateways probed in
+each round and half of all datagrams lost, one path in 13 is closed wrongly, and opens with the next
+answer."""
 FIRST_CLOSED_S = 5.0
-"""How long a closed path stays closed before calls may try it, seconds. Chosen, not measured:
-where a zone has lost all its gateways and not its back ends, nobody there answers questions, but
-calls are answered."""
+"""Time that a path stays closed before calls may try it, seconds: where a zone has lost all its
+gateways but not its back ends, probes get no answers, but calls do."""
 LONGEST_CLOSED_S = 40.0
-"""The time doubles with each call that finds the path closed, up to this, seconds. Chosen, not
-measured: it bounds for how long a zone without gateways stays unused."""
+"""Upper bound of that time, seconds; it doubles with each trial that fails.  Bounds how long a zone
+without gateways stays unused."""
 
 
 class PathState(enum.Enum):
-    """What is believed of a path.
+    """State of a path.
 
-    ``TRIAL``: it was closed for long, and calls may find out whether it still is.
+    ``TRIAL``: half-open; the path was closed for a while, and calls may test it.
     """
 
     OPEN = "open"
@@ -65,14 +64,14 @@
 class ZonePath(Struct):
     """The path to one zone.
 
-    :param since: when it came into its state.
-    :param doubted_at: when it came into doubt; an answer to what was asked since then ends that.
-    :param by_hearsay: it is in doubt only since another gateway doubts it.
-    :param heard_at: when anything came from there, asked for or not.
-    :param answered_at: when something that was sent there got an answer.
-    :param rounds: questions sent since it is suspect.
+    :param since: when it entered its state.
+    :param doubted_at: when it last became suspect.
+    :param by_hearsay: it is suspect only because other gateways reported doubts.
+    :param heard_at: when any message last came from the zone, requested or not.
+    :param answered_at: when the zone last answered something that was sent there.
+    :param rounds: rounds of probes sent since it entered its state.
     :param trial_at: when calls may try it, while it is closed.
-    :param closed_s: how long it stays closed, the next time.
+    :param closed_s: how long it stays closed the next time.
     """
 
     state: PathState = PathState.OPEN
@@ -92,46 +91,46 @@
     paths: dict[str, ZonePath] = field(default_factory=dict)
 
     def path(self, zone: str) -> ZonePath:
-        """Return the path to a zone; one that is new is open."""
+        """Return the path to a zone; the path to a new zone is open."""
         return self.paths.setdefault(zone, ZonePath())
 
     def is_closed(self, zone: str) -> bool:
-        """Tell whether calls to a zone would only hang."""
+        """Return whether the path to a zone is closed, so that calls would only hang."""
         path = self.paths.get(zone)
         return path is not None and path.state is PathState.CLOSED
 
     @property
     def closed(self) -> tuple[str, ...]:
-        """Return the zones to which calls would only hang."""
+        """Return the zones whose path is closed."""
         return tuple(zone for zone in self.paths if self.is_closed(zone))
 
     @property
     def lost(self) -> tuple[str, ...]:
-        """Return the zones that are out of reach as far as known."""
+        """Return the zones that are considered unreachable: path closed or on trial."""
         return tuple(zone for zone, path in self.paths.items() if path.state in LOST)
 
     @property
     def doubtful(self) -> tuple[str, ...]:
-        """Return the zones to which the path is not open."""
+        """Return the zones whose path is not open."""
         return tuple(z for z, path in self.paths.items() if path.state is not PathState.OPEN)
 
     @property
     def told_doubts(self) -> tuple[str, ...]:
-        """Return the zones that others are told to be in doubt: by what was seen here.
+        """Return the doubtful zones to report to peers: those that this gateway itself doubts.
 
-        Were doubts told on that were only heard of, they would keep themselves alive wherever an
-        answer takes longer than the pause between two digests: six of them, of 113 gateways whose
-        datagrams took 0.1 to 0.3 s, still made each send 11 questions a second 8 s later (virtual
-        time).
+        Doubts received from peers are not forwarded: they would keep each other alive wherever an
+        answer takes longer than the interval between two digests.  Six forwarded doubts in a
+        simulated fleet of 113 gateways whose datagrams took 0.1 to 0.3 s still made each gateway
+        send 11 probes a second 8 s later.
         """
         return tuple(zone for zone in self.doubtful if not self.paths[zone].by_hearsay)
 
     def heard(self, zone: str, now: float) -> None:
-        """Note that something came from a zone; whether it hears this gateway is not known."""
+        """Record a message from a zone; it does not show that the zone receives messages."""
         self.path(zone).heard_at = now
 
     def answered(self, zone: str, now: float) -> bool:
-        """Note an answer from a zone; tell whether that brings back one that was lost."""
+        """Record an answer from a zone; return whether the zone was unreachable until now."""
         path = self.path(zone)
         path.heard_at = now
         path.answered_at = now
@@ -142,12 +141,14 @@
         return was_lost
 
     def doubt(self, zone: str, sent_at: float, now: float, *, by_hearsay: bool = False) -> bool:
-        """Note that what was sent has no answer yet; tell whether that makes the path suspect.
+        """Record that a call or message has no answer yet; return whether the state changed.
 
-        It does not where anything else from the zone was answered since.  Only own calls end a
-        trial: others, who have the path closed, tell of it in each digest.
+        An open path becomes suspect and a trial ends, unless the zone has answered anything since.
+        Only this gateway's own calls end a trial: peers whose path is closed report their doubt in
+        each digest.
 
-        :param by_hearsay: another gateway sent it.
+        :param sent_at: when the unanswered call or message was sent.
+        :param by_hearsay: the doubt was reported by another gateway.
         """
         path = self.path(zone)
         if path.answered_at >= sent_at:
@@ -162,7 +163,7 @@
         return True
 
     def doubt_silent(self, others: tuple[str, ...], now: float) -> bool:
-        """Make the paths to all zones suspect if nothing came from any; tell whether that is so."""
+        """Make all open paths suspect if no zone sent anything; return whether any changed."""
         paths = [self.path(zone) for zone in others]
         if not paths or max(path.heard_at for path in paths) > now - SILENT_AFTER_S:
             return False
@@ -174,13 +175,13 @@
         return found
 
     def note_round(self, zone: str) -> None:
-        """Note questions to gateways of a zone."""
+        """Count a round of probes to gateways of a zone."""
         self.path(zone).rounds += 1
 
     def review(self, zone: str, now: float) -> bool:
-        """Close a path whose questions stayed unanswered, or let calls try one that is closed.
+        """Close a path whose probes stayed unanswered, or let calls try one that is closed.
 
-        Tells whether the state changed.
+        :return: whether the state changed.
         """
         path = self.path(zone)
         if path.state is PathState.SUSPECT:
--- a/tinrudder/gateway/decisions/placement/__init__.py
+++ b/tinrudder/gateway/decisions/placement/__init__.py
@@ -1,1 +1,1 @@
-"""Rules on where a request runs: its route, its coordinator, the zone and back end of a call."""
+"""Rules that decide where a request runs: route, coordinator, zone and back end of each call."""
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -1,23 +1,23 @@
-"""How promising is a back end for the next call?
+"""What is the expected cost of the next call to a back end?
 
-Own observations come first: running calls, how long answers took relative to their route, and
-signs that the back end stands still or is gone. Reports of its load, own or told by others, add
-its queue.
+The gateway's own observations come first: calls in flight, latencies relative to the usual latency
+of the route, and signs that the back end is stalled or gone. Load reports, received directly or
+from other gateways, add the queue.
 
-Inputs: calls and answers of this gateway, reports of load with their age; moments in monotonic
-seconds. Latencies count for 4 s, reports of a queue for 0.8 s, reported slowdowns for 0.5 s, all
-fading.
+Inputs: this gateway's calls and their answers, and load reports with their age; times in monotonic
+seconds. Latencies count for 4 s, reported queues for 0.8 s and reported slowdowns for 0.5 s, with
+linearly falling weight.
 
-Answer: the cost of a call, in usual latencies of its route; lower is better. And the wait for a
-slot, seconds.
+Answer: the cost of a call, as a multiple of its route's usual latency (lower is better), and the
+expected wait for a slot in seconds.
 
-Owns: the observations of one start of one back end; they end with it.
+Owns: the observations of one process of one back end; a restarted process gets new ones.
 
 Shown by: log line ``call_lost`` for a call that was lost; metrics ``tinrudder_gateway_broken`` and
 ``tinrudder_gateway_rejections``.
 
-When an input is missing or old: a back end of which nothing is known costs as much as a usual one
-without a queue.
+When an input is missing or old: a back end without observations costs as much as one with the
+usual latency and no queue.
 """
 
 from __future__ import annotations
@@ -27,65 +27,64 @@
 from msgspec import Struct, field
 
 LATENCY_GAIN = 0.25
-"""Weight of one answer in a back end's relative latency, a choice: a few slow ones in a row show,
-and a single one counts for a quarter."""
+"""Weight of the latest answer in the moving average of a back end's relative latency: several slow
+answers in a row raise it clearly, a single one counts for a quarter."""
 LATENCY_MEMORY_S = 4.0
-"""How long the latest answer says something of the next call, seconds.  With 0.6 s a third fewer
-calls crossed zones, but patient requests lost 0.004 of their worth where replicas were slow for
-seconds (0.9945 in place of 0.9984)."""
+"""Time after which the latest answer no longer predicts the next call, seconds.  With 0.6 s a third
+fewer calls crossed zones, but the score of non-urgent requests was 0.004 lower where replicas were
+slow for seconds (0.9945 instead of 0.9984)."""
 MAX_RELATIVE_LATENCY = 12.0
-"""Most that one answer counts, in usual latencies, a choice: a single long pause must not outweigh
-everything that was seen before."""
+"""Upper bound of one answer's relative latency, so that a single long pause does not outweigh all
+earlier observations."""
 STALLED_AFTER = 2.5
-"""Age of a call, in usual latencies, from which its back end may stand still, a choice: above the
-latency of nearly all calls, and still early enough for the next call to go elsewhere."""
+"""Age of a call, as a multiple of the usual latency, above which its back end is considered
+stalled: above the latency of nearly all calls, but early enough to send the next call elsewhere."""
 STALLED_PENALTY = 6.0
-"""What that adds to the cost of a call, in usual latencies, a choice: more than another zone may
-cost (``zone_preference.LARGEST_ADVANTAGE``), so that the others go first wherever they are."""
+"""Cost added for a stalled back end, as a multiple of the usual latency.  Larger than the greatest
+handicap of another zone (``zone_preference.LARGEST_ADVANTAGE``), so that replicas in any zone are
+preferred to a stalled one."""
 SUSPECT_FIRST_S = 0.3
-"""For how long others go first after a failure, seconds, a choice; twice as long after each further
-one, as long as no answer comes between."""
+"""For how long a back end is suspect after its first failure, seconds; the time doubles with each
+further failure without an answer in between."""
 SUSPECT_MAX_S = 2.0
-"""The longest such pause, seconds, a choice: a back end that is well again gets calls soon."""
+"""Upper bound of that time, seconds, so that a recovered back end soon gets calls again."""
 SUSPECT_PENALTY = 20.0
-"""What that adds to the cost, in usual latencies, a choice: more than a slow answer and standing
-still make together, so that it is asked last."""
+"""Cost added for a suspect back end, as a multiple of the usual latency.  Larger than a slow answer
+(:data:`MAX_RELATIVE_LATENCY`) and :data:`STALLED_PENALTY` together, so that it is tried last."""
 COLD_FACTOR = 1.6
-"""By how much a call costs more at a back end that has just started, a choice: it works slower, and
-gets calls all the same where others are slower still."""
+"""Factor on the cost of a call to a cold back end: it is slower, but still gets calls where the
+other replicas are slower yet."""
 BACKLOG_LIFETIME_S = 0.8
-"""How long a report says something of the queue, seconds, a choice: it fades to nothing over this
-time, in which queues fill or empty."""
+"""Time over which the weight of a reported queue falls to zero, seconds: within it queues fill or
+empty."""
 SLOWDOWN_LIFETIME_S = 0.5
-"""How long a reported slowdown says something of the next call, seconds; its weight falls to
-nothing over this time. Chosen, not measured: back ends report another one several times a
-second."""
+"""Time over which the weight of a reported slowdown falls to zero, seconds: back ends report a new
+one several times a second."""
 TYPICAL_SLOWDOWN_GAIN = 0.1
-"""Weight of one report in what is typical of a back end. Chosen, not measured: momentary ones, a
-few in a hundred, hardly move it."""
+"""Weight of one report in a back end's typical slowdown: momentary slowdowns, a few in a hundred
+reports, hardly change it."""
 
 WORK_GAIN = 0.1
-"""Weight of one answer in how long calls hold a slot, a choice: times of work spread by half of
-their mean, and a mean of some ten of them is within a fifth of the true one."""
+"""Weight of one call in the mean service time: service times spread by half of their mean, so a
+mean over about ten of them is within a fifth of the true one."""
 FULL_QUEUE = 2.0
-"""What a back end that sheds holds at least, in calls for each slot, where it has not reported
-more, a choice: one that runs and one that waits."""
+"""Calls per slot that a back end is assumed to hold when it sheds load, unless it has reported
+more: one running and one waiting."""
 QUEUE_MEMORY_S = 2.0
-"""How long after its newest report of a queue a back end may still have it, seconds, a choice: with
-113 gateways, one hears of each of four back ends under load four times a second."""
+"""For how long after a report of a queue a back end may still have it, seconds: with 113 gateways,
+each gateway receives four reports a second on each of four back ends under load."""
 FULL_FOR_S = 10.0
-"""How long a back end's latest shed tells how many calls it queues, seconds, a choice: longer than
-it takes to fill its queue again, and it may have been a moment of its own."""
+"""For how long the backlog at a back end's latest shed is taken as its queue limit, seconds: longer
+than the queue takes to fill again, but limited, since that backlog may have been exceptional."""
 
 MOST_SENT = 256
-"""Moments of calls that are remembered until the next report, a choice: many times what a back end
-queues."""
+"""Maximum number of send times kept until the next report: many times what a back end queues."""
 
 
 class RunningCall(Struct, eq=False):
-    """A call that was sent and has not ended.
+    """A call in flight.
 
-    :param usual_s: how long calls of its route usually take.
+    :param usual_s: usual latency of calls of its route.
     """
 
     sent_at: float
@@ -93,16 +92,17 @@
 
 
 class BackendObservations(Struct, eq=False):
-    """One back end as seen by this node.
-
-    :param relative_latency: recent latencies over what is usual for their routes, 1 is usual.
-    :param suspect_until: monotonic time until which other back ends go first.
-    :param reported_slowdown: how long work takes there by its latest report, 1 is usual.
-    :param typical_slowdown: the same in the mean of its reports; 0 before the first.
-    :param reported_at: the moment of the newest report, own or told by other gateways.
-    :param most_backlog: the most calls that it has reported at once.
-    :param full_backlog: the calls that it held when it last turned one away, at ``full_at``.
-    :param work_s: how long calls hold a slot there in the mean, by ``work_seen``; 0: not known.
+    """One back end as observed by this gateway.
+
+    :param relative_latency: moving average of latencies divided by their route's usual latency.
+    :param suspect_until: monotonic time until which other back ends are preferred.
+    :param reported_backlog: calls running or waiting there by the newest report.
+    :param reported_slowdown: factor on the duration of work there by its newest report; 1 is usual.
+    :param typical_slowdown: moving average of the reported slowdowns; 0 before the first report.
+    :param reported_at: time of the newest report, received directly or from another gateway.
+    :param most_backlog: the largest backlog that was reported.
+    :param full_backlog: calls that it held when it last shed one, at ``full_at``.
+    :param work_s: mean time that a call holds a slot there, over ``work_seen`` calls; 0: unknown.
     """
 
     slots: int = 1
@@ -122,11 +122,11 @@
     full_at: float = -FULL_FOR_S
     work_s: float = 0.0
     work_seen: int = 0
-    # Moments of calls that the newest report does not count.
+    # Send times of calls that the newest report does not include.
     _sent: deque[float] = field(default_factory=lambda: deque(maxlen=MOST_SENT))
 
     def begin(self, now: float, usual_s: float) -> RunningCall:
-        """Note a call that is sent now."""
+        """Record a call that is sent now."""
         call = RunningCall(now, usual_s)
         self.running.add(call)
         self.sent_since_report += 1
@@ -134,16 +134,17 @@
         return call
 
     def forget(self, call: RunningCall) -> None:
-        """Note that a call was withdrawn and tells nothing."""
+        """Drop a call that was withdrawn; it is no evidence about the back end."""
         self.running.discard(call)
 
     def answered(self, call: RunningCall, now: float) -> None:
-        """Note an answer."""
+        """Record an answer: it ends suspicion and updates the relative latency."""
         self.running.discard(call)
         self.failures = 0
         self.suspect_until = 0.0
         if call.usual_s > 0:
-            # What a report explains passes with it, so it is not learned as the back end's own.
+            # A reported momentary slowdown is divided out: it passes, so it must not be learned as
+            # the back end's lasting latency.
             relative = (now - call.sent_at) / call.usual_s / self.momentary_slowdown(now)
             relative = min(MAX_RELATIVE_LATENCY, relative)
             faded = self._lasting_latency(now)
@@ -151,7 +152,7 @@
             self.latency_at = now
 
     def failed(self, call: RunningCall | None, now: float) -> None:
-        """Note a call that was not answered, or a connection that could not be opened."""
+        """Record a call without an answer, or a connection that could not be opened."""
         if call is not None:
             self.running.discard(call)
         self.failures += 1
@@ -167,13 +168,13 @@
         slowdown: float = 1.0,
         age_s: float = 0.0,
     ) -> bool:
-        """Note what the back end says of its own load, and how long work takes there now.
+        """Record a back end's load report.
 
-        The newest report holds, whoever heard it and in whatever order: then those of other
-        gateways may come late, twice or never.
+        The newest report wins, whichever gateway received it and in whichever order reports
+        arrive. So reports from other gateways may be late, duplicated or lost.
 
-        :param age_s: how old the report is.
-        :return: whether it is newer than what was known.
+        :param age_s: age of the report; 0 if the back end itself has just sent it.
+        :return: whether it is newer than the known one.
         """
         moment = now - age_s
         if moment < self.reported_at or (age_s and moment == self.reported_at):
@@ -195,13 +196,13 @@
         return True
 
     def shed(self, now: float, age_s: float = 0.0, backlog: int = 0) -> bool:
-        """Note that the back end turned a call away, since its queue is as long as it may be.
+        """Record that the back end shed a call because its queue is full.
 
-        One that had no queue a moment ago does so by a fault of its own; that says nothing of its
-        load, and a sole back end must not be given up for it.
+        A back end that had no queue a moment ago sheds because of a fault of its own. That is no
+        evidence of load, and must not close the only back end of a service.
 
-        :param backlog: the calls that it held, if it said so; else they are as many as ever.
-        :return: whether it is full, and this is newer than what was known.
+        :param backlog: calls that it held; 0 if unknown: the largest known backlog is assumed.
+        :return: whether the back end is full and the report is newer than the known one.
         """
         slots = max(1, self.slots)
         if not (self.had_queue(now) or backlog > slots):
@@ -214,27 +215,27 @@
         return self.reported(slots, backlog - slots, slots, now, self.reported_slowdown, age_s)
 
     def had_queue(self, now: float) -> bool:
-        """Tell whether calls waited there by its newest report, which may be a little old."""
+        """Return whether calls waited there by a report within :data:`QUEUE_MEMORY_S`."""
         return self.reported_backlog > self.slots and now - self.reported_at < QUEUE_MEMORY_S
 
     def sheds_above(self, now: float) -> int:
-        """Return how many calls wait where it turns others away; 0: it has not done so lately."""
+        """Return the queue length at which it sheds calls; 0: it has not shed any recently."""
         if now - self.full_at >= FULL_FOR_S:
             return 0
         return max(1, self.full_backlog - self.slots)
 
     def worked(self, seconds: float) -> None:
-        """Note how long a call held a slot, as seen here or by another gateway."""
+        """Record how long a call held a slot, as observed here or by another gateway."""
         self.work_seen += 1
         gain = max(WORK_GAIN, 1.0 / self.work_seen)
         self.work_s += gain * (seconds - self.work_s)
 
     def expected_relative_latency(self, now: float) -> float:
-        """Return how long the next call may run, relative to what is usual for its route."""
+        """Return the expected latency of the next call, relative to its route's usual latency."""
         return self._lasting_latency(now) * self.momentary_slowdown(now)
 
     def momentary_slowdown(self, now: float) -> float:
-        """Return by how much work takes longer there at this moment than it typically does."""
+        """Return the currently reported slowdown relative to the typical one, weighted by age."""
         age = now - self.reported_at
         if age >= SLOWDOWN_LIFETIME_S or not self.typical_slowdown:
             return 1.0
@@ -242,33 +243,33 @@
         return 1.0 + weight * (self.reported_slowdown / self.typical_slowdown - 1.0)
 
     def _lasting_latency(self, now: float) -> float:
-        """Return the relative latency, fading back to the usual when nothing new is seen."""
+        """Return the observed relative latency, which falls back to 1 without new answers."""
         age = now - self.latency_at
         if age >= LATENCY_MEMORY_S:
             return 1.0
         return 1.0 + (1.0 - age / LATENCY_MEMORY_S) * (self.relative_latency - 1.0)
 
     def is_stalled(self, now: float) -> bool:
-        """Tell whether a call has been running for so long that the back end may stand still."""
+        """Return whether a call has been in flight for so long that the back end seems stalled."""
         if not self.running:
             return False
         return any(now - call.sent_at > STALLED_AFTER * call.usual_s for call in self.running)
 
     def is_suspect(self, now: float) -> bool:
-        """Tell whether calls failed lately."""
+        """Return whether the back end is suspect after recent failures."""
         return now < self.suspect_until
 
     def wait_s(self, now: float, service_s: float) -> float:
-        """Return how long a call would wait for a slot, seconds, by the back end's own report.
+        """Return the expected wait for a slot in seconds, from the newest load report.
 
-        :param service_s: how long a call holds a slot.
+        :param service_s: time that a call holds a slot, seconds.
         """
         return self._services_ahead(now) * service_s
 
     def reported_queue(self, now: float) -> float | None:
-        """Return the wait for a slot by the latest report alone, in calls' times.
+        """Return the wait for a slot by the newest report alone, as a multiple of the service time.
 
-        It fades with the report's age; ``None`` where that tells nothing any more.
+        It falls with the report's age; ``None`` if the report is too old.
         """
         age = now - self.reported_at
         if age >= BACKLOG_LIFETIME_S:
@@ -277,7 +278,10 @@
         return max(0, self.reported_backlog - slots) / slots * (1.0 - age / BACKLOG_LIFETIME_S)
 
     def _services_ahead(self, now: float) -> float:
-        """Return the wait for a slot as a multiple of the time that a call holds one."""
+        """Return the wait for a slot as a multiple of the service time.
+
+        Counts the newest report and the calls sent since.
+        """
         age = now - self.reported_at
         if age >= BACKLOG_LIFETIME_S:
             return 0.0
@@ -286,7 +290,7 @@
         return faded / max(1, self.slots)
 
     def cost(self, now: float) -> float:
-        """Return how long a call is expected to take, relative to its route; lower is better."""
+        """Return the expected duration of a call as a multiple of its route's usual latency."""
         slots = max(1, self.slots)
         queued = max(0, len(self.running) + 1 - slots) / slots
         queued = max(queued, self._services_ahead(now))
--- a/tinrudder/gateway/decisions/placement/cold_start_rate.py
+++ b/tinrudder/gateway/decisions/placement/cold_start_rate.py
@@ -1,21 +1,22 @@
 """How many calls may this gateway send to a back end that has just started?
 
-A cold back end bears few requests a second and falls over well above that. Gateways share no
-counter, so each one has a part of the rate: whole calls, divided by place among the gateways that
-call the back end. Where all see the same gateways the parts add up to the rate and never to more;
-a gateway without a part sends its calls to other replicas.
+A cold back end can run few requests a second and fails well above that rate. Gateways share no
+counter, so the rate is divided among the gateways that call the back end: each gets a whole number
+of calls a second, and rendezvous hashing assigns the remainder. Where all gateways have the same
+list of callers, the parts add up to the divided rate and never exceed it; a gateway without a part
+sends its calls to other replicas.
 
 Inputs: the rate of the deployment (calls a second from all gateways), the gateways that call the
 back end as this one sees them, and the calls it has sent in the last second.
 
-Answer: whether a call may leave now.
+Answer: whether a call may be sent now.
 
-Owns: the moments of this gateway's latest calls to one cold back end.
+Owns: the send times of this gateway's latest calls to one cold back end.
 
 Shown by: log line ``request`` with a detail that says that every back end left is cold.
 
-When an input is missing or old: without a rate in the configuration any number of calls may leave;
-a gateway that is not among the callers sends none.
+When an input is missing or old: without a rate in the configuration calls are not limited; a
+gateway that is not among the callers sends none.
 """
 
 from __future__ import annotations
@@ -28,18 +29,18 @@
 from tinrudder.common.rendezvous import rendezvous_score
 
 WINDOW_S = 1.1
-"""Calls sent within this time, seconds, may arrive within one second: a bound, since paths differ
-by less than 0.1 s."""
+"""Sliding window in which sent calls are counted, seconds.  Calls sent within it may arrive within
+one second, since path latencies differ by less than 0.1 s."""
 RATE_SHARE = 0.8
-"""Part of the rate that is divided. Chosen, not measured: the rest is for gateways that do not
-know of each other yet, and for calls that the process before this one has just sent."""
+"""Part of the rate that is divided among gateways.  The rest is headroom for gateways that do not
+know of each other yet, and for calls that the previous process has just sent."""
 
 
 class Callers(Struct, frozen=True):
-    """The gateways that call the back ends of a service, as one of them sees it.
+    """The gateways that call the back ends of a service, as one of them sees them.
 
-    :param names: of those that are known.
-    :param count: how many there seem to be: just after a start more than are known.
+    :param names: names of the known ones.
+    :param count: estimated number of callers; just after a start it exceeds the known ones.
     """
 
     names: Collection[str]
@@ -49,8 +50,8 @@
 def own_part(rate: float, own: str, callers: Callers, backend_id: str) -> int:
     """Return how many calls one gateway may send to a cold back end in a second.
 
-    :param rate: what all gateways together may send in any second.
-    :param own: the gateway's name; one that is not among the callers has no part.
+    :param rate: calls that all gateways together may send in any second.
+    :param own: the gateway's name; a gateway that is not among the callers has no part.
 
     >>> callers = Callers(("a", "b", "c"), count=3)
     >>> [own_part(10.0, name, callers, "back-end") for name in ("a", "b", "c", "d")]
@@ -71,11 +72,11 @@
     _sent: deque[float] = field(default_factory=deque)
 
     def may_send(self, now: float, part: int) -> bool:
-        """Tell whether a call may leave now without exceeding ``part`` in any second."""
+        """Return whether a call may be sent now without exceeding ``part`` in any second."""
         while self._sent and self._sent[0] <= now - WINDOW_S:
             self._sent.popleft()
         return len(self._sent) < part
 
     def note_sent(self, now: float) -> None:
-        """Count a call that leaves."""
+        """Count a call that is sent now."""
         self._sent.append(now)
--- a/tinrudder/gateway/decisions/placement/coordinator_choice.py
+++ b/tinrudder/gateway/decisions/placement/coordinator_choice.py
@@ -1,23 +1,23 @@
-"""Which gateways run the scatters of an index, and which read the store for all?
+"""Which gateways coordinate the scatters of an index, and which read the store for all gateways?
 
-A back end takes a limited number of connections. While there are few gateways each calls the back
-ends itself. Beyond that a few coordinators in every zone do, and the others hand their scatters to
-one of them: connections stay warm, and each coordinator sees enough of every back end to judge it.
-Views that differ for a while cost connections, never an answer: whoever is asked serves.
+A back end accepts a limited number of connections. In a small fleet each gateway calls the back
+ends itself. In a larger one a few coordinators in every zone do, and the other gateways forward
+their scatters to one of them: connections stay warm, and each coordinator gets enough answers from
+every back end to estimate its latency. While gateways disagree about the coordinators, more
+connections are opened, but no answer is lost: any gateway that is asked serves the scatter.
 
-Inputs: the gateways heard within the last 15 s with zone and capacity (processor cores), the
-replicas of a shard and the connections that a back end accepts.
+Inputs: the gateways heard from within the last 15 s with zone and capacity (processor cores), the
+number of replicas of a shard, and the connections that a back end accepts.
 
-Answer: how many coordinators there should be, who they are, and in which order a gateway asks
-them.
+Answer: the number of coordinators, the coordinators, and the order in which a gateway asks them.
 
 Owns: nothing; it is a function of its inputs.
 
 Shown by: log line ``coordination_changed``; metrics ``tinrudder_gateway_relayed``,
 ``tinrudder_gateway_coordinated`` and ``tinrudder_gateway_nodes``.
 
-When an input is missing or old: a gateway that hears no other calls the back ends itself, and so
-does one whose coordinators do not take a scatter.
+When an input is missing or old: a gateway that hears from no other calls the back ends itself, and
+so does one whose coordinators do not accept a scatter.
 """
 
 from __future__ import annotations
@@ -31,33 +31,32 @@
 from tinrudder.common.rendezvous import weighted_score
 
 CONNECTION_SAFETY = 0.9
-"""Part of a back end's connections that gateways divide. Chosen, not measured: the rest is for
+"""Part of a back end's connections that is divided among gateways.  The rest is headroom for
 gateways that do not know of each other yet, and for connections that are closing."""
 LEAST_CONNECTIONS_A_SHARD = 4.0
-"""Connections to one shard's back ends that each gateway must have for all of them to call these.
-Chosen, not measured: two to each of two replicas, one to work on and one for a hedge. 8 gateways
-and 2 x 26 connections have 5.9, 64 and 3 x 54 have 2.3 (arithmetic)."""
+"""Connections to one shard's back ends that every gateway must get for all gateways to call them:
+two to each of two replicas, one for a call and one for a hedge.  8 gateways get 5.9 of 2 x 26
+connections each, 64 gateways 2.3 of 3 x 54."""
 WANTED_CONNECTIONS_A_SHARD = 24.0
-"""Connections to one shard's back ends that are left to each coordinator. Chosen, not measured: 64
-gateways with 3 x 54 connections a shard get six coordinators, two in each of three zones."""
+"""Connections to one shard's back ends for each coordinator: 64 gateways with 3 x 54 connections a
+shard get six coordinators, two in each of three zones."""
 FEWEST_IN_A_ZONE = 2
-"""Coordinators in each zone at least: one may fail and another still serves. Chosen, not
-measured."""
+"""Minimum number of coordinators in each zone: if one fails, another still serves."""
 CAPACITY_EXPONENT = 6.0
-"""Power of the capacity by which a gateway is preferred. Chosen, not measured: a machine of half a
-core takes about 30 ms for the burst of a scatter over 90 shards and one of two cores 7 ms, so the
-strong ones come first nearly always, and indexes still spread over equal ones."""
+"""Exponent that turns a gateway's capacity into its rendezvous weight.  A machine with half a core
+takes about 30 ms for the burst of a scatter over 90 shards, one with two cores 7 ms; so strong
+machines are nearly always ranked first, while indexes still spread over equal ones."""
 STRONG_SHARE = 0.5
-"""Part of the strongest one's capacity from which on a gateway counts as strong.  A scatter over
-135 shards is a burst of 15 ms of work: gateways with a quarter of the strongest ones' capacity sent
-answers that lacked 4 to 7.5 shards in the mean, strong ones in the same seconds 0.4 to 2.6."""
+"""Part of the strongest candidate's capacity from which a gateway counts as strong.  A scatter over
+135 shards is a burst of 15 ms of work: answers of gateways with a quarter of the strongest capacity
+lacked 4 to 7.5 shards on average, those of strong ones in the same seconds 0.4 to 2.6."""
 
 
 class Candidate(Struct, frozen=True):
-    """A gateway that may coordinate.
+    """A gateway that can be chosen as a coordinator.
 
     :param name: its address.
-    :param capacity: processor cores, as a measure of what it can carry.
+    :param capacity: its processor cores.
     """
 
     name: str
@@ -66,10 +65,10 @@
 
 
 class IndexDemand(Struct, frozen=True):
-    """The back ends of an index.
+    """Replication and connection limit of an index's back ends.
 
-    :param replicas: back ends of one shard.
-    :param max_connections: what one back end accepts from all gateways together.
+    :param replicas: number of back ends of one shard.
+    :param max_connections: connections that one back end accepts from all gateways together.
     """
 
     replicas: int
@@ -77,7 +76,7 @@
 
     @property
     def connections(self) -> float:
-        """Return how many connections one shard's back ends take from all gateways together."""
+        """Return how many connections to one shard's back ends all gateways may divide."""
         return CONNECTION_SAFETY * self.max_connections * self.replicas
 
 
@@ -98,11 +97,11 @@
 ) -> tuple[Candidate, ...]:
     """Choose coordinators by weighted rendezvous hashing, equally many in every zone.
 
-    Machines with more capacity are preferred strongly: a scatter is a burst of work, which a
-    slow processor turns into latency.
+    Machines with more capacity are strongly preferred: a scatter is a burst of work, which takes
+    long on a slow processor.
 
-    :param index: tells indexes apart, so that they spread over the gateways.
-    :param count: how many in all; rounded up to a multiple of the zones, at least two in each.
+    :param index: hash key; different indexes are spread over the gateways.
+    :param count: total number, rounded up to a multiple of the zones; at least two in each zone.
 
     >>> pair = [Candidate("a", "z1", 2.0), Candidate("b", "z2", 2.0)]
     >>> len(choose_coordinators("index", pair, count=1))
@@ -114,10 +113,10 @@
 
 
 def choose_readers(role: str, candidates: Iterable[Candidate], most: int) -> tuple[Candidate, ...]:
-    """Choose gateways for work that a few do for all, equally many in every zone.
+    """Choose gateways that do some work on behalf of all, equally many in every zone.
 
-    :param role: tells roles apart, so that they fall on different gateways.
-    :param most: how many in all, rounded down to a multiple of the zones, but one in each.
+    :param role: hash key; different roles fall on different gateways.
+    :param most: maximum total, rounded down to a multiple of the zones; at least one in each zone.
 
     >>> three_zones = [Candidate(f"{zone}{i}", zone, 1.0) for zone in "abc" for i in range(5)]
     >>> len(choose_readers("reader", three_zones, most=8))
@@ -128,7 +127,7 @@
 
 
 def _by_zone(candidates: Iterable[Candidate]) -> dict[str, list[Candidate]]:
-    """Sort candidates into their zones."""
+    """Group candidates by zone."""
     by_zone: defaultdict[str, list[Candidate]] = defaultdict(list)
     for candidate in candidates:
         by_zone[candidate.zone].append(candidate)
@@ -138,7 +137,7 @@
 def _first_in_each_zone(
     name: str, by_zone: dict[str, list[Candidate]], each: int
 ) -> tuple[Candidate, ...]:
-    """Return the best few candidates of every zone."""
+    """Return the ``each`` highest-ranked candidates of every zone."""
     chosen: list[Candidate] = []
     for zone in sorted(by_zone):
         ranked = sorted(by_zone[zone], key=lambda one: _rank(name, one), reverse=True)
@@ -151,8 +150,9 @@
 ) -> tuple[Candidate, ...]:
     """Return the coordinators in the order in which one gateway asks them.
 
-    Its own zone first, there the strong ones.  Among these every gateway has its favourite, so
-    that it keeps one connection; favourites spread by capacity.
+    Coordinators in its own zone come first, and strong ones before weak ones.  Among equals each
+    gateway always ranks the same one first, so that it needs one connection; rendezvous hashing
+    weighted by capacity spreads gateways over the coordinators.
     """
     members = tuple(coordinators)
     strong = frozenset(
@@ -167,7 +167,7 @@
 
 
 def strong_ones(candidates: Iterable[Candidate]) -> tuple[Candidate, ...]:
-    """Return the candidates that are not much weaker than the strongest of them.
+    """Return the candidates with at least ``STRONG_SHARE`` of the strongest one's capacity.
 
     >>> one, other = Candidate("a", "z", 2.0), Candidate("b", "z", 0.5)
     >>> strong_ones([one, other]) == (one,), strong_ones([other]) == (other,)
--- a/tinrudder/gateway/decisions/placement/route_table.py
+++ b/tinrudder/gateway/decisions/placement/route_table.py
@@ -5,16 +5,16 @@
 Inputs: the host in lower case without a port, and the path of the target; the routes of the
 configuration in force.
 
-Answer: the route, or none.
+Answer: the route, or ``None``.
 
-Owns: an index of the routes, built anew for each configuration; a look-up costs one dictionary
+Owns: an index of the routes, rebuilt for each configuration; a look-up costs at most one dictionary
 access for each slash in the path.
 
-Shown by: log line ``request``, field ``route``; without a route it ends as UnknownRoute, or as
-NotRun where a newer configuration could be in force elsewhere.
+Shown by: log line ``request``, field ``route``; a request without a route ends as UnknownRoute, or
+as NotRun where a newer configuration could be in force elsewhere.
 
 When an input is missing or old: before the first configuration every request is refused as not
-run; an old configuration is used as long as the bound on staleness allows.
+run; an old configuration is used within the staleness bound.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 class RoutedPath(Protocol):
-    """What a route must tell to be found."""
+    """The attributes by which a route is looked up."""
 
     @property
     def host(self) -> str:
@@ -34,7 +34,7 @@
 
     @property
     def path_prefix(self) -> str:
-        """Return the prefix, which begins and ends with a slash."""
+        """Return the path prefix, which begins and ends with a slash."""
 
 
 RouteType = TypeVar("RouteType", bound=RoutedPath)
@@ -43,7 +43,7 @@
 class RouteTable(Generic[RouteType]):
     """An immutable index over routes.
 
-    Cost: one dictionary look-up for each slash in the path, however many routes there are.
+    Cost: at most one dictionary look-up for each slash in the path, for any number of routes.
     """
 
     def __init__(self, routes: Iterable[RouteType]) -> None:
@@ -54,7 +54,7 @@
     def find(self, host: str, path: str) -> RouteType | None:
         """Return the route with the longest matching prefix.
 
-        :param host: as in the request, in lower case and without a port.
+        :param host: host of the request, in lower case and without a port.
         """
         if host not in self._hosts:
             return None
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -1,23 +1,22 @@
-"""Which shards of a scatter are asked by a gateway in another zone, beside their replicas?
+"""Which shards of a scatter are delegated to a gateway in the zone of their replicas?
 
-What crosses from one zone to another is paid for. A gateway that asks shards without a replica in
-its zone fetches every part from elsewhere. Handed to a gateway beside the replicas, one request
-and one merged answer cross instead.
+Traffic between zones is paid for. A gateway that asks shards without a replica in its own zone
+fetches each shard's answer from another zone. If it delegates these shards to a gateway in the
+replicas' zone, only one request and one merged answer cross.
 
-Inputs: the zones of each shard's replicas, the sizes of parts and merged answers as observed
-(bytes), the route's latencies, and the time left and the time of the path to the other gateway
-(seconds).
+Inputs: the zones of each shard's replicas, the observed sizes of shard answers and merged answers
+(bytes), the route's latencies, the time left and the round trip to the other gateway (seconds).
 
-Answer: groups of shards, each with the zones that serve it equally well; the rest is asked from
-here.
+Answer: groups of shards, each with the zones that serve it equally well; this gateway asks the
+remaining shards itself.
 
 Owns: nothing; it is a function of its inputs.
 
 Shown by: metrics ``tinrudder_gateway_delegated`` and ``tinrudder_gateway_delegations_run_here``;
 field ``handed_over`` of log line ``coordination_changed``.
 
-When an input is missing or old: sizes that were never seen count as 0 bytes, so that many shards
-must be handed over to pay; a path that was never seen counts as 8 ms.
+When an input is missing or old: unknown sizes count as 0 bytes, so that delegation is worthwhile
+only for many shards; an unknown round trip counts as 8 ms.
 """
 
 from __future__ import annotations
@@ -29,29 +28,29 @@
 from tinrudder.common.latency_window import LatencyWindow
 
 CALL_OVERHEAD_BYTES = 400.0
-"""Heads of one call and of its answer, bytes. Chosen, not measured: heads are not counted while
-running."""
+"""Estimated headers of one call and of its answer, bytes: header sizes are not recorded at run
+time."""
 HANDOVER_BYTES = 700.0
-"""A request handed over, the words that it was taken, and the answer without what it holds, bytes.
-Chosen, not measured."""
+"""Estimated overhead of one delegation, bytes: the request, the acknowledgement, and the answer
+without its content."""
 STAMP_BYTES = 48.0
-"""A shard's name in the request and its part's signature in the answer, bytes. Chosen, not
-measured."""
+"""Estimated overhead of each delegated shard, bytes: its name in the request and the signature of
+its part in the answer."""
 LEAST_GAIN = 2.0
-"""How many times fewer bytes must cross where shards are handed over. Chosen, not measured: that
-also costs a hop and another gateway."""
+"""Factor by which delegation must reduce the bytes between zones: it also costs one more hop and
+the work of another gateway."""
 MOST_LATE_BY_PATH = 0.25
-"""Part of the calls that may be late for having been handed over, before second calls, which bring
-most of it back.  A choice between the two ends seen on a small fleet with little processor time: a
-path that takes 23 of 48 ms makes about half of the calls late; 0.1 and 0.25 had 173 and 175 of 200
-urgent answers in time (trials, three seeds of two deployments)."""
+"""Maximum increase in the share of late calls due to delegation, not counting hedges, which
+compensate for most of it.  On a small fleet with little processor time, a path that takes 23 of
+48 ms makes about half of the calls late; with 0.1 and 0.25, 173 and 175 of 200 urgent answers were
+in time (three seeds of two deployments)."""
 
 
 class ScatterSizes(Struct, frozen=True):
-    """How large the bodies of an index's answers have been, bytes; 0 where none was seen.
+    """Observed body sizes of an index's answers, bytes; 0 where none was seen.
 
-    :param part: of one shard's answer.
-    :param merged: of the merged answer, or of a merged part of it.
+    :param part: size of one shard's answer.
+    :param merged: size of the merged answer, or of a merged part of it.
     """
 
     part: float = 0.0
@@ -59,14 +58,14 @@
 
 
 class ShardGroup(Struct, frozen=True):
-    """Shards that are handed over together, and the zones that serve them equally well."""
+    """Shards that are delegated together, and the zones that serve them equally well."""
 
     shards: tuple[str, ...]
     zones: frozenset[str]
 
 
 def pays_to_hand_over(shards: int, sizes: ScatterSizes) -> bool:
-    """Tell whether handing shards over lets so much less cross that it is worth a hop.
+    """Return whether delegating a number of shards saves enough bytes between zones.
 
     >>> pays_to_hand_over(7, ScatterSizes(part=1000.0, merged=800.0))
     True
@@ -79,14 +78,14 @@
 
 
 def leaves_time(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
-    """Tell whether calls are about as often in time behind another gateway as sent from here.
+    """Return whether delegated calls are in time about as often as calls sent from this gateway.
 
-    Load: urgent scatters, and gateways that are busy or have little processor time.  The path to
-    one of them and back takes what calls beside the replicas would need.
+    Matters for urgent scatters, and where gateways are busy or have little processor time: the
+    round trip to such a gateway uses up time that the calls beside the replicas need.
 
-    :param latency: how long calls of the route take, from here.
-    :param left_s: the time until the answer leaves.
-    :param path_s: what is left of it for the way to the other gateway and back.
+    :param latency: latencies of the route's calls from this gateway.
+    :param left_s: time until the answer must be sent.
+    :param path_s: the part of that time taken by the round trip to the other gateway.
 
     >>> window = LatencyWindow()
     >>> for latency_ms in range(100):
@@ -104,13 +103,13 @@
     replica_zones: Mapping[str, Collection[str]],
     sizes: ScatterSizes,
 ) -> tuple[ShardGroup, ...]:
-    """Return the groups of shards to hand over; the rest is asked from here.
+    """Return the groups of shards to delegate; this gateway asks the remaining shards itself.
 
-    The zone with replicas of the most such shards comes first, together with all others that have
-    replicas of just the same ones.
+    The zone with replicas of the most remote shards comes first, grouped with all zones that have
+    replicas of exactly the same shards.
 
-    :param zones: the zones in which gateways would take shards.
-    :param replica_zones: for each shard the zones of its replicas.
+    :param zones: zones with gateways that accept delegated shards.
+    :param replica_zones: the zones of each shard's replicas.
 
     >>> replicas = {f"s{i}": ("a", "b") for i in range(5)} | {"s5": ("c",)}
     >>> [(len(group.shards), sorted(group.zones))
--- a/tinrudder/gateway/decisions/placement/weighted_rotation.py
+++ b/tinrudder/gateway/decisions/placement/weighted_rotation.py
@@ -1,17 +1,17 @@
 """Which of several services of a route gets the next request?
 
-Requests are divided by weight, as evenly as the weights allow: random choice would stray over
-short spans. It is smooth weighted round robin.
+Smooth weighted round robin divides requests by weight as evenly as the weights allow; random choice
+would deviate from the shares over short periods.
 
-Inputs: the weights of the route's services; a first turn by chance, so that gateways differ.
+Inputs: the weights of the route's services; a random first turn, so that gateways differ.
 
-Answer: the name whose turn it is.
+Answer: the name of the next service.
 
-Owns: the credit of each choice, for as long as the configuration is in force.
+Owns: the credit of each service while the configuration is in force.
 
-Shown by: log line ``request``, field ``route``; the share of a service shows in its back ends.
+Shown by: log line ``request``, field ``route``; the share of a service is visible at its back ends.
 
-When an input is missing or old: a choice without weight gets nothing.
+When an input is missing or old: a service without weight gets no requests.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 class WeightedRotation:
     """Smooth weighted round robin: after any number of requests each choice is near its share.
 
-    When to use: where shares must hold over short spans; random choice would stray.
+    When to use: where shares must hold over short periods, in which random choice would deviate.
 
     >>> rotation = WeightedRotation({"a": 2.0, "b": 1.0})
     >>> [rotation.next() for _ in range(6)]
@@ -30,8 +30,9 @@
     """
 
     def __init__(self, weights: Mapping[str, float], first: int = 0) -> None:
-        """Rotate over the names; ``first`` turns are skipped, so that nodes differ.
+        """Rotate over the names of positive weight.
 
+        :param first: turns to skip, so that gateways start at different places.
         :raises ValueError: no weight is above zero.
         """
         self._weights = {name: weight for name, weight in weights.items() if weight > 0}
@@ -43,7 +44,7 @@
             self.next()
 
     def next(self) -> str:
-        """Return the name whose turn it is."""
+        """Return the name of the next choice."""
         for name, weight in self._weights.items():
             self._credit[name] += weight
         chosen = max(self._credit, key=self._credit.__getitem__)
--- a/tinrudder/gateway/decisions/placement/zone_preference.py
+++ b/tinrudder/gateway/decisions/placement/zone_preference.py
@@ -1,49 +1,48 @@
-"""How much longer may a replica in the own zone take before one in another zone gets the call?
+"""How much faster must a replica in another zone be to get a call instead of a local one?
 
-Bytes between zones are paid for; time within the objective is not. So the local replica is chosen
-while it is expected to answer so much before the objective that a call hedged beside it would
-still be in time. The longer calls take, the less room there is, and the zone yields. It also
-yields to a local replica that has been slow: each of its calls would be hedged, so bytes would
-cross all the same, and the budget of hedges would be gone when a replica stands still.
+Traffic between zones is paid for; time within the latency objective is not. So a local replica is
+preferred as long as it is expected to answer early enough for a hedge to still meet the objective.
+The longer calls take, the less time remains for a hedge, and the smaller the preference. A local
+replica that has been slow gets no preference: nearly each of its calls would be hedged, so traffic
+would cross zones anyway, and the hedge budget would be used up when a replica stalls.
 
-Inputs: the usual time of a call, the age at which one is hedged, and the objective, all in
-seconds; a replica's expected latency in usual ones.
+Inputs: the usual latency of a call, the hedge delay and the objective, all in seconds; a replica's
+expected latency relative to the usual one.
 
-Answer: the advantage that a replica elsewhere must have, in usual latencies.
+Answer: by how much a remote replica must be faster, as a multiple of the usual latency.
 
 Owns: nothing; it is a function of its inputs.
 
-Shown by: nothing by itself; the zone of a lost call shows in log line ``zone_path``.
+Shown by: nothing of its own; log line ``zone_path`` names the zone of a lost call.
 
-When an input is missing or old: before latencies are known the usual time is guessed from the
-objective.
+When an input is missing or old: before latencies are known, the usual latency is estimated from
+the objective.
 """
 
 from __future__ import annotations
 
 LEAST_ADVANTAGE = 0.35
-"""What a replica elsewhere must be faster by in any case, in usual latencies: the longer path. The
-mean worth of 13 simulated days on two sites was 0.7867 and 0.8541 with it, 0.7864 and 0.8537 with
-0.15: no difference beyond noise."""
+"""Minimum advantage of a remote replica, as a multiple of the usual latency: compensates for the
+longer path.  The mean score of 13 simulated days on two sites was 0.7867 and 0.8541, with 0.15
+instead 0.7864 and 0.8537: no difference beyond noise."""
 LARGEST_ADVANTAGE = 5.0
-"""The most that a replica elsewhere must be faster by, in usual latencies. Chosen, not measured:
-it must stay below ``STALLED_PENALTY``, since no zone is worth waiting for a replica that stands
-still."""
+"""Maximum advantage that a remote replica needs, as a multiple of the usual latency.  Must stay
+below ``STALLED_PENALTY``: a stalled local replica must not be preferred to a remote one."""
 ROOM_SHARE = 0.85
 """Part of the objective within which a hedged call must end, since answers also have to be merged.
-On three simulated days the mean worth was 0.8417, with 1.0 in its place 0.8401."""
+On three simulated days the mean score was 0.8417, with 1.0 instead 0.8401."""
 SLOW = 2.6
-"""Expected latency of a replica, in usual ones, that a single stall does not bring about. On two
-sites the mean worth of simulated days was 0.8678 and 0.9199, with 1.9 in its place 0.8679 and
-0.9177, without the rule 0.8640 and 0.9193."""
+"""Expected latency above which a replica counts as slow, as a multiple of the usual latency; a
+single stall does not reach it.  The mean score of simulated days on two sites was 0.8678 and
+0.9199, with 1.9 instead 0.8679 and 0.9177, without the rule 0.8640 and 0.9193."""
 
 
 def zone_advantage(usual_s: float, hedge_delay_s: float, objective_s: float) -> float:
-    """Return by how many usual latencies a replica elsewhere must be expected sooner.
+    """Return by how much a remote replica must be faster, as a multiple of the usual latency.
 
-    :param usual_s: how long a call of the route usually takes.
-    :param hedge_delay_s: after what time a call is hedged.
-    :param objective_s: the time within which an answer is worth most.
+    :param usual_s: usual latency of the route's calls.
+    :param hedge_delay_s: age at which a call is hedged.
+    :param objective_s: latency objective of the route.
 
     >>> round(zone_advantage(usual_s=0.04, hedge_delay_s=0.076, objective_s=0.18), 6)
     1.925
@@ -55,9 +54,9 @@
 
 
 def is_slow(expected_relative_latency: float) -> bool:
-    """Tell whether calls to a replica would mostly be hedged.
+    """Return whether most calls to a replica would be hedged.
 
-    :param expected_relative_latency: without queues, in usual latencies.
+    :param expected_relative_latency: without queueing, as a multiple of the usual latency.
 
     >>> is_slow(1.4), is_slow(3.2)
     (False, True)
--- a/tinrudder/gateway/model/__init__.py
+++ b/tinrudder/gateway/model/__init__.py
@@ -1,1 +1,1 @@
-"""Typed values that all rooms of a gateway pass: configuration, HTTP messages, outcomes."""
+"""Types shared by all packages of a gateway: configuration, HTTP messages, outcomes."""
--- a/tinrudder/gateway/model/configuration.py
+++ b/tinrudder/gateway/model/configuration.py
@@ -1,7 +1,7 @@
-"""What a gateway is configured with, in the product's own terms.
+"""Configuration types of a gateway, independent of the operator's platform.
 
-Owns the types alone.  An adapter (``tinrudder.platform``) makes these values from whatever an
-operator's platform stores, and checks them.
+Owns the types alone.  An adapter (``tinrudder.platform``) builds and validates these values from
+what the operator's platform stores.
 """
 
 from __future__ import annotations
@@ -14,25 +14,25 @@
 
 
 class WeightedService(Struct, frozen=True):
-    """A service and its part of a route's requests."""
+    """A service and its weight among the services of a route."""
 
     service: str
     weight: float = 1.0
 
 
 class Route(Struct, frozen=True):
-    """Which requests go where, and how they are treated.
+    """Assigns requests by host and path to services or shards, with their processing options.
 
     :param path_prefix: begins and ends with a slash.
     :param repeatable: whether a request may run more than once.
-    :param timeout_s: the longest time a request is held.
-    :param objective_s: the time within which an answer is worth most.
-    :param attempts: the most back ends that one request may be sent to, for each shard.
+    :param timeout_s: maximum time that a request is held.
+    :param objective_s: latency objective, within which an answer has its full value.
+    :param attempts: maximum number of back ends that one request may be sent to, for each shard.
     :param priority: 0 is the most urgent.
-    :param services: where requests go, by weight; empty for a scatter.
+    :param services: weighted services that requests are sent to; empty for a scatter.
     :param shards: the services that a scatter asks, each one a shard; empty otherwise.
     :param top_records: how many of the greatest records a scatter returns.
-    :param minimum_share: the least share of the shards that makes an answer.
+    :param minimum_share: minimum share of the shards that an answer must cover.
     :param public: whether requests are served without a key.
     """
 
@@ -52,11 +52,11 @@
 
 
 class Tenant(Struct, frozen=True):
-    """Somebody on whose behalf requests come.
+    """A tenant that sends requests.
 
-    :param key_digests: of its keys, see :mod:`tinrudder.gateway.requests.api_keys`.
-    :param priority: goes before that of a route; ``None``: the route's holds.
-    :param rate_per_s: requests a second that all gateways together admit; 0: any number.
+    :param key_digests: digests of its keys, see :mod:`tinrudder.gateway.requests.api_keys`.
+    :param priority: overrides the priority of the route; ``None``: the route's priority applies.
+    :param rate_per_s: requests a second that all gateways together admit; 0: unlimited.
     :param burst: requests on top of the rate.
     """
 
@@ -68,10 +68,10 @@
 
 
 class ServiceSpec(Struct, frozen=True):
-    """A service.
+    """Limits of a service's back ends.
 
-    :param max_connections: what one of its back ends accepts from all gateways together.
-    :param cold_calls_per_s: what one of them bears while it is cold; 0: no less than when warm.
+    :param max_connections: connections that one back end accepts from all gateways together.
+    :param cold_calls_per_s: calls a second that one can run while cold; 0: as many as when warm.
     """
 
     name: str
@@ -80,7 +80,7 @@
 
 
 class ClientLimits(Struct, frozen=True):
-    """What a client may send, bytes, and how long it may take or rest, seconds."""
+    """Maximum sizes of a client's request, bytes, and its timeouts, seconds."""
 
     max_header_bytes: int = 16_384
     max_body_bytes: int = 262_144
@@ -91,7 +91,7 @@
 class GatewayConfiguration(Struct, frozen=True):
     """One complete configuration.
 
-    :param tenants: where there are any, requests carry the key of one.
+    :param tenants: if there are any, requests must carry the key of one.
     """
 
     version: int
@@ -104,11 +104,11 @@
 class BackendEntry(Struct, frozen=True):
     """A back end as it describes itself.
 
-    :param backend_id: its id, which a back end that starts again may keep.
-    :param slots: requests that it works on at the same time.
-    :param leaving: it has announced its end and takes no new work.
-    :param cold_left_s: how much longer it stays slow.
-    :param started_ms: when its process started, Unix milliseconds; 0 if it does not say.
+    :param backend_id: its id, which it may keep when it restarts.
+    :param slots: requests that it runs concurrently.
+    :param leaving: it has announced its shutdown and accepts no new requests.
+    :param cold_left_s: remaining time of its cold start.
+    :param started_ms: when its process started, Unix milliseconds; 0 if unknown.
     """
 
     backend_id: str
@@ -123,11 +123,11 @@
 
     @property
     def life(self) -> str:
-        """Return what names this start of the back end, as its id alone does not."""
+        """Return an identity of this process of the back end; a restart may keep the id alone."""
         return f"{self.backend_id}@{self.started_ms}"
 
     def is_same_start(self, other: BackendEntry) -> bool:
-        """Tell whether both entries are of one process that serves the same at one address."""
+        """Return whether both entries describe the same process, address and service."""
         return (self.started_ms, self.host, self.port, self.service) == (
             other.started_ms,
             other.host,
@@ -136,22 +136,22 @@
         )
 
     def started_before(self, other: BackendEntry) -> bool:
-        """Tell whether this is an older start than ``other``; one that says no time is not."""
+        """Return whether this process started before ``other``; false if its start is unknown."""
         return 0 < self.started_ms < other.started_ms
 
 
 class HeaderNames(Struct, frozen=True):
-    """Names of the headers that gateways, clients and back ends agree on, in lower case.
+    """Names of the headers used between clients, gateways and back ends, in lower case.
 
-    :param request_id: given by the client, echoed by the back end.
-    :param deadline_ms: how long the sender will wait, milliseconds.
+    :param request_id: set by the client, echoed by the back end.
+    :param deadline_ms: time that the sender will wait, milliseconds.
     :param stamp: a back end's signature of its answer.
-    :param expected_backend: the id of the only back end that may run the request.
-    :param load: running, waiting and slots of a back end.
-    :param not_run: a back end's word that it did not run the request.
+    :param expected_backend: id of the only back end that may run the request.
+    :param load: running requests, waiting requests and slots of a back end.
+    :param not_run: set by a back end that did not run the request.
     :param parts: signatures of the parts of a merged answer.
-    :param missing_parts: how many shards a merged answer lacks.
-    :param tenant: the name of the tenant on whose behalf a back end is asked.
+    :param missing_parts: number of shards that a merged answer lacks.
+    :param tenant: name of the tenant for which a back end is called.
     """
 
     request_id: bytes
@@ -166,10 +166,10 @@
 
 
 class RepeatBounds(Struct, frozen=True):
-    """How many calls beyond the first of each request a service may get from all gateways.
+    """Limit of retries and hedges that a service may get from all gateways together.
 
-    :param ratio: part of the requests for the service.
-    :param extra: calls on top, in every window.
+    :param ratio: maximum ratio of such calls to the requests for the service.
+    :param extra: calls on top in every window.
     :param window_s: length of the sliding window, seconds.
     """
 
@@ -179,9 +179,9 @@
 
 
 class ColdBounds(Struct, frozen=True):
-    """How far all gateways together may exceed what a cold back end bears, in any second.
+    """Limit of the calls that a cold back end may get from all gateways in any second.
 
-    :param factor: times its :attr:`ServiceSpec.cold_calls_per_s`.
+    :param factor: multiple of its :attr:`ServiceSpec.cold_calls_per_s`.
     :param extra: calls on top.
     """
 
@@ -189,15 +189,15 @@
     extra: float = 0.0
 
     def rate(self, cold_calls_per_s: float) -> float:
-        """Return how many calls a cold back end may get in any second."""
+        """Return the maximum number of calls to a cold back end in any second."""
         return cold_calls_per_s * self.factor + self.extra
 
 
 class QuotaBounds(Struct, frozen=True):
-    """How far all gateways together may exceed a tenant's limit, in any window.
+    """Margin by which all gateways together may exceed a tenant's limit in any window.
 
     :param window_s: length of the sliding window, seconds.
-    :param excess: part of the limit on top.
+    :param excess: margin as a part of the limit.
     :param slack: requests on top of that.
     """
 
@@ -209,18 +209,19 @@
 class GatewaySettings(Struct, frozen=True):
     """Settings of one gateway process.
 
-    :param name: of the machine.
-    :param clients: where clients connect; ``health``: where readiness is asked.
-    :param peers: where other gateways reach this one, TCP and UDP; ``None``: it has no peers.
-    :param seeds: peer addresses of some gateways, perhaps stale.
-    :param store: the platform's metadata store.
-    :param capacity: processor cores that this machine gives to the process.
-    :param memory_mb: what the process may take, megabytes; ``None``: nothing is said of it.
-    :param change_in_force_s: within this time of its confirmation a change must be in force.
+    :param name: name of the machine.
+    :param clients: listen address for clients.
+    :param health: listen address for readiness checks.
+    :param peers: listen address for other gateways, TCP and UDP; ``None``: it has no peers.
+    :param seeds: peer addresses of some gateways; may be stale.
+    :param store: address of the platform's metadata store.
+    :param capacity: processor cores available to the process.
+    :param memory_mb: memory available to the process, megabytes; ``None``: unknown.
+    :param change_in_force_s: time from a change's confirmation until it must be in force.
     :param drain_s: how long a leaving back end still serves.
     :param stop_grace_s: time between the request to stop and the forced end.
-    :param revocation_s: after this time no request with an ended key may begin, whatever this
-        gateway can hear; ``None``: an ended key stops working as any change comes into force.
+    :param revocation_s: maximum time until a revoked key is rejected, even if this gateway is cut
+        off from the store and its peers; ``None``: a revocation takes effect like any change.
     """
 
     name: str
@@ -242,4 +243,4 @@
 
 
 class SettingsFileError(Exception):
-    """The settings break a rule; the text names the field and the rule."""
+    """The settings are invalid; the message names the field and the rule."""
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -1,6 +1,6 @@
-"""Requests and answers as bytes, and the tagged outcomes of one call to a back end.
+"""HTTP requests and answers as bytes, and the tagged outcomes of one call to a back end.
 
-Owns the types alone; bodies are held by whoever holds the message.
+Owns the types alone; each message holds its body.
 """
 
 from __future__ import annotations
@@ -43,7 +43,7 @@
 
 
 def end_to_end_headers(headers: Headers, left_out: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the headers that do not concern one connection only.
+    """Return the end-to-end headers, without the hop-by-hop ones and those in ``left_out``.
 
     >>> end_to_end_headers(((b"connection", b"x-hop"), (b"x-hop", b"1"), (b"x-end", b"2")))
     ((b'x-end', b'2'),)
@@ -57,7 +57,7 @@
 
 
 class HttpRequest(Struct, frozen=True):
-    """A whole request as a client sent it; header names are in lower case.
+    """A complete request as a client sent it; header names are in lower case.
 
     :param target: path and query, unaltered.
     """
@@ -75,7 +75,7 @@
 
 
 class HttpAnswer(Struct, frozen=True):
-    """A whole answer; header names are in lower case."""
+    """A complete answer; header names are in lower case."""
 
     status: int
     reason: bytes
@@ -84,18 +84,18 @@
 
     @property
     def successful(self) -> bool:
-        """Tell whether the status is a 2xx."""
+        """Return whether the status is 2xx."""
         return 200 <= self.status < 300
 
 
 class LoadReport(Struct, frozen=True):
-    """What a back end says of its own load.
+    """A back end's report of its own load.
 
     :param running: requests that hold a slot.
-    :param waiting: requests that wait for one.
-    :param slots: requests that it runs at the same time.
-    :param slowdown: how long work takes there at this moment, 1 is usual; back ends share their
-        machines with others, so this changes within half a second.
+    :param waiting: requests that wait for a slot.
+    :param slots: requests that it runs concurrently.
+    :param slowdown: current factor on the duration of work, 1 is usual; back ends share their
+        machines with others, so it changes within half a second.
     """
 
     running: int
@@ -106,17 +106,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Answered:
-    """The back end ran the call and this is its whole answer, a failure of its own included."""
+    """The back end ran the call; its complete answer, which may report a failure."""
 
     answer: HttpAnswer
 
 
 @dataclass(frozen=True, slots=True)
 class Rejected:
-    """The back end says that it did not run the call.
+    """The back end answered that it did not run the call.
 
-    :param wrong_backend: another back end has the address now.
-    :param load: its load report, if the answer has one.
+    :param wrong_backend: another back end now has the address.
+    :param load: its encoded load report, if the answer has one.
     """
 
     status: int
@@ -126,9 +126,9 @@
 
 @dataclass(frozen=True, slots=True)
 class NotSent:
-    """No byte of the call left this process.
+    """No byte of the call was sent.
 
-    :param refused: nobody listens at the back end's address: its process has ended.
+    :param refused: the connection was refused, so the back end's process has ended.
     """
 
     detail: str = ""
@@ -137,17 +137,17 @@
 
 @dataclass(frozen=True, slots=True)
 class Withdrawn:
-    """The sender took the call back before any byte left; nothing is known of the back end."""
+    """The caller cancelled the call before any byte was sent; no evidence about the back end."""
 
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Bytes may have left and no usable answer came: the back end may have run the call.
+    """Bytes may have been sent and no usable answer came: the back end may have run the call.
 
-    :param unanswered: the connection ended before a byte of the answer came, as it does when the
-        back end's process ends; the back end had been sent the whole request.
-    :param stood_still: this gateway did not read for so long that the other side may have ended the
-        connection for that; it says nothing of the back end nor of the request.
+    :param unanswered: the whole request was sent, and the connection ended before the first byte of
+        the answer, as it does when the back end's process ends.
+    :param stood_still: this gateway was paused for so long that the back end may have closed the
+        connection for that reason; no evidence about the back end or the request.
     """
 
     detail: str = ""
@@ -160,7 +160,7 @@
 
 
 def _nobody_listens(outcome: CallOutcome) -> None:
-    """Take no notice: the call has ended."""
+    """Ignore the outcome: the call has ended."""
 
 
 def _nothing_leaves() -> bytes | None:
@@ -169,16 +169,18 @@
 
 
 class UpstreamCall(Struct, eq=False):
-    """One call on its way to a back end.
+    """One call to a back end, queued or in flight.
 
-    :param make_bytes: gives the request's bytes at the moment they leave, since the deadline that
-        is handed on shrinks; ``None`` withdraws the call.
-    :param body_expected: whether an answer may have a body.
+    :param make_bytes: returns the request's bytes when they are sent, since the remaining time that
+        they carry shrinks; ``None`` withdraws the call.
+    :param listener: called once with the outcome.
     :param deadline: monotonic time after which the answer is of no use.
-    :param repeatable: another may be sent if this one gets no answer; one that may not is sent
-        only over a connection that has just been heard.
-    :param body_bytes: size of a body that must find room at the back end; 0: it is too small.
-    :param sent_at: monotonic time at which bytes left, ``None`` before.
+    :param body_expected: whether an answer may have a body.
+    :param repeatable: whether the call may be sent again if it gets no answer; if not, it is sent
+        only over a connection on which data has just been received.
+    :param body_bytes: size of a body that counts against the limit of body bytes in transit to the
+        back end; 0: too small to count.
+    :param sent_at: monotonic time at which bytes were sent, ``None`` before.
     """
 
     make_bytes: Callable[[], bytes | None]
@@ -193,7 +195,7 @@
     carrier: object = None
 
     def finish(self, outcome: CallOutcome) -> None:
-        """Report the outcome, once."""
+        """Report the outcome; later calls have no effect."""
         if self.finished:
             return
         listener = self.listener
@@ -201,7 +203,7 @@
         listener(outcome)
 
     def forget(self) -> None:
-        """Report nothing any more; let go of those who made the call, who know it too."""
+        """Report no outcome, and drop references to the caller, which also refers to this call."""
         self.finished = True
         self.carrier = None
         self.listener = _nobody_listens
--- a/tinrudder/gateway/model/outcomes.py
+++ b/tinrudder/gateway/model/outcomes.py
@@ -1,6 +1,6 @@
-"""Tagged outcomes of a whole request, and the one table from them to statuses.
+"""Tagged outcomes of a whole request, and their mapping to HTTP statuses.
 
-Owns no state and relies on no other part: runs, peers, logs and clients' answers all use these.
+Owns no state; used by runs, peers, logs and clients' answers.
 
 A status 408, 421, 429 or 503 promises that the request has not run and never will; 502 and 504
 promise nothing.
@@ -12,16 +12,16 @@
 
 from tinrudder.gateway.model.http_messages import Headers, HttpAnswer
 
-# HTTP statuses (RFC 9110 and 6585), and what a gateway says by each.
+# HTTP statuses (RFC 9110 and 6585), and when a gateway sends each.
 STATUS_BAD_REQUEST = 400  # the request breaks a rule of the protocol
 STATUS_UNAUTHORIZED = 401  # no tenant has the key
 STATUS_NOT_FOUND = 404  # no route
-STATUS_TIMEOUT = 408  # the request did not come whole in time
+STATUS_TIMEOUT = 408  # the request was not received completely in time
 STATUS_BODY_TOO_LARGE = 413  # a limit of the configuration
 STATUS_TOO_MANY_REQUESTS = 429  # over the tenant's quota
 STATUS_HEADER_TOO_LARGE = 431  # a limit of the configuration
 STATUS_BAD_GATEWAY = 502  # a back end may have run it; no usable answer
-STATUS_UNAVAILABLE = 503  # not run; Retry-After says when to come back
+STATUS_UNAVAILABLE = 503  # not run; Retry-After says when to retry
 STATUS_GATEWAY_TIMEOUT = 504  # a back end may have run it; no answer in time
 REASONS = {
     200: b"OK",
@@ -40,14 +40,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Relayed:
-    """A back end's own answer, unaltered."""
+    """A back end's answer, unaltered."""
 
     answer: HttpAnswer
 
 
 @dataclass(frozen=True, slots=True)
 class Merged:
-    """Parts of one configuration's shards, merged."""
+    """The merged answers of the shards of one configuration.
+
+    :param stamps: the back ends' signatures of the merged parts.
+    :param missing: number of shards without an answer.
+    """
 
     body: bytes
     stamps: tuple[bytes, ...]
@@ -58,7 +62,7 @@
 class NotRun:
     """No back end ran any part of the request, and none will.
 
-    :param retry_after_s: when asking again is worth it.
+    :param retry_after_s: delay after which a retry may succeed.
     """
 
     detail: str
@@ -67,9 +71,9 @@
 
 @dataclass(frozen=True, slots=True)
 class OverQuota:
-    """The tenant has had what its limit allows; nothing of the request has run, and nothing will.
+    """The tenant has reached its limit; no part of the request has run, and none will.
 
-    :param retry_after_s: when the tenant may ask again, its other callers counted.
+    :param retry_after_s: delay for this caller, spread over the tenant's refused callers.
     """
 
     detail: str
@@ -78,16 +82,16 @@
 
 @dataclass(frozen=True, slots=True)
 class Unauthorized:
-    """No tenant has the key, by a configuration that is new enough to know."""
+    """No tenant has the key in a configuration that is recent enough to decide it."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class UnknownRoute:
-    """No route of the configuration in force leads anywhere.
+    """No route of the configuration in force matches the request.
 
-    :param detail: how far the gateway may rely on that configuration.
+    :param detail: how current that configuration is known to be.
     """
 
     detail: str = ""
@@ -130,7 +134,7 @@
 
 @dataclass(frozen=True, slots=True)
 class FinalAnswer:
-    """What a client is sent."""
+    """The answer sent to a client."""
 
     status: int
     reason: bytes
@@ -139,7 +143,7 @@
 
 
 def status_of(outcome: RequestOutcome) -> int:
-    """Return the status that states an outcome truthfully.
+    """Return the HTTP status of an outcome.
 
     >>> status_of(NotRun("", 0.1)), status_of(NoAnswer("")), status_of(TimedOut(""))
     (503, 502, 504)
--- a/tinrudder/gateway/quotas/__init__.py
+++ b/tinrudder/gateway/quotas/__init__.py
@@ -1,5 +1,5 @@
-"""Tenants' limits over all gateways: who keeps a tenant's token bucket, and what entries ask it.
+"""Tenants' limits over all gateways: the choice of a token bucket's owner, and reports to owners.
 
-Owns the buckets that fall to this gateway and the reports under way; the rule of the buckets is in
-``decisions``, the datagrams are those of ``peers``.
+Owns the buckets assigned to this gateway and the reports in flight; the token bucket rule is in
+``decisions``, the datagrams are in ``peers``.
 """
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -1,7 +1,7 @@
-"""The side of tenants' limits that a gateway carries for the whole fleet: the tenants' buckets.
+"""Answers reports on the tenants whose token bucket this gateway owns.
 
-Owns the token buckets that fall to this gateway; relies on the rule of token buckets, on the
-datagrams between gateways, and on the zone monitor for the part of the fleet that it hears.
+Owns the token buckets assigned to this gateway; relies on the token bucket rule, on the datagrams
+between gateways, and on the zone monitor for the share of the fleet that is reachable.
 """
 
 from __future__ import annotations
@@ -23,17 +23,19 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 TOLD_AGAIN_S = 1.0
-"""How often everybody is told that a tenant is pressed: half as long as a word lasts."""
+"""Minimum interval between broadcasts that a tenant is near its limit, seconds: half of their
+validity."""
 TO_EVERYBODY = 0
-"""Number of a word that answers no report."""
+"""Report number of a broadcast verdict, which answers no report."""
 ALONE_SHARE = 0.49
-"""Of the fleet, for whoever hears no owner: less than half, or it would grant the whole rate."""
+"""Maximum share of the fleet assumed by a gateway that no owner answers: a share above half would
+grant the whole rate."""
 
 
 class BucketOwner:
-    """Answers entries' reports, and tells everybody of a tenant that is near its limit.
+    """Answers reports of entry gateways, and broadcasts which tenants are near their limit.
 
-    :ivar buckets: of the tenants whose bucket this gateway owns.
+    :ivar buckets: the token buckets that this gateway owns.
     """
 
     def __init__(
@@ -44,7 +46,10 @@
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
     ) -> None:
-        """Find tenants, by their names, in the configuration in force."""
+        """Register for reports.
+
+        :param find_tenant: returns a tenant of the configuration in force by its name.
+        """
         self._peers = peers
         self._zone_monitor = zone_monitor
         self._datagrams = datagrams
@@ -52,7 +57,7 @@
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
         self.buckets = TokenBuckets(self._loop.time())
-        # Where no owner answers.  Apart, since what other entries ask for here is not to suffer.
+        # Used where no owner answers.  Separate, so that it takes no tokens from other entries.
         self._alone = TokenBuckets(self._loop.time())
         self._told_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
@@ -66,24 +71,27 @@
         return verdict
 
     def judge_alone(self, report: QuotaReport) -> QuotaVerdict:
-        """Answer an own report as one of many that hear no owner."""
+        """Answer this gateway's own report while no owner answers.
+
+        Other gateways may do the same, so each grants only its share of the rate.
+        """
         nodes = self._peers.nodes(self._loop.time())
         share = part_of_rate(min(1.0 / nodes, ALONE_SHARE), self._bounds.excess)
         return self._grant(self._alone, report, share)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
-        """Drop what belongs to tenants that no configuration names any more."""
+        """Drop idle buckets, and the broadcasts on tenants that are no longer configured."""
         self._told_at = {name: at for name, at in self._told_at.items() if name in tenants}
         now = self._loop.time()
         self.buckets.forget_idle(now)
         self._alone.forget_idle(now)
 
     def _on_report(self, report: QuotaReport, entry: Address) -> None:
-        """Answer an entry."""
+        """Send the verdict on a report to its entry gateway."""
         self._datagrams.send(self.judge(report), entry)
 
     def _grant(self, buckets: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
-        """Draw on a tenant's bucket."""
+        """Take tokens from a tenant's bucket; a tenant without a limit is always granted."""
         tenant = self._find_tenant(report.tenant)
         if tenant is None or tenant.rate_per_s <= 0.0:
             return QuotaVerdict(report.number, report.tenant)
@@ -110,7 +118,7 @@
         )
 
     def _tell_everybody(self, verdict: QuotaVerdict) -> None:
-        """Say that a tenant is pressed, unless that was said a moment ago."""
+        """Broadcast that a tenant is near its limit, at most once in :data:`TOLD_AGAIN_S`."""
         now = self._loop.time()
         tenant, pressed_s = verdict.tenant, verdict.pressed_s
         if now - self._told_at.get(tenant, float("-inf")) < TOLD_AGAIN_S:
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -1,6 +1,6 @@
-"""Which gateway keeps a tenant's bucket, as one gateway sees it.
+"""Chooses the gateway that owns a tenant's token bucket, from this gateway's view of the fleet.
 
-Owns a short memory of choices and of owners that did not answer; relies on the list of peers.
+Owns a short-lived cache of choices and the owners that did not answer; relies on the peer list.
 """
 
 from __future__ import annotations
@@ -15,14 +15,14 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 AVOIDED_S = 3.0
-"""How long an owner that did not answer is passed over: one that stood still is not asked each
-time, and one that has come back is found again."""
+"""How long an owner that did not answer is avoided, seconds: a paused gateway is not asked for each
+request, and a recovered one is soon used again."""
 KEPT_S = 0.5
-"""How long a choice is remembered; ranking 730 gateways takes 0.3 ms."""
+"""How long a choice is cached, seconds: ranking 730 gateways takes 0.3 ms."""
 
 
 class _Choice(Struct, frozen=True):
-    """The owner of a tenant's bucket, as chosen at a moment."""
+    """The chosen owner of a tenant's bucket, and when it was chosen."""
 
     owner: Address
     chosen_at: float
@@ -31,8 +31,8 @@
 class BucketOwnerChoice(Struct):
     """Ranks the live gateways by rendezvous hashing of the tenant's name.
 
-    Views of two gateways may differ for seconds: then a bucket has two owners, which is one of the
-    things that the margin above its limit is for.
+    The views of two gateways may differ for seconds: then a bucket has two owners.  The margin
+    above the tenant's limit allows for that.
     """
 
     own: Address
@@ -43,7 +43,7 @@
     _avoided: dict[Address, float] = field(default_factory=dict)
 
     def owner_of(self, tenant: str) -> Address:
-        """Return the gateway that keeps a tenant's bucket."""
+        """Return the gateway that owns a tenant's bucket."""
         now = self.clock()
         known = self._chosen.get(tenant)
         if known is None or now - known.chosen_at >= KEPT_S:
@@ -52,16 +52,16 @@
         return known.owner
 
     def failed(self, owner: Address) -> None:
-        """Pass over an owner that did not answer, for a while."""
+        """Avoid an owner that did not answer, for :data:`AVOIDED_S`."""
         self._avoided[owner] = self.clock() + AVOIDED_S
         self._chosen = {name: one for name, one in self._chosen.items() if one.owner != owner}
 
     def forget_unused(self, tenants: Set[str]) -> None:
-        """Drop what belongs to tenants that no configuration names any more."""
+        """Drop the state of tenants that are no longer configured."""
         self._chosen = {name: one for name, one in self._chosen.items() if name in tenants}
 
     def _choose(self, tenant: str, now: float) -> Address:
-        """Return the first of the live gateways that can be reached, this one included."""
+        """Return the highest-ranked live gateway that can be reached, this one included."""
         willing = [
             member.address
             for member in self.peers.candidates(now)
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -1,10 +1,10 @@
-"""Holds tenants to their limits over all gateways: entries report to owners, which keep buckets.
+"""Enforces tenants' limits over all gateways: entry gateways report to the owners of token buckets.
 
-Requests of a tenant that keeps well within its limit run at once and are reported behind; only
-while its bucket is nearly empty do entries ask first.  See docs/design/quotas.md.
+Requests of a tenant that is well within its limit run at once and are reported afterwards; only
+while its bucket is nearly empty do entry gateways ask its owner first.  See docs/design/quotas.md.
 
-Owns the reports under way and what was decided for each tenant; relies on the choice of each
-bucket's owner, and on the owner to grant.
+Owns the reports in flight and the counts of decisions for each tenant; relies on the choice of each
+bucket's owner, and on the owner to grant requests.
 """
 
 from __future__ import annotations
@@ -29,32 +29,36 @@
 from tinrudder.gateway.quotas.bucket_owner_choice import BucketOwnerChoice
 
 REPORT_PAUSE_S = 0.02
-"""How long requests of a tenant are gathered for one report: at seven times a limit of a thousand a
-second, 140 requests, which the margin of such a limit holds ten times over."""
+"""Batching interval of reports, seconds: at seven times a limit of a thousand a second, one report
+covers 140 requests; the margin above such a limit is ten times that."""
 ANSWER_WITHIN_S = 0.08
-"""How long an owner's answer is waited for: 25 round trips of 3 ms, or a scatter's burst of work on
-a slow machine twice."""
+"""Timeout of a report, seconds: 25 round trips of 3 ms, or twice a scatter's burst of work on a
+slow machine."""
 OWNERS_TRIED = 3
-"""One that failed, and one that failed with it."""
+"""Maximum number of owners asked for one report: one may have failed, and a second with it."""
 RETRY_UNKNOWN_S = 0.3
-"""When to come back where no owner answers: it is found anew or avoided by then."""
+"""Retry delay given to clients while no owner answers, seconds: by then an owner that answers is
+found, or the silent one is avoided."""
 
 MOST_UNHEARD = 3
-"""Requests of a tenant that an entry admits before the owner of its bucket has answered, at least.
-Chosen, not measured: a client's first few run at once, and the margin above a limit holds them."""
+"""Requests of a tenant that an entry gateway may always admit without an acknowledgement of the
+bucket's owner: a client's first few run at once, and the margin above a limit covers them."""
 UNHEARD_S = 0.05
-"""Seconds of a tenant's rate that an entry admits before the owner has answered, if that is more:
-two reports and their answers.  A process that stood still finds what its clients sent meanwhile all
-at once: 21 were admitted in 0.03 s, of 50 in 5 s."""
+"""The same in seconds of the tenant's rate, where that is more: two reports and their answers.  A
+process that resumes after a pause receives all requests sent meanwhile at once: 21 were admitted in
+0.03 s, where 50 are allowed in 5 s."""
 OWN_NUMBER = 1
-"""Number of reports of a gateway to itself, which are answered on the spot."""
+"""Report number of a gateway's reports to itself, which are answered synchronously."""
 
 Refusal = OverQuota | NotRun
 Decision = Callable[[Refusal | None], None]
 
 
 class TenantCounts(Struct):
-    """What was decided here on one tenant's requests."""
+    """Counts of this gateway's decisions on one tenant's requests.
+
+    :param unknown: refused because no owner of the bucket answered.
+    """
 
     asked: int = 0
     admitted: int = 0
@@ -63,9 +67,11 @@
 
 
 class _Pending(Struct, eq=False):
-    """A report without an answer.
+    """A report that is not answered yet.
 
-    :param decide: waits for the word on one more request; ``None`` for a mere report.
+    :param admitted: requests admitted since the previous report.
+    :param decide: takes the decision on one more request; ``None`` if the report asks for none.
+    :param tried: owners asked so far.
     """
 
     tenant: Tenant
@@ -78,17 +84,17 @@
 
 
 class _Told(Struct, frozen=True):
-    """What an owner said that a tenant's bucket held, and when that was heard."""
+    """Tokens in a tenant's bucket by an owner's latest verdict, and when it was received."""
 
     tokens: float
     at: float
 
 
 class Quotas:
-    """The entry's side of tenants' limits.
+    """Enforces tenants' limits on the requests that enter at this gateway.
 
-    :ivar bucket_owner: the other side, of the tenants whose bucket this gateway owns.
-    :ivar counts: by tenant, of those that the configuration names.
+    :ivar bucket_owner: answers reports on the tenants whose bucket this gateway owns.
+    :ivar counts: decisions by the name of each configured tenant.
     """
 
     def __init__(
@@ -100,7 +106,10 @@
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
     ) -> None:
-        """Find tenants, by their names, in the configuration in force."""
+        """Start without reports, and register for owners' verdicts.
+
+        :param find_tenant: returns a tenant of the configuration in force by its name.
+        """
         self.counts: dict[str, TenantCounts] = {}
         self._own = own
         self.bucket_owner = BucketOwner(peers, zone_monitor, datagrams, bounds, find_tenant)
@@ -115,15 +124,15 @@
         self._told: dict[str, _Told] = {}
         self._pending: dict[int, _Pending] = {}
         self._unreported: Counter[str] = Counter()
-        # Admitted and reported, and not answered yet.
+        # Requests admitted and reported, but not acknowledged by an owner yet.
         self._unheard: Counter[str] = Counter()
         self._reporting: asyncio.TimerHandle | None = None
         datagrams.handle(QuotaVerdict, self._on_verdict)
 
     def admit(self, tenant: Tenant, decide: Decision) -> None:
-        """Decide on one request, at once or after an answer of the bucket's owner.
+        """Decide on one request, at once or when the bucket's owner has answered.
 
-        ``decide`` is told why it may not run, or ``None``.
+        :param decide: called with the reason why the request may not run, or ``None``.
         """
         counts = self.counts.setdefault(tenant.name, TenantCounts())
         counts.asked += 1
@@ -138,25 +147,25 @@
             decide(None)
 
     def _is_ahead(self, tenant: Tenant) -> bool:
-        """Tell whether so much was admitted that the owner must be heard first."""
+        """Return whether too many admitted requests are not yet acknowledged by the owner."""
         ahead = self._unreported[tenant.name] + self._unheard[tenant.name]
         return ahead >= max(MOST_UNHEARD, tenant.rate_per_s * UNHEARD_S)
 
     def give_back(self, tenant: Tenant) -> None:
-        """Note that a request which was admitted has not run and never will."""
+        """Return the token of an admitted request that has not run and never will."""
         if tenant.rate_per_s > 0.0:
             self._note(tenant.name, -1)
 
     def is_pressed(self, tenant: str) -> bool:
-        """Tell whether the owner of the tenant's bucket must be asked first."""
+        """Return whether the tenant is near its limit, so that the owner must be asked first."""
         return self._loop.time() < self._pressed_until.get(tenant, 0.0)
 
     def owner_of(self, tenant: str) -> Address:
-        """Return the gateway that keeps a tenant's bucket, as seen from here."""
+        """Return the gateway that owns a tenant's bucket in this gateway's view."""
         return self._choice.owner_of(tenant)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
-        """Drop what belongs to tenants that no configuration names any more."""
+        """Drop the state of tenants that are no longer configured."""
         for kept in (self.counts, self._pressed_until, self._told):
             for name in kept.keys() - tenants:
                 del kept[name]
@@ -164,7 +173,7 @@
         self.bucket_owner.forget_unused(tenants)
 
     def _counted(self, counts: TenantCounts, decide: Decision) -> Decision:
-        """Return a decision that is counted as well."""
+        """Wrap ``decide`` so that each decision is counted."""
 
         def decided(refusal: Refusal | None) -> None:
             counts.admitted += refusal is None
@@ -175,13 +184,13 @@
         return decided
 
     def _note(self, tenant: str, admitted: int) -> None:
-        """Gather what the next report says."""
+        """Add admitted requests to the next report, and schedule it."""
         self._unreported[tenant] += admitted
         if self._reporting is None:
             self._reporting = self._loop.call_later(REPORT_PAUSE_S, self._report)
 
     def _report(self) -> None:
-        """Tell owners what was admitted."""
+        """Report admitted requests to the owners."""
         self._reporting = None
         unreported, self._unreported = self._unreported, Counter()
         for name, admitted in unreported.items():
@@ -191,7 +200,10 @@
                 self._send(_Pending(tenant, admitted, None, self._own, 0.0))
 
     def _send(self, pending: _Pending) -> None:
-        """Send a report to the best owner that was not tried yet, or be the owner."""
+        """Send a report to its current owner, or decide here if that is this gateway.
+
+        Also decides here after :data:`OWNERS_TRIED` owners did not answer.
+        """
         pending.owner = self.owner_of(pending.tenant.name)
         if pending.tried >= OWNERS_TRIED or pending.owner == self._own:
             self._decide_here(pending, alone=pending.tried > 0)
@@ -205,9 +217,10 @@
         self._datagrams.send(self._report_of(pending, self._number), pending.owner)
 
     def _report_of(self, pending: _Pending, number: int) -> QuotaReport:
-        """Return what is sent to an owner, with what any owner said lately.
+        """Return the report to send to an owner, with the token count last received from an owner.
 
-        Also what this one said: its process may be another, which has forgotten that.
+        That count is sent even to the owner that it came from: its process may have restarted and
+        lost its buckets.
         """
         name = pending.tenant.name
         told = self._told.get(name)
@@ -219,7 +232,7 @@
         return QuotaReport(number, name, pending.admitted, pending.decide is not None, held)
 
     def _on_silence(self, number: int) -> None:
-        """Turn to the next owner."""
+        """Handle a report's timeout: avoid the silent owner and send the report to the next."""
         pending = self._pending.pop(number)
         now = self._loop.time()
         self._choice.failed(pending.owner)
@@ -233,9 +246,9 @@
         self._send(pending)
 
     def _decide_here(self, pending: _Pending, *, alone: bool) -> None:
-        """Be the owner of a report of this gateway's own.
+        """Answer this gateway's own report without another gateway.
 
-        :param alone: other owners did not answer, so others may be asked elsewhere meanwhile.
+        :param alone: no other owner answered, so that other gateways may grant requests as well.
         """
         self._note_heard(pending)
         report = self._report_of(pending, OWN_NUMBER)
@@ -251,7 +264,7 @@
             pending.decide(_refusal(pending, verdict))
 
     def _on_verdict(self, verdict: QuotaVerdict, _owner: Address) -> None:
-        """Take an owner's verdict."""
+        """Apply an owner's verdict."""
         if verdict.number == TO_EVERYBODY:
             self._press(verdict)
             return
@@ -267,14 +280,14 @@
             pending.decide(_refusal(pending, verdict))
 
     def _note_heard(self, pending: _Pending) -> None:
-        """Note that a report has reached an owner."""
+        """Record that an owner has received a report."""
         name = pending.tenant.name
         self._unheard[name] -= pending.admitted
         if not self._unheard[name]:
             del self._unheard[name]
 
     def _press(self, verdict: QuotaVerdict) -> None:
-        """Note whether the bucket's owner must be asked first, and what the bucket holds."""
+        """Record how long the owner must be asked first, and the tokens left in the bucket."""
         if verdict.tokens is not None:
             self._told[verdict.tenant] = _Told(verdict.tokens, self._loop.time())
         if verdict.pressed_s > 0.0:
@@ -284,7 +297,7 @@
 
 
 def _refusal(pending: _Pending, verdict: QuotaVerdict) -> OverQuota | None:
-    """Return what an owner's verdict means for the request that asked."""
+    """Return the refusal that an owner's verdict means for a request; ``None``: it may run."""
     if verdict.granted:
         return None
     tenant = pending.tenant
--- a/tinrudder/gateway/quotas/tenants_in_force.py
+++ b/tinrudder/gateway/quotas/tenants_in_force.py
@@ -1,6 +1,6 @@
-"""The tenants of the configuration in force, by their names.
+"""The tenants of the configuration in force, by name.
 
-Owns the index; relies on the shared state to say when a configuration comes into force.
+Owns the index; relies on the shared state to announce a configuration that comes into force.
 """
 
 from __future__ import annotations
@@ -10,25 +10,25 @@
 
 
 class TenantsInForce:
-    """Finds tenants for limits and for whoever needs to know whether there are any."""
+    """Index of the tenants in force, for limits and for authentication."""
 
     def __init__(self, state: SharedState) -> None:
-        """Follow ``state``."""
+        """Subscribe to changes of ``state``."""
         self._state = state
         self._indexed: GatewayConfiguration | None = None
         self._tenants: dict[str, Tenant] = {}
         state.subscribe(self._refresh)
 
     def find(self, name: str) -> Tenant | None:
-        """Return a tenant of the configuration in force."""
+        """Return a tenant of the configuration in force, or ``None``."""
         return self._tenants.get(name)
 
     def are_there_any(self) -> bool:
-        """Tell whether the configuration in force has tenants, and so asks for keys."""
+        """Return whether the configuration in force has tenants, and so requires keys."""
         return bool(self._tenants)
 
     def _refresh(self) -> None:
-        """Index a configuration that has just come into force."""
+        """Index the tenants of a configuration that has just come into force."""
         accepted = self._state.accepted
         if accepted is None or accepted.configuration is self._indexed:
             return
