--- a/tests/unit/gateway/decisions/test_backend_observations.py
+++ b/tests/unit/gateway/decisions/test_backend_observations.py
@@ -6,7 +6,7 @@
 
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.zone_preference import (
-    LARGEST_ADVANTAGE,
+    MAX_ADVANTAGE,
 )
 
 
@@ -15,7 +15,7 @@
     stalled.begin(0.0, 0.02)
     for _ in range(2):
         busy.begin(0.09, 0.02)
-    assert stalled.cost(0.1) > busy.cost(0.1) + LARGEST_ADVANTAGE
+    assert stalled.cost(0.1) > busy.cost(0.1) + MAX_ADVANTAGE
 
 
 def test_a_failure_weighs_more_than_slowness_and_fades() -> None:
--- a/tests/unit/gateway/decisions/test_coordinator_choice.py
+++ b/tests/unit/gateway/decisions/test_coordinator_choice.py
@@ -10,7 +10,7 @@
 
 from tinrudder.gateway.decisions.placement.coordinator_choice import (
     CONNECTION_SAFETY,
-    FEWEST_IN_A_ZONE,
+    MIN_COORDINATORS_PER_ZONE,
     Candidate,
     IndexDemand,
     choose_coordinators,
@@ -59,7 +59,7 @@
     there = Counter(candidate.zone for candidate in candidates)
     of_zone = Counter(candidate.zone for candidate in chosen)
     for zone, many in there.items():
-        wanted = max(FEWEST_IN_A_ZONE, math.ceil(count / len(there)))
+        wanted = max(MIN_COORDINATORS_PER_ZONE, math.ceil(count / len(there)))
         assert of_zone[zone] == min(many, wanted)
 
 
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -12,8 +12,8 @@
     BYTES_PER_S,
     DATAGRAM_BYTES,
     LOAD_BYTES,
+    MAX_PER_DATAGRAM,
     MOST_BYTES,
-    MOST_IN_A_DATAGRAM,
     Noted,
     PendingNews,
     ReportedLoad,
@@ -47,7 +47,7 @@
 )
 
 
-@given(st.lists(loads, max_size=MOST_IN_A_DATAGRAM).map(tuple))
+@given(st.lists(loads, max_size=MAX_PER_DATAGRAM).map(tuple))
 def test_news_comes_out_as_it_went_in_and_is_small(told: tuple[ReportedLoad, ...]) -> None:
     payload = encode_datagram(LoadNews(told))
     assert decode_datagram(payload) == LoadNews(told)
@@ -76,7 +76,7 @@
             pending.note(Noted(backend, False, 0.0, NOW))
         assert len(pending) <= noted
         told, copies = pending.take(now, wanted)
-        assert len(told) <= MOST_IN_A_DATAGRAM
+        assert len(told) <= MAX_PER_DATAGRAM
         sent.append((now, copies * (DATAGRAM_BYTES + LOAD_BYTES * len(told))))
     for first, (begin, _) in enumerate(sent):
         for last, (end, _) in enumerate(sent[first:], first):
--- a/tests/unit/gateway/decisions/test_shard_placement.py
+++ b/tests/unit/gateway/decisions/test_shard_placement.py
@@ -8,7 +8,7 @@
 from tinrudder.gateway.decisions.placement.shard_placement import (
     ScatterSizes,
     group_by_place,
-    pays_to_hand_over,
+    is_delegation_worthwhile,
 )
 
 ZONES = ("a", "b", "c", "d")
@@ -35,7 +35,7 @@
     for group in groups:
         assert group.zones <= zones - {own}
         assert group.zones
-        assert pays_to_hand_over(len(group.shards), sizes)
+        assert is_delegation_worthwhile(len(group.shards), sizes)
         for shard in group.shards:
             assert own not in replicas[shard]
             assert group.zones <= replicas[shard]
@@ -44,8 +44,8 @@
 @given(part=st.floats(0, 5000), merged=st.floats(0, 20000), shards=st.integers(1, 200))
 def test_more_shards_pay_no_less(part: float, merged: float, shards: int) -> None:
     sizes = ScatterSizes(part, merged)
-    if pays_to_hand_over(shards, sizes):
-        assert pays_to_hand_over(shards + 1, sizes)
+    if is_delegation_worthwhile(shards, sizes):
+        assert is_delegation_worthwhile(shards + 1, sizes)
 
 
 def test_a_large_merged_answer_is_fetched_part_by_part() -> None:
--- a/tests/unit/gateway/decisions/test_zone_paths.py
+++ b/tests/unit/gateway/decisions/test_zone_paths.py
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.fleet.zone_paths import (
-    CLOSED_AFTER_S,
+    CLOSE_AFTER_S,
     FIRST_CLOSED_S,
-    LEAST_ROUNDS,
-    LONGEST_CLOSED_S,
-    SILENT_AFTER_S,
+    MAX_CLOSED_S,
+    MIN_PROBE_ROUNDS,
+    SILENCE_TIMEOUT_S,
     PathState,
     ZonePaths,
 )
@@ -21,9 +21,9 @@
 def closed(now: float = 10.0) -> ZonePaths:
     paths = ZonePaths()
     assert paths.doubt(ZONE, now - 0.05, now)
-    for _ in range(LEAST_ROUNDS):
+    for _ in range(MIN_PROBE_ROUNDS):
         paths.note_round(ZONE)
-    assert paths.review(ZONE, now + CLOSED_AFTER_S)
+    assert paths.review(ZONE, now + CLOSE_AFTER_S)
     return paths
 
 
@@ -68,7 +68,7 @@
 
 
 def test_calls_try_a_way_that_was_closed_for_long_and_close_it_for_longer() -> None:
-    paths, now = closed(), 10.0 + CLOSED_AFTER_S
+    paths, now = closed(), 10.0 + CLOSE_AFTER_S
     pause = FIRST_CLOSED_S
     for _ in range(6):
         assert not paths.review(ZONE, now + pause - 0.1)
@@ -78,13 +78,13 @@
         assert paths.lost == (ZONE,)
         assert paths.doubt(ZONE, now, now + 0.1)
         now += 0.1
-        pause = min(LONGEST_CLOSED_S, pause * 2)
+        pause = min(MAX_CLOSED_S, pause * 2)
         assert paths.is_closed(ZONE)
 
 
 def test_an_answer_to_a_call_that_tried_opens_it() -> None:
     paths = closed()
-    paths.review(ZONE, 10.0 + CLOSED_AFTER_S + FIRST_CLOSED_S)
+    paths.review(ZONE, 10.0 + CLOSE_AFTER_S + FIRST_CLOSED_S)
     assert paths.answered(ZONE, 20.0)
     assert paths.lost == ()
 
@@ -93,8 +93,8 @@
     paths = ZonePaths()
     paths.heard("a", 10.0)
     paths.heard("b", 9.0)
-    assert not paths.doubt_silent(("a", "b"), 10.0 + SILENT_AFTER_S - 0.1)
-    assert paths.doubt_silent(("a", "b"), 10.0 + SILENT_AFTER_S)
+    assert not paths.doubt_silent(("a", "b"), 10.0 + SILENCE_TIMEOUT_S - 0.1)
+    assert paths.doubt_silent(("a", "b"), 10.0 + SILENCE_TIMEOUT_S)
     assert set(paths.doubtful) == {"a", "b"}
     assert not paths.doubt_silent((), 100.0)
 
@@ -120,8 +120,8 @@
         elif event == "r":
             paths.review(ZONE, now)
         if before is PathState.SUSPECT and paths.is_closed(ZONE):
-            assert rounds >= LEAST_ROUNDS
-            assert now - doubted_at >= CLOSED_AFTER_S
+            assert rounds >= MIN_PROBE_ROUNDS
+            assert now - doubted_at >= CLOSE_AFTER_S
             assert paths.path(ZONE).answered_at < doubted_at
 
 
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -26,7 +26,7 @@
 from tinrudder.gateway.decisions.fleet.send_budget import SendBudget
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 
-TOLD_FROM = 1.0
+REPORTED_QUEUE_PER_SLOT = 1.0
 """Waiting calls per slot from which a queue is reported to peers: a call waits there at least as
 long as calls take.  With half of it no fewer calls were shed, and random short queues were reported
 as well."""
@@ -40,7 +40,7 @@
 """Maximum bytes of a datagram without its back ends: 28 of IP and UDP headers, 6 of the message."""
 LOAD_BYTES = 26
 """Maximum bytes of one back end in a datagram; a test of the encoding checks it."""
-MOST_IN_A_DATAGRAM = 4
+MAX_PER_DATAGRAM = 4
 """Maximum number of back ends in one datagram: as many as such a service has."""
 GATHER_S = 0.02
 """Batching delay of reports, seconds: short compared with the calls of a service that hundreds of
@@ -51,13 +51,13 @@
 MOST_AGE_S = 0.8
 """Age from which a report is too old to use, seconds; equals ``BACKLOG_LIFETIME_S`` of the
 back-end observations."""
-LONGEST_WORK_S = 600.0
+MAX_WORK_S = 600.0
 """Maximum plausible service time, seconds: longer than any call timeout, so a larger figure is
 invalid."""
-MOST_CALLS = 100_000
+MAX_CALLS = 100_000
 """Maximum plausible number of calls or slots: more than any back end holds, so a larger figure is
 invalid."""
-MOST_SLOWDOWN = 1000.0
+MAX_SLOWDOWN = 1000.0
 """Maximum plausible slowdown, where 1 is usual: no back end keeps running at a larger one."""
 
 
@@ -83,11 +83,11 @@
     def is_credible(self) -> bool:
         """Return whether the figures are plausible and recent enough to use."""
         return (
-            0 <= self.calls <= MOST_CALLS
-            and 0 < self.slots <= MOST_CALLS
-            and 0.0 < self.slowdown <= MOST_SLOWDOWN
+            0 <= self.calls <= MAX_CALLS
+            and 0 < self.slots <= MAX_CALLS
+            and 0.0 < self.slowdown <= MAX_SLOWDOWN
             and 0.0 <= self.age_s < MOST_AGE_S
-            and 0.0 <= self.work_s <= LONGEST_WORK_S
+            and 0.0 <= self.work_s <= MAX_WORK_S
         )
 
     @property
@@ -114,43 +114,43 @@
     >>> is_long(3, 4), is_long(4, 4), is_long(0, 0)
     (False, True, False)
     """
-    return waiting > 0 and waiting >= TOLD_FROM * slots
+    return waiting > 0 and waiting >= REPORTED_QUEUE_PER_SLOT * slots
 
 
-def tell_load(noted: Noted, known: BackendObservations, now: float) -> ReportedLoad | None:
+def tell_load(noted: Noted, observations: BackendObservations, now: float) -> ReportedLoad | None:
     """Return the report to send now; ``None`` if a peer has sent a newer one since.
 
     The newer one is not forwarded: its age does not include time in transit, so each hop would make
     it look younger.
     """
-    if known.reported_at != noted.heard_at:
+    if observations.reported_at != noted.heard_at:
         return None
     return ReportedLoad(
         noted.backend,
-        known.reported_backlog,
-        known.slots,
-        known.reported_slowdown,
-        now - known.reported_at,
+        observations.reported_backlog,
+        observations.slots,
+        observations.reported_slowdown,
+        now - observations.reported_at,
         noted.shed,
         noted.work_s,
     )
 
 
-def take_load(told: ReportedLoad, known: BackendObservations, now: float) -> bool:
+def take_load(report: ReportedLoad, observations: BackendObservations, now: float) -> bool:
     """Apply a peer's load report, and return whether it is newer than the known one."""
-    if told.shed:
-        newer = known.shed(now, told.age_s, told.calls)
+    if report.shed:
+        newer = observations.shed(now, report.age_s, report.calls)
     else:
-        newer = known.reported(
-            min(told.calls, told.slots),
-            max(0, told.calls - told.slots),
-            told.slots,
+        newer = observations.reported(
+            min(report.calls, report.slots),
+            max(0, report.calls - report.slots),
+            report.slots,
             now,
-            told.slowdown,
-            told.age_s,
+            report.slowdown,
+            report.age_s,
         )
-    if newer and told.work_s:
-        known.worked(told.work_s)
+    if newer and report.work_s:
+        observations.worked(report.work_s)
     return newer
 
 
@@ -178,8 +178,8 @@
         """
         if not peers:
             self._noted.clear()
-        most = min(MOST_IN_A_DATAGRAM, len(self._noted))
-        copies = self._budget.take(peers, now, DATAGRAM_BYTES + LOAD_BYTES * most)
+        count = min(MAX_PER_DATAGRAM, len(self._noted))
+        copies = self._budget.take(peers, now, DATAGRAM_BYTES + LOAD_BYTES * count)
         if not copies:
             return [], 0
-        return [self._noted.popitem()[1] for _ in range(most)], copies
+        return [self._noted.popitem()[1] for _ in range(count)], copies
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -30,32 +30,32 @@
 class ProcessPause:
     """Records when the process last ran, and when its latest pause ended.
 
-    >>> still = ProcessPause(0.0)
-    >>> still.note(1.0)
-    >>> still.covers(0.5, now=1.2), still.covers(0.5, now=4.0)
+    >>> pause = ProcessPause(0.0)
+    >>> pause.note(1.0)
+    >>> pause.covers(0.5, now=1.2), pause.covers(0.5, now=4.0)
     (False, True)
-    >>> still.note(4.0)
-    >>> still.covers(0.5, now=4.1), still.covers(4.05, now=4.1)
+    >>> pause.note(4.0)
+    >>> pause.covers(0.5, now=4.1), pause.covers(4.05, now=4.1)
     (True, False)
     """
 
     def __init__(self, now: float) -> None:
         """Take ``now`` as the first record."""
-        self._noted_at = now
-        self._woke_at = float("-inf")
+        self._recorded_at = now
+        self._pause_ended_at = float("-inf")
 
     def note(self, now: float) -> None:
         """Record that the process runs; to be called every :data:`LOOK_S`."""
         if self._is_late(now):
-            self._woke_at = now
-        self._noted_at = now
+            self._pause_ended_at = now
+        self._recorded_at = now
 
     def covers(self, since: float, now: float) -> bool:
         """Return whether the process was paused at any time after ``since``.
 
         Also detects a pause that has just ended, before the next call of :meth:`note`.
         """
-        return self._woke_at > since or self._is_late(now)
+        return self._pause_ended_at > since or self._is_late(now)
 
     def _is_late(self, now: float) -> bool:
-        return now - self._noted_at >= LOOK_S + STOOD_STILL_S
+        return now - self._recorded_at >= LOOK_S + STOOD_STILL_S
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -27,21 +27,21 @@
 
 from msgspec import Struct, field
 
-SILENT_AFTER_S = 1.5
+SILENCE_TIMEOUT_S = 1.5
 """Time without any message from other zones after which their paths become suspect, seconds: where
 each gateway sends one digest to another zone every 0.5 s, such a silence arises by chance once in
 twenty times."""
-CLOSED_AFTER_S = 0.25
+CLOSE_AFTER_S = 0.25
 """Time for which all probes must stay unanswered before a path is closed, seconds: 80 round trips
 of 3 ms, or a short pause of a gateway."""
-LEAST_ROUNDS = 3
+MIN_PROBE_ROUNDS = 3
 """Rounds of probes that must stay unanswered before a path is closed: with three gateways probed in
 each round and half of all datagrams lost, one path in 13 is closed wrongly, and opens with the next
 answer."""
 FIRST_CLOSED_S = 5.0
 """Time that a path stays closed before calls may try it, seconds: where a zone has lost all its
 gateways but not its back ends, probes get no answers, but calls do."""
-LONGEST_CLOSED_S = 40.0
+MAX_CLOSED_S = 40.0
 """Upper bound of that time, seconds; it doubles with each trial that fails.  Bounds how long a zone
 without gateways stays unused."""
 
@@ -58,7 +58,7 @@
     TRIAL = "trial"
 
 
-LOST = frozenset((PathState.CLOSED, PathState.TRIAL))
+UNREACHABLE_STATES = frozenset((PathState.CLOSED, PathState.TRIAL))
 
 
 class ZonePath(Struct):
@@ -107,12 +107,12 @@
     @property
     def lost(self) -> tuple[str, ...]:
         """Return the zones that are considered unreachable: path closed or on trial."""
-        return tuple(zone for zone, path in self.paths.items() if path.state in LOST)
+        return tuple(zone for zone, path in self.paths.items() if path.state in UNREACHABLE_STATES)
 
     @property
     def doubtful(self) -> tuple[str, ...]:
         """Return the zones whose path is not open."""
-        return tuple(z for z, path in self.paths.items() if path.state is not PathState.OPEN)
+        return tuple(zone for zone, path in self.paths.items() if path.state is not PathState.OPEN)
 
     @property
     def told_doubts(self) -> tuple[str, ...]:
@@ -135,10 +135,10 @@
         path.heard_at = now
         path.answered_at = now
         path.closed_s = FIRST_CLOSED_S
-        was_lost = path.state in LOST
+        was_unreachable = path.state in UNREACHABLE_STATES
         if path.state is not PathState.OPEN:
-            self._enter(path, PathState.OPEN, now)
-        return was_lost
+            self._set_state(path, PathState.OPEN, now)
+        return was_unreachable
 
     def doubt(self, zone: str, sent_at: float, now: float, *, by_hearsay: bool = False) -> bool:
         """Record that a call or message has no answer yet; return whether the state changed.
@@ -165,14 +165,14 @@
     def doubt_silent(self, others: tuple[str, ...], now: float) -> bool:
         """Make all open paths suspect if no zone sent anything; return whether any changed."""
         paths = [self.path(zone) for zone in others]
-        if not paths or max(path.heard_at for path in paths) > now - SILENT_AFTER_S:
+        if not paths or max(path.heard_at for path in paths) > now - SILENCE_TIMEOUT_S:
             return False
-        found = False
+        changed = False
         for path in paths:
             if path.state is PathState.OPEN:
                 self._suspect(path, now, by_hearsay=False)
-                found = True
-        return found
+                changed = True
+        return changed
 
     def note_round(self, zone: str) -> None:
         """Count a round of probes to gateways of a zone."""
@@ -186,26 +186,26 @@
         path = self.path(zone)
         if path.state is PathState.SUSPECT:
             unanswered_s = now - path.since
-            if unanswered_s >= CLOSED_AFTER_S and path.rounds >= LEAST_ROUNDS:
+            if unanswered_s >= CLOSE_AFTER_S and path.rounds >= MIN_PROBE_ROUNDS:
                 self._close(path, now)
                 return True
         elif path.state is PathState.CLOSED and now >= path.trial_at:
-            self._enter(path, PathState.TRIAL, now)
+            self._set_state(path, PathState.TRIAL, now)
             return True
         return False
 
     def _suspect(self, path: ZonePath, now: float, *, by_hearsay: bool) -> None:
-        self._enter(path, PathState.SUSPECT, now)
+        self._set_state(path, PathState.SUSPECT, now)
         path.doubted_at = now
         path.by_hearsay = by_hearsay
 
     def _close(self, path: ZonePath, now: float) -> None:
-        self._enter(path, PathState.CLOSED, now)
+        self._set_state(path, PathState.CLOSED, now)
         path.by_hearsay = False
         path.trial_at = now + path.closed_s
-        path.closed_s = min(LONGEST_CLOSED_S, path.closed_s * 2)
+        path.closed_s = min(MAX_CLOSED_S, path.closed_s * 2)
 
-    def _enter(self, path: ZonePath, state: PathState, now: float) -> None:
+    def _set_state(self, path: ZonePath, state: PathState, now: float) -> None:
         path.state = state
         path.since = now
         path.rounds = 0
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -29,19 +29,19 @@
 LATENCY_GAIN = 0.25
 """Weight of the latest answer in the moving average of a back end's relative latency: several slow
 answers in a row raise it clearly, a single one counts for a quarter."""
-LATENCY_MEMORY_S = 4.0
+LATENCY_LIFETIME_S = 4.0
 """Time after which the latest answer no longer predicts the next call, seconds.  With 0.6 s a third
 fewer calls crossed zones, but the score of non-urgent requests was 0.004 lower where replicas were
 slow for seconds (0.9945 instead of 0.9984)."""
 MAX_RELATIVE_LATENCY = 12.0
 """Upper bound of one answer's relative latency, so that a single long pause does not outweigh all
 earlier observations."""
-STALLED_AFTER = 2.5
+STALLED_LATENCY_FACTOR = 2.5
 """Age of a call, as a multiple of the usual latency, above which its back end is considered
 stalled: above the latency of nearly all calls, but early enough to send the next call elsewhere."""
 STALLED_PENALTY = 6.0
 """Cost added for a stalled back end, as a multiple of the usual latency.  Larger than the greatest
-handicap of another zone (``zone_preference.LARGEST_ADVANTAGE``), so that replicas in any zone are
+handicap of another zone (``zone_preference.MAX_ADVANTAGE``), so that replicas in any zone are
 preferred to a stalled one."""
 SUSPECT_FIRST_S = 0.3
 """For how long a back end is suspect after its first failure, seconds; the time doubles with each
@@ -64,13 +64,13 @@
 """Weight of one report in a back end's typical slowdown: momentary slowdowns, a few in a hundred
 reports, hardly change it."""
 
-WORK_GAIN = 0.1
+SERVICE_TIME_GAIN = 0.1
 """Weight of one call in the mean service time: service times spread by half of their mean, so a
 mean over about ten of them is within a fifth of the true one."""
-FULL_QUEUE = 2.0
+MIN_FULL_BACKLOG_PER_SLOT = 2.0
 """Calls per slot that a back end is assumed to hold when it sheds load, unless it has reported
 more: one running and one waiting."""
-QUEUE_MEMORY_S = 2.0
+QUEUE_LIFETIME_S = 2.0
 """For how long after a report of a queue a back end may still have it, seconds: with 113 gateways,
 each gateway receives four reports a second on each of four back ends under load."""
 FULL_FOR_S = 10.0
@@ -147,8 +147,8 @@
             # the back end's lasting latency.
             relative = (now - call.sent_at) / call.usual_s / self.momentary_slowdown(now)
             relative = min(MAX_RELATIVE_LATENCY, relative)
-            faded = self._lasting_latency(now)
-            self.relative_latency = faded + LATENCY_GAIN * (relative - faded)
+            decayed = self._decayed_latency(now)
+            self.relative_latency = decayed + LATENCY_GAIN * (relative - decayed)
             self.latency_at = now
 
     def failed(self, call: RunningCall | None, now: float) -> None:
@@ -207,7 +207,7 @@
         slots = max(1, self.slots)
         if not (self.had_queue(now) or backlog > slots):
             return False
-        most = max(self.most_backlog, int(FULL_QUEUE * slots))
+        most = max(self.most_backlog, int(MIN_FULL_BACKLOG_PER_SLOT * slots))
         backlog = backlog or most
         if now - age_s > self.full_at:
             self.full_backlog = backlog
@@ -215,8 +215,8 @@
         return self.reported(slots, backlog - slots, slots, now, self.reported_slowdown, age_s)
 
     def had_queue(self, now: float) -> bool:
-        """Return whether calls waited there by a report within :data:`QUEUE_MEMORY_S`."""
-        return self.reported_backlog > self.slots and now - self.reported_at < QUEUE_MEMORY_S
+        """Return whether calls waited there by a report within :data:`QUEUE_LIFETIME_S`."""
+        return self.reported_backlog > self.slots and now - self.reported_at < QUEUE_LIFETIME_S
 
     def sheds_above(self, now: float) -> int:
         """Return the queue length at which it sheds calls; 0: it has not shed any recently."""
@@ -227,12 +227,12 @@
     def worked(self, seconds: float) -> None:
         """Record how long a call held a slot, as observed here or by another gateway."""
         self.work_seen += 1
-        gain = max(WORK_GAIN, 1.0 / self.work_seen)
+        gain = max(SERVICE_TIME_GAIN, 1.0 / self.work_seen)
         self.work_s += gain * (seconds - self.work_s)
 
     def expected_relative_latency(self, now: float) -> float:
         """Return the expected latency of the next call, relative to its route's usual latency."""
-        return self._lasting_latency(now) * self.momentary_slowdown(now)
+        return self._decayed_latency(now) * self.momentary_slowdown(now)
 
     def momentary_slowdown(self, now: float) -> float:
         """Return the currently reported slowdown relative to the typical one, weighted by age."""
@@ -242,18 +242,20 @@
         weight = 1.0 - age / SLOWDOWN_LIFETIME_S
         return 1.0 + weight * (self.reported_slowdown / self.typical_slowdown - 1.0)
 
-    def _lasting_latency(self, now: float) -> float:
+    def _decayed_latency(self, now: float) -> float:
         """Return the observed relative latency, which falls back to 1 without new answers."""
         age = now - self.latency_at
-        if age >= LATENCY_MEMORY_S:
+        if age >= LATENCY_LIFETIME_S:
             return 1.0
-        return 1.0 + (1.0 - age / LATENCY_MEMORY_S) * (self.relative_latency - 1.0)
+        return 1.0 + (1.0 - age / LATENCY_LIFETIME_S) * (self.relative_latency - 1.0)
 
     def is_stalled(self, now: float) -> bool:
         """Return whether a call has been in flight for so long that the back end seems stalled."""
         if not self.running:
             return False
-        return any(now - call.sent_at > STALLED_AFTER * call.usual_s for call in self.running)
+        return any(
+            now - call.sent_at > STALLED_LATENCY_FACTOR * call.usual_s for call in self.running
+        )
 
     def is_suspect(self, now: float) -> bool:
         """Return whether the back end is suspect after recent failures."""
@@ -264,7 +266,7 @@
 
         :param service_s: time that a call holds a slot, seconds.
         """
-        return self._services_ahead(now) * service_s
+        return self._wait_in_service_times(now) * service_s
 
     def reported_queue(self, now: float) -> float | None:
         """Return the wait for a slot by the newest report alone, as a multiple of the service time.
@@ -277,7 +279,7 @@
         slots = max(1, self.slots)
         return max(0, self.reported_backlog - slots) / slots * (1.0 - age / BACKLOG_LIFETIME_S)
 
-    def _services_ahead(self, now: float) -> float:
+    def _wait_in_service_times(self, now: float) -> float:
         """Return the wait for a slot as a multiple of the service time.
 
         Counts the newest report and the calls sent since.
@@ -286,14 +288,14 @@
         if age >= BACKLOG_LIFETIME_S:
             return 0.0
         ahead = self.reported_backlog + self.sent_since_report - self.slots + 1
-        faded = max(0, ahead) * (1.0 - age / BACKLOG_LIFETIME_S)
-        return faded / max(1, self.slots)
+        decayed = max(0, ahead) * (1.0 - age / BACKLOG_LIFETIME_S)
+        return decayed / max(1, self.slots)
 
     def cost(self, now: float) -> float:
         """Return the expected duration of a call as a multiple of its route's usual latency."""
         slots = max(1, self.slots)
         queued = max(0, len(self.running) + 1 - slots) / slots
-        queued = max(queued, self._services_ahead(now))
+        queued = max(queued, self._wait_in_service_times(now))
         busy = len(self.running) / (2.0 * slots)
         cost = self.expected_relative_latency(now) * (1.0 + busy) + queued
         if now < self.cold_until:
--- a/tinrudder/gateway/decisions/placement/cold_start_rate.py
+++ b/tinrudder/gateway/decisions/placement/cold_start_rate.py
@@ -59,11 +59,11 @@
     """
     if own not in callers.names:
         return 0
-    each, rest = divmod(int(rate * RATE_SHARE), max(callers.count, len(callers.names)))
-    if not rest:
-        return each
+    per_gateway, remainder = divmod(int(rate * RATE_SHARE), max(callers.count, len(callers.names)))
+    if not remainder:
+        return per_gateway
     ranked = sorted(callers.names, key=lambda name: rendezvous_score(name, backend_id))
-    return each + (ranked.index(own) < rest)
+    return per_gateway + (ranked.index(own) < remainder)
 
 
 class ColdStartRate(Struct):
--- a/tinrudder/gateway/decisions/placement/coordinator_choice.py
+++ b/tinrudder/gateway/decisions/placement/coordinator_choice.py
@@ -33,20 +33,20 @@
 CONNECTION_SAFETY = 0.9
 """Part of a back end's connections that is divided among gateways.  The rest is headroom for
 gateways that do not know of each other yet, and for connections that are closing."""
-LEAST_CONNECTIONS_A_SHARD = 4.0
+MIN_CONNECTIONS_PER_SHARD = 4.0
 """Connections to one shard's back ends that every gateway must get for all gateways to call them:
 two to each of two replicas, one for a call and one for a hedge.  8 gateways get 5.9 of 2 x 26
 connections each, 64 gateways 2.3 of 3 x 54."""
-WANTED_CONNECTIONS_A_SHARD = 24.0
+TARGET_CONNECTIONS_PER_SHARD = 24.0
 """Connections to one shard's back ends for each coordinator: 64 gateways with 3 x 54 connections a
 shard get six coordinators, two in each of three zones."""
-FEWEST_IN_A_ZONE = 2
+MIN_COORDINATORS_PER_ZONE = 2
 """Minimum number of coordinators in each zone: if one fails, another still serves."""
 CAPACITY_EXPONENT = 6.0
 """Exponent that turns a gateway's capacity into its rendezvous weight.  A machine with half a core
 takes about 30 ms for the burst of a scatter over 90 shards, one with two cores 7 ms; so strong
 machines are nearly always ranked first, while indexes still spread over equal ones."""
-STRONG_SHARE = 0.5
+STRONG_CAPACITY_SHARE = 0.5
 """Part of the strongest candidate's capacity from which a gateway counts as strong.  A scatter over
 135 shards is a burst of 15 ms of work: answers of gateways with a quarter of the strongest capacity
 lacked 4 to 7.5 shards on average, those of strong ones in the same seconds 0.4 to 2.6."""
@@ -87,9 +87,9 @@
     >>> coordinators_needed(IndexDemand(replicas=3, max_connections=54), nodes=64)
     6
     """
-    if demand.connections / nodes >= LEAST_CONNECTIONS_A_SHARD:
+    if demand.connections / nodes >= MIN_CONNECTIONS_PER_SHARD:
         return None
-    return max(1, int(demand.connections / WANTED_CONNECTIONS_A_SHARD))
+    return max(1, int(demand.connections / TARGET_CONNECTIONS_PER_SHARD))
 
 
 def choose_coordinators(
@@ -108,8 +108,8 @@
     2
     """
     by_zone = _by_zone(candidates)
-    each = max(FEWEST_IN_A_ZONE, math.ceil(count / max(1, len(by_zone))))
-    return _first_in_each_zone(index, by_zone, each)
+    per_zone = max(MIN_COORDINATORS_PER_ZONE, math.ceil(count / max(1, len(by_zone))))
+    return _best_in_each_zone(index, by_zone, per_zone)
 
 
 def choose_readers(role: str, candidates: Iterable[Candidate], most: int) -> tuple[Candidate, ...]:
@@ -123,7 +123,7 @@
     6
     """
     by_zone = _by_zone(candidates)
-    return _first_in_each_zone(role, by_zone, max(1, most // max(1, len(by_zone))))
+    return _best_in_each_zone(role, by_zone, max(1, most // max(1, len(by_zone))))
 
 
 def _by_zone(candidates: Iterable[Candidate]) -> dict[str, list[Candidate]]:
@@ -134,14 +134,14 @@
     return by_zone
 
 
-def _first_in_each_zone(
-    name: str, by_zone: dict[str, list[Candidate]], each: int
+def _best_in_each_zone(
+    name: str, by_zone: dict[str, list[Candidate]], per_zone: int
 ) -> tuple[Candidate, ...]:
     """Return the ``each`` highest-ranked candidates of every zone."""
     chosen: list[Candidate] = []
     for zone in sorted(by_zone):
-        ranked = sorted(by_zone[zone], key=lambda one: _rank(name, one), reverse=True)
-        chosen.extend(ranked[:each])
+        ranked = sorted(by_zone[zone], key=lambda one: _rank_key(name, one), reverse=True)
+        chosen.extend(ranked[:per_zone])
     return tuple(chosen)
 
 
@@ -156,7 +156,7 @@
     """
     members = tuple(coordinators)
     strong = frozenset(
-        one for of_zone in _by_zone(members).values() for one in strong_ones(of_zone)
+        one for in_zone in _by_zone(members).values() for one in strong_ones(in_zone)
     )
 
     def order(candidate: Candidate) -> tuple[bool, bool, float]:
@@ -167,18 +167,18 @@
 
 
 def strong_ones(candidates: Iterable[Candidate]) -> tuple[Candidate, ...]:
-    """Return the candidates with at least ``STRONG_SHARE`` of the strongest one's capacity.
+    """Return the candidates that count as strong, see :data:`STRONG_CAPACITY_SHARE`.
 
     >>> one, other = Candidate("a", "z", 2.0), Candidate("b", "z", 0.5)
     >>> strong_ones([one, other]) == (one,), strong_ones([other]) == (other,)
     (True, True)
     """
     members = tuple(candidates)
-    least = STRONG_SHARE * max((one.capacity for one in members), default=0.0)
+    least = STRONG_CAPACITY_SHARE * max((one.capacity for one in members), default=0.0)
     return tuple(one for one in members if one.capacity >= least)
 
 
-def _rank(index: str, candidate: Candidate) -> tuple[float, str]:
+def _rank_key(index: str, candidate: Candidate) -> tuple[float, str]:
     """Return the sort key of a candidate for an index; higher is better."""
     weight = candidate.capacity**CAPACITY_EXPONENT
     return weighted_score(index, candidate.name, weight), candidate.name
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -30,16 +30,16 @@
 CALL_OVERHEAD_BYTES = 400.0
 """Estimated headers of one call and of its answer, bytes: header sizes are not recorded at run
 time."""
-HANDOVER_BYTES = 700.0
+DELEGATION_BYTES = 700.0
 """Estimated overhead of one delegation, bytes: the request, the acknowledgement, and the answer
 without its content."""
-STAMP_BYTES = 48.0
+DELEGATED_SHARD_BYTES = 48.0
 """Estimated overhead of each delegated shard, bytes: its name in the request and the signature of
 its part in the answer."""
-LEAST_GAIN = 2.0
+MIN_BYTES_REDUCTION = 2.0
 """Factor by which delegation must reduce the bytes between zones: it also costs one more hop and
 the work of another gateway."""
-MOST_LATE_BY_PATH = 0.25
+MAX_EXTRA_LATE_SHARE = 0.25
 """Maximum increase in the share of late calls due to delegation, not counting hedges, which
 compensate for most of it.  On a small fleet with little processor time, a path that takes 23 of
 48 ms makes about half of the calls late; with 0.1 and 0.25, 173 and 175 of 200 urgent answers were
@@ -64,17 +64,17 @@
     zones: frozenset[str]
 
 
-def pays_to_hand_over(shards: int, sizes: ScatterSizes) -> bool:
+def is_delegation_worthwhile(shards: int, sizes: ScatterSizes) -> bool:
     """Return whether delegating a number of shards saves enough bytes between zones.
 
-    >>> pays_to_hand_over(7, ScatterSizes(part=1000.0, merged=800.0))
+    >>> is_delegation_worthwhile(7, ScatterSizes(part=1000.0, merged=800.0))
     True
-    >>> pays_to_hand_over(1, ScatterSizes(part=1000.0, merged=800.0))
+    >>> is_delegation_worthwhile(1, ScatterSizes(part=1000.0, merged=800.0))
     False
     """
-    fetched = shards * (CALL_OVERHEAD_BYTES + sizes.part)
-    handed_over = HANDOVER_BYTES + shards * STAMP_BYTES + sizes.merged
-    return fetched >= LEAST_GAIN * handed_over
+    fetched_directly = shards * (CALL_OVERHEAD_BYTES + sizes.part)
+    delegated = DELEGATION_BYTES + shards * DELEGATED_SHARD_BYTES + sizes.merged
+    return fetched_directly >= MIN_BYTES_REDUCTION * delegated
 
 
 def leaves_time(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
@@ -93,8 +93,8 @@
     >>> leaves_time(window, left_s=0.5, path_s=0.1), leaves_time(window, left_s=0.1, path_s=0.04)
     (True, False)
     """
-    late_there, late_here = latency.shares_above([left_s - path_s, left_s])
-    return late_there - late_here <= MOST_LATE_BY_PATH
+    late_delegated, late_direct = latency.shares_above([left_s - path_s, left_s])
+    return late_delegated - late_direct <= MAX_EXTRA_LATE_SHARE
 
 
 def group_by_place(
@@ -116,15 +116,20 @@
     ...     for group in group_by_place("c", "abc", replicas, ScatterSizes(1000.0, 800.0))]
     [(5, ['a', 'b'])]
     """
-    lacking = [shard for shard, places in replica_zones.items() if own_zone not in places]
-    others = sorted(set(zones) - {own_zone})
+    remote_shards = [shard for shard, places in replica_zones.items() if own_zone not in places]
+    other_zones = sorted(set(zones) - {own_zone})
     groups: list[ShardGroup] = []
-    while lacking:
-        served = {zone: [one for one in lacking if zone in replica_zones[one]] for zone in others}
-        most = max(served.values(), key=len, default=[])
-        if not most or not pays_to_hand_over(len(most), sizes):
+    while remote_shards:
+        shards_by_zone = {
+            zone: [one for one in remote_shards if zone in replica_zones[one]]
+            for zone in other_zones
+        }
+        largest = max(shards_by_zone.values(), key=len, default=[])
+        if not largest or not is_delegation_worthwhile(len(largest), sizes):
             break
-        equals = frozenset(zone for zone, shards in served.items() if shards == most)
-        groups.append(ShardGroup(tuple(most), equals))
-        lacking = [shard for shard in lacking if shard not in most]
+        equal_zones = frozenset(
+            zone for zone, shards in shards_by_zone.items() if shards == largest
+        )
+        groups.append(ShardGroup(tuple(largest), equal_zones))
+        remote_shards = [shard for shard in remote_shards if shard not in largest]
     return tuple(groups)
--- a/tinrudder/gateway/decisions/placement/zone_preference.py
+++ b/tinrudder/gateway/decisions/placement/zone_preference.py
@@ -25,13 +25,13 @@
 """Minimum advantage of a remote replica, as a multiple of the usual latency: compensates for the
 longer path.  The mean score of 13 simulated days on two sites was 0.7867 and 0.8541, with 0.15
 instead 0.7864 and 0.8537: no difference beyond noise."""
-LARGEST_ADVANTAGE = 5.0
+MAX_ADVANTAGE = 5.0
 """Maximum advantage that a remote replica needs, as a multiple of the usual latency.  Must stay
 below ``STALLED_PENALTY``: a stalled local replica must not be preferred to a remote one."""
-ROOM_SHARE = 0.85
+HEDGE_OBJECTIVE_SHARE = 0.85
 """Part of the objective within which a hedged call must end, since answers also have to be merged.
 On three simulated days the mean score was 0.8417, with 1.0 instead 0.8401."""
-SLOW = 2.6
+SLOW_RELATIVE_LATENCY = 2.6
 """Expected latency above which a replica counts as slow, as a multiple of the usual latency; a
 single stall does not reach it.  The mean score of simulated days on two sites was 0.8678 and
 0.9199, with 1.9 instead 0.8679 and 0.9177, without the rule 0.8640 and 0.9193."""
@@ -49,8 +49,8 @@
     >>> zone_advantage(usual_s=0.15, hedge_delay_s=0.11, objective_s=0.18)
     0.35
     """
-    room_s = ROOM_SHARE * objective_s - hedge_delay_s
-    return min(LARGEST_ADVANTAGE, max(LEAST_ADVANTAGE, room_s / usual_s))
+    spare_s = HEDGE_OBJECTIVE_SHARE * objective_s - hedge_delay_s
+    return min(MAX_ADVANTAGE, max(LEAST_ADVANTAGE, spare_s / usual_s))
 
 
 def is_slow(expected_relative_latency: float) -> bool:
@@ -61,4 +61,4 @@
     >>> is_slow(1.4), is_slow(3.2)
     (False, True)
     """
-    return expected_relative_latency > SLOW
+    return expected_relative_latency > SLOW_RELATIVE_LATENCY
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -42,13 +42,13 @@
     return None
 
 
-def end_to_end_headers(headers: Headers, left_out: frozenset[bytes] = frozenset()) -> Headers:
-    """Return the end-to-end headers, without the hop-by-hop ones and those in ``left_out``.
+def end_to_end_headers(headers: Headers, excluded: frozenset[bytes] = frozenset()) -> Headers:
+    """Return the end-to-end headers, without the hop-by-hop ones and those in ``excluded``.
 
     >>> end_to_end_headers(((b"connection", b"x-hop"), (b"x-hop", b"1"), (b"x-end", b"2")))
     ((b'x-end', b'2'),)
     """
-    dropped = CONNECTION_HEADERS | left_out
+    dropped = CONNECTION_HEADERS | excluded
     for name, value in headers:
         if name == b"connection":
             named = (part.strip().lower() for part in value.split(b","))
@@ -159,11 +159,11 @@
 AnswerListener = Callable[[CallOutcome], None]
 
 
-def _nobody_listens(outcome: CallOutcome) -> None:
+def _ignore_outcome(outcome: CallOutcome) -> None:
     """Ignore the outcome: the call has ended."""
 
 
-def _nothing_leaves() -> bytes | None:
+def _withdraw() -> bytes | None:
     """Withdraw a call that has ended."""
     return None
 
@@ -206,5 +206,5 @@
         """Report no outcome, and drop references to the caller, which also refers to this call."""
         self.finished = True
         self.carrier = None
-        self.listener = _nobody_listens
-        self.make_bytes = _nothing_leaves
+        self.listener = _ignore_outcome
+        self.make_bytes = _withdraw
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -22,12 +22,12 @@
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
-TOLD_AGAIN_S = 1.0
+BROADCAST_INTERVAL_S = 1.0
 """Minimum interval between broadcasts that a tenant is near its limit, seconds: half of their
 validity."""
-TO_EVERYBODY = 0
+BROADCAST_NUMBER = 0
 """Report number of a broadcast verdict, which answers no report."""
-ALONE_SHARE = 0.49
+MAX_ISOLATED_SHARE = 0.49
 """Maximum share of the fleet assumed by a gateway that no owner answers: a share above half would
 grant the whole rate."""
 
@@ -58,8 +58,8 @@
         self._loop = asyncio.get_running_loop()
         self.buckets = TokenBuckets(self._loop.time())
         # Used where no owner answers.  Separate, so that it takes no tokens from other entries.
-        self._alone = TokenBuckets(self._loop.time())
-        self._told_at: dict[str, float] = {}
+        self._isolated_buckets = TokenBuckets(self._loop.time())
+        self._broadcast_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
 
     def judge(self, report: QuotaReport) -> QuotaVerdict:
@@ -67,24 +67,26 @@
         share = part_of_rate(self._zone_monitor.heard_share, self._bounds.excess)
         verdict = self._grant(self.buckets, report, share)
         if verdict.pressed_s > 0.0:
-            self._tell_everybody(verdict)
+            self._broadcast_pressed(verdict)
         return verdict
 
-    def judge_alone(self, report: QuotaReport) -> QuotaVerdict:
+    def judge_isolated(self, report: QuotaReport) -> QuotaVerdict:
         """Answer this gateway's own report while no owner answers.
 
         Other gateways may do the same, so each grants only its share of the rate.
         """
         nodes = self._peers.nodes(self._loop.time())
-        share = part_of_rate(min(1.0 / nodes, ALONE_SHARE), self._bounds.excess)
-        return self._grant(self._alone, report, share)
+        share = part_of_rate(min(1.0 / nodes, MAX_ISOLATED_SHARE), self._bounds.excess)
+        return self._grant(self._isolated_buckets, report, share)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
         """Drop idle buckets, and the broadcasts on tenants that are no longer configured."""
-        self._told_at = {name: at for name, at in self._told_at.items() if name in tenants}
+        self._broadcast_at = {
+            name: at for name, at in self._broadcast_at.items() if name in tenants
+        }
         now = self._loop.time()
         self.buckets.forget_idle(now)
-        self._alone.forget_idle(now)
+        self._isolated_buckets.forget_idle(now)
 
     def _on_report(self, report: QuotaReport, entry: Address) -> None:
         """Send the verdict on a report to its entry gateway."""
@@ -117,16 +119,18 @@
             grant.tokens,
         )
 
-    def _tell_everybody(self, verdict: QuotaVerdict) -> None:
-        """Broadcast that a tenant is near its limit, at most once in :data:`TOLD_AGAIN_S`."""
+    def _broadcast_pressed(self, verdict: QuotaVerdict) -> None:
+        """Broadcast that a tenant is near its limit, unless that was done just before."""
         now = self._loop.time()
         tenant, pressed_s = verdict.tenant, verdict.pressed_s
-        if now - self._told_at.get(tenant, float("-inf")) < TOLD_AGAIN_S:
+        if now - self._broadcast_at.get(tenant, float("-inf")) < BROADCAST_INTERVAL_S:
             return
-        self._told_at[tenant] = now
+        self._broadcast_at[tenant] = now
         peers = [member.address for member in self._peers.candidates(now)]
-        word = QuotaVerdict(TO_EVERYBODY, tenant, pressed_s=pressed_s, tokens=verdict.tokens)
-        self._datagrams.send(word, *peers)
+        broadcast = QuotaVerdict(
+            BROADCAST_NUMBER, tenant, pressed_s=pressed_s, tokens=verdict.tokens
+        )
+        self._datagrams.send(broadcast, *peers)
         fields: dict[str, LogValue] = {
             "tenant": tenant,
             "tokens": round(self.buckets.tokens(tenant), 1),
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -14,10 +14,10 @@
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
-AVOIDED_S = 3.0
+AVOID_OWNER_S = 3.0
 """How long an owner that did not answer is avoided, seconds: a paused gateway is not asked for each
 request, and a recovered one is soon used again."""
-KEPT_S = 0.5
+CHOICE_LIFETIME_S = 0.5
 """How long a choice is cached, seconds: ranking 730 gateways takes 0.3 ms."""
 
 
@@ -45,27 +45,31 @@
     def owner_of(self, tenant: str) -> Address:
         """Return the gateway that owns a tenant's bucket."""
         now = self.clock()
-        known = self._chosen.get(tenant)
-        if known is None or now - known.chosen_at >= KEPT_S:
-            known = _Choice(self._choose(tenant, now), now)
-            self._chosen[tenant] = known
-        return known.owner
-
-    def failed(self, owner: Address) -> None:
-        """Avoid an owner that did not answer, for :data:`AVOIDED_S`."""
-        self._avoided[owner] = self.clock() + AVOIDED_S
-        self._chosen = {name: one for name, one in self._chosen.items() if one.owner != owner}
+        choice = self._chosen.get(tenant)
+        if choice is None or now - choice.chosen_at >= CHOICE_LIFETIME_S:
+            choice = _Choice(self._choose(tenant, now), now)
+            self._chosen[tenant] = choice
+        return choice.owner
+
+    def note_failure(self, owner: Address) -> None:
+        """Avoid an owner that did not answer, for :data:`AVOID_OWNER_S`."""
+        self._avoided[owner] = self.clock() + AVOID_OWNER_S
+        self._chosen = {
+            name: choice for name, choice in self._chosen.items() if choice.owner != owner
+        }
 
     def forget_unused(self, tenants: Set[str]) -> None:
         """Drop the state of tenants that are no longer configured."""
-        self._chosen = {name: one for name, one in self._chosen.items() if name in tenants}
+        self._chosen = {name: choice for name, choice in self._chosen.items() if name in tenants}
 
     def _choose(self, tenant: str, now: float) -> Address:
         """Return the highest-ranked live gateway that can be reached, this one included."""
-        willing = [
+        reachable = [
             member.address
             for member in self.peers.candidates(now)
             if not self.zone_monitor.is_closed(member.zone)
             and now >= self._avoided.get(member.address, 0.0)
         ]
-        return max((*willing, self.own), key=lambda address: rendezvous_score(tenant, str(address)))
+        return max(
+            (*reachable, self.own), key=lambda address: rendezvous_score(tenant, str(address))
+        )
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -25,29 +25,29 @@
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
-from tinrudder.gateway.quotas.bucket_owner import TO_EVERYBODY, BucketOwner
+from tinrudder.gateway.quotas.bucket_owner import BROADCAST_NUMBER, BucketOwner
 from tinrudder.gateway.quotas.bucket_owner_choice import BucketOwnerChoice
 
-REPORT_PAUSE_S = 0.02
+REPORT_BATCH_S = 0.02
 """Batching interval of reports, seconds: at seven times a limit of a thousand a second, one report
 covers 140 requests; the margin above such a limit is ten times that."""
-ANSWER_WITHIN_S = 0.08
+REPORT_TIMEOUT_S = 0.08
 """Timeout of a report, seconds: 25 round trips of 3 ms, or twice a scatter's burst of work on a
 slow machine."""
-OWNERS_TRIED = 3
+MAX_OWNERS_TRIED = 3
 """Maximum number of owners asked for one report: one may have failed, and a second with it."""
-RETRY_UNKNOWN_S = 0.3
+NO_OWNER_RETRY_S = 0.3
 """Retry delay given to clients while no owner answers, seconds: by then an owner that answers is
 found, or the silent one is avoided."""
 
-MOST_UNHEARD = 3
+UNACKNOWLEDGED_REQUESTS = 3
 """Requests of a tenant that an entry gateway may always admit without an acknowledgement of the
 bucket's owner: a client's first few run at once, and the margin above a limit covers them."""
-UNHEARD_S = 0.05
+UNACKNOWLEDGED_S = 0.05
 """The same in seconds of the tenant's rate, where that is more: two reports and their answers.  A
 process that resumes after a pause receives all requests sent meanwhile at once: 21 were admitted in
 0.03 s, where 50 are allowed in 5 s."""
-OWN_NUMBER = 1
+LOCAL_REPORT_NUMBER = 1
 """Report number of a gateway's reports to itself, which are answered synchronously."""
 
 Refusal = OverQuota | NotRun
@@ -83,7 +83,7 @@
     timer: asyncio.TimerHandle | None = None
 
 
-class _Told(Struct, frozen=True):
+class _ReportedTokens(Struct, frozen=True):
     """Tokens in a tenant's bucket by an owner's latest verdict, and when it was received."""
 
     tokens: float
@@ -118,14 +118,14 @@
         self._bounds = bounds
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
-        self._choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
+        self._owner_choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
         self._number = first_number()
         self._pressed_until: dict[str, float] = {}
-        self._told: dict[str, _Told] = {}
+        self._reported_tokens: dict[str, _ReportedTokens] = {}
         self._pending: dict[int, _Pending] = {}
         self._unreported: Counter[str] = Counter()
         # Requests admitted and reported, but not acknowledged by an owner yet.
-        self._unheard: Counter[str] = Counter()
+        self._unacknowledged: Counter[str] = Counter()
         self._reporting: asyncio.TimerHandle | None = None
         datagrams.handle(QuotaVerdict, self._on_verdict)
 
@@ -139,17 +139,17 @@
         if tenant.rate_per_s <= 0.0:
             counts.admitted += 1
             decide(None)
-        elif self.is_pressed(tenant.name) or self._is_ahead(tenant):
-            self._send(_Pending(tenant, 0, self._counted(counts, decide), self._own, 0.0))
+        elif self.is_pressed(tenant.name) or self._must_ask_first(tenant):
+            self._send(_Pending(tenant, 0, self._with_counts(counts, decide), self._own, 0.0))
         else:
             counts.admitted += 1
             self._note(tenant.name, 1)
             decide(None)
 
-    def _is_ahead(self, tenant: Tenant) -> bool:
+    def _must_ask_first(self, tenant: Tenant) -> bool:
         """Return whether too many admitted requests are not yet acknowledged by the owner."""
-        ahead = self._unreported[tenant.name] + self._unheard[tenant.name]
-        return ahead >= max(MOST_UNHEARD, tenant.rate_per_s * UNHEARD_S)
+        unacknowledged = self._unreported[tenant.name] + self._unacknowledged[tenant.name]
+        return unacknowledged >= max(UNACKNOWLEDGED_REQUESTS, tenant.rate_per_s * UNACKNOWLEDGED_S)
 
     def give_back(self, tenant: Tenant) -> None:
         """Return the token of an admitted request that has not run and never will."""
@@ -162,17 +162,17 @@
 
     def owner_of(self, tenant: str) -> Address:
         """Return the gateway that owns a tenant's bucket in this gateway's view."""
-        return self._choice.owner_of(tenant)
+        return self._owner_choice.owner_of(tenant)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
         """Drop the state of tenants that are no longer configured."""
-        for kept in (self.counts, self._pressed_until, self._told):
-            for name in kept.keys() - tenants:
-                del kept[name]
-        self._choice.forget_unused(tenants)
+        for by_tenant in (self.counts, self._pressed_until, self._reported_tokens):
+            for name in by_tenant.keys() - tenants:
+                del by_tenant[name]
+        self._owner_choice.forget_unused(tenants)
         self.bucket_owner.forget_unused(tenants)
 
-    def _counted(self, counts: TenantCounts, decide: Decision) -> Decision:
+    def _with_counts(self, counts: TenantCounts, decide: Decision) -> Decision:
         """Wrap ``decide`` so that each decision is counted."""
 
         def decided(refusal: Refusal | None) -> None:
@@ -187,7 +187,7 @@
         """Add admitted requests to the next report, and schedule it."""
         self._unreported[tenant] += admitted
         if self._reporting is None:
-            self._reporting = self._loop.call_later(REPORT_PAUSE_S, self._report)
+            self._reporting = self._loop.call_later(REPORT_BATCH_S, self._report)
 
     def _report(self) -> None:
         """Report admitted requests to the owners."""
@@ -196,23 +196,23 @@
         for name, admitted in unreported.items():
             tenant = self._find_tenant(name)
             if tenant is not None and admitted:
-                self._unheard[name] += admitted
+                self._unacknowledged[name] += admitted
                 self._send(_Pending(tenant, admitted, None, self._own, 0.0))
 
     def _send(self, pending: _Pending) -> None:
         """Send a report to its current owner, or decide here if that is this gateway.
 
-        Also decides here after :data:`OWNERS_TRIED` owners did not answer.
+        Also decides here after :data:`MAX_OWNERS_TRIED` owners did not answer.
         """
         pending.owner = self.owner_of(pending.tenant.name)
-        if pending.tried >= OWNERS_TRIED or pending.owner == self._own:
-            self._decide_here(pending, alone=pending.tried > 0)
+        if pending.tried >= MAX_OWNERS_TRIED or pending.owner == self._own:
+            self._decide_locally(pending, isolated=pending.tried > 0)
             return
         pending.tried += 1
         pending.sent_at = self._loop.time()
         self._number += 1
         self._pending[self._number] = pending
-        timer = self._loop.call_later(ANSWER_WITHIN_S, self._on_silence, self._number)
+        timer = self._loop.call_later(REPORT_TIMEOUT_S, self._on_report_timeout, self._number)
         pending.timer = timer
         self._datagrams.send(self._report_of(pending, self._number), pending.owner)
 
@@ -223,19 +223,19 @@
         lost its buckets.
         """
         name = pending.tenant.name
-        told = self._told.get(name)
+        reported = self._reported_tokens.get(name)
         held = None
-        if told is not None:
-            age_s = self._loop.time() - told.at
+        if reported is not None:
+            age_s = self._loop.time() - reported.at
             if age_s <= self._bounds.window_s:
-                held = HeldTokens(told.tokens, age_s)
+                held = HeldTokens(reported.tokens, age_s)
         return QuotaReport(number, name, pending.admitted, pending.decide is not None, held)
 
-    def _on_silence(self, number: int) -> None:
+    def _on_report_timeout(self, number: int) -> None:
         """Handle a report's timeout: avoid the silent owner and send the report to the next."""
         pending = self._pending.pop(number)
         now = self._loop.time()
-        self._choice.failed(pending.owner)
+        self._owner_choice.note_failure(pending.owner)
         self._zone_monitor.doubt_way_to(pending.owner, pending.sent_at)
         fields: dict[str, LogValue] = {
             "tenant": pending.tenant.name,
@@ -245,28 +245,30 @@
         log_event("quota_home_silent", fields)
         self._send(pending)
 
-    def _decide_here(self, pending: _Pending, *, alone: bool) -> None:
+    def _decide_locally(self, pending: _Pending, *, isolated: bool) -> None:
         """Answer this gateway's own report without another gateway.
 
-        :param alone: no other owner answered, so that other gateways may grant requests as well.
+        :param isolated: no other owner answered, so that other gateways may grant requests as well.
         """
-        self._note_heard(pending)
-        report = self._report_of(pending, OWN_NUMBER)
+        self._note_acknowledged(pending)
+        report = self._report_of(pending, LOCAL_REPORT_NUMBER)
         verdict = (
-            self.bucket_owner.judge_alone(report) if alone else self.bucket_owner.judge(report)
+            self.bucket_owner.judge_isolated(report)
+            if isolated
+            else self.bucket_owner.judge(report)
         )
-        self._press(verdict)
+        self._apply_verdict(verdict)
         if pending.decide is None:
             return
-        if alone and not verdict.granted:
-            pending.decide(NotRun("quota: no home of the tenant answers", RETRY_UNKNOWN_S))
+        if isolated and not verdict.granted:
+            pending.decide(NotRun("quota: no home of the tenant answers", NO_OWNER_RETRY_S))
         else:
             pending.decide(_refusal(pending, verdict))
 
     def _on_verdict(self, verdict: QuotaVerdict, _owner: Address) -> None:
         """Apply an owner's verdict."""
-        if verdict.number == TO_EVERYBODY:
-            self._press(verdict)
+        if verdict.number == BROADCAST_NUMBER:
+            self._apply_verdict(verdict)
             return
         pending = self._pending.pop(verdict.number, None)
         if pending is None:
@@ -274,22 +276,24 @@
         if pending.timer is not None:
             pending.timer.cancel()
         self._zone_monitor.answered_by(pending.owner)
-        self._note_heard(pending)
-        self._press(verdict)
+        self._note_acknowledged(pending)
+        self._apply_verdict(verdict)
         if pending.decide is not None:
             pending.decide(_refusal(pending, verdict))
 
-    def _note_heard(self, pending: _Pending) -> None:
+    def _note_acknowledged(self, pending: _Pending) -> None:
         """Record that an owner has received a report."""
         name = pending.tenant.name
-        self._unheard[name] -= pending.admitted
-        if not self._unheard[name]:
-            del self._unheard[name]
+        self._unacknowledged[name] -= pending.admitted
+        if not self._unacknowledged[name]:
+            del self._unacknowledged[name]
 
-    def _press(self, verdict: QuotaVerdict) -> None:
+    def _apply_verdict(self, verdict: QuotaVerdict) -> None:
         """Record how long the owner must be asked first, and the tokens left in the bucket."""
         if verdict.tokens is not None:
-            self._told[verdict.tenant] = _Told(verdict.tokens, self._loop.time())
+            self._reported_tokens[verdict.tenant] = _ReportedTokens(
+                verdict.tokens, self._loop.time()
+            )
         if verdict.pressed_s > 0.0:
             self._pressed_until[verdict.tenant] = self._loop.time() + verdict.pressed_s
         else:
