--- a/tests/functional/gateway/test_cold.py
+++ b/tests/functional/gateway/test_cold.py
@@ -1,4 +1,4 @@
-"""Back ends that turn cold: noticed at any time, and never sent more than they bear."""
+"""Back ends that turn cold are detected at any time, and never get more calls than they can run."""
 
 from __future__ import annotations
 
--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -1,4 +1,4 @@
-"""Tenants' limits hold over all gateways together, whatever happens to the one that counts."""
+"""Tenants' limits hold over all gateways, also when the owner of a tenant's bucket fails."""
 
 from __future__ import annotations
 
@@ -158,7 +158,10 @@
 def test_the_limit_holds_while_homes_die_and_stand_still_one_after_another(
     node_count: int, seed: int
 ) -> None:
-    """Each new home knows nothing of what the one before granted (soak seed 104: 52 of 50)."""
+    """A new owner does not know what the previous one granted.
+
+    Guards against several owners in a row granting the full limit (soak seed 104: 52 of 50).
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
@@ -184,7 +187,10 @@
 
 
 def test_what_waited_at_a_process_that_stood_still_is_not_admitted_at_once() -> None:
-    """Its clients sent a window's worth meanwhile (soak seed 104: 21 of 21 were admitted)."""
+    """A resumed process receives all requests of its pause at once.
+
+    Guards against admitting them before the owner has answered (soak seed 104: 21 of 21 were).
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
@@ -244,7 +250,7 @@
 
 @pytest.mark.parametrize("cut_off", [1, 2, 3])
 def test_the_limit_holds_where_some_gateways_hear_nobody_else(cut_off: int) -> None:
-    """They are cut off from the rest by themselves, and keep all their back ends."""
+    """These gateways lose the datagrams of all others, but still reach all back ends."""
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
@@ -294,7 +300,7 @@
 
 
 def test_what_was_admitted_and_never_ran_does_not_count() -> None:
-    """The tenant's back ends are all gone for a while: its refusals use nothing up."""
+    """All back ends are gone for a while: requests refused meanwhile use no tokens."""
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
--- a/tests/unit/gateway/decisions/test_backend_observations.py
+++ b/tests/unit/gateway/decisions/test_backend_observations.py
@@ -1,4 +1,4 @@
-"""What was seen of a back end, and the cost of the next call there."""
+"""Tests of the observations of a back end and the expected cost of its next call."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_cold_start_rate.py
+++ b/tests/unit/gateway/decisions/test_cold_start_rate.py
@@ -1,4 +1,4 @@
-"""Calls to a cold back end: the parts of all gateways never add up to more than it bears."""
+"""Calls to a cold back end: the gateways' parts of its rate never add up to more than the rate."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_coordinator_choice.py
+++ b/tests/unit/gateway/decisions/test_coordinator_choice.py
@@ -1,4 +1,4 @@
-"""Which gateways coordinate an index, and in which order the others ask them."""
+"""Choice of the gateways that coordinate an index, and the order in which others ask them."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -1,4 +1,4 @@
-"""News of long queues: bounded, merged by moment, and what is decided by it."""
+"""Load reports between gateways: their traffic is bounded, and the newest report wins."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 NOW = 10.0
 
-# Eighths of a second are whole in milliseconds, the unit that travels, and exact as floats.
+# Eighths of a second are whole milliseconds, the unit of the encoding, and exact as floats.
 eighths = st.integers(0, 6).map(lambda number: number / 8)
 
 loads = st.builds(
@@ -99,7 +99,7 @@
 def test_the_newest_report_holds_in_any_order_with_any_loss_and_repetition(
     deadlines: list[int], seed: int, lost: int
 ) -> None:
-    """The backlog names the moment; told at any age, some twice, the one numbered lost never."""
+    """Each report's backlog identifies its time; some arrive twice, and number ``lost`` never."""
     source = random.Random(seed)
     heard = [one for number, one in enumerate(deadlines) if number != lost] or deadlines
     arrivals = heard + source.sample(heard, source.randint(0, len(heard)))
--- a/tests/unit/gateway/decisions/test_process_pause.py
+++ b/tests/unit/gateway/decisions/test_process_pause.py
@@ -1,4 +1,4 @@
-"""A process that stood still is found by its own notes, whoever asks and when."""
+"""A process detects its own pauses by the times at which it recorded that it runs."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_send_budget.py
+++ b/tests/unit/gateway/decisions/test_send_budget.py
@@ -1,4 +1,4 @@
-"""A budget of messages bounds what leaves in any time, whoever asks and how often."""
+"""A send budget limits the messages of any period, however many are wanted."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_shard_placement.py
+++ b/tests/unit/gateway/decisions/test_shard_placement.py
@@ -1,4 +1,4 @@
-"""Which shards are handed to a gateway in another zone."""
+"""Choice of the shards that are delegated to a gateway in another zone."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/decisions/test_weighted_rotation.py
+++ b/tests/unit/gateway/decisions/test_weighted_rotation.py
@@ -1,4 +1,4 @@
-"""Requests are divided by weight, at each gateway and over all."""
+"""Requests are divided by weight, at each gateway and over all gateways."""
 
 from __future__ import annotations
 
@@ -38,7 +38,10 @@
 def test_shares_hold_over_many_gateways_that_see_few_requests_each(
     weights: dict[str, int], seed: int
 ) -> None:
-    """Each begins at a turn of its own; a common first turn would be everybody's only one."""
+    """Each gateway starts at a random turn.
+
+    With a common start, gateways that see few requests would all choose the same services.
+    """
     source = random.Random(seed)
     seen: Counter[str] = Counter()
     for _ in range(400):
--- a/tests/unit/gateway/decisions/test_zone_paths.py
+++ b/tests/unit/gateway/decisions/test_zone_paths.py
@@ -1,4 +1,4 @@
-"""What is believed of the way to a zone, by what passes on it."""
+"""State of the path to a zone, given the messages, answers and timeouts on it."""
 
 from __future__ import annotations
 
@@ -48,7 +48,7 @@
 
 
 def test_too_few_questions_close_nothing() -> None:
-    """A process that stood still finds its timers due before it has asked again."""
+    """After a pause of the process, its timers are due before it has sent further probes."""
     paths = ZonePaths()
     paths.doubt(ZONE, 9.9, 10.0)
     paths.note_round(ZONE)
@@ -126,7 +126,7 @@
 
 
 def test_another_gateways_doubt_ends_no_trial() -> None:
-    """Others tell of the closed way in each digest: calls here would never find out."""
+    """Peers report their closed path in each digest; these doubts must not end the trial early."""
     paths = closed()
     trial_at = paths.path(ZONE).trial_at
     assert paths.review(ZONE, trial_at)
--- a/tests/unit/gateway/decisions/test_zone_preference.py
+++ b/tests/unit/gateway/decisions/test_zone_preference.py
@@ -1,4 +1,4 @@
-"""How much a replica in the own zone is preferred."""
+"""How much a replica in the gateway's own zone is preferred."""
 
 from __future__ import annotations
 
