--- a/tests/functional/gateway/test_cold.py
+++ b/tests/functional/gateway/test_cold.py
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("node_count", [3, 8])
-def test_all_gateways_together_keep_to_what_cold_back_ends_bear(node_count: int) -> None:
+def test_all_gateways_together_keep_to_the_rate_of_cold_back_ends(node_count: int) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(2.0, 40.0, ("scatter", "single"))
         cold = ["shard-0-0", "shard-0-1", "shard-1-0", "single-0"]
@@ -28,7 +28,7 @@
     run_site(scenario, node_count=node_count, cold_calls_per_s=COLD_CALLS_PER_S)
 
 
-def test_processes_that_all_start_beside_cold_back_ends_keep_to_what_these_bear() -> None:
+def test_gateways_that_start_beside_cold_back_ends_keep_to_their_rate() -> None:
     async def scenario(site: EmulatedSite) -> None:
         for node in site.nodes:
             site.kill_node(node)
@@ -56,7 +56,7 @@
     run_site(scenario)
 
 
-def test_without_a_rate_of_its_own_a_cold_back_end_is_only_preferred_less() -> None:
+def test_without_a_cold_rate_a_cold_back_end_is_only_preferred_less() -> None:
     async def scenario(site: EmulatedSite) -> None:
         for copy in range(2):
             site.turn_cold(f"shard-0-{copy}", COLD_S)
--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -23,8 +23,8 @@
 LIMITED = SiteTenant("limited", ("key-l",), RATE, BURST)
 OTHER = SiteTenant("other", ("key-o",), RATE, BURST)
 FREE = SiteTenant("free", ("key-f",))
-HOT = 7.0
-"""How many times its limit a tenant asks for that does not keep to it."""
+OVERLOAD = 7.0
+"""Load of a tenant that exceeds its limit, as a multiple of the limit."""
 
 
 def run_limited(scenario: Any, **options: Any) -> Any:
@@ -62,7 +62,7 @@
     return node.gateway
 
 
-def home_of(site: EmulatedSite, tenant: str = "limited") -> EmulatedNode:
+def owner_node_of(site: EmulatedSite, tenant: str = "limited") -> EmulatedNode:
     address = gateway_of(site.nodes[0]).requests.quotas.owner_of(tenant)
     return next(node for node in site.nodes if node.host == address.host)
 
@@ -85,7 +85,7 @@
 def test_a_tenant_at_seven_times_its_limit_gets_its_limit(run: Any) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        results = await ask(site, 20.0, RATE * HOT)
+        results = await ask(site, 20.0, RATE * OVERLOAD)
         assert statuses(results) == {200, 429}
         assert LIMIT * 0.8 <= site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
         served = sum(1 for one in results if one.status == 200)
@@ -95,10 +95,10 @@
     run(scenario)
 
 
-def test_a_refusal_comes_at_once_with_a_moment_of_its_own_and_has_not_run() -> None:
+def test_a_refusal_comes_at_once_with_its_own_retry_time_and_has_not_run() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        await ask(site, 5.0, RATE * HOT)
+        await ask(site, 5.0, RATE * OVERLOAD)
         answers = await asyncio.gather(
             *(site.send("single", n % 7, key="key-l") for n in range(12))
         )
@@ -117,7 +117,7 @@
 def test_a_tenant_that_asks_too_much_takes_nothing_from_others() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        hot = asyncio.create_task(ask(site, 15.0, RATE * HOT))
+        hot = asyncio.create_task(ask(site, 15.0, RATE * OVERLOAD))
         calm, free = await asyncio.gather(
             ask(site, 15.0, RATE * 0.6, "key-o"), ask(site, 15.0, 20.0, "key-f")
         )
@@ -129,21 +129,23 @@
 
 
 @pytest.mark.parametrize("how", ["killed", "paused", "stopped"])
-def test_the_limit_holds_over_the_loss_of_the_tenants_home(how: str) -> None:
+def test_the_limit_holds_over_the_loss_of_the_buckets_owner(how: str) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        home = home_of(site)
-        asking = asyncio.create_task(ask(site, 20.0, RATE * HOT, nodes=others_than(site, home)))
+        owner = owner_node_of(site)
+        asking = asyncio.create_task(
+            ask(site, 20.0, RATE * OVERLOAD, nodes=others_than(site, owner))
+        )
         await asyncio.sleep(8.0)
         if how == "killed":
-            site.kill_node(home)
+            site.kill_node(owner)
         elif how == "paused":
-            home.machine.pause()
+            owner.machine.pause()
         else:
-            gateway_of(home).request_stop()
+            gateway_of(owner).request_stop()
         await asyncio.sleep(6.0)
         if how == "paused":
-            home.machine.resume(site.loop)
+            owner.machine.resume(site.loop)
         results = await asking
         assert statuses(results) <= {200, 429, 503}
         assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
@@ -155,7 +157,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 @pytest.mark.parametrize("node_count", [3, 7])
-def test_the_limit_holds_while_homes_die_and_stand_still_one_after_another(
+def test_the_limit_holds_while_owners_die_and_pause_one_after_another(
     node_count: int, seed: int
 ) -> None:
     """A new owner does not know what the previous one granted.
@@ -165,20 +167,20 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        asking = asyncio.create_task(ask(site, 25.0, RATE * HOT))
+        asking = asyncio.create_task(ask(site, 25.0, RATE * OVERLOAD))
         await asyncio.sleep(5.0)
         for turn in range(12):
             alive = next(node for node in site.nodes if not node.machine.gone)
             address = gateway_of(alive).requests.quotas.owner_of("limited")
-            home = next(node for node in site.nodes if node.host == address.host)
+            owner = next(node for node in site.nodes if node.host == address.host)
             if turn % 3 == 2:
-                home.machine.pause()
+                owner.machine.pause()
                 await asyncio.sleep(site.random.uniform(0.3, 2.0))
-                home.machine.resume(site.loop)
+                owner.machine.resume(site.loop)
             else:
-                site.kill_node(home)
+                site.kill_node(owner)
                 await asyncio.sleep(site.random.uniform(0.1, 1.0))
-                site.start_node(home)
+                site.start_node(owner)
             await asyncio.sleep(site.random.uniform(0.1, 1.0))
         await asking
         assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
@@ -186,7 +188,7 @@
     run_limited(scenario, node_count=node_count, seed=seed)
 
 
-def test_what_waited_at_a_process_that_stood_still_is_not_admitted_at_once() -> None:
+def test_requests_that_waited_at_a_paused_process_are_not_admitted_at_once() -> None:
     """A resumed process receives all requests of its pause at once.
 
     Guards against admitting them before the owner has answered (soak seed 104: 21 of 21 were).
@@ -194,9 +196,9 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        entry = others_than(site, home_of(site))[0]
+        entry = others_than(site, owner_node_of(site))[0]
         asking = asyncio.create_task(
-            ask(site, 12.0, RATE * HOT, nodes=others_than(site, site.nodes[entry]))
+            ask(site, 12.0, RATE * OVERLOAD, nodes=others_than(site, site.nodes[entry]))
         )
         await asyncio.sleep(6.0)
         site.nodes[entry].machine.pause()
@@ -216,17 +218,17 @@
 
 
 @pytest.mark.parametrize("how", ["killed", "paused"])
-def test_within_the_limit_little_is_refused_when_the_home_is_lost(how: str) -> None:
+def test_within_the_limit_little_is_refused_when_the_owner_is_lost(how: str) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        home = home_of(site)
-        nodes = others_than(site, home)
+        owner = owner_node_of(site)
+        nodes = others_than(site, owner)
         asking = asyncio.create_task(ask(site, 30.0, RATE * 0.62, nodes=nodes))
         await asyncio.sleep(10.0)
         if how == "killed":
-            site.kill_node(home)
+            site.kill_node(owner)
         else:
-            home.machine.pause()
+            owner.machine.pause()
         assert refused(await asking) <= 0.02
 
     run_limited(scenario)
@@ -235,7 +237,7 @@
 def test_the_limit_holds_over_a_start_of_all_gateways() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        asking = asyncio.create_task(ask(site, 16.0, RATE * HOT))
+        asking = asyncio.create_task(ask(site, 16.0, RATE * OVERLOAD))
         await asyncio.sleep(6.0)
         for node in site.nodes:
             site.kill_node(node)
@@ -254,11 +256,13 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        apart = {node.host for node in site.nodes[:cut_off]}
-        asking = asyncio.create_task(ask(site, 20.0, RATE * HOT))
+        cut_off_hosts = {node.host for node in site.nodes[:cut_off]}
+        asking = asyncio.create_task(ask(site, 20.0, RATE * OVERLOAD))
         await asyncio.sleep(6.0)
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: (source[0] in apart) != (target[0] in apart)
+        loop.datagram_lost = lambda source, target: (
+            (source[0] in cut_off_hosts) != (target[0] in cut_off_hosts)
+        )
         await asking
         assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
 
@@ -285,7 +289,7 @@
     run_limited(scenario)
 
 
-def test_a_higher_limit_holds_at_once_and_none_at_all_too() -> None:
+def test_a_higher_limit_or_its_removal_takes_effect_at_once() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         assert refused(await ask(site, 8.0, RATE * 5)) > 0.3
@@ -299,7 +303,7 @@
     run_limited(scenario)
 
 
-def test_what_was_admitted_and_never_ran_does_not_count() -> None:
+def test_admitted_requests_that_never_ran_do_not_count() -> None:
     """All back ends are gone for a while: requests refused meanwhile use no tokens."""
 
     async def scenario(site: EmulatedSite) -> None:
@@ -322,7 +326,7 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         calm = await ask(site, 20.0, RATE * 0.6, "key-o")
-        await ask(site, 15.0, RATE * HOT)
+        await ask(site, 15.0, RATE * OVERLOAD)
         assert statuses(calm) == {200}
         assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
 
@@ -342,14 +346,14 @@
     run_limited(scenario)
 
 
-def test_a_clients_leave_while_its_home_is_asked_counts_nothing() -> None:
+def test_a_client_that_leaves_while_the_owner_is_asked_leaves_no_request_behind() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        home = home_of(site)
-        entry = others_than(site, home)[0]
-        await ask(site, 6.0, RATE * HOT)
+        owner = owner_node_of(site)
+        entry = others_than(site, owner)[0]
+        await ask(site, 6.0, RATE * OVERLOAD)
         assert gateway_of(site.nodes[entry]).requests.quotas.is_pressed("limited")
-        home.machine.pause()
+        owner.machine.pause()
         await site.send("single", entry, key="key-l", leaves_after_s=0.01)
         await asyncio.sleep(1.0)
         assert gateway_of(site.nodes[entry]).requests.handler.in_progress == 0
@@ -357,11 +361,11 @@
     run_limited(scenario)
 
 
-def test_addresses_are_told_as_homes() -> None:
+def test_all_gateways_name_the_same_owner() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        homes = {gateway_of(node).requests.quotas.owner_of("limited") for node in site.nodes}
-        assert len(homes) == 1
-        assert isinstance(homes.pop(), Address)
+        owners = {gateway_of(node).requests.quotas.owner_of("limited") for node in site.nodes}
+        assert len(owners) == 1
+        assert isinstance(owners.pop(), Address)
 
     run_limited(scenario)
--- a/tests/unit/gateway/decisions/test_backend_observations.py
+++ b/tests/unit/gateway/decisions/test_backend_observations.py
@@ -44,14 +44,14 @@
     assert slow.cost(10.6) == usual.cost(10.6)
 
 
-def test_what_is_typical_of_a_replica_is_no_slow_moment() -> None:
+def test_a_typical_slowdown_is_not_a_momentary_one() -> None:
     observations = BackendObservations()
     for number in range(50):
         observations.reported(0, 0, 2, number * 0.1, 1.3)
     assert observations.momentary_slowdown(4.9) == pytest.approx(1.0)
 
 
-def test_a_slow_moment_that_was_reported_is_not_learned_as_the_replicas_own() -> None:
+def test_a_reported_momentary_slowdown_is_not_learned_as_lasting() -> None:
     with_reports, without = BackendObservations(), BackendObservations()
     for number in range(20):
         now = number * 0.1
--- a/tests/unit/gateway/decisions/test_cold_start_rate.py
+++ b/tests/unit/gateway/decisions/test_cold_start_rate.py
@@ -30,7 +30,7 @@
 
 
 @given(st.integers(1, 20), st.integers(0, 20), RATES)
-def test_whoever_knows_few_of_many_takes_no_more_than_an_equal_part(
+def test_a_gateway_that_knows_few_of_many_takes_at_most_an_equal_part(
     known: int, unknown: int, rate: float
 ) -> None:
     names = [f"gateway-{number}" for number in range(known)]
@@ -51,13 +51,13 @@
 @given(st.integers(0, 6), st.integers(0, 10**6))
 def test_no_second_holds_more_calls_than_the_part(part: int, seed: int) -> None:
     source = random.Random(seed)
-    pace = ColdStartRate()
+    cold_rate = ColdStartRate()
     now = 0.0
     sent: list[float] = []
     for _ in range(200):
         now += source.expovariate(20.0)
-        if pace.may_send(now, part):
-            pace.note_sent(now)
+        if cold_rate.may_send(now, part):
+            cold_rate.note_sent(now)
             sent.append(now)
     assert all(sum(1 for at in sent if end - 1.0 < at <= end) <= part for end in sent)
     assert part == 0 or len(sent) >= part
@@ -65,11 +65,11 @@
 
 @given(st.lists(st.integers(0, 6), min_size=1, max_size=60))
 def test_a_part_that_shrinks_holds_at_once(parts: list[int]) -> None:
-    pace = ColdStartRate()
+    cold_rate = ColdStartRate()
     sent: list[float] = []
     for number, part in enumerate(parts):
         now = number * 0.05
-        if pace.may_send(now, part):
-            pace.note_sent(now)
+        if cold_rate.may_send(now, part):
+            cold_rate.note_sent(now)
             sent.append(now)
             assert sum(1 for at in sent if now - 1.0 < at <= now) <= part
--- a/tests/unit/gateway/decisions/test_coordinator_choice.py
+++ b/tests/unit/gateway/decisions/test_coordinator_choice.py
@@ -40,7 +40,7 @@
 
 
 @given(replicas=st.integers(1, 20), max_connections=st.integers(1, 500), nodes=st.integers(1, 1000))
-def test_whoever_calls_has_connections_left_or_few_do(
+def test_every_caller_gets_enough_connections(
     replicas: int, max_connections: int, nodes: int
 ) -> None:
     demand = IndexDemand(replicas, max_connections)
@@ -56,11 +56,11 @@
 def test_every_zone_has_coordinators_of_its_own(candidates: list[Candidate], count: int) -> None:
     chosen = choose_coordinators("index", candidates, count)
     assert set(chosen) <= set(candidates)
-    there = Counter(candidate.zone for candidate in candidates)
-    of_zone = Counter(candidate.zone for candidate in chosen)
-    for zone, many in there.items():
-        wanted = max(MIN_COORDINATORS_PER_ZONE, math.ceil(count / len(there)))
-        assert of_zone[zone] == min(many, wanted)
+    candidates_in_zone = Counter(candidate.zone for candidate in candidates)
+    chosen_in_zone = Counter(candidate.zone for candidate in chosen)
+    for zone, available in candidates_in_zone.items():
+        wanted = max(MIN_COORDINATORS_PER_ZONE, math.ceil(count / len(candidates_in_zone)))
+        assert chosen_in_zone[zone] == min(available, wanted)
 
 
 @given(candidates=CANDIDATES, count=st.integers(1, 12))
@@ -70,7 +70,7 @@
 
 
 @given(candidates=CANDIDATES, count=st.integers(1, 12), data=st.data())
-def test_one_that_goes_changes_only_its_own_place(
+def test_the_loss_of_a_gateway_replaces_only_that_gateway(
     candidates: list[Candidate], count: int, data: st.DataObject
 ) -> None:
     if not candidates:
@@ -101,7 +101,7 @@
     assert max(busy.values()) <= 2 * min(busy.values())
 
 
-def test_a_gateway_asks_its_own_zone_first_and_has_one_favourite() -> None:
+def test_a_gateway_asks_its_own_zone_first_and_always_the_same_coordinator() -> None:
     coordinators = choose_coordinators("index", fleet(4), 6)
     for number in range(30):
         order = preference(f"gateway-{number}", "zone-b", coordinators)
@@ -113,7 +113,7 @@
 
 
 @given(st.integers(1, 12), st.integers(1, 40), st.integers(1, 20))
-def test_readers_are_no_more_than_wanted_unless_zones_are(
+def test_readers_are_no_more_than_wanted_but_one_in_each_zone(
     zones: int, in_each: int, most: int
 ) -> None:
     candidates = [
@@ -134,6 +134,6 @@
         assert order[2:] == (*weak, *elsewhere)
 
 
-def test_where_all_are_alike_all_are_strong() -> None:
+def test_candidates_of_equal_capacity_are_all_strong() -> None:
     assert set(strong_ones(fleet(4, 0.5))) == set(fleet(4, 0.5))
     assert strong_ones([]) == ()
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -48,13 +48,15 @@
 
 
 @given(st.lists(loads, max_size=MAX_PER_DATAGRAM).map(tuple))
-def test_news_comes_out_as_it_went_in_and_is_small(told: tuple[ReportedLoad, ...]) -> None:
-    payload = encode_datagram(LoadNews(told))
-    assert decode_datagram(payload) == LoadNews(told)
-    assert IP_AND_UDP_BYTES + len(payload) <= DATAGRAM_BYTES + LOAD_BYTES * len(told)
+def test_reports_survive_the_encoding_within_the_size_bound(
+    reports: tuple[ReportedLoad, ...],
+) -> None:
+    payload = encode_datagram(LoadNews(reports))
+    assert decode_datagram(payload) == LoadNews(reports)
+    assert IP_AND_UDP_BYTES + len(payload) <= DATAGRAM_BYTES + LOAD_BYTES * len(reports)
 
 
-def test_an_age_is_never_told_too_short() -> None:
+def test_an_encoded_age_is_never_rounded_down() -> None:
     payload = encode_datagram(LoadNews((ReportedLoad(1, 4, 2, 1.0, 0.0301),)))
     decoded = decode_datagram(payload)
     assert isinstance(decoded, LoadNews)
@@ -66,25 +68,27 @@
     wanted=st.integers(1, 729),
     noted=st.integers(1, 8),
 )
-def test_what_leaves_in_any_time_is_bounded(pauses: list[float], wanted: int, noted: int) -> None:
+def test_the_bytes_sent_in_any_period_are_bounded(
+    pauses: list[float], wanted: int, noted: int
+) -> None:
     pending = PendingNews()
     now = 0.0
-    sent: list[tuple[float, int]] = []  # moments and bytes
+    sent: list[tuple[float, int]] = []  # time and bytes
     for pause in pauses:
         now += pause
         for backend in range(noted):
             pending.note(Noted(backend, False, 0.0, NOW))
         assert len(pending) <= noted
-        told, copies = pending.take(now, wanted)
-        assert len(told) <= MAX_PER_DATAGRAM
-        sent.append((now, copies * (DATAGRAM_BYTES + LOAD_BYTES * len(told))))
+        reports, copies = pending.take(now, wanted)
+        assert len(reports) <= MAX_PER_DATAGRAM
+        sent.append((now, copies * (DATAGRAM_BYTES + LOAD_BYTES * len(reports))))
     for first, (begin, _) in enumerate(sent):
         for last, (end, _) in enumerate(sent[first:], first):
             total = sum(size for _, size in sent[first : last + 1])
             assert total <= MOST_BYTES + BYTES_PER_S * (end - begin) + 1e-6
 
 
-def test_nothing_is_held_for_peers_that_there_are_not() -> None:
+def test_without_peers_pending_reports_are_dropped() -> None:
     pending = PendingNews()
     pending.note(Noted(1, True, 0.0, NOW))
     assert pending.take(0.0, 0) == ([], 0)
@@ -92,62 +96,62 @@
 
 
 @given(
-    deadlines=st.lists(st.integers(0, 40), min_size=1, max_size=12),
+    moments=st.lists(st.integers(0, 40), min_size=1, max_size=12),
     seed=st.integers(0, 999),
     lost=st.integers(0, 11),
 )
 def test_the_newest_report_holds_in_any_order_with_any_loss_and_repetition(
-    deadlines: list[int], seed: int, lost: int
+    moments: list[int], seed: int, lost: int
 ) -> None:
     """Each report's backlog identifies its time; some arrive twice, and number ``lost`` never."""
     source = random.Random(seed)
-    heard = [one for number, one in enumerate(deadlines) if number != lost] or deadlines
-    arrivals = heard + source.sample(heard, source.randint(0, len(heard)))
+    received = [one for number, one in enumerate(moments) if number != lost] or moments
+    arrivals = received + source.sample(received, source.randint(0, len(received)))
     source.shuffle(arrivals)
-    known = BackendObservations(slots=SLOTS)
+    observed = BackendObservations(slots=SLOTS)
     now = NOW
     for moment in arrivals:
-        told = ReportedLoad(1, moment, SLOTS, 1.0, now - moment / 64 - 9.0)
-        take_load(told, known, now)
+        report = ReportedLoad(1, moment, SLOTS, 1.0, now - moment / 64 - 9.0)
+        take_load(report, observed, now)
         now += source.choice((0.0, 1 / 64))
-    assert known.reported_backlog == max(heard)
-    assert known.reported_at == max(heard) / 64 + 9.0
+    assert observed.reported_backlog == max(received)
+    assert observed.reported_at == max(received) / 64 + 9.0
 
 
 def test_only_calls_sent_since_the_reports_moment_are_added_to_it() -> None:
-    known = BackendObservations(slots=SLOTS)
+    observed = BackendObservations(slots=SLOTS)
     for number in range(4):
-        known.begin(NOW + number / 10, 0.02)
-    known.reported(4, 8, SLOTS, NOW + 0.5, 1.0, age_s=0.35)
-    assert known.sent_since_report == 2
-    known.reported(4, 8, SLOTS, NOW + 0.6)
-    assert known.sent_since_report == 0
+        observed.begin(NOW + number / 10, 0.02)
+    observed.reported(4, 8, SLOTS, NOW + 0.5, 1.0, age_s=0.35)
+    assert observed.sent_since_report == 2
+    observed.reported(4, 8, SLOTS, NOW + 0.6)
+    assert observed.sent_since_report == 0
 
 
 def test_an_older_report_changes_nothing() -> None:
-    known = BackendObservations(slots=SLOTS)
-    assert known.reported(1, 0, SLOTS, NOW)
-    known.begin(NOW + 0.1, 0.02)
-    assert not known.reported(4, 12, 2, NOW + 0.2, 3.0, age_s=0.21)
-    assert not known.reported(4, 12, 2, NOW + 0.2, 3.0, age_s=0.2)
-    assert (known.reported_backlog, known.slots, known.sent_since_report) == (1, SLOTS, 1)
-
-
-def test_a_shed_counts_as_the_longest_queue_and_passes() -> None:
-    known = BackendObservations(slots=SLOTS)
-    known.reported(4, 11, SLOTS, NOW - 0.5)
-    assert known.shed(NOW)
-    assert known.wait_s(NOW, 0.1) == pytest.approx(0.1 * 12 / 4)
-    assert known.wait_s(NOW + BACKLOG_LIFETIME_S, 0.1) == 0.0
-    assert known.sheds_above(NOW) == 11
-    assert known.sheds_above(NOW + 10.0) == 0
-
-
-def test_a_shed_without_a_queue_is_a_fault_and_closes_nothing() -> None:
-    known = BackendObservations(slots=SLOTS)
-    assert not known.shed(NOW)
-    known.reported(1, 0, SLOTS, NOW)
-    assert not known.shed(NOW + 0.1)
-    assert known.wait_s(NOW + 0.1, 0.1) == 0.0
-    assert known.sheds_above(NOW + 0.1) == 0
-    assert known.shed(NOW + 0.2, backlog=9)
+    observed = BackendObservations(slots=SLOTS)
+    assert observed.reported(1, 0, SLOTS, NOW)
+    observed.begin(NOW + 0.1, 0.02)
+    assert not observed.reported(4, 12, 2, NOW + 0.2, 3.0, age_s=0.21)
+    assert not observed.reported(4, 12, 2, NOW + 0.2, 3.0, age_s=0.2)
+    assert (observed.reported_backlog, observed.slots, observed.sent_since_report) == (1, SLOTS, 1)
+
+
+def test_a_shed_counts_as_the_longest_queue_until_it_is_old() -> None:
+    observed = BackendObservations(slots=SLOTS)
+    observed.reported(4, 11, SLOTS, NOW - 0.5)
+    assert observed.shed(NOW)
+    assert observed.wait_s(NOW, 0.1) == pytest.approx(0.1 * 12 / 4)
+    assert observed.wait_s(NOW + BACKLOG_LIFETIME_S, 0.1) == 0.0
+    assert observed.sheds_above(NOW) == 11
+    assert observed.sheds_above(NOW + 10.0) == 0
+
+
+def test_a_shed_without_a_queue_counts_as_a_fault_and_not_as_load() -> None:
+    observed = BackendObservations(slots=SLOTS)
+    assert not observed.shed(NOW)
+    observed.reported(1, 0, SLOTS, NOW)
+    assert not observed.shed(NOW + 0.1)
+    assert observed.wait_s(NOW + 0.1, 0.1) == 0.0
+    assert observed.sheds_above(NOW + 0.1) == 0
+    assert observed.shed(NOW + 0.2, backlog=9)
--- a/tests/unit/gateway/decisions/test_process_pause.py
+++ b/tests/unit/gateway/decisions/test_process_pause.py
@@ -9,7 +9,7 @@
 
 
 @given(st.lists(st.floats(0.0, LOOK_S), max_size=20))
-def test_a_process_that_notes_in_time_never_stood_still(pauses: list[float]) -> None:
+def test_a_process_that_records_in_time_was_never_paused(pauses: list[float]) -> None:
     pause, now = ProcessPause(0.0), 0.0
     for passed in pauses:
         now += passed
@@ -25,7 +25,7 @@
     assert pause.covers(10.0, 10.0 + passed)
 
 
-def test_what_began_after_the_awakening_is_not_touched_by_the_pause() -> None:
+def test_what_began_after_a_pause_is_not_covered_by_it() -> None:
     pause = ProcessPause(0.0)
     pause.note(60.0)
     assert pause.covers(59.9, 60.1)
--- a/tests/unit/gateway/decisions/test_send_budget.py
+++ b/tests/unit/gateway/decisions/test_send_budget.py
@@ -13,11 +13,11 @@
 
 @given(st.lists(st.tuples(st.floats(0.0, 5.0), st.integers(0, 30), st.integers(1, 4))))
 def test_no_span_of_time_carries_more_than_the_burst_and_the_rate(
-    asked: list[tuple[float, int, int]],
+    requested: list[tuple[float, int, int]],
 ) -> None:
     budget, now = SendBudget(BURST, RATE_PER_S), 0.0
     sent: list[tuple[float, int]] = []
-    for pause, wanted, size in asked:
+    for pause, wanted, size in requested:
         now += pause
         allowed = budget.take(wanted, now, size)
         assert 0 <= allowed <= wanted
--- a/tests/unit/gateway/decisions/test_shard_placement.py
+++ b/tests/unit/gateway/decisions/test_shard_placement.py
@@ -26,12 +26,12 @@
     replicas=REPLICAS,
     sizes=SIZES,
 )
-def test_only_what_is_lacking_here_goes_and_only_where_it_is(
+def test_only_shards_without_a_local_replica_go_and_only_to_their_zones(
     own: str, zones: frozenset[str], replicas: dict[str, frozenset[str]], sizes: ScatterSizes
 ) -> None:
     groups = group_by_place(own, zones, replicas, sizes)
-    handed = [shard for group in groups for shard in group.shards]
-    assert len(handed) == len(set(handed))
+    delegated = [shard for group in groups for shard in group.shards]
+    assert len(delegated) == len(set(delegated))
     for group in groups:
         assert group.zones <= zones - {own}
         assert group.zones
@@ -42,7 +42,9 @@
 
 
 @given(part=st.floats(0, 5000), merged=st.floats(0, 20000), shards=st.integers(1, 200))
-def test_more_shards_pay_no_less(part: float, merged: float, shards: int) -> None:
+def test_delegation_stays_worthwhile_with_more_shards(
+    part: float, merged: float, shards: int
+) -> None:
     sizes = ScatterSizes(part, merged)
     if is_delegation_worthwhile(shards, sizes):
         assert is_delegation_worthwhile(shards + 1, sizes)
--- a/tests/unit/gateway/decisions/test_zone_paths.py
+++ b/tests/unit/gateway/decisions/test_zone_paths.py
@@ -42,12 +42,12 @@
     assert not paths.is_closed(ZONE)
 
 
-def test_questions_without_an_answer_close_the_way() -> None:
+def test_probes_without_an_answer_close_the_path() -> None:
     paths = closed()
     assert paths.closed == paths.lost == (ZONE,)
 
 
-def test_too_few_questions_close_nothing() -> None:
+def test_too_few_probes_close_nothing() -> None:
     """After a pause of the process, its timers are due before it has sent further probes."""
     paths = ZonePaths()
     paths.doubt(ZONE, 9.9, 10.0)
@@ -55,19 +55,19 @@
     assert not paths.review(ZONE, 60.0)
 
 
-def test_one_answer_opens_the_way_at_once() -> None:
+def test_one_answer_opens_the_path_at_once() -> None:
     paths = closed()
     assert paths.answered(ZONE, 11.0)
     assert paths.closed == paths.lost == ()
 
 
-def test_what_is_only_heard_opens_nothing() -> None:
+def test_a_message_that_is_no_answer_opens_nothing() -> None:
     paths = closed()
     paths.heard(ZONE, 11.0)
     assert paths.is_closed(ZONE)
 
 
-def test_calls_try_a_way_that_was_closed_for_long_and_close_it_for_longer() -> None:
+def test_failed_trials_close_a_path_for_longer_and_longer() -> None:
     paths, now = closed(), 10.0 + CLOSE_AFTER_S
     pause = FIRST_CLOSED_S
     for _ in range(6):
@@ -82,14 +82,14 @@
         assert paths.is_closed(ZONE)
 
 
-def test_an_answer_to_a_call_that_tried_opens_it() -> None:
+def test_an_answer_to_a_trial_call_opens_the_path() -> None:
     paths = closed()
     paths.review(ZONE, 10.0 + CLOSE_AFTER_S + FIRST_CLOSED_S)
     assert paths.answered(ZONE, 20.0)
     assert paths.lost == ()
 
 
-def test_silence_from_everywhere_makes_all_ways_suspect() -> None:
+def test_silence_from_all_zones_makes_all_paths_suspect() -> None:
     paths = ZonePaths()
     paths.heard("a", 10.0)
     paths.heard("b", 9.0)
@@ -100,7 +100,7 @@
 
 
 @given(st.lists(st.tuples(st.sampled_from("hadnr"), st.floats(0.0, 1.0)), max_size=60))
-def test_a_way_is_closed_only_by_questions_and_never_after_an_answer(
+def test_a_path_is_closed_only_by_probes_and_never_after_an_answer(
     events: list[tuple[str, float]],
 ) -> None:
     paths, now, rounds, doubted_at = ZonePaths(), 100.0, 0, float("-inf")
--- a/tests/unit/gateway/decisions/test_zone_preference.py
+++ b/tests/unit/gateway/decisions/test_zone_preference.py
@@ -20,7 +20,7 @@
     hedge=st.floats(0.004, 0.5),
     objective_s=st.floats(0.02, 2.0),
 )
-def test_the_own_zone_yields_as_calls_take_longer(
+def test_the_preference_of_the_own_zone_falls_as_calls_take_longer(
     usual_s: float, longer: float, hedge: float, objective_s: float
 ) -> None:
     usual = zone_advantage(usual_s, hedge, objective_s)
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -46,7 +46,7 @@
 
     def note(self, now: float) -> None:
         """Record that the process runs; to be called every :data:`LOOK_S`."""
-        if self._is_late(now):
+        if self._is_overdue(now):
             self._pause_ended_at = now
         self._recorded_at = now
 
@@ -55,7 +55,7 @@
 
         Also detects a pause that has just ended, before the next call of :meth:`note`.
         """
-        return self._pause_ended_at > since or self._is_late(now)
+        return self._pause_ended_at > since or self._is_overdue(now)
 
-    def _is_late(self, now: float) -> bool:
+    def _is_overdue(self, now: float) -> bool:
         return now - self._recorded_at >= LOOK_S + STOOD_STILL_S
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -156,8 +156,8 @@
         if call is not None:
             self.running.discard(call)
         self.failures += 1
-        pause = min(SUSPECT_MAX_S, SUSPECT_FIRST_S * 2 ** (self.failures - 1))
-        self.suspect_until = now + pause
+        suspect_s = min(SUSPECT_MAX_S, SUSPECT_FIRST_S * 2 ** (self.failures - 1))
+        self.suspect_until = now + suspect_s
 
     def reported(
         self,
@@ -176,17 +176,17 @@
         :param age_s: age of the report; 0 if the back end itself has just sent it.
         :return: whether it is newer than the known one.
         """
-        moment = now - age_s
-        if moment < self.reported_at or (age_s and moment == self.reported_at):
+        report_time = now - age_s
+        if report_time < self.reported_at or (age_s and report_time == self.reported_at):
             return False
         typical = self.typical_slowdown or slowdown
         self.typical_slowdown = typical + TYPICAL_SLOWDOWN_GAIN * (slowdown - typical)
         self.reported_slowdown = slowdown
         self.reported_backlog = running + waiting
         self.most_backlog = max(self.most_backlog, self.reported_backlog)
-        self.reported_at = moment
+        self.reported_at = report_time
         if age_s:
-            while self._sent and self._sent[0] <= moment:
+            while self._sent and self._sent[0] <= report_time:
                 self._sent.popleft()
         else:
             self._sent.clear()
@@ -287,8 +287,8 @@
         age = now - self.reported_at
         if age >= BACKLOG_LIFETIME_S:
             return 0.0
-        ahead = self.reported_backlog + self.sent_since_report - self.slots + 1
-        decayed = max(0, ahead) * (1.0 - age / BACKLOG_LIFETIME_S)
+        queued_ahead = self.reported_backlog + self.sent_since_report - self.slots + 1
+        decayed = max(0, queued_ahead) * (1.0 - age / BACKLOG_LIFETIME_S)
         return decayed / max(1, self.slots)
 
     def cost(self, now: float) -> float:
--- a/tinrudder/gateway/decisions/placement/coordinator_choice.py
+++ b/tinrudder/gateway/decisions/placement/coordinator_choice.py
@@ -174,8 +174,8 @@
     (True, True)
     """
     members = tuple(candidates)
-    least = STRONG_CAPACITY_SHARE * max((one.capacity for one in members), default=0.0)
-    return tuple(one for one in members if one.capacity >= least)
+    min_capacity = STRONG_CAPACITY_SHARE * max((one.capacity for one in members), default=0.0)
+    return tuple(one for one in members if one.capacity >= min_capacity)
 
 
 def _rank_key(index: str, candidate: Candidate) -> tuple[float, str]:
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -72,9 +72,9 @@
     >>> is_delegation_worthwhile(1, ScatterSizes(part=1000.0, merged=800.0))
     False
     """
-    fetched_directly = shards * (CALL_OVERHEAD_BYTES + sizes.part)
-    delegated = DELEGATION_BYTES + shards * DELEGATED_SHARD_BYTES + sizes.merged
-    return fetched_directly >= MIN_BYTES_REDUCTION * delegated
+    direct_bytes = shards * (CALL_OVERHEAD_BYTES + sizes.part)
+    delegated_bytes = DELEGATION_BYTES + shards * DELEGATED_SHARD_BYTES + sizes.merged
+    return direct_bytes >= MIN_BYTES_REDUCTION * delegated_bytes
 
 
 def leaves_time(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
@@ -116,7 +116,7 @@
     ...     for group in group_by_place("c", "abc", replicas, ScatterSizes(1000.0, 800.0))]
     [(5, ['a', 'b'])]
     """
-    remote_shards = [shard for shard, places in replica_zones.items() if own_zone not in places]
+    remote_shards = [shard for shard, in_zones in replica_zones.items() if own_zone not in in_zones]
     other_zones = sorted(set(zones) - {own_zone})
     groups: list[ShardGroup] = []
     while remote_shards:
--- a/tinrudder/gateway/decisions/placement/weighted_rotation.py
+++ b/tinrudder/gateway/decisions/placement/weighted_rotation.py
@@ -29,10 +29,10 @@
     ['a', 'b', 'a', 'a', 'b', 'a']
     """
 
-    def __init__(self, weights: Mapping[str, float], first: int = 0) -> None:
+    def __init__(self, weights: Mapping[str, float], skipped_turns: int = 0) -> None:
         """Rotate over the names of positive weight.
 
-        :param first: turns to skip, so that gateways start at different places.
+        :param skipped_turns: number of turns to skip, so that gateways start at different places.
         :raises ValueError: no weight is above zero.
         """
         self._weights = {name: weight for name, weight in weights.items() if weight > 0}
@@ -40,7 +40,7 @@
             raise ValueError("weights: at least one must be above zero")
         self._total = sum(self._weights.values())
         self._credit = dict.fromkeys(self._weights, 0.0)
-        for _ in range(first):
+        for _ in range(skipped_turns):
             self.next()
 
     def next(self) -> str:
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -119,7 +119,7 @@
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
         self._owner_choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
-        self._number = first_number()
+        self._last_number = first_number()
         self._pressed_until: dict[str, float] = {}
         self._reported_tokens: dict[str, _ReportedTokens] = {}
         self._pending: dict[int, _Pending] = {}
@@ -143,7 +143,7 @@
             self._send(_Pending(tenant, 0, self._with_counts(counts, decide), self._own, 0.0))
         else:
             counts.admitted += 1
-            self._note(tenant.name, 1)
+            self._add_to_report(tenant.name, 1)
             decide(None)
 
     def _must_ask_first(self, tenant: Tenant) -> bool:
@@ -154,7 +154,7 @@
     def give_back(self, tenant: Tenant) -> None:
         """Return the token of an admitted request that has not run and never will."""
         if tenant.rate_per_s > 0.0:
-            self._note(tenant.name, -1)
+            self._add_to_report(tenant.name, -1)
 
     def is_pressed(self, tenant: str) -> bool:
         """Return whether the tenant is near its limit, so that the owner must be asked first."""
@@ -183,13 +183,13 @@
 
         return decided
 
-    def _note(self, tenant: str, admitted: int) -> None:
+    def _add_to_report(self, tenant: str, admitted: int) -> None:
         """Add admitted requests to the next report, and schedule it."""
         self._unreported[tenant] += admitted
         if self._reporting is None:
-            self._reporting = self._loop.call_later(REPORT_BATCH_S, self._report)
+            self._reporting = self._loop.call_later(REPORT_BATCH_S, self._send_reports)
 
-    def _report(self) -> None:
+    def _send_reports(self) -> None:
         """Report admitted requests to the owners."""
         self._reporting = None
         unreported, self._unreported = self._unreported, Counter()
@@ -210,13 +210,13 @@
             return
         pending.tried += 1
         pending.sent_at = self._loop.time()
-        self._number += 1
-        self._pending[self._number] = pending
-        timer = self._loop.call_later(REPORT_TIMEOUT_S, self._on_report_timeout, self._number)
+        self._last_number += 1
+        self._pending[self._last_number] = pending
+        timer = self._loop.call_later(REPORT_TIMEOUT_S, self._on_report_timeout, self._last_number)
         pending.timer = timer
-        self._datagrams.send(self._report_of(pending, self._number), pending.owner)
+        self._datagrams.send(self._make_report(pending, self._last_number), pending.owner)
 
-    def _report_of(self, pending: _Pending, number: int) -> QuotaReport:
+    def _make_report(self, pending: _Pending, number: int) -> QuotaReport:
         """Return the report to send to an owner, with the token count last received from an owner.
 
         That count is sent even to the owner that it came from: its process may have restarted and
@@ -251,7 +251,7 @@
         :param isolated: no other owner answered, so that other gateways may grant requests as well.
         """
         self._note_acknowledged(pending)
-        report = self._report_of(pending, LOCAL_REPORT_NUMBER)
+        report = self._make_report(pending, LOCAL_REPORT_NUMBER)
         verdict = (
             self.bucket_owner.judge_isolated(report)
             if isolated
