--- a/tinrudder/gateway/decisions/placement/zone_preference.py
+++ b/tinrudder/gateway/decisions/placement/zone_preference.py
@@ -2,9 +2,9 @@
 
 Traffic between zones is paid for; time within the latency objective is not. So a local replica is
 preferred as long as it is expected to answer early enough for a hedge to still meet the objective.
-The longer calls take, the less time remains for a hedge, and the smaller the preference. A local
-replica that has been slow gets no preference: nearly each of its calls would be hedged, so traffic
-would cross zones anyway, and the hedge budget would be used up when a replica stalls.
+The longer calls take, the less time remains for a hedge, and the smaller the preference. Where a
+local replica has been slow, the preference is minimal: nearly all its calls would be hedged, so
+traffic would cross zones anyway, and the hedge budget would be used up when a replica stalls.
 
 Inputs: the usual latency of a call, the hedge delay and the objective, all in seconds; a replica's
 expected latency relative to the usual one.
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -41,12 +41,12 @@
 found, or the silent one is avoided."""
 
 UNACKNOWLEDGED_REQUESTS = 3
-"""Requests of a tenant that an entry gateway may always admit without an acknowledgement of the
-bucket's owner: a client's first few run at once, and the margin above a limit covers them."""
+"""Requests of a tenant that an entry gateway may admit before the bucket's owner has acknowledged
+them, at least: a client's first few run at once, and the margin above a limit covers them."""
 UNACKNOWLEDGED_S = 0.05
-"""The same in seconds of the tenant's rate, where that is more: two reports and their answers.  A
-process that resumes after a pause receives all requests sent meanwhile at once: 21 were admitted in
-0.03 s, where 50 are allowed in 5 s."""
+"""The same in seconds of the tenant's rate, where that is more: two reports and their answers.
+Without this limit, a process that resumed after a pause admitted all requests sent meanwhile at
+once: 21 in 0.03 s, where 50 are allowed in 5 s."""
 LOCAL_REPORT_NUMBER = 1
 """Report number of a gateway's reports to itself, which are answered synchronously."""
 
