--- a/tests/unit/gateway/decisions/test_zone_paths.py
+++ b/tests/unit/gateway/decisions/test_zone_paths.py
@@ -1,4 +1,4 @@
-"""What is believed of the way to a zone, by what passes on it."""
+"""State of the path to a zone, given the messages, answers and timeouts on it."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.fleet.zone_paths import (
-    CLOSED_AFTER_S,
+    CLOSE_AFTER_S,
     FIRST_CLOSED_S,
-    LEAST_ROUNDS,
-    LONGEST_CLOSED_S,
-    SILENT_AFTER_S,
+    MAX_CLOSED_S,
+    MIN_PROBE_ROUNDS,
+    SILENCE_TIMEOUT_S,
     PathState,
     ZonePaths,
 )
@@ -21,9 +21,9 @@
 def closed(now: float = 10.0) -> ZonePaths:
     paths = ZonePaths()
     assert paths.doubt(ZONE, now - 0.05, now)
-    for _ in range(LEAST_ROUNDS):
+    for _ in range(MIN_PROBE_ROUNDS):
         paths.note_round(ZONE)
-    assert paths.review(ZONE, now + CLOSED_AFTER_S)
+    assert paths.review(ZONE, now + CLOSE_AFTER_S)
     return paths
 
 
@@ -42,33 +42,33 @@
     assert not paths.is_closed(ZONE)
 
 
-def test_questions_without_an_answer_close_the_way() -> None:
+def test_probes_without_an_answer_close_the_path() -> None:
     paths = closed()
     assert paths.closed == paths.lost == (ZONE,)
 
 
-def test_too_few_questions_close_nothing() -> None:
-    """A process that stood still finds its timers due before it has asked again."""
+def test_too_few_probes_close_nothing() -> None:
+    """After a pause of the process, its timers are due before it has sent further probes."""
     paths = ZonePaths()
     paths.doubt(ZONE, 9.9, 10.0)
     paths.note_round(ZONE)
     assert not paths.review(ZONE, 60.0)
 
 
-def test_one_answer_opens_the_way_at_once() -> None:
+def test_one_answer_opens_the_path_at_once() -> None:
     paths = closed()
     assert paths.answered(ZONE, 11.0)
     assert paths.closed == paths.lost == ()
 
 
-def test_what_is_only_heard_opens_nothing() -> None:
+def test_a_message_that_is_no_answer_opens_nothing() -> None:
     paths = closed()
     paths.heard(ZONE, 11.0)
     assert paths.is_closed(ZONE)
 
 
-def test_calls_try_a_way_that_was_closed_for_long_and_close_it_for_longer() -> None:
-    paths, now = closed(), 10.0 + CLOSED_AFTER_S
+def test_failed_trials_close_a_path_for_longer_and_longer() -> None:
+    paths, now = closed(), 10.0 + CLOSE_AFTER_S
     pause = FIRST_CLOSED_S
     for _ in range(6):
         assert not paths.review(ZONE, now + pause - 0.1)
@@ -78,29 +78,29 @@
         assert paths.lost == (ZONE,)
         assert paths.doubt(ZONE, now, now + 0.1)
         now += 0.1
-        pause = min(LONGEST_CLOSED_S, pause * 2)
+        pause = min(MAX_CLOSED_S, pause * 2)
         assert paths.is_closed(ZONE)
 
 
-def test_an_answer_to_a_call_that_tried_opens_it() -> None:
+def test_an_answer_to_a_trial_call_opens_the_path() -> None:
     paths = closed()
-    paths.review(ZONE, 10.0 + CLOSED_AFTER_S + FIRST_CLOSED_S)
+    paths.review(ZONE, 10.0 + CLOSE_AFTER_S + FIRST_CLOSED_S)
     assert paths.answered(ZONE, 20.0)
     assert paths.lost == ()
 
 
-def test_silence_from_everywhere_makes_all_ways_suspect() -> None:
+def test_silence_from_all_zones_makes_all_paths_suspect() -> None:
     paths = ZonePaths()
     paths.heard("a", 10.0)
     paths.heard("b", 9.0)
-    assert not paths.doubt_silent(("a", "b"), 10.0 + SILENT_AFTER_S - 0.1)
-    assert paths.doubt_silent(("a", "b"), 10.0 + SILENT_AFTER_S)
+    assert not paths.doubt_silent(("a", "b"), 10.0 + SILENCE_TIMEOUT_S - 0.1)
+    assert paths.doubt_silent(("a", "b"), 10.0 + SILENCE_TIMEOUT_S)
     assert set(paths.doubtful) == {"a", "b"}
     assert not paths.doubt_silent((), 100.0)
 
 
 @given(st.lists(st.tuples(st.sampled_from("hadnr"), st.floats(0.0, 1.0)), max_size=60))
-def test_a_way_is_closed_only_by_questions_and_never_after_an_answer(
+def test_a_path_is_closed_only_by_probes_and_never_after_an_answer(
     events: list[tuple[str, float]],
 ) -> None:
     paths, now, rounds, doubted_at = ZonePaths(), 100.0, 0, float("-inf")
@@ -120,13 +120,13 @@
         elif event == "r":
             paths.review(ZONE, now)
         if before is PathState.SUSPECT and paths.is_closed(ZONE):
-            assert rounds >= LEAST_ROUNDS
-            assert now - doubted_at >= CLOSED_AFTER_S
+            assert rounds >= MIN_PROBE_ROUNDS
+            assert now - doubted_at >= CLOSE_AFTER_S
             assert paths.path(ZONE).answered_at < doubted_at
 
 
 def test_another_gateways_doubt_ends_no_trial() -> None:
-    """Others tell of the closed way in each digest: calls here would never find out."""
+    """Peers report their closed path in each digest; these doubts must not end the trial early."""
     paths = closed()
     trial_at = paths.path(ZONE).trial_at
     assert paths.review(ZONE, trial_at)
--- a/tests/unit/gateway/decisions/test_zone_preference.py
+++ b/tests/unit/gateway/decisions/test_zone_preference.py
@@ -1,4 +1,4 @@
-"""How much a replica in the own zone is preferred."""
+"""How much a replica in the gateway's own zone is preferred."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.zone_preference import (
-    LARGEST_ADVANTAGE,
     LEAST_ADVANTAGE,
+    MAX_ADVANTAGE,
     is_slow,
     zone_advantage,
 )
@@ -20,12 +20,12 @@
     hedge=st.floats(0.004, 0.5),
     objective_s=st.floats(0.02, 2.0),
 )
-def test_the_own_zone_yields_as_calls_take_longer(
+def test_the_preference_of_the_own_zone_falls_as_calls_take_longer(
     usual_s: float, longer: float, hedge: float, objective_s: float
 ) -> None:
     usual = zone_advantage(usual_s, hedge, objective_s)
     loaded = zone_advantage(usual_s * longer, hedge * longer, objective_s)
-    assert LEAST_ADVANTAGE <= loaded <= usual <= LARGEST_ADVANTAGE
+    assert LEAST_ADVANTAGE <= loaded <= usual <= MAX_ADVANTAGE
 
 
 def test_one_stall_is_not_slowness_but_two_slow_answers_are() -> None:
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -1,7 +1,7 @@
-"""The side of tenants' limits that a gateway carries for the whole fleet: the tenants' buckets.
+"""Answers reports on the tenants whose token bucket this gateway owns.
 
-Owns the token buckets that fall to this gateway; relies on the rule of token buckets, on the
-datagrams between gateways, and on the zone monitor for the part of the fleet that it hears.
+Owns the token buckets assigned to this gateway; relies on the token bucket rule, on the datagrams
+between gateways, and on the zone monitor for the share of the fleet that is reachable.
 """
 
 from __future__ import annotations
@@ -22,18 +22,20 @@
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
-TOLD_AGAIN_S = 1.0
-"""How often everybody is told that a tenant is pressed: half as long as a word lasts."""
-TO_EVERYBODY = 0
-"""Number of a word that answers no report."""
-ALONE_SHARE = 0.49
-"""Of the fleet, for whoever hears no owner: less than half, or it would grant the whole rate."""
+BROADCAST_INTERVAL_S = 1.0
+"""Minimum interval between broadcasts that a tenant is near its limit, seconds: half of their
+validity."""
+BROADCAST_NUMBER = 0
+"""Report number of a broadcast verdict, which answers no report."""
+MAX_ISOLATED_SHARE = 0.49
+"""Maximum share of the fleet assumed by a gateway that no owner answers: a share above half would
+grant the whole rate."""
 
 
 class BucketOwner:
-    """Answers entries' reports, and tells everybody of a tenant that is near its limit.
+    """Answers reports of entry gateways, and broadcasts which tenants are near their limit.
 
-    :ivar buckets: of the tenants whose bucket this gateway owns.
+    :ivar buckets: the token buckets that this gateway owns.
     """
 
     def __init__(
@@ -44,7 +46,10 @@
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
     ) -> None:
-        """Find tenants, by their names, in the configuration in force."""
+        """Register for reports.
+
+        :param find_tenant: returns a tenant of the configuration in force by its name.
+        """
         self._peers = peers
         self._zone_monitor = zone_monitor
         self._datagrams = datagrams
@@ -52,9 +57,9 @@
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
         self.buckets = TokenBuckets(self._loop.time())
-        # Where no owner answers.  Apart, since what other entries ask for here is not to suffer.
-        self._alone = TokenBuckets(self._loop.time())
-        self._told_at: dict[str, float] = {}
+        # Used where no owner answers.  Separate, so that it takes no tokens from other entries.
+        self._isolated_buckets = TokenBuckets(self._loop.time())
+        self._broadcast_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
 
     def judge(self, report: QuotaReport) -> QuotaVerdict:
@@ -62,28 +67,33 @@
         share = part_of_rate(self._zone_monitor.heard_share, self._bounds.excess)
         verdict = self._grant(self.buckets, report, share)
         if verdict.pressed_s > 0.0:
-            self._tell_everybody(verdict)
+            self._broadcast_pressed(verdict)
         return verdict
 
-    def judge_alone(self, report: QuotaReport) -> QuotaVerdict:
-        """Answer an own report as one of many that hear no owner."""
+    def judge_isolated(self, report: QuotaReport) -> QuotaVerdict:
+        """Answer this gateway's own report while no owner answers.
+
+        Other gateways may do the same, so each grants only its share of the rate.
+        """
         nodes = self._peers.nodes(self._loop.time())
-        share = part_of_rate(min(1.0 / nodes, ALONE_SHARE), self._bounds.excess)
-        return self._grant(self._alone, report, share)
+        share = part_of_rate(min(1.0 / nodes, MAX_ISOLATED_SHARE), self._bounds.excess)
+        return self._grant(self._isolated_buckets, report, share)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
-        """Drop what belongs to tenants that no configuration names any more."""
-        self._told_at = {name: at for name, at in self._told_at.items() if name in tenants}
+        """Drop idle buckets, and the broadcasts on tenants that are no longer configured."""
+        self._broadcast_at = {
+            name: at for name, at in self._broadcast_at.items() if name in tenants
+        }
         now = self._loop.time()
         self.buckets.forget_idle(now)
-        self._alone.forget_idle(now)
+        self._isolated_buckets.forget_idle(now)
 
     def _on_report(self, report: QuotaReport, entry: Address) -> None:
-        """Answer an entry."""
+        """Send the verdict on a report to its entry gateway."""
         self._datagrams.send(self.judge(report), entry)
 
     def _grant(self, buckets: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
-        """Draw on a tenant's bucket."""
+        """Take tokens from a tenant's bucket; a tenant without a limit is always granted."""
         tenant = self._find_tenant(report.tenant)
         if tenant is None or tenant.rate_per_s <= 0.0:
             return QuotaVerdict(report.number, report.tenant)
@@ -109,16 +119,18 @@
             grant.tokens,
         )
 
-    def _tell_everybody(self, verdict: QuotaVerdict) -> None:
-        """Say that a tenant is pressed, unless that was said a moment ago."""
+    def _broadcast_pressed(self, verdict: QuotaVerdict) -> None:
+        """Broadcast that a tenant is near its limit, unless that was done just before."""
         now = self._loop.time()
         tenant, pressed_s = verdict.tenant, verdict.pressed_s
-        if now - self._told_at.get(tenant, float("-inf")) < TOLD_AGAIN_S:
+        if now - self._broadcast_at.get(tenant, float("-inf")) < BROADCAST_INTERVAL_S:
             return
-        self._told_at[tenant] = now
+        self._broadcast_at[tenant] = now
         peers = [member.address for member in self._peers.candidates(now)]
-        word = QuotaVerdict(TO_EVERYBODY, tenant, pressed_s=pressed_s, tokens=verdict.tokens)
-        self._datagrams.send(word, *peers)
+        broadcast = QuotaVerdict(
+            BROADCAST_NUMBER, tenant, pressed_s=pressed_s, tokens=verdict.tokens
+        )
+        self._datagrams.send(broadcast, *peers)
         fields: dict[str, LogValue] = {
             "tenant": tenant,
             "tokens": round(self.buckets.tokens(tenant), 1),
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -1,10 +1,10 @@
-"""Holds tenants to their limits over all gateways: entries report to owners, which keep buckets.
+"""Enforces tenants' limits over all gateways: entry gateways report to the owners of token buckets.
 
-Requests of a tenant that keeps well within its limit run at once and are reported behind; only
-while its bucket is nearly empty do entries ask first.  See docs/design/quotas.md.
+Requests of a tenant that is well within its limit run at once and are reported afterwards; only
+while its bucket is nearly empty do entry gateways ask its owner first.  See docs/design/quotas.md.
 
-Owns the reports under way and what was decided for each tenant; relies on the choice of each
-bucket's owner, and on the owner to grant.
+Owns the reports in flight and the counts of decisions for each tenant; relies on the choice of each
+bucket's owner, and on the owner to grant requests.
 """
 
 from __future__ import annotations
@@ -25,36 +25,40 @@
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
-from tinrudder.gateway.quotas.bucket_owner import TO_EVERYBODY, BucketOwner
+from tinrudder.gateway.quotas.bucket_owner import BROADCAST_NUMBER, BucketOwner
 from tinrudder.gateway.quotas.bucket_owner_choice import BucketOwnerChoice
 
-REPORT_PAUSE_S = 0.02
-"""How long requests of a tenant are gathered for one report: at seven times a limit of a thousand a
-second, 140 requests, which the margin of such a limit holds ten times over."""
-ANSWER_WITHIN_S = 0.08
-"""How long an owner's answer is waited for: 25 round trips of 3 ms, or a scatter's burst of work on
-a slow machine twice."""
-OWNERS_TRIED = 3
-"""One that failed, and one that failed with it."""
-RETRY_UNKNOWN_S = 0.3
-"""When to come back where no owner answers: it is found anew or avoided by then."""
-
-MOST_UNHEARD = 3
-"""Requests of a tenant that an entry admits before the owner of its bucket has answered, at least.
-Chosen, not measured: a client's first few run at once, and the margin above a limit holds them."""
-UNHEARD_S = 0.05
-"""Seconds of a tenant's rate that an entry admits before the owner has answered, if that is more:
-two reports and their answers.  A process that stood still finds what its clients sent meanwhile all
-at once: 21 were admitted in 0.03 s, of 50 in 5 s."""
-OWN_NUMBER = 1
-"""Number of reports of a gateway to itself, which are answered on the spot."""
+REPORT_BATCH_S = 0.02
+"""Batching interval of reports, seconds: at seven times a limit of a thousand a second, one report
+covers 140 requests; the margin above such a limit is ten times that."""
+REPORT_TIMEOUT_S = 0.08
+"""Timeout of a report, seconds: 25 round trips of 3 ms, or twice a scatter's burst of work on a
+slow machine."""
+MAX_OWNERS_TRIED = 3
+"""Maximum number of owners asked for one report: one may have failed, and a second with it."""
+NO_OWNER_RETRY_S = 0.3
+"""Retry delay given to clients while no owner answers, seconds: by then an owner that answers is
+found, or the silent one is avoided."""
+
+UNACKNOWLEDGED_REQUESTS = 3
+"""Requests of a tenant that an entry gateway may admit before the bucket's owner has acknowledged
+them, at least: a client's first few run at once, and the margin above a limit covers them."""
+UNACKNOWLEDGED_S = 0.05
+"""The same in seconds of the tenant's rate, where that is more: two reports and their answers.
+Without this limit, a process that resumed after a pause admitted all requests sent meanwhile at
+once: 21 in 0.03 s, where 50 are allowed in 5 s."""
+LOCAL_REPORT_NUMBER = 1
+"""Report number of a gateway's reports to itself, which are answered synchronously."""
 
 Refusal = OverQuota | NotRun
 Decision = Callable[[Refusal | None], None]
 
 
 class TenantCounts(Struct):
-    """What was decided here on one tenant's requests."""
+    """Counts of this gateway's decisions on one tenant's requests.
+
+    :param unknown: refused because no owner of the bucket answered.
+    """
 
     asked: int = 0
     admitted: int = 0
@@ -63,9 +67,11 @@
 
 
 class _Pending(Struct, eq=False):
-    """A report without an answer.
+    """A report that is not answered yet.
 
-    :param decide: waits for the word on one more request; ``None`` for a mere report.
+    :param admitted: requests admitted since the previous report.
+    :param decide: takes the decision on one more request; ``None`` if the report asks for none.
+    :param tried: owners asked so far.
     """
 
     tenant: Tenant
@@ -77,18 +83,18 @@
     timer: asyncio.TimerHandle | None = None
 
 
-class _Told(Struct, frozen=True):
-    """What an owner said that a tenant's bucket held, and when that was heard."""
+class _ReportedTokens(Struct, frozen=True):
+    """Tokens in a tenant's bucket by an owner's latest verdict, and when it was received."""
 
     tokens: float
     at: float
 
 
 class Quotas:
-    """The entry's side of tenants' limits.
+    """Enforces tenants' limits on the requests that enter at this gateway.
 
-    :ivar bucket_owner: the other side, of the tenants whose bucket this gateway owns.
-    :ivar counts: by tenant, of those that the configuration names.
+    :ivar bucket_owner: answers reports on the tenants whose bucket this gateway owns.
+    :ivar counts: decisions by the name of each configured tenant.
     """
 
     def __init__(
@@ -100,7 +106,10 @@
         bounds: QuotaBounds,
         find_tenant: Callable[[str], Tenant | None],
     ) -> None:
-        """Find tenants, by their names, in the configuration in force."""
+        """Start without reports, and register for owners' verdicts.
+
+        :param find_tenant: returns a tenant of the configuration in force by its name.
+        """
         self.counts: dict[str, TenantCounts] = {}
         self._own = own
         self.bucket_owner = BucketOwner(peers, zone_monitor, datagrams, bounds, find_tenant)
@@ -109,62 +118,62 @@
         self._bounds = bounds
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
-        self._choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
-        self._number = first_number()
+        self._owner_choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
+        self._last_number = first_number()
         self._pressed_until: dict[str, float] = {}
-        self._told: dict[str, _Told] = {}
+        self._reported_tokens: dict[str, _ReportedTokens] = {}
         self._pending: dict[int, _Pending] = {}
         self._unreported: Counter[str] = Counter()
-        # Admitted and reported, and not answered yet.
-        self._unheard: Counter[str] = Counter()
+        # Requests admitted and reported, but not acknowledged by an owner yet.
+        self._unacknowledged: Counter[str] = Counter()
         self._reporting: asyncio.TimerHandle | None = None
         datagrams.handle(QuotaVerdict, self._on_verdict)
 
     def admit(self, tenant: Tenant, decide: Decision) -> None:
-        """Decide on one request, at once or after an answer of the bucket's owner.
+        """Decide on one request, at once or when the bucket's owner has answered.
 
-        ``decide`` is told why it may not run, or ``None``.
+        :param decide: called with the reason why the request may not run, or ``None``.
         """
         counts = self.counts.setdefault(tenant.name, TenantCounts())
         counts.asked += 1
         if tenant.rate_per_s <= 0.0:
             counts.admitted += 1
             decide(None)
-        elif self.is_pressed(tenant.name) or self._is_ahead(tenant):
-            self._send(_Pending(tenant, 0, self._counted(counts, decide), self._own, 0.0))
+        elif self.is_pressed(tenant.name) or self._must_ask_first(tenant):
+            self._send(_Pending(tenant, 0, self._with_counts(counts, decide), self._own, 0.0))
         else:
             counts.admitted += 1
-            self._note(tenant.name, 1)
+            self._add_to_report(tenant.name, 1)
             decide(None)
 
-    def _is_ahead(self, tenant: Tenant) -> bool:
-        """Tell whether so much was admitted that the owner must be heard first."""
-        ahead = self._unreported[tenant.name] + self._unheard[tenant.name]
-        return ahead >= max(MOST_UNHEARD, tenant.rate_per_s * UNHEARD_S)
+    def _must_ask_first(self, tenant: Tenant) -> bool:
+        """Return whether too many admitted requests are not yet acknowledged by the owner."""
+        unacknowledged = self._unreported[tenant.name] + self._unacknowledged[tenant.name]
+        return unacknowledged >= max(UNACKNOWLEDGED_REQUESTS, tenant.rate_per_s * UNACKNOWLEDGED_S)
 
     def give_back(self, tenant: Tenant) -> None:
-        """Note that a request which was admitted has not run and never will."""
+        """Return the token of an admitted request that has not run and never will."""
         if tenant.rate_per_s > 0.0:
-            self._note(tenant.name, -1)
+            self._add_to_report(tenant.name, -1)
 
     def is_pressed(self, tenant: str) -> bool:
-        """Tell whether the owner of the tenant's bucket must be asked first."""
+        """Return whether the tenant is near its limit, so that the owner must be asked first."""
         return self._loop.time() < self._pressed_until.get(tenant, 0.0)
 
     def owner_of(self, tenant: str) -> Address:
-        """Return the gateway that keeps a tenant's bucket, as seen from here."""
-        return self._choice.owner_of(tenant)
+        """Return the gateway that owns a tenant's bucket in this gateway's view."""
+        return self._owner_choice.owner_of(tenant)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
-        """Drop what belongs to tenants that no configuration names any more."""
-        for kept in (self.counts, self._pressed_until, self._told):
-            for name in kept.keys() - tenants:
-                del kept[name]
-        self._choice.forget_unused(tenants)
+        """Drop the state of tenants that are no longer configured."""
+        for by_tenant in (self.counts, self._pressed_until, self._reported_tokens):
+            for name in by_tenant.keys() - tenants:
+                del by_tenant[name]
+        self._owner_choice.forget_unused(tenants)
         self.bucket_owner.forget_unused(tenants)
 
-    def _counted(self, counts: TenantCounts, decide: Decision) -> Decision:
-        """Return a decision that is counted as well."""
+    def _with_counts(self, counts: TenantCounts, decide: Decision) -> Decision:
+        """Wrap ``decide`` so that each decision is counted."""
 
         def decided(refusal: Refusal | None) -> None:
             counts.admitted += refusal is None
@@ -174,55 +183,59 @@
 
         return decided
 
-    def _note(self, tenant: str, admitted: int) -> None:
-        """Gather what the next report says."""
+    def _add_to_report(self, tenant: str, admitted: int) -> None:
+        """Add admitted requests to the next report, and schedule it."""
         self._unreported[tenant] += admitted
         if self._reporting is None:
-            self._reporting = self._loop.call_later(REPORT_PAUSE_S, self._report)
+            self._reporting = self._loop.call_later(REPORT_BATCH_S, self._send_reports)
 
-    def _report(self) -> None:
-        """Tell owners what was admitted."""
+    def _send_reports(self) -> None:
+        """Report admitted requests to the owners."""
         self._reporting = None
         unreported, self._unreported = self._unreported, Counter()
         for name, admitted in unreported.items():
             tenant = self._find_tenant(name)
             if tenant is not None and admitted:
-                self._unheard[name] += admitted
+                self._unacknowledged[name] += admitted
                 self._send(_Pending(tenant, admitted, None, self._own, 0.0))
 
     def _send(self, pending: _Pending) -> None:
-        """Send a report to the best owner that was not tried yet, or be the owner."""
+        """Send a report to its current owner, or decide here if that is this gateway.
+
+        Also decides here after :data:`MAX_OWNERS_TRIED` owners did not answer.
+        """
         pending.owner = self.owner_of(pending.tenant.name)
-        if pending.tried >= OWNERS_TRIED or pending.owner == self._own:
-            self._decide_here(pending, alone=pending.tried > 0)
+        if pending.tried >= MAX_OWNERS_TRIED or pending.owner == self._own:
+            self._decide_locally(pending, isolated=pending.tried > 0)
             return
         pending.tried += 1
         pending.sent_at = self._loop.time()
-        self._number += 1
-        self._pending[self._number] = pending
-        timer = self._loop.call_later(ANSWER_WITHIN_S, self._on_silence, self._number)
+        self._last_number += 1
+        self._pending[self._last_number] = pending
+        timer = self._loop.call_later(REPORT_TIMEOUT_S, self._on_report_timeout, self._last_number)
         pending.timer = timer
-        self._datagrams.send(self._report_of(pending, self._number), pending.owner)
+        self._datagrams.send(self._make_report(pending, self._last_number), pending.owner)
 
-    def _report_of(self, pending: _Pending, number: int) -> QuotaReport:
-        """Return what is sent to an owner, with what any owner said lately.
+    def _make_report(self, pending: _Pending, number: int) -> QuotaReport:
+        """Return the report to send to an owner, with the token count last received from an owner.
 
-        Also what this one said: its process may be another, which has forgotten that.
+        That count is sent even to the owner that it came from: its process may have restarted and
+        lost its buckets.
         """
         name = pending.tenant.name
-        told = self._told.get(name)
+        reported = self._reported_tokens.get(name)
         held = None
-        if told is not None:
-            age_s = self._loop.time() - told.at
+        if reported is not None:
+            age_s = self._loop.time() - reported.at
             if age_s <= self._bounds.window_s:
-                held = HeldTokens(told.tokens, age_s)
+                held = HeldTokens(reported.tokens, age_s)
         return QuotaReport(number, name, pending.admitted, pending.decide is not None, held)
 
-    def _on_silence(self, number: int) -> None:
-        """Turn to the next owner."""
+    def _on_report_timeout(self, number: int) -> None:
+        """Handle a report's timeout: avoid the silent owner and send the report to the next."""
         pending = self._pending.pop(number)
         now = self._loop.time()
-        self._choice.failed(pending.owner)
+        self._owner_choice.note_failure(pending.owner)
         self._zone_monitor.doubt_way_to(pending.owner, pending.sent_at)
         fields: dict[str, LogValue] = {
             "tenant": pending.tenant.name,
@@ -232,28 +245,30 @@
         log_event("quota_home_silent", fields)
         self._send(pending)
 
-    def _decide_here(self, pending: _Pending, *, alone: bool) -> None:
-        """Be the owner of a report of this gateway's own.
+    def _decide_locally(self, pending: _Pending, *, isolated: bool) -> None:
+        """Answer this gateway's own report without another gateway.
 
-        :param alone: other owners did not answer, so others may be asked elsewhere meanwhile.
+        :param isolated: no other owner answered, so that other gateways may grant requests as well.
         """
-        self._note_heard(pending)
-        report = self._report_of(pending, OWN_NUMBER)
+        self._note_acknowledged(pending)
+        report = self._make_report(pending, LOCAL_REPORT_NUMBER)
         verdict = (
-            self.bucket_owner.judge_alone(report) if alone else self.bucket_owner.judge(report)
+            self.bucket_owner.judge_isolated(report)
+            if isolated
+            else self.bucket_owner.judge(report)
         )
-        self._press(verdict)
+        self._apply_verdict(verdict)
         if pending.decide is None:
             return
-        if alone and not verdict.granted:
-            pending.decide(NotRun("quota: no home of the tenant answers", RETRY_UNKNOWN_S))
+        if isolated and not verdict.granted:
+            pending.decide(NotRun("quota: no home of the tenant answers", NO_OWNER_RETRY_S))
         else:
             pending.decide(_refusal(pending, verdict))
 
     def _on_verdict(self, verdict: QuotaVerdict, _owner: Address) -> None:
-        """Take an owner's verdict."""
-        if verdict.number == TO_EVERYBODY:
-            self._press(verdict)
+        """Apply an owner's verdict."""
+        if verdict.number == BROADCAST_NUMBER:
+            self._apply_verdict(verdict)
             return
         pending = self._pending.pop(verdict.number, None)
         if pending is None:
@@ -261,22 +276,24 @@
         if pending.timer is not None:
             pending.timer.cancel()
         self._zone_monitor.answered_by(pending.owner)
-        self._note_heard(pending)
-        self._press(verdict)
+        self._note_acknowledged(pending)
+        self._apply_verdict(verdict)
         if pending.decide is not None:
             pending.decide(_refusal(pending, verdict))
 
-    def _note_heard(self, pending: _Pending) -> None:
-        """Note that a report has reached an owner."""
+    def _note_acknowledged(self, pending: _Pending) -> None:
+        """Record that an owner has received a report."""
         name = pending.tenant.name
-        self._unheard[name] -= pending.admitted
-        if not self._unheard[name]:
-            del self._unheard[name]
+        self._unacknowledged[name] -= pending.admitted
+        if not self._unacknowledged[name]:
+            del self._unacknowledged[name]
 
-    def _press(self, verdict: QuotaVerdict) -> None:
-        """Note whether the bucket's owner must be asked first, and what the bucket holds."""
+    def _apply_verdict(self, verdict: QuotaVerdict) -> None:
+        """Record how long the owner must be asked first, and the tokens left in the bucket."""
         if verdict.tokens is not None:
-            self._told[verdict.tenant] = _Told(verdict.tokens, self._loop.time())
+            self._reported_tokens[verdict.tenant] = _ReportedTokens(
+                verdict.tokens, self._loop.time()
+            )
         if verdict.pressed_s > 0.0:
             self._pressed_until[verdict.tenant] = self._loop.time() + verdict.pressed_s
         else:
@@ -284,7 +301,7 @@
 
 
 def _refusal(pending: _Pending, verdict: QuotaVerdict) -> OverQuota | None:
-    """Return what an owner's verdict means for the request that asked."""
+    """Return the refusal that an owner's verdict means for a request; ``None``: it may run."""
     if verdict.granted:
         return None
     tenant = pending.tenant
