--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -255,7 +255,7 @@
         sending = asyncio.create_task(site.send("single"))
         await asyncio.sleep(PAUSE_S)
         # As if the process had not run for some time up to now.
-        gateway.process.pause._noted_at -= stood_still_s
+        gateway.process.pause._recorded_at -= stood_still_s
         await sending
         backends = gateway.backends.directory.usable("single")
         assert any(one.observations.failures for one in backends) == (not stood_still_s)
