--- a/tinrudder/gateway/runs/__init__.py
+++ b/tinrudder/gateway/runs/__init__.py
@@ -1,7 +1,7 @@
-"""The run of one request that may run: calls to back ends until there is one outcome.
+"""Execution of one admitted request: calls to back ends until the request has an outcome.
 
-Owns a run from its first call to its outcome, and what all runs share (budgets, latencies, sizes).
-Asks :mod:`tinrudder.gateway.decisions` at each branch, and :mod:`tinrudder.gateway.scatters` for
-shards that other gateways ask.  Knows nothing of keys, quotas or hosts of routes: that is
-:mod:`tinrudder.gateway.requests`, which starts runs.
+Owns a run from its first call to its outcome, and the state that all runs share (retry budgets,
+latencies, answer sizes).  Decisions are made by :mod:`tinrudder.gateway.decisions`; shards that
+other gateways call are delegated through :mod:`tinrudder.gateway.scatters`.  API keys, quotas and
+route matching belong to :mod:`tinrudder.gateway.requests`, which starts runs.
 """
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -1,7 +1,7 @@
-"""What all requests of a gateway share: back ends, budgets, latencies, names, clock.
+"""State shared by all requests of a gateway: back ends, budgets, latencies, header names, clock.
 
-Owns what is learnt of routes and services while the process runs, and drops it when no
-configuration names them any more.  Relies on the directory for what is known of each back end.
+Owns the statistics of routes and services, and drops them once the configuration no longer names
+the route or service.  The statistics of each back end belong to the directory.
 """
 
 from __future__ import annotations
@@ -34,22 +34,23 @@
 from tinrudder.gateway.runs.run_guard import CrashEvidence
 
 MEDIAN = 0.5
-"""The quantile that stands for how long calls without a queue take.  Chosen, not measured: unlike a
-mean, or a high quantile, it stays put while a part of the back ends is slow."""
+"""The quantile used as the latency of calls that did not queue.  Unlike a mean or a high quantile,
+it stays stable while some of the back ends are slow."""
 SIZE_GAIN = 0.1
-"""Weight of the latest answer in the mean size of answers, a share.  Chosen, not measured: some ten
-answers make the mean, so that a single odd one hardly moves it."""
+"""Weight of the latest answer in the moving average of answer sizes, a share.  The average covers
+about ten answers, so that a single outlier hardly moves it."""
 
 
 class CallCounters(Struct):
-    """Counts since the start of the process; each is a metric, see its text there.
+    """Counters since the start of the process; each is exported as a metric with its own help text.
 
-    :param repeats_denied: repeats that the budget did not allow.
-    :param relayed: scatters handed to a coordinator; ``relays_failed``: coordinators that did not
-        serve one; ``relays_run_here``: scatters run here since none did.
+    :param repeats_denied: hedges and retries that the retry budget denied.
+    :param relayed: scatters handed to a coordinator.
+    :param relays_failed: hand-overs that the coordinator did not serve.
+    :param relays_run_here: scatters run by this gateway because no coordinator served them.
     :param coordinated: scatters merged for other gateways.
-    :param delegated: groups of shards that another gateway was to ask; ``delegations_run_here``:
-        that were asked from here after it did not.
+    :param delegated: groups of shards delegated to another gateway.
+    :param delegations_run_here: delegated groups that this gateway called after all.
     """
 
     requests: int = 0
@@ -71,9 +72,9 @@
 
 
 class ZoneAdvantage(Struct, frozen=True):
-    """By how much back ends of other zones must be faster, in usual latencies.
+    """By how much a back end of another zone must be faster, in usual latencies of the route.
 
-    :param at: when this was worked out, by the loop's clock; other routes and times differ.
+    :param at: when it was computed, by the loop's clock; it holds for this route and time only.
     """
 
     route: Route
@@ -82,32 +83,38 @@
 
 
 class LoadListener(Protocol):
-    """Is told of the load of back ends that many gateways may call."""
+    """Receives the load reports of back ends that many gateways call."""
 
     def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
-        """Take note that a back end has answered, and what it reported is known."""
+        """Handle an answer or a shed call, after the back end's observations were updated.
+
+        :param shed: the back end rejected the call because its queue was full.
+        :param work_s: median time of calls that did not queue, seconds.
+        """
 
 
 class NoLoadListener:
-    """Passes on nothing, where there are no other gateways."""
+    """Ignores load reports, for a gateway without peers."""
 
     def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Do nothing."""
 
 
 class CallContext(Struct):
-    """Everything a request needs besides its own state.
+    """Shared state and dependencies of all requests.
 
-    :param sharers: tells in how many equal parts the fleet's repeats of a service are divided.
+    :param sharers: returns the number of equal parts into which the fleet's retry budget of a
+        service is divided.
     :param started_at: when the process started, by the loop's clock.
-    :param evidence: what is held against requests since back ends were lost under them.
-    :param own_name: differs between gateways, so that they do not all prefer the same back end.
-    :param random: draws back ends, and the share of requests that is admitted.
-    :param load_listener: is told of long queues.
-    :param memory: counts what is held for others, and says who finds no room.
-    :param zone_answered: is told of each answer from a zone.
-    :param zone_doubted: is told of a call to a zone that is overdue, and when it was sent.
-    :param latest_advantage: is the same for all shards that one scatter asks at one time.
+    :param evidence: crashes of back ends, by the request that they were running.
+    :param own_name: name of this gateway; it breaks ties between back ends, so that gateways do not
+        all prefer the same one.
+    :param random: source of randomness for sampling back ends and for partial admission.
+    :param load_listener: receives the load reports of back ends that many gateways call.
+    :param memory: counts the buffered bytes, and refuses requests when they exceed the bound.
+    :param zone_answered: called with the zone of each answer.
+    :param zone_doubted: called with the zone of an overdue call and the time at which it was sent.
+    :param latest_advantage: cached, as it is the same for all shards that a scatter calls at once.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -134,7 +141,7 @@
     latest_advantage: ZoneAdvantage | None = None
 
     def budget(self, service: str) -> FleetRetryBudget:
-        """Return a service's repeat budget."""
+        """Return the retry budget of a service, which also pays for hedges."""
         budget = self._budgets.get(service)
         if budget is None:
             bounds = self.bounds
@@ -159,7 +166,7 @@
         return ages
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
-        """Return the latencies of a route's calls that left no queue behind."""
+        """Return the latencies of a route's calls after which the back end reported no queue."""
         window = self._unloaded.get(route.name)
         if window is None:
             window = LatencyWindow()
@@ -167,15 +174,19 @@
         return window
 
     def unloaded_median_s(self, route: Route) -> float:
-        """Return the median time of a route's calls that left no queue behind, seconds."""
+        """Return the median of :meth:`unloaded_latency`, seconds."""
         return self.unloaded_latency(route).quantile(MEDIAN)
 
     def sizes(self, index: tuple[str, ...]) -> ScatterSizes:
-        """Return how large answers of an index have been."""
+        """Return the mean sizes of the answers of an index, bytes."""
         return self._sizes.get(index, ScatterSizes())
 
     def observe_sizes(self, index: tuple[str, ...], merged: int, parts: Sequence[int]) -> None:
-        """Learn from one merged answer, and from the parts that came here."""
+        """Add a merged answer to the mean sizes of an index.
+
+        :param merged: size of the merged answer, bytes.
+        :param parts: sizes of the shard answers that this gateway received, bytes.
+        """
         known = self.sizes(index)
         part = known.part
         if parts:
@@ -183,7 +194,11 @@
         self._sizes[index] = ScatterSizes(part, _smoothed(known.merged, merged))
 
     def forget_unused(self, services: frozenset[str], routes: frozenset[str]) -> None:
-        """Drop what belongs to services and routes that no configuration names any more."""
+        """Drop the state of services and routes that are no longer configured.
+
+        :param services: names of the configured services.
+        :param routes: names of the configured routes.
+        """
         self._sizes = {
             index: sizes for index, sizes in self._sizes.items() if services.issuperset(index)
         }
@@ -196,14 +211,15 @@
             del self._unloaded[route]
 
     def observations(self, service: str) -> list[BackendObservations]:
-        """Return what is known of the back ends of a service that may get new work."""
+        """Return the observations of the back ends of a service that accept new calls."""
         return [backend.observations for backend in self.directory.usable(service)]
 
     def usual_s(self, route: Route, backends: Sequence[BackendObservations]) -> float:
-        """Return how long a call of a route takes without waiting.
+        """Return how long a call of a route takes without queueing, seconds.
 
-        A gateway that sees a call in twenty seconds goes by what others saw: with its own calls
-        alone, it would know after minutes, and admit everything until then.
+        Until this gateway has seen enough calls, the work times that other gateways reported are
+        used.  A gateway with one call in twenty seconds would otherwise need minutes to learn the
+        latency, and admit everything until then.
         """
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
@@ -211,11 +227,11 @@
         return work_s_of(backends) or usual_latency_s(self.latency(route), route.objective_s)
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
-        """Tell whether some back end of a service would answer a call in time."""
+        """Return whether some back end of a service is expected to answer within ``left_s``."""
         backends = self.observations(service)
         return has_room(backends, now, self.usual_s(route, backends), left_s)
 
 
 def _smoothed(former: float, seen: float) -> float:
-    """Return a mean in which the latest value weighs a little; the first one counts whole."""
+    """Return the exponential moving average after one more value; starts with the first."""
     return former + SIZE_GAIN * (seen - former) if former else float(seen)
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -1,7 +1,8 @@
-"""What a gateway learns from the end of one call, also when nobody waits for it any more.
+"""Records the outcome of a call, also after the request has ended.
 
-Owns no state: latencies and sizes go to the context of calls, queues and failures to the back end's
-observations, long queues of shared services to other gateways, answers to the monitor of zones.
+Owns no state: latencies go to the call context, queue lengths and failures to the back end's
+observations, load reports of shared services to the load listener, which informs other gateways,
+and answers to the zone monitor.
 """
 
 from __future__ import annotations
@@ -21,9 +22,9 @@
 from tinrudder.gateway.runs.call_context import CallContext
 
 SERVER_ERROR = 500
-"""The first status that says that the back end failed, rather than the request."""
+"""First HTTP status that means that the back end failed, rather than that the request was wrong."""
 SHED_STATUSES = frozenset((429, 503))
-"""Rejections for load; others say that the request cannot be run there at all."""
+"""Statuses of rejections for overload; other rejections mean that the back end cannot run it."""
 
 
 def observe_end(
@@ -34,9 +35,9 @@
     outcome: CallOutcome,
     now: float,
 ) -> None:
-    """Take the end of one call.
+    """Record the outcome of one call.
 
-    :param running: the call as it was sent; ``None``: no byte of it left.
+    :param running: the call as it was sent; ``None`` if no byte was sent.
     """
     observations = backend.observations
     if isinstance(outcome, Answered | Rejected):
@@ -69,7 +70,7 @@
     answer: HttpAnswer,
     now: float,
 ) -> None:
-    """Learn how long an answer took, and what it says of the back end's load."""
+    """Record the latency of an answer and the load that the back end reports in it."""
     latency_s = now - running.sent_at if running is not None else None
     _observe_load(call_context, route, backend, answer, latency_s, now)
     if running is None:
@@ -89,7 +90,7 @@
     latency_s: float | None,
     now: float,
 ) -> None:
-    """Learn what a back end says of its load, and how long calls take without waiting."""
+    """Record the load that a back end reports, and the latency of a call that did not queue."""
     value = header_value(answer.headers, call_context.names.load)
     if value is None:
         return
@@ -110,7 +111,7 @@
 def _observe_shed(
     call_context: CallContext, route: Route, backend: Backend, load: bytes | None, now: float
 ) -> None:
-    """Learn that a back end which many gateways may call has no place left in its queue."""
+    """Record that the queue of a back end which many gateways call is full."""
     report = call_context.load_reports.read(load, backend.backend_id) if load is not None else None
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
--- a/tinrudder/gateway/runs/hedge_timing.py
+++ b/tinrudder/gateway/runs/hedge_timing.py
@@ -1,8 +1,8 @@
-"""When a call is overdue, and when another one is sent beside it.
+"""Computes when a call is overdue and when to send a hedge.
 
-Owns no state.  Relies on the latencies of the route: on their distribution
-(:mod:`tinrudder.gateway.decisions.attempts.hedge_gain`) once enough calls were seen, before on
-their median (:mod:`tinrudder.gateway.decisions.attempts.hedge_delay`).
+Owns no state.  The hedge time depends on the distribution of the route's latencies
+(:mod:`tinrudder.gateway.decisions.attempts.hedge_gain`); until enough calls were seen, on their
+median (:mod:`tinrudder.gateway.decisions.attempts.hedge_delay`).
 """
 
 from __future__ import annotations
@@ -15,10 +15,11 @@
 
 
 class HedgeTimes(Struct, frozen=True):
-    """Times of the loop's clock for the call of a shard that was sent last, seconds.
+    """Times for the latest call of a shard, by the loop's clock, seconds.
 
-    :param overdue_at: when it is later than most, which says something of the way to it.
-    :param hedge_at: when another call is worth sending beside it.
+    :param overdue_at: when the call takes longer than most calls, which casts doubt on the network
+        path to its zone.
+    :param hedge_at: when a hedge is worth sending.
     """
 
     overdue_at: float = NEVER
@@ -28,17 +29,17 @@
 def hedge_times(
     run: RunContext, latency: LatencyWindow, budget_fill: float, now: float
 ) -> HedgeTimes:
-    """Return the times of a call that is sent now.
+    """Return the times for a call that is sent now.
 
-    :param latency: of the calls of the run's route.
-    :param budget_fill: how much of the budget of repeats is left, 0 to 1.
+    :param latency: latencies of the route's calls.
+    :param budget_fill: remaining share of the retry budget, 0 to 1.
     """
     overdue_at = now + hedge_delay_s(latency, run.route.objective_s, budget_fill)
     return HedgeTimes(overdue_at, _hedge_at(run, budget_fill, overdue_at, now))
 
 
 def _hedge_at(run: RunContext, budget_fill: float, overdue_at: float, now: float) -> float:
-    """Return when another call is worth sending beside one that is sent now."""
+    """Return when a hedge is worth sending for a call that is sent now."""
     objective_at = run.deadlines.objective_at
     left_s = objective_at - now
     ages = run.call_context.hedge_ages(run.route)
@@ -46,7 +47,8 @@
         return overdue_at
     age_s = ages.age_s(left_s, budget_fill)
     if age_s is not None:
-        # Latencies know nothing yet of back ends that vanished a moment ago.
+        # The latencies do not show yet that a back end has just vanished.
         return min(overdue_at, now + age_s)
-    # None would be in time; what is lacking when the answer should leave is still needed.
+    # No hedge would meet the objective.  If the answer is still missing then, a hedge can help
+    # to meet the deadline.
     return max(overdue_at, objective_at)
--- a/tinrudder/gateway/runs/lost_calls.py
+++ b/tinrudder/gateway/runs/lost_calls.py
@@ -1,7 +1,7 @@
-"""What the end of a call says of its request: whether the back end crashed under it.
+"""Detects back ends that crashed while they were running a request.
 
-Owns no state.  Relies on the run's guard, which stops a request that crashes back ends, and on the
-evidence that all gateways share (:class:`tinrudder.gateway.runs.run_guard.CrashEvidence`).
+Owns no state.  The run's guard stops a request that crashes back ends; the evidence is shared by
+all gateways (:class:`tinrudder.gateway.runs.run_guard.CrashEvidence`).
 """
 
 from __future__ import annotations
@@ -12,14 +12,14 @@
 from tinrudder.gateway.runs.run_context import Attempt, RunContext
 
 SURVIVAL_S = 0.04
-"""When to look whether a back end that was lost with a call keeps other connections, seconds.  A
-process that ends loses all of them at once.  Chosen, not measured: several round trips between
-zones, and before others are told of the loss, unless the call was a canary: that is told at once,
-and taken back."""
+"""Delay before checking whether a back end that lost a call still has other connections, seconds.
+A process that ends loses all of them at once.  Covers several round trips between zones.  The check
+runs before other gateways are informed of the loss; only the loss of a canary is sent at once, and
+revoked if the back end has survived."""
 
 
 def report_end(run: RunContext, service: str, attempt: Attempt, outcome: CallOutcome) -> None:
-    """Tell the guard how a call ended that had left."""
+    """Report the outcome of a call that was sent to the run's guard."""
     match outcome:
         case Answered():
             assert attempt.running is not None
@@ -34,7 +34,7 @@
 
 
 def _suspect_crash(run: RunContext, attempt: Attempt) -> None:
-    """Hold a lost call against the request, unless its back end turns out to be alive."""
+    """Record a crash under the request, and schedule a check for its back end's survival."""
     backend = attempt.backend
     if run.guard.note_crash(backend.entry.life, canary=attempt.is_canary):
         loop = run.call_context.loop
@@ -43,7 +43,7 @@
 
 
 def _look_for_survivor(run: RunContext, backend: Backend, lost_at: float) -> None:
-    """Take a crash back where only one connection has ended."""
+    """Revoke a crash if the back end still has a connection from before the loss."""
     if backend.pool.has_connection_from_before(lost_at):
         evidence = run.call_context.evidence
         evidence.note_survivor(run.request.fingerprint, backend.entry.life)
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -1,14 +1,15 @@
-"""Which of the back ends that may get a call gets it.
-
-Inputs are the expected cost of each back end, in usual latencies (latency as observed, queues as
-reported by it or by other gateways), the zone of this gateway, and the usual latency of the route,
-seconds.  A back end in the own zone is preferred as long as the objective allows
-(:mod:`tinrudder.gateway.decisions.placement.zone_preference`), since bytes between zones are paid
-for.  Where many gateways make a few calls each, two are drawn and the better one is taken
+"""Chooses the back end for a call.
+
+The inputs are the expected cost of each back end in usual latencies (observed latency, plus queues
+that it or other gateways reported), the zone of this gateway, and the usual latency of the route in
+seconds.  Back ends of the own zone are preferred as far as the latency objective allows
+(:mod:`tinrudder.gateway.decisions.placement.zone_preference`), since traffic between zones costs
+money.  For a single service, which many gateways call a few times each, two back ends are sampled
+and the cheaper one is taken
 (:func:`tinrudder.gateway.decisions.admission.shared_service.two_of`).
 
-Owns no state: the latest advantage of the own zone, which is the same for all shards that one
-scatter asks at one time, is kept in the context of calls.
+Owns no state: the advantage of the own zone is cached in the call context, since it is the same for
+all shards that a scatter calls at once.
 """
 
 from __future__ import annotations
@@ -31,7 +32,7 @@
 def choose_replica(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> Backend:
-    """Return the most promising back end, one in the own zone where that is soon enough.
+    """Return the back end with the lowest expected cost, with a preference for the own zone.
 
     :param candidates: at least one.
     """
@@ -51,10 +52,11 @@
 def _choose_single(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> Backend:
-    """Return a back end for a call of which many gateways make a few each.
+    """Return a back end of a service that many gateways call a few times each.
 
-    Most know nothing of any back end, so that the first of equal ones would get the calls of all:
-    with half of the load that four back ends bear, 0.02 of the arrivals were shed.
+    Most gateways have no observations of any back end.  If ties went to the first back end, it
+    would get the calls of all gateways: at half of the capacity of four back ends, 0.02 of the
+    arrivals were shed.
     """
     advantage = _zone_advantage(call_context, candidates, route, now)
     drawn = two_of(candidates, lambda one: one.observations, now, call_context.random)
@@ -74,7 +76,7 @@
 def _zone_advantage(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> float:
-    """Return by how much back ends elsewhere must be faster, in usual latencies."""
+    """Return by how much a back end of another zone must be faster, in usual latencies."""
     for backend in candidates:
         local = backend.entry.zone == call_context.zone
         if local and is_slow(backend.observations.expected_relative_latency(now)):
--- a/tinrudder/gateway/runs/request_bytes.py
+++ b/tinrudder/gateway/runs/request_bytes.py
@@ -1,7 +1,7 @@
-"""A client's request as it is sent to back ends: unaltered but for what the gateway sets.
+"""Encodes a client's request for back ends: unchanged except for the headers that the gateway sets.
 
-Owns the bytes that are the same for all back ends; what differs (time left, back end asked) is
-added to each.  Relies on nothing else.
+Owns the bytes that are the same for all back ends; the headers that differ (remaining time,
+expected back end) are added for each call.
 """
 
 from __future__ import annotations
@@ -11,20 +11,20 @@
 from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
 MILLISECONDS = 1000.0
-"""In a second."""
+"""Milliseconds in a second."""
 METHODS_WITH_BODY = frozenset((b"POST", b"PUT", b"PATCH"))
 
 
 class RequestBytes:
-    """Encodes one request for one back end after another.
+    """Encodes one request for each back end that it is sent to.
 
-    :ivar deadline_at: monotonic time until which an answer is wanted.
+    :ivar deadline_at: monotonic time at which the request times out.
     """
 
     def __init__(
         self, request: HttpRequest, request_id: bytes, deadline_at: float, names: HeaderNames
     ) -> None:
-        """Keep what is the same for all back ends."""
+        """Encode the part that is the same for all back ends."""
         self.request_id = request_id
         self.deadline_at = deadline_at
         self.body_expected = request.method != b"HEAD"
@@ -43,7 +43,7 @@
 
     @property
     def fingerprint(self) -> bytes:
-        """Return what all tries of this request share; only few requests are asked for it."""
+        """Return the fingerprint shared by all tries of this request, computed on first use."""
         if self._fingerprint is None:
             self._fingerprint = fingerprint_of(self._request, self._names)
         return self._fingerprint
@@ -54,13 +54,13 @@
         return len(self._body)
 
     def origin(self, route: str) -> bytes:
-        """Return what all requests of this caller on a route share."""
+        """Return the digest shared by all requests of this caller on a route."""
         if self._origin is None:
             self._origin = origin_of(route, self._request, self._names)
         return self._origin
 
     def encode(self, backend_id: str, now: float) -> bytes:
-        """Return the bytes for one back end, with the time that is left."""
+        """Return the bytes for one back end, with the remaining time in the deadline header."""
         left_ms = max(1, int((self.deadline_at - now) * MILLISECONDS))
         names = self._names
         return b"%b\r\n%b: %d\r\n%b: %b\r\n\r\n%b" % (
--- a/tinrudder/gateway/runs/request_fingerprint.py
+++ b/tinrudder/gateway/runs/request_fingerprint.py
@@ -1,6 +1,6 @@
-"""Tells whether two requests ask the same thing for the same caller.
+"""Fingerprints that identify identical requests of the same caller.
 
-Owns no state.  Gateways tell each other of requests by these bytes, so all must make the same.
+Owns no state.  Gateways exchange fingerprints, so all of them must compute the same bytes.
 """
 
 from __future__ import annotations
@@ -11,24 +11,24 @@
 from tinrudder.gateway.model.http_messages import HttpRequest, header_value
 
 FINGERPRINT_BYTES = 16
-"""Length of a fingerprint, bytes.  Chosen, not measured: with 16 nobody finds a second request with
-the fingerprint of another's, which would let one caller have another's request taken for its own.
+"""Length of a fingerprint, bytes.  With 16 bytes nobody can find a request whose fingerprint equals
+that of another caller's request, which would make gateways take one for the other.
 """
 _LENGTH_BYTES = 4
-"""Length of the number that stands before each field, bytes: fields are shorter than 4 GB."""
+"""Size of the length prefix of each field, bytes: fields are shorter than 4 GB."""
 
 
 def origin_of(route: str, request: HttpRequest, names: HeaderNames) -> bytes:
-    """Return the same bytes for all requests of one caller on one route."""
+    """Return a digest of the caller and the route."""
     return _digest(route.encode(), _caller(request, names))
 
 
 def fingerprint_of(request: HttpRequest, names: HeaderNames) -> bytes:
-    """Return the same bytes for requests of one caller with the same path, query and body.
+    """Return a digest of the caller, method, host, path, query and body.
 
-    The caller is the tenant, where the entry has found one by its key, else the credentials that
-    the client sent.  Ids, deadlines and connections differ between the tries of one client, so
-    they do not count.
+    The caller is the tenant if the API key named one, else the credentials that the client sent.
+    Request ids, deadlines and connections differ between the tries of one client, so they are not
+    part of the digest.
 
     >>> from tinrudder.gateway.model.http_messages import HttpRequest
     >>> from tinrudder.platform.headers import HEADERS
@@ -46,7 +46,7 @@
 
 
 def _caller(request: HttpRequest, names: HeaderNames) -> bytes:
-    """Return who asks, as far as a request says; empty where it says nothing."""
+    """Return the tenant, else the credentials of a request; empty if it has neither."""
     headers = request.headers
     return header_value(headers, names.tenant) or header_value(headers, b"authorization") or b""
 
@@ -54,7 +54,7 @@
 def _digest(*fields: bytes) -> bytes:
     digest = blake2b(digest_size=FINGERPRINT_BYTES)
     for field in fields:
-        # With its length, so that no two different requests write the same bytes.
+        # The length prefix keeps two different requests from hashing the same bytes.
         digest.update(len(field).to_bytes(_LENGTH_BYTES, "big"))
         digest.update(field)
     return digest.digest()
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -1,9 +1,9 @@
-"""Runs one request to its outcome: a scatter over shards, or a single back end as one shard.
+"""Runs one request to its outcome: a scatter over shards, or a single service as one shard.
 
-Owns the shards of the run, one timer for all of them, and the decision when to answer
-(:mod:`tinrudder.gateway.decisions.attempts.answer_time`), which it asks after every change.  Relies
-on :class:`ShardCalls` for the calls of each shard, on :class:`DelegatedGroups` for what other
-gateways ask, and on :class:`RunGuard` where back ends were lost under the request.
+Owns the shards of the run and one timer for all of them.  After every change it evaluates when to
+answer (:mod:`tinrudder.gateway.decisions.attempts.answer_time`).  :class:`ShardCalls` makes the
+calls of each shard, :class:`DelegatedGroups` handles the shards that other gateways call, and
+:class:`RunGuard` restricts the run after back ends have crashed under the request.
 """
 
 from __future__ import annotations
@@ -22,20 +22,20 @@
 from tinrudder.timers import TimerHandle
 
 ABANDONED_CALL_S = 0.3
-"""How long calls that nobody waits for may go on, seconds, since closing costs a connection.
-Chosen, not measured: work for a client that has left must end within half a second, the ways there
-and back included."""
+"""How long calls may continue after their run has ended, seconds.  Cancelling a call costs its
+connection, but work for a client that has disconnected must end within half a second, including the
+network round trip."""
 WHOLE = 1.0
-"""The share of a single back end's answer: all of it."""
+"""Minimum share for a single service: its answer is complete or missing."""
 
 OutcomeListener = Callable[[RequestOutcome], None]
 
 
 class RequestRun:
-    """One request; its outcome is reported exactly once, unless the client leaves before.
+    """Runs one request; reports its outcome exactly once, unless it is abandoned before.
 
-    :ivar decided_at: monotonic time of the latest decision; merging comes after the last one.
-    :ivar on_progress: is told whenever shards have ended and the request goes on.
+    :ivar decided_at: monotonic time of the latest decision; merging follows the last one.
+    :ivar on_progress: called when a shard or group has changed and the run continues.
     """
 
     def __init__(
@@ -48,10 +48,11 @@
         delegated: Sequence[DelegatedShards] = (),
         make_refusal: RefusalMaker = NotRun,
     ) -> None:
-        """Prepare calls to ``services``: shards of the route, or the one service chosen.
+        """Prepare calls to ``services``: shards of the route, or the single service chosen.
 
-        :param minimum_share: the least share that makes an answer; by the route if ``None``.
-        :param delegated: the other shards of the scatter, asked by other gateways.
+        :param minimum_share: least share of the shards that makes an answer; the route's if
+            ``None``.
+        :param delegated: the other shards of the scatter, which other gateways call.
         """
         self._context = context
         self._on_outcome = on_outcome
@@ -74,7 +75,7 @@
         self.shards = self._calls(services)
 
     def _calls(self, services: Sequence[str], *, asked_before: bool = False) -> list[ShardCalls]:
-        """Prepare the calls of some shards."""
+        """Return the calls of some shards, not started yet."""
         return [
             ShardCalls(service, self._context, self._review, asked_before=asked_before)
             for service in services
@@ -82,28 +83,28 @@
 
     @property
     def included(self) -> int:
-        """Return how many shards have answered."""
+        """Number of shards that have answered."""
         return self._tally.included + self._groups.included
 
     @property
     def unanswered_share(self) -> float:
-        """Return the part of the shards that has not answered, 0 to 1."""
+        """Share of the shards that have not answered, 0 to 1."""
         return 1.0 - self.included / self._total
 
     def hold_s(self, now: float) -> float:
-        """Return for how long it has held the room of a shard so far, in the mean of all."""
+        """Return how long the run has held a shard's slot so far, mean of all shards, seconds."""
         elapsed_s = now - self._started_at
         return self._answered_after_s / self._total + self.unanswered_share * elapsed_s
 
     @property
     def repeats(self) -> int:
-        """Return how many calls were sent beyond the first of each shard."""
+        """Number of hedges and retries sent for all shards."""
         here = sum(shard.repeats for shard in self.shards)
         return here + self._groups.repeats
 
     @property
     def missing_shards(self) -> tuple[MissingShard, ...]:
-        """Return the shards without an answer, and why."""
+        """The shards without an answer, with the reason."""
         here = tuple(
             MissingShard(shard.service, shard.last_problem or "no answer yet")
             for shard in self.shards
@@ -131,7 +132,7 @@
         self._arm_for_shards()
 
     def _follow_guard(self, now: float) -> None:
-        """Send what was held back once the run is free, or send nothing more."""
+        """Apply the guard's state: send the calls held back, start a canary, or stop sending."""
         if self._context.guard.is_stopped:
             self._stop_sending()
             return
@@ -141,12 +142,12 @@
             for shard in self.shards:
                 shard.resume(now)
         elif not is_free and not any(shard.hopeful for shard in self.shards):
-            # No back end can be asked from here: nothing else would ever end the wait.
+            # This gateway can call no back end, so only a delegated canary can end the hold.
             self._groups.start_one()
         self._was_free = is_free
 
     def _stop_sending(self) -> None:
-        """Send nothing more: back ends crash under this request."""
+        """Stop sending, since back ends crash under this request."""
         self._groups.withhold()
         for shard in self.shards:
             if shard.part is None:
@@ -154,15 +155,15 @@
                 self._tally.count(shard)
 
     def abandon(self) -> None:
-        """End for a client that has left; nobody is told an outcome."""
+        """End the run without reporting an outcome, since the client has disconnected."""
         if self._finished:
             return
         self._context.call_context.counters.clients_left += 1
         self._stop()
 
     def _review(self, shard: ShardCalls) -> None:
-        """Decide anew after a change of one shard."""
-        # Calls that end while the first ones are sent are counted when all have been.
+        """Decide again after a change of one shard."""
+        # Shards that change while the first calls are sent are counted after the last one is sent.
         if self._finished or self._starting:
             return
         now = self._context.call_context.loop.time()
@@ -176,8 +177,8 @@
             self.on_progress()
 
     def _on_group_end(self, group: DelegatedShards) -> None:
-        """Take what another gateway got, or ask here for what it did not."""
-        # Its answer crosses with the end of the run, which cancels the group.
+        """Use the answer of another gateway, or call the shards from here if that is safe."""
+        # The group may end after the run, which cancels it.
         if self._finished:
             return
         now = self._context.call_context.loop.time()
@@ -193,16 +194,16 @@
             self.on_progress()
 
     def _take_over(self, group: DelegatedShards, now: float) -> None:
-        """Ask a group's shards from here."""
+        """Call the shards of a delegated group from this gateway."""
         self._context.call_context.counters.delegations_run_here += 1
         self._groups.take_over(group)
         self._start_here(self._calls(group.services), now)
 
     def _ask_again_here(self, now: float) -> bool:
-        """Ask for shards that other gateways ended without; tell whether there are any.
+        """Call the shards missing from other gateways' answers; return whether there are any.
 
-        Their answers left at the objective, each with as few shards as may be missing of the
-        whole; together that can be too few.
+        Each of these gateways answered at the objective, and could leave out as many shards as the
+        whole scatter may miss.  Together that can be too many.
         """
         if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
             return False
@@ -218,7 +219,7 @@
         return bool(lacking)
 
     def _start_here(self, calls: list[ShardCalls], now: float) -> None:
-        """Start calls of further shards."""
+        """Add and start calls of further shards."""
         self.shards.extend(calls)
         self._starting = True
         for shard in calls:
@@ -228,7 +229,7 @@
             self._tally.count(shard)
 
     def _act(self, now: float) -> None:
-        """Wait, answer or fail, as decided now."""
+        """Decide whether to wait, answer or fail, and do so."""
         self.decided_at = now
         decision = decide(self._state(), now)
         if decision.verdict is Verdict.FAIL and self._ask_again_here(now):
@@ -255,7 +256,7 @@
         )
 
     def _arm(self, when: float) -> None:
-        """Set the one timer to a moment, unless it is set to an earlier one anyway."""
+        """Set the run's timer to ``when``, unless it is due earlier."""
         if self._timer is not None:
             if self._timer_at <= when:
                 return
@@ -266,20 +267,20 @@
         self._timer = self._context.call_context.loop.call_at(when, self._on_timer)
 
     def _arm_for_shards(self) -> None:
-        """Set the timer to the next hedge or retry that is due."""
+        """Set the timer to the next due time of all shards."""
         if not self._finished:
             self._arm(min((shard.next_at for shard in self.shards), default=NEVER))
 
     def _on_timer(self) -> None:
-        """Hedge and retry what is due, then decide."""
+        """Send the hedges and retries that are due, then decide."""
         self._timer = None
         if self._finished:
             return
-        # The loop may call a little early, by its clock's resolution.
+        # The loop may call early by up to the resolution of its clock.
         now = max(self._timer_at, self._context.call_context.loop.time())
         for shard in self.shards:
             shard.on_time(now)
-            # What it sends may fail or be answered within that call, which ends the run.
+            # A call may end synchronously, and so end the run.
             if self._finished:
                 return
             self._tally.count(shard)
@@ -288,12 +289,12 @@
         self._arm_for_shards()
 
     def _finish(self, outcome: RequestOutcome) -> None:
-        """Report once."""
+        """End the run and report its outcome."""
         self._stop()
         self._on_outcome(outcome)
 
     def _stop(self) -> None:
-        """Stop sending; what still runs is awaited a little, since closing costs a connection."""
+        """Stop sending; calls in progress get a grace period, as cancelling costs a connection."""
         self._finished = True
         self._tally.release()
         if self._timer is not None:
@@ -306,7 +307,7 @@
             self._context.call_context.loop.call_later(ABANDONED_CALL_S, self._cancel_running)
 
     def _cancel_running(self) -> None:
-        """Close the connections of calls that took too long."""
+        """Cancel the calls that are still in progress."""
         now = self._context.call_context.loop.time()
         for shard in self.shards:
             shard.cancel_running(now)
--- a/tinrudder/gateway/runs/retry_rule.py
+++ b/tinrudder/gateway/runs/retry_rule.py
@@ -1,8 +1,9 @@
-"""Whether and when a call of a shard is tried again after one has failed.
+"""Decides whether and when a failed call of a shard is retried.
 
-Asked when a call has ended without an answer and no other one of the shard runs.  Inputs are counts
-of this request at this shard and what the route allows; the answer is a pause in seconds.  Pure: it
-owns no state and reads no clock.  Whether the budget pays for the retry is asked when it is due.
+Evaluated when a call has failed and no other call of the shard is in progress.  The inputs are the
+counts of this request at this shard and whether the route allows repeats; the result is a back-off
+in seconds.  Pure: it owns no state and reads no clock.  The retry budget is checked later, when the
+retry is due.
 """
 
 from __future__ import annotations
@@ -10,28 +11,26 @@
 from msgspec import Struct
 
 MAX_SENDS = 4
-"""How many calls of one shard may leave for one request.  Chosen, not measured: two replicas, each
-twice."""
+"""Most calls of one shard that may be sent for one request: two replicas, each twice."""
 MAX_TRIES = 8
-"""How often a back end is chosen for one shard, calls that never left included.  Chosen, not
-measured: with the pauses of :data:`RETRY_PAUSE_S`, tries end after 0.8 s."""
+"""Most tries of one shard, including calls that were never sent.  With the back-off of
+:data:`RETRY_PAUSE_S`, tries end after 0.8 s."""
 TRIES_AT_ONCE = 2
-"""Tries, or back ends chosen, up to which the next try follows without a pause.  Chosen, not
-measured: most shards have two replicas, and the other one may well answer."""
+"""Number of tries, or of back ends chosen, below which the next try follows without back-off.  Most
+shards have two replicas, and the other one may well answer."""
 RETRY_PAUSE_S = 0.03
-"""Pause before a later try, seconds, times the tries so far.  Chosen, not measured: eight tries
-take 0.8 s."""
+"""Back-off for each try so far, seconds: it grows linearly, so that eight tries take 0.8 s."""
 AT_ONCE = 0.0
-"""No pause, seconds."""
+"""Back-off of an immediate retry, seconds."""
 
 
 class ShardTries(Struct, frozen=True):
-    """What one request has tried at one shard.
+    """The tries of one request at one shard so far.
 
     :param tries: how often a back end was chosen, at least 1.
-    :param sends: calls that have left.
-    :param may_have_run: a back end may have run the request.
-    :param repeatable: the route allows that it runs more than once.
+    :param sends: number of calls sent.
+    :param may_have_run: whether a back end may have run the request.
+    :param repeatable: whether the route allows the request to run more than once.
     """
 
     tries: int
@@ -41,10 +40,11 @@
 
 
 def retry_pause_s(done: ShardTries, *, at_once: bool, is_dead: bool = False) -> float | None:
-    """Return after what pause to try again, seconds; ``None``: not at all.
+    """Return the back-off before the next try, seconds; ``None`` if there is to be none.
 
-    :param at_once: the failure says nothing against another replica.
-    :param is_dead: nobody listened, so the next try is at another back end, if there is one.
+    :param at_once: whether another replica may be tried without back-off.
+    :param is_dead: whether the connection was refused; the caller then excludes that back end, so
+        the next try needs no back-off.
 
     >>> first = ShardTries(tries=1, sends=1, may_have_run=True, repeatable=True)
     >>> retry_pause_s(first, at_once=True)
--- a/tinrudder/gateway/runs/run_context.py
+++ b/tinrudder/gateway/runs/run_context.py
@@ -1,7 +1,7 @@
-"""What the shards of one run share, and one call of a shard.
+"""State shared by the shards of one run, and the record of one call of a shard.
 
-A :class:`RunContext` owns nothing but the run's guard; it does not know the run, so that no cycle
-keeps answers until the collector's next run.
+A :class:`RunContext` owns only the run's guard.  It has no reference to the run: a reference cycle
+would keep answers in memory until the next garbage collection.
 """
 
 from __future__ import annotations
@@ -18,14 +18,14 @@
 from tinrudder.gateway.runs.run_guard import RunGuard
 
 NEVER = float("inf")
-"""A time, in seconds of the loop's clock, at which nothing is due."""
+"""Due time of an action that is not scheduled, seconds of the loop's clock."""
 
 
 class RunContext(Struct, frozen=True, eq=False):
-    """One request, as all of its shards see it.
+    """One request, shared by all of its shards.
 
-    :param request: encodes it for one back end after another.
-    :param guard: decides for the whole run what may be sent after back ends were lost.
+    :param request: encodes the request for each back end.
+    :param guard: decides for the whole run what may be sent after back ends have crashed.
     """
 
     call_context: CallContext
@@ -38,22 +38,22 @@
     def of(
         cls, call_context: CallContext, route: Route, request: RequestBytes, deadlines: Deadlines
     ) -> RunContext:
-        """Prepare a run under a guard of its own."""
+        """Return the context of a new run, with its own guard."""
         guard = RunGuard(call_context.evidence, request, route)
         return cls(call_context, route, request, deadlines, guard)
 
     @property
     def is_scatter(self) -> bool:
-        """Tell whether several shards are merged, rather than one back end's answer relayed."""
+        """Return whether the answers of shards are merged, rather than one answer relayed."""
         return bool(self.route.shards)
 
 
 class Attempt(Struct, eq=False):
     """One call of a shard that has not ended.
 
-    :param is_paid: the budget of repeats has counted it; the call that leaves first needs none.
-    :param is_canary: it left alone, to find out whether the request crashes what runs it.
-    :param running: the call as it was sent; ``None`` while no byte of it has left.
+    :param is_paid: whether it was charged to the retry budget; the first call sent is free.
+    :param is_canary: whether it was sent alone, to learn whether the request crashes back ends.
+    :param running: the call as it was sent; ``None`` while no byte was sent.
     """
 
     backend: Backend
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -1,7 +1,8 @@
-"""What one run of a request may still send, given the back ends that were lost under it.
+"""Limits what a run may send after back ends have crashed under its request.
 
-Owns what this run has seen: calls in progress, calls lost, whether a back end has answered.  Relies
-on the evidence of all gateways (:class:`CrashEvidence`) for other tries of the same request.
+Owns the crash state of one run: calls in progress, lost calls, whether a back end has answered.
+Other tries of the same request are known from the evidence shared by all gateways
+(:class:`CrashEvidence`).
 """
 
 from __future__ import annotations
@@ -14,14 +15,14 @@
 from tinrudder.gateway.runs.request_bytes import RequestBytes
 
 CANARY_PATIENCE = 0.3
-"""After this part of the route's objective a second canary leaves beside the first, which may stand
-still.  Chosen, not measured: it leaves most of the objective to the other shards."""
+"""Share of the route's objective after which a second canary may be sent, since the back end of the
+first may be stalled.  Leaves most of the objective to the other shards."""
 POISON = "back ends crashed under this request: it is not sent again"
-"""What is said of shards that are not asked for that reason."""
+"""Reason given for shards that are not called because the request crashes back ends."""
 
 
 class Permission(Enum):
-    """Whether another call may leave.  ``HOLD``: not now.  ``STOP``: never."""
+    """Whether another call may be sent.  ``HOLD``: not now.  ``STOP``: never."""
 
     SEND = auto()
     HOLD = auto()
@@ -29,44 +30,45 @@
 
 
 class CrashEvidence(Protocol):
-    """What the fleet holds against requests, as a run needs it."""
+    """The fleet's evidence about requests that crash back ends, as far as a run uses it."""
 
     @property
     def is_calm(self) -> bool:
-        """Tell whether nothing is held against any request."""
+        """Whether there is no evidence against any request."""
 
     def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
-        """Decide what may be done with a request now."""
+        """Return whether a request may be sent now, and how."""
 
     def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
-        """Hold a back end that was lost against the request that it ran."""
+        """Record that a back end was lost while it was running a request."""
 
     def note_survivor(self, fingerprint: bytes, life: str) -> None:
-        """Hold a back end no longer against a request: it has not crashed after all."""
+        """Revoke a crash: the back end is still running."""
 
     def note_answer(self, fingerprint: bytes) -> None:
         """Clear a request that a back end has answered."""
 
     def note_alive(self, life: str, sent_at: float) -> None:
-        """Take note that a back end has answered what was sent at that time."""
+        """Record that a back end has answered a call that was sent at ``sent_at``."""
 
     def begin_trial(self, fingerprint: bytes) -> None:
-        """Keep other gateways from a trial while one begins here."""
+        """Begin a trial of a request here, which keeps other gateways from starting one."""
 
 
 class RunGuard:
-    """Follows the calls of one run; one is needed for each, also where nothing is held against any.
+    """Tracks the calls of one run, and restricts them once back ends have crashed.
 
-    A run is free to send until a call is lost with its connection before any back end has answered.
-    From then on, and from its start where other tries of the same request lost back ends, one call
-    is in progress at a time until the first answer.  So a poison request that reaches one back end
-    of each of 20 shards does not reach the second of any.
+    Every run needs a guard, even if there is no evidence against its request.  A run may send
+    freely until a call is lost with its connection before any back end has answered.  From then on,
+    one call is in progress at a time until the first answer.  If other tries of the same request
+    lost back ends, this holds from the start.  So a poison request that reaches one back end of
+    each of 20 shards does not reach the second one of any shard.
 
-    :ivar answered: a back end has answered, so the request is no poison.
+    :ivar answered: whether a back end has answered, so that the request is not poison.
     """
 
     def __init__(self, evidence: CrashEvidence, request: RequestBytes, route: Route) -> None:
-        """Judge by ``evidence``."""
+        """Start a guard for a run of ``request`` on ``route``."""
         self.answered = False
         self._evidence = evidence
         self._request = request
@@ -79,22 +81,23 @@
 
     @property
     def is_free(self) -> bool:
-        """Tell whether all shards may be asked at once."""
+        """Whether all shards may be called at the same time."""
         if self.answered or (not self._lost_here and self._evidence.is_calm):
             return True
         return not self._stopped and self._standing() is Standing.FREE
 
     @property
     def is_stopped(self) -> bool:
-        """Tell whether nothing more may be sent, ever."""
+        """Whether the run may send nothing more."""
         if self.answered or self._evidence.is_calm:
             return False
         return self._stopped or self._standing() is Standing.BARRED
 
     def permission(self, now: float) -> Permission:
-        """Decide on one more call."""
-        # What holds of nearly every call, without asking another function: a call's questions here
-        # take 1.1 us so, 0.7 us after the first answer, and 2.8 and 1.8 us through the property.
+        """Return whether one more call may be sent now."""
+        # Fast path for nearly every call: repeats the first test of the property inline.  The
+        # checks of a call take 1.1 us this way, and 0.7 us after the first answer; through the
+        # property, 2.8 and 1.8 us.
         if self.answered or (not self._lost_here and self._evidence.is_calm):
             return Permission.SEND
         if self.is_free:
@@ -108,7 +111,7 @@
         return Permission.SEND if not self._in_progress or waited else Permission.HOLD
 
     def note_sent(self, now: float) -> bool:
-        """Count a call that leaves; tell whether it is a canary."""
+        """Count a call that is being sent, and return whether it is a canary."""
         self._in_progress += 1
         self._last_sent_at = now
         if self.answered or self.is_free:
@@ -118,10 +121,10 @@
         return True
 
     def note_answered(self, life: str, sent_at: float) -> None:
-        """Take an answer, whatever it says: the back end has survived the request.
+        """Record an answer of any status: the back end has survived the request.
 
-        :param life: names the start of the back end.
-        :param sent_at: when it was asked.
+        :param life: identifies one incarnation of the back end.
+        :param sent_at: when the call was sent.
         """
         self._in_progress -= 1
         self.answered = True
@@ -130,25 +133,25 @@
             self._evidence.note_alive(life, sent_at)
 
     def note_answered_elsewhere(self) -> None:
-        """Take it that other gateways' back ends have answered; these gateways tell all others."""
+        """Record that back ends have answered other gateways, which inform the fleet themselves."""
         self.answered = True
 
     def note_unanswered(self) -> None:
-        """Take the end of a call that says nothing of the request."""
+        """Record the end of a call that neither clears nor incriminates the request."""
         self._in_progress -= 1
 
     def note_crash(self, life: str, *, canary: bool) -> bool:
-        """Take a call that was lost with its connection; tell whether it counts as a crash.
+        """Record a call that was lost with its connection; return whether it counts as a crash.
 
-        Where a back end has answered in this run, the request is not what crashed this one.
+        Once a back end has answered in this run, the request is not what crashed another one.
 
-        :param life: names the start of the back end.
+        :param life: identifies one incarnation of the back end.
         """
         self._in_progress -= 1
         if self.answered:
             return False
         self._lost_here = True
-        # A canary that is lost ends the run: the next try is another run's, if there is one.
+        # A lost canary ends the run; only another run may try the request again.
         self._stopped |= canary
         request = self._request
         self._evidence.note_crash(request.fingerprint, self._origin, life, trial=canary)
@@ -156,7 +159,7 @@
 
     @property
     def barred_s(self) -> float:
-        """Return for how long no gateway sends the request; 0 for one that is not barred."""
+        """Seconds for which every gateway refuses the request; 0 if it is not barred."""
         if self._evidence.is_calm:
             return 0.0
         return self._evidence.judge(self._request.fingerprint, self._origin).barred_s
--- a/tinrudder/gateway/runs/run_outcome.py
+++ b/tinrudder/gateway/runs/run_outcome.py
@@ -1,7 +1,7 @@
-"""What a run says at its end: the answer from what is in, or truthfully why there is none.
+"""Builds the outcome of a run: the answer, or the reason why there is none.
 
-Owns no state.  "Not run" is said only where no back end can have run any part of the request, here
-or at another gateway; everything else is an answer, a failure or a timeout.
+Owns no state.  "Not run" is returned only if no back end can have run any part of the request, for
+this or another gateway.  Every other outcome is an answer, a failure or a timeout.
 """
 
 from __future__ import annotations
@@ -23,23 +23,22 @@
 from tinrudder.gateway.scatters.record_merge import greatest_records
 
 RETRY_AFTER_S = 0.1
-"""When to come back after a refusal that another replica or a free slot may end, seconds.  Chosen,
-not measured: long enough for a slot to come free, short against the deadlines of clients."""
+"""Least Retry-After of a refusal that another replica or a free slot may resolve, seconds.  Long
+enough for a slot to become free, and short compared with the deadlines of clients."""
 RETRY_DEAD_S = 0.5
-"""When to come back where every back end of a shard has ended, seconds.  Chosen, not measured:
-processes take seconds to start, and the clients seen come back within a third of their deadline of
-0.8 to 8 s at the latest."""
+"""Retry-After when the back ends of a shard refuse connections, seconds.  Processes take seconds to
+start, and clients come back within a third of their deadline of 0.8 to 8 s at the latest."""
 
 RefusalMaker = Callable[[str, float], NotRun]
-"""Makes the refusal of a request that has not run, of why and of the shortest pause, seconds."""
+"""Builds the refusal of a request that has not run, from the reason and least Retry-After (s)."""
 
 
 def answer_of(
     run: RunContext, shards: Sequence[ShardCalls], groups: DelegatedGroups, total: int
 ) -> RequestOutcome:
-    """Return what is in: one back end's answer, or what the shards' answers merge to.
+    """Return the answer of a single back end, or the merged answers of the shards.
 
-    :param total: how many shards the scatter has, those of other gateways included.
+    :param total: number of shards of the scatter, including delegated ones.
     """
     parts = [shard.part for shard in shards if shard.part is not None]
     if not run.is_scatter:
@@ -50,7 +49,7 @@
 def _merged(
     run: RunContext, parts: list[HttpAnswer], groups: DelegatedGroups, total: int
 ) -> Merged:
-    """Merge what came here with what other gateways merged."""
+    """Merge the answers of this gateway's shards with the merged answers of other gateways."""
     stamp = run.call_context.names.stamp
     stamps = [header_value(part.headers, stamp) or b"" for part in parts]
     bodies = [part.body for part in parts]
@@ -70,7 +69,7 @@
     make_refusal: RefusalMaker,
     now: float,
 ) -> RequestOutcome:
-    """Say truthfully why there is no answer."""
+    """Return the outcome of a run without an answer, with the reason."""
     detail = "; ".join(sorted({shard.last_problem for shard in shards if shard.last_problem}))
     if not (groups.may_have_run or any(shard.may_have_run for shard in shards)):
         detail = detail or "no back end is left"
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -1,15 +1,16 @@
-"""The calls of one shard for one request: the first, hedges beside it, retries after it.
+"""Makes the calls of one shard for one request: the first call, hedges and retries.
 
-A *hedge* is sent beside a call that runs, a *retry* after one that has failed; together they are
-*repeats*, which the budget of the shard's service pays.  What several replicas may run, the route
-says; a request that is not repeatable runs at most once.
+A *hedge* is sent while another call is in progress, a *retry* after a call has failed.  Both are
+*repeats*, charged to the retry budget of the shard's service.  The route says whether a request is
+repeatable; one that is not runs at most once.
 
-Owns the calls until one is answered or nothing more can be tried.  Relies on the run that made it
-to look at it when :attr:`ShardCalls.next_at` has come, on the run's guard for what may be sent
-after back ends were lost, and on :class:`ShardReplicas` for the back ends that were tried.
+Owns the calls until one is answered or nothing more can be tried.  The run calls
+:meth:`ShardCalls.on_time` at :attr:`ShardCalls.next_at`, the run's guard decides what may be sent
+after back ends have crashed, and :class:`ShardReplicas` tracks the back ends that were tried.
 
-Calls wait for connections, so choosing a back end and sending its bytes are two moments.  Whatever
-was decided at the first is looked at again at the second, see :meth:`ShardCalls._may_leave`.
+A call may wait for a connection between the choice of its back end and the moment at which it is
+sent.  The conditions are therefore checked again when it is sent, see
+:meth:`ShardCalls._may_leave`.
 """
 
 from __future__ import annotations
@@ -46,28 +47,27 @@
 from tinrudder.gateway.runs.shard_replicas import ShardReplicas
 
 DENIED_PAUSE_S = 0.02
-"""When to look again where the budget of repeats or the back ends' queues denied a call, seconds.
-Chosen, not measured: like :data:`HELD_PAUSE_S`, a third of the tightest objective seen."""
+"""Delay before trying again when the retry budget or long queues prevented a call, seconds.  Like
+:data:`HELD_PAUSE_S`, a third of the tightest objective."""
 HELD_PAUSE_S = 0.02
-"""How often a call that must wait for the end of another is looked at again, where nothing else
-tells of that end, seconds.  Chosen, not measured: a third of the tightest objective seen, 0.056 s.
-"""
+"""Poll interval of a call that must wait for another one to end, where no event reports that end,
+seconds.  A third of the tightest objective, 0.056 s."""
 FORGOTTEN = HttpAnswer(200, b"", (), b"")
-"""Stands for an answer that has been given away."""
+"""Placeholder for an answer that was released."""
 
 
 def _ignore_change(shard: ShardCalls) -> None:
-    """Take no notice: the run has ended."""
+    """Do nothing, since the run has ended."""
 
 
 class ShardCalls:
     """Runs one shard's calls until one is answered or nothing more can be tried.
 
     :ivar part: the answer, once there is one.
-    :ivar failure: the last failure that a back end answered with.
-    :ivar last_problem: why there is no answer, as logs and clients are told; empty at first.
-    :ivar next_at: when to call :meth:`on_time`, by the loop's clock; :data:`NEVER`: not at all.
-    :ivar sends: calls that have left.
+    :ivar failure: the last answer with an error status.
+    :ivar last_problem: why there is no answer, for logs and clients; empty at first.
+    :ivar next_at: when to call :meth:`on_time`, by the loop's clock; :data:`NEVER` if not at all.
+    :ivar sends: number of calls sent.
     """
 
     def __init__(
@@ -78,10 +78,11 @@
         *,
         asked_before: bool = False,
     ) -> None:
-        """Prepare.
+        """Prepare the calls of ``service``; :meth:`start` sends the first one.
 
-        :param on_change: is told whenever a call has ended, until the run has.
-        :param asked_before: another gateway has called the shard's back ends for this request.
+        :param on_change: called whenever a call has ended, until the run ends.
+        :param asked_before: whether another gateway has called the shard's back ends for this
+            request, so that every call from here is a repeat.
         """
         self.service = service
         self.part: HttpAnswer | None = None
@@ -102,22 +103,22 @@
 
     @property
     def running(self) -> bool:
-        """Tell whether a call is in progress."""
+        """Whether a call is in progress."""
         return bool(self._attempts)
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether some back end may have run the request, or may still run it."""
+        """Whether some back end may have run the request, or may still run it."""
         return self._replicas.may_have_run
 
     @property
     def is_dead(self) -> bool:
-        """Tell whether this run has found nobody listening at some back end, and has no answer."""
+        """Whether some back end refused a connection and there is no answer."""
         return self.part is None and self._replicas.any_dead
 
     @property
     def hopeful(self) -> bool:
-        """Tell whether an answer may still come."""
+        """Whether an answer may still arrive."""
         if self.part is not None:
             return False
         return bool(self._attempts) or self.next_at != NEVER
@@ -129,7 +130,7 @@
         self._try_next(now)
 
     def on_time(self, now: float) -> None:
-        """Hedge or retry when it is due."""
+        """Send the hedge or retry that is due, if any."""
         if self.part is not None or now < self.next_at:
             return
         self.next_at = NEVER
@@ -139,19 +140,19 @@
             self._try_next(now)
 
     def resume(self, now: float) -> None:
-        """Send what was held back, now that the run is free to."""
-        # Not beside a call that runs: that one left before the run was held back.
+        """Send the call that the guard held back, now that the run is unrestricted."""
+        # Nothing was held back if a call is in progress: it was sent before the restriction.
         if self.part is None and not self._attempts and self.next_at != NEVER:
             self.next_at = NEVER
             self._try_next(now)
 
     def stop_sending(self) -> None:
-        """Send nothing more of a request that crashes back ends; what runs may be answered."""
+        """Stop sending, since the request crashes back ends; calls in progress go on."""
         self.next_at = NEVER
         self.last_problem = POISON
 
     def withdraw_unsent(self) -> None:
-        """Take back what waits for a connection, so that none leaves when that comes up."""
+        """Cancel the calls that wait for a connection, so that they are never sent."""
         self.next_at = NEVER
         for attempt in tuple(self._attempts):
             if attempt.running is None:
@@ -159,9 +160,10 @@
                 attempt.backend.pool.cancel(attempt.call)
 
     def end(self) -> None:
-        """Send nothing more and keep no answer; what runs only tells of its back end from now on.
+        """Stop sending and drop the answer; calls in progress only update the observations.
 
-        Without this, answers stay until the collector's next run, a hundred requests later.
+        Without this, answers stay in memory until the next garbage collection, a hundred requests
+        later.
         """
         self._ended = True
         self._on_change = _ignore_change
@@ -170,7 +172,7 @@
         self.withdraw_unsent()
 
     def cancel_running(self, now: float) -> None:
-        """Close the connections of calls that nobody waits for any more."""
+        """Cancel all calls in progress, which closes their connections."""
         for attempt in self._attempts:
             if attempt.running is not None:
                 attempt.backend.observations.failed(attempt.running, now)
@@ -179,16 +181,16 @@
 
     @property
     def _next_is_repeat(self) -> bool:
-        """Tell whether the next call that leaves is not the service's first of this request."""
+        """Whether the next call sent would be a repeat, not the first of this request."""
         return self._asked_before or self.sends > 0
 
     @property
     def repeats(self) -> int:
-        """Return how many calls were sent beyond the first of this request."""
+        """Number of hedges and retries sent."""
         return self.sends if self._asked_before else max(0, self.sends - 1)
 
     def _try_next(self, now: float) -> None:
-        """Send a call, or note when to look again, or that there is nothing to try."""
+        """Send a call, or schedule the next check, or give up if nothing is left to try."""
         if self._is_held_back(now):
             return
         self._tries += 1
@@ -202,7 +204,7 @@
         self._send_to_one_of(candidates, now, hedge=False)
 
     def _hedge(self, now: float) -> None:
-        """Send a call beside one that may be late."""
+        """Send a hedge if it is due, and report overdue calls."""
         if now >= self._hedge_times.overdue_at:
             self._doubt_zones()
         if not self._run.route.repeatable or self.sends >= MAX_SENDS:
@@ -221,7 +223,7 @@
             self.next_at = now + DENIED_PAUSE_S
 
     def _send_to_one_of(self, candidates: list[Backend], now: float, *, hedge: bool) -> None:
-        """Send a call to the most promising back end, unless the budget denies a repeat."""
+        """Send a call to the best candidate, unless the retry budget denies it."""
         is_paid = self._next_is_repeat
         if is_paid and not self._may_repeat(now, hedge=hedge):
             self.next_at = now + DENIED_PAUSE_S
@@ -232,14 +234,14 @@
         self._send(backend, now, is_paid=is_paid)
 
     def _doubt_zones(self) -> None:
-        """Tell that calls are overdue."""
+        """Report overdue calls to the zone monitor."""
         for attempt in self._attempts:
             if attempt.running is not None:
                 zone = attempt.backend.entry.zone
                 self._run.call_context.zone_doubted(zone, attempt.running.sent_at)
 
     def _is_held_back(self, now: float) -> bool:
-        """Tell whether the run may not send now, and note when to look again, if ever."""
+        """Return whether the guard forbids sending now; schedule the next check, if any."""
         permission = self._run.guard.permission(now)
         if permission is Permission.HOLD:
             self.next_at = now + HELD_PAUSE_S
@@ -248,11 +250,11 @@
         return permission is not Permission.SEND
 
     def _may_leave(self, attempt: Attempt, now: float) -> bool:
-        """Judge a call at the moment at which its bytes would leave.
+        """Return whether a call may be sent, checked right before its bytes are written.
 
-        It races with whatever happens while it waits for its connection: back ends crash under the
-        request, the chosen one drains, and other calls of the same shard leave, so that this one
-        may have become one too many, or a repeat that nobody has paid for.
+        While it waited for a connection, back ends may have crashed under the request, the chosen
+        back end may have begun to drain, and other calls of the shard may have been sent, so that
+        this one exceeds a limit or has become a repeat that was not charged to the budget.
         """
         if self._run.guard.permission(now) is not Permission.SEND:
             return False
@@ -262,11 +264,11 @@
             return False
         if attempt.is_paid or not self._next_is_repeat:
             return True
-        # Chosen as the first call, overtaken by another one while it waited: it leaves beside that.
+        # It was prepared as the first call, but another one was sent meanwhile: it is a hedge now.
         return self._may_repeat(now, hedge=True)
 
     def _may_repeat(self, now: float, *, hedge: bool) -> bool:
-        """Draw on the service's budget."""
+        """Charge a repeat to the service's retry budget; return whether the budget allows it."""
         call_context = self._run.call_context
         if self._budget.may_repeat(now, call_context.sharers(self.service), hedge=hedge):
             return True
@@ -286,7 +288,7 @@
         backend.pool.start(attempt.call)
 
     def _new_call(self) -> UpstreamCall:
-        """Make a call whose parts are filled in by :meth:`_send`."""
+        """Return a call; :meth:`_send` sets its callbacks."""
         return UpstreamCall(
             make_bytes=lambda: None,
             request_id=self._run.request.request_id,
@@ -298,7 +300,7 @@
         )
 
     def _leave(self, attempt: Attempt) -> bytes | None:
-        """Return the bytes that leave now; ``None`` if the back end may not get them any more."""
+        """Return the bytes to send now; ``None`` if the call may no longer be sent."""
         call_context = self._run.call_context
         now = call_context.loop.time()
         if not self._may_leave(attempt, now):
@@ -313,8 +315,8 @@
         return self._run.request.encode(attempt.backend.backend_id, now)
 
     def _on_outcome(self, attempt: Attempt, outcome: CallOutcome) -> None:
-        """Take the end of one call."""
-        # Its end may cross with what cancelled it: then nothing more is learnt from it.
+        """Record the outcome of one call, then use its answer or retry."""
+        # A cancelled call may still report an outcome, which is ignored.
         if attempt not in self._attempts:
             return
         self._attempts.remove(attempt)
@@ -324,14 +326,14 @@
         )
         if attempt.running is not None:
             report_end(self._run, self.service, attempt, outcome)
-        # The answer has come from another back end meanwhile, or the run has ended without it.
+        # Another back end has answered meanwhile, or the run has ended.
         if self._ended or self.part is not None:
             return
         self._follow_up(attempt.backend, outcome, now)
         self._on_change(self)
 
     def _follow_up(self, backend: Backend, outcome: CallOutcome, now: float) -> None:
-        """Keep an answer, or try elsewhere."""
+        """Keep an answer, or handle a failure."""
         match outcome:
             case Answered(answer=answer):
                 self._on_answer(answer, now)
@@ -348,7 +350,7 @@
                 self._on_failure(detail, now, at_once=True)
 
     def _on_answer(self, answer: HttpAnswer, now: float) -> None:
-        """Take a whole answer; a failure of the back end's own may be tried elsewhere."""
+        """Keep an answer that is final; retry after one that says that the back end failed."""
         is_final = answer.successful
         if not self._run.is_scatter:
             is_final |= answer.status < SERVER_ERROR or not self._run.route.repeatable
@@ -360,10 +362,11 @@
         self._on_failure(f"answered with {answer.status}", now, at_once=True)
 
     def _on_rejection(self, problem: str, now: float) -> None:
-        """Try elsewhere, unless it is known that the service has no room in time.
+        """Retry, unless the service is known to have no capacity in time.
 
-        Each try takes a place in a queue or is turned away too, and is taken from the budget of
-        the whole fleet: at 1.4 times of what four back ends can do, 0.4 of the calls were such.
+        Each retry occupies a place in a queue or is rejected too, and is charged to the retry
+        budget of the whole fleet: at 1.4 times the capacity of four back ends, 0.4 of the calls
+        were such retries.
         """
         left_s = min(self._run.request.deadline_at - now, self._run.route.objective_s)
         if self._run.route.shards or self._run.call_context.has_room(
@@ -378,7 +381,7 @@
     def _on_failure(
         self, problem: str, now: float, *, at_once: bool, is_dead: bool = False
     ) -> None:
-        """Try again where that is allowed and nothing else is running, see :mod:`retry_rule`."""
+        """Retry if :mod:`retry_rule` allows it and no other call is in progress."""
         self.last_problem = problem
         if self._attempts:
             return
--- a/tinrudder/gateway/runs/shard_replicas.py
+++ b/tinrudder/gateway/runs/shard_replicas.py
@@ -1,10 +1,10 @@
-"""The back ends of one shard, as one request has tried them so far.
+"""Tracks which back ends of one shard a request has tried.
 
-Owns which of them were chosen, which may have run the request, and which turned out to have ended.
-Relies on the directory of back ends for those that may get new work at all.
+Owns the sets of back ends that were chosen, that may have run the request, and that refused a
+connection.  The directory decides which back ends accept new calls at all.
 
-No more than ``attempts`` back ends (a setting of the route) may run one request, whatever the order
-in which connections come up and calls end; those that it was offered to may be asked again.
+At most ``attempts`` back ends (a setting of the route) may run one request, in whatever order
+connections are established and calls end.  Those that may already run it can be called again.
 """
 
 from __future__ import annotations
@@ -15,53 +15,53 @@
 from tinrudder.gateway.runs.run_context import RunContext
 
 MAX_HEDGE_WAIT = 1.5
-"""How long a hedge may have to wait for a slot, in usual latencies of the route.  Chosen, not
-measured: with a longer wait it would come later than what it is to replace."""
+"""Longest queueing time of a back end that gets a hedge, in usual latencies of the route.  After a
+longer wait, the hedge would finish later than the call that it is meant to replace."""
 
 
 class ShardReplicas:
-    """Keeps what one request did at the replicas of one shard."""
+    """The replicas of one shard, for one request."""
 
     __slots__ = ("_chosen", "_dead", "_offered", "_run", "_service")
 
     def __init__(self, run: RunContext, service: str) -> None:
-        """Begin with none tried."""
+        """Start without tries."""
         self._run = run
         self._service = service
         self._chosen: set[str] = set()
-        # Calls that left and were not rejected, by back end.
+        # Number of calls that were sent and not rejected, by back end.
         self._offered: Counter[str] = Counter()
-        # Nobody listens there, as this run has found out.
+        # Back ends that refused a connection in this run.
         self._dead: set[str] = set()
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether a call has left and was not rejected."""
+        """Whether a call was sent and not rejected."""
         return bool(self._offered)
 
     @property
     def chosen(self) -> int:
-        """Return how many back ends were chosen, calls that never left included."""
+        """Number of back ends chosen, including those to which nothing was sent."""
         return len(self._chosen)
 
     @property
     def any_dead(self) -> bool:
-        """Tell whether nobody listened at some back end."""
+        """Whether some back end refused a connection."""
         return bool(self._dead)
 
     def for_retry(self) -> list[Backend]:
-        """Return the back ends that may get a call while none runs.
+        """Return the back ends that may get a call while none is in progress.
 
-        Not those that have ended: a process that has ended takes seconds to listen again, longer
-        than the 0.8 s that tries last.
+        Back ends that refused a connection are excluded: a process takes seconds to listen again,
+        longer than the 0.8 s for which tries go on.
         """
         return [one for one in self._candidates() if one.backend_id not in self._dead]
 
     def for_hedge(self, running: set[str], usual_s: float, now: float) -> list[Backend]:
-        """Return the back ends that may get a call beside those that run.
+        """Return the back ends that may get a hedge.
 
-        :param running: where they run.
-        :param usual_s: how long a call of the route usually takes.
+        :param running: ids of the back ends with a call in progress.
+        :param usual_s: usual latency of the route, seconds.
         """
         longest_wait_s = MAX_HEDGE_WAIT * usual_s
         return [
@@ -72,30 +72,30 @@
         ]
 
     def may_offer(self, backend: Backend) -> bool:
-        """Tell whether a call to a back end keeps to the number of back ends that may run it."""
+        """Return whether a call to a back end stays within the route's ``attempts``."""
         is_offered = backend.backend_id in self._offered
         return is_offered or len(self._offered) < self._run.route.attempts
 
     def note_chosen(self, backend: Backend) -> None:
-        """Prefer others from now on."""
+        """Record that a back end was chosen; others are preferred from now on."""
         self._chosen.add(backend.backend_id)
 
     def note_sent(self, backend: Backend) -> None:
-        """Note that a call has left, so that the back end may run the request."""
+        """Record that a call was sent, so that the back end may run the request."""
         self._offered[backend.backend_id] += 1
 
     def note_dead(self, backend: Backend) -> None:
-        """Note that nobody listens there."""
+        """Record that a back end refused a connection."""
         self._dead.add(backend.backend_id)
 
     def take_back(self, backend: Backend) -> None:
-        """Note that one call has not run; an earlier one to the same back end still may have."""
+        """Record that a call was rejected; an earlier one to that back end may still have run."""
         self._offered[backend.backend_id] -= 1
         if not self._offered[backend.backend_id]:
             del self._offered[backend.backend_id]
 
     def _candidates(self) -> list[Backend]:
-        """Return the back ends that may get the next call: those not chosen yet, if any."""
+        """Return the back ends for the next call: those not chosen yet, or all if none is left."""
         usable = self._run.call_context.directory.usable(self._service)
         usable = [backend for backend in usable if self.may_offer(backend)]
         fresh = [backend for backend in usable if backend.backend_id not in self._chosen]
--- a/tinrudder/gateway/runs/shard_tally.py
+++ b/tinrudder/gateway/runs/shard_tally.py
@@ -1,8 +1,8 @@
-"""How far the shards of one run have come that are asked from here.
+"""Counts the shards of one run that have answered or failed, without those of other gateways.
 
-Owns the counts that the decision on a run needs, and the bytes of the answers that wait for the
-others.  It is told of every change of a shard: a scatter is looked at as often as it has shards, so
-nothing is counted over all of them.
+Owns the counts used to decide when a run ends, and the buffered bytes of answers that wait to be
+merged.  The counts are updated with each change of a shard: a scatter is evaluated at least once
+per shard, so counting over all shards each time would cost quadratic time.
 """
 
 from __future__ import annotations
@@ -12,15 +12,15 @@
 
 
 class ShardTally:
-    """Counts shards with an answer, and those that cannot get one any more.
+    """Counts shards with an answer, and those that can no longer get one.
 
-    :ivar included: how many have answered.
+    :ivar included: number of shards that have answered.
     """
 
     __slots__ = ("_answered", "_hopeless", "_memory", "_part_bytes", "included")
 
     def __init__(self, memory: HeldBytes) -> None:
-        """Count the bytes of answers in ``memory``."""
+        """Charge the bytes of answers to ``memory``."""
         self.included = 0
         self._answered: set[ShardCalls] = set()
         self._hopeless: set[ShardCalls] = set()
@@ -29,11 +29,11 @@
 
     @property
     def settled(self) -> int:
-        """Return how many have answered or cannot get an answer any more."""
+        """Number of shards that have answered or can no longer get an answer."""
         return self.included + len(self._hopeless)
 
     def count(self, shard: ShardCalls) -> None:
-        """Take note of a change of one shard."""
+        """Update the counts after a change of one shard."""
         if shard in self._answered:
             return
         if shard.part is not None:
@@ -46,10 +46,10 @@
             self._hopeless.add(shard)
 
     def release(self) -> None:
-        """Count no bytes any more: the answers are merged or forgotten."""
+        """Release the bytes of all answers, which are merged or dropped."""
         self._hold(-self._part_bytes)
 
     def _hold(self, size: int) -> None:
-        """Count bytes of answers that wait for the others, or do not any more."""
+        """Add bytes of buffered answers, or subtract them if ``size`` is negative."""
         self._part_bytes += size
         self._memory.backends += size
