--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -33,7 +33,7 @@
 from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
 from tinrudder.gateway.runs.run_guard import CrashEvidence
 
-MEDIAN = 0.5
+MEDIAN_QUANTILE = 0.5
 """The quantile used as the latency of calls that did not queue.  Unlike a mean or a high quantile,
 it stays stable while some of the back ends are slow."""
 SIZE_GAIN = 0.1
@@ -157,13 +157,13 @@
             self._latencies[route.name] = window
         return window
 
-    def hedge_ages(self, route: Route) -> HedgeMoments:
-        """Return the ages at which calls of a route are hedged."""
-        ages = self._hedges.get(route.name)
-        if ages is None:
-            ages = HedgeMoments(self.latency(route))
-            self._hedges[route.name] = ages
-        return ages
+    def hedge_moments(self, route: Route) -> HedgeMoments:
+        """Return the statistics that give the ages at which calls of a route are hedged."""
+        moments = self._hedges.get(route.name)
+        if moments is None:
+            moments = HedgeMoments(self.latency(route))
+            self._hedges[route.name] = moments
+        return moments
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
         """Return the latencies of a route's calls after which the back end reported no queue."""
@@ -175,7 +175,7 @@
 
     def unloaded_median_s(self, route: Route) -> float:
         """Return the median of :meth:`unloaded_latency`, seconds."""
-        return self.unloaded_latency(route).quantile(MEDIAN)
+        return self.unloaded_latency(route).quantile(MEDIAN_QUANTILE)
 
     def sizes(self, index: tuple[str, ...]) -> ScatterSizes:
         """Return the mean sizes of the answers of an index, bytes."""
@@ -190,8 +190,8 @@
         known = self.sizes(index)
         part = known.part
         if parts:
-            part = _smoothed(part, sum(parts) / len(parts))
-        self._sizes[index] = ScatterSizes(part, _smoothed(known.merged, merged))
+            part = _moving_average(part, sum(parts) / len(parts))
+        self._sizes[index] = ScatterSizes(part, _moving_average(known.merged, merged))
 
     def forget_unused(self, services: frozenset[str], routes: frozenset[str]) -> None:
         """Drop the state of services and routes that are no longer configured.
@@ -223,7 +223,7 @@
         """
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
-            return unloaded.quantile(MEDIAN)
+            return unloaded.quantile(MEDIAN_QUANTILE)
         return work_s_of(backends) or usual_latency_s(self.latency(route), route.objective_s)
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
@@ -232,6 +232,6 @@
         return has_room(backends, now, self.usual_s(route, backends), left_s)
 
 
-def _smoothed(former: float, seen: float) -> float:
+def _moving_average(average: float, value: float) -> float:
     """Return the exponential moving average after one more value; starts with the first."""
-    return former + SIZE_GAIN * (seen - former) if former else float(seen)
+    return average + SIZE_GAIN * (value - average) if average else float(value)
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -27,7 +27,7 @@
 """Statuses of rejections for overload; other rejections mean that the back end cannot run it."""
 
 
-def observe_end(
+def record_call_end(
     call_context: CallContext,
     route: Route,
     backend: Backend,
--- a/tinrudder/gateway/runs/delegated_groups.py
+++ b/tinrudder/gateway/runs/delegated_groups.py
@@ -65,19 +65,19 @@
         for group in self._groups:
             group.on_end = on_end
 
-    def start_held(self) -> None:
+    def start_all(self) -> None:
         """Start all groups that have not been started."""
-        held, self._held = self._held, []
-        for group in held:
+        starting, self._held = self._held, []
+        for group in starting:
             group.start()
 
-    def start_one(self) -> None:
+    def start_canary(self) -> None:
         """Start one group as a canary, to learn whether the request crashes back ends.
 
         Does nothing while a group that was started has not ended.
         """
-        waits_there = any(one.pending for one in self._groups if one not in self._held)
-        if self._held and not waits_there:
+        in_progress = any(one.pending for one in self._groups if one not in self._held)
+        if self._held and not in_progress:
             self._held.pop(0).start()
 
     def withhold(self) -> None:
--- a/tinrudder/gateway/runs/lost_calls.py
+++ b/tinrudder/gateway/runs/lost_calls.py
@@ -11,14 +11,14 @@
 from tinrudder.gateway.observability.request_log import log_call_lost
 from tinrudder.gateway.runs.run_context import Attempt, RunContext
 
-SURVIVAL_S = 0.04
+SURVIVAL_CHECK_DELAY_S = 0.04
 """Delay before checking whether a back end that lost a call still has other connections, seconds.
 A process that ends loses all of them at once.  Covers several round trips between zones.  The check
 runs before other gateways are informed of the loss; only the loss of a canary is sent at once, and
 revoked if the back end has survived."""
 
 
-def report_end(run: RunContext, service: str, attempt: Attempt, outcome: CallOutcome) -> None:
+def report_to_guard(run: RunContext, service: str, attempt: Attempt, outcome: CallOutcome) -> None:
     """Report the outcome of a call that was sent to the run's guard."""
     match outcome:
         case Answered():
@@ -39,10 +39,10 @@
     if run.guard.note_crash(backend.entry.life, canary=attempt.is_canary):
         loop = run.call_context.loop
         lost_at = loop.time()
-        loop.call_later(SURVIVAL_S, _look_for_survivor, run, backend, lost_at)
+        loop.call_later(SURVIVAL_CHECK_DELAY_S, _check_survival, run, backend, lost_at)
 
 
-def _look_for_survivor(run: RunContext, backend: Backend, lost_at: float) -> None:
+def _check_survival(run: RunContext, backend: Backend, lost_at: float) -> None:
     """Revoke a crash if the back end still has a connection from before the loss."""
     if backend.pool.has_connection_from_before(lost_at):
         evidence = run.call_context.evidence
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -59,9 +59,9 @@
     arrivals were shed.
     """
     advantage = _zone_advantage(call_context, candidates, route, now)
-    drawn = two_of(candidates, lambda one: one.observations, now, call_context.random)
+    sampled = two_of(candidates, lambda one: one.observations, now, call_context.random)
     least_s = 0.0
-    if drawn is not candidates:
+    if sampled is not candidates:
         least_s = least_work_s([one.observations for one in candidates])
 
     def cost(backend: Backend) -> tuple[float, int]:
@@ -70,7 +70,7 @@
         cost += extra_cost(backend.observations, least_s, now)
         return cost, -rendezvous_score(call_context.own_name, backend.backend_id)
 
-    return min(drawn, key=cost)
+    return min(sampled, key=cost)
 
 
 def _zone_advantage(
--- a/tinrudder/gateway/runs/request_bytes.py
+++ b/tinrudder/gateway/runs/request_bytes.py
@@ -32,9 +32,9 @@
         self._fingerprint: bytes | None = None
         self._origin: bytes | None = None
         self._names = names
-        left_out = frozenset((names.deadline_ms, names.expected_backend))
+        excluded = frozenset((names.deadline_ms, names.expected_backend))
         lines = [b"%b %b HTTP/1.1" % (request.method, request.target)]
-        headers = end_to_end_headers(request.headers, left_out)
+        headers = end_to_end_headers(request.headers, excluded)
         lines.extend(b"%b: %b" % header for header in headers)
         if request.body or request.method in METHODS_WITH_BODY:
             lines.append(b"Content-Length: %d" % len(request.body))
@@ -61,12 +61,12 @@
 
     def encode(self, backend_id: str, now: float) -> bytes:
         """Return the bytes for one back end, with the remaining time in the deadline header."""
-        left_ms = max(1, int((self.deadline_at - now) * MILLISECONDS))
+        remaining_ms = max(1, int((self.deadline_at - now) * MILLISECONDS))
         names = self._names
         return b"%b\r\n%b: %d\r\n%b: %b\r\n\r\n%b" % (
             self._head,
             names.deadline_ms,
-            left_ms,
+            remaining_ms,
             names.expected_backend,
             backend_id.encode(),
             self._body,
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -21,11 +21,11 @@
 from tinrudder.gateway.scatters.delegated_shards import DelegatedShards
 from tinrudder.timers import TimerHandle
 
-ABANDONED_CALL_S = 0.3
+ABANDONED_CALL_TIMEOUT_S = 0.3
 """How long calls may continue after their run has ended, seconds.  Cancelling a call costs its
 connection, but work for a client that has disconnected must end within half a second, including the
 network round trip."""
-WHOLE = 1.0
+FULL_SHARE = 1.0
 """Minimum share for a single service: its answer is complete or missing."""
 
 OutcomeListener = Callable[[RequestOutcome], None]
@@ -66,18 +66,22 @@
         self._started_at = 0.0
         self._answered_after_s = 0.0
         if minimum_share is None:
-            minimum_share = context.route.minimum_share if context.is_scatter else WHOLE
+            minimum_share = context.route.minimum_share if context.is_scatter else FULL_SHARE
         self._minimum_share = minimum_share
         self._total = len(services) + sum(len(group.services) for group in delegated)
         self._tally = ShardTally(context.call_context.memory)
         self._groups = DelegatedGroups(delegated)
-        self._was_free = True
+        self._was_unrestricted = True
         self.shards = self._calls(services)
 
-    def _calls(self, services: Sequence[str], *, asked_before: bool = False) -> list[ShardCalls]:
+    def _calls(
+        self, services: Sequence[str], *, called_elsewhere: bool = False
+    ) -> list[ShardCalls]:
         """Return the calls of some shards, not started yet."""
         return [
-            ShardCalls(service, self._context, self._review, asked_before=asked_before)
+            ShardCalls(
+                service, self._context, self._on_shard_change, called_elsewhere=called_elsewhere
+            )
             for service in services
         ]
 
@@ -106,45 +110,45 @@
     def missing_shards(self) -> tuple[MissingShard, ...]:
         """The shards without an answer, with the reason."""
         here = tuple(
-            MissingShard(shard.service, shard.last_problem or "no answer yet")
+            MissingShard(shard.service, shard.last_error or "no answer yet")
             for shard in self.shards
             if shard.part is None
         )
-        asked_here = {shard.service for shard in self.shards}
+        called_here = {shard.service for shard in self.shards}
         elsewhere = self._groups.missing_shards
-        return here + tuple(one for one in elsewhere if one.service not in asked_here)
+        return here + tuple(one for one in elsewhere if one.service not in called_here)
 
     def start(self) -> None:
         """Send the first calls."""
         now = self._context.call_context.loop.time()
         self._started_at = now
-        self._was_free = self._context.guard.is_free
+        self._was_unrestricted = self._context.guard.is_unrestricted
         self._groups.follow(self._on_group_end)
-        if self._was_free:
-            self._groups.start_held()
+        if self._was_unrestricted:
+            self._groups.start_all()
         for shard in self.shards:
             shard.start(now)
         self._starting = False
         for shard in self.shards:
-            self._tally.count(shard)
-        self._follow_guard(now)
-        self._act(now)
+            self._tally.update(shard)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         self._arm_for_shards()
 
-    def _follow_guard(self, now: float) -> None:
+    def _apply_guard(self, now: float) -> None:
         """Apply the guard's state: send the calls held back, start a canary, or stop sending."""
         if self._context.guard.is_stopped:
             self._stop_sending()
             return
-        is_free = self._context.guard.is_free
-        if is_free and not self._was_free:
-            self._groups.start_held()
+        is_unrestricted = self._context.guard.is_unrestricted
+        if is_unrestricted and not self._was_unrestricted:
+            self._groups.start_all()
             for shard in self.shards:
                 shard.resume(now)
-        elif not is_free and not any(shard.hopeful for shard in self.shards):
+        elif not is_unrestricted and not any(shard.may_be_answered for shard in self.shards):
             # This gateway can call no back end, so only a delegated canary can end the hold.
-            self._groups.start_one()
-        self._was_free = is_free
+            self._groups.start_canary()
+        self._was_unrestricted = is_unrestricted
 
     def _stop_sending(self) -> None:
         """Stop sending, since back ends crash under this request."""
@@ -152,7 +156,7 @@
         for shard in self.shards:
             if shard.part is None:
                 shard.stop_sending()
-                self._tally.count(shard)
+                self._tally.update(shard)
 
     def abandon(self) -> None:
         """End the run without reporting an outcome, since the client has disconnected."""
@@ -161,17 +165,17 @@
         self._context.call_context.counters.clients_left += 1
         self._stop()
 
-    def _review(self, shard: ShardCalls) -> None:
+    def _on_shard_change(self, shard: ShardCalls) -> None:
         """Decide again after a change of one shard."""
         # Shards that change while the first calls are sent are counted after the last one is sent.
         if self._finished or self._starting:
             return
         now = self._context.call_context.loop.time()
         before = self._tally.included
-        self._tally.count(shard)
+        self._tally.update(shard)
         self._answered_after_s += (self._tally.included - before) * (now - self._started_at)
-        self._follow_guard(now)
-        self._act(now)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         if not self._finished:
             self._arm(shard.next_at)
             self.on_progress()
@@ -187,8 +191,8 @@
         if group.included:
             self._context.guard.note_answered_elsewhere()
             self._answered_after_s += group.included * (now - self._started_at)
-        self._follow_guard(now)
-        self._act(now)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         self._arm_for_shards()
         if not self._finished:
             self.on_progress()
@@ -197,9 +201,9 @@
         """Call the shards of a delegated group from this gateway."""
         self._context.call_context.counters.delegations_run_here += 1
         self._groups.take_over(group)
-        self._start_here(self._calls(group.services), now)
+        self._start_calls(self._calls(group.services), now)
 
-    def _ask_again_here(self, now: float) -> bool:
+    def _call_missing_here(self, now: float) -> bool:
         """Call the shards missing from other gateways' answers; return whether there are any.
 
         Each of these gateways answered at the objective, and could leave out as many shards as the
@@ -207,18 +211,18 @@
         """
         if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
             return False
-        asked_here = {shard.service for shard in self.shards}
+        called_here = {shard.service for shard in self.shards}
         fits_attempts = self._context.call_context.directory.fits_attempts
-        lacking = [
+        missing = [
             one.service
             for one in self._groups.missing_at_end
-            if one.service not in asked_here
+            if one.service not in called_here
             and fits_attempts(one.service, self._context.route.attempts)
         ]
-        self._start_here(self._calls(lacking, asked_before=True), now)
-        return bool(lacking)
+        self._start_calls(self._calls(missing, called_elsewhere=True), now)
+        return bool(missing)
 
-    def _start_here(self, calls: list[ShardCalls], now: float) -> None:
+    def _start_calls(self, calls: list[ShardCalls], now: float) -> None:
         """Add and start calls of further shards."""
         self.shards.extend(calls)
         self._starting = True
@@ -226,13 +230,13 @@
             shard.start(now)
         self._starting = False
         for shard in calls:
-            self._tally.count(shard)
+            self._tally.update(shard)
 
-    def _act(self, now: float) -> None:
+    def _act_on_decision(self, now: float) -> None:
         """Decide whether to wait, answer or fail, and do so."""
         self.decided_at = now
         decision = decide(self._state(), now)
-        if decision.verdict is Verdict.FAIL and self._ask_again_here(now):
+        if decision.verdict is Verdict.FAIL and self._call_missing_here(now):
             decision = decide(self._state(), now)
             self._arm_for_shards()
         if decision.verdict is Verdict.WAIT:
@@ -283,9 +287,9 @@
             # A call may end synchronously, and so end the run.
             if self._finished:
                 return
-            self._tally.count(shard)
-        self._follow_guard(now)
-        self._act(now)
+            self._tally.update(shard)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         self._arm_for_shards()
 
     def _finish(self, outcome: RequestOutcome) -> None:
@@ -304,7 +308,9 @@
         for shard in self.shards:
             shard.end()
         if any(shard.running for shard in self.shards):
-            self._context.call_context.loop.call_later(ABANDONED_CALL_S, self._cancel_running)
+            self._context.call_context.loop.call_later(
+                ABANDONED_CALL_TIMEOUT_S, self._cancel_running
+            )
 
     def _cancel_running(self) -> None:
         """Cancel the calls that are still in progress."""
--- a/tinrudder/gateway/runs/retry_rule.py
+++ b/tinrudder/gateway/runs/retry_rule.py
@@ -14,13 +14,13 @@
 """Most calls of one shard that may be sent for one request: two replicas, each twice."""
 MAX_TRIES = 8
 """Most tries of one shard, including calls that were never sent.  With the back-off of
-:data:`RETRY_PAUSE_S`, tries end after 0.8 s."""
+:data:`RETRY_BACKOFF_S`, tries end after 0.8 s."""
 TRIES_AT_ONCE = 2
 """Number of tries, or of back ends chosen, below which the next try follows without back-off.  Most
 shards have two replicas, and the other one may well answer."""
-RETRY_PAUSE_S = 0.03
+RETRY_BACKOFF_S = 0.03
 """Back-off for each try so far, seconds: it grows linearly, so that eight tries take 0.8 s."""
-AT_ONCE = 0.0
+NO_BACKOFF = 0.0
 """Back-off of an immediate retry, seconds."""
 
 
@@ -39,23 +39,25 @@
     repeatable: bool
 
 
-def retry_pause_s(done: ShardTries, *, at_once: bool, is_dead: bool = False) -> float | None:
+def retry_backoff_s(
+    done: ShardTries, *, at_once: bool, connection_refused: bool = False
+) -> float | None:
     """Return the back-off before the next try, seconds; ``None`` if there is to be none.
 
     :param at_once: whether another replica may be tried without back-off.
-    :param is_dead: whether the connection was refused; the caller then excludes that back end, so
-        the next try needs no back-off.
+    :param connection_refused: whether the back end refused the connection; the caller then excludes
+        it, so the next try needs no back-off.
 
     >>> first = ShardTries(tries=1, sends=1, may_have_run=True, repeatable=True)
-    >>> retry_pause_s(first, at_once=True)
+    >>> retry_backoff_s(first, at_once=True)
     0.0
-    >>> retry_pause_s(ShardTries(1, 1, True, False), at_once=True) is None
+    >>> retry_backoff_s(ShardTries(1, 1, True, False), at_once=True) is None
     True
     """
     if done.may_have_run and not done.repeatable:
         return None
-    if is_dead or (at_once and done.tries < TRIES_AT_ONCE):
-        return AT_ONCE
+    if connection_refused or (at_once and done.tries < TRIES_AT_ONCE):
+        return NO_BACKOFF
     if done.tries < MAX_TRIES and done.sends < MAX_SENDS:
-        return RETRY_PAUSE_S * done.tries
+        return RETRY_BACKOFF_S * done.tries
     return None
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -14,7 +14,7 @@
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.runs.request_bytes import RequestBytes
 
-CANARY_PATIENCE = 0.3
+SECOND_CANARY_SHARE = 0.3
 """Share of the route's objective after which a second canary may be sent, since the back end of the
 first may be stalled.  Leaves most of the objective to the other shards."""
 POISON = "back ends crashed under this request: it is not sent again"
@@ -80,7 +80,7 @@
         self._last_sent_at = float("-inf")
 
     @property
-    def is_free(self) -> bool:
+    def is_unrestricted(self) -> bool:
         """Whether all shards may be called at the same time."""
         if self.answered or (not self._lost_here and self._evidence.is_calm):
             return True
@@ -100,21 +100,21 @@
         # property, 2.8 and 1.8 us.
         if self.answered or (not self._lost_here and self._evidence.is_calm):
             return Permission.SEND
-        if self.is_free:
+        if self.is_unrestricted:
             return Permission.SEND
         if self.is_stopped:
             return Permission.STOP
         if self._standing() is Standing.ON_TRIAL and not self._on_trial_here:
             return Permission.HOLD
-        patience_s = CANARY_PATIENCE * self._route.objective_s
-        waited = self._in_progress == 1 and now - self._last_sent_at >= patience_s
+        second_canary_s = SECOND_CANARY_SHARE * self._route.objective_s
+        waited = self._in_progress == 1 and now - self._last_sent_at >= second_canary_s
         return Permission.SEND if not self._in_progress or waited else Permission.HOLD
 
     def note_sent(self, now: float) -> bool:
         """Count a call that is being sent, and return whether it is a canary."""
         self._in_progress += 1
         self._last_sent_at = now
-        if self.answered or self.is_free:
+        if self.answered or self.is_unrestricted:
             return False
         self._on_trial_here = True
         self._evidence.begin_trial(self._request.fingerprint)
--- a/tinrudder/gateway/runs/run_outcome.py
+++ b/tinrudder/gateway/runs/run_outcome.py
@@ -25,7 +25,7 @@
 RETRY_AFTER_S = 0.1
 """Least Retry-After of a refusal that another replica or a free slot may resolve, seconds.  Long
 enough for a slot to become free, and short compared with the deadlines of clients."""
-RETRY_DEAD_S = 0.5
+RETRY_AFTER_BACKEND_DOWN_S = 0.5
 """Retry-After when the back ends of a shard refuse connections, seconds.  Processes take seconds to
 start, and clients come back within a third of their deadline of 0.8 to 8 s at the latest."""
 
@@ -70,12 +70,12 @@
     now: float,
 ) -> RequestOutcome:
     """Return the outcome of a run without an answer, with the reason."""
-    detail = "; ".join(sorted({shard.last_problem for shard in shards if shard.last_problem}))
+    detail = "; ".join(sorted({shard.last_error for shard in shards if shard.last_error}))
     if not (groups.may_have_run or any(shard.may_have_run for shard in shards)):
         detail = detail or "no back end is left"
-        none_listens = any(shard.is_dead for shard in shards)
-        if run.guard.barred_s or none_listens:
-            return NotRun(detail, run.guard.barred_s or RETRY_DEAD_S)
+        any_refused = any(shard.connection_refused for shard in shards)
+        if run.guard.barred_s or any_refused:
+            return NotRun(detail, run.guard.barred_s or RETRY_AFTER_BACKEND_DOWN_S)
         return make_refusal(detail, RETRY_AFTER_S)
     failure = None if run.is_scatter else shards[0].failure
     if failure is not None:
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -10,7 +10,7 @@
 
 A call may wait for a connection between the choice of its back end and the moment at which it is
 sent.  The conditions are therefore checked again when it is sent, see
-:meth:`ShardCalls._may_leave`.
+:meth:`ShardCalls._may_send`.
 """
 
 from __future__ import annotations
@@ -30,29 +30,29 @@
     UpstreamCall,
     Withdrawn,
 )
-from tinrudder.gateway.runs.call_observation import SERVER_ERROR, observe_end
+from tinrudder.gateway.runs.call_observation import SERVER_ERROR, record_call_end
 from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
-from tinrudder.gateway.runs.lost_calls import report_end
+from tinrudder.gateway.runs.lost_calls import report_to_guard
 from tinrudder.gateway.runs.replica_choice import choose_replica
 from tinrudder.gateway.runs.retry_rule import (
-    AT_ONCE,
     MAX_SENDS,
     MAX_TRIES,
+    NO_BACKOFF,
     TRIES_AT_ONCE,
     ShardTries,
-    retry_pause_s,
+    retry_backoff_s,
 )
 from tinrudder.gateway.runs.run_context import NEVER, Attempt, RunContext
 from tinrudder.gateway.runs.run_guard import POISON, Permission
 from tinrudder.gateway.runs.shard_replicas import ShardReplicas
 
-DENIED_PAUSE_S = 0.02
+DENIED_RETRY_DELAY_S = 0.02
 """Delay before trying again when the retry budget or long queues prevented a call, seconds.  Like
-:data:`HELD_PAUSE_S`, a third of the tightest objective."""
-HELD_PAUSE_S = 0.02
+:data:`HOLD_POLL_INTERVAL_S`, a third of the tightest objective."""
+HOLD_POLL_INTERVAL_S = 0.02
 """Poll interval of a call that must wait for another one to end, where no event reports that end,
 seconds.  A third of the tightest objective, 0.056 s."""
-FORGOTTEN = HttpAnswer(200, b"", (), b"")
+RELEASED_ANSWER = HttpAnswer(200, b"", (), b"")
 """Placeholder for an answer that was released."""
 
 
@@ -65,7 +65,7 @@
 
     :ivar part: the answer, once there is one.
     :ivar failure: the last answer with an error status.
-    :ivar last_problem: why there is no answer, for logs and clients; empty at first.
+    :ivar last_error: why there is no answer, for logs and clients; empty at first.
     :ivar next_at: when to call :meth:`on_time`, by the loop's clock; :data:`NEVER` if not at all.
     :ivar sends: number of calls sent.
     """
@@ -76,23 +76,23 @@
         run: RunContext,
         on_change: Callable[[ShardCalls], None],
         *,
-        asked_before: bool = False,
+        called_elsewhere: bool = False,
     ) -> None:
         """Prepare the calls of ``service``; :meth:`start` sends the first one.
 
         :param on_change: called whenever a call has ended, until the run ends.
-        :param asked_before: whether another gateway has called the shard's back ends for this
+        :param called_elsewhere: whether another gateway has called the shard's back ends for this
             request, so that every call from here is a repeat.
         """
         self.service = service
         self.part: HttpAnswer | None = None
         self.failure: HttpAnswer | None = None
-        self.last_problem = ""
+        self.last_error = ""
         self.next_at = NEVER
         self.sends = 0
         self._run = run
         self._on_change = on_change
-        self._asked_before = asked_before
+        self._called_elsewhere = called_elsewhere
         self._ended = False
         self._attempts: list[Attempt] = []
         self._tries = 0
@@ -112,12 +112,12 @@
         return self._replicas.may_have_run
 
     @property
-    def is_dead(self) -> bool:
+    def connection_refused(self) -> bool:
         """Whether some back end refused a connection and there is no answer."""
-        return self.part is None and self._replicas.any_dead
+        return self.part is None and self._replicas.any_connection_refused
 
     @property
-    def hopeful(self) -> bool:
+    def may_be_answered(self) -> bool:
         """Whether an answer may still arrive."""
         if self.part is not None:
             return False
@@ -125,7 +125,7 @@
 
     def start(self, now: float) -> None:
         """Send the first call."""
-        if not self._asked_before:
+        if not self._called_elsewhere:
             self._budget.note_request(now)
         self._try_next(now)
 
@@ -149,7 +149,7 @@
     def stop_sending(self) -> None:
         """Stop sending, since the request crashes back ends; calls in progress go on."""
         self.next_at = NEVER
-        self.last_problem = POISON
+        self.last_error = POISON
 
     def withdraw_unsent(self) -> None:
         """Cancel the calls that wait for a connection, so that they are never sent."""
@@ -168,7 +168,7 @@
         self._ended = True
         self._on_change = _ignore_change
         if self.part is not None:
-            self.part = FORGOTTEN
+            self.part = RELEASED_ANSWER
         self.withdraw_unsent()
 
     def cancel_running(self, now: float) -> None:
@@ -182,74 +182,74 @@
     @property
     def _next_is_repeat(self) -> bool:
         """Whether the next call sent would be a repeat, not the first of this request."""
-        return self._asked_before or self.sends > 0
+        return self._called_elsewhere or self.sends > 0
 
     @property
     def repeats(self) -> int:
         """Number of hedges and retries sent."""
-        return self.sends if self._asked_before else max(0, self.sends - 1)
+        return self.sends if self._called_elsewhere else max(0, self.sends - 1)
 
     def _try_next(self, now: float) -> None:
         """Send a call, or schedule the next check, or give up if nothing is left to try."""
-        if self._is_held_back(now):
+        if self._is_blocked(now):
             return
         self._tries += 1
         candidates = self._replicas.for_retry()
         if not candidates:
             reason = self._run.call_context.directory.reason_for_none(self.service)
-            self.last_problem = self.last_problem or reason
+            self.last_error = self.last_error or reason
             return
         if self._tries > MAX_TRIES or self.sends >= MAX_SENDS:
             return
-        self._send_to_one_of(candidates, now, hedge=False)
+        self._call_best_of(candidates, now, hedge=False)
 
     def _hedge(self, now: float) -> None:
         """Send a hedge if it is due, and report overdue calls."""
         if now >= self._hedge_times.overdue_at:
-            self._doubt_zones()
+            self._report_overdue()
         if not self._run.route.repeatable or self.sends >= MAX_SENDS:
             return
         if now < self._hedge_times.hedge_at:
             self.next_at = self._hedge_times.hedge_at
             return
-        if self._is_held_back(now):
+        if self._is_blocked(now):
             return
         running = {attempt.backend.backend_id for attempt in self._attempts}
         usual_s = usual_latency_s(self._latency, self._run.route.objective_s)
         candidates = self._replicas.for_hedge(running, usual_s, now)
         if candidates:
-            self._send_to_one_of(candidates, now, hedge=True)
+            self._call_best_of(candidates, now, hedge=True)
         else:
-            self.next_at = now + DENIED_PAUSE_S
+            self.next_at = now + DENIED_RETRY_DELAY_S
 
-    def _send_to_one_of(self, candidates: list[Backend], now: float, *, hedge: bool) -> None:
+    def _call_best_of(self, candidates: list[Backend], now: float, *, hedge: bool) -> None:
         """Send a call to the best candidate, unless the retry budget denies it."""
         is_paid = self._next_is_repeat
         if is_paid and not self._may_repeat(now, hedge=hedge):
-            self.next_at = now + DENIED_PAUSE_S
+            self.next_at = now + DENIED_RETRY_DELAY_S
             return
         if hedge:
             self._run.call_context.counters.hedges += 1
         backend = choose_replica(self._run.call_context, candidates, self._run.route, now)
         self._send(backend, now, is_paid=is_paid)
 
-    def _doubt_zones(self) -> None:
+    def _report_overdue(self) -> None:
         """Report overdue calls to the zone monitor."""
         for attempt in self._attempts:
             if attempt.running is not None:
                 zone = attempt.backend.entry.zone
                 self._run.call_context.zone_doubted(zone, attempt.running.sent_at)
 
-    def _is_held_back(self, now: float) -> bool:
+    def _is_blocked(self, now: float) -> bool:
         """Return whether the guard forbids sending now; schedule the next check, if any."""
         permission = self._run.guard.permission(now)
         if permission is Permission.HOLD:
-            self.next_at = now + HELD_PAUSE_S
+            self.next_at = now + HOLD_POLL_INTERVAL_S
         elif permission is Permission.STOP:
             self.stop_sending()
         return permission is not Permission.SEND
 
-    def _may_leave(self, attempt: Attempt, now: float) -> bool:
+    def _may_send(self, attempt: Attempt, now: float) -> bool:
         """Return whether a call may be sent, checked right before its bytes are written.
 
         While it waited for a connection, back ends may have crashed under the request, the chosen
@@ -260,7 +260,7 @@
             return False
         if not self._run.call_context.directory.may_receive(attempt.backend):
             return False
-        if self.sends >= MAX_SENDS or not self._replicas.may_offer(attempt.backend):
+        if self.sends >= MAX_SENDS or not self._replicas.within_attempt_limit(attempt.backend):
             return False
         if attempt.is_paid or not self._next_is_repeat:
             return True
@@ -280,10 +280,10 @@
         self._replicas.note_chosen(backend)
         attempt = Attempt(backend, self._new_call(), is_paid)
         attempt.call.listener = lambda outcome: self._on_outcome(attempt, outcome)
-        attempt.call.make_bytes = lambda: self._leave(attempt)
+        attempt.call.make_bytes = lambda: self._encode_if_allowed(attempt)
         self._attempts.append(attempt)
-        fill = self._budget.fill(now, self._run.call_context.sharers(self.service))
-        self._hedge_times = hedge_times(self._run, self._latency, fill, now)
+        budget_fill = self._budget.fill(now, self._run.call_context.sharers(self.service))
+        self._hedge_times = hedge_times(self._run, self._latency, budget_fill, now)
         self.next_at = min(self._hedge_times.overdue_at, self._hedge_times.hedge_at)
         backend.pool.start(attempt.call)
 
@@ -299,18 +299,18 @@
             body_bytes=large_body_bytes(self._run.request.body_bytes),
         )
 
-    def _leave(self, attempt: Attempt) -> bytes | None:
+    def _encode_if_allowed(self, attempt: Attempt) -> bytes | None:
         """Return the bytes to send now; ``None`` if the call may no longer be sent."""
         call_context = self._run.call_context
         now = call_context.loop.time()
-        if not self._may_leave(attempt, now):
+        if not self._may_send(attempt, now):
             return None
         self.sends += 1
         self._replicas.note_sent(attempt.backend)
         call_context.directory.note_call(attempt.backend)
         call_context.counters.calls += 1
-        usual = usual_latency_s(self._latency, self._run.route.objective_s)
-        attempt.running = attempt.backend.observations.begin(now, usual)
+        usual_s = usual_latency_s(self._latency, self._run.route.objective_s)
+        attempt.running = attempt.backend.observations.begin(now, usual_s)
         attempt.is_canary = self._run.guard.note_sent(now)
         return self._run.request.encode(attempt.backend.backend_id, now)
 
@@ -321,29 +321,29 @@
             return
         self._attempts.remove(attempt)
         now = self._run.call_context.loop.time()
-        observe_end(
+        record_call_end(
             self._run.call_context, self._run.route, attempt.backend, attempt.running, outcome, now
         )
         if attempt.running is not None:
-            report_end(self._run, self.service, attempt, outcome)
+            report_to_guard(self._run, self.service, attempt, outcome)
         # Another back end has answered meanwhile, or the run has ended.
         if self._ended or self.part is not None:
             return
-        self._follow_up(attempt.backend, outcome, now)
+        self._handle_outcome(attempt.backend, outcome, now)
         self._on_change(self)
 
-    def _follow_up(self, backend: Backend, outcome: CallOutcome, now: float) -> None:
+    def _handle_outcome(self, backend: Backend, outcome: CallOutcome, now: float) -> None:
         """Keep an answer, or handle a failure."""
         match outcome:
             case Answered(answer=answer):
                 self._on_answer(answer, now)
             case Rejected(status=status):
-                self._replicas.take_back(backend)
+                self._replicas.note_rejected(backend)
                 self._on_rejection(f"rejected with {status}", now)
             case NotSent(detail=detail, refused=refused):
                 if refused:
-                    self._replicas.note_dead(backend)
-                self._on_failure(detail, now, at_once=True, is_dead=refused)
+                    self._replicas.note_connection_refused(backend)
+                self._on_failure(detail, now, at_once=True, connection_refused=refused)
             case Withdrawn():
                 self._on_failure("withdrawn", now, at_once=True)
             case Broken(detail=detail):
@@ -361,7 +361,7 @@
         self.failure = answer
         self._on_failure(f"answered with {answer.status}", now, at_once=True)
 
-    def _on_rejection(self, problem: str, now: float) -> None:
+    def _on_rejection(self, error: str, now: float) -> None:
         """Retry, unless the service is known to have no capacity in time.
 
         Each retry occupies a place in a queue or is rejected too, and is charged to the retry
@@ -372,25 +372,25 @@
         if self._run.route.shards or self._run.call_context.has_room(
             self.service, self._run.route, left_s, now
         ):
-            self._on_failure(problem, now, at_once=self._replicas.chosen < TRIES_AT_ONCE)
+            self._on_failure(error, now, at_once=self._replicas.chosen < TRIES_AT_ONCE)
         else:
-            self.last_problem = problem
+            self.last_error = error
             if not self._attempts:
                 self.next_at = NEVER
 
     def _on_failure(
-        self, problem: str, now: float, *, at_once: bool, is_dead: bool = False
+        self, error: str, now: float, *, at_once: bool, connection_refused: bool = False
     ) -> None:
         """Retry if :mod:`retry_rule` allows it and no other call is in progress."""
-        self.last_problem = problem
+        self.last_error = error
         if self._attempts:
             return
         self.next_at = NEVER
         repeatable = self._run.route.repeatable
         done = ShardTries(self._tries, self.sends, self.may_have_run, repeatable)
-        pause_s = retry_pause_s(done, at_once=at_once, is_dead=is_dead)
-        if pause_s == AT_ONCE:
+        backoff_s = retry_backoff_s(done, at_once=at_once, connection_refused=connection_refused)
+        if backoff_s == NO_BACKOFF:
             self._run.call_context.counters.retries += 1
             self._try_next(now)
-        elif pause_s is not None:
-            self.next_at = now + pause_s
+        elif backoff_s is not None:
+            self.next_at = now + backoff_s
--- a/tinrudder/gateway/runs/shard_replicas.py
+++ b/tinrudder/gateway/runs/shard_replicas.py
@@ -45,7 +45,7 @@
         return len(self._chosen)
 
     @property
-    def any_dead(self) -> bool:
+    def any_connection_refused(self) -> bool:
         """Whether some back end refused a connection."""
         return bool(self._dead)
 
@@ -71,10 +71,10 @@
             and backend.observations.wait_s(now, usual_s) <= longest_wait_s
         ]
 
-    def may_offer(self, backend: Backend) -> bool:
+    def within_attempt_limit(self, backend: Backend) -> bool:
         """Return whether a call to a back end stays within the route's ``attempts``."""
-        is_offered = backend.backend_id in self._offered
-        return is_offered or len(self._offered) < self._run.route.attempts
+        may_already_run = backend.backend_id in self._offered
+        return may_already_run or len(self._offered) < self._run.route.attempts
 
     def note_chosen(self, backend: Backend) -> None:
         """Record that a back end was chosen; others are preferred from now on."""
@@ -84,11 +84,11 @@
         """Record that a call was sent, so that the back end may run the request."""
         self._offered[backend.backend_id] += 1
 
-    def note_dead(self, backend: Backend) -> None:
+    def note_connection_refused(self, backend: Backend) -> None:
         """Record that a back end refused a connection."""
         self._dead.add(backend.backend_id)
 
-    def take_back(self, backend: Backend) -> None:
+    def note_rejected(self, backend: Backend) -> None:
         """Record that a call was rejected; an earlier one to that back end may still have run."""
         self._offered[backend.backend_id] -= 1
         if not self._offered[backend.backend_id]:
@@ -97,6 +97,6 @@
     def _candidates(self) -> list[Backend]:
         """Return the back ends for the next call: those not chosen yet, or all if none is left."""
         usable = self._run.call_context.directory.usable(self._service)
-        usable = [backend for backend in usable if self.may_offer(backend)]
-        fresh = [backend for backend in usable if backend.backend_id not in self._chosen]
-        return fresh or usable
+        usable = [backend for backend in usable if self.within_attempt_limit(backend)]
+        untried = [backend for backend in usable if backend.backend_id not in self._chosen]
+        return untried or usable
--- a/tinrudder/gateway/runs/shard_tally.py
+++ b/tinrudder/gateway/runs/shard_tally.py
@@ -32,7 +32,7 @@
         """Number of shards that have answered or can no longer get an answer."""
         return self.included + len(self._hopeless)
 
-    def count(self, shard: ShardCalls) -> None:
+    def update(self, shard: ShardCalls) -> None:
         """Update the counts after a change of one shard."""
         if shard in self._answered:
             return
@@ -40,7 +40,7 @@
             self._answered.add(shard)
             self.included += 1
             self._hold(len(shard.part.body))
-        if shard.hopeful or shard.part is not None:
+        if shard.may_be_answered or shard.part is not None:
             self._hopeless.discard(shard)
         else:
             self._hopeless.add(shard)
