--- a/tests/functional/gateway/test_dead_shards.py
+++ b/tests/functional/gateway/test_dead_shards.py
@@ -1,4 +1,4 @@
-"""Requests that no back end can serve, since nobody listens where any of them was."""
+"""Requests to services whose back ends all refuse connections."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 async def end_service(site: EmulatedSite, *services: str) -> None:
-    """Let all back ends of some services crash; their entries are not gone yet."""
+    """Crash all back ends of some services; their entries are still in the store."""
     for name, backend in tuple(site.backends.items()):
         if backend.service in services:
             site.end_backend(name)
@@ -25,7 +25,7 @@
 
 @pytest.mark.parametrize("route", ["scatter", "single", "once"])
 def test_what_no_back_end_can_serve_is_refused_at_once_and_has_not_run(route: str) -> None:
-    """It was held for 0.4 to 0.8 s over refused connections before."""
+    """Retries after refused connections would hold it for 0.4 to 0.8 s."""
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter", "single", "once"))
@@ -41,7 +41,7 @@
 
 
 def test_an_answer_does_not_wait_for_a_shard_that_nobody_can_ask() -> None:
-    """It left at the objective, 0.2 s, before."""
+    """Waiting for the shard would delay the answer to the objective, 0.2 s."""
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter",))
@@ -70,8 +70,8 @@
 
 
 def test_a_suspect_request_is_tried_elsewhere_where_nobody_here_can_be_asked() -> None:
-    """It waited for its deadline before: what other gateways ask was held back for an answer that
-    no back end asked from here could give."""
+    """Delegated shards are held back until a back end called from here has answered.  Where none
+    can be called, the request would wait for its deadline."""
 
     async def scenario(site: EmulatedSite) -> None:
         site.configure(oldest_version=0.1)
--- a/tests/functional/gateway/test_evacuation.py
+++ b/tests/functional/gateway/test_evacuation.py
@@ -1,4 +1,7 @@
-"""Back ends of an evacuated zone get nothing, whoever told a gateway, until its end."""
+"""Back ends of an evacuated zone get no calls until the evacuation ends.
+
+This holds whether a gateway learns of it from the store or from a peer.
+"""
 
 from __future__ import annotations
 
@@ -14,7 +17,7 @@
 ZONE = "zone-a"
 ELSEWHERE = "zone-b"
 NOTICE_S = 1.0
-"""Watches and digests bring an evacuation sooner than this."""
+"""Longest propagation time of an evacuation through watches and digests, seconds."""
 
 
 def used_zones(site: EmulatedSite, since: float) -> set[str]:
--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -1,19 +1,13 @@
-"""A request under which back ends end is not sent on again and again, by whatever gateway.
-
-The story.  Users saw every seat listing fail for three seconds at a time, eleven times in a day:
-all forty back ends of one service group ended within a tenth of a second, came back three seconds
-later under new ids, and ended again.  Nothing else failed; services that the same machines ran for
-other routes lost nothing.
-
-The order of events.  A scatter reached one back end of each shard; each ended as soon as it worked
-on it.  Every shard saw a connection that had ended, took that for the fault of one replica, and
-sent the request to the other one, which ended as well.  The client asked again, at another gateway,
-which knew nothing of that and did the same.
-
-The cause.  A call that is lost with its connection was always held against the back end, never
-against the request, and no gateway told another.  The evidence: with one line a lost call, all
-lost calls of a wave bear one fingerprint, that of a request which never got an answer anywhere,
-while the requests beside it got answers from the same back ends before and after.
+"""Gateways stop sending a poison request, one that crashes the back ends that run it.
+
+The failure: a scatter crashes one back end of each shard.  Every shard takes the lost connection
+for a fault of that replica and retries at the other one, which crashes too, so that all forty back
+ends of a service group end within a tenth of a second.  The client repeats the request at another
+gateway, which knows nothing of the crashes, and the outage of three seconds starts again.
+
+Lost calls must therefore count against the request too, by its fingerprint, and gateways must share
+this evidence: all lost calls of such a wave have the same fingerprint, that of a request which was
+never answered, while the same back ends answer other requests.
 """
 
 from __future__ import annotations
@@ -38,7 +32,7 @@
 COMES_AGAIN_S = 1.5
 MINUTE_S = 60.0
 NEXT_TRY_S = 0.01
-"""A client's next try opens a connection first, which takes a round trip over the network."""
+"""Delay of a client's next try, which first opens a connection: one network round trip, seconds."""
 PATHS = {"scatter": "/all/ends-back-ends", "single": "/single/ends-back-ends"}
 
 
@@ -47,14 +41,14 @@
 
 
 async def ask(site: EmulatedSite, route: str, node: int) -> ClientResult:
-    """Ask, and wait as long as a client takes at least to come to another gateway."""
+    """Send the poison request, and wait at least until a client can reach another gateway."""
     result = await site.send(route, node, target=PATHS[route])
     await asyncio.sleep(NEXT_TRY_S)
     return result
 
 
 async def come_again(site: EmulatedSite, route: str, seconds: float = MINUTE_S) -> None:
-    """Let a client send the same request again and again, each time to another gateway."""
+    """Repeat the poison request, each time at another gateway."""
     site.ends_under = ends_back_ends
     end = site.loop.time() + seconds
     turn = 0
@@ -77,7 +71,7 @@
 
 
 def most_ended_at_once(shards: int) -> int:
-    """One of each shard, and one more: the trial that shows that no answer is to be had."""
+    """Return one back end for each shard, and one for the trial that ends without an answer."""
     return shards + 1
 
 
@@ -178,7 +172,7 @@
 
 
 def test_a_caller_that_varies_its_body_costs_one_back_end_a_try_after_the_first_ones() -> None:
-    """40 tries of a minute cost 410 back ends where nothing is held back, 68 with canaries."""
+    """40 tries in a minute crash 410 back ends without the guard, 68 with canaries."""
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(10.0, 20.0, ("scatter",))
@@ -192,7 +186,7 @@
 
 
 async def crash_by_chance(site: EmulatedSite, seconds: float) -> None:
-    """Let a third of the back ends crash every few seconds, whatever they run."""
+    """Crash a third of the back ends every few seconds, independent of the requests."""
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(4.0)
@@ -201,7 +195,7 @@
 
 
 def test_where_back_ends_crash_by_themselves_hardly_a_request_is_barred() -> None:
-    """Of 1,800 requests, each of 30 popular ones among them, less than one in 1,000 is refused."""
+    """Of 1,800 requests, spread over 30 popular ones, less than one in 1,000 is refused."""
 
     async def scenario(site: EmulatedSite) -> None:
         crashing = asyncio.create_task(crash_by_chance(site, MINUTE_S))
@@ -230,7 +224,7 @@
 
 @contextlib.contextmanager
 def disturbed(site: EmulatedSite, *nodes: EmulatedNode) -> Iterator[None]:
-    """Note for the checks that nobody can tell some gateways anything meanwhile."""
+    """Record in the ledger that some gateways can't be informed meanwhile."""
     disturbances = [Disturbance(node.host, site.loop.time()) for node in nodes]
     site.ledger.disturbances.extend(disturbances)
     yield
@@ -332,13 +326,13 @@
 
 
 def lose_answers(site: EmulatedSite, share: float) -> None:
-    """Let all back ends lose a share of their answers with the connection; none ends."""
+    """Make all back ends close the connection instead of a share of their answers; none crashes."""
     for backend in site.backends.values():
         backend.choose_fault = lambda: Fault.CLOSED if site.random.random() < share else Fault.NONE
 
 
 def on_alert(site: EmulatedSite) -> list[str]:
-    """Return the gateways that begin other requests of a caller as canaries."""
+    """Return the gateways that start other requests of the same caller as canaries."""
     return [
         node.name
         for node in site.nodes
@@ -347,7 +341,7 @@
 
 
 def test_back_ends_that_lose_answers_make_no_canaries_of_other_requests() -> None:
-    """Where they did, for a minute, the median of a scatter rose from 39 to 60 ms."""
+    """Such canaries would raise the median of a scatter from 39 to 60 ms for a minute."""
 
     async def scenario(site: EmulatedSite) -> None:
         rate = 90.0
--- a/tests/unit/gateway/test_hedge_wiring.py
+++ b/tests/unit/gateway/test_hedge_wiring.py
@@ -1,4 +1,4 @@
-"""When one shard's second call leaves, by what its route's latencies say."""
+"""When the hedge of a shard is sent, given the latencies of its route."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 def started(loop: ManualLoop, latencies_s: list[float], left_s: float) -> ShardCalls:
-    """Return a shard of three replicas whose first call has just left."""
+    """Return a shard of three replicas whose first call has just been sent."""
     directory = FakeDirectory(3, [True] * 3)
     call_context = CallContext(
         load_reports=LoadReports(decode_load_report, loop.time),
@@ -53,7 +53,7 @@
 
 
 def test_a_second_call_leaves_while_it_can_be_in_time() -> None:
-    """Usually 18 ms, 48 left: by 1.9 medians it left after 34 ms, too late."""
+    """Calls usually take 18 ms, 48 ms are left: a hedge after 1.9 medians, 34 ms, is too late."""
     loop = ManualLoop()
     shard = started(loop, [0.015 + number % 7 * 0.001 for number in range(960)] + [0.2] * 40, 0.048)
     begun_at = loop.now
@@ -63,7 +63,7 @@
 
 
 def test_a_second_call_that_cannot_be_in_time_waits_for_the_moment_of_the_answer() -> None:
-    """Calls take 50 ms, 45 are left; before, it left after 38 ms, for nothing."""
+    """Calls take 50 ms, 45 ms are left: a hedge after 38 ms could not be in time."""
     loop = ManualLoop()
     shard = started(loop, [0.050] * 500, 0.045)
     begun_at = loop.now
--- a/tests/unit/gateway/test_retry_rule.py
+++ b/tests/unit/gateway/test_retry_rule.py
@@ -1,4 +1,4 @@
-"""Whether and when a failed call of a shard is tried again."""
+"""Whether and when a failed call of a shard is retried."""
 
 from __future__ import annotations
 
@@ -42,6 +42,6 @@
 
 
 def test_a_back_end_that_has_ended_costs_no_pause() -> None:
-    """The caller leaves it out from then on, so that this ends when none is left."""
+    """The caller excludes that back end from then on, so tries end when none is left."""
     done = ShardTries(MAX_TRIES, MAX_SENDS, may_have_run=False, repeatable=True)
     assert retry_backoff_s(done, at_once=True, connection_refused=True) == NO_BACKOFF
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -1,6 +1,6 @@
-"""One shard's calls under any order of connecting, refused, lost, broken and late answers.
+"""The calls of one shard under any order of connections, failures, rejections and answers.
 
-The oracle is a list of what left for whom and of who took it back by a rejection.
+The oracle counts the calls sent to each replica, without those that the replica rejected.
 """
 
 from __future__ import annotations
@@ -59,7 +59,7 @@
 
 @dataclass
 class FakePool:
-    """Holds calls until the test lets a connection come up, or fail."""
+    """Queues calls until the test establishes a connection or lets it fail."""
 
     connected: bool
     waiting: list[UpstreamCall] = field(default_factory=list)
@@ -110,7 +110,7 @@
 
 
 class LocalEvidence:
-    """What is held against requests, without other gateways."""
+    """Crash evidence of a single gateway."""
 
     def __init__(self, loop: ManualLoop) -> None:
         self.loop = loop
@@ -142,7 +142,7 @@
 
 
 class ShardCallsMachine(RuleBasedStateMachine):
-    """Drives one shard; a count of live arrivals for each replica is the oracle."""
+    """Drives one shard; the oracle counts the unrejected calls of each replica."""
 
     @initialize(
         replicas=st.integers(1, 5),
@@ -249,7 +249,7 @@
         self.may_have_run[name] = self.may_have_run.get(name, 0) + 1
 
     def live_at(self) -> set[str]:
-        """Return the replicas that may have run the request or may run it."""
+        """Return the replicas that may have run the request, or may still run it."""
         return {name for name, _, _ in self.running()} | set(self.may_have_run)
 
     @invariant()
