--- a/tests/functional/gateway/test_dead_shards.py
+++ b/tests/functional/gateway/test_dead_shards.py
@@ -15,7 +15,7 @@
 ZONES = ("zone-a", "zone-b", "zone-c")
 
 
-async def end_service(site: EmulatedSite, *services: str) -> None:
+async def crash_services(site: EmulatedSite, *services: str) -> None:
     """Crash all back ends of some services; their entries are still in the store."""
     for name, backend in tuple(site.backends.items()):
         if backend.service in services:
@@ -29,7 +29,7 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter", "single", "once"))
-        await end_service(site, *site.shard_services, "single")
+        await crash_services(site, *site.shard_services, "single")
         first = await site.send(route, 0)
         again = await site.send(route, 0)
         for result in (first, again):
@@ -45,7 +45,7 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter",))
-        await end_service(site, "shard-0")
+        await crash_services(site, "shard-0")
         await site.send("scatter", 0)
         result = await site.send("scatter", 0)
         assert result.status == 200
@@ -58,7 +58,7 @@
 def test_all_is_served_again_once_back_ends_listen_again() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter", "single"))
-        await end_service(site, "shard-0", "single")
+        await crash_services(site, "shard-0", "single")
         await site.traffic(1.0, 20.0, ("scatter", "single"))
         await asyncio.sleep(4.0)
         first = len(site.ledger.results)
@@ -69,7 +69,7 @@
     run_site(scenario)
 
 
-def test_a_suspect_request_is_tried_elsewhere_where_nobody_here_can_be_asked() -> None:
+def test_a_suspect_request_is_delegated_if_no_back_end_can_be_called_here() -> None:
     """Delegated shards are held back until a back end called from here has answered.  Where none
     can be called, the request would wait for its deadline."""
 
@@ -82,7 +82,7 @@
         own = coordination.own_shards(site.shard_services)
         assert coordination.delegated
         assert own
-        await end_service(site, *own)
+        await crash_services(site, *own)
         asked = site.request("scatter").target
         request = HttpRequest(b"GET", asked.encode(), ((b"host", SITE_HOST.encode()),), b"")
         entry.backends.poison_watch.requests.note_crash(
--- a/tests/functional/gateway/test_evacuation.py
+++ b/tests/functional/gateway/test_evacuation.py
@@ -15,8 +15,8 @@
 
 ALL_ROUTES = ("scatter", "single", "once")
 ZONE = "zone-a"
-ELSEWHERE = "zone-b"
-NOTICE_S = 1.0
+OTHER_ZONE = "zone-b"
+PROPAGATION_S = 1.0
 """Longest propagation time of an evacuation through watches and digests, seconds."""
 
 
@@ -28,10 +28,10 @@
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(2.0, 30.0, ALL_ROUTES)
         site.evacuate(ZONE)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         evacuated_at = site.loop.time()
         await site.traffic(EVACUATION_S + 2.0, 30.0, ALL_ROUTES)
-        assert used_zones(site, evacuated_at) == {ELSEWHERE}
+        assert used_zones(site, evacuated_at) == {OTHER_ZONE}
         assert site.served_share() == 1.0
         assert site.broken_promises() == []
 
@@ -42,13 +42,13 @@
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(2.0, 30.0, ALL_ROUTES)
         site.evacuate(ZONE)
-        await asyncio.sleep(NOTICE_S)
-        open_there = [
+        await asyncio.sleep(PROPAGATION_S)
+        open_backends = [
             backend.backend_id
             for backend in site.backends.values()
             if site.ledger.zones[backend.backend_id] == ZONE and backend.open_connections
         ]
-        assert open_there == []
+        assert open_backends == []
 
     run_site(scenario)
 
@@ -56,12 +56,12 @@
 def test_a_zone_that_is_taken_back_gets_its_part_again() -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.evacuate(ZONE)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         site.take_back(ZONE)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         taken_back_at = site.loop.time()
         await site.traffic(3.0, 30.0, ALL_ROUTES)
-        assert used_zones(site, taken_back_at) == {ZONE, ELSEWHERE}
+        assert used_zones(site, taken_back_at) == {ZONE, OTHER_ZONE}
         assert site.broken_promises() == []
 
     run_site(scenario)
@@ -70,8 +70,8 @@
 def test_where_no_replica_is_left_requests_are_refused_at_once_and_have_not_run() -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.evacuate(ZONE)
-        site.evacuate(ELSEWHERE)
-        await asyncio.sleep(NOTICE_S)
+        site.evacuate(OTHER_ZONE)
+        await asyncio.sleep(PROPAGATION_S)
         evacuated_at = site.loop.time()
         for route in ALL_ROUTES:
             result = await site.send(route)
@@ -80,7 +80,7 @@
             assert result.ended_at - result.sent_at < 0.05
         assert used_zones(site, evacuated_at) == set()
         site.take_back(ZONE)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert [(await site.send(route)).status for route in ALL_ROUTES] == [200] * 3
 
     run_site(scenario)
@@ -92,7 +92,7 @@
         site.drain("shard-0-1")
         await asyncio.sleep(2.0)
         site.evacuate(site.ledger.zones["shard-0-0"])
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         result = await site.send("scatter")
         assert result.status == 200
         assert result.headers["tinrudder-missing-parts"] == "1"
@@ -112,7 +112,7 @@
         evacuated_at = site.loop.time()
         for _ in range(10):
             assert (await site.send("scatter", 0)).status == 200
-        assert used_zones(site, evacuated_at) == {ELSEWHERE}
+        assert used_zones(site, evacuated_at) == {OTHER_ZONE}
         site.take_back(ZONE)
         await asyncio.sleep(3.0)
         gateway = site.nodes[0].gateway
@@ -125,7 +125,7 @@
 def test_a_process_that_starts_while_the_store_is_down_keeps_to_evacuations() -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.evacuate(ZONE)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         site.store.set_mode(StoreMode.SILENT)
         node = site.nodes[2]
         site.kill_node(node)
@@ -135,7 +135,7 @@
         started_at = site.loop.time()
         for _ in range(10):
             assert (await site.send("scatter", 2)).status == 200
-        assert used_zones(site, started_at) == {ELSEWHERE}
+        assert used_zones(site, started_at) == {OTHER_ZONE}
 
     run_site(scenario)
 
@@ -150,22 +150,22 @@
         for node in site.nodes:
             site.start_node(node)
         await site.traffic(4.0, 30.0, ALL_ROUTES)
-        assert used_zones(site, started_at) == {ELSEWHERE}
+        assert used_zones(site, started_at) == {OTHER_ZONE}
 
     run_site(scenario)
 
 
 def test_forgotten_history_brings_evacuations_and_their_ends() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.evacuate(ELSEWHERE)
-        await asyncio.sleep(NOTICE_S)
+        site.evacuate(OTHER_ZONE)
+        await asyncio.sleep(PROPAGATION_S)
         site.store.set_mode(StoreMode.DEAF)
         site.evacuate(ZONE)
-        site.take_back(ELSEWHERE)
-        await asyncio.sleep(NOTICE_S)
+        site.take_back(OTHER_ZONE)
+        await asyncio.sleep(PROPAGATION_S)
         site.store.set_mode(StoreMode.SERVING)
         site.store.forget_history()
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         for node in site.nodes:
             assert node.gateway is not None
             assert node.gateway.knowledge.state.evacuations.zones == frozenset((ZONE,))
@@ -178,7 +178,7 @@
         site.store.put("op/evacuate/", {})
         site.store.put("op/evacuate/zone-a/", {})
         site.store.put("op/something-else", {})
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert [(await site.send(route)).status for route in ALL_ROUTES] == [200] * 3
         for node in site.nodes:
             assert node.gateway is not None
@@ -193,7 +193,7 @@
         await site.traffic(1.0, 30.0, ("scatter",))
         assert counted(site, "coordinated")
         site.evacuate(ZONE)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         evacuated_at = site.loop.time()
         await site.traffic(EVACUATION_S + 2.0, 30.0, ("scatter",))
         assert ZONE not in used_zones(site, evacuated_at)
--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -29,58 +29,58 @@
 
 GATEWAYS = 8
 SHARDS = 10
-COMES_AGAIN_S = 1.5
+REPEAT_INTERVAL_S = 1.5
 MINUTE_S = 60.0
-NEXT_TRY_S = 0.01
+NEXT_TRY_DELAY_S = 0.01
 """Delay of a client's next try, which first opens a connection: one network round trip, seconds."""
 PATHS = {"scatter": "/all/ends-back-ends", "single": "/single/ends-back-ends"}
 
 
-def ends_back_ends(request: ServedRequest) -> bool:
+def is_poison(request: ServedRequest) -> bool:
     return request.target.endswith("ends-back-ends")
 
 
-async def ask(site: EmulatedSite, route: str, node: int) -> ClientResult:
+async def send_poison(site: EmulatedSite, route: str, node: int) -> ClientResult:
     """Send the poison request, and wait at least until a client can reach another gateway."""
     result = await site.send(route, node, target=PATHS[route])
-    await asyncio.sleep(NEXT_TRY_S)
+    await asyncio.sleep(NEXT_TRY_DELAY_S)
     return result
 
 
-async def come_again(site: EmulatedSite, route: str, seconds: float = MINUTE_S) -> None:
+async def repeat_request(site: EmulatedSite, route: str, seconds: float = MINUTE_S) -> None:
     """Repeat the poison request, each time at another gateway."""
-    site.ends_under = ends_back_ends
+    site.ends_under = is_poison
     end = site.loop.time() + seconds
     turn = 0
     while site.loop.time() < end:
         await site.send(route, turn % len(site.nodes), target=PATHS[route])
         turn += 1
-        await asyncio.sleep(COMES_AGAIN_S)
+        await asyncio.sleep(REPEAT_INTERVAL_S)
 
 
 @pytest.mark.parametrize("route", ["scatter", "single"])
 def test_a_request_that_ends_back_ends_is_not_sent_again_once_that_is_known(route: str) -> None:
     async def scenario(site: EmulatedSite) -> None:
-        beside = asyncio.create_task(site.traffic(MINUTE_S, 5.0, ("scatter", "single", "once")))
-        await come_again(site, route)
-        await beside
+        other = asyncio.create_task(site.traffic(MINUTE_S, 5.0, ("scatter", "single", "once")))
+        await repeat_request(site, route)
+        await other
         assert len(site.ledger.requests_after_three_ends(PATHS[route])) <= 3
         assert site.broken_promises() == []
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-def most_ended_at_once(shards: int) -> int:
+def max_crashes_of_first_try(shards: int) -> int:
     """Return one back end for each shard, and one for the trial that ends without an answer."""
     return shards + 1
 
 
 def test_the_first_try_costs_no_shard_its_second_replica() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         result = await site.send("scatter", 0, target=PATHS["scatter"])
         assert result.status in (502, 504)
-        assert len(site.ledger.ended) <= most_ended_at_once(SHARDS)
+        assert len(site.ledger.ended) <= max_crashes_of_first_try(SHARDS)
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
@@ -90,17 +90,17 @@
     route: str,
 ) -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(3):
-            await ask(site, route, node)
+            await send_poison(site, route, node)
         ended = len(site.ledger.ended)
         for node in range(GATEWAYS):
             result = await site.send(route, node, target=PATHS[route])
             assert result.status == 503
             assert result.ended_at - result.sent_at < 0.02
             assert 15.0 < float(result.headers["retry-after"]) <= 20.0
-            beside = await site.send(route, node)
-            assert beside.status in (200, 502, 503), "only while its back ends are not back"
+            other = await site.send(route, node)
+            assert other.status in (200, 502, 503), "only while its back ends are not back"
         assert len(site.ledger.ended) == ended
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
@@ -108,9 +108,9 @@
 
 def test_other_requests_are_served_as_soon_as_the_back_ends_are_back() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(3):
-            await ask(site, "scatter", node)
+            await send_poison(site, "scatter", node)
         await asyncio.sleep(BACK_S + 1.0)
         first = len(site.ledger.results)
         await site.traffic(10.0, 20.0, ("scatter", "single", "once"))
@@ -121,13 +121,13 @@
 
 def test_a_gateway_that_has_just_started_hears_what_the_others_know() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(3):
-            await ask(site, "scatter", node)
+            await send_poison(site, "scatter", node)
         ended = len(site.ledger.ended)
-        late = site.nodes[GATEWAYS - 1]
-        site.kill_node(late)
-        site.start_node(late)
+        restarted = site.nodes[GATEWAYS - 1]
+        site.kill_node(restarted)
+        site.start_node(restarted)
         await asyncio.sleep(1.0)
         result = await site.send("scatter", GATEWAYS - 1, target=PATHS["scatter"])
         assert result.status == 503
@@ -136,22 +136,22 @@
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-def test_a_gateway_that_stood_still_or_was_cut_off_hears_it_within_two_seconds() -> None:
+def test_a_paused_or_partitioned_gateway_learns_of_it_within_two_seconds() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
-        still, cut_off = site.nodes[GATEWAYS - 1], site.nodes[GATEWAYS - 2]
-        still.machine.pause()
+        site.ends_under = is_poison
+        paused, cut_off = site.nodes[GATEWAYS - 1], site.nodes[GATEWAYS - 2]
+        paused.machine.pause()
         loop = site.loop
         assert isinstance(loop, EmulatorLoop)
         loop.datagram_lost = lambda source, target: cut_off.host in (source[0], target[0])
         for node in range(3):
-            await ask(site, "scatter", node)
+            await send_poison(site, "scatter", node)
         ended = len(site.ledger.ended)
         await asyncio.sleep(1.0)
         loop.datagram_lost = lambda source, target: False
-        still.machine.resume(loop, stands_s=1.0)
+        paused.machine.resume(loop, stands_s=1.0)
         await asyncio.sleep(2.0)
-        for node in (still, cut_off):
+        for node in (paused, cut_off):
             result = await site.send("scatter", node.index, target=PATHS["scatter"])
             assert result.status == 503
         assert len(site.ledger.ended) == ended
@@ -160,13 +160,13 @@
 
 
 @pytest.mark.parametrize("spread", [False, True])
-def test_where_others_call_the_back_ends_the_first_try_costs_no_more(spread: bool) -> None:
+def test_with_coordinators_the_first_try_crashes_no_more_back_ends(spread: bool) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(0, MANY, 5):
-            await ask(site, "scatter", node)
-        assert len(site.ledger.ended) <= most_ended_at_once(site.shards)
+            await send_poison(site, "scatter", node)
+        assert len(site.ledger.ended) <= max_crashes_of_first_try(site.shards)
 
     run_many(scenario, spread=spread)
 
@@ -179,13 +179,13 @@
         site.ends_under = lambda request: "varies" in request.target
         for turn in range(40):
             await site.send("scatter", turn % GATEWAYS, target=f"/all/varies-{turn}")
-            await asyncio.sleep(COMES_AGAIN_S)
-        assert len(site.ledger.ended) <= 3 * most_ended_at_once(SHARDS) + 37
+            await asyncio.sleep(REPEAT_INTERVAL_S)
+        assert len(site.ledger.ended) <= 3 * max_crashes_of_first_try(SHARDS) + 37
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-async def crash_by_chance(site: EmulatedSite, seconds: float) -> None:
+async def crash_at_random(site: EmulatedSite, seconds: float) -> None:
     """Crash a third of the back ends every few seconds, independent of the requests."""
     end = site.loop.time() + seconds
     while site.loop.time() < end:
@@ -198,7 +198,7 @@
     """Of 1,800 requests, spread over 30 popular ones, less than one in 1,000 is refused."""
 
     async def scenario(site: EmulatedSite) -> None:
-        crashing = asyncio.create_task(crash_by_chance(site, MINUTE_S))
+        crashing = asyncio.create_task(crash_at_random(site, MINUTE_S))
         end = site.loop.time() + MINUTE_S
         tasks = []
         while site.loop.time() < end:
@@ -219,11 +219,11 @@
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-Trouble = Callable[[EmulatedSite], Coroutine[Any, Any, None]]
+Disruption = Callable[[EmulatedSite], Coroutine[Any, Any, None]]
 
 
 @contextlib.contextmanager
-def disturbed(site: EmulatedSite, *nodes: EmulatedNode) -> Iterator[None]:
+def record_disturbance(site: EmulatedSite, *nodes: EmulatedNode) -> Iterator[None]:
     """Record in the ledger that some gateways can't be informed meanwhile."""
     disturbances = [Disturbance(node.host, site.loop.time()) for node in nodes]
     site.ledger.disturbances.extend(disturbances)
@@ -233,14 +233,14 @@
 
 
 async def back_ends_crash(site: EmulatedSite) -> None:
-    await crash_by_chance(site, 20.0)
+    await crash_at_random(site, 20.0)
 
 
 async def zones_hear_nothing_of_each_other(site: EmulatedSite) -> None:
     zones = {node.host: node.machine.zone for node in site.nodes}
     loop = site.loop
     assert isinstance(loop, EmulatorLoop)
-    with disturbed(site, *site.nodes):
+    with record_disturbance(site, *site.nodes):
         loop.datagram_lost = lambda source, target: zones[source[0]] != zones[target[0]]
         await asyncio.sleep(6.0)
         loop.datagram_lost = lambda source, target: False
@@ -256,7 +256,7 @@
 
 async def gateways_die_in_turn(site: EmulatedSite) -> None:
     for node in site.nodes:
-        with disturbed(site, node):
+        with record_disturbance(site, node):
             site.kill_node(node)
             await asyncio.sleep(0.5)
             site.start_node(node)
@@ -265,7 +265,7 @@
 
 async def most_gateways_die_at_once(site: EmulatedSite) -> None:
     dying = site.nodes[1:]
-    with disturbed(site, *dying):
+    with record_disturbance(site, *dying):
         for node in dying:
             site.kill_node(node)
         await asyncio.sleep(1.0)
@@ -275,7 +275,7 @@
 
 async def gateways_stop_as_planned_in_turn(site: EmulatedSite) -> None:
     for node in site.nodes:
-        with disturbed(site, node):
+        with record_disturbance(site, node):
             assert node.gateway is not None
             node.machine.context.run(node.gateway.request_stop)
             await asyncio.sleep(4.0)
@@ -285,7 +285,7 @@
 
 async def machines_are_suspended_in_turn(site: EmulatedSite) -> None:
     for node in site.nodes:
-        with disturbed(site, node):
+        with record_disturbance(site, node):
             node.machine.pause()
             await asyncio.sleep(2.0)
             node.machine.resume(site.loop, stands_s=2.0)
@@ -310,13 +310,13 @@
         store_is_silent,
     ],
 )
-def test_a_request_that_ends_back_ends_is_not_sent_again_beside(trouble: Trouble) -> None:
+def test_a_poison_request_is_not_sent_again_during_disruptions(trouble: Disruption) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter", "single"))
-        coming = asyncio.create_task(come_again(site, "scatter", 45.0))
+        repeating = asyncio.create_task(repeat_request(site, "scatter", 45.0))
         await asyncio.sleep(2.0)
         await trouble(site)
-        await coming
+        await repeating
         assert site.broken_promises() == []
         first = len(site.ledger.results)
         await site.traffic(3.0, 20.0, ("scatter", "single"))
@@ -331,7 +331,7 @@
         backend.choose_fault = lambda: Fault.CLOSED if site.random.random() < share else Fault.NONE
 
 
-def on_alert(site: EmulatedSite) -> list[str]:
+def gateways_on_alert(site: EmulatedSite) -> list[str]:
     """Return the gateways that start other requests of the same caller as canaries."""
     return [
         node.name
@@ -350,6 +350,6 @@
         await site.traffic(1.5, rate, ("scatter",))
         lose_answers(site, 0.0)
         await site.traffic(0.5, rate, ("scatter",))
-        assert on_alert(site) == []
+        assert gateways_on_alert(site) == []
 
     run_site(scenario, node_count=2, shards=SHARDS)
--- a/tests/unit/gateway/test_hedge_wiring.py
+++ b/tests/unit/gateway/test_hedge_wiring.py
@@ -22,7 +22,7 @@
 OBJECTIVE_S = 0.063
 
 
-def started(loop: ManualLoop, latencies_s: list[float], left_s: float) -> ShardCalls:
+def start_shard(loop: ManualLoop, latencies_s: list[float], left_s: float) -> ShardCalls:
     """Return a shard of three replicas whose first call has just been sent."""
     directory = FakeDirectory(3, [True] * 3)
     call_context = CallContext(
@@ -47,35 +47,37 @@
     return shard
 
 
-def wake(loop: ManualLoop, shard: ShardCalls) -> None:
+def advance_to_next_action(loop: ManualLoop, shard: ShardCalls) -> None:
     loop.now = shard.next_at
-    shard.on_time(loop.now)
+    shard.on_due(loop.now)
 
 
 def test_a_second_call_leaves_while_it_can_be_in_time() -> None:
     """Calls usually take 18 ms, 48 ms are left: a hedge after 1.9 medians, 34 ms, is too late."""
     loop = ManualLoop()
-    shard = started(loop, [0.015 + number % 7 * 0.001 for number in range(960)] + [0.2] * 40, 0.048)
-    begun_at = loop.now
-    wake(loop, shard)
+    shard = start_shard(
+        loop, [0.015 + number % 7 * 0.001 for number in range(960)] + [0.2] * 40, 0.048
+    )
+    started_at = loop.now
+    advance_to_next_action(loop, shard)
     assert shard.sends == 2
-    assert 0.015 < loop.now - begun_at < 0.026
+    assert 0.015 < loop.now - started_at < 0.026
 
 
 def test_a_second_call_that_cannot_be_in_time_waits_for_the_moment_of_the_answer() -> None:
     """Calls take 50 ms, 45 ms are left: a hedge after 38 ms could not be in time."""
     loop = ManualLoop()
-    shard = started(loop, [0.050] * 500, 0.045)
-    begun_at = loop.now
-    wake(loop, shard)
+    shard = start_shard(loop, [0.050] * 500, 0.045)
+    started_at = loop.now
+    advance_to_next_action(loop, shard)
     assert shard.sends == 1
-    wake(loop, shard)
+    advance_to_next_action(loop, shard)
     assert shard.sends == 2
-    assert loop.now - begun_at >= 0.045
+    assert loop.now - started_at >= 0.045
 
 
 def test_before_latencies_are_known_a_share_of_the_objective_decides() -> None:
     loop = ManualLoop()
-    begun_at = loop.now
-    wake(loop, started(loop, [], 0.048))
-    assert 0.0 < loop.now - begun_at <= 0.6 * OBJECTIVE_S
+    started_at = loop.now
+    advance_to_next_action(loop, start_shard(loop, [], 0.048))
+    assert 0.0 < loop.now - started_at <= 0.6 * OBJECTIVE_S
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -65,18 +65,18 @@
     waiting: list[UpstreamCall] = field(default_factory=list)
     sent: list[UpstreamCall] = field(default_factory=list)
     arrivals: int = 0
-    survives: bool = False
+    keeps_connection: bool = False
 
     def has_connection_from_before(self, _moment: float) -> bool:
-        return self.survives
+        return self.keeps_connection
 
     def start(self, call: UpstreamCall) -> None:
         if self.connected:
-            self.let_leave(call)
+            self.send(call)
         else:
             self.waiting.append(call)
 
-    def let_leave(self, call: UpstreamCall) -> None:
+    def send(self, call: UpstreamCall) -> None:
         if call.make_bytes() is None:
             call.finish(Withdrawn())
             return
@@ -199,7 +199,7 @@
         pool, call = waiting[choice % len(waiting)]
         pool.waiting.remove(call)
         if not call.finished:
-            pool.let_leave(call)
+            pool.send(call)
 
     @precondition(lambda self: self.waiting())
     @rule(choice=st.integers(0, 100))
@@ -232,7 +232,7 @@
     @rule(seconds=st.sampled_from((0.01, 0.05, 0.1, 1.0)))
     def time_passes(self, seconds: float) -> None:
         self.loop.now += seconds
-        self.shard.on_time(self.loop.now)
+        self.shard.on_due(self.loop.now)
 
     @rule(index=st.integers(0, 4), connected=st.booleans())
     def replica_changes(self, index: int, connected: bool) -> None:
@@ -248,20 +248,20 @@
     def note_run(self, name: str) -> None:
         self.may_have_run[name] = self.may_have_run.get(name, 0) + 1
 
-    def live_at(self) -> set[str]:
+    def replicas_that_may_have_run(self) -> set[str]:
         """Return the replicas that may have run the request, or may still run it."""
         return {name for name, _, _ in self.running()} | set(self.may_have_run)
 
     @invariant()
     def no_more_replicas_than_attempts(self) -> None:
-        assert len(self.live_at()) <= self.attempts
+        assert len(self.replicas_that_may_have_run()) <= self.attempts
 
     @invariant()
-    def a_promise_that_nothing_ran_is_true(self) -> None:
-        assert self.shard.may_have_run == bool(self.live_at())
+    def may_have_run_matches_the_calls_sent(self) -> None:
+        assert self.shard.may_have_run == bool(self.replicas_that_may_have_run())
 
     @invariant()
-    def what_must_not_repeat_runs_once(self) -> None:
+    def an_unrepeatable_request_runs_once(self) -> None:
         if not self.repeatable:
             assert len(self.running()) + sum(self.may_have_run.values()) <= 1
 
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -283,7 +283,7 @@
         # The loop may call early by up to the resolution of its clock.
         now = max(self._timer_at, self._context.call_context.loop.time())
         for shard in self.shards:
-            shard.on_time(now)
+            shard.on_due(now)
             # A call may end synchronously, and so end the run.
             if self._finished:
                 return
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -5,7 +5,7 @@
 repeatable; one that is not runs at most once.
 
 Owns the calls until one is answered or nothing more can be tried.  The run calls
-:meth:`ShardCalls.on_time` at :attr:`ShardCalls.next_at`, the run's guard decides what may be sent
+:meth:`ShardCalls.on_due` at :attr:`ShardCalls.next_at`, the run's guard decides what may be sent
 after back ends have crashed, and :class:`ShardReplicas` tracks the back ends that were tried.
 
 A call may wait for a connection between the choice of its back end and the moment at which it is
@@ -66,7 +66,7 @@
     :ivar part: the answer, once there is one.
     :ivar failure: the last answer with an error status.
     :ivar last_error: why there is no answer, for logs and clients; empty at first.
-    :ivar next_at: when to call :meth:`on_time`, by the loop's clock; :data:`NEVER` if not at all.
+    :ivar next_at: when to call :meth:`on_due`, by the loop's clock; :data:`NEVER` if not at all.
     :ivar sends: number of calls sent.
     """
 
@@ -129,7 +129,7 @@
             self._budget.note_request(now)
         self._try_next(now)
 
-    def on_time(self, now: float) -> None:
+    def on_due(self, now: float) -> None:
         """Send the hedge or retry that is due, if any."""
         if self.part is not None or now < self.next_at:
             return
