--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -100,7 +100,9 @@
             assert result.ended_at - result.sent_at < 0.02
             assert 15.0 < float(result.headers["retry-after"]) <= 20.0
             other = await site.send(route, node)
-            assert other.status in (200, 502, 503), "only while its back ends are not back"
+            assert other.status in (200, 502, 503), (
+                "not 200 only until its back ends have restarted"
+            )
         assert len(site.ledger.ended) == ended
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -260,7 +260,7 @@
         )
 
     def _arm(self, when: float) -> None:
-        """Set the run's timer to ``when``, unless it is due earlier."""
+        """Set the run's timer to ``when``, unless it is set to an earlier time."""
         if self._timer is not None:
             if self._timer_at <= when:
                 return
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -51,7 +51,7 @@
 :data:`HOLD_POLL_INTERVAL_S`, a third of the tightest objective."""
 HOLD_POLL_INTERVAL_S = 0.02
 """Poll interval of a call that must wait for another one to end, where no event reports that end,
-seconds.  A third of the tightest objective, 0.056 s."""
+seconds.  A third of the tightest objective (0.056 s)."""
 RELEASED_ANSWER = HttpAnswer(200, b"", (), b"")
 """Placeholder for an answer that was released."""
 
@@ -141,7 +141,7 @@
 
     def resume(self, now: float) -> None:
         """Send the call that the guard held back, now that the run is unrestricted."""
-        # Nothing was held back if a call is in progress: it was sent before the restriction.
+        # Not while a call is in progress, which was sent before the restriction.
         if self.part is None and not self._attempts and self.next_at != NEVER:
             self.next_at = NEVER
             self._try_next(now)
