--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -1,19 +1,13 @@
-"""A request under which back ends end is not sent on again and again, by whatever gateway.
-
-The story.  Users saw every seat listing fail for three seconds at a time, eleven times in a day:
-all forty back ends of one service group ended within a tenth of a second, came back three seconds
-later under new ids, and ended again.  Nothing else failed; services that the same machines ran for
-other routes lost nothing.
-
-The order of events.  A scatter reached one back end of each shard; each ended as soon as it worked
-on it.  Every shard saw a connection that had ended, took that for the fault of one replica, and
-sent the request to the other one, which ended as well.  The client asked again, at another gateway,
-which knew nothing of that and did the same.
-
-The cause.  A call that is lost with its connection was always held against the back end, never
-against the request, and no gateway told another.  The evidence: with one line a lost call, all
-lost calls of a wave bear one fingerprint, that of a request which never got an answer anywhere,
-while the requests beside it got answers from the same back ends before and after.
+"""Gateways stop sending a poison request, one that crashes the back ends that run it.
+
+The failure: a scatter crashes one back end of each shard.  Every shard takes the lost connection
+for a fault of that replica and retries at the other one, which crashes too, so that all forty back
+ends of a service group end within a tenth of a second.  The client repeats the request at another
+gateway, which knows nothing of the crashes, and the outage of three seconds starts again.
+
+Lost calls must therefore count against the request too, by its fingerprint, and gateways must share
+this evidence: all lost calls of such a wave have the same fingerprint, that of a request which was
+never answered, while the same back ends answer other requests.
 """
 
 from __future__ import annotations
@@ -35,58 +29,58 @@
 
 GATEWAYS = 8
 SHARDS = 10
-COMES_AGAIN_S = 1.5
+REPEAT_INTERVAL_S = 1.5
 MINUTE_S = 60.0
-NEXT_TRY_S = 0.01
-"""A client's next try opens a connection first, which takes a round trip over the network."""
+NEXT_TRY_DELAY_S = 0.01
+"""Delay of a client's next try, which first opens a connection: one network round trip, seconds."""
 PATHS = {"scatter": "/all/ends-back-ends", "single": "/single/ends-back-ends"}
 
 
-def ends_back_ends(request: ServedRequest) -> bool:
+def is_poison(request: ServedRequest) -> bool:
     return request.target.endswith("ends-back-ends")
 
 
-async def ask(site: EmulatedSite, route: str, node: int) -> ClientResult:
-    """Ask, and wait as long as a client takes at least to come to another gateway."""
+async def send_poison(site: EmulatedSite, route: str, node: int) -> ClientResult:
+    """Send the poison request, and wait at least until a client can reach another gateway."""
     result = await site.send(route, node, target=PATHS[route])
-    await asyncio.sleep(NEXT_TRY_S)
+    await asyncio.sleep(NEXT_TRY_DELAY_S)
     return result
 
 
-async def come_again(site: EmulatedSite, route: str, seconds: float = MINUTE_S) -> None:
-    """Let a client send the same request again and again, each time to another gateway."""
-    site.ends_under = ends_back_ends
+async def repeat_request(site: EmulatedSite, route: str, seconds: float = MINUTE_S) -> None:
+    """Repeat the poison request, each time at another gateway."""
+    site.ends_under = is_poison
     end = site.loop.time() + seconds
     turn = 0
     while site.loop.time() < end:
         await site.send(route, turn % len(site.nodes), target=PATHS[route])
         turn += 1
-        await asyncio.sleep(COMES_AGAIN_S)
+        await asyncio.sleep(REPEAT_INTERVAL_S)
 
 
 @pytest.mark.parametrize("route", ["scatter", "single"])
 def test_a_request_that_ends_back_ends_is_not_sent_again_once_that_is_known(route: str) -> None:
     async def scenario(site: EmulatedSite) -> None:
-        beside = asyncio.create_task(site.traffic(MINUTE_S, 5.0, ("scatter", "single", "once")))
-        await come_again(site, route)
-        await beside
+        other = asyncio.create_task(site.traffic(MINUTE_S, 5.0, ("scatter", "single", "once")))
+        await repeat_request(site, route)
+        await other
         assert len(site.ledger.requests_after_three_ends(PATHS[route])) <= 3
         assert site.broken_promises() == []
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-def most_ended_at_once(shards: int) -> int:
-    """One of each shard, and one more: the trial that shows that no answer is to be had."""
+def max_crashes_of_first_try(shards: int) -> int:
+    """Return one back end for each shard, and one for the trial that ends without an answer."""
     return shards + 1
 
 
 def test_the_first_try_costs_no_shard_its_second_replica() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         result = await site.send("scatter", 0, target=PATHS["scatter"])
         assert result.status in (502, 504)
-        assert len(site.ledger.ended) <= most_ended_at_once(SHARDS)
+        assert len(site.ledger.ended) <= max_crashes_of_first_try(SHARDS)
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
@@ -96,17 +90,19 @@
     route: str,
 ) -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(3):
-            await ask(site, route, node)
+            await send_poison(site, route, node)
         ended = len(site.ledger.ended)
         for node in range(GATEWAYS):
             result = await site.send(route, node, target=PATHS[route])
             assert result.status == 503
             assert result.ended_at - result.sent_at < 0.02
             assert 15.0 < float(result.headers["retry-after"]) <= 20.0
-            beside = await site.send(route, node)
-            assert beside.status in (200, 502, 503), "only while its back ends are not back"
+            other = await site.send(route, node)
+            assert other.status in (200, 502, 503), (
+                "not 200 only until its back ends have restarted"
+            )
         assert len(site.ledger.ended) == ended
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
@@ -114,9 +110,9 @@
 
 def test_other_requests_are_served_as_soon_as_the_back_ends_are_back() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(3):
-            await ask(site, "scatter", node)
+            await send_poison(site, "scatter", node)
         await asyncio.sleep(BACK_S + 1.0)
         first = len(site.ledger.results)
         await site.traffic(10.0, 20.0, ("scatter", "single", "once"))
@@ -127,13 +123,13 @@
 
 def test_a_gateway_that_has_just_started_hears_what_the_others_know() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(3):
-            await ask(site, "scatter", node)
+            await send_poison(site, "scatter", node)
         ended = len(site.ledger.ended)
-        late = site.nodes[GATEWAYS - 1]
-        site.kill_node(late)
-        site.start_node(late)
+        restarted = site.nodes[GATEWAYS - 1]
+        site.kill_node(restarted)
+        site.start_node(restarted)
         await asyncio.sleep(1.0)
         result = await site.send("scatter", GATEWAYS - 1, target=PATHS["scatter"])
         assert result.status == 503
@@ -142,22 +138,22 @@
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-def test_a_gateway_that_stood_still_or_was_cut_off_hears_it_within_two_seconds() -> None:
+def test_a_paused_or_partitioned_gateway_learns_of_it_within_two_seconds() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = ends_back_ends
-        still, cut_off = site.nodes[GATEWAYS - 1], site.nodes[GATEWAYS - 2]
-        still.machine.pause()
+        site.ends_under = is_poison
+        paused, cut_off = site.nodes[GATEWAYS - 1], site.nodes[GATEWAYS - 2]
+        paused.machine.pause()
         loop = site.loop
         assert isinstance(loop, EmulatorLoop)
         loop.datagram_lost = lambda source, target: cut_off.host in (source[0], target[0])
         for node in range(3):
-            await ask(site, "scatter", node)
+            await send_poison(site, "scatter", node)
         ended = len(site.ledger.ended)
         await asyncio.sleep(1.0)
         loop.datagram_lost = lambda source, target: False
-        still.machine.resume(loop, stands_s=1.0)
+        paused.machine.resume(loop, stands_s=1.0)
         await asyncio.sleep(2.0)
-        for node in (still, cut_off):
+        for node in (paused, cut_off):
             result = await site.send("scatter", node.index, target=PATHS["scatter"])
             assert result.status == 503
         assert len(site.ledger.ended) == ended
@@ -166,33 +162,33 @@
 
 
 @pytest.mark.parametrize("spread", [False, True])
-def test_where_others_call_the_back_ends_the_first_try_costs_no_more(spread: bool) -> None:
+def test_with_coordinators_the_first_try_crashes_no_more_back_ends(spread: bool) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        site.ends_under = ends_back_ends
+        site.ends_under = is_poison
         for node in range(0, MANY, 5):
-            await ask(site, "scatter", node)
-        assert len(site.ledger.ended) <= most_ended_at_once(site.shards)
+            await send_poison(site, "scatter", node)
+        assert len(site.ledger.ended) <= max_crashes_of_first_try(site.shards)
 
     run_many(scenario, spread=spread)
 
 
 def test_a_caller_that_varies_its_body_costs_one_back_end_a_try_after_the_first_ones() -> None:
-    """40 tries of a minute cost 410 back ends where nothing is held back, 68 with canaries."""
+    """40 tries in a minute crash 410 back ends without the guard, 68 with canaries."""
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(10.0, 20.0, ("scatter",))
         site.ends_under = lambda request: "varies" in request.target
         for turn in range(40):
             await site.send("scatter", turn % GATEWAYS, target=f"/all/varies-{turn}")
-            await asyncio.sleep(COMES_AGAIN_S)
-        assert len(site.ledger.ended) <= 3 * most_ended_at_once(SHARDS) + 37
+            await asyncio.sleep(REPEAT_INTERVAL_S)
+        assert len(site.ledger.ended) <= 3 * max_crashes_of_first_try(SHARDS) + 37
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-async def crash_by_chance(site: EmulatedSite, seconds: float) -> None:
-    """Let a third of the back ends crash every few seconds, whatever they run."""
+async def crash_at_random(site: EmulatedSite, seconds: float) -> None:
+    """Crash a third of the back ends every few seconds, independent of the requests."""
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(4.0)
@@ -201,10 +197,10 @@
 
 
 def test_where_back_ends_crash_by_themselves_hardly_a_request_is_barred() -> None:
-    """Of 1,800 requests, each of 30 popular ones among them, less than one in 1,000 is refused."""
+    """Of 1,800 requests, spread over 30 popular ones, less than one in 1,000 is refused."""
 
     async def scenario(site: EmulatedSite) -> None:
-        crashing = asyncio.create_task(crash_by_chance(site, MINUTE_S))
+        crashing = asyncio.create_task(crash_at_random(site, MINUTE_S))
         end = site.loop.time() + MINUTE_S
         tasks = []
         while site.loop.time() < end:
@@ -225,12 +221,12 @@
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
-Trouble = Callable[[EmulatedSite], Coroutine[Any, Any, None]]
+Disruption = Callable[[EmulatedSite], Coroutine[Any, Any, None]]
 
 
 @contextlib.contextmanager
-def disturbed(site: EmulatedSite, *nodes: EmulatedNode) -> Iterator[None]:
-    """Note for the checks that nobody can tell some gateways anything meanwhile."""
+def record_disturbance(site: EmulatedSite, *nodes: EmulatedNode) -> Iterator[None]:
+    """Record in the ledger that some gateways can't be informed meanwhile."""
     disturbances = [Disturbance(node.host, site.loop.time()) for node in nodes]
     site.ledger.disturbances.extend(disturbances)
     yield
@@ -239,14 +235,14 @@
 
 
 async def back_ends_crash(site: EmulatedSite) -> None:
-    await crash_by_chance(site, 20.0)
+    await crash_at_random(site, 20.0)
 
 
 async def zones_hear_nothing_of_each_other(site: EmulatedSite) -> None:
     zones = {node.host: node.machine.zone for node in site.nodes}
     loop = site.loop
     assert isinstance(loop, EmulatorLoop)
-    with disturbed(site, *site.nodes):
+    with record_disturbance(site, *site.nodes):
         loop.datagram_lost = lambda source, target: zones[source[0]] != zones[target[0]]
         await asyncio.sleep(6.0)
         loop.datagram_lost = lambda source, target: False
@@ -262,7 +258,7 @@
 
 async def gateways_die_in_turn(site: EmulatedSite) -> None:
     for node in site.nodes:
-        with disturbed(site, node):
+        with record_disturbance(site, node):
             site.kill_node(node)
             await asyncio.sleep(0.5)
             site.start_node(node)
@@ -271,7 +267,7 @@
 
 async def most_gateways_die_at_once(site: EmulatedSite) -> None:
     dying = site.nodes[1:]
-    with disturbed(site, *dying):
+    with record_disturbance(site, *dying):
         for node in dying:
             site.kill_node(node)
         await asyncio.sleep(1.0)
@@ -281,7 +277,7 @@
 
 async def gateways_stop_as_planned_in_turn(site: EmulatedSite) -> None:
     for node in site.nodes:
-        with disturbed(site, node):
+        with record_disturbance(site, node):
             assert node.gateway is not None
             node.machine.context.run(node.gateway.request_stop)
             await asyncio.sleep(4.0)
@@ -291,7 +287,7 @@
 
 async def machines_are_suspended_in_turn(site: EmulatedSite) -> None:
     for node in site.nodes:
-        with disturbed(site, node):
+        with record_disturbance(site, node):
             node.machine.pause()
             await asyncio.sleep(2.0)
             node.machine.resume(site.loop, stands_s=2.0)
@@ -316,13 +312,13 @@
         store_is_silent,
     ],
 )
-def test_a_request_that_ends_back_ends_is_not_sent_again_beside(trouble: Trouble) -> None:
+def test_a_poison_request_is_not_sent_again_during_disruptions(trouble: Disruption) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(3.0, 20.0, ("scatter", "single"))
-        coming = asyncio.create_task(come_again(site, "scatter", 45.0))
+        repeating = asyncio.create_task(repeat_request(site, "scatter", 45.0))
         await asyncio.sleep(2.0)
         await trouble(site)
-        await coming
+        await repeating
         assert site.broken_promises() == []
         first = len(site.ledger.results)
         await site.traffic(3.0, 20.0, ("scatter", "single"))
@@ -332,13 +328,13 @@
 
 
 def lose_answers(site: EmulatedSite, share: float) -> None:
-    """Let all back ends lose a share of their answers with the connection; none ends."""
+    """Make all back ends close the connection instead of a share of their answers; none crashes."""
     for backend in site.backends.values():
         backend.choose_fault = lambda: Fault.CLOSED if site.random.random() < share else Fault.NONE
 
 
-def on_alert(site: EmulatedSite) -> list[str]:
-    """Return the gateways that begin other requests of a caller as canaries."""
+def gateways_on_alert(site: EmulatedSite) -> list[str]:
+    """Return the gateways that start other requests of the same caller as canaries."""
     return [
         node.name
         for node in site.nodes
@@ -347,7 +343,7 @@
 
 
 def test_back_ends_that_lose_answers_make_no_canaries_of_other_requests() -> None:
-    """Where they did, for a minute, the median of a scatter rose from 39 to 60 ms."""
+    """Such canaries would raise the median of a scatter from 39 to 60 ms for a minute."""
 
     async def scenario(site: EmulatedSite) -> None:
         rate = 90.0
@@ -356,6 +352,6 @@
         await site.traffic(1.5, rate, ("scatter",))
         lose_answers(site, 0.0)
         await site.traffic(0.5, rate, ("scatter",))
-        assert on_alert(site) == []
+        assert gateways_on_alert(site) == []
 
     run_site(scenario, node_count=2, shards=SHARDS)
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -1,9 +1,9 @@
-"""Runs one request to its outcome: a scatter over shards, or a single back end as one shard.
+"""Runs one request to its outcome: a scatter over shards, or a single service as one shard.
 
-Owns the shards of the run, one timer for all of them, and the decision when to answer
-(:mod:`tinrudder.gateway.decisions.attempts.answer_time`), which it asks after every change.  Relies
-on :class:`ShardCalls` for the calls of each shard, on :class:`DelegatedGroups` for what other
-gateways ask, and on :class:`RunGuard` where back ends were lost under the request.
+Owns the shards of the run and one timer for all of them.  After every change it evaluates when to
+answer (:mod:`tinrudder.gateway.decisions.attempts.answer_time`).  :class:`ShardCalls` makes the
+calls of each shard, :class:`DelegatedGroups` handles the shards that other gateways call, and
+:class:`RunGuard` restricts the run after back ends have crashed under the request.
 """
 
 from __future__ import annotations
@@ -21,21 +21,21 @@
 from tinrudder.gateway.scatters.delegated_shards import DelegatedShards
 from tinrudder.timers import TimerHandle
 
-ABANDONED_CALL_S = 0.3
-"""How long calls that nobody waits for may go on, seconds, since closing costs a connection.
-Chosen, not measured: work for a client that has left must end within half a second, the ways there
-and back included."""
-WHOLE = 1.0
-"""The share of a single back end's answer: all of it."""
+ABANDONED_CALL_TIMEOUT_S = 0.3
+"""How long calls may continue after their run has ended, seconds.  Cancelling a call costs its
+connection, but work for a client that has disconnected must end within half a second, including the
+network round trip."""
+FULL_SHARE = 1.0
+"""Minimum share for a single service: its answer is complete or missing."""
 
 OutcomeListener = Callable[[RequestOutcome], None]
 
 
 class RequestRun:
-    """One request; its outcome is reported exactly once, unless the client leaves before.
+    """Runs one request; reports its outcome exactly once, unless it is abandoned before.
 
-    :ivar decided_at: monotonic time of the latest decision; merging comes after the last one.
-    :ivar on_progress: is told whenever shards have ended and the request goes on.
+    :ivar decided_at: monotonic time of the latest decision; merging follows the last one.
+    :ivar on_progress: called when a shard or group has changed and the run continues.
     """
 
     def __init__(
@@ -48,10 +48,11 @@
         delegated: Sequence[DelegatedShards] = (),
         make_refusal: RefusalMaker = NotRun,
     ) -> None:
-        """Prepare calls to ``services``: shards of the route, or the one service chosen.
+        """Prepare calls to ``services``: shards of the route, or the single service chosen.
 
-        :param minimum_share: the least share that makes an answer; by the route if ``None``.
-        :param delegated: the other shards of the scatter, asked by other gateways.
+        :param minimum_share: least share of the shards that makes an answer; the route's if
+            ``None``.
+        :param delegated: the other shards of the scatter, which other gateways call.
         """
         self._context = context
         self._on_outcome = on_outcome
@@ -65,119 +66,123 @@
         self._started_at = 0.0
         self._answered_after_s = 0.0
         if minimum_share is None:
-            minimum_share = context.route.minimum_share if context.is_scatter else WHOLE
+            minimum_share = context.route.minimum_share if context.is_scatter else FULL_SHARE
         self._minimum_share = minimum_share
         self._total = len(services) + sum(len(group.services) for group in delegated)
         self._tally = ShardTally(context.call_context.memory)
         self._groups = DelegatedGroups(delegated)
-        self._was_free = True
+        self._was_unrestricted = True
         self.shards = self._calls(services)
 
-    def _calls(self, services: Sequence[str], *, asked_before: bool = False) -> list[ShardCalls]:
-        """Prepare the calls of some shards."""
+    def _calls(
+        self, services: Sequence[str], *, called_elsewhere: bool = False
+    ) -> list[ShardCalls]:
+        """Return the calls of some shards, not started yet."""
         return [
-            ShardCalls(service, self._context, self._review, asked_before=asked_before)
+            ShardCalls(
+                service, self._context, self._on_shard_change, called_elsewhere=called_elsewhere
+            )
             for service in services
         ]
 
     @property
     def included(self) -> int:
-        """Return how many shards have answered."""
+        """Number of shards that have answered."""
         return self._tally.included + self._groups.included
 
     @property
     def unanswered_share(self) -> float:
-        """Return the part of the shards that has not answered, 0 to 1."""
+        """Share of the shards that have not answered, 0 to 1."""
         return 1.0 - self.included / self._total
 
     def hold_s(self, now: float) -> float:
-        """Return for how long it has held the room of a shard so far, in the mean of all."""
+        """Return how long the run has held a shard's slot so far, mean of all shards, seconds."""
         elapsed_s = now - self._started_at
         return self._answered_after_s / self._total + self.unanswered_share * elapsed_s
 
     @property
     def repeats(self) -> int:
-        """Return how many calls were sent beyond the first of each shard."""
+        """Number of hedges and retries sent for all shards."""
         here = sum(shard.repeats for shard in self.shards)
         return here + self._groups.repeats
 
     @property
     def missing_shards(self) -> tuple[MissingShard, ...]:
-        """Return the shards without an answer, and why."""
+        """The shards without an answer, with the reason."""
         here = tuple(
-            MissingShard(shard.service, shard.last_problem or "no answer yet")
+            MissingShard(shard.service, shard.last_error or "no answer yet")
             for shard in self.shards
             if shard.part is None
         )
-        asked_here = {shard.service for shard in self.shards}
+        called_here = {shard.service for shard in self.shards}
         elsewhere = self._groups.missing_shards
-        return here + tuple(one for one in elsewhere if one.service not in asked_here)
+        return here + tuple(one for one in elsewhere if one.service not in called_here)
 
     def start(self) -> None:
         """Send the first calls."""
         now = self._context.call_context.loop.time()
         self._started_at = now
-        self._was_free = self._context.guard.is_free
+        self._was_unrestricted = self._context.guard.is_unrestricted
         self._groups.follow(self._on_group_end)
-        if self._was_free:
-            self._groups.start_held()
+        if self._was_unrestricted:
+            self._groups.start_all()
         for shard in self.shards:
             shard.start(now)
         self._starting = False
         for shard in self.shards:
-            self._tally.count(shard)
-        self._follow_guard(now)
-        self._act(now)
+            self._tally.update(shard)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         self._arm_for_shards()
 
-    def _follow_guard(self, now: float) -> None:
-        """Send what was held back once the run is free, or send nothing more."""
+    def _apply_guard(self, now: float) -> None:
+        """Apply the guard's state: send the calls held back, start a canary, or stop sending."""
         if self._context.guard.is_stopped:
             self._stop_sending()
             return
-        is_free = self._context.guard.is_free
-        if is_free and not self._was_free:
-            self._groups.start_held()
+        is_unrestricted = self._context.guard.is_unrestricted
+        if is_unrestricted and not self._was_unrestricted:
+            self._groups.start_all()
             for shard in self.shards:
                 shard.resume(now)
-        elif not is_free and not any(shard.hopeful for shard in self.shards):
-            # No back end can be asked from here: nothing else would ever end the wait.
-            self._groups.start_one()
-        self._was_free = is_free
+        elif not is_unrestricted and not any(shard.may_be_answered for shard in self.shards):
+            # This gateway can call no back end, so only a delegated canary can end the hold.
+            self._groups.start_canary()
+        self._was_unrestricted = is_unrestricted
 
     def _stop_sending(self) -> None:
-        """Send nothing more: back ends crash under this request."""
+        """Stop sending, since back ends crash under this request."""
         self._groups.withhold()
         for shard in self.shards:
             if shard.part is None:
                 shard.stop_sending()
-                self._tally.count(shard)
+                self._tally.update(shard)
 
     def abandon(self) -> None:
-        """End for a client that has left; nobody is told an outcome."""
+        """End the run without reporting an outcome, since the client has disconnected."""
         if self._finished:
             return
         self._context.call_context.counters.clients_left += 1
         self._stop()
 
-    def _review(self, shard: ShardCalls) -> None:
-        """Decide anew after a change of one shard."""
-        # Calls that end while the first ones are sent are counted when all have been.
+    def _on_shard_change(self, shard: ShardCalls) -> None:
+        """Decide again after a change of one shard."""
+        # Shards that change while the first calls are sent are counted after the last one is sent.
         if self._finished or self._starting:
             return
         now = self._context.call_context.loop.time()
         before = self._tally.included
-        self._tally.count(shard)
+        self._tally.update(shard)
         self._answered_after_s += (self._tally.included - before) * (now - self._started_at)
-        self._follow_guard(now)
-        self._act(now)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         if not self._finished:
             self._arm(shard.next_at)
             self.on_progress()
 
     def _on_group_end(self, group: DelegatedShards) -> None:
-        """Take what another gateway got, or ask here for what it did not."""
-        # Its answer crosses with the end of the run, which cancels the group.
+        """Use the answer of another gateway, or call the shards from here if that is safe."""
+        # The group may end after the run, which cancels it.
         if self._finished:
             return
         now = self._context.call_context.loop.time()
@@ -186,52 +191,52 @@
         if group.included:
             self._context.guard.note_answered_elsewhere()
             self._answered_after_s += group.included * (now - self._started_at)
-        self._follow_guard(now)
-        self._act(now)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         self._arm_for_shards()
         if not self._finished:
             self.on_progress()
 
     def _take_over(self, group: DelegatedShards, now: float) -> None:
-        """Ask a group's shards from here."""
+        """Call the shards of a delegated group from this gateway."""
         self._context.call_context.counters.delegations_run_here += 1
         self._groups.take_over(group)
-        self._start_here(self._calls(group.services), now)
+        self._start_calls(self._calls(group.services), now)
 
-    def _ask_again_here(self, now: float) -> bool:
-        """Ask for shards that other gateways ended without; tell whether there are any.
+    def _call_missing_here(self, now: float) -> bool:
+        """Call the shards missing from other gateways' answers; return whether there are any.
 
-        Their answers left at the objective, each with as few shards as may be missing of the
-        whole; together that can be too few.
+        Each of these gateways answered at the objective, and could leave out as many shards as the
+        whole scatter may miss.  Together that can be too many.
         """
         if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
             return False
-        asked_here = {shard.service for shard in self.shards}
+        called_here = {shard.service for shard in self.shards}
         fits_attempts = self._context.call_context.directory.fits_attempts
-        lacking = [
+        missing = [
             one.service
             for one in self._groups.missing_at_end
-            if one.service not in asked_here
+            if one.service not in called_here
             and fits_attempts(one.service, self._context.route.attempts)
         ]
-        self._start_here(self._calls(lacking, asked_before=True), now)
-        return bool(lacking)
+        self._start_calls(self._calls(missing, called_elsewhere=True), now)
+        return bool(missing)
 
-    def _start_here(self, calls: list[ShardCalls], now: float) -> None:
-        """Start calls of further shards."""
+    def _start_calls(self, calls: list[ShardCalls], now: float) -> None:
+        """Add and start calls of further shards."""
         self.shards.extend(calls)
         self._starting = True
         for shard in calls:
             shard.start(now)
         self._starting = False
         for shard in calls:
-            self._tally.count(shard)
+            self._tally.update(shard)
 
-    def _act(self, now: float) -> None:
-        """Wait, answer or fail, as decided now."""
+    def _act_on_decision(self, now: float) -> None:
+        """Decide whether to wait, answer or fail, and do so."""
         self.decided_at = now
         decision = decide(self._state(), now)
-        if decision.verdict is Verdict.FAIL and self._ask_again_here(now):
+        if decision.verdict is Verdict.FAIL and self._call_missing_here(now):
             decision = decide(self._state(), now)
             self._arm_for_shards()
         if decision.verdict is Verdict.WAIT:
@@ -255,7 +260,7 @@
         )
 
     def _arm(self, when: float) -> None:
-        """Set the one timer to a moment, unless it is set to an earlier one anyway."""
+        """Set the run's timer to ``when``, unless it is set to an earlier time."""
         if self._timer is not None:
             if self._timer_at <= when:
                 return
@@ -266,34 +271,34 @@
         self._timer = self._context.call_context.loop.call_at(when, self._on_timer)
 
     def _arm_for_shards(self) -> None:
-        """Set the timer to the next hedge or retry that is due."""
+        """Set the timer to the next due time of all shards."""
         if not self._finished:
             self._arm(min((shard.next_at for shard in self.shards), default=NEVER))
 
     def _on_timer(self) -> None:
-        """Hedge and retry what is due, then decide."""
+        """Send the hedges and retries that are due, then decide."""
         self._timer = None
         if self._finished:
             return
-        # The loop may call a little early, by its clock's resolution.
+        # The loop may call early by up to the resolution of its clock.
         now = max(self._timer_at, self._context.call_context.loop.time())
         for shard in self.shards:
-            shard.on_time(now)
-            # What it sends may fail or be answered within that call, which ends the run.
+            shard.on_due(now)
+            # A call may end synchronously, and so end the run.
             if self._finished:
                 return
-            self._tally.count(shard)
-        self._follow_guard(now)
-        self._act(now)
+            self._tally.update(shard)
+        self._apply_guard(now)
+        self._act_on_decision(now)
         self._arm_for_shards()
 
     def _finish(self, outcome: RequestOutcome) -> None:
-        """Report once."""
+        """End the run and report its outcome."""
         self._stop()
         self._on_outcome(outcome)
 
     def _stop(self) -> None:
-        """Stop sending; what still runs is awaited a little, since closing costs a connection."""
+        """Stop sending; calls in progress get a grace period, as cancelling costs a connection."""
         self._finished = True
         self._tally.release()
         if self._timer is not None:
@@ -303,10 +308,12 @@
         for shard in self.shards:
             shard.end()
         if any(shard.running for shard in self.shards):
-            self._context.call_context.loop.call_later(ABANDONED_CALL_S, self._cancel_running)
+            self._context.call_context.loop.call_later(
+                ABANDONED_CALL_TIMEOUT_S, self._cancel_running
+            )
 
     def _cancel_running(self) -> None:
-        """Close the connections of calls that took too long."""
+        """Cancel the calls that are still in progress."""
         now = self._context.call_context.loop.time()
         for shard in self.shards:
             shard.cancel_running(now)
--- a/tinrudder/gateway/runs/retry_rule.py
+++ b/tinrudder/gateway/runs/retry_rule.py
@@ -1,8 +1,9 @@
-"""Whether and when a call of a shard is tried again after one has failed.
+"""Decides whether and when a failed call of a shard is retried.
 
-Asked when a call has ended without an answer and no other one of the shard runs.  Inputs are counts
-of this request at this shard and what the route allows; the answer is a pause in seconds.  Pure: it
-owns no state and reads no clock.  Whether the budget pays for the retry is asked when it is due.
+Evaluated when a call has failed and no other call of the shard is in progress.  The inputs are the
+counts of this request at this shard and whether the route allows repeats; the result is a back-off
+in seconds.  Pure: it owns no state and reads no clock.  The retry budget is checked later, when the
+retry is due.
 """
 
 from __future__ import annotations
@@ -10,28 +11,26 @@
 from msgspec import Struct
 
 MAX_SENDS = 4
-"""How many calls of one shard may leave for one request.  Chosen, not measured: two replicas, each
-twice."""
+"""Most calls of one shard that may be sent for one request: two replicas, each twice."""
 MAX_TRIES = 8
-"""How often a back end is chosen for one shard, calls that never left included.  Chosen, not
-measured: with the pauses of :data:`RETRY_PAUSE_S`, tries end after 0.8 s."""
+"""Most tries of one shard, including calls that were never sent.  With the back-off of
+:data:`RETRY_BACKOFF_S`, tries end after 0.8 s."""
 TRIES_AT_ONCE = 2
-"""Tries, or back ends chosen, up to which the next try follows without a pause.  Chosen, not
-measured: most shards have two replicas, and the other one may well answer."""
-RETRY_PAUSE_S = 0.03
-"""Pause before a later try, seconds, times the tries so far.  Chosen, not measured: eight tries
-take 0.8 s."""
-AT_ONCE = 0.0
-"""No pause, seconds."""
+"""Number of tries, or of back ends chosen, below which the next try follows without back-off.  Most
+shards have two replicas, and the other one may well answer."""
+RETRY_BACKOFF_S = 0.03
+"""Back-off for each try so far, seconds: it grows linearly, so that eight tries take 0.8 s."""
+NO_BACKOFF = 0.0
+"""Back-off of an immediate retry, seconds."""
 
 
 class ShardTries(Struct, frozen=True):
-    """What one request has tried at one shard.
+    """The tries of one request at one shard so far.
 
     :param tries: how often a back end was chosen, at least 1.
-    :param sends: calls that have left.
-    :param may_have_run: a back end may have run the request.
-    :param repeatable: the route allows that it runs more than once.
+    :param sends: number of calls sent.
+    :param may_have_run: whether a back end may have run the request.
+    :param repeatable: whether the route allows the request to run more than once.
     """
 
     tries: int
@@ -40,22 +39,25 @@
     repeatable: bool
 
 
-def retry_pause_s(done: ShardTries, *, at_once: bool, is_dead: bool = False) -> float | None:
-    """Return after what pause to try again, seconds; ``None``: not at all.
+def retry_backoff_s(
+    done: ShardTries, *, at_once: bool, connection_refused: bool = False
+) -> float | None:
+    """Return the back-off before the next try, seconds; ``None`` if there is to be none.
 
-    :param at_once: the failure says nothing against another replica.
-    :param is_dead: nobody listened, so the next try is at another back end, if there is one.
+    :param at_once: whether another replica may be tried without back-off.
+    :param connection_refused: whether the back end refused the connection; the caller then excludes
+        it, so the next try needs no back-off.
 
     >>> first = ShardTries(tries=1, sends=1, may_have_run=True, repeatable=True)
-    >>> retry_pause_s(first, at_once=True)
+    >>> retry_backoff_s(first, at_once=True)
     0.0
-    >>> retry_pause_s(ShardTries(1, 1, True, False), at_once=True) is None
+    >>> retry_backoff_s(ShardTries(1, 1, True, False), at_once=True) is None
     True
     """
     if done.may_have_run and not done.repeatable:
         return None
-    if is_dead or (at_once and done.tries < TRIES_AT_ONCE):
-        return AT_ONCE
+    if connection_refused or (at_once and done.tries < TRIES_AT_ONCE):
+        return NO_BACKOFF
     if done.tries < MAX_TRIES and done.sends < MAX_SENDS:
-        return RETRY_PAUSE_S * done.tries
+        return RETRY_BACKOFF_S * done.tries
     return None
