--- a/tinrudder/gateway/requests/__init__.py
+++ b/tinrudder/gateway/requests/__init__.py
@@ -1,6 +1,6 @@
-"""The way of one request at its entry: who asks, which route, may it run, and where.
+"""Client requests at the gateway that receives them: authentication, routing and admission.
 
-Owns a request from arrival to answer.  Each reason to refuse stands in
-:mod:`tinrudder.gateway.requests.refusals`; what may run is started as a run of
-:mod:`tinrudder.gateway.runs`, or handed to a coordinator by :mod:`tinrudder.gateway.scatters`.
+Owns a request from arrival to answer.  :mod:`tinrudder.gateway.requests.refusals` lists every
+reason to refuse one.  An admitted request starts as a run of :mod:`tinrudder.gateway.runs`, or is
+delegated to a coordinator by :mod:`tinrudder.gateway.scatters`.
 """
--- a/tinrudder/gateway/requests/api_keys.py
+++ b/tinrudder/gateway/requests/api_keys.py
@@ -1,9 +1,9 @@
-"""Who asks: the key of a request, looked up in the configuration in force.
+"""API keys: maps the key of a request to a tenant of the configuration in force.
 
-Owns the secret of this process and, per configuration, the index of keys.  Relies on nothing else.
+Owns the digest secret of this process and, per configuration, the index of keys.
 
-Keys are kept and compared as keyed digests under a secret of this process, so neither the time of a
-look-up nor a dump of the configuration in memory tells anything of a key.
+Keys are stored and compared as keyed digests under a random secret of this process, so neither the
+time of a lookup nor a dump of the configuration in memory reveals anything about a key.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 
 LONGEST_KEY_BYTES = 1024
-"""Longest key, bytes.  Chosen, not measured: fifty times the keys seen, far below the limit on
+"""Longest accepted key, bytes: fifty times as long as the keys seen, and far below the limit on
 headers."""
 DIGEST_BYTES = 16
-"""Length of a key's digest, bytes: two of a million keys share one by chance in one of 10^27
+"""Length of a key's digest, bytes: with a million keys, a collision occurs in one of 10^27
 configurations."""
 AUTHORIZATION = b"authorization"
 SCHEME = b"token"
@@ -29,18 +29,18 @@
 
 
 def digest_of(key: bytes) -> bytes:
-    """Return what stands for a key in this process."""
+    """Return the keyed digest that identifies a key in this process."""
     return blake2b(key, digest_size=DIGEST_BYTES, key=_SECRET).digest()
 
 
 class Known(Struct, frozen=True):
-    """The key is a tenant's."""
+    """The key belongs to a tenant."""
 
     tenant: Tenant
 
 
 class Unknown(Struct, frozen=True):
-    """No tenant of the configuration in force has the key, or there is none."""
+    """The request has no key, or no tenant of the configuration in force has it."""
 
     detail: str
 
@@ -58,8 +58,8 @@
 class KeyRing(Struct, frozen=True):
     """The keys of one configuration.
 
-    :param tenants: by the digests of their keys.
-    :param required: whether requests need a key, but for those on public routes.
+    :param tenants: by key digest.
+    :param required: whether requests need a key, except on public routes.
     """
 
     tenants: dict[bytes, Tenant]
@@ -74,7 +74,7 @@
         return cls(tenants, bool(configuration.tenants))
 
     def identify(self, request: HttpRequest) -> Identity:
-        """Tell whose key a request carries: ``Token KEY``, once."""
+        """Return the tenant of a request by its only ``Authorization: Token KEY`` header."""
         credentials = [value for name, value in request.headers if name == AUTHORIZATION]
         if not credentials:
             return NO_KEY
@@ -91,9 +91,9 @@
 def without_credentials(
     request: HttpRequest, tenant: Tenant | None, names: HeaderNames
 ) -> HttpRequest:
-    """Return a request as everybody behind the entry sees it: the tenant's name for its key.
+    """Return a request as it is forwarded: with the tenant's name in place of the key.
 
-    What the client itself says of its tenant is dropped.
+    A tenant header that the client sent is dropped.
     """
     dropped = (AUTHORIZATION, names.tenant)
     headers = tuple(header for header in request.headers if header[0] not in dropped)
--- a/tinrudder/gateway/requests/authentication.py
+++ b/tinrudder/gateway/requests/authentication.py
@@ -1,7 +1,7 @@
-"""Decides on whose behalf a request runs, before anything behind the entry sees it.
+"""Authenticates requests: determines the tenant of each before it is forwarded.
 
-Owns no state.  Relies on the keys of the configuration in force
-(:mod:`tinrudder.gateway.requests.api_keys`) and on how old this gateway's knowledge of them may be.
+Owns no state.  Depends on the keys of the configuration in force
+(:mod:`tinrudder.gateway.requests.api_keys`) and on how stale that configuration may be.
 """
 
 from __future__ import annotations
@@ -23,18 +23,19 @@
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 
 RETRY_STALE_S = 0.5
-"""When to come back to a gateway whose knowledge is too old, seconds.  Chosen, not measured: a
-round trip to a peer or the store makes it fresh again, and several fit into this time."""
+"""Shortest ``Retry-After`` of a gateway whose configuration may be stale, seconds.  One round trip
+to a peer or the store confirms the configuration, and several fit into this time."""
 RETRY_SPREAD = 0.5
-"""Part of :data:`RETRY_STALE_S` by which clients come back later at most, so that not all come at
-one time.  Chosen, not measured."""
+"""Largest random increase of :data:`RETRY_STALE_S`, as a fraction of it, so that clients do not all
+retry at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
 class AuthenticatedRequest:
-    """A request as everybody behind the entry sees it.
+    """A request as it is forwarded, without its credentials.
 
-    :param tenant: on whose behalf; ``None`` where no key is asked for.
+    :param tenant: the tenant that sent it; ``None`` for a request without a key, where none is
+        required.
     """
 
     request: HttpRequest
@@ -42,7 +43,7 @@
 
     @property
     def tenant_name(self) -> str:
-        """Return the tenant's name, empty for none."""
+        """Return the tenant's name; empty without a tenant."""
         return self.tenant.name if self.tenant is not None else ""
 
     def priority(self, route: Route) -> int:
@@ -53,9 +54,10 @@
 
 
 class Authentication:
-    """Looks keys up, and refuses what they do not allow.
+    """Looks up keys, and refuses requests without a valid one.
 
-    A status that ends a client's tries is given only where a newer key would be known here.
+    The final refusal, after which clients do not retry, is given only where a newly added key would
+    already be known.
     """
 
     def __init__(
@@ -65,10 +67,10 @@
         is_fresh: Callable[[], bool],
         random_source: random.Random,
     ) -> None:
-        """Judge by the age of what is known here.
+        """Depend on the staleness of the configuration.
 
-        :param is_stale: tells whether a key that ended long ago may still be believed here.
-        :param is_fresh: tells whether a newer configuration would be known here.
+        :param is_stale: returns whether a key revoked long ago may still be in the configuration.
+        :param is_fresh: returns whether this gateway would know of a newer configuration.
         """
         self._names = names
         self._is_stale = is_stale
@@ -78,9 +80,10 @@
     def authenticate(
         self, routes: RoutesInForce, route: Route, request: HttpRequest
     ) -> AuthenticatedRequest | RequestOutcome:
-        """Return the request without its key, or why it may not run.
+        """Return the request without its key, or its refusal.
 
-        Two sets of credentials are refused whatever is known: no newer configuration allows them.
+        Two sets of credentials are refused even if the configuration is stale: no newer one would
+        allow them.
         """
         if not routes.keys.required:
             return AuthenticatedRequest(without_tenant(request, self._names), None)
@@ -96,7 +99,7 @@
         return AuthenticatedRequest(without_credentials(request, tenant, self._names), tenant)
 
     def _unknown(self, identity: Unknown) -> RequestOutcome:
-        """Refuse a key for good, or until it is certain that it is not new."""
+        """Refuse an unknown key: finally, or with a retry if a newer configuration may have it."""
         if self._is_fresh():
             return Unauthorized(identity.detail)
         return self._not_run(f"{identity.detail}, and no word from store or peers lately")
@@ -107,7 +110,7 @@
 
 
 def without_tenant(request: HttpRequest, names: HeaderNames) -> HttpRequest:
-    """Drop what a client says of its tenant where there are none; most say nothing."""
+    """Drop a client's tenant header where no tenants are configured; most requests have none."""
     if all(name != names.tenant for name, _ in request.headers):
         return request
     headers = tuple(header for header in request.headers if header[0] != names.tenant)
--- a/tinrudder/gateway/requests/client_request.py
+++ b/tinrudder/gateway/requests/client_request.py
@@ -1,8 +1,8 @@
 """One client's request between its arrival and its answer.
 
-Owns what is known of the request so far and its run, if it has one.  Relies on the
-:class:`RequestOwner` that made it for counts, quota and log, and on the client's connection, which
-gets exactly one answer unless the client leaves before.
+Owns the request's state and its run, if it has one.  Depends on the :class:`RequestOwner` that
+created it for counters, quota and log, and on the client's connection, to which it sends exactly
+one answer unless the client disconnects first.
 """
 
 from __future__ import annotations
@@ -25,44 +25,44 @@
 
 
 class Run(Protocol):
-    """A request on its way to an outcome, here or at a coordinator."""
+    """The execution of a request, on this gateway or at a coordinator."""
 
     @property
     def repeats(self) -> int:
-        """Return how many calls were sent beyond the first of each shard."""
+        """Return how many retries and hedged calls were sent, over all shards."""
 
     @property
     def missing_shards(self) -> tuple[MissingShard, ...]:
         """Return the shards without an answer."""
 
     def start(self) -> None:
-        """Begin."""
+        """Start the run."""
 
     def abandon(self) -> None:
-        """End for a client that has left."""
+        """End the run: the client has disconnected."""
 
 
 class RequestOwner(Protocol):
-    """Takes the end of its requests.
+    """Receives the ends of the requests that it created.
 
-    :ivar in_progress: requests that have a run, which has not ended.
+    :ivar in_progress: requests whose run has started and not ended.
     """
 
     in_progress: int
     call_context: CallContext
 
     def give_back(self, tenant: Tenant) -> None:
-        """Let a tenant ask again for what was granted and has not run."""
+        """Return a granted request that has not run to its tenant's quota."""
 
     def finished(self, request: FinishedRequest) -> None:
-        """Take the end of one request, for logs and metrics."""
+        """Record the end of one request in logs and metrics."""
 
 
 class AuthorizedRequest(Struct):
-    """A request that its caller may make: what is needed to judge and to plan its run.
+    """An authenticated request within its quota: the input of the start rules and the planner.
 
-    :param authenticated: the request as everybody behind the entry sees it, and its tenant.
-    :param service: the one chosen of a route to a single back end; empty for a scatter.
+    :param authenticated: the request as it is forwarded, and its tenant.
+    :param service: the service chosen on a route to a single back end; empty for a scatter.
     """
 
     routes: RoutesInForce
@@ -79,18 +79,19 @@
 
     @property
     def steps_below_urgent(self) -> int:
-        """Return how many priorities in use are more urgent than the request's."""
+        """Return how many configured priorities are more urgent than the request's."""
         return self.routes.steps_below_urgent(self.priority)
 
 
 class ClientRequest:
-    """Collects what is found out of one request, and ends it.
+    """The state of one request, filled in by the checks on it; sends its answer.
 
     :ivar routes: the configuration in force at its arrival; ``None`` if there was none.
-    :ivar request_id: empty until it is known to be well-formed, as ``version`` is 0 and ``route``
-        is ``None`` until a configuration says so.
+    :ivar request_id: empty until it has been validated.
+    :ivar version: the version of that configuration; 0 until it has been checked.
+    :ivar route: ``None`` until the request has been routed.
     :ivar granted: its tenant's quota counts it.
-    :ivar abandoned: its client has left.
+    :ivar abandoned: its client has disconnected.
     """
 
     def __init__(
@@ -100,7 +101,7 @@
         connection: ClientConnection,
         routes: RoutesInForce | None,
     ) -> None:
-        """Begin at this moment."""
+        """Take this moment as the time of arrival."""
         self.http_request = http_request
         self.routes = routes
         self.request_id = b""
@@ -116,11 +117,11 @@
 
     @property
     def tenant(self) -> Tenant | None:
-        """Return on whose behalf it runs, as far as that is known."""
+        """Return the request's tenant; ``None`` before authentication, or without a key."""
         return self.authenticated.tenant if self.authenticated is not None else None
 
     def authorized(self, deadlines: Deadlines) -> AuthorizedRequest:
-        """Return what was found out, once its route and its caller are known."""
+        """Return the inputs of the start rules; the route and the tenant must be known."""
         assert self.routes is not None
         assert self.route is not None
         assert self.authenticated is not None
@@ -138,11 +139,12 @@
         answer = build_answer(outcome, owner.call_context.names, self.request_id or None)
         self._connection.answer(answer)
         owner.finished(self._finished(outcome))
-        # Else the cycle of the two keeps the request until the collector's next run.
+        # Breaks the reference cycle of request and run, which would keep both in memory until the
+        # next garbage collection.
         self.run = None
 
     def abandon(self) -> None:
-        """Stop for a client that has left."""
+        """Stop the run: the client has disconnected."""
         self.abandoned = True
         if self.run is not None:
             self._owner.in_progress -= 1
@@ -150,13 +152,13 @@
             self._owner.finished(self._finished(None))
 
     def give_back(self) -> None:
-        """Return to the tenant's quota what was granted and has not run."""
+        """Return the request to its tenant's quota, if the quota counts it."""
         if self.granted and self.tenant is not None:
             self.granted = False
             self._owner.give_back(self.tenant)
 
     def _finished(self, outcome: RequestOutcome | None) -> FinishedRequest:
-        """Describe the end for logs and metrics."""
+        """Return the request's record for logs and metrics."""
         run = self.run
         return FinishedRequest(
             request_id=self.request_id,
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -1,15 +1,15 @@
-"""Every reason to refuse a request at its entry, in the order in which requests meet them.
-
-For whoever asks why a request was refused: :data:`RULES` is the one list, and the text of each
-refusal goes into the log line of the request.  The first rule that refuses ends the request; a rule
-may note what it has found out (route, tenant, service) for the rules behind it.  So the order
-matters: nothing is told of routes before the protocol is kept, nothing of back ends to callers
-without a key, and what costs most to judge comes last.
-
-Owns no state.  Relies on the judges that are grouped in :class:`Judges`, each of which keeps its
-own.  Behind this list, a scatter can still be refused by the gateway that runs it
-(:mod:`tinrudder.gateway.scatters.scatter_admission`), and a run ends with a refusal where every
-back end turned it away (:mod:`tinrudder.gateway.runs.run_outcome`).
+"""Every reason for the receiving gateway to refuse a request, in the order of evaluation.
+
+:data:`RULES` is the complete list, and the text of each refusal goes into the log line of the
+request.  The first rule that refuses ends the request; a rule may store a result (route, tenant,
+service) for the rules after it.  The order matters: a malformed request learns nothing about
+routes, a caller without a key learns nothing about back ends, and the most expensive rules come
+last.
+
+Owns no state.  Depends on the components that are grouped in :class:`Judges`, each of which keeps
+its own state.  After these rules, a scatter can still be refused by the gateway that runs it
+(:mod:`tinrudder.gateway.scatters.scatter_admission`), and a run ends with a refusal if every back
+end rejected it (:mod:`tinrudder.gateway.runs.run_outcome`).
 """
 
 from __future__ import annotations
@@ -38,17 +38,17 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 RETRY_AFTER_START_S = 0.3
-"""When to come back to a process that knows no configuration yet, seconds.  Chosen, not measured:
-ten questions to peers fit into this time."""
+"""``Retry-After`` of a process that has no configuration yet, seconds: ten requests to peers fit
+into this time."""
 
 
 class Judges(Struct, frozen=True):
-    """Those who know whether a request may run.
+    """The components that the rules query.
 
-    :param is_fresh: tells whether a newer configuration would be known here.
-    :param authentication: decides on whose behalf requests run.
-    :param quotas: how many of a tenant's requests run.
-    :param reachability: what cannot be had from this gateway's side of the network.
+    :param is_fresh: returns whether this gateway would know of a newer configuration.
+    :param authentication: determines the tenant of a request.
+    :param quotas: limits the request rate of each tenant.
+    :param reachability: knows the zones that this gateway cannot reach.
     :param poison: knows the requests that crash the back ends that run them.
     :param service_admission: knows the queues of services whose requests run at one back end.
     """
@@ -65,11 +65,11 @@
 
 
 class Rule(Struct, frozen=True):
-    """One reason to refuse, described.
+    """The description of one reason to refuse.
 
-    :param name: how pages and tests call it.
-    :param question: what must hold for the request to go on.
-    :param refusal: the outcome where it does not, and what it says.
+    :param name: its name in the documentation and in tests.
+    :param question: the condition that a request must meet.
+    :param refusal: the outcome otherwise, and what its text says.
     """
 
     name: str
@@ -78,19 +78,19 @@
 
 
 class ArrivalRule(Rule, frozen=True):
-    """A rule on a request of which only its bytes are known."""
+    """A rule on a request that has been read and not authorized yet."""
 
     judge: Callable[[Judges, ClientRequest], RequestOutcome | None]
 
 
 class StartRule(Rule, frozen=True):
-    """A rule on a request that its caller may make, judged when it would start."""
+    """A rule on an authorized request, evaluated when it would start."""
 
     judge: Callable[[Judges, AuthorizedRequest], NotRun | None]
 
 
 def refusal_on_arrival(judges: Judges, request: ClientRequest) -> RequestOutcome | None:
-    """Return the first refusal of a request that has just been read; ``None`` lets it pass."""
+    """Return the first refusal of a request that has just been read; ``None``: there is none."""
     for rule in ARRIVAL_RULES:
         refusal = rule.judge(judges, request)
         if refusal is not None:
@@ -101,9 +101,9 @@
 def judge_quota(
     judges: Judges, request: ClientRequest, decide: Callable[[OverQuota | NotRun | None], None]
 ) -> None:
-    """Tell ``decide`` whether its tenant's quota refuses a request, at once or after a round trip.
+    """Call ``decide`` with the quota's refusal or ``None``, at once or after a round trip.
 
-    Requests on nobody's behalf have no quota.
+    Requests without a tenant have no quota.
     """
     tenant = request.tenant
     if tenant is None:
@@ -113,7 +113,7 @@
 
 
 def refusal_at_start(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
-    """Return the first refusal of a request that its caller may make; ``None`` starts it."""
+    """Return the first refusal of an authorized request; ``None`` lets it start."""
     for rule in START_RULES:
         refusal = rule.judge(judges, request)
         if refusal is not None:
@@ -155,7 +155,7 @@
 
 
 def _knowledge_told(state: SharedState) -> str:
-    """Tell how far this gateway may rely on the configuration in force, for the request's line."""
+    """Describe the age of the configuration in force, for the request's log line."""
     age_s = state.unconfirmed_s(Topic.OPERATOR)
     when = f"{age_s:.2f} s ago" if age_s != float("inf") else "never"
     return f"version {state.configuration_version}, the store's last word heard of: {when}"
@@ -205,57 +205,57 @@
 ARRIVAL_RULES = (
     ArrivalRule(
         "protocol",
-        "Has it a path, one host and one request id?",
-        "Invalid: which of them is broken.",
+        "Does the request have a path, one host header and one request id?",
+        "Invalid: the first of them that is missing or invalid.",
         _judge_protocol,
     ),
     ArrivalRule(
         "configuration",
-        "Does this gateway know the whole configuration and all back ends?",
-        "NotRun: it has just started.",
+        "Has this gateway read the whole configuration and all back ends?",
+        "NotRun: the gateway has just started.",
         _judge_configuration,
     ),
     ArrivalRule(
         "route",
         "Does a route of the configuration in force match host and path?",
-        "UnknownRoute, or NotRun where a newer configuration might not be known here.",
+        "UnknownRoute, or NotRun if a newer configuration may exist.",
         _judge_route,
     ),
     ArrivalRule(
         "key",
-        "Is its key a tenant's, or none needed, by a configuration that is new enough to know?",
-        "Invalid: two sets of credentials. Unauthorized: nobody's key. NotRun: not new enough.",
+        "Does its key belong to a tenant, or is no key required, by a fresh enough configuration?",
+        "Invalid: two sets of credentials. Unauthorized: unknown key. NotRun: may be stale.",
         _judge_key,
     ),
 )
 QUOTA_RULE = Rule(
     "quota",
-    "Has its tenant, over all gateways, asked for less than its rate and burst allow?",
-    "OverQuota, or NotRun where the gateway that counts the tenant's requests is silent.",
+    "Is the tenant's request rate, over all gateways, within its rate and burst?",
+    "OverQuota, or NotRun if the gateway that counts the tenant's requests does not answer.",
 )
 START_RULES = (
     StartRule(
         "cut zone",
         "Can enough of its shards, or one of its back ends, be reached from this zone?",
-        "NotRun: which zones are out of reach.",
+        "NotRun: the zones that cannot be reached.",
         _judge_reachability,
     ),
     StartRule(
         "memory",
-        "Has the gateway room for it?  The less urgent are refused first.",
-        "NotRun: how full memory is.",
+        "Does the gateway have memory for it?  Less urgent requests are refused first.",
+        "NotRun: the memory in use.",
         _judge_memory,
     ),
     StartRule(
         "poison",
-        "Have too few back ends crashed under it, or its caller's others, for it to be barred?",
+        "Have back ends crashed too rarely under it or its caller's other requests to bar it?",
         "NotRun: when it may be tried again.",
         _judge_poison,
     ),
     StartRule(
         "overload",
-        "Would a back end of its service probably answer in time?  Scatters pass: the gateway that "
-        "runs them sees their queues.",
+        "Will a back end of its service probably answer in time?  Scatters pass: the gateway that "
+        "runs them checks its queue.",
         "NotRun: expected wait, admitted share and time left.",
         _judge_overload,
     ),
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -1,7 +1,7 @@
-"""Takes clients' requests: refuses those that may not run, and runs the others.
+"""Handles client requests: refuses those that may not run, and runs the others.
 
-Owns the index of the configuration in force and the number of requests in progress.  Relies on
-:mod:`tinrudder.gateway.requests.refusals` for every reason to refuse, in their order, and on
+Owns the index of the configuration in force and the number of requests in progress.  Depends on
+:mod:`tinrudder.gateway.requests.refusals` for the reasons to refuse, and on
 :mod:`tinrudder.gateway.requests.run_planner` for where a request runs.
 """
 
@@ -32,8 +32,8 @@
     def __init__(self, judges: Judges, planner: RunPlanner, observer: RequestObserver) -> None:
         """Report every finished request to ``observer``.
 
-        :param judges: know whether a request may run.
-        :param planner: decides where those run that may.
+        :param judges: the components that decide whether a request may run.
+        :param planner: decides where an admitted request runs.
         """
         self.in_progress = 0
         self.call_context = judges.call_context
@@ -47,21 +47,21 @@
 
     @property
     def closing(self) -> bool:
-        """Tell whether clients should go elsewhere: on a planned stop, or from a smaller side."""
+        """Tell whether clients should use other gateways: on a planned stop or in a partition."""
         return self._stopping or self._judges.reachability.is_cut_off
 
     def stop(self) -> None:
-        """Tell clients from now on to go elsewhere after their next answer."""
+        """From now on, tell clients with their next answer to use another gateway."""
         self._stopping = True
 
     @property
     def routes(self) -> RoutesInForce | None:
-        """Return the configuration in force, ``None`` before there is one."""
+        """Return the configuration in force; ``None`` before the first one."""
         return self._routes
 
     @property
     def limits(self) -> ClientLimits:
-        """Return the limits in force."""
+        """Return the client limits of the configuration in force, or the defaults."""
         if self._routes is None:
             return ClientLimits()
         return self._routes.configuration.limits
@@ -78,10 +78,10 @@
         return client_request
 
     def _on_quota(self, request: ClientRequest, refusal: OverQuota | NotRun | None) -> None:
-        """Start a request that its tenant may ask, unless its client has left meanwhile."""
+        """Start a request within its quota, unless its client has disconnected meanwhile."""
         if refusal is None:
             request.granted = True
-            # The client may leave while another gateway is asked: then nothing runs.
+            # The client may disconnect while another gateway checks the quota: nothing runs then.
             if request.abandoned:
                 request.give_back()
             else:
@@ -108,15 +108,15 @@
         run.start()
 
     def give_back(self, tenant: Tenant) -> None:
-        """Let a tenant ask again for what was granted and has not run."""
+        """Return a granted request that has not run to its tenant's quota."""
         self._judges.quotas.give_back(tenant)
 
     def finished(self, request: FinishedRequest) -> None:
-        """Take the end of one request."""
+        """Report the end of one request to the observer."""
         self._observer(request)
 
     def _refresh(self) -> None:
-        """Index a configuration that has just come into force."""
+        """Index a new configuration and drop the state of names that it no longer has."""
         accepted = self._judges.state.accepted
         if accepted is None:
             return
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -1,7 +1,7 @@
-"""The configuration in force, indexed for finding the route of a request.
+"""The configuration in force, indexed by route, key and tenant.
 
-Owns the index, and whose turn it is among the services of a route.  It is made anew from each
-configuration, so nothing of an older one stays.
+Owns the index and each route's rotation over its services.  Both are rebuilt from every new
+configuration, so no state of an older one remains.
 """
 
 from __future__ import annotations
@@ -17,17 +17,17 @@
 from tinrudder.gateway.requests.api_keys import KeyRing
 
 FIRST_TURNS = 240
-"""Turns of which one is drawn to begin with.  Chosen, not measured: a number with many divisors
-holds whole rounds of most weights.  Gateways begin at different turns, so that the shares hold over
-all of them although each sees few requests."""
+"""Number of turns from which a rotation's first is drawn at random.  A number with many divisors
+holds whole rounds of most weights.  Gateways start at different turns, so that the shares of
+traffic hold over the fleet although each gateway sees few requests."""
 
 
 class RoutesInForce(Struct):
     """One configuration, indexed.
 
-    :param keys: whose key is whose.
-    :param tenants: by their names.
-    :param priorities: those that any route or tenant has, the most urgent first.
+    :param keys: the tenants by key.
+    :param tenants: the tenants by name.
+    :param priorities: the priorities of all routes and tenants, the most urgent first.
     """
 
     configuration: GatewayConfiguration
@@ -52,7 +52,7 @@
         )
 
     def find(self, request: HttpRequest) -> Route | None:
-        """Return a request's route: by its host, then the longest prefix of its path."""
+        """Return the route that matches a request's host and the longest prefix of its path."""
         host = next(value for name, value in request.headers if name == b"host")
         name = host.decode("latin-1").lower()
         if name.count(":") == 1:
@@ -60,11 +60,11 @@
         return self.table.find(name, request.path.decode("latin-1"))
 
     def steps_below_urgent(self, priority: int) -> int:
-        """Return how many priorities in use are more urgent than one."""
+        """Return how many configured priorities are more urgent than ``priority``."""
         return sum(1 for other in self.priorities if other < priority)
 
     def choose_service(self, route: Route, random_source: random.Random) -> str:
-        """Return the service whose turn it is on a route to one back end."""
+        """Return the next service of the rotation of a route to one back end."""
         if len(route.services) == 1:
             return route.services[0].service
         rotation = self._rotations.get(route.name)
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -1,7 +1,7 @@
-"""Where a request runs that no rule has refused: at a back end, here as a scatter, or elsewhere.
+"""Plans where an admitted request runs: one back end, a scatter here, or one at a coordinator.
 
-Owns no state.  Relies on :class:`ScatterPlanner` for the shards that other gateways ask, on
-:class:`ScatterAdmissions` for the queues of scatters, and on the coordinators in force.
+Owns no state.  Depends on :class:`ScatterPlanner` for the shards that other gateways call, on
+:class:`ScatterAdmissions` for the queues of scatters, and on the current choice of coordinators.
 """
 
 from __future__ import annotations
@@ -21,7 +21,7 @@
 
 
 class RunPlanner:
-    """Prepares the run of each request."""
+    """Creates the run of each request."""
 
     def __init__(
         self,
@@ -31,10 +31,10 @@
         scatter_planner: ScatterPlanner,
         scatter_admissions: ScatterAdmissions,
     ) -> None:
-        """Prepare runs that call back ends through ``call_context``.
+        """Create runs that call back ends through ``call_context``.
 
-        :param service_admission: says when to come back to a service that turned a call away.
-        :param scatter_admissions: where scatters wait that this gateway runs.
+        :param service_admission: sets ``Retry-After`` when all back ends rejected a call.
+        :param scatter_admissions: the queues of the scatters that this gateway runs.
         """
         self._call_context = call_context
         self._service_admission = service_admission
@@ -45,7 +45,8 @@
     def plan(self, request: AuthorizedRequest, on_outcome: OutcomeListener) -> Run:
         """Return the run of a request, not started yet.
 
-        A coordinator judges by itself whether a scatter can be in time: it sees the queues.
+        Overload is not checked for a delegated scatter: the coordinator does, since it has the
+        queues.
         """
         if not request.route.shards:
             return self._run_single(request, on_outcome)
@@ -65,13 +66,16 @@
         )
 
     def forget_unused(self, indexes: frozenset[tuple[str, ...]]) -> None:
-        """Drop what belongs to sets of shards that no route names any more."""
+        """Drop the state of indexes that no route names any more.
+
+        :param indexes: the indexes in use, each the shards of a route.
+        """
         self._scatter_admissions.forget_unused(indexes)
 
     def _run_scatter_here(
         self, request: AuthorizedRequest, on_outcome: OutcomeListener
     ) -> WaitingScatter:
-        """Queue a scatter whose shards are asked from here, or from gateways beside them."""
+        """Return a scatter that waits here; this gateway or others near the shards call them."""
         route = request.route
         deadlines = request.deadlines
         return WaitingScatter(
@@ -87,7 +91,7 @@
         )
 
     def _run_single(self, request: AuthorizedRequest, on_outcome: OutcomeListener) -> RequestRun:
-        """Run a request at one back end of the service chosen."""
+        """Return the run of a request at one back end of its chosen service."""
         route = request.route
         service = request.service
         deadlines = request.deadlines
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -1,9 +1,9 @@
-"""Refuses at once what the back ends of one service can probably not answer in time.
+"""Admission control for requests that one back end runs: refuses those that would be late.
 
-For requests that one back end runs; scatters wait in
-:mod:`tinrudder.gateway.scatters.scatter_admission`.  Owns what each tenant asked lately.  Relies on
-the rule in :mod:`tinrudder.gateway.decisions.admission.shared_service`; its inputs are the queues
-that back ends reported to this gateway or to others, and the usual time of a call, seconds.
+Owns the recent request rate of each tenant.  Depends on the rule in
+:mod:`tinrudder.gateway.decisions.admission.shared_service`, whose inputs are the queues that back
+ends reported to this gateway or to its peers, and the usual time of a call, seconds.  Scatters are
+admitted by :mod:`tinrudder.gateway.scatters.scatter_admission`.
 """
 
 from __future__ import annotations
@@ -18,10 +18,10 @@
 
 
 class ServiceAdmission:
-    """Judges requests that one of a service's back ends may run."""
+    """Admits requests to services where any one back end can run them."""
 
     def __init__(self, call_context: CallContext) -> None:
-        """Read the queues through ``call_context``."""
+        """Read the reported queues through ``call_context``."""
         self._call_context = call_context
         self._tenants = TenantShares()
 
@@ -33,10 +33,10 @@
         priority_steps: int,
         tenant: str = "",
     ) -> NotRun | None:
-        """Refuse a request, with what decided it; ``None`` admits it.
+        """Return the refusal of a request, with the values that led to it; ``None`` admits it.
 
-        :param priority_steps: how many priorities in use are more urgent than the request's.
-        :param tenant: on whose behalf it comes; empty for nobody's.
+        :param priority_steps: how many configured priorities are more urgent than the request's.
+        :param tenant: the name of its tenant; empty without one.
         """
         now = deadlines.received_at
         if tenant:
@@ -54,9 +54,10 @@
     def after_rejections(
         self, detail: str, route: Route, service: str, deadlines: Deadlines, least_s: float
     ) -> NotRun:
-        """Return the refusal of a request that back ends turned away.
+        """Return the refusal of a request that back ends rejected.
 
-        :param least_s: the shortest pause, where no queue explains it.
+        :param least_s: the shortest ``Retry-After``, seconds; it holds where reported queues do not
+            explain the rejections.
         """
         now = self._call_context.loop.time()
         admitted = self._judge(route, service, deadlines, 0, now)
@@ -66,7 +67,7 @@
     def _judge(
         self, route: Route, service: str, deadlines: Deadlines, priority_steps: int, now: float
     ) -> AdmittedShare:
-        """Judge by what is known now."""
+        """Return the share of such requests to admit, from the latest reports."""
         backends = self._call_context.observations(service)
         return judge(
             backends,
@@ -81,7 +82,7 @@
     def _not_run(
         self, detail: str, admitted: AdmittedShare, deadlines: Deadlines, now: float
     ) -> NotRun:
-        """Say when to come back."""
+        """Return a refusal with its ``Retry-After``."""
         left_s = deadlines.deadline_at - now
         chance = self._call_context.random.random()
         return NotRun(
--- a/tinrudder/gateway/requests/tenant_configuration.py
+++ b/tinrudder/gateway/requests/tenant_configuration.py
@@ -1,6 +1,6 @@
-"""Checks what a configuration says of its tenants, and makes them.
+"""Validates the tenants of a configuration and builds them.
 
-Owns no state, and keeps no key: a tenant has the digests of its keys.
+Owns no state.  Keys are not retained: a :class:`Tenant` has only their digests.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 
 
 class TenantsError(Exception):
-    """The tenants break a rule; the text names the field and the rule, never a key."""
+    """The tenants are invalid; the text names the field and the rule, never a key."""
 
 
 class TenantDocument(Struct, frozen=True):
-    """A tenant as an operator writes it, see :class:`Tenant`; a limit may be left out."""
+    """A tenant as written by an operator, see :class:`Tenant`; limits are optional."""
 
     name: str
     keys: tuple[str, ...] = ()
@@ -31,8 +31,8 @@
 def make_tenants(documents: Iterable[TenantDocument]) -> tuple[Tenant, ...]:
     """Return the tenants.
 
-    :raises TenantsError: one has no name or the name or a key of another, a key is empty or too
-        long, or a limit is not finite or below zero.
+    :raises TenantsError: a name is empty or a duplicate, two tenants share a key, a key is empty or
+        too long, or a limit is negative or not finite.
     """
     owners: dict[bytes, str] = {}
     tenants: dict[str, Tenant] = {}
@@ -56,7 +56,7 @@
 
 
 def _limit(field: str, limit: float | None) -> float:
-    """Return a limit; zero, which stands for none, where it is left out."""
+    """Return a valid limit, or 0 for one that is left out."""
     if limit is None:
         return 0.0
     if not math.isfinite(limit) or limit < 0.0:
--- a/tinrudder/gateway/scatters/__init__.py
+++ b/tinrudder/gateway/scatters/__init__.py
@@ -1,4 +1,4 @@
-"""Requests over many shards: where they wait, which gateway runs them, how parts are merged.
+"""Scatters, requests over many shards: admission, choice of the coordinator, delegation and merge.
 
-Owns the admission queue of each index and the exchange of scatters between gateways.
+Owns the admission queue of each index and the delegation of scatters between gateways.
 """
--- a/tinrudder/gateway/scatters/coordination.py
+++ b/tinrudder/gateway/scatters/coordination.py
@@ -1,4 +1,4 @@
-"""How one index is served at a moment: by this gateway, by coordinators, or in part by others.
+"""Which gateways call the back ends of one index: this one, coordinators, or others for a part.
 
 Values only; :mod:`tinrudder.gateway.scatters.coordinators` decides them.
 """
@@ -12,14 +12,14 @@
 
 
 class DelegatedGroup(Struct, frozen=True):
-    """Shards that others ask for this gateway, and who may be asked to."""
+    """Shards that other gateways call for this one, and the gateways that may be asked to."""
 
     shards: tuple[str, ...]
     asked: tuple[Address, ...]
 
 
 class CoordinationKey(Struct, frozen=True):
-    """What tells one coordination from another, whenever it was decided."""
+    """The fields of a coordination whose change is reported."""
 
     own: bool
     asked: frozenset[Address]
@@ -27,14 +27,15 @@
 
 
 class Coordination(Struct, frozen=True):
-    """How one index is served, as this gateway sees it now.
+    """Which gateways call the back ends of one index, in the current view of this gateway.
 
     :param own: whether this gateway calls the back ends itself.
-    :param asked: the coordinators to ask, best first; empty where ``own``.
-    :param callers: how many gateways call the back ends, this one included where ``own``.
-    :param sharers: in how many parts the fleet's repeats are divided, as seen from here.
-    :param delegated: where ``own``, the shards that gateways beside their replicas ask.
-    :param caller_names: the callers that are known.
+    :param asked: the coordinators to ask, best first; empty if ``own``.
+    :param callers: how many gateways call the back ends, including this one if ``own``.
+    :param sharers: this gateway's share of the fleet's hedges and retries is one divided by this.
+    :param decided_at: monotonic time of the decision, seconds.
+    :param delegated: if ``own``, the shards that gateways in the zones of their replicas call.
+    :param caller_names: the names of the callers, if ``own``.
     """
 
     own: bool
@@ -47,12 +48,12 @@
 
     @property
     def key(self) -> CoordinationKey:
-        """Return what tells one coordination from another, whenever it was decided."""
+        """Return the fields whose change is reported."""
         return CoordinationKey(self.own, frozenset(self.asked), self.delegated_count)
 
     @property
     def known_callers(self) -> Callers:
-        """Return who calls the back ends, for what callers divide among themselves."""
+        """Return the gateways that call the back ends, for limits that they divide."""
         return Callers(self.caller_names, self.callers)
 
     @property
@@ -61,7 +62,7 @@
         return sum(len(group.shards) for group in self.delegated)
 
     def own_shards(self, index: tuple[str, ...]) -> tuple[str, ...]:
-        """Return the shards that are not delegated."""
+        """Return the shards of ``index`` that are not delegated."""
         if not self.delegated:
             return index
         elsewhere = {shard for group in self.delegated for shard in group.shards}
--- a/tinrudder/gateway/scatters/coordinator_backoff.py
+++ b/tinrudder/gateway/scatters/coordinator_backoff.py
@@ -1,6 +1,6 @@
-"""Leaves gateways alone for a while after they failed to serve a delegated scatter.
+"""Exponential back-off for gateways that failed to serve a delegated scatter.
 
-Owns the failures in a row of each gateway; nothing else is known of it, so one success clears them.
+Owns the number of consecutive failures of each gateway; one success resets it.
 """
 
 from __future__ import annotations
@@ -10,15 +10,15 @@
 from tinrudder.common.address import Address
 
 FIRST_AVOIDANCE_S = 0.5
-"""How long a gateway is avoided after its first failure, seconds. Chosen, not measured: as long as
-a coordination is kept, so that the next choice goes without it."""
+"""How long a gateway is avoided after its first failure, seconds: as long as a coordination is
+cached, so that the next choice excludes the gateway."""
 LONGEST_AVOIDANCE_S = 4.0
-"""How long at most, seconds. Chosen, not measured: eight times the first; a gateway that is back
-is asked again within seconds, and one that stays away costs a failed request in so many."""
+"""Longest back-off, seconds: eight times the first. A gateway that has recovered is asked again
+within seconds, and one that has not costs one failed request in this time."""
 
 
 class _Avoided(Struct):
-    """A gateway that failed; ``until`` is a monotonic time in seconds."""
+    """The back-off of one gateway; ``until`` is a monotonic time in seconds."""
 
     failures: int
     until: float
@@ -30,9 +30,10 @@
     _avoided: dict[Address, _Avoided] = field(default_factory=dict)
 
     def failed(self, coordinator: Address, now: float) -> bool:
-        """Avoid a gateway, longer after every failure in a row; tell whether that is new.
+        """Start the back-off of a gateway; return ``False`` if it is already avoided.
 
-        Scatters that were under way together fail together: while it is avoided, more count as one.
+        The back-off doubles with each consecutive failure.  Failures while the gateway is avoided
+        do not count: scatters that were in flight together fail together.
         """
         avoided = self._avoided.setdefault(coordinator, _Avoided(0, 0.0))
         if avoided.until > now:
@@ -42,10 +43,10 @@
         return True
 
     def succeeded(self, coordinator: Address) -> None:
-        """Forget earlier failures."""
+        """Reset the gateway's failures."""
         self._avoided.pop(coordinator, None)
 
     def avoids(self, coordinator: Address, now: float) -> bool:
-        """Tell whether a gateway is left alone now."""
+        """Tell whether a gateway is in back-off."""
         avoided = self._avoided.get(coordinator)
         return avoided is not None and now < avoided.until
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -1,8 +1,8 @@
-"""Who calls the back ends of an index: every gateway, or a few coordinators for all.
+"""Decides which gateways call the back ends of an index: all, or a few coordinators for the rest.
 
-Shards without a replica in a gateway's zone are asked by a gateway that has them beside it.
-Owns the decision of each index for half a second, and whom it avoids. Relies on the members and
-their zones, on the back ends of the configuration in force, and on
+Shards without a replica in a gateway's zone are delegated to a gateway in a zone that has one.
+Owns each index's decision, cached for half a second, and the back-off of gateways that failed.
+Depends on the members and their zones, on the back ends of the configuration in force, and on
 :mod:`tinrudder.gateway.decisions.placement.coordinator_choice`.
 """
 
@@ -32,25 +32,25 @@
 from tinrudder.gateway.store.shared_state import SharedState
 
 KEPT_FOR_S = 0.5
-"""How long a decision stands, seconds. Chosen, not measured: members come and go in seconds, and
-every request of an index asks for its coordination."""
+"""How long a decision is cached, seconds: members join and leave within seconds, and every request
+of an index reads its coordination."""
 ASKED_AT_MOST = 3
-"""Coordinators that one scatter is offered to before its entry runs it. Chosen, not measured: each
-that stays silent costs up to 0.1 s of the time to the objective."""
+"""How many coordinators a gateway asks before it runs a scatter itself: each one that does not
+answer costs up to 0.1 s of the time to the objective."""
 COORDINATORS_PART = 0.75
-"""Part of the fleet's hedges and retries that coordinators may spend, chosen, not measured; the
-rest is for gateways that must run a scatter themselves."""
+"""Part of the fleet's hedges and retries that coordinators may send; the rest is for gateways that
+must run a scatter themselves."""
 
 
 class Coordinators(Struct):
-    """Chooses coordinators by the view of this gateway, and remembers which of them failed.
+    """Chooses coordinators from this gateway's view of the fleet, and tracks which of them failed.
 
-    Views of two gateways may differ for seconds.  All that follows is that more gateways than
-    planned open connections, since a coordinator serves whoever asks.
+    The views of two gateways may differ for seconds.  The only effect is that more gateways than
+    planned open connections, since a coordinator serves every gateway that asks it.
 
-    :param describe_own: returns this gateway as it would describe itself now.
-    :param on_change: is told of every change of an index's coordination.
-    :param is_closed: tells whether a zone is out of reach; nobody there is asked.
+    :param describe_own: returns this gateway's current member record.
+    :param on_change: called with every change of an index's coordination.
+    :param is_closed: returns whether a zone cannot be reached; its gateways are not asked.
     """
 
     peers: PeerList
@@ -73,16 +73,16 @@
         replica_zones: Callable[[str], tuple[str, ...]],
         sizes: Callable[[tuple[str, ...]], ScatterSizes],
     ) -> None:
-        """Learn where back ends are and how large answers have been; both ask this in turn.
+        """Set two sources, which themselves depend on this object.
 
         :param replica_zones: returns the zone of each back end of a service that is not leaving.
-        :param sizes: returns how large answers of an index have been.
+        :param sizes: returns the observed answer sizes of an index.
         """
         self._replica_zones = replica_zones
         self._sizes = sizes
 
     def refresh(self) -> None:
-        """Learn which services are shards of which index."""
+        """Rebuild the index of each service after a change of the configuration."""
         accepted = self.state.accepted
         if accepted is None:
             return
@@ -95,11 +95,11 @@
         self._reported = {index: key for index, key in self._reported.items() if index in indexes}
 
     def of_route(self, route: Route) -> Coordination:
-        """Return how a scatter's index is served."""
+        """Return the coordination of a route's index."""
         return self._of_index(route.shards)
 
     def of_service(self, service: str) -> Coordination:
-        """Return how a service is served: as its index, or by every gateway."""
+        """Return the coordination of a service's index; without an index, all gateways call it."""
         index = self._index_of.get(service)
         if index is not None:
             return self._of_index(index)
@@ -109,20 +109,20 @@
         return self._all
 
     def failed(self, coordinator: Address) -> None:
-        """Leave a coordinator alone for a while, longer after every failure in a row."""
+        """Start a coordinator's back-off, which grows with each consecutive failure."""
         if self._backoff.failed(coordinator, self.clock()):
             self._by_index.clear()
 
     def succeeded(self, coordinator: Address) -> None:
-        """Forget earlier failures."""
+        """Reset a coordinator's back-off."""
         self._backoff.succeeded(coordinator)
 
     def reconsider(self) -> None:
-        """Decide anew: a zone has gone out of reach, or come back."""
+        """Discard all decisions: a zone has become unreachable, or reachable again."""
         self._by_index.clear()
 
     def _of_index(self, index: tuple[str, ...]) -> Coordination:
-        """Return what was decided lately, or decide anew."""
+        """Return an index's cached decision, or a new one if it has expired."""
         now = self.clock()
         known = self._by_index.get(index)
         if known is None or now - known.decided_at >= KEPT_FOR_S:
@@ -132,7 +132,7 @@
         return known
 
     def _report(self, index: tuple[str, ...], coordination: Coordination) -> None:
-        """Report a decision unless it is what was reported before."""
+        """Report a decision if it differs from the last one reported."""
         if self._reported.get(index) != coordination.key:
             self._reported[index] = coordination.key
             self.on_change(coordination)
@@ -171,7 +171,7 @@
         members: Iterable[Member],
         now: float,
     ) -> tuple[DelegatedGroup, ...]:
-        """Return the shards that some of ``members`` ask for this gateway."""
+        """Return the shards that some of ``members`` should call for this gateway."""
         willing = [one for one in members if not self._backoff.avoids(one.address, now)]
         own_zone = self.describe_own().zone
         groups = group_by_place(
@@ -185,14 +185,14 @@
         )
 
     def _by_all(self, now: float) -> Coordination:
-        """Return what holds where every gateway calls the back ends itself."""
+        """Return the coordination in which every gateway calls the back ends itself."""
         nodes = self.peers.nodes(now)
         members = [self.describe_own(), *self.peers.candidates(now)]
         names = frozenset(str(member.address) for member in members)
         return Coordination(True, (), nodes, nodes, now, caller_names=names)
 
     def _demand(self, index: tuple[str, ...], zones: list[tuple[str, ...]]) -> IndexDemand:
-        """Return what an index's back ends take, a typical shard for all of them."""
+        """Return the capacity of an index's back ends: median replicas, lowest connection limit."""
         accepted = self.state.accepted
         services = accepted.configuration.services if accepted is not None else {}
         limits = [services[name].max_connections for name in index if name in services]
@@ -201,16 +201,16 @@
 
 
 def _near(members: list[Member], zones: list[tuple[str, ...]]) -> list[Member]:
-    """Return the members in zones that have back ends, all of them if there are none.
+    """Return the members in zones with back ends, or all members if there are none.
 
-    From elsewhere every call would cross a zone, where a relayed scatter crosses once.
+    From another zone every call would cross zones, while a delegated scatter crosses once.
     """
     with_backends = {zone for of_shard in zones for zone in of_shard}
     return [member for member in members if member.zone in with_backends] or members
 
 
 def _strong_in(zones: Collection[str], members: list[Member]) -> tuple[Address, ...]:
-    """Return the addresses of the strong members in some zones."""
+    """Return the addresses of the members in ``zones`` with enough capacity."""
     there = {str(one.address): one for one in members if one.zone in zones}
     strong = strong_ones(_candidate(one) for one in there.values())
     return tuple(there[one.name].address for one in strong)
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -1,7 +1,8 @@
-"""The entry's side of a scatter that a coordinator runs.
+"""A scatter delegated to a coordinator, at the gateway that received it from the client.
 
-Owns the order in which coordinators are asked and what may be said of the outcome; relies on
-:mod:`tinrudder.gateway.scatters.delegation` for each attempt, and on ``run_here`` as a last resort.
+Owns the attempts at one coordinator after another, and which outcome can be reported after them.
+Depends on :mod:`tinrudder.gateway.scatters.delegation` for each attempt, and on ``run_here`` if
+none succeeds.
 """
 
 from __future__ import annotations
@@ -32,11 +33,12 @@
 
 
 class DelegatedScatter:
-    """One scatter; coordinators are asked in turn, and the last resort is to run it here.
+    """One scatter: asks coordinators one after another, and runs the scatter here if all fail.
 
-    A coordinator that does not even say that it took the scatter is taken for dead while there is
-    time for another: it never begins without a confirmation, or does no harm if it does.  Where a
-    coordinator had begun, its calls cannot be counted, so nothing is sent again.
+    A coordinator that does not accept the scatter in time is treated as failed, and the next one is
+    asked.  That is safe: the first either does not begin without a confirmation, or its calls
+    cannot exceed the attempt limit.  If a coordinator had begun, its calls cannot be counted, so
+    the scatter is not sent again.
     """
 
     def __init__(
@@ -51,7 +53,7 @@
         on_outcome: OutcomeListener,
         priority: int,
     ) -> None:
-        """Prepare; ``run_here`` makes the run of the last resort."""
+        """Prepare the scatter; ``run_here`` creates the run on this gateway if all others fail."""
         self._priority = priority
         self.repeats = 0
         self.missing_shards: tuple[MissingShard, ...] = ()
@@ -75,7 +77,7 @@
         self._task = self._delegation_context.call_context.loop.create_task(self._run())
 
     def abandon(self) -> None:
-        """End for a client that has left; the coordinator is told."""
+        """End the scatter for a client that has disconnected, also at the coordinator."""
         if self._local is not None:
             self._local.abandon()
         elif self._task is not None:
@@ -99,7 +101,7 @@
             self._on_outcome(NoAnswer(detail))
 
     async def _ask(self, coordinator: Address) -> ScatterEnd | None:
-        """Ask one coordinator; ``None`` when it gave no usable answer."""
+        """Ask one coordinator; return ``None`` if it gave no usable answer."""
         scatter = self._scatter_request(coordinator)
         outcome = await delegate(
             self._delegation_context,
@@ -124,7 +126,7 @@
         return None
 
     def _take(self, end: ScatterEnd) -> None:
-        """Report a coordinator's answer."""
+        """Process a coordinator's answer."""
         self.repeats = end.repeats
         self.missing_shards = end.missing_shards
         if isinstance(end.outcome, Merged):
@@ -133,23 +135,23 @@
         self._report(end.outcome)
 
     def _report(self, outcome: RequestOutcome) -> None:
-        """Report the outcome; that nothing has run is said only if that holds for all asked."""
+        """Report the outcome; ``NotRun`` only if the request cannot have run elsewhere either."""
         if isinstance(outcome, NotRun) and self._may_have_run:
             outcome = NoAnswer("; ".join([*self._problems, outcome.detail]))
         self._on_outcome(outcome)
 
     @property
     def _may_ask_again(self) -> bool:
-        """Tell whether there is time, and whether calls may be sent at all."""
+        """Tell whether there is time, and no coordinator was lost after it had begun."""
         return not self._lost and self._left_s > ANSWER_MARGIN_S
 
     @property
     def _left_s(self) -> float:
-        """Return the time until the final answer must leave."""
+        """Return the time until the deadline of the answer, seconds."""
         return self._deadlines.deadline_at - self._delegation_context.call_context.loop.time()
 
     def _scatter_request(self, coordinator: Address) -> ScatterRequest:
-        """Say what is asked of a coordinator, with the time that is left to it now."""
+        """Return the request to a coordinator, with the time now left to it."""
         whole = whole_scatter(
             self._delegation_context,
             coordinator,
@@ -160,13 +162,13 @@
         return replace(whole, priority=self._priority)
 
     def _run_local(self) -> None:
-        """Run the scatter here."""
+        """Run the scatter on this gateway."""
         self._delegation_context.call_context.counters.relays_run_here += 1
         self._local = self._run_here(self._end_local)
         self._local.start()
 
     def _end_local(self, outcome: RequestOutcome) -> None:
-        """Report the outcome of the run here."""
+        """Report the outcome of the run on this gateway."""
         assert self._local is not None
         self.repeats = self._local.repeats
         self.missing_shards = self._local.missing_shards
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -1,7 +1,7 @@
-"""Some shards of a scatter that another gateway asks, since their replicas are in its zone.
+"""A group of shards that another gateway calls for a scatter, since their replicas are in its zone.
 
-Owns the group's part of the answer and what is known of its having run. The gateway that merges
-the scatter decides what happens to shards that were not answered.
+Owns the group's part of the answer, and whether the group may have run. The gateway that merges the
+scatter decides what happens to unanswered shards.
 """
 
 from __future__ import annotations
@@ -32,9 +32,9 @@
 
 
 class Delegation(Struct, frozen=True):
-    """What is asked of whom.
+    """A group of shards and the gateway that should call them.
 
-    :param minimum_share: the least share of these shards with which the whole can suffice.
+    :param minimum_share: the smallest share of these shards that can make the answer sufficient.
     """
 
     services: tuple[str, ...]
@@ -43,7 +43,7 @@
 
 
 def minimum_share_of_group(shards: int, group: int, minimum_share: float) -> float:
-    """Return the least share of a group with which a scatter can suffice if all others answer.
+    """Return the smallest share of a group that can suffice if all other shards answer.
 
     >>> minimum_share_of_group(20, 5, 0.89)
     0.6
@@ -55,11 +55,12 @@
 
 
 class DelegatedShards:
-    """One group; its end is reported once, unless it is cancelled before.
+    """One delegated group; reports its end exactly once, unless it is cancelled first.
 
     :ivar part: the merged answer of the group, once there is one.
-    :ivar may_have_run: back ends may have got the request.
-    :ivar may_run_here: the other gateway sent nothing and never will, or it does no harm.
+    :ivar may_have_run: back ends may have received the request.
+    :ivar may_run_here: this gateway may call the shards: the other one sends no calls, or calls by
+        both cannot exceed the attempt limit.
     """
 
     def __init__(
@@ -71,7 +72,7 @@
         deadlines: Deadlines,
         delegation_context: DelegationContext,
     ) -> None:
-        """Prepare; set :attr:`on_end` before :meth:`start`."""
+        """Prepare the group; set :attr:`on_end` before :meth:`start`."""
         self.services = delegation.services
         self.on_end: Callable[[DelegatedShards], None] = lambda _: None
         self.pending = True
@@ -97,12 +98,12 @@
         self._task = call_context.loop.create_task(self._run())
 
     def withhold(self) -> None:
-        """Note that the other gateway is not asked: back ends crash under the request."""
+        """End the group without asking the other gateway: the request crashes back ends."""
         self.pending = False
         self._problem = POISON
 
     def cancel(self) -> None:
-        """Tell the other gateway that nobody waits any more."""
+        """Cancel the request to the other gateway."""
         if self._task is not None:
             self._task.cancel()
 
@@ -124,7 +125,7 @@
         return tuple(MissingShard(service, self._problem) for service in self.services)
 
     async def _run(self) -> None:
-        """Ask once; what the other gateway does not do is left to the caller."""
+        """Ask the other gateway once; the caller handles shards that were not answered."""
         delegation = self._delegation
         scatter = self._scatter_request()
         outcome = await delegate(
@@ -150,7 +151,7 @@
         self.on_end(self)
 
     def _take(self, end: ScatterEnd) -> None:
-        """Take the answer."""
+        """Process the other gateway's answer."""
         self.repeats = end.repeats
         self._missing = end.missing_shards
         if isinstance(end.outcome, Merged):
@@ -160,7 +161,7 @@
             self.may_have_run = not isinstance(end.outcome, NotRun)
 
     def _scatter_request(self) -> ScatterRequest:
-        """Say what is asked, with the time that is left now."""
+        """Return the request to the other gateway, with the time now left to it."""
         whole = whole_scatter(
             self._delegation_context,
             self._delegation.coordinator,
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -1,8 +1,8 @@
-"""Delegates a scatter, or some of its shards, to another gateway, and says how far that came.
+"""Delegates a scatter, or some of its shards, to another gateway, and classifies the outcome.
 
-Owns the time that another gateway is given to take a scatter and to answer. Relies on the client
-for requests between gateways and on its promise that an unconfirmed request never begins, unless
-it was asked to begin at once. Every end is told to the coordinators' back-off and the zone monitor.
+Owns the timeouts for another gateway to accept a scatter and to answer it. Depends on the client
+for requests between gateways, which guarantees that an unconfirmed request never begins, unless it
+was sent to begin at once. Reports every outcome to the coordinators' back-off and the zone monitor.
 """
 
 from __future__ import annotations
@@ -22,31 +22,30 @@
 from tinrudder.peers import PeerLostError, PeerNotSentError, PeerSilentError
 
 ANSWER_MARGIN_S = 0.01
-"""How long before the client's deadline another gateway's answer must be here, a choice: the way
-back between zones several times, and the merge."""
+"""How long before the client's deadline another gateway must answer, seconds: several times the
+path between zones, and the merge."""
 ACCEPTANCE_SHARE = 0.3
-"""Part of the time to the objective that another gateway has to say that it took a scatter. Chosen,
-not measured: a second gateway, asked after one that is silent, keeps most of that time."""
+"""Part of the time to the objective in which another gateway must accept a scatter: if it does not,
+a second gateway still has most of that time."""
 SHORTEST_ACCEPTANCE_S = 0.025
-"""Least time for that word, seconds. Chosen, not measured: several round trips between zones (some
-2 to 6 ms), so that a gateway at work is not taken for dead."""
+"""Shortest acceptance timeout, seconds: several round trips between zones (some 2 to 6 ms each), so
+that a busy gateway is not treated as failed."""
 LONGEST_ACCEPTANCE_S = 0.1
-"""Longest time for that word, seconds. Chosen, not measured: what a silent gateway costs at
-most."""
+"""Longest acceptance timeout, seconds: the most that a gateway that does not answer costs."""
 
 
 @dataclass(frozen=True, slots=True)
 class NotStarted:
-    """The other gateway sent nothing and never will, also where it only did not answer in time."""
+    """The other gateway sent no calls and never will; this includes an acceptance timeout."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class Unconfirmed:
-    """It did not say in time that it began, and may begin all the same.
+    """The other gateway did not accept in time, and may begin nevertheless.
 
-    It is told to stop, so it sends calls only if it begins before it reads that.
+    A cancellation is sent, so it sends calls only if it begins before it reads that.
     """
 
     detail: str
@@ -54,7 +53,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LostAfterStart:
-    """It had begun, and no usable answer came: its calls cannot be counted."""
+    """The other gateway had begun and gave no usable answer, so its calls cannot be counted."""
 
     detail: str
 
@@ -69,7 +68,7 @@
     request_id: bytes,
     deadlines: Deadlines,
 ) -> ScatterRequest:
-    """Return what is asked of a gateway, with the time that is left to it now: all shards."""
+    """Return the request to a gateway for all shards, with the time now left to it."""
     now = delegation_context.call_context.loop.time()
     accepted = delegation_context.configuration()
     path_s = delegation_context.path_time(coordinator).allowance_s
@@ -92,7 +91,7 @@
     *,
     begin_at_once: bool,
 ) -> DelegationOutcome:
-    """Ask one gateway; one that does not serve is left alone for a while.
+    """Ask one gateway; if it does not serve the scatter, its back-off starts.
 
     :param begin_at_once: see :func:`may_begin_at_once`.
     """
@@ -112,11 +111,11 @@
 def may_begin_at_once(
     delegation_context: DelegationContext, route: Route, shards: Iterable[str]
 ) -> bool:
-    """Tell whether two gateways at work on the same shards would do no harm.
+    """Tell whether calls by two gateways to the same shards would stay within the attempt limit.
 
-    One that stood still may begin when another has been asked in its place.  Where together they
-    could ask too many replicas, a gateway waits for the word that its own was heard, which takes
-    a round trip more.
+    A gateway that was paused may begin after another one has been asked in its place.  If both
+    together could call too many replicas, a gateway begins only after its acceptance has been
+    confirmed, which takes another round trip.
     """
     directory = delegation_context.call_context.directory
     return all(directory.fits_attempts(shard, route.attempts) for shard in shards)
@@ -129,7 +128,7 @@
     deadlines: Deadlines,
     begin_at_once: bool,
 ) -> DelegationOutcome:
-    """Send the request and wait for the answer, or for signs that none will come."""
+    """Send the request and wait for the answer, a timeout or a connection failure."""
     now = delegation_context.call_context.loop.time()
     left_s = deadlines.deadline_at - now
     acceptance_s = min(_acceptance_s(deadlines, now), left_s)
@@ -157,6 +156,6 @@
 
 
 def _acceptance_s(deadlines: Deadlines, now: float) -> float:
-    """Return how long to wait for the word that the other gateway has begun."""
+    """Return the acceptance timeout, seconds."""
     share_s = ACCEPTANCE_SHARE * (deadlines.objective_at - now)
     return min(LONGEST_ACCEPTANCE_S, max(SHORTEST_ACCEPTANCE_S, share_s))
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -1,6 +1,6 @@
-"""What every scatter that is delegated to another gateway needs.
+"""The shared dependencies of scatters that are delegated to other gateways.
 
-Owns the observed times to gateways in the own zone and elsewhere; the rest belongs to others.
+Owns the observed round-trip times to gateways in this zone and in others.
 """
 
 from __future__ import annotations
@@ -20,11 +20,11 @@
 
 
 class DelegationContext(Struct, frozen=True):
-    """The connections to other gateways, and who they are.
+    """What delegation needs to choose, reach and observe other gateways.
 
-    :param zone_monitor: learns which ways to other gateways are open.
-    :param configuration: returns the one in force.
-    :param traffic: counts what is sent.
+    :param zone_monitor: receives which gateways answered and which did not.
+    :param configuration: returns the configuration in force.
+    :param traffic: counts the messages sent.
     """
 
     client: PeerClient
@@ -37,6 +37,6 @@
     _path_elsewhere: PeerRoundTrip = field(default_factory=PeerRoundTrip)
 
     def path_time(self, gateway: Address) -> PeerRoundTrip:
-        """Return how long requests to a gateway are under way: within the zone, or beyond it."""
+        """Return the round-trip estimate for a gateway: one for this zone, one for all others."""
         elsewhere = self.coordinators.peers.is_elsewhere(gateway)
         return self._path_elsewhere if elsewhere else self._path_beside
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -1,7 +1,7 @@
-"""The coordinator's side of a scatter that another gateway delegates.
+"""Serves scatters that other gateways delegate to this one.
 
-Owns the scatters that run here for others, and the reasons to decline or refuse one. Relies on the
-same admission and the same planner as scatters of this gateway's own clients.
+Owns the scatters that run here for other gateways, and the reasons to decline or refuse one. They
+use the same admission and planner as the scatters of this gateway's own clients.
 """
 
 from __future__ import annotations
@@ -34,10 +34,10 @@
 
 
 class DelegationService:
-    """Runs scatters for their entries; declines what it cannot answer as well as they could.
+    """Runs scatters for other gateways; declines those that they can serve better.
 
     :ivar in_progress: scatters that run now.
-    :ivar closing: a planned stop has begun; what comes now is declined.
+    :ivar closing: a planned stop has begun; new scatters are declined.
     """
 
     def __init__(
@@ -50,9 +50,10 @@
         reach: Reachability,
         poison: PoisonWatch,
     ) -> None:
-        """Find routes by what ``routes`` returns at that moment.
+        """Prepare the service.
 
-        :param gates: the admissions of whole scatters.
+        :param gates: the admission queues of whole scatters.
+        :param routes: returns the configuration in force; ``None`` before the first one.
         """
         self._poison = poison
         self._reach = reach
@@ -65,7 +66,7 @@
         self._routes = routes
 
     async def serve(self, scatter: ScatterRequest) -> ScatterAnswer:
-        """Run one scatter; cancelling this ends its calls."""
+        """Run one scatter; cancelling this coroutine ends its calls."""
         found = self._find(scatter)
         if isinstance(found, Declined):
             return found
@@ -79,7 +80,7 @@
         ended: asyncio.Future[RequestOutcome] = self._call_context.loop.create_future()
 
         def report(outcome: RequestOutcome) -> None:
-            # The entry may have given up a moment ago, which cancels the future before the run.
+            # If the delegating gateway has just given up, the future is cancelled before the run.
             if not ended.done():
                 ended.set_result(outcome)
 
@@ -91,14 +92,14 @@
         return end
 
     def _find(self, scatter: ScatterRequest) -> tuple[RoutesInForce, Route] | Declined:
-        """Find a scatter's route, or decline it: the entry may ask another coordinator."""
+        """Find a scatter's route, or decline: the delegating gateway may ask another one."""
         routes = self._routes()
         if self.closing:
             return Declined("stopping")
         if routes is None or not self._state.complete:
             return Declined("starting")
         if self._is_older_than(scatter):
-            # The entry may have shown the newer one's effect already: nothing may go back.
+            # The client may have seen effects of the newer one already; they must not be undone.
             return Declined("an older configuration")
         route = routes.find(scatter.request)
         if route is None or not route.shards:
@@ -110,17 +111,17 @@
         return routes, route
 
     def _is_older_than(self, scatter: ScatterRequest) -> bool:
-        """Tell whether the configuration here is older than the entry's.
+        """Tell whether the configuration here is older than the delegating gateway's.
 
-        The operator's versions tell; revisions may go back with the store.  An entry of older
-        software tells its revision alone.
+        Compares the operator's versions, as revisions may go back with the store.  Gateways with
+        older software send only a revision.
         """
         if scatter.configuration_version is not None:
             return self._state.configuration_version < scatter.configuration_version
         return self._state.configuration_revision.number < scatter.configuration_revision
 
     def _refusal(self, route: Route, scatter: ScatterRequest) -> NotRun | None:
-        """Refuse what crashes back ends, and a whole scatter of which too little is in reach."""
+        """Refuse requests that crash back ends, and whole scatters that reach too few shards."""
         poison = self._poison.refusal(route, scatter.request)
         if poison is not None or scatter.shards:
             return poison
@@ -133,9 +134,9 @@
         deadlines: Deadlines,
         on_outcome: OutcomeListener,
     ) -> WaitingScatter | RequestRun:
-        """Prepare what is asked for: a whole scatter, or some of its shards.
+        """Return the run of a whole scatter, or of some of its shards.
 
-        A part has been admitted as a whole by the gateway that delegates it.
+        Some shards need no admission: the delegating gateway has admitted the whole scatter.
         """
         if not scatter.shards:
             tenant = header_value(scatter.request.headers, self._call_context.names.tenant) or b""
@@ -161,7 +162,7 @@
     async def _finish(
         self, run: WaitingScatter | RequestRun, ended: asyncio.Future[RequestOutcome]
     ) -> RequestOutcome:
-        """Run to the outcome; abandon the run if the entry gives it up."""
+        """Run to the outcome; abandon the run if the delegating gateway gives up."""
         self.in_progress += 1
         self._call_context.counters.coordinated += 1
         try:
@@ -174,7 +175,7 @@
             self.in_progress -= 1
 
     def _deadlines(self, scatter: ScatterRequest) -> Deadlines:
-        """Count the entry's times from now."""
+        """Convert the remaining times in the request to deadlines on this gateway's clock."""
         now = self._call_context.loop.time()
         return Deadlines(
             received_at=now,
@@ -184,6 +185,6 @@
         )
 
     def _request_bytes(self, scatter: ScatterRequest, deadlines: Deadlines) -> RequestBytes:
-        """Prepare the request for the back ends."""
+        """Encode the request for the back ends."""
         names = self._call_context.names
         return RequestBytes(scatter.request, scatter.request_id, deadlines.deadline_at, names)
--- a/tinrudder/gateway/scatters/record_merge.py
+++ b/tinrudder/gateway/scatters/record_merge.py
@@ -1,4 +1,4 @@
-"""Merges parts of an answer: fixed-size records, compared byte by byte, the greatest first.
+"""Merges parts of an answer: fixed-size records in descending byte order.
 
 Owns nothing; pure functions on bytes.
 """
@@ -13,7 +13,7 @@
 
 
 def records_of(body: bytes) -> list[bytes]:
-    """Split a body into its records; a rest shorter than a record is none.
+    """Split a body into its records; an incomplete record at the end is dropped.
 
     >>> len(records_of(b"x" * 40))
     2
@@ -23,7 +23,7 @@
 
 
 def greatest_records(bodies: Iterable[bytes], count: int) -> bytes:
-    """Return the greatest records of all bodies, joined, falling; equal records all count.
+    """Return the ``count`` greatest records of all bodies, descending; duplicates are kept.
 
     >>> greatest_records([b"a" * 16 + b"c" * 16, b"b" * 16 + b"c" * 16], 3)[::16]
     b'ccb'
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -1,8 +1,8 @@
-"""Admits scatters: they wait as a whole before anything of them has run, one queue for each index.
+"""Admission control for scatters: one queue per index; a scatter waits before any call is sent.
 
-Owns who waits and who runs at this gateway. The decisions are in
-:mod:`tinrudder.gateway.decisions.admission.scatter_queue`; this connects them to requests, to what
-back ends report, and to the clock.
+Owns the waiting and the running scatters of this gateway. Connects the decisions of
+:mod:`tinrudder.gateway.decisions.admission.scatter_queue` to requests, to the reports of back ends,
+and to the clock.
 """
 
 from __future__ import annotations
@@ -28,12 +28,12 @@
 from tinrudder.timers import TimerHandle
 
 PART_KEPT_S = 1.0
-"""How long a gateway's part of the slots is not worked out anew: back ends and gateways come and go
-in seconds."""
+"""How long a gateway's computed part of the slots is kept, seconds: back ends and gateways come and
+go within seconds."""
 
 
 class ScatterAdmission:
-    """The admission of one index at this gateway: a queue before a concurrency limit."""
+    """The admission of one index at this gateway: a queue in front of a concurrency limit."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         delegation_context: DelegationContext,
         random_source: random.Random,
     ) -> None:
-        """Learn of back ends, callers and reports through ``delegation_context``."""
+        """Read back ends, their reports and the coordination through ``delegation_context``."""
         self.queue = ScatterQueue()
         self._call_context = delegation_context.call_context
         self._typical = TypicalShard(
@@ -60,11 +60,14 @@
 
     @property
     def held(self) -> float:
-        """Return what running scatters hold of the concurrency limit, in scatters."""
+        """Return the part of the concurrency limit that running scatters use, in scatters."""
         return sum(one.run.unanswered_share for one in self._running if one.run is not None)
 
     def _held_before(self, scatter: QueuedScatter) -> float:
-        """Return what those running hold that are as urgent as one, or more, in scatters."""
+        """Return what running scatters at least as urgent as ``scatter`` hold, in scatters.
+
+        A scatter that is late already ranks behind all running ones.
+        """
         if scatter.late:
             return self.held
         return sum(
@@ -76,7 +79,7 @@
         )
 
     def enter(self, ticket: Ticket) -> None:
-        """Start a scatter, let it wait, or refuse it."""
+        """Start, queue or refuse a scatter."""
         now = self._call_context.loop.time()
         self._follow_reports(now)
         scatter = ticket.scatter = self._describe(ticket.waiting)
@@ -91,7 +94,7 @@
             self._refuse_hopeless(now)
 
     def leave(self, ticket: Ticket) -> None:
-        """Forget a scatter that has ended, or whose caller has gone."""
+        """Remove a scatter that has ended, or whose client has disconnected."""
         now = self._call_context.loop.time()
         if ticket.run is not None and ticket in self._running:
             self._running.discard(ticket)
@@ -102,14 +105,14 @@
         self._progressed()
 
     def _progressed(self) -> None:
-        """Look soon whether there is room now; answers that are ready leave first."""
+        """Schedule a check of the queue; answers that are ready are sent before it."""
         if self.queue and self._next_look is None:
             self._next_look = self._call_context.loop.call_soon(self._look)
 
     def _look(self, at: float = 0.0) -> None:
-        """Start what there is room for, and refuse what will have none in time.
+        """Start waiting scatters that fit the limit; refuse those that would start too late.
 
-        :param at: what the timer was set to; the loop may call a little early.
+        :param at: the time for which the timer was set; the loop may call a little early.
         """
         self._next_look = None
         now = max(at, self._call_context.loop.time())
@@ -121,14 +124,14 @@
         self._refuse_hopeless(now)
 
     def _start(self, ticket: Ticket) -> None:
-        """Begin a scatter."""
+        """Start a scatter."""
         ticket.run = ticket.waiting.begin()
         ticket.run.on_progress = self._progressed
         self._running.add(ticket)
         ticket.run.start()
 
     def _refuse_hopeless(self, now: float) -> None:
-        """Refuse those that wait in vain, and look again when the next one would."""
+        """Refuse scatters that would start too late, and set the timer for the next such check."""
         for scatter, refusal in self.queue.refuse_hopeless(self.held, now):
             self._refuse(self._waiting.pop(scatter), refusal, now)
         if self._timer is not None:
@@ -139,16 +142,17 @@
             self._timer = self._call_context.loop.call_at(end_at, self._look, end_at)
 
     def _refuse(self, ticket: Ticket, refusal: ScatterRefusal, now: float) -> None:
-        """Refuse one, with what decided it and a moment to come back at."""
+        """Refuse one scatter, with the values that led to it and a ``Retry-After``."""
         self._call_context.counters.refused += 1
         assert ticket.scatter is not None
         retry_s = self._retry_after_s(ticket.scatter, refusal, now)
         ticket.waiting.refuse(NotRun(str(refusal), retry_s), now)
 
     def _retry_after_s(self, scatter: QueuedScatter, refusal: ScatterRefusal, now: float) -> float:
-        """Return when there will be room for a refused caller, behind those refused before it.
+        """Return the ``Retry-After``: when there will be room, after callers refused earlier.
 
-        Only who would wait so long has a place there; others are told the truth, once.
+        Room is reserved only for callers that would wait that long; others get the true time, and
+        nothing is reserved.
         """
         left_s = max(0.0, scatter.deadline_at - now)
         until = max(now + refusal.expected_s, self._returns_until.get(refusal.priority, 0.0))
@@ -161,7 +165,7 @@
         return retry_after_by_place_s(room_in_s, left_s, self._random.random())
 
     def _describe(self, waiting: WaitingScatter) -> QueuedScatter:
-        """Return what decides on a scatter's place."""
+        """Return the values that determine a scatter's position in the queue."""
         deadlines = waiting.deadlines
         return QueuedScatter(
             priority=waiting.priority,
@@ -173,14 +177,14 @@
         )
 
     def _usual_s(self, route: Route) -> float:
-        """Return how long a scatter of a route takes where nothing waits."""
+        """Return how long a scatter of a route takes without queueing, seconds."""
         unloaded = self._call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
             return self.queue.room.hold_s * USUAL_FACTOR
         return unloaded.quantile(0.5) * USUAL_FACTOR
 
     def _follow_reports(self, now: float) -> None:
-        """Adapt the room to the fleet and to what back ends report, where that may matter."""
+        """Adapt the limit to the fleet and, if it is in use or has changed, to reported queues."""
         room = self.queue.room
         if self._part_at is None or now - self._part_at >= PART_KEPT_S:
             self._part_at = now
@@ -196,10 +200,10 @@
 
 
 class ScatterAdmissions:
-    """The admissions of all indexes that this gateway calls."""
+    """The admission queues of all indexes whose back ends this gateway calls."""
 
     def __init__(self, delegation_context: DelegationContext, random_source: random.Random) -> None:
-        """Make admissions as they are needed."""
+        """Create the admission of an index when it is first needed."""
         self._delegation_context = delegation_context
         self._random = random_source
         self._by_index: dict[tuple[str, ...], ScatterAdmission] = {}
@@ -213,7 +217,7 @@
         return admission
 
     def forget_unused(self, indexes: frozenset[tuple[str, ...]]) -> None:
-        """Drop those of indexes that no configuration names; what waits there still ends."""
+        """Drop indexes that are not in use any more; scatters that wait there still end."""
         for index in self._by_index.keys() - indexes:
             del self._by_index[index]
 
@@ -229,14 +233,14 @@
 
     @property
     def held(self) -> float:
-        """Return what running scatters hold of the limits, in scatters."""
+        """Return the part of all limits that running scatters use, in scatters."""
         return sum(one.held for one in self._by_index.values())
 
     @property
     def limit(self) -> float:
-        """Return the concurrency limits together, in scatters."""
+        """Return the sum of the concurrency limits, in scatters."""
         return sum(one.queue.room.limit for one in self._by_index.values())
 
 
 def _nothing() -> None:
-    """Take no note."""
+    """Ignore the progress of a scatter that has ended."""
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -1,6 +1,6 @@
-"""Prepares scatters: which shards are asked from here, and which by a gateway beside them.
+"""Plans scatters: which shards this gateway calls, and which it delegates to other gateways.
 
-Owns nothing; relies on the coordination of the index, and on the round-trip times to others.
+Owns nothing; depends on the coordination of the index and the round-trip times to other gateways.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
 
 
 class ScatterPlanner:
-    """Makes the runs of scatters that this gateway merges."""
+    """Creates the runs of scatters that this gateway merges."""
 
     def __init__(
         self,
@@ -33,13 +33,13 @@
         delegation_context: DelegationContext,
         random_source: random.Random,
     ) -> None:
-        """Ask other gateways through ``delegation_context``."""
+        """Delegate shards through ``delegation_context``."""
         self._call_context = call_context
         self._delegation_context = delegation_context
         self._random = random_source
 
     def own_shards(self, route: Route) -> tuple[str, ...]:
-        """Return the shards that this gateway would ask itself."""
+        """Return the shards that this gateway calls itself."""
         return self._coordination(route).own_shards(route.shards)
 
     def run(
@@ -50,7 +50,7 @@
         deadlines: Deadlines,
         on_outcome: OutcomeListener,
     ) -> RequestRun:
-        """Prepare one scatter."""
+        """Return the run of one scatter, not started yet."""
         encoded = RequestBytes(request, request_id, deadlines.deadline_at, self._call_context.names)
         delegations = [one for one in self._delegations(route) if self._fits(one, route, deadlines)]
         elsewhere = {shard for one in delegations for shard in one.services}
@@ -66,7 +66,7 @@
         )
 
     def _delegations(self, route: Route) -> list[Delegation]:
-        """Choose for each group one of the gateways beside its replicas, by chance."""
+        """Choose at random, for each group, a gateway in a zone with its replicas."""
         total = len(route.shards)
         return [
             Delegation(
@@ -78,7 +78,7 @@
         ]
 
     def _fits(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
-        """Tell whether another gateway has the time for its shards that their calls need."""
+        """Tell whether the path to another gateway leaves enough time for its calls."""
         left_s = deadlines.objective_at - self._call_context.loop.time()
         path_s = self._delegation_context.path_time(delegation.coordinator).allowance_s
         return leaves_time(self._call_context.latency(route), left_s, path_s)
--- a/tinrudder/gateway/scatters/typical_shard.py
+++ b/tinrudder/gateway/scatters/typical_shard.py
@@ -1,7 +1,7 @@
-"""What the typical shard of an index is like: its slots for this gateway, and its queue.
+"""Slots and queue of the median shard of an index, estimated from a sample.
 
-Every scatter asks every shard, so the median shard says what one more scatter meets. Owns nothing
-but the sample; relies on what back ends report and on who else calls them.
+Every scatter calls every shard, so the median shard predicts the queueing of another scatter. Owns
+only the sample; depends on the reports of back ends and on the coordination of the index.
 """
 
 from __future__ import annotations
@@ -14,11 +14,11 @@
 from tinrudder.gateway.scatters.coordinators import Coordinators
 
 SAMPLED_SHARDS = 16
-"""So many shards tell what the typical one is like; all 90 of an index cost 0.5 ms each time."""
+"""Shards per sample: reading all 90 shards of an index takes 0.5 ms each time."""
 
 
 class TypicalShard:
-    """The median shard of one index, by a sample."""
+    """The median shard of one index, estimated from a sample."""
 
     def __init__(
         self,
@@ -27,14 +27,14 @@
         coordinators: Coordinators,
         random_source: random.Random,
     ) -> None:
-        """Sample the shards of ``index`` by ``random_source``."""
+        """Sample the shards of ``index`` with ``random_source``."""
         self._index = index
         self._directory = directory
         self._coordinators = coordinators
         self._random = random_source
 
     def own_slots(self) -> float:
-        """Return this gateway's part of the slots of the typical shard; 0: none is known."""
+        """Return this gateway's part of the median shard's slots; 0 if none are known."""
         slots = [
             sum(backend.observations.slots for backend in self._directory.staying(shard))
             for shard in self._sample(self._index)
@@ -43,7 +43,7 @@
         return statistics.median(slots) / max(1, callers)
 
     def queue(self, now: float) -> float | None:
-        """Return the wait for a slot there, in usual times of a call; ``None``: nobody reported.
+        """Return the median wait for a slot, in usual call times; ``None`` without reports.
 
         :param now: monotonic time, seconds.
         """
@@ -60,7 +60,7 @@
         return statistics.median(queues) if queues else None
 
     def _sample(self, shards: tuple[str, ...]) -> Collection[str]:
-        """Return some shards by chance."""
+        """Return a random sample of ``shards``."""
         if len(shards) <= SAMPLED_SHARDS:
             return shards
         return self._random.sample(shards, SAMPLED_SHARDS)
--- a/tinrudder/gateway/scatters/waiting_scatter.py
+++ b/tinrudder/gateway/scatters/waiting_scatter.py
@@ -1,7 +1,7 @@
 """One scatter between its arrival and its outcome, at the gateway that runs it.
 
-Owns the scatter's place in the queue of its index, and its run once it is admitted. Relies on an
-:class:`Admission`, which decides when the run begins; answers through the outcome listener.
+Owns the scatter's ticket in the admission of its index, and its run once it is admitted. Depends on
+an :class:`Admission`, which decides when the run begins; answers through the outcome listener.
 """
 
 from __future__ import annotations
@@ -20,41 +20,42 @@
 
 
 class Admission(Protocol):
-    """Decides when the scatters of one index begin."""
+    """Decides when the scatters of one index start."""
 
     def enter(self, ticket: Ticket) -> None:
-        """Start a scatter, let it wait, or refuse it."""
+        """Start, queue or refuse a scatter."""
 
     def leave(self, ticket: Ticket) -> None:
-        """Forget a scatter that has ended, or whose caller has gone."""
+        """Remove a scatter that has ended, or whose client has disconnected."""
 
 
 class Ticket:
-    """One scatter in an index's admission: it waits, runs, or has left.
+    """The record of one scatter in the admission of its index: waiting, running or removed.
 
-    :ivar run: the scatter while it runs.
+    :ivar run: the scatter's run, once it has started.
+    :ivar scatter: its entry in the queue; ``None`` before :meth:`enter`.
     """
 
     def __init__(self, admission: Admission, waiting: WaitingScatter) -> None:
-        """Prepare; nothing happens before :meth:`enter`."""
+        """Create the record; it enters the admission with :meth:`enter`."""
         self.waiting = waiting
         self.run: RequestRun | None = None
         self.scatter: QueuedScatter | None = None
         self._admission = admission
 
     def enter(self) -> None:
-        """Begin, wait, or be refused."""
+        """Ask for admission: the scatter starts, waits or is refused."""
         self._admission.enter(self)
 
     def leave(self) -> None:
-        """Give back the place in the queue, or the part of the concurrency limit."""
+        """Release the place in the queue, or the part of the concurrency limit."""
         self._admission.leave(self)
 
 
 class WaitingScatter:
-    """One scatter from its arrival to its outcome; nothing of it runs before it is admitted.
+    """One scatter from its arrival to its outcome; no call is sent before it is admitted.
 
-    :ivar decided_at: monotonic time of the latest decision on it.
+    :ivar decided_at: monotonic time of the latest decision on it, seconds.
     """
 
     def __init__(
@@ -67,10 +68,10 @@
         make_run: MakeRun,
         on_outcome: OutcomeListener,
     ) -> None:
-        """Prepare.
+        """Prepare the scatter; :meth:`start` asks for admission.
 
-        :param tenant: on whose behalf it comes; empty for nobody's.
-        :param make_run: prepares the run at the moment at which it begins.
+        :param tenant: the name of its tenant; empty without one.
+        :param make_run: creates the run when the scatter is admitted.
         """
         self.route = route
         self.deadlines = deadlines
@@ -84,17 +85,17 @@
 
     @property
     def repeats(self) -> int:
-        """Return how many calls were sent beyond the first of each shard."""
+        """Return how many retries and hedged calls were sent, over all shards."""
         return self._run.repeats if self._run is not None else 0
 
     @property
     def missing_shards(self) -> tuple[MissingShard, ...]:
-        """Return the shards without an answer; none while nothing was asked."""
+        """Return the shards without an answer; empty before the scatter runs."""
         return self._run.missing_shards if self._run is not None else ()
 
     @property
     def decided_at(self) -> float:
-        """Return when the latest decision fell."""
+        """Return the time of the latest decision, seconds."""
         return self._run.decided_at if self._run is not None else self._refused_at
 
     def start(self) -> None:
@@ -102,22 +103,22 @@
         self._ticket.enter()
 
     def abandon(self) -> None:
-        """End for a client that has left."""
+        """End the scatter for a client that has disconnected."""
         if self._run is not None:
             self._run.abandon()
         self._ticket.leave()
 
     def begin(self) -> RequestRun:
-        """Prepare the run; the admission starts it."""
+        """Create the run; the admission starts it."""
         self._run = self._make_run(self._end)
         return self._run
 
     def refuse(self, refusal: NotRun, now: float) -> None:
-        """End without having run."""
+        """End the scatter without a run."""
         self._refused_at = now
         self._on_outcome(refusal)
 
     def _end(self, outcome: RequestOutcome) -> None:
-        """Answer, then let others begin."""
+        """Report the outcome, then release the place so that others can start."""
         self._on_outcome(outcome)
         self._ticket.leave()
