--- a/tests/functional/gateway/test_overload.py
+++ b/tests/functional/gateway/test_overload.py
@@ -97,8 +97,8 @@
         await asyncio.sleep(0.5)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        (gate,) = gateway.requests.scatter_admissions.gates
-        assert (len(gate.queue), gate.held) == (0, 0.0)
+        (admission,) = gateway.requests.scatter_admissions.admissions
+        assert (len(admission.queue), admission.held) == (0, 0.0)
         ran = {arrival.request_id for arrival in site.ledger.arrivals}
         assert 0 < len({one.request_id for one in results} & ran) < len(results)
 
@@ -112,7 +112,7 @@
         await asyncio.sleep(0.01)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert len(gateway.requests.scatter_admissions.gates[0].queue) > 0
+        assert len(gateway.requests.scatter_admissions.admissions[0].queue) > 0
         gateway.request_stop()
         assert {one.status for one in await asyncio.gather(*asked)} == {200}
 
--- a/tests/unit/gateway/test_refusals.py
+++ b/tests/unit/gateway/test_refusals.py
@@ -10,8 +10,8 @@
 from tinrudder.gateway.model.outcomes import Invalid, NotRun, UnknownRoute
 from tinrudder.gateway.requests.authentication import AuthenticatedRequest
 from tinrudder.gateway.requests.refusals import (
-    RETRY_AFTER_START_S,
     RULES,
+    STARTUP_RETRY_AFTER_S,
     refusal_at_start,
     refusal_on_arrival,
 )
@@ -25,7 +25,7 @@
     )
 
 
-def judges(**fields: Any) -> Any:
+def checks(**fields: Any) -> Any:
     memory = SimpleNamespace(may_be_near=False)
     known = {"call_context": SimpleNamespace(names=NAMES, memory=memory)}
     return SimpleNamespace(**{**known, **fields})
@@ -54,14 +54,14 @@
 def test_a_broken_request_is_refused_before_anything_is_asked_of_a_configuration() -> None:
     without_host = HttpRequest(b"GET", b"/", ((b"id", b"1"),), b"")
     request = arrived(without_host)
-    assert refusal_on_arrival(judges(), request) == Invalid(400, "host: must stand exactly once")
+    assert refusal_on_arrival(checks(), request) == Invalid(400, "host: must stand exactly once")
     assert request.request_id == b""
 
 
 def test_an_incomplete_state_is_refused_with_its_id_and_without_a_version() -> None:
     request = arrived(WELL_FORMED, routes_with(None))
-    refusal = refusal_on_arrival(judges(state=SimpleNamespace(complete=False)), request)
-    assert refusal == NotRun("no configuration is known yet", RETRY_AFTER_START_S)
+    refusal = refusal_on_arrival(checks(state=SimpleNamespace(complete=False)), request)
+    assert refusal == NotRun("no configuration is known yet", STARTUP_RETRY_AFTER_S)
     assert (request.request_id, request.version) == (b"1", 0)
 
 
@@ -70,19 +70,19 @@
         complete=True, configuration_version=7, unconfirmed_s=lambda topic: 1.25
     )
     request = arrived(WELL_FORMED, routes_with(None))
-    known = refusal_on_arrival(judges(state=state, is_fresh=lambda: True), request)
-    told = "version 7, the store's last word heard of: 1.25 s ago"
-    assert known == UnknownRoute(f"no route, {told}")
+    known = refusal_on_arrival(checks(state=state, is_fresh=lambda: True), request)
+    age = "version 7, the store's last word heard of: 1.25 s ago"
+    assert known == UnknownRoute(f"no route, {age}")
     assert request.version == 7
-    unsure = refusal_on_arrival(judges(state=state, is_fresh=lambda: False), request)
+    unsure = refusal_on_arrival(checks(state=state, is_fresh=lambda: False), request)
     assert isinstance(unsure, NotRun)
-    assert unsure.detail.endswith(told)
+    assert unsure.detail.endswith(age)
 
 
 def test_at_the_start_the_first_rule_that_refuses_ends_the_chain() -> None:
     asked: list[str] = []
 
-    def judge(name: str, refusal: NotRun | None) -> Any:
+    def component(name: str, refusal: NotRun | None) -> Any:
         def refuse(*_: object) -> NotRun | None:
             asked.append(name)
             return refusal
@@ -94,7 +94,7 @@
         route=SimpleNamespace(shards=()), authenticated=AuthenticatedRequest(WELL_FORMED, None)
     )
     refusal = refusal_at_start(
-        judges(reachability=judge("zone", None), poison=judge("poison", poisoned)), request
+        checks(reachability=component("zone", None), poison=component("poison", poisoned)), request
     )
     assert refusal is poisoned
     assert asked == ["zone", "poison"]
--- a/tinrudder/gateway/requests/api_keys.py
+++ b/tinrudder/gateway/requests/api_keys.py
@@ -17,14 +17,14 @@
 from tinrudder.gateway.model.configuration import GatewayConfiguration, HeaderNames, Tenant
 from tinrudder.gateway.model.http_messages import HttpRequest
 
-LONGEST_KEY_BYTES = 1024
+MAX_KEY_BYTES = 1024
 """Longest accepted key, bytes: fifty times as long as the keys seen, and far below the limit on
 headers."""
 DIGEST_BYTES = 16
 """Length of a key's digest, bytes: with a million keys, a collision occurs in one of 10^27
 configurations."""
 AUTHORIZATION = b"authorization"
-SCHEME = b"token"
+AUTHORIZATION_SCHEME = b"token"
 _SECRET = os.urandom(32)
 
 
@@ -51,8 +51,8 @@
 
 Identity = Known | Unknown | Ambiguous
 NO_KEY = Unknown("no key")
-MALFORMED = Unknown("credentials of another form")
-FOREIGN_KEY = Unknown("a key that no tenant has")
+MALFORMED_CREDENTIALS = Unknown("credentials of another form")
+UNKNOWN_KEY = Unknown("a key that no tenant has")
 
 
 class KeyRing(Struct, frozen=True):
@@ -82,10 +82,10 @@
             return Ambiguous()
         scheme, _, key = credentials[0].strip().partition(b" ")
         key = key.strip()
-        if scheme.lower() != SCHEME or not key or len(key) > LONGEST_KEY_BYTES:
-            return MALFORMED
+        if scheme.lower() != AUTHORIZATION_SCHEME or not key or len(key) > MAX_KEY_BYTES:
+            return MALFORMED_CREDENTIALS
         tenant = self.tenants.get(digest_of(key))
-        return FOREIGN_KEY if tenant is None else Known(tenant)
+        return UNKNOWN_KEY if tenant is None else Known(tenant)
 
 
 def without_credentials(
--- a/tinrudder/gateway/requests/authentication.py
+++ b/tinrudder/gateway/requests/authentication.py
@@ -22,12 +22,12 @@
 from tinrudder.gateway.requests.api_keys import Ambiguous, Known, Unknown, without_credentials
 from tinrudder.gateway.requests.routes_in_force import RoutesInForce
 
-RETRY_STALE_S = 0.5
+STALE_RETRY_AFTER_S = 0.5
 """Shortest ``Retry-After`` of a gateway whose configuration may be stale, seconds.  One round trip
 to a peer or the store confirms the configuration, and several fit into this time."""
-RETRY_SPREAD = 0.5
-"""Largest random increase of :data:`RETRY_STALE_S`, as a fraction of it, so that clients do not all
-retry at the same time."""
+RETRY_AFTER_SPREAD = 0.5
+"""Largest random increase of :data:`STALE_RETRY_AFTER_S`, as a fraction of it, so that clients do
+not all retry at the same time."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,30 +86,30 @@
         allow them.
         """
         if not routes.keys.required:
-            return AuthenticatedRequest(without_tenant(request, self._names), None)
+            return AuthenticatedRequest(without_tenant_header(request, self._names), None)
         identity = routes.keys.identify(request)
         if isinstance(identity, Ambiguous):
             return Invalid(STATUS_BAD_REQUEST, "authorization: must stand at most once")
         if not route.public:
             if self._is_stale():
-                return self._not_run("what the operator asked for lately may not be known here")
+                return self._retry_later("what the operator asked for lately may not be known here")
             if isinstance(identity, Unknown):
-                return self._unknown(identity)
+                return self._refuse_unknown_key(identity)
         tenant = identity.tenant if isinstance(identity, Known) else None
         return AuthenticatedRequest(without_credentials(request, tenant, self._names), tenant)
 
-    def _unknown(self, identity: Unknown) -> RequestOutcome:
+    def _refuse_unknown_key(self, identity: Unknown) -> RequestOutcome:
         """Refuse an unknown key: finally, or with a retry if a newer configuration may have it."""
         if self._is_fresh():
             return Unauthorized(identity.detail)
-        return self._not_run(f"{identity.detail}, and no word from store or peers lately")
+        return self._retry_later(f"{identity.detail}, and no word from store or peers lately")
 
-    def _not_run(self, detail: str) -> NotRun:
-        spread = self._random.uniform(1.0, 1.0 + RETRY_SPREAD)
-        return NotRun(detail, RETRY_STALE_S * spread)
+    def _retry_later(self, detail: str) -> NotRun:
+        factor = self._random.uniform(1.0, 1.0 + RETRY_AFTER_SPREAD)
+        return NotRun(detail, STALE_RETRY_AFTER_S * factor)
 
 
-def without_tenant(request: HttpRequest, names: HeaderNames) -> HttpRequest:
+def without_tenant_header(request: HttpRequest, names: HeaderNames) -> HttpRequest:
     """Drop a client's tenant header where no tenants are configured; most requests have none."""
     if all(name != names.tenant for name, _ in request.headers):
         return request
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -37,7 +37,7 @@
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import Topic
 
-RETRY_AFTER_START_S = 0.3
+STARTUP_RETRY_AFTER_S = 0.3
 """``Retry-After`` of a process that has no configuration yet, seconds: ten requests to peers fit
 into this time."""
 
@@ -80,26 +80,26 @@
 class ArrivalRule(Rule, frozen=True):
     """A rule on a request that has been read and not authorized yet."""
 
-    judge: Callable[[Judges, ClientRequest], RequestOutcome | None]
+    check: Callable[[Judges, ClientRequest], RequestOutcome | None]
 
 
 class StartRule(Rule, frozen=True):
     """A rule on an authorized request, evaluated when it would start."""
 
-    judge: Callable[[Judges, AuthorizedRequest], NotRun | None]
+    check: Callable[[Judges, AuthorizedRequest], NotRun | None]
 
 
-def refusal_on_arrival(judges: Judges, request: ClientRequest) -> RequestOutcome | None:
+def refusal_on_arrival(checks: Judges, request: ClientRequest) -> RequestOutcome | None:
     """Return the first refusal of a request that has just been read; ``None``: there is none."""
     for rule in ARRIVAL_RULES:
-        refusal = rule.judge(judges, request)
+        refusal = rule.check(checks, request)
         if refusal is not None:
             return refusal
     return None
 
 
-def judge_quota(
-    judges: Judges, request: ClientRequest, decide: Callable[[OverQuota | NotRun | None], None]
+def check_quota(
+    checks: Judges, request: ClientRequest, decide: Callable[[OverQuota | NotRun | None], None]
 ) -> None:
     """Call ``decide`` with the quota's refusal or ``None``, at once or after a round trip.
 
@@ -109,26 +109,26 @@
     if tenant is None:
         decide(None)
     else:
-        judges.quotas.admit(tenant, decide)
+        checks.quotas.admit(tenant, decide)
 
 
-def refusal_at_start(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
+def refusal_at_start(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
     """Return the first refusal of an authorized request; ``None`` lets it start."""
     for rule in START_RULES:
-        refusal = rule.judge(judges, request)
+        refusal = rule.check(checks, request)
         if refusal is not None:
             return refusal
     return None
 
 
-def _judge_protocol(judges: Judges, request: ClientRequest) -> Invalid | None:
+def _check_protocol(checks: Judges, request: ClientRequest) -> Invalid | None:
     http_request = request.http_request
     if not http_request.target.startswith(b"/"):
         return Invalid(STATUS_BAD_REQUEST, "target: must begin with a slash")
     names = [name for name, _ in http_request.headers]
     if names.count(b"host") != 1:
         return Invalid(STATUS_BAD_REQUEST, "host: must stand exactly once")
-    id_name = judges.call_context.names.request_id
+    id_name = checks.call_context.names.request_id
     ids = [value for name, value in http_request.headers if name == id_name]
     if len(ids) != 1 or not ids[0]:
         return Invalid(STATUS_BAD_REQUEST, "request id: must stand exactly once")
@@ -136,35 +136,37 @@
     return None
 
 
-def _judge_configuration(judges: Judges, request: ClientRequest) -> NotRun | None:
-    if request.routes is None or not judges.state.complete:
-        return NotRun("no configuration is known yet", RETRY_AFTER_START_S)
+def _check_configuration(checks: Judges, request: ClientRequest) -> NotRun | None:
+    if request.routes is None or not checks.state.complete:
+        return NotRun("no configuration is known yet", STARTUP_RETRY_AFTER_S)
     request.version = request.routes.configuration.version
     return None
 
 
-def _judge_route(judges: Judges, request: ClientRequest) -> UnknownRoute | NotRun | None:
+def _check_route(checks: Judges, request: ClientRequest) -> UnknownRoute | NotRun | None:
     assert request.routes is not None
     request.route = request.routes.find(request.http_request)
     if request.route is not None:
         return None
-    known = _knowledge_told(judges.state)
-    if judges.is_fresh():
+    known = _describe_configuration_age(checks.state)
+    if checks.is_fresh():
         return UnknownRoute(f"no route, {known}")
-    return NotRun(f"no route, and no word from store or peers lately; {known}", RETRY_AFTER_START_S)
+    return NotRun(
+        f"no route, and no word from store or peers lately; {known}", STARTUP_RETRY_AFTER_S
+    )
 
 
-def _knowledge_told(state: SharedState) -> str:
+def _describe_configuration_age(state: SharedState) -> str:
     """Describe the age of the configuration in force, for the request's log line."""
     age_s = state.unconfirmed_s(Topic.OPERATOR)
     when = f"{age_s:.2f} s ago" if age_s != float("inf") else "never"
     return f"version {state.configuration_version}, the store's last word heard of: {when}"
 
 
-def _judge_key(judges: Judges, request: ClientRequest) -> RequestOutcome | None:
+def _check_key(checks: Judges, request: ClientRequest) -> RequestOutcome | None:
     assert request.routes is not None
     assert request.route is not None
-    authenticated = judges.authentication.authenticate(
+    authenticated = checks.authentication.authenticate(
         request.routes, request.route, request.http_request
     )
     if not isinstance(authenticated, AuthenticatedRequest):
@@ -173,27 +175,27 @@
     return None
 
 
-def _judge_reachability(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
-    return judges.reachability.refusal(request.route)
+def _check_reachability(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+    return checks.reachability.refusal(request.route)
 
 
-def _judge_memory(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
-    memory = judges.call_context.memory
+def _check_memory(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+    memory = checks.call_context.memory
     if not memory.may_be_near:
         return None
     return memory.refusal(request.steps_below_urgent)
 
 
-def _judge_poison(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
-    return judges.poison.refusal(request.route, request.authenticated.request)
+def _check_poison(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+    return checks.poison.refusal(request.route, request.authenticated.request)
 
 
-def _judge_overload(judges: Judges, request: AuthorizedRequest) -> NotRun | None:
+def _check_overload(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
     route = request.route
     if route.shards:
         return None
-    request.service = request.routes.choose_service(route, judges.random)
-    return judges.service_admission.refusal(
+    request.service = request.routes.choose_service(route, checks.random)
+    return checks.service_admission.refusal(
         route,
         request.service,
         request.deadlines,
@@ -207,25 +209,25 @@
         "protocol",
         "Does the request have a path, one host header and one request id?",
         "Invalid: the first of them that is missing or invalid.",
-        _judge_protocol,
+        _check_protocol,
     ),
     ArrivalRule(
         "configuration",
         "Has this gateway read the whole configuration and all back ends?",
         "NotRun: the gateway has just started.",
-        _judge_configuration,
+        _check_configuration,
     ),
     ArrivalRule(
         "route",
         "Does a route of the configuration in force match host and path?",
         "UnknownRoute, or NotRun if a newer configuration may exist.",
-        _judge_route,
+        _check_route,
     ),
     ArrivalRule(
         "key",
         "Does its key belong to a tenant, or is no key required, by a fresh enough configuration?",
         "Invalid: two sets of credentials. Unauthorized: unknown key. NotRun: may be stale.",
-        _judge_key,
+        _check_key,
     ),
 )
 QUOTA_RULE = Rule(
@@ -238,26 +240,26 @@
         "cut zone",
         "Can enough of its shards, or one of its back ends, be reached from this zone?",
         "NotRun: the zones that cannot be reached.",
-        _judge_reachability,
+        _check_reachability,
     ),
     StartRule(
         "memory",
         "Does the gateway have memory for it?  Less urgent requests are refused first.",
         "NotRun: the memory in use.",
-        _judge_memory,
+        _check_memory,
     ),
     StartRule(
         "poison",
         "Have back ends crashed too rarely under it or its caller's other requests to bar it?",
         "NotRun: when it may be tried again.",
-        _judge_poison,
+        _check_poison,
     ),
     StartRule(
         "overload",
         "Will a back end of its service probably answer in time?  Scatters pass: the gateway that "
         "runs them checks its queue.",
         "NotRun: expected wait, admitted share and time left.",
-        _judge_overload,
+        _check_overload,
     ),
 )
 RULES: tuple[Rule, ...] = (*ARRIVAL_RULES, QUOTA_RULE, *START_RULES)
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -18,7 +18,7 @@
 from tinrudder.gateway.requests.client_request import ClientRequest
 from tinrudder.gateway.requests.refusals import (
     Judges,
-    judge_quota,
+    check_quota,
     refusal_at_start,
     refusal_on_arrival,
 )
@@ -29,26 +29,26 @@
 class RequestHandler:
     """Serves clients' requests by the configuration in force."""
 
-    def __init__(self, judges: Judges, planner: RunPlanner, observer: RequestObserver) -> None:
+    def __init__(self, checks: Judges, planner: RunPlanner, observer: RequestObserver) -> None:
         """Report every finished request to ``observer``.
 
-        :param judges: the components that decide whether a request may run.
+        :param checks: the components that decide whether a request may run.
         :param planner: decides where an admitted request runs.
         """
         self.in_progress = 0
-        self.call_context = judges.call_context
-        self._judges = judges
+        self.call_context = checks.call_context
+        self._checks = checks
         self._planner = planner
         self._observer = observer
         self._stopping = False
         self._routes: RoutesInForce | None = None
         self._deadlines = ClientDeadlines(self.call_context.names)
-        judges.state.subscribe(self._refresh)
+        checks.state.subscribe(self._refresh)
 
     @property
     def closing(self) -> bool:
         """Tell whether clients should use other gateways: on a planned stop or in a partition."""
-        return self._stopping or self._judges.reachability.is_cut_off
+        return self._stopping or self._checks.reachability.is_cut_off
 
     def stop(self) -> None:
         """From now on, tell clients with their next answer to use another gateway."""
@@ -70,14 +70,18 @@
         """Serve one request."""
         client_request = ClientRequest(self, request, connection, self._routes)
         self.call_context.counters.requests += 1
-        refusal = refusal_on_arrival(self._judges, client_request)
+        refusal = refusal_on_arrival(self._checks, client_request)
         if refusal is not None:
             client_request.end(refusal)
         else:
-            judge_quota(self._judges, client_request, partial(self._on_quota, client_request))
+            check_quota(
+                self._checks, client_request, partial(self._on_quota_decision, client_request)
+            )
         return client_request
 
-    def _on_quota(self, request: ClientRequest, refusal: OverQuota | NotRun | None) -> None:
+    def _on_quota_decision(
+        self, request: ClientRequest, refusal: OverQuota | NotRun | None
+    ) -> None:
         """Start a request within its quota, unless its client has disconnected meanwhile."""
         if refusal is None:
             request.granted = True
@@ -97,7 +101,7 @@
             request.route, request.authenticated.request, request.received_at
         )
         authorized = request.authorized(deadlines)
-        refusal = refusal_at_start(self._judges, authorized)
+        refusal = refusal_at_start(self._checks, authorized)
         if refusal is not None:
             self.call_context.counters.refused += 1
             request.end(refusal)
@@ -109,7 +113,7 @@
 
     def give_back(self, tenant: Tenant) -> None:
         """Return a granted request that has not run to its tenant's quota."""
-        self._judges.quotas.give_back(tenant)
+        self._checks.quotas.give_back(tenant)
 
     def finished(self, request: FinishedRequest) -> None:
         """Report the end of one request to the observer."""
@@ -117,7 +121,7 @@
 
     def _refresh(self) -> None:
         """Index a new configuration and drop the state of names that it no longer has."""
-        accepted = self._judges.state.accepted
+        accepted = self._checks.state.accepted
         if accepted is None:
             return
         configuration = accepted.configuration
@@ -128,4 +132,4 @@
         self.call_context.forget_unused(frozenset(configuration.services), names)
         self._deadlines.forget_unused(names)
         self._planner.forget_unused(frozenset(route.shards for route in configuration.routes))
-        self._judges.quotas.forget_unused(frozenset(self._routes.tenants))
+        self._checks.quotas.forget_unused(frozenset(self._routes.tenants))
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -49,10 +49,10 @@
         queues.
         """
         if not request.route.shards:
-            return self._run_single(request, on_outcome)
+            return self._single_backend_run(request, on_outcome)
         coordination = self._delegation_context.coordinators.of_route(request.route)
         if coordination.own:
-            return self._run_scatter_here(request, on_outcome)
+            return self._local_scatter(request, on_outcome)
         return DelegatedScatter(
             request.route,
             request.authenticated.request,
@@ -60,7 +60,7 @@
             request.deadlines,
             self._delegation_context,
             coordination.asked,
-            lambda listener: self._run_scatter_here(request, listener),
+            lambda listener: self._local_scatter(request, listener),
             on_outcome,
             request.priority,
         )
@@ -72,7 +72,7 @@
         """
         self._scatter_admissions.forget_unused(indexes)
 
-    def _run_scatter_here(
+    def _local_scatter(
         self, request: AuthorizedRequest, on_outcome: OutcomeListener
     ) -> WaitingScatter:
         """Return a scatter that waits here; this gateway or others near the shards call them."""
@@ -90,7 +90,9 @@
             on_outcome,
         )
 
-    def _run_single(self, request: AuthorizedRequest, on_outcome: OutcomeListener) -> RequestRun:
+    def _single_backend_run(
+        self, request: AuthorizedRequest, on_outcome: OutcomeListener
+    ) -> RequestRun:
         """Return the run of a request at one back end of its chosen service."""
         route = request.route
         service = request.service
@@ -102,9 +104,9 @@
             self._call_context.names,
         )
 
-        def refuse_after_rejections(detail: str, least_s: float) -> NotRun:
+        def refuse_after_rejections(detail: str, min_retry_after_s: float) -> NotRun:
             return self._service_admission.after_rejections(
-                detail, route, service, deadlines, least_s
+                detail, route, service, deadlines, min_retry_after_s
             )
 
         context = RunContext.of(self._call_context, route, encoded, deadlines)
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -41,7 +41,7 @@
         now = deadlines.received_at
         if tenant:
             self._tenants.note(tenant, now)
-        admitted = self._judge(route, service, deadlines, priority_steps, now)
+        admitted = self._admitted_share(route, service, deadlines, priority_steps, now)
         share = admitted.share
         if tenant:
             share = self._tenants.share_of(tenant, share, now)
@@ -52,19 +52,24 @@
         return self._not_run(detail, AdmittedShare(share, admitted.wait_s), deadlines, now)
 
     def after_rejections(
-        self, detail: str, route: Route, service: str, deadlines: Deadlines, least_s: float
+        self,
+        detail: str,
+        route: Route,
+        service: str,
+        deadlines: Deadlines,
+        min_retry_after_s: float,
     ) -> NotRun:
         """Return the refusal of a request that back ends rejected.
 
-        :param least_s: the shortest ``Retry-After``, seconds; it holds where reported queues do not
-            explain the rejections.
+        :param min_retry_after_s: the shortest ``Retry-After``, seconds, for rejections that the
+            reported queues do not explain.
         """
         now = self._call_context.loop.time()
-        admitted = self._judge(route, service, deadlines, 0, now)
+        admitted = self._admitted_share(route, service, deadlines, 0, now)
         refusal = self._not_run(detail, admitted, deadlines, now)
-        return NotRun(detail, max(least_s, refusal.retry_after_s))
+        return NotRun(detail, max(min_retry_after_s, refusal.retry_after_s))
 
-    def _judge(
+    def _admitted_share(
         self, route: Route, service: str, deadlines: Deadlines, priority_steps: int, now: float
     ) -> AdmittedShare:
         """Return the share of such requests to admit, from the latest reports."""
@@ -84,7 +89,5 @@
     ) -> NotRun:
         """Return a refusal with its ``Retry-After``."""
         left_s = deadlines.deadline_at - now
-        chance = self._call_context.random.random()
-        return NotRun(
-            detail, retry_after_by_share_s(admitted.wait_s, admitted.share, left_s, chance)
-        )
+        draw = self._call_context.random.random()
+        return NotRun(detail, retry_after_by_share_s(admitted.wait_s, admitted.share, left_s, draw))
--- a/tinrudder/gateway/requests/tenant_configuration.py
+++ b/tinrudder/gateway/requests/tenant_configuration.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from tinrudder.gateway.model.configuration import Tenant
-from tinrudder.gateway.requests.api_keys import LONGEST_KEY_BYTES, digest_of
+from tinrudder.gateway.requests.api_keys import MAX_KEY_BYTES, digest_of
 
 
 class TenantsError(Exception):
@@ -67,6 +67,6 @@
 def _digest(field: str, key: str) -> bytes:
     """Return a key's digest."""
     encoded = key.encode()
-    if not 0 < len(encoded) <= LONGEST_KEY_BYTES:
-        raise TenantsError(f"{field} must have 1 to {LONGEST_KEY_BYTES} bytes")
+    if not 0 < len(encoded) <= MAX_KEY_BYTES:
+        raise TenantsError(f"{field} must have 1 to {MAX_KEY_BYTES} bytes")
     return digest_of(encoded)
--- a/tinrudder/gateway/scatters/coordinator_backoff.py
+++ b/tinrudder/gateway/scatters/coordinator_backoff.py
@@ -9,10 +9,10 @@
 
 from tinrudder.common.address import Address
 
-FIRST_AVOIDANCE_S = 0.5
+INITIAL_BACKOFF_S = 0.5
 """How long a gateway is avoided after its first failure, seconds: as long as a coordination is
 cached, so that the next choice excludes the gateway."""
-LONGEST_AVOIDANCE_S = 4.0
+MAX_BACKOFF_S = 4.0
 """Longest back-off, seconds: eight times the first. A gateway that has recovered is asked again
 within seconds, and one that has not costs one failed request in this time."""
 
@@ -38,7 +38,7 @@
         avoided = self._avoided.setdefault(coordinator, _Avoided(0, 0.0))
         if avoided.until > now:
             return False
-        avoided.until = now + min(LONGEST_AVOIDANCE_S, FIRST_AVOIDANCE_S * 2**avoided.failures)
+        avoided.until = now + min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**avoided.failures)
         avoided.failures += 1
         return True
 
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -31,13 +31,13 @@
 from tinrudder.gateway.scatters.coordinator_backoff import CoordinatorBackoff
 from tinrudder.gateway.store.shared_state import SharedState
 
-KEPT_FOR_S = 0.5
+DECISION_LIFETIME_S = 0.5
 """How long a decision is cached, seconds: members join and leave within seconds, and every request
 of an index reads its coordination."""
-ASKED_AT_MOST = 3
+MAX_COORDINATORS_ASKED = 3
 """How many coordinators a gateway asks before it runs a scatter itself: each one that does not
 answer costs up to 0.1 s of the time to the objective."""
-COORDINATORS_PART = 0.75
+COORDINATORS_BUDGET_SHARE = 0.75
 """Part of the fleet's hedges and retries that coordinators may send; the rest is for gateways that
 must run a scatter themselves."""
 
@@ -64,8 +64,11 @@
     _by_index: dict[tuple[str, ...], Coordination] = field(default_factory=dict)
     _index_of: dict[str, tuple[str, ...]] = field(default_factory=dict)
     _backoff: CoordinatorBackoff = field(default_factory=CoordinatorBackoff)
+    # The decision last passed to ``on_change``, for each index.
     _reported: dict[tuple[str, ...], CoordinationKey] = field(default_factory=dict)
+    # The coordination of services without an index: every gateway calls them.
     _all: Coordination | None = None
+    # The configuration from which ``_index_of`` was built.
     _indexed: GatewayConfiguration | None = None
 
     def connect(
@@ -104,8 +107,8 @@
         if index is not None:
             return self._of_index(index)
         now = self.clock()
-        if self._all is None or now - self._all.decided_at >= KEPT_FOR_S:
-            self._all = self._by_all(now)
+        if self._all is None or now - self._all.decided_at >= DECISION_LIFETIME_S:
+            self._all = self._called_by_all(now)
         return self._all
 
     def failed(self, coordinator: Address) -> None:
@@ -124,12 +127,12 @@
     def _of_index(self, index: tuple[str, ...]) -> Coordination:
         """Return an index's cached decision, or a new one if it has expired."""
         now = self.clock()
-        known = self._by_index.get(index)
-        if known is None or now - known.decided_at >= KEPT_FOR_S:
-            known = self._decide(index, now)
-            self._by_index[index] = known
-            self._report(index, known)
-        return known
+        decision = self._by_index.get(index)
+        if decision is None or now - decision.decided_at >= DECISION_LIFETIME_S:
+            decision = self._decide(index, now)
+            self._by_index[index] = decision
+            self._report(index, decision)
+        return decision
 
     def _report(self, index: tuple[str, ...], coordination: Coordination) -> None:
         """Report a decision if it differs from the last one reported."""
@@ -144,25 +147,25 @@
         others = [one for one in self.peers.candidates(now) if not self.is_closed(one.zone)]
         if count is None:
             delegated = self._delegated(index, zones, others, now)
-            return replace(self._by_all(now), delegated=delegated)
+            return replace(self._called_by_all(now), delegated=delegated)
         own = self.describe_own()
         members = [own, *others]
         by_name = {str(member.address): member for member in members}
         serving = [member for member in members if member.serves_others]
-        candidates = [_candidate(member) for member in _near(serving, zones)]
+        candidates = [_candidate(member) for member in _members_near_backends(serving, zones)]
         chosen = choose_coordinators("\n".join(index), candidates, count)
         callers = max(count, len(chosen))
         if any(one.name == str(own.address) for one in chosen):
-            beside = [by_name[one.name] for one in chosen if one.name != str(own.address)]
-            delegated = self._delegated(index, zones, beside, now)
-            sharers = callers / COORDINATORS_PART
+            others_chosen = [by_name[one.name] for one in chosen if one.name != str(own.address)]
+            delegated = self._delegated(index, zones, others_chosen, now)
+            sharers = callers / COORDINATORS_BUDGET_SHARE
             names = frozenset(one.name for one in chosen)
             return Coordination(True, (), callers, sharers, now, delegated, names)
         order = preference(str(own.address), own.zone, chosen)
         addresses = [by_name[one.name].address for one in order]
         asked = tuple(one for one in addresses if not self._backoff.avoids(one, now))
-        sharers = self.peers.nodes(now) / (1.0 - COORDINATORS_PART)
-        return Coordination(False, asked[:ASKED_AT_MOST], callers, sharers, now)
+        sharers = self.peers.nodes(now) / (1.0 - COORDINATORS_BUDGET_SHARE)
+        return Coordination(False, asked[:MAX_COORDINATORS_ASKED], callers, sharers, now)
 
     def _delegated(
         self,
@@ -172,19 +175,20 @@
         now: float,
     ) -> tuple[DelegatedGroup, ...]:
         """Return the shards that some of ``members`` should call for this gateway."""
-        willing = [one for one in members if not self._backoff.avoids(one.address, now)]
+        available = [one for one in members if not self._backoff.avoids(one.address, now)]
         own_zone = self.describe_own().zone
         groups = group_by_place(
             own_zone,
-            {member.zone for member in willing},
+            {member.zone for member in available},
             dict(zip(index, zones, strict=True)),
             self._sizes(index),
         )
         return tuple(
-            DelegatedGroup(group.shards, _strong_in(group.zones, willing)) for group in groups
+            DelegatedGroup(group.shards, _strong_member_addresses(group.zones, available))
+            for group in groups
         )
 
-    def _by_all(self, now: float) -> Coordination:
+    def _called_by_all(self, now: float) -> Coordination:
         """Return the coordination in which every gateway calls the back ends itself."""
         nodes = self.peers.nodes(now)
         members = [self.describe_own(), *self.peers.candidates(now)]
@@ -200,20 +204,20 @@
         return IndexDemand(max(1, replicas), min(limits, default=1))
 
 
-def _near(members: list[Member], zones: list[tuple[str, ...]]) -> list[Member]:
+def _members_near_backends(members: list[Member], zones: list[tuple[str, ...]]) -> list[Member]:
     """Return the members in zones with back ends, or all members if there are none.
 
     From another zone every call would cross zones, while a delegated scatter crosses once.
     """
-    with_backends = {zone for of_shard in zones for zone in of_shard}
-    return [member for member in members if member.zone in with_backends] or members
+    backend_zones = {zone for of_shard in zones for zone in of_shard}
+    return [member for member in members if member.zone in backend_zones] or members
 
 
-def _strong_in(zones: Collection[str], members: list[Member]) -> tuple[Address, ...]:
+def _strong_member_addresses(zones: Collection[str], members: list[Member]) -> tuple[Address, ...]:
     """Return the addresses of the members in ``zones`` with enough capacity."""
-    there = {str(one.address): one for one in members if one.zone in zones}
-    strong = strong_ones(_candidate(one) for one in there.values())
-    return tuple(there[one.name].address for one in strong)
+    in_zones = {str(one.address): one for one in members if one.zone in zones}
+    strong = strong_ones(_candidate(one) for one in in_zones.values())
+    return tuple(in_zones[one.name].address for one in strong)
 
 
 def _candidate(member: Member) -> Candidate:
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -1,8 +1,8 @@
 """A scatter delegated to a coordinator, at the gateway that received it from the client.
 
 Owns the attempts at one coordinator after another, and which outcome can be reported after them.
-Depends on :mod:`tinrudder.gateway.scatters.delegation` for each attempt, and on ``run_here`` if
-none succeeds.
+Depends on :mod:`tinrudder.gateway.scatters.delegation` for each attempt, and on ``make_local_run``
+if none succeeds.
 """
 
 from __future__ import annotations
@@ -48,12 +48,12 @@
         request_id: bytes,
         deadlines: Deadlines,
         delegation_context: DelegationContext,
-        asked: tuple[Address, ...],
-        run_here: Callable[[OutcomeListener], WaitingScatter],
+        coordinators: tuple[Address, ...],
+        make_local_run: Callable[[OutcomeListener], WaitingScatter],
         on_outcome: OutcomeListener,
         priority: int,
     ) -> None:
-        """Prepare the scatter; ``run_here`` creates the run on this gateway if all others fail."""
+        """Prepare the scatter; ``make_local_run`` creates the run here if all coordinators fail."""
         self._priority = priority
         self.repeats = 0
         self.missing_shards: tuple[MissingShard, ...] = ()
@@ -62,14 +62,14 @@
         self._request_id = request_id
         self._deadlines = deadlines
         self._delegation_context = delegation_context
-        self._asked = asked
-        self._run_here = run_here
+        self._coordinators = coordinators
+        self._make_local_run = make_local_run
         self._on_outcome = on_outcome
-        self._lost = False
+        self._coordinator_lost = False
         self._may_have_run = False
-        self._problems: list[str] = []
+        self._failures: list[str] = []
         self._task: asyncio.Task[None] | None = None
-        self._local: WaitingScatter | None = None
+        self._local_run: WaitingScatter | None = None
 
     def start(self) -> None:
         """Ask the first coordinator."""
@@ -78,24 +78,24 @@
 
     def abandon(self) -> None:
         """End the scatter for a client that has disconnected, also at the coordinator."""
-        if self._local is not None:
-            self._local.abandon()
+        if self._local_run is not None:
+            self._local_run.abandon()
         elif self._task is not None:
             self._task.cancel()
 
     async def _run(self) -> None:
         """Ask coordinators until one answers."""
-        for coordinator in self._asked:
+        for coordinator in self._coordinators:
             if not self._may_ask_again:
                 break
             end = await self._ask(coordinator)
             if end is not None:
-                self._take(end)
+                self._process_answer(end)
                 return
-        detail = "; ".join(self._problems)
+        detail = "; ".join(self._failures)
         if self._may_ask_again:
-            self._run_local()
-        elif self._left_s <= ANSWER_MARGIN_S:
+            self._start_local_run()
+        elif self._time_left_s <= ANSWER_MARGIN_S:
             self._on_outcome(TimedOut(detail))
         else:
             self._on_outcome(NoAnswer(detail))
@@ -116,16 +116,16 @@
             case ScatterEnd():
                 return outcome
             case NotStarted(detail=detail):
-                self._problems.append(detail)
+                self._failures.append(detail)
             case Unconfirmed(detail=detail):
-                self._problems.append(detail)
+                self._failures.append(detail)
                 self._may_have_run = True
             case LostAfterStart(detail=detail):
-                self._problems.append(detail)
-                self._lost = True
+                self._failures.append(detail)
+                self._coordinator_lost = True
         return None
 
-    def _take(self, end: ScatterEnd) -> None:
+    def _process_answer(self, end: ScatterEnd) -> None:
         """Process a coordinator's answer."""
         self.repeats = end.repeats
         self.missing_shards = end.missing_shards
@@ -137,16 +137,16 @@
     def _report(self, outcome: RequestOutcome) -> None:
         """Report the outcome; ``NotRun`` only if the request cannot have run elsewhere either."""
         if isinstance(outcome, NotRun) and self._may_have_run:
-            outcome = NoAnswer("; ".join([*self._problems, outcome.detail]))
+            outcome = NoAnswer("; ".join([*self._failures, outcome.detail]))
         self._on_outcome(outcome)
 
     @property
     def _may_ask_again(self) -> bool:
         """Tell whether there is time, and no coordinator was lost after it had begun."""
-        return not self._lost and self._left_s > ANSWER_MARGIN_S
+        return not self._coordinator_lost and self._time_left_s > ANSWER_MARGIN_S
 
     @property
-    def _left_s(self) -> float:
+    def _time_left_s(self) -> float:
         """Return the time until the deadline of the answer, seconds."""
         return self._deadlines.deadline_at - self._delegation_context.call_context.loop.time()
 
@@ -161,15 +161,15 @@
         )
         return replace(whole, priority=self._priority)
 
-    def _run_local(self) -> None:
+    def _start_local_run(self) -> None:
         """Run the scatter on this gateway."""
         self._delegation_context.call_context.counters.relays_run_here += 1
-        self._local = self._run_here(self._end_local)
-        self._local.start()
+        self._local_run = self._make_local_run(self._on_local_outcome)
+        self._local_run.start()
 
-    def _end_local(self, outcome: RequestOutcome) -> None:
+    def _on_local_outcome(self, outcome: RequestOutcome) -> None:
         """Report the outcome of the run on this gateway."""
-        assert self._local is not None
-        self.repeats = self._local.repeats
-        self.missing_shards = self._local.missing_shards
+        assert self._local_run is not None
+        self.repeats = self._local_run.repeats
+        self.missing_shards = self._local_run.missing_shards
         self._report(outcome)
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -81,7 +81,7 @@
         self.may_run_here = False
         self.repeats = 0
         self._missing: tuple[MissingShard, ...] = ()
-        self._problem = "no answer yet"
+        self._failure = "no answer yet"
         self._delegation = delegation
         self._route = route
         self._request = request
@@ -100,7 +100,7 @@
     def withhold(self) -> None:
         """End the group without asking the other gateway: the request crashes back ends."""
         self.pending = False
-        self._problem = POISON
+        self._failure = POISON
 
     def cancel(self) -> None:
         """Cancel the request to the other gateway."""
@@ -122,7 +122,7 @@
         """Return the shards without an answer, and why."""
         if self.part is not None:
             return self._missing
-        return tuple(MissingShard(service, self._problem) for service in self.services)
+        return tuple(MissingShard(service, self._failure) for service in self.services)
 
     async def _run(self) -> None:
         """Ask the other gateway once; the caller handles shards that were not answered."""
@@ -138,26 +138,26 @@
         self.pending = False
         match outcome:
             case ScatterEnd():
-                self._take(outcome)
+                self._process_answer(outcome)
             case NotStarted(detail=detail):
-                self._problem = detail
+                self._failure = detail
                 self.may_have_run = False
                 self.may_run_here = True
             case Unconfirmed(detail=detail):
-                self._problem = detail
+                self._failure = detail
                 self.may_run_here = True
             case LostAfterStart(detail=detail):
-                self._problem = detail
+                self._failure = detail
         self.on_end(self)
 
-    def _take(self, end: ScatterEnd) -> None:
+    def _process_answer(self, end: ScatterEnd) -> None:
         """Process the other gateway's answer."""
         self.repeats = end.repeats
         self._missing = end.missing_shards
         if isinstance(end.outcome, Merged):
             self.part = end.outcome
         else:
-            self._problem = end.outcome.__class__.__name__
+            self._failure = end.outcome.__class__.__name__
             self.may_have_run = not isinstance(end.outcome, NotRun)
 
     def _scatter_request(self) -> ScatterRequest:
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -27,10 +27,10 @@
 ACCEPTANCE_SHARE = 0.3
 """Part of the time to the objective in which another gateway must accept a scatter: if it does not,
 a second gateway still has most of that time."""
-SHORTEST_ACCEPTANCE_S = 0.025
+MIN_ACCEPTANCE_S = 0.025
 """Shortest acceptance timeout, seconds: several round trips between zones (some 2 to 6 ms each), so
 that a busy gateway is not treated as failed."""
-LONGEST_ACCEPTANCE_S = 0.1
+MAX_ACCEPTANCE_S = 0.1
 """Longest acceptance timeout, seconds: the most that a gateway that does not answer costs."""
 
 
@@ -150,12 +150,12 @@
         return LostAfterStart(f"{coordinator}: {error}")
     if isinstance(answer, Declined):
         return NotStarted(f"{coordinator}: {answer.detail}")
-    took_s = delegation_context.call_context.loop.time() - now
-    delegation_context.path_time(coordinator).observe(took_s - answer.elapsed_s)
+    round_trip_s = delegation_context.call_context.loop.time() - now
+    delegation_context.path_time(coordinator).observe(round_trip_s - answer.elapsed_s)
     return answer
 
 
 def _acceptance_s(deadlines: Deadlines, now: float) -> float:
     """Return the acceptance timeout, seconds."""
     share_s = ACCEPTANCE_SHARE * (deadlines.objective_at - now)
-    return min(LONGEST_ACCEPTANCE_S, max(SHORTEST_ACCEPTANCE_S, share_s))
+    return min(MAX_ACCEPTANCE_S, max(MIN_ACCEPTANCE_S, share_s))
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -33,6 +33,7 @@
     zone_monitor: ZoneMonitor
     configuration: Callable[[], AcceptedConfiguration | None]
     traffic: PeerTraffic
+    # Round trips to gateways in this zone and in other zones.
     _path_beside: PeerRoundTrip = field(default_factory=PeerRoundTrip)
     _path_elsewhere: PeerRoundTrip = field(default_factory=PeerRoundTrip)
 
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -44,30 +44,30 @@
         self,
         call_context: CallContext,
         state: SharedState,
-        gates: ScatterAdmissions,
+        admissions: ScatterAdmissions,
         planner: ScatterPlanner,
         routes: Callable[[], RoutesInForce | None],
-        reach: Reachability,
+        reachability: Reachability,
         poison: PoisonWatch,
     ) -> None:
         """Prepare the service.
 
-        :param gates: the admission queues of whole scatters.
+        :param admissions: the admission queues of whole scatters.
         :param routes: returns the configuration in force; ``None`` before the first one.
         """
         self._poison = poison
-        self._reach = reach
+        self._reachability = reachability
         self.in_progress = 0
         self.closing = False
         self._call_context = call_context
         self._state = state
-        self._gates = gates
+        self._admissions = admissions
         self._planner = planner
         self._routes = routes
 
     async def serve(self, scatter: ScatterRequest) -> ScatterAnswer:
         """Run one scatter; cancelling this coroutine ends its calls."""
-        found = self._find(scatter)
+        found = self._find_route(scatter)
         if isinstance(found, Declined):
             return found
         routes, route = found
@@ -85,13 +85,13 @@
                 ended.set_result(outcome)
 
         run = self._run(route, scatter, deadlines, report)
-        outcome = await self._finish(run, ended)
+        outcome = await self._run_to_outcome(run, ended)
         elapsed_s = run.decided_at - deadlines.received_at
         end = ScatterEnd(outcome, version, run.repeats, run.missing_shards, elapsed_s)
         log_coordinated(scatter, route, end)
         return end
 
-    def _find(self, scatter: ScatterRequest) -> tuple[RoutesInForce, Route] | Declined:
+    def _find_route(self, scatter: ScatterRequest) -> tuple[RoutesInForce, Route] | Declined:
         """Find a scatter's route, or decline: the delegating gateway may ask another one."""
         routes = self._routes()
         if self.closing:
@@ -125,7 +125,7 @@
         poison = self._poison.refusal(route, scatter.request)
         if poison is not None or scatter.shards:
             return poison
-        return self._reach.refusal(route)
+        return self._reachability.refusal(route)
 
     def _run(
         self,
@@ -141,7 +141,7 @@
         if not scatter.shards:
             tenant = header_value(scatter.request.headers, self._call_context.names.tenant) or b""
             return WaitingScatter(
-                self._gates.of_route(route),
+                self._admissions.of_route(route),
                 route,
                 deadlines,
                 scatter.priority,
@@ -159,7 +159,7 @@
             minimum_share=scatter.minimum_share,
         )
 
-    async def _finish(
+    async def _run_to_outcome(
         self, run: WaitingScatter | RequestRun, ended: asyncio.Future[RequestOutcome]
     ) -> RequestOutcome:
         """Run to the outcome; abandon the run if the delegating gateway gives up."""
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -27,7 +27,7 @@
 from tinrudder.gateway.scatters.waiting_scatter import Ticket, WaitingScatter
 from tinrudder.timers import TimerHandle
 
-PART_KEPT_S = 1.0
+SLOTS_LIFETIME_S = 1.0
 """How long a gateway's computed part of the slots is kept, seconds: back ends and gateways come and
 go within seconds."""
 
@@ -44,7 +44,7 @@
         """Read back ends, their reports and the coordination through ``delegation_context``."""
         self.queue = ScatterQueue()
         self._call_context = delegation_context.call_context
-        self._typical = TypicalShard(
+        self._typical_shard = TypicalShard(
             index,
             delegation_context.call_context.directory,
             delegation_context.coordinators,
@@ -53,10 +53,10 @@
         self._random = random_source
         self._running: set[Ticket] = set()
         self._waiting: dict[QueuedScatter, Ticket] = {}
-        self._part_at: float | None = None
-        self._returns_until: dict[int, float] = {}
+        self._slots_updated_at: float | None = None
+        self._reserved_until: dict[int, float] = {}
         self._timer: TimerHandle | None = None
-        self._next_look: asyncio.Handle | None = None
+        self._scheduled_check: asyncio.Handle | None = None
 
     @property
     def held(self) -> float:
@@ -81,7 +81,7 @@
     def enter(self, ticket: Ticket) -> None:
         """Start, queue or refuse a scatter."""
         now = self._call_context.loop.time()
-        self._follow_reports(now)
+        self._update_limit(now)
         scatter = ticket.scatter = self._describe(ticket.waiting)
         held_before = self._held_before(scatter)
         verdict = self.queue.arrive(scatter, self.held, now, held_before=held_before)
@@ -91,7 +91,7 @@
             self._start(ticket)
         else:
             self._waiting[scatter] = ticket
-            self._refuse_hopeless(now)
+            self._refuse_too_late(now)
 
     def leave(self, ticket: Ticket) -> None:
         """Remove a scatter that has ended, or whose client has disconnected."""
@@ -99,38 +99,38 @@
         if ticket.run is not None and ticket in self._running:
             self._running.discard(ticket)
             self.queue.room.note_hold(ticket.run.hold_s(now))
-            ticket.run.on_progress = _nothing
+            ticket.run.on_progress = _ignore_progress
         if ticket.scatter is not None and self._waiting.pop(ticket.scatter, None) is not None:
             self.queue.leave(ticket.scatter)
-        self._progressed()
+        self._schedule_check()
 
-    def _progressed(self) -> None:
+    def _schedule_check(self) -> None:
         """Schedule a check of the queue; answers that are ready are sent before it."""
-        if self.queue and self._next_look is None:
-            self._next_look = self._call_context.loop.call_soon(self._look)
+        if self.queue and self._scheduled_check is None:
+            self._scheduled_check = self._call_context.loop.call_soon(self._admit_waiting)
 
-    def _look(self, at: float = 0.0) -> None:
+    def _admit_waiting(self, at: float = 0.0) -> None:
         """Start waiting scatters that fit the limit; refuse those that would start too late.
 
         :param at: the time for which the timer was set; the loop may call a little early.
         """
-        self._next_look = None
+        self._scheduled_check = None
         now = max(at, self._call_context.loop.time())
-        self._follow_reports(now)
+        self._update_limit(now)
         while (first := self.queue.first) is not None:
             if self.queue.next_ready(self._held_before(first)) is None:
                 break
             self._start(self._waiting.pop(first))
-        self._refuse_hopeless(now)
+        self._refuse_too_late(now)
 
     def _start(self, ticket: Ticket) -> None:
         """Start a scatter."""
         ticket.run = ticket.waiting.begin()
-        ticket.run.on_progress = self._progressed
+        ticket.run.on_progress = self._schedule_check
         self._running.add(ticket)
         ticket.run.start()
 
-    def _refuse_hopeless(self, now: float) -> None:
+    def _refuse_too_late(self, now: float) -> None:
         """Refuse scatters that would start too late, and set the timer for the next such check."""
         for scatter, refusal in self.queue.refuse_hopeless(self.held, now):
             self._refuse(self._waiting.pop(scatter), refusal, now)
@@ -139,7 +139,7 @@
             self._timer = None
         end_at = self.queue.next_end_at
         if end_at is not None:
-            self._timer = self._call_context.loop.call_at(end_at, self._look, end_at)
+            self._timer = self._call_context.loop.call_at(end_at, self._admit_waiting, end_at)
 
     def _refuse(self, ticket: Ticket, refusal: ScatterRefusal, now: float) -> None:
         """Refuse one scatter, with the values that led to it and a ``Retry-After``."""
@@ -155,13 +155,13 @@
         nothing is reserved.
         """
         left_s = max(0.0, scatter.deadline_at - now)
-        until = max(now + refusal.expected_s, self._returns_until.get(refusal.priority, 0.0))
-        room_in_s = until - now
+        room_at = max(now + refusal.expected_s, self._reserved_until.get(refusal.priority, 0.0))
+        room_in_s = room_at - now
         if room_in_s + scatter.usual_s > left_s:
             return left_s
         if may_come_back(room_in_s, left_s):
             pace = self.queue.room.pace
-            self._returns_until[refusal.priority] = until + (1.0 / pace if pace else 0.0)
+            self._reserved_until[refusal.priority] = room_at + (1.0 / pace if pace else 0.0)
         return retry_after_by_place_s(room_in_s, left_s, self._random.random())
 
     def _describe(self, waiting: WaitingScatter) -> QueuedScatter:
@@ -183,18 +183,18 @@
             return self.queue.room.hold_s * USUAL_FACTOR
         return unloaded.quantile(0.5) * USUAL_FACTOR
 
-    def _follow_reports(self, now: float) -> None:
+    def _update_limit(self, now: float) -> None:
         """Adapt the limit to the fleet and, if it is in use or has changed, to reported queues."""
         room = self.queue.room
-        if self._part_at is None or now - self._part_at >= PART_KEPT_S:
-            self._part_at = now
-            slots = self._typical.own_slots()
+        if self._slots_updated_at is None or now - self._slots_updated_at >= SLOTS_LIFETIME_S:
+            self._slots_updated_at = now
+            slots = self._typical_shard.own_slots()
             if slots:
                 room.set_part(slots)
         in_use = bool(self.queue) or not room.bears_another(self.held)
         if not room.may_judge(now) or not (in_use or room.has_changed):
             return
-        queue = self._typical.queue(now)
+        queue = self._typical_shard.queue(now)
         if queue is not None:
             room.judge(queue, now, in_use=in_use)
 
@@ -222,7 +222,7 @@
             del self._by_index[index]
 
     @property
-    def gates(self) -> tuple[ScatterAdmission, ...]:
+    def admissions(self) -> tuple[ScatterAdmission, ...]:
         """Return all admissions."""
         return tuple(self._by_index.values())
 
@@ -242,5 +242,5 @@
         return sum(one.queue.room.limit for one in self._by_index.values())
 
 
-def _nothing() -> None:
+def _ignore_progress() -> None:
     """Ignore the progress of a scatter that has ended."""
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -52,7 +52,9 @@
     ) -> RequestRun:
         """Return the run of one scatter, not started yet."""
         encoded = RequestBytes(request, request_id, deadlines.deadline_at, self._call_context.names)
-        delegations = [one for one in self._delegations(route) if self._fits(one, route, deadlines)]
+        delegations = [
+            one for one in self._delegations(route) if self._in_time(one, route, deadlines)
+        ]
         elsewhere = {shard for one in delegations for shard in one.services}
         delegated = [
             DelegatedShards(one, route, request, request_id, deadlines, self._delegation_context)
@@ -77,7 +79,7 @@
             for group in self._coordination(route).delegated
         ]
 
-    def _fits(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
+    def _in_time(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
         """Tell whether the path to another gateway leaves enough time for its calls."""
         left_s = deadlines.objective_at - self._call_context.loop.time()
         path_s = self._delegation_context.path_time(delegation.coordinator).allowance_s
--- a/tinrudder/gateway/scatters/waiting_scatter.py
+++ b/tinrudder/gateway/scatters/waiting_scatter.py
@@ -16,7 +16,7 @@
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder.gateway.runs.request_run import OutcomeListener, RequestRun
 
-MakeRun = Callable[[OutcomeListener], RequestRun]
+RunFactory = Callable[[OutcomeListener], RequestRun]
 
 
 class Admission(Protocol):
@@ -65,7 +65,7 @@
         deadlines: Deadlines,
         priority: int,
         tenant: str,
-        make_run: MakeRun,
+        make_run: RunFactory,
         on_outcome: OutcomeListener,
     ) -> None:
         """Prepare the scatter; :meth:`start` asks for admission.
