--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -1,4 +1,7 @@
-"""More gateways than back ends take connections: coordinators and their failures."""
+"""Fleets with more gateways than the back ends accept connections from: coordinators call them.
+
+Covers the choice of coordinators, and coordinators that die, pause, stop or have old configuration.
+"""
 
 from __future__ import annotations
 
@@ -87,7 +90,7 @@
 
 def test_a_coordinator_that_stands_still_is_passed_over_within_the_objective() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        # The budget of a process holds back its part of the extra for its first window.
+        # In its first window a process may spend little of its part of the extra retry budget.
         await asyncio.sleep(SETTLED_S + 8.0)
         await site.traffic(2.0, 40.0, ("scatter",))
         coordinator = busiest_coordinator(site)
@@ -105,7 +108,10 @@
 
 
 def test_no_promise_is_made_for_what_a_silent_coordinator_may_have_run() -> None:
-    """While the budget is held back after a start, nothing can be sent a second time."""
+    """Shortly after a start the retry budget allows no second attempt at a lost scatter.
+
+    Refusing the scatter as not run would be wrong: the silent coordinator may have run it.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
@@ -123,7 +129,11 @@
 
 @pytest.mark.parametrize("copies", [2, 3])
 def test_what_a_woken_coordinator_finds_is_not_run_on_too_many_back_ends(copies: int) -> None:
-    """It reads a request and the order to give it up; the second coordinator has run it."""
+    """A paused coordinator resumes with a request and its cancellation in the receive buffer.
+
+    A second coordinator has run the scatter meanwhile; if the first one ran it too, too many back
+    ends of a shard could get it.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S + 8.0)
@@ -152,7 +162,7 @@
 
 
 class RefusingGate:
-    """Lets no scatter begin."""
+    """An admission that refuses every scatter."""
 
     def __init__(self, site: EmulatedSite) -> None:
         self.refused = 0
@@ -167,7 +177,10 @@
 
 
 def test_a_refusal_says_nothing_of_having_run_where_an_unheard_coordinator_may_have() -> None:
-    """With two replicas coordinators begin at once, so a silent one may run what it was handed."""
+    """With two replicas a coordinator begins without confirmation, so a silent one may have run it.
+
+    A refusal by the gateway that takes over must then not say that the scatter has not run.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S + 8.0)
@@ -249,7 +262,7 @@
 
 
 def delay_paths(monkeypatch: pytest.MonkeyPatch, one_way_s: float) -> None:
-    """Let everything that gateways ask of each other travel for a while."""
+    """Delay requests between gateways, and their answers, by ``one_way_s`` each."""
     request = PeerClient.request
 
     async def slow(self: PeerClient, *arguments: Any, **options: Any) -> bytes:
--- a/tests/functional/gateway/test_delegation.py
+++ b/tests/functional/gateway/test_delegation.py
@@ -1,4 +1,7 @@
-"""Shards without a replica in a gateway's zone: asked beside their replicas, whatever fails."""
+"""Shards without a replica in the gateway's zone are delegated to gateways in zones that have one.
+
+Covers delegation without failures, and with gateways that die, pause or lack shards.
+"""
 
 from __future__ import annotations
 
@@ -16,7 +19,7 @@
 
 
 def run_spread(scenario: Any, **options: Any) -> Any:
-    """Run with three zones, each without a third of the shards."""
+    """Run with three zones, each of which lacks a third of the shards."""
     spread = {"zones": ("zone-a", "zone-b", "zone-c"), "spread": True, "shards": SHARDS}
     return run_site(scenario, **({"node_count": 6} | spread | options))
 
@@ -41,7 +44,7 @@
 
 
 async def send_from(site: EmulatedSite, nodes: list[EmulatedNode], rounds: int) -> Any:
-    """Send scatters to some gateways, one after the other; return their results."""
+    """Send scatters to ``nodes`` one after the other; return their results."""
     first = len(site.ledger.results)
     for _ in range(rounds):
         for node in nodes:
@@ -63,7 +66,7 @@
 
 
 def test_nothing_is_handed_over_a_path_that_takes_the_time_of_the_calls() -> None:
-    """A path of 180 of 200 ms: before, the shards handed over were not in."""
+    """The path takes 180 of the 200 ms: delegated shards would be missing from the answer."""
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(WHOLE_BUDGET_S)
@@ -83,7 +86,10 @@
 
 
 def test_shards_that_another_gateway_ended_without_are_asked_again_where_too_few_are_in() -> None:
-    """Four of 18 may be missing: the group's four, cut at the objective, and one here are five."""
+    """Four of 18 shards may be missing.
+
+    Here five are: four of the delegated group, which is cut at the objective, and one local shard.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(WHOLE_BUDGET_S)
@@ -116,7 +122,7 @@
 
 def test_a_gateway_that_stands_still_is_passed_over_within_the_objective() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        # The budget of a process holds back its part of the extra for its first window.
+        # In its first window a process may spend little of its part of the extra retry budget.
         await asyncio.sleep(WHOLE_BUDGET_S)
         await site.traffic(2.0, 40.0, ("scatter",))
         site.nodes[0].machine.pause()
--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -1,4 +1,7 @@
-"""Whose key a request carries is known, ends in time on every machine, and stays at the entry."""
+"""API keys: authentication, revocation within a bound on every gateway, and no key is forwarded.
+
+Revocation must also hold for gateways that pause, restart, or lose the store or their peers.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 REVOCATION_S = 5.0
 LONGER_S = REVOCATION_S + 0.5
 NOTICE_S = 1.0
-"""Watches and digests bring a change sooner than this."""
+"""Time within which watches and digests propagate a change, seconds."""
 FIRST = SiteTenant("first", ("key-a", "key-b"))
 SECOND = SiteTenant("second", ("key-c",))
 ENDED = SiteTenant("first", ("key-b",))
@@ -131,9 +134,11 @@
 
 @pytest.mark.parametrize("suspended", [False, True])
 def test_a_process_that_stood_still_while_a_key_ended_runs_nothing_with_it(suspended: bool) -> None:
-    """What would have told it of the end is lost, or waits behind requests with the ended key:
-    whatever it reads first, it knows that it knows too little.  Also where its whole machine was
-    suspended, and the kernel's steady clock with it."""
+    """The messages about the revocation are lost, or queued behind requests with the revoked key.
+
+    Whatever the resumed process reads first, it must treat its configuration as stale, also if the
+    whole machine was suspended and the kernel's monotonic clock stopped.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         paused = site.nodes[0]
@@ -226,7 +231,7 @@
 
 
 def test_a_key_ends_in_time_where_the_store_forgets_its_history_meanwhile() -> None:
-    """Watches hear nothing while the key ends; then they are cut, and history is gone."""
+    """Watches miss the revocation; then they are cut, and the store has compacted its history."""
 
     async def scenario(site: EmulatedSite) -> None:
         site.store.set_mode(StoreMode.DEAF)
@@ -245,7 +250,8 @@
 
 @pytest.mark.parametrize("behind", ["entry", "others"])
 def test_entries_and_coordinators_may_know_different_configurations(behind: str) -> None:
-    """Who asks is the entry's to know: a coordinator that is behind or ahead serves the same."""
+    """Only the receiving gateway authenticates; a coordinator serves with an older or newer
+    configuration alike."""
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
@@ -287,7 +293,7 @@
 
 
 def test_a_start_of_all_serves_keyed_requests_as_soon_as_any() -> None:
-    """Whoever has read the store has proven how old its knowledge is, and tells that too."""
+    """A gateway that has read the store knows the age of its configuration and tells its peers."""
 
     async def scenario(site: EmulatedSite) -> None:
         for node in site.nodes:
@@ -305,7 +311,10 @@
 
 
 def test_a_new_key_is_never_refused_for_good_by_a_gateway_that_is_behind() -> None:
-    """Its peers know the key for seconds while it hears nothing: it may say only that it can't."""
+    """The gateway is cut off from news for seconds while its peers already accept the key.
+
+    It must answer 503 with a retry, as 401 would be final.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         behind = site.nodes[0]
@@ -346,7 +355,7 @@
 
 @pytest.mark.parametrize("seed", [1, 2])
 def test_keys_end_one_after_another_under_traffic_and_failures(seed: int) -> None:
-    """Every gateway is paused, killed or turned away by the store in turn while keys end."""
+    """Each gateway in turn is paused or refused by the store while keys are revoked."""
 
     async def scenario(site: EmulatedSite) -> None:
         keys = [f"key-{number}" for number in range(8)]
--- a/tests/functional/gateway/test_overload.py
+++ b/tests/functional/gateway/test_overload.py
@@ -1,4 +1,7 @@
-"""More scatters than back ends can run: what callers get, on real gateways in virtual time."""
+"""Scatter overload: what clients get from real gateways, in virtual time.
+
+Guards against collapse: if all calls were sent at once, almost no scatter would be in time.
+"""
 
 from __future__ import annotations
 
@@ -11,7 +14,8 @@
 
 WORK_S = 0.04
 CAPACITY_PER_S = 2 * 2 / (WORK_S * 1.06)
-"""Two back ends of two slots each; the mean of work is a little above its median."""
+"""Scatters per second that two back ends of two slots run; the mean work is 1.06 times the median
+``WORK_S``."""
 OBJECTIVE_S = 0.2
 URGENT = {"name": "urgent", "path_prefix": "/urgent/", "priority": 0}
 SITE: dict[str, Any] = {"shards": 4, "work_s": WORK_S, "variants": (URGENT,)}
@@ -20,7 +24,7 @@
 async def ask(
     site: EmulatedSite, seconds: float, per_second: float, prefix: str = "all"
 ) -> list[ClientResult]:
-    """Ask scatters at random moments of random gateways."""
+    """Send scatters to random gateways as a Poisson process; return their results."""
     tasks = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
@@ -38,15 +42,15 @@
 
 
 def assert_refusals_are_true(site: EmulatedSite) -> None:
-    """Nothing of a refused scatter has left, and nothing else was broken."""
+    """Check that no refused scatter reached a back end, and that no promise was broken."""
     refused = {one.request_id for one in site.ledger.results if one.status == 503}
     assert not refused & {arrival.request_id for arrival in site.ledger.arrivals}
     assert site.broken_promises() == []
 
 
 def test_a_burst_of_four_times_the_capacity_is_served_as_far_as_back_ends_can() -> None:
-    """Where all calls leave at once, 0.07 of what back ends can do is in time at 4 times the load;
-    where scatters wait, 0.88 (``python -m bench.overload``, seed 1)."""
+    """At 4 times the load, 0.07 of the capacity is answered in time if all calls are sent at once,
+    and 0.88 if scatters wait in the queue (``python -m bench.overload``, seed 1)."""
 
     async def scenario(site: EmulatedSite) -> None:
         await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
--- a/tests/functional/gateway/test_scatter_service.py
+++ b/tests/functional/gateway/test_scatter_service.py
@@ -1,4 +1,4 @@
-"""A coordinated scatter that ends in the same moment as its entry gives it up."""
+"""A delegated scatter that ends at the moment when the delegating gateway cancels it."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class RunThatWaits:
-    """Ends when the test says so."""
+    """A run that the test ends."""
 
     def __init__(self, on_outcome: Callable[[RequestOutcome], None]) -> None:
         self.end = on_outcome
@@ -31,8 +31,8 @@
 def test_a_run_that_ends_as_its_entry_gives_it_up_disturbs_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its end was reported to a future that was cancelled; the error stopped the pool that was
-    telling all waiting calls of a failed connection, and those behind waited for their deadline."""
+    """The outcome was set on a cancelled future.  The error interrupted the connection pool while
+    it was failing all calls of a lost connection; the remaining ones waited for their deadline."""
     runs: list[RunThatWaits] = []
 
     async def scenario(site: EmulatedSite) -> None:
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -1,4 +1,8 @@
-"""A service of three back ends that twelve gateways call, on the emulated platform."""
+"""Overload of a service of three back ends that twelve gateways call, on the emulated platform.
+
+Guards against gateways that overload back ends, since each of them sees few of the answers, and
+against load reports that are wrong or outlive the overload.
+"""
 
 from __future__ import annotations
 
@@ -24,7 +28,8 @@
 GATEWAYS = 12
 WORK_S = 0.1
 CAPACITY_PER_S = 3 * 2 / (WORK_S * 1.063)
-"""Three back ends of two slots; work spreads so that its mean is 1.063 of its median."""
+"""Calls per second that three back ends of two slots run; the mean work is 1.063 times the median
+``WORK_S``."""
 OBJECTIVE_S = 0.4
 
 
@@ -35,7 +40,7 @@
 async def load(
     site: EmulatedSite, times: float, seconds: float, route: str = "single"
 ) -> tuple[list[ClientResult], list[Arrival]]:
-    """Send at a multiple of what the back ends can do; return results and arrivals of it."""
+    """Send requests at ``times`` the capacity; return their results and arrivals."""
     first_result, first_arrival = len(site.ledger.results), len(site.ledger.arrivals)
     await site.traffic(seconds, times * CAPACITY_PER_S, (route,))
     return site.ledger.results[first_result:], site.ledger.arrivals[first_arrival:]
@@ -54,7 +59,8 @@
 
 @pytest.mark.parametrize("route", ["single", "once"])
 def test_what_can_be_served_is_served_and_the_rest_refused_at_once(route: str) -> None:
-    """Before: 6 to 17 of 56 a second in time, and some answered 504, by three seeds each."""
+    """Guards against overload in which only 6 to 17 of 56 requests a second are in time, and some
+    get 504 (three seeds each)."""
 
     async def scenario(site: EmulatedSite) -> None:
         await load(site, 0.2, 5.0)
@@ -76,7 +82,8 @@
 
 
 def test_back_ends_shed_next_to_nothing_however_much_is_asked() -> None:
-    """Before: 0.05 to 0.16 of the arrivals shed, and 8 to 10 of 56 a second in time."""
+    """Guards against overload in which back ends shed 0.05 to 0.16 of the arrivals, and only 8 to
+    10 of 56 requests a second are in time."""
 
     async def scenario(site: EmulatedSite) -> None:
         await load(site, 0.2, 5.0)
@@ -112,7 +119,7 @@
 
 def test_a_back_end_that_sheds_by_a_fault_is_no_overload() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        # Gateways that have just started have next to no budget to repeat what was rejected.
+        # Gateways that have just started have almost no budget to retry rejected calls.
         await asyncio.sleep(10.0)
         faulty = site.backends["single-0"]
         faulty.choose_fault = lambda: Fault.SHED if site.random.random() < 0.5 else Fault.NONE
--- a/tests/unit/gateway/test_refusals.py
+++ b/tests/unit/gateway/test_refusals.py
@@ -1,4 +1,4 @@
-"""The order in which a request meets the reasons to refuse it."""
+"""The rules that refuse a request are evaluated in order, and the first refusal is final."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/test_tenants.py
+++ b/tests/unit/gateway/test_tenants.py
@@ -1,4 +1,7 @@
-"""Tenants of a configuration: what is read, and what refuses a configuration as a whole."""
+"""Tenants of a configuration: decoding, validation, and lookup by key.
+
+One invalid tenant makes the whole configuration invalid, and no error text contains a key.
+"""
 
 from __future__ import annotations
 
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -151,8 +151,8 @@
     def _retry_after_s(self, scatter: QueuedScatter, refusal: ScatterRefusal, now: float) -> float:
         """Return the ``Retry-After``: when there will be room, after callers refused earlier.
 
-        Room is reserved only for callers that would wait that long; others get the true time, and
-        nothing is reserved.
+        Room is reserved only for callers that would wait that long; the others get the expected
+        time, at most their deadline.
         """
         left_s = max(0.0, scatter.deadline_at - now)
         room_at = max(now + refusal.expected_s, self._reserved_until.get(refusal.priority, 0.0))
