--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -88,7 +88,7 @@
     run_many(scenario)
 
 
-def test_a_coordinator_that_stands_still_is_passed_over_within_the_objective() -> None:
+def test_a_paused_coordinator_is_skipped_within_the_objective() -> None:
     async def scenario(site: EmulatedSite) -> None:
         # In its first window a process may spend little of its part of the extra retry budget.
         await asyncio.sleep(SETTLED_S + 8.0)
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize("copies", [2, 3])
-def test_what_a_woken_coordinator_finds_is_not_run_on_too_many_back_ends(copies: int) -> None:
+def test_a_resumed_coordinator_does_not_exceed_the_attempt_limit(copies: int) -> None:
     """A paused coordinator resumes with a request and its cancellation in the receive buffer.
 
     A second coordinator has run the scatter meanwhile; if the first one ran it too, too many back
@@ -161,7 +161,7 @@
     run_many(scenario, copies=copies)
 
 
-class RefusingGate:
+class RefusingAdmission:
     """An admission that refuses every scatter."""
 
     def __init__(self, site: EmulatedSite) -> None:
@@ -176,7 +176,7 @@
         pass
 
 
-def test_a_refusal_says_nothing_of_having_run_where_an_unheard_coordinator_may_have() -> None:
+def test_a_refusal_after_a_silent_coordinator_does_not_claim_not_run() -> None:
     """With two replicas a coordinator begins without confirmation, so a silent one may have run it.
 
     A refusal by the gateway that takes over must then not say that the scatter has not run.
@@ -185,13 +185,13 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S + 8.0)
         await site.traffic(2.0, 40.0, ("scatter",))
-        gate = RefusingGate(site)
+        admission = RefusingAdmission(site)
         for _ in range(6):
             coordinator = busiest_coordinator(site)
             others = [node for node in site.nodes if node is not coordinator]
             for node in others:
                 assert node.gateway is not None
-                node.gateway.requests.scatter_admissions.of_route = lambda route: gate  # type: ignore[method-assign, assignment, return-value]
+                node.gateway.requests.scatter_admissions.of_route = lambda route: admission  # type: ignore[method-assign, assignment, return-value]
             coordinator.machine.pause()
             first = len(site.ledger.results)
             for node in others:
@@ -201,7 +201,7 @@
             refused = [one for one in site.ledger.results[first:] if one.status in (429, 503)]
             ran = {arrival.request_id for arrival in site.ledger.arrivals if arrival.ran}
             assert not {one.request_id for one in refused} & ran
-        assert gate.refused > 0
+        assert admission.refused > 0
         assert site.broken_promises() == []
 
     run_many(scenario, copies=2)
--- a/tests/functional/gateway/test_delegation.py
+++ b/tests/functional/gateway/test_delegation.py
@@ -65,7 +65,7 @@
     run_spread(scenario)
 
 
-def test_nothing_is_handed_over_a_path_that_takes_the_time_of_the_calls() -> None:
+def test_no_shards_are_delegated_over_a_path_that_leaves_calls_no_time() -> None:
     """The path takes 180 of the 200 ms: delegated shards would be missing from the answer."""
 
     async def scenario(site: EmulatedSite) -> None:
@@ -85,7 +85,7 @@
     run_spread(scenario)
 
 
-def test_shards_that_another_gateway_ended_without_are_asked_again_where_too_few_are_in() -> None:
+def test_shards_missing_from_a_delegated_answer_are_called_again_if_needed() -> None:
     """Four of 18 shards may be missing.
 
     Here five are: four of the delegated group, which is cut at the objective, and one local shard.
@@ -95,8 +95,8 @@
         await asyncio.sleep(WHOLE_BUDGET_S)
         await site.traffic(2.0, 20.0, ("scatter",))
         entry = site.nodes[0]
-        lacking = [number for number in range(SHARDS) if number % 3 == 1]
-        for number in lacking[:4]:
+        remote = [number for number in range(SHARDS) if number % 3 == 1]
+        for number in remote[:4]:
             for copy in range(2):
                 site.backends[f"shard-{number}-{copy}"].pause(0.4)
         for copy in range(2):
@@ -120,7 +120,7 @@
     run_spread(scenario)
 
 
-def test_a_gateway_that_stands_still_is_passed_over_within_the_objective() -> None:
+def test_a_paused_gateway_is_skipped_within_the_objective() -> None:
     async def scenario(site: EmulatedSite) -> None:
         # In its first window a process may spend little of its part of the extra retry budget.
         await asyncio.sleep(WHOLE_BUDGET_S)
@@ -135,7 +135,7 @@
     run_spread(scenario, copies=3, zones=("zone-a", "zone-b", "zone-c", "zone-d"), node_count=8)
 
 
-def test_the_only_gateway_of_a_zone_with_the_data_leaves_them_to_others() -> None:
+def test_the_last_gateway_serves_the_shards_of_all_zones() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         for node in site.nodes[1:]:
--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -19,12 +19,12 @@
 
 ALL_ROUTES = ("scatter", "single", "once")
 REVOCATION_S = 5.0
-LONGER_S = REVOCATION_S + 0.5
-NOTICE_S = 1.0
+PAST_REVOCATION_S = REVOCATION_S + 0.5
+PROPAGATION_S = 1.0
 """Time within which watches and digests propagate a change, seconds."""
 FIRST = SiteTenant("first", ("key-a", "key-b"))
 SECOND = SiteTenant("second", ("key-c",))
-ENDED = SiteTenant("first", ("key-b",))
+FIRST_WITHOUT_KEY_A = SiteTenant("first", ("key-b",))
 
 
 def run_keyed(scenario: Any, **options: Any) -> Any:
@@ -72,7 +72,7 @@
 def test_public_routes_are_served_without_a_key_and_with_one_that_nobody_has() -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.configure(public=True)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         for key in ("", "foreign"):
             assert (await site.send("scatter", key=key)).status == 200
         assert {one.tenant for one in site.ledger.arrivals} == {""}
@@ -90,13 +90,13 @@
             scatters = gateway_of(node).requests.delegation_service
             serve = scatters.serve
 
-            async def listen(scatter: Any, serve: Any = serve) -> Any:
+            async def record_headers(scatter: Any, serve: Any = serve) -> Any:
                 seen.extend(value for _, value in scatter.request.headers)
                 return await serve(scatter)
 
             exchange = gateway_of(node)._exchange
             assert exchange is not None
-            exchange._service._serve_scatter = listen
+            exchange._service._serve_scatter = record_headers
         for index in range(len(site.nodes)):
             assert (await site.send("scatter", index, key="key-a")).status == 200
         assert site.broken_promises() == []
@@ -109,8 +109,8 @@
 
 def test_a_key_that_ends_stops_working_and_the_others_go_on() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.set_tenants(ENDED, SECOND)
-        await asyncio.sleep(NOTICE_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
+        await asyncio.sleep(PROPAGATION_S)
         assert await statuses(site, "key-a") == [401] * 3
         assert await statuses(site, "key-b") == [200] * 3
         assert site.broken_promises() == []
@@ -120,10 +120,10 @@
 
 def test_a_key_may_be_given_again_and_to_another_tenant() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.set_tenants(ENDED, SECOND)
-        await asyncio.sleep(NOTICE_S)
-        site.set_tenants(ENDED, SiteTenant("second", ("key-c", "key-a")))
-        await asyncio.sleep(NOTICE_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
+        await asyncio.sleep(PROPAGATION_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SiteTenant("second", ("key-c", "key-a")))
+        await asyncio.sleep(PROPAGATION_S)
         site.ledger.arrivals.clear()
         assert await statuses(site, "key-a") == [200] * 3
         assert {one.tenant for one in site.ledger.arrivals} == {"second"}
@@ -133,7 +133,7 @@
 
 
 @pytest.mark.parametrize("suspended", [False, True])
-def test_a_process_that_stood_still_while_a_key_ended_runs_nothing_with_it(suspended: bool) -> None:
+def test_a_process_paused_during_a_revocation_runs_nothing_with_the_key(suspended: bool) -> None:
     """The messages about the revocation are lost, or queued behind requests with the revoked key.
 
     Whatever the resumed process reads first, it must treat its configuration as stale, also if the
@@ -148,13 +148,13 @@
         paused.machine.pause()
         paused_at = site.loop.time()
         await asyncio.sleep(0.1)
-        site.set_tenants(ENDED, SECOND)
-        await asyncio.sleep(LONGER_S)
-        late = [asyncio.create_task(site.send(route, 0, key="key-a")) for route in ALL_ROUTES]
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
+        await asyncio.sleep(PAST_REVOCATION_S)
+        sent = [asyncio.create_task(site.send(route, 0, key="key-a")) for route in ALL_ROUTES]
         await asyncio.sleep(0.5)
-        stands_s = site.loop.time() - paused_at if suspended else 0.0
-        paused.machine.resume(site.loop, stands_s)
-        results = await asyncio.gather(*late)
+        suspended_s = site.loop.time() - paused_at if suspended else 0.0
+        paused.machine.resume(site.loop, suspended_s)
+        results = await asyncio.gather(*sent)
         assert all(result.status in (401, 503) for result in results)
         assert site.broken_promises() == []
 
@@ -169,8 +169,8 @@
     async def scenario(site: EmulatedSite) -> None:
         site.store.set_mode(mode, site.nodes[0].store_port)
         await asyncio.sleep(4.0)
-        site.set_tenants(ENDED, SECOND)
-        await asyncio.sleep(NOTICE_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
+        await asyncio.sleep(PROPAGATION_S)
         for _ in range(8):
             assert await statuses(site, "key-a") == [401] * 3
             assert await statuses(site, "key-b") == [200] * 3
@@ -184,8 +184,8 @@
 def test_where_nobody_reaches_the_store_keyed_requests_are_refused_truly(mode: StoreMode) -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.store.set_mode(mode)
-        site.set_tenants(ENDED, SECOND)
-        await asyncio.sleep(LONGER_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
+        await asyncio.sleep(PAST_REVOCATION_S)
         ran = len(site.ledger.arrivals)
         for key in ("key-a", "key-b"):
             for route in ALL_ROUTES:
@@ -206,9 +206,9 @@
 def test_public_routes_go_on_where_nobody_reaches_the_store() -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.configure(public=True)
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         site.store.set_mode(StoreMode.SILENT)
-        await asyncio.sleep(LONGER_S)
+        await asyncio.sleep(PAST_REVOCATION_S)
         assert (await site.send("scatter", key="")).status == 200
         assert (await site.send("single", key="key-a")).status == 503
 
@@ -217,12 +217,12 @@
 
 def test_a_gateway_that_hears_nobody_refuses_keyed_requests_before_the_bound() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        alone = site.nodes[0].host
+        isolated = site.nodes[0].host
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: alone in (source[0], target[0])
+        loop.datagram_lost = lambda source, target: isolated in (source[0], target[0])
         site.store.set_mode(StoreMode.SILENT, site.nodes[0].store_port)
-        site.set_tenants(ENDED, SECOND)
-        await asyncio.sleep(LONGER_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
+        await asyncio.sleep(PAST_REVOCATION_S)
         assert await statuses(site, "key-a") == [503] * 3
         assert await statuses(site, "key-a", 1) == [401] * 3
         assert site.broken_promises() == []
@@ -235,7 +235,7 @@
 
     async def scenario(site: EmulatedSite) -> None:
         site.store.set_mode(StoreMode.DEAF)
-        site.set_tenants(ENDED, SECOND)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
         await asyncio.sleep(1.0)
         site.store.forget_history()
         site.store.set_mode(StoreMode.SERVING)
@@ -256,16 +256,16 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         entry = len(site.nodes) - 1
-        late = {site.nodes[entry].host}
+        stale_hosts = {site.nodes[entry].host}
         if behind == "others":
-            late = {node.host for node in site.nodes} - late
+            stale_hosts = {node.host for node in site.nodes} - stale_hosts
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: target[0] in late
+        loop.datagram_lost = lambda source, target: target[0] in stale_hosts
         for node in site.nodes:
-            if node.host in late:
+            if node.host in stale_hosts:
                 site.store.set_mode(StoreMode.SILENT, node.store_port)
-        site.set_tenants(ENDED)
-        await asyncio.sleep(NOTICE_S)
+        site.set_tenants(FIRST_WITHOUT_KEY_A)
+        await asyncio.sleep(PROPAGATION_S)
         for key, expected in (("key-b", {200}), ("key-a", {200, 401, 503})):
             for _ in range(4):
                 assert (await site.send("scatter", entry, key=key)).status in expected
@@ -277,12 +277,12 @@
     run_many(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
 
 
-def test_a_start_beside_peers_that_are_behind_believes_no_ended_key() -> None:
+def test_a_gateway_started_beside_stale_peers_accepts_no_revoked_key() -> None:
     async def scenario(site: EmulatedSite) -> None:
         site.store.set_mode(StoreMode.SILENT)
-        site.set_tenants(ENDED, SECOND)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
         site.kill_node(site.nodes[0])
-        await asyncio.sleep(LONGER_S)
+        await asyncio.sleep(PAST_REVOCATION_S)
         site.start_node(site.nodes[0])
         await asyncio.sleep(2.0)
         assert 200 not in await statuses(site, "key-a")
@@ -292,7 +292,7 @@
     run_keyed(scenario)
 
 
-def test_a_start_of_all_serves_keyed_requests_as_soon_as_any() -> None:
+def test_after_a_start_of_all_gateways_keyed_requests_wait_no_longer_than_others() -> None:
     """A gateway that has read the store knows the age of its configuration and tells its peers."""
 
     async def scenario(site: EmulatedSite) -> None:
@@ -333,9 +333,9 @@
 
 def test_two_configurations_in_quick_succession_leave_the_last_in_force() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.set_tenants(ENDED, SECOND)
+        site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
         site.set_tenants(FIRST, SiteTenant("second", ()))
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         for node in range(len(site.nodes)):
             assert await statuses(site, "key-a", node) == [200] * 3
             assert await statuses(site, "key-c", node) == [401] * 3
@@ -347,7 +347,7 @@
     async def scenario(site: EmulatedSite) -> None:
         broken = {"version": site.version + 2, "routes": [], "tenants": [{"name": ""}]}
         site.store.put("op/config", json.loads(json.dumps(broken)))
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
         assert await statuses(site, "key-a") == [200] * 3
 
     run_keyed(scenario)
@@ -360,7 +360,7 @@
     async def scenario(site: EmulatedSite) -> None:
         keys = [f"key-{number}" for number in range(8)]
         site.set_tenants(SiteTenant("first", tuple(keys)))
-        await asyncio.sleep(NOTICE_S)
+        await asyncio.sleep(PROPAGATION_S)
 
         async def clients() -> None:
             for _ in range(800):
--- a/tests/functional/gateway/test_overload.py
+++ b/tests/functional/gateway/test_overload.py
@@ -21,7 +21,7 @@
 SITE: dict[str, Any] = {"shards": 4, "work_s": WORK_S, "variants": (URGENT,)}
 
 
-async def ask(
+async def send_scatters(
     site: EmulatedSite, seconds: float, per_second: float, prefix: str = "all"
 ) -> list[ClientResult]:
     """Send scatters to random gateways as a Poisson process; return their results."""
@@ -53,8 +53,8 @@
     and 0.88 if scatters wait in the queue (``python -m bench.overload``, seed 1)."""
 
     async def scenario(site: EmulatedSite) -> None:
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        results = await ask(site, 2.0, 4.0 * CAPACITY_PER_S)
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        results = await send_scatters(site, 2.0, 4.0 * CAPACITY_PER_S)
         assert in_time(results) >= 0.7 * CAPACITY_PER_S * 2.0
         assert {one.status for one in results} == {200, 503}
         refused = [one for one in results if one.status == 503]
@@ -69,10 +69,12 @@
 def test_the_most_urgent_kind_is_served_beside_any_load_of_a_less_urgent_one() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.gather(
-            ask(site, 1.0, 0.1 * CAPACITY_PER_S, "urgent"), ask(site, 1.0, 0.2 * CAPACITY_PER_S)
+            send_scatters(site, 1.0, 0.1 * CAPACITY_PER_S, "urgent"),
+            send_scatters(site, 1.0, 0.2 * CAPACITY_PER_S),
         )
         urgent, usual = await asyncio.gather(
-            ask(site, 2.0, 0.2 * CAPACITY_PER_S, "urgent"), ask(site, 2.0, 4.0 * CAPACITY_PER_S)
+            send_scatters(site, 2.0, 0.2 * CAPACITY_PER_S, "urgent"),
+            send_scatters(site, 2.0, 4.0 * CAPACITY_PER_S),
         )
         assert in_time(urgent) >= 0.9 * len(urgent)
         assert in_time(usual) >= 0.45 * CAPACITY_PER_S * 2.0
@@ -84,8 +86,8 @@
 def test_coordinators_keep_to_what_back_ends_can_do_for_all_their_entries() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        results = await ask(site, 2.0, 3.0 * CAPACITY_PER_S)
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        results = await send_scatters(site, 2.0, 3.0 * CAPACITY_PER_S)
         assert in_time(results) >= 0.6 * CAPACITY_PER_S * 2.0
         assert {one.status for one in results} <= {200, 503}
         assert_refusals_are_true(site)
@@ -95,9 +97,9 @@
 
 def test_a_client_that_leaves_while_its_scatter_waits_leaves_the_queue() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        gone = [site.send("scatter", leaves_after_s=0.01) for _ in range(6)]
-        results = await asyncio.gather(*gone)
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        abandoned = [site.send("scatter", leaves_after_s=0.01) for _ in range(6)]
+        results = await asyncio.gather(*abandoned)
         await asyncio.sleep(0.5)
         gateway = site.nodes[0].gateway
         assert gateway is not None
@@ -111,13 +113,13 @@
 
 def test_a_planned_stop_serves_what_waits() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        asked = [site.loop.create_task(site.send("scatter")) for _ in range(4)]
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        sending = [site.loop.create_task(site.send("scatter")) for _ in range(4)]
         await asyncio.sleep(0.01)
         gateway = site.nodes[0].gateway
         assert gateway is not None
         assert len(gateway.requests.scatter_admissions.admissions[0].queue) > 0
         gateway.request_stop()
-        assert {one.status for one in await asyncio.gather(*asked)} == {200}
+        assert {one.status for one in await asyncio.gather(*sending)} == {200}
 
     run_site(scenario, **SITE)
--- a/tests/functional/gateway/test_scatter_service.py
+++ b/tests/functional/gateway/test_scatter_service.py
@@ -14,7 +14,7 @@
 from tinrudder_lab.emulator.site import SITE_HOST, EmulatedSite, run_site
 
 
-class RunThatWaits:
+class ManualRun:
     """A run that the test ends."""
 
     def __init__(self, on_outcome: Callable[[RequestOutcome], None]) -> None:
@@ -33,14 +33,14 @@
 ) -> None:
     """The outcome was set on a cancelled future.  The error interrupted the connection pool while
     it was failing all calls of a lost connection; the remaining ones waited for their deadline."""
-    runs: list[RunThatWaits] = []
+    runs: list[ManualRun] = []
 
     async def scenario(site: EmulatedSite) -> None:
         gateway = site.nodes[0].gateway
         assert gateway is not None
 
-        def run(route: Any, scatter: Any, deadlines: Any, on_outcome: Any) -> RunThatWaits:
-            runs.append(RunThatWaits(on_outcome))
+        def run(route: Any, scatter: Any, deadlines: Any, on_outcome: Any) -> ManualRun:
+            runs.append(ManualRun(on_outcome))
             return runs[-1]
 
         monkeypatch.setattr(gateway.requests.delegation_service, "_run", run)
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -46,7 +46,7 @@
     return site.ledger.results[first_result:], site.ledger.arrivals[first_arrival:]
 
 
-def told(site: EmulatedSite, kind: str) -> list[int]:
+def exchange_counts(site: EmulatedSite, kind: str) -> list[int]:
     gateways = [node.gateway for node in site.nodes if node.gateway is not None]
     return [getattr(one.backends.load_news_exchange, kind) for one in gateways]
 
@@ -74,8 +74,8 @@
         assert len(pauses) > len(refused) / 3
         assert {one.status for one in results} == {200, 503}
         most_bytes = MOST_BYTES + BYTES_PER_S * 12.0
-        assert max(told(site, "sent")) <= most_bytes / (DATAGRAM_BYTES + LOAD_BYTES)
-        assert sum(told(site, "ignored")) == 0
+        assert max(exchange_counts(site, "sent")) <= most_bytes / (DATAGRAM_BYTES + LOAD_BYTES)
+        assert sum(exchange_counts(site, "ignored")) == 0
         assert site.broken_promises() == []
 
     run_shared(scenario)
@@ -96,23 +96,23 @@
     run_shared(scenario)
 
 
-def test_news_ends_with_the_queues_and_leaves_no_refusals_behind() -> None:
+def test_load_reports_and_refusals_end_with_the_queues() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await load(site, 4.0, 2.0)
         await asyncio.sleep(1.0)
-        sent = sum(told(site, "sent"))
+        sent = sum(exchange_counts(site, "sent"))
         results, _ = await load(site, 0.05, 10.0)
         assert in_time(results) == len(results)
-        assert sum(told(site, "sent")) == sent
+        assert sum(exchange_counts(site, "sent")) == sent
 
     run_shared(scenario)
 
 
-def test_a_quiet_day_has_no_news() -> None:
+def test_no_load_reports_are_sent_without_queues() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await load(site, 0.05, 10.0)
         await site.traffic(3.0, 10.0, ("scatter",))
-        assert sum(told(site, "sent")) == 0
+        assert sum(exchange_counts(site, "sent")) == 0
 
     run_shared(scenario)
 
@@ -126,19 +126,19 @@
         results, arrivals = await load(site, 0.1, 15.0)
         assert sum(1 for arrival in arrivals if not arrival.ran) >= 5
         assert {one.status for one in results} == {200}
-        assert sum(told(site, "sent")) == 0
+        assert sum(exchange_counts(site, "sent")) == 0
 
     run_shared(scenario)
 
 
-def test_news_of_an_earlier_start_or_that_cannot_be_true_changes_nothing() -> None:
+def test_load_reports_of_another_start_or_with_impossible_values_are_ignored() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        teller, hearer = (node.gateway for node in site.nodes[:2])
-        assert teller is not None
-        assert hearer is not None
-        known = next(one for one in hearer.backends.directory if one.entry.service == "single")
+        sender, receiver = (node.gateway for node in site.nodes[:2])
+        assert sender is not None
+        assert receiver is not None
+        known = next(one for one in receiver.backends.directory if one.entry.service == "single")
         number = start_number(known.entry)
-        absurd = [
+        invalid = [
             ReportedLoad(number + 1, 14, 2, 1.0, 0.1),
             ReportedLoad(number, 2_000_000, 2, 1.0, 0.1),
             ReportedLoad(number, 14, 0, 1.0, 0.1),
@@ -147,15 +147,15 @@
             ReportedLoad(number, 14, 2, 1.0, 0.1, work_s=10_000.0),
         ]
         before = known.observations.reported_at
-        teller.fleet.datagrams.send(LoadNews(tuple(absurd)), hearer.settings.peers)
+        sender.fleet.datagrams.send(LoadNews(tuple(invalid)), receiver.settings.peers)
         await asyncio.sleep(0.1)
         assert known.observations.reported_at == before
-        assert hearer.backends.load_news_exchange.ignored == len(absurd)
-        teller.fleet.datagrams.send(
-            LoadNews((ReportedLoad(number, 14, 2, 1.0, 0.1),)), hearer.settings.peers
+        assert receiver.backends.load_news_exchange.ignored == len(invalid)
+        sender.fleet.datagrams.send(
+            LoadNews((ReportedLoad(number, 14, 2, 1.0, 0.1),)), receiver.settings.peers
         )
         await asyncio.sleep(0.1)
         assert known.observations.reported_backlog == 14
-        assert hearer.backends.load_news_exchange.taken == 1
+        assert receiver.backends.load_news_exchange.taken == 1
 
     run_shared(scenario)
--- a/tests/unit/gateway/test_tenants.py
+++ b/tests/unit/gateway/test_tenants.py
@@ -91,7 +91,7 @@
     assert type(ring().identify(request(*headers))).__name__ == outcome
 
 
-def test_what_goes_on_names_the_tenant_and_holds_no_key() -> None:
+def test_a_forwarded_request_has_the_tenant_and_no_key() -> None:
     sent = request(
         (b"authorization", b"Token " + KEY.encode()),
         (b"tinrudder-tenant", b"somebody-else"),
