--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -208,7 +208,7 @@
     ArrivalRule(
         "protocol",
         "Does the request have a path, one host header and one request id?",
-        "Invalid: the first of them that is missing or invalid.",
+        "Invalid: the one that is missing or malformed.",
         _check_protocol,
     ),
     ArrivalRule(
@@ -250,7 +250,7 @@
     ),
     StartRule(
         "poison",
-        "Have back ends crashed too rarely under it or its caller's other requests to bar it?",
+        "Have fewer back ends crashed under it, or under its caller's other requests, than bar it?",
         "NotRun: when it may be tried again.",
         _check_poison,
     ),
@@ -263,4 +263,4 @@
     ),
 )
 RULES: tuple[Rule, ...] = (*ARRIVAL_RULES, QUOTA_RULE, *START_RULES)
-"""All rules, in the order in which a request meets them."""
+"""All rules, in the order of evaluation."""
