--- a/tests/unit/gateway/test_tenants.py
+++ b/tests/unit/gateway/test_tenants.py
@@ -12,7 +12,7 @@
 
 from tinrudder.gateway.model.configuration import Tenant
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.api_keys import KeyRing, Known, digest_of, without_credentials
+from tinrudder.gateway.requests.api_keys import KeyRing, Known, key_digest, without_credentials
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
@@ -35,7 +35,7 @@
 def test_a_tenant_is_read_with_its_keys_digested() -> None:
     wire = {"name": "a", "api_keys": [KEY], "priority": 1, "rate_per_s": 5, "burst": None}
     (tenant,) = decode_configuration(document(wire)).tenants
-    assert tenant == Tenant("a", frozenset((digest_of(KEY.encode()),)), 1, 5.0, 0.0)
+    assert tenant == Tenant("a", frozenset((key_digest(KEY.encode()),)), 1, 5.0, 0.0)
     assert KEY not in repr(tenant)
 
 
--- a/tinrudder/gateway/requests/api_keys.py
+++ b/tinrudder/gateway/requests/api_keys.py
@@ -28,7 +28,7 @@
 _SECRET = os.urandom(32)
 
 
-def digest_of(key: bytes) -> bytes:
+def key_digest(key: bytes) -> bytes:
     """Return the keyed digest that identifies a key in this process."""
     return blake2b(key, digest_size=DIGEST_BYTES, key=_SECRET).digest()
 
@@ -84,7 +84,7 @@
         key = key.strip()
         if scheme.lower() != AUTHORIZATION_SCHEME or not key or len(key) > MAX_KEY_BYTES:
             return MALFORMED_CREDENTIALS
-        tenant = self.tenants.get(digest_of(key))
+        tenant = self.tenants.get(key_digest(key))
         return UNKNOWN_KEY if tenant is None else Known(tenant)
 
 
--- a/tinrudder/gateway/requests/tenant_configuration.py
+++ b/tinrudder/gateway/requests/tenant_configuration.py
@@ -11,7 +11,7 @@
 from msgspec import Struct
 
 from tinrudder.gateway.model.configuration import Tenant
-from tinrudder.gateway.requests.api_keys import MAX_KEY_BYTES, digest_of
+from tinrudder.gateway.requests.api_keys import MAX_KEY_BYTES, key_digest
 
 
 class TenantsError(Exception):
@@ -69,4 +69,4 @@
     encoded = key.encode()
     if not 0 < len(encoded) <= MAX_KEY_BYTES:
         raise TenantsError(f"{field} must have 1 to {MAX_KEY_BYTES} bytes")
-    return digest_of(encoded)
+    return key_digest(encoded)
