--- a/tests/functional/gateway/test_overload.py
+++ b/tests/functional/gateway/test_overload.py
@@ -1,4 +1,7 @@
-"""More scatters than back ends can run: what callers get, on real gateways in virtual time."""
+"""Scatter overload: what clients get from real gateways, in virtual time.
+
+Guards against collapse: if all calls were sent at once, almost no scatter would be in time.
+"""
 
 from __future__ import annotations
 
@@ -11,16 +14,17 @@
 
 WORK_S = 0.04
 CAPACITY_PER_S = 2 * 2 / (WORK_S * 1.06)
-"""Two back ends of two slots each; the mean of work is a little above its median."""
+"""Scatters per second that two back ends of two slots run; the mean work is 1.06 times the median
+``WORK_S``."""
 OBJECTIVE_S = 0.2
 URGENT = {"name": "urgent", "path_prefix": "/urgent/", "priority": 0}
 SITE: dict[str, Any] = {"shards": 4, "work_s": WORK_S, "variants": (URGENT,)}
 
 
-async def ask(
+async def send_scatters(
     site: EmulatedSite, seconds: float, per_second: float, prefix: str = "all"
 ) -> list[ClientResult]:
-    """Ask scatters at random moments of random gateways."""
+    """Send scatters to random gateways as a Poisson process; return their results."""
     tasks = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
@@ -38,19 +42,19 @@
 
 
 def assert_refusals_are_true(site: EmulatedSite) -> None:
-    """Nothing of a refused scatter has left, and nothing else was broken."""
+    """Check that no refused scatter reached a back end, and that no promise was broken."""
     refused = {one.request_id for one in site.ledger.results if one.status == 503}
     assert not refused & {arrival.request_id for arrival in site.ledger.arrivals}
     assert site.broken_promises() == []
 
 
 def test_a_burst_of_four_times_the_capacity_is_served_as_far_as_back_ends_can() -> None:
-    """Where all calls leave at once, 0.07 of what back ends can do is in time at 4 times the load;
-    where scatters wait, 0.88 (``python -m bench.overload``, seed 1)."""
+    """At 4 times the load, 0.07 of the capacity is answered in time if all calls are sent at once,
+    and 0.88 if scatters wait in the queue (``python -m bench.overload``, seed 1)."""
 
     async def scenario(site: EmulatedSite) -> None:
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        results = await ask(site, 2.0, 4.0 * CAPACITY_PER_S)
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        results = await send_scatters(site, 2.0, 4.0 * CAPACITY_PER_S)
         assert in_time(results) >= 0.7 * CAPACITY_PER_S * 2.0
         assert {one.status for one in results} == {200, 503}
         refused = [one for one in results if one.status == 503]
@@ -65,10 +69,12 @@
 def test_the_most_urgent_kind_is_served_beside_any_load_of_a_less_urgent_one() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.gather(
-            ask(site, 1.0, 0.1 * CAPACITY_PER_S, "urgent"), ask(site, 1.0, 0.2 * CAPACITY_PER_S)
+            send_scatters(site, 1.0, 0.1 * CAPACITY_PER_S, "urgent"),
+            send_scatters(site, 1.0, 0.2 * CAPACITY_PER_S),
         )
         urgent, usual = await asyncio.gather(
-            ask(site, 2.0, 0.2 * CAPACITY_PER_S, "urgent"), ask(site, 2.0, 4.0 * CAPACITY_PER_S)
+            send_scatters(site, 2.0, 0.2 * CAPACITY_PER_S, "urgent"),
+            send_scatters(site, 2.0, 4.0 * CAPACITY_PER_S),
         )
         assert in_time(urgent) >= 0.9 * len(urgent)
         assert in_time(usual) >= 0.45 * CAPACITY_PER_S * 2.0
@@ -80,8 +86,8 @@
 def test_coordinators_keep_to_what_back_ends_can_do_for_all_their_entries() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        results = await ask(site, 2.0, 3.0 * CAPACITY_PER_S)
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        results = await send_scatters(site, 2.0, 3.0 * CAPACITY_PER_S)
         assert in_time(results) >= 0.6 * CAPACITY_PER_S * 2.0
         assert {one.status for one in results} <= {200, 503}
         assert_refusals_are_true(site)
@@ -91,14 +97,14 @@
 
 def test_a_client_that_leaves_while_its_scatter_waits_leaves_the_queue() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        gone = [site.send("scatter", leaves_after_s=0.01) for _ in range(6)]
-        results = await asyncio.gather(*gone)
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        abandoned = [site.send("scatter", leaves_after_s=0.01) for _ in range(6)]
+        results = await asyncio.gather(*abandoned)
         await asyncio.sleep(0.5)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        (gate,) = gateway.requests.scatter_admissions.gates
-        assert (len(gate.queue), gate.held) == (0, 0.0)
+        (admission,) = gateway.requests.scatter_admissions.admissions
+        assert (len(admission.queue), admission.held) == (0, 0.0)
         ran = {arrival.request_id for arrival in site.ledger.arrivals}
         assert 0 < len({one.request_id for one in results} & ran) < len(results)
 
@@ -107,13 +113,13 @@
 
 def test_a_planned_stop_serves_what_waits() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        await ask(site, 1.0, 0.3 * CAPACITY_PER_S)
-        asked = [site.loop.create_task(site.send("scatter")) for _ in range(4)]
+        await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
+        sending = [site.loop.create_task(site.send("scatter")) for _ in range(4)]
         await asyncio.sleep(0.01)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert len(gateway.requests.scatter_admissions.gates[0].queue) > 0
+        assert len(gateway.requests.scatter_admissions.admissions[0].queue) > 0
         gateway.request_stop()
-        assert {one.status for one in await asyncio.gather(*asked)} == {200}
+        assert {one.status for one in await asyncio.gather(*sending)} == {200}
 
     run_site(scenario, **SITE)
--- a/tests/functional/gateway/test_scatter_service.py
+++ b/tests/functional/gateway/test_scatter_service.py
@@ -1,4 +1,4 @@
-"""A coordinated scatter that ends in the same moment as its entry gives it up."""
+"""A delegated scatter that ends at the moment when the delegating gateway cancels it."""
 
 from __future__ import annotations
 
@@ -14,8 +14,8 @@
 from tinrudder_lab.emulator.site import SITE_HOST, EmulatedSite, run_site
 
 
-class RunThatWaits:
-    """Ends when the test says so."""
+class ManualRun:
+    """A run that the test ends."""
 
     def __init__(self, on_outcome: Callable[[RequestOutcome], None]) -> None:
         self.end = on_outcome
@@ -31,16 +31,16 @@
 def test_a_run_that_ends_as_its_entry_gives_it_up_disturbs_nothing(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Its end was reported to a future that was cancelled; the error stopped the pool that was
-    telling all waiting calls of a failed connection, and those behind waited for their deadline."""
-    runs: list[RunThatWaits] = []
+    """The outcome was set on a cancelled future.  The error interrupted the connection pool while
+    it was failing all calls of a lost connection; the remaining ones waited for their deadline."""
+    runs: list[ManualRun] = []
 
     async def scenario(site: EmulatedSite) -> None:
         gateway = site.nodes[0].gateway
         assert gateway is not None
 
-        def run(route: Any, scatter: Any, deadlines: Any, on_outcome: Any) -> RunThatWaits:
-            runs.append(RunThatWaits(on_outcome))
+        def run(route: Any, scatter: Any, deadlines: Any, on_outcome: Any) -> ManualRun:
+            runs.append(ManualRun(on_outcome))
             return runs[-1]
 
         monkeypatch.setattr(gateway.requests.delegation_service, "_run", run)
--- a/tests/unit/gateway/test_tenants.py
+++ b/tests/unit/gateway/test_tenants.py
@@ -1,4 +1,7 @@
-"""Tenants of a configuration: what is read, and what refuses a configuration as a whole."""
+"""Tenants of a configuration: decoding, validation, and lookup by key.
+
+One invalid tenant makes the whole configuration invalid, and no error text contains a key.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,7 @@
 
 from tinrudder.gateway.model.configuration import Tenant
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.api_keys import KeyRing, Known, digest_of, without_credentials
+from tinrudder.gateway.requests.api_keys import KeyRing, Known, key_digest, without_credentials
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
@@ -32,7 +35,7 @@
 def test_a_tenant_is_read_with_its_keys_digested() -> None:
     wire = {"name": "a", "api_keys": [KEY], "priority": 1, "rate_per_s": 5, "burst": None}
     (tenant,) = decode_configuration(document(wire)).tenants
-    assert tenant == Tenant("a", frozenset((digest_of(KEY.encode()),)), 1, 5.0, 0.0)
+    assert tenant == Tenant("a", frozenset((key_digest(KEY.encode()),)), 1, 5.0, 0.0)
     assert KEY not in repr(tenant)
 
 
@@ -88,7 +91,7 @@
     assert type(ring().identify(request(*headers))).__name__ == outcome
 
 
-def test_what_goes_on_names_the_tenant_and_holds_no_key() -> None:
+def test_a_forwarded_request_has_the_tenant_and_no_key() -> None:
     sent = request(
         (b"authorization", b"Token " + KEY.encode()),
         (b"tinrudder-tenant", b"somebody-else"),
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -1,8 +1,8 @@
-"""Admits scatters: they wait as a whole before anything of them has run, one queue for each index.
+"""Admission control for scatters: one queue per index; a scatter waits before any call is sent.
 
-Owns who waits and who runs at this gateway. The decisions are in
-:mod:`tinrudder.gateway.decisions.admission.scatter_queue`; this connects them to requests, to what
-back ends report, and to the clock.
+Owns the waiting and the running scatters of this gateway. Connects the decisions of
+:mod:`tinrudder.gateway.decisions.admission.scatter_queue` to requests, to the reports of back ends,
+and to the clock.
 """
 
 from __future__ import annotations
@@ -27,13 +27,13 @@
 from tinrudder.gateway.scatters.waiting_scatter import Ticket, WaitingScatter
 from tinrudder.timers import TimerHandle
 
-PART_KEPT_S = 1.0
-"""How long a gateway's part of the slots is not worked out anew: back ends and gateways come and go
-in seconds."""
+SLOTS_LIFETIME_S = 1.0
+"""How long a gateway's computed part of the slots is kept, seconds: back ends and gateways come and
+go within seconds."""
 
 
 class ScatterAdmission:
-    """The admission of one index at this gateway: a queue before a concurrency limit."""
+    """The admission of one index at this gateway: a queue in front of a concurrency limit."""
 
     def __init__(
         self,
@@ -41,10 +41,10 @@
         delegation_context: DelegationContext,
         random_source: random.Random,
     ) -> None:
-        """Learn of back ends, callers and reports through ``delegation_context``."""
+        """Read back ends, their reports and the coordination through ``delegation_context``."""
         self.queue = ScatterQueue()
         self._call_context = delegation_context.call_context
-        self._typical = TypicalShard(
+        self._typical_shard = TypicalShard(
             index,
             delegation_context.call_context.directory,
             delegation_context.coordinators,
@@ -53,18 +53,21 @@
         self._random = random_source
         self._running: set[Ticket] = set()
         self._waiting: dict[QueuedScatter, Ticket] = {}
-        self._part_at: float | None = None
-        self._returns_until: dict[int, float] = {}
+        self._slots_updated_at: float | None = None
+        self._reserved_until: dict[int, float] = {}
         self._timer: TimerHandle | None = None
-        self._next_look: asyncio.Handle | None = None
+        self._scheduled_check: asyncio.Handle | None = None
 
     @property
     def held(self) -> float:
-        """Return what running scatters hold of the concurrency limit, in scatters."""
+        """Return the part of the concurrency limit that running scatters use, in scatters."""
         return sum(one.run.unanswered_share for one in self._running if one.run is not None)
 
     def _held_before(self, scatter: QueuedScatter) -> float:
-        """Return what those running hold that are as urgent as one, or more, in scatters."""
+        """Return what running scatters at least as urgent as ``scatter`` hold, in scatters.
+
+        A scatter that is late already ranks behind all running ones.
+        """
         if scatter.late:
             return self.held
         return sum(
@@ -76,9 +79,9 @@
         )
 
     def enter(self, ticket: Ticket) -> None:
-        """Start a scatter, let it wait, or refuse it."""
+        """Start, queue or refuse a scatter."""
         now = self._call_context.loop.time()
-        self._follow_reports(now)
+        self._update_limit(now)
         scatter = ticket.scatter = self._describe(ticket.waiting)
         held_before = self._held_before(scatter)
         verdict = self.queue.arrive(scatter, self.held, now, held_before=held_before)
@@ -88,47 +91,47 @@
             self._start(ticket)
         else:
             self._waiting[scatter] = ticket
-            self._refuse_hopeless(now)
+            self._refuse_too_late(now)
 
     def leave(self, ticket: Ticket) -> None:
-        """Forget a scatter that has ended, or whose caller has gone."""
+        """Remove a scatter that has ended, or whose client has disconnected."""
         now = self._call_context.loop.time()
         if ticket.run is not None and ticket in self._running:
             self._running.discard(ticket)
             self.queue.room.note_hold(ticket.run.hold_s(now))
-            ticket.run.on_progress = _nothing
+            ticket.run.on_progress = _ignore_progress
         if ticket.scatter is not None and self._waiting.pop(ticket.scatter, None) is not None:
             self.queue.leave(ticket.scatter)
-        self._progressed()
+        self._schedule_check()
 
-    def _progressed(self) -> None:
-        """Look soon whether there is room now; answers that are ready leave first."""
-        if self.queue and self._next_look is None:
-            self._next_look = self._call_context.loop.call_soon(self._look)
+    def _schedule_check(self) -> None:
+        """Schedule a check of the queue; answers that are ready are sent before it."""
+        if self.queue and self._scheduled_check is None:
+            self._scheduled_check = self._call_context.loop.call_soon(self._admit_waiting)
 
-    def _look(self, at: float = 0.0) -> None:
-        """Start what there is room for, and refuse what will have none in time.
+    def _admit_waiting(self, at: float = 0.0) -> None:
+        """Start waiting scatters that fit the limit; refuse those that would start too late.
 
-        :param at: what the timer was set to; the loop may call a little early.
+        :param at: the time for which the timer was set; the loop may call a little early.
         """
-        self._next_look = None
+        self._scheduled_check = None
         now = max(at, self._call_context.loop.time())
-        self._follow_reports(now)
+        self._update_limit(now)
         while (first := self.queue.first) is not None:
             if self.queue.next_ready(self._held_before(first)) is None:
                 break
             self._start(self._waiting.pop(first))
-        self._refuse_hopeless(now)
+        self._refuse_too_late(now)
 
     def _start(self, ticket: Ticket) -> None:
-        """Begin a scatter."""
+        """Start a scatter."""
         ticket.run = ticket.waiting.begin()
-        ticket.run.on_progress = self._progressed
+        ticket.run.on_progress = self._schedule_check
         self._running.add(ticket)
         ticket.run.start()
 
-    def _refuse_hopeless(self, now: float) -> None:
-        """Refuse those that wait in vain, and look again when the next one would."""
+    def _refuse_too_late(self, now: float) -> None:
+        """Refuse scatters that would start too late, and set the timer for the next such check."""
         for scatter, refusal in self.queue.refuse_hopeless(self.held, now):
             self._refuse(self._waiting.pop(scatter), refusal, now)
         if self._timer is not None:
@@ -136,32 +139,33 @@
             self._timer = None
         end_at = self.queue.next_end_at
         if end_at is not None:
-            self._timer = self._call_context.loop.call_at(end_at, self._look, end_at)
+            self._timer = self._call_context.loop.call_at(end_at, self._admit_waiting, end_at)
 
     def _refuse(self, ticket: Ticket, refusal: ScatterRefusal, now: float) -> None:
-        """Refuse one, with what decided it and a moment to come back at."""
+        """Refuse one scatter, with the values that led to it and a ``Retry-After``."""
         self._call_context.counters.refused += 1
         assert ticket.scatter is not None
         retry_s = self._retry_after_s(ticket.scatter, refusal, now)
         ticket.waiting.refuse(NotRun(str(refusal), retry_s), now)
 
     def _retry_after_s(self, scatter: QueuedScatter, refusal: ScatterRefusal, now: float) -> float:
-        """Return when there will be room for a refused caller, behind those refused before it.
+        """Return the ``Retry-After``: when there will be room, after callers refused earlier.
 
-        Only who would wait so long has a place there; others are told the truth, once.
+        Room is reserved only for callers that would wait that long; the others get the expected
+        time, at most their deadline.
         """
         left_s = max(0.0, scatter.deadline_at - now)
-        until = max(now + refusal.expected_s, self._returns_until.get(refusal.priority, 0.0))
-        room_in_s = until - now
+        room_at = max(now + refusal.expected_s, self._reserved_until.get(refusal.priority, 0.0))
+        room_in_s = room_at - now
         if room_in_s + scatter.usual_s > left_s:
             return left_s
         if may_come_back(room_in_s, left_s):
             pace = self.queue.room.pace
-            self._returns_until[refusal.priority] = until + (1.0 / pace if pace else 0.0)
+            self._reserved_until[refusal.priority] = room_at + (1.0 / pace if pace else 0.0)
         return retry_after_by_place_s(room_in_s, left_s, self._random.random())
 
     def _describe(self, waiting: WaitingScatter) -> QueuedScatter:
-        """Return what decides on a scatter's place."""
+        """Return the values that determine a scatter's position in the queue."""
         deadlines = waiting.deadlines
         return QueuedScatter(
             priority=waiting.priority,
@@ -173,33 +177,33 @@
         )
 
     def _usual_s(self, route: Route) -> float:
-        """Return how long a scatter of a route takes where nothing waits."""
+        """Return how long a scatter of a route takes without queueing, seconds."""
         unloaded = self._call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
             return self.queue.room.hold_s * USUAL_FACTOR
         return unloaded.quantile(0.5) * USUAL_FACTOR
 
-    def _follow_reports(self, now: float) -> None:
-        """Adapt the room to the fleet and to what back ends report, where that may matter."""
+    def _update_limit(self, now: float) -> None:
+        """Adapt the limit to the fleet and, if it is in use or has changed, to reported queues."""
         room = self.queue.room
-        if self._part_at is None or now - self._part_at >= PART_KEPT_S:
-            self._part_at = now
-            slots = self._typical.own_slots()
+        if self._slots_updated_at is None or now - self._slots_updated_at >= SLOTS_LIFETIME_S:
+            self._slots_updated_at = now
+            slots = self._typical_shard.own_slots()
             if slots:
                 room.set_part(slots)
         in_use = bool(self.queue) or not room.bears_another(self.held)
         if not room.may_judge(now) or not (in_use or room.has_changed):
             return
-        queue = self._typical.queue(now)
+        queue = self._typical_shard.queue(now)
         if queue is not None:
             room.judge(queue, now, in_use=in_use)
 
 
 class ScatterAdmissions:
-    """The admissions of all indexes that this gateway calls."""
+    """The admission queues of all indexes whose back ends this gateway calls."""
 
     def __init__(self, delegation_context: DelegationContext, random_source: random.Random) -> None:
-        """Make admissions as they are needed."""
+        """Create the admission of an index when it is first needed."""
         self._delegation_context = delegation_context
         self._random = random_source
         self._by_index: dict[tuple[str, ...], ScatterAdmission] = {}
@@ -213,12 +217,12 @@
         return admission
 
     def forget_unused(self, indexes: frozenset[tuple[str, ...]]) -> None:
-        """Drop those of indexes that no configuration names; what waits there still ends."""
+        """Drop indexes that are not in use any more; scatters that wait there still end."""
         for index in self._by_index.keys() - indexes:
             del self._by_index[index]
 
     @property
-    def gates(self) -> tuple[ScatterAdmission, ...]:
+    def admissions(self) -> tuple[ScatterAdmission, ...]:
         """Return all admissions."""
         return tuple(self._by_index.values())
 
@@ -229,14 +233,14 @@
 
     @property
     def held(self) -> float:
-        """Return what running scatters hold of the limits, in scatters."""
+        """Return the part of all limits that running scatters use, in scatters."""
         return sum(one.held for one in self._by_index.values())
 
     @property
     def limit(self) -> float:
-        """Return the concurrency limits together, in scatters."""
+        """Return the sum of the concurrency limits, in scatters."""
         return sum(one.queue.room.limit for one in self._by_index.values())
 
 
-def _nothing() -> None:
-    """Take no note."""
+def _ignore_progress() -> None:
+    """Ignore the progress of a scatter that has ended."""
