--- a/tests/functional/gateway/test_restored_store.py
+++ b/tests/functional/gateway/test_restored_store.py
@@ -1,20 +1,13 @@
-"""The store is back from an older copy: what is confirmed afterwards is in force in time.
+"""After the store is restored from an older copy, confirmed changes are in force in time.
 
-What users saw: a change of a route was confirmed, and more than four seconds later two machines
-still sent requests of that route where the version before had sent them.  Three changes in a row
-came into force nowhere; the fourth did, everywhere at once.
+Guards against confirmed changes that come into force late or not at all: after an outage of 2.7 s,
+two gateways still used a route's previous version more than four seconds after the change, and
+three changes in a row had no effect until the fourth came into force everywhere at once. In that
+time every gateway called the store over a hundred times a second.
 
-The order of events: the store answered nobody for 2.7 s and was back.  From then on every machine
-called it over a hundred times a second.  The operator changed a route, another one and weights,
-each confirmed; no machine logged any of them.  The calls ended with the third change.
-
-The cause: the store was back from an older copy, and gave out again the revisions that the copy had
-not reached.  Of every key the highest revision ever heard was kept, so whatever was written now was
-taken for old until the store's counter had passed that.
-
-The evidence: the fourth change came into force with the revision that follows the highest known
-before, although three changes were confirmed in between; and each machine read everything, new
-values included, a hundred times a second meanwhile.
+The failure comes about as follows. The restored store assigns the revisions after the end of the
+copy again. A gateway that keeps the highest revision ever observed for each key takes every new
+write for old until the store's counter has passed that revision.
 """
 
 from __future__ import annotations
@@ -31,22 +24,22 @@
 from tinrudder_lab.emulator.store_restore import StoreRestore, restore_store
 
 IN_FORCE_S = 3.0
-"""Within this time of its confirmation a change must be in force everywhere."""
+"""Seconds from a change's confirmation until it must be in force everywhere."""
 LOST_CHANGES = 4
 GATEWAYS = 7
 CALLS_PER_SECOND = 100
-"""What a store that lost its history may be asked by all gateways together: a twentieth of the
-2,000 reading calls a second that the smallest deployment allows."""
+"""Maximum calls to a restored store by all gateways together: a twentieth of the 2,000 reading
+calls a second that the smallest deployment allows."""
 
 
 def versions_in_force(site: EmulatedSite) -> list[int]:
-    """Return the operator's version that each gateway has put in force."""
+    """Return the operator's version in force at each gateway."""
     accepted = [node.gateway.knowledge.state.accepted for node in site.nodes if node.gateway]
     return [one.configuration.version for one in accepted if one is not None]
 
 
 async def lose_changes(site: EmulatedSite) -> None:
-    """Let the store lose changes of each kind: whoever made them writes the newest again."""
+    """Let the store lose changes of each kind; their authors write the newest ones again."""
     await asyncio.sleep(2.0)
     for _ in range(LOST_CHANGES):
         await asyncio.sleep(0.5)
@@ -82,7 +75,7 @@
 def test_what_takes_calls_away_after_the_store_came_back_is_obeyed(
     change: Callable[[EmulatedSite], None],
 ) -> None:
-    """The same order of events; the change after the return is no configuration."""
+    """The same order of events, but the change after the restore is no configuration."""
 
     async def scenario(site: EmulatedSite) -> None:
         await lose_changes(site)
@@ -113,7 +106,7 @@
 
 
 async def ask(site: EmulatedSite, rounds: int = 5) -> set[str]:
-    """Send single requests to every gateway; return the back ends that got them."""
+    """Send single requests to every gateway; return the back ends that received them."""
     before = len(site.ledger.arrivals)
     for index in range(rounds * len(site.nodes)):
         await site.send("single", index % len(site.nodes))
@@ -121,7 +114,7 @@
 
 
 async def ask_through(site: EmulatedSite, drill: StoreRestore, after_s: float = 1.0) -> set[str]:
-    """Ask all the time while the store is away and back; return the back ends that got calls."""
+    """Send requests during the store's outage and restore; return the back ends called."""
     running = asyncio.create_task(restore_store(site, drill))
     asked: set[str] = set()
     while not running.done():
@@ -135,7 +128,7 @@
         await asyncio.sleep(2.0)
         site.drain("single-0")
         await asyncio.sleep(0.5)
-        # It ends without writing again, and its entry in the copy goes with its heartbeats.
+        # It stops without another write; its entry in the copy expires without heartbeats.
         drill = StoreRestore(age_s=1.0, backends_after_s=None)
         asked = await ask_through(site, drill)
         assert asked and "single-0" not in asked
@@ -233,7 +226,10 @@
 
 
 def test_all_back_ends_that_are_shown_again_are_not_cold_again() -> None:
-    """Nor is who only writes again what the store lost: a service would bear almost nothing."""
+    """Rewriting an entry that the store lost must not make a back end cold either.
+
+    Otherwise a service could serve almost nothing.
+    """
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(2.0)
@@ -314,7 +310,7 @@
 
 
 def test_a_store_that_tells_no_epoch_is_still_followed() -> None:
-    """It must lose nothing then; should it, the operator's versions and whole reads are left."""
+    """Without epochs, only the operator's versions and complete reads handle a restore."""
 
     async def scenario(site: EmulatedSite) -> None:
         site.store.epoch = None
@@ -348,11 +344,11 @@
 
 
 def test_a_store_that_came_back_is_not_called_again_and_again() -> None:
-    """The same order of events; what the store saw from its return until the next change.
+    """The same order of events; counts the calls to the store until the next change.
 
-    The cause: a refused watch led to a read of everything, and that at once to a watch from the
-    highest revision ever known, which the store refused again.  The evidence: of the calls that the
-    store counted, half were refused, and they ended with the change that reached that revision.
+    Guards against a loop of calls: a refused watch led to a complete read, and that at once to a
+    watch from the highest revision ever known, which the store refused again. Half of all calls
+    were refused, until a change reached that revision.
     """
 
     async def scenario(site: EmulatedSite) -> None:
--- a/tests/functional/gateway/test_silent_connections.py
+++ b/tests/functional/gateway/test_silent_connections.py
@@ -1,23 +1,14 @@
-"""Open connections fall silent without a reset: what is confirmed is heard of all the same.
-
-What users saw: a route was added, the change was confirmed, and for longer than the 5 s that the
-deployment allows gateways refused its requests with 404, on most runs of sixty processes.
-
-The order of events, as far as the users' record and our runs show it: connections to the store lose
-their way, and nobody is told.  A change is confirmed.  All gateways that follow the store for the
-others wait on in their watches.  Six seconds later the others ask too, over connections of their
-own that are as old, and wait as long.  After 10 to 17 s a first watch has waited all its time, asks
-over a new connection, and the change is in force everywhere within half a second.
-
-The cause: silence was taken for "nothing new".  A watch has no answer as long as nothing changes,
-so a dead connection looked like a calm store until the wait was over, which grew with the number of
-readers; and whoever doubted that asked the same kind of question over a connection as old.
-
-The evidence: with proxies before each of sixty processes that let open connections fall silent, and
-pass new ones on, the first watch to reach the end of its wait brought the change to all; gateways
-that are no readers logged "no answer" after 10 to 16 s, over connections opened at their start; and
-the record has the same: a watch without an answer for 16.36 s, and gateways that are no readers
-with a watch of the operator's topic alone.
+"""Changes come into force although open connections have become silent without a reset.
+
+Guards against a confirmed change that was not in force after the 5 s that the deployment allows:
+gateways refused requests of a new route with 404, on most runs of sixty processes.
+
+The failure comes about as follows. Connections to the store lose their path without notice, then a
+change is confirmed. A watch has no answer as long as nothing changes, so a broken connection looked
+like an idle store until the wait was over, and the wait grew with the number of readers. After six
+seconds the other gateways queried the store too, over connections of their own that were as old.
+Only after 10 to 17 s (16.36 s in the users' record) did a first watch reach the end of its wait and
+query the store over a new connection; half a second later the change was in force everywhere.
 """
 
 from __future__ import annotations
@@ -38,15 +29,15 @@
 from tinrudder_lab.emulator.store import StoreMode
 
 IN_FORCE_S = 2.0
-"""Within this time of a confirmation a change is in force wherever a new connection works."""
+"""Seconds from a confirmation until a change is in force wherever a new connection works."""
 LEAST_IN_FORCE_S = 3.0
-"""The same as the tightest deployment bounds it."""
+"""The same, as limited by the strictest deployment."""
 UNHEARD_S = 0.1
 ADDED_ROUTE = "added"
 
 
 class GrowingSite(EmulatedSite):
-    """A site whose next configuration has one route more."""
+    """A site whose next configuration has an additional route."""
 
     has_added_route = False
 
@@ -65,7 +56,7 @@
 ) -> None:
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(SETTLED_S)
-        # All watches begin at one moment: none is about to end by itself.
+        # All watches begin at the same moment: none is about to end by itself.
         site.configure()
         await asyncio.sleep(1.0)
         fall_silent(site)
@@ -95,7 +86,7 @@
 
 
 def test_a_change_is_in_force_where_the_store_falls_silent_to_all_that_follow_it() -> None:
-    """Others are answered, and have to find out that those who ask for them are not."""
+    """Other gateways get answers, and must notice that the readers do not."""
 
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(SETTLED_S)
@@ -112,7 +103,7 @@
 
 
 CALM_CALLS_PER_SECOND = 1.8
-"""What all gateways together ask of a calm store, at most; it does not grow with their number."""
+"""Maximum calls per second to an idle store by all gateways; independent of their number."""
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8, 24])
@@ -127,9 +118,9 @@
 
 
 def test_a_route_is_not_denied_for_good_by_who_may_lack_it() -> None:
-    """The store answers nobody; a route that was added meanwhile is refused so that callers return.
+    """The store answers no gateway; requests of a new route get a status that callers retry.
 
-    They do not return after a 404.
+    They do not retry after a 404.
     """
 
     async def scenario(site: EmulatedSite) -> list[int]:
--- a/tests/functional/gateway/test_store_readers.py
+++ b/tests/functional/gateway/test_store_readers.py
@@ -1,4 +1,4 @@
-"""Many gateways of which a few read the store: starts, outages, and how they know each other."""
+"""Many gateways of which a few read the store: starts, outages and peer discovery."""
 
 from __future__ import annotations
 
@@ -112,7 +112,7 @@
 
 
 def reads_of_one(site: EmulatedSite) -> int:
-    """Return how many calls one gateway needs to read everything: one more than pages."""
+    """Return how many calls a gateway needs to read everything: one more than the pages."""
     return 1 + math.ceil(len(site.backends) / PAGE_ITEMS)
 
 
@@ -190,7 +190,7 @@
         restart_all(site)
         calls = site.store.calls
         await asyncio.sleep(8.0)
-        # Two seeds ask at their usual pace; all the others together about twenty times a second.
+        # Two seeds retry at their usual rate; all others together about 20 times per second.
         assert site.store.calls - calls <= 8.0 * (20 + 2 * len(site.seeds) * 2 / 0.8)
         site.store.set_mode(StoreMode.SERVING)
         await asyncio.sleep(1.5)
@@ -200,7 +200,7 @@
 
 
 def test_gateways_that_start_together_know_each_other_within_a_second() -> None:
-    """Coordinators are chosen among those who are known, so views must agree early."""
+    """Coordinators are chosen among the known gateways, so views must agree early."""
 
     async def scenario(site: EmulatedSite) -> None:
         restart_all(site)
--- a/tests/support/store_revisions.py
+++ b/tests/support/store_revisions.py
@@ -1,4 +1,4 @@
-"""Places in the store's history, and what a gateway tells a peer behind one, for tests."""
+"""Store revisions and positions for tests, and the values sent to a peer behind a revision."""
 
 from __future__ import annotations
 
@@ -18,5 +18,5 @@
 def told(
     state: SharedState, after: StoreRevision = NO_REVISION, topic: Topic = Topic.BACKENDS
 ) -> tuple[StoredValue, ...]:
-    """Return what a peer is told that knows a topic up to a revision."""
+    """Return the values sent to a peer that knows a topic up to a revision."""
     return state.values_for(topic, TopicPosition(after))
--- a/tests/unit/gateway/test_backend_entries.py
+++ b/tests/unit/gateway/test_backend_entries.py
@@ -1,4 +1,4 @@
-"""Entries by any writer: one that cannot be read names no back end, and the others hold."""
+"""Entries by any writer: an undecodable one is ignored, and all others stay in force."""
 
 from __future__ import annotations
 
@@ -127,7 +127,7 @@
     assert state.backends["servers/a"].leaving
     assert standing(state, "b") is EntryStanding.IN_FORCE
 
-    # Whoever learns of it through peers holds the same, and older word brings nothing back.
+    # Gateways that learn of it from peers reach the same state, and older values change nothing.
     peer.apply(Topic.BACKENDS, told(state))
     late_peer.apply(Topic.BACKENDS, told(state, late_peer.revision(Topic.BACKENDS)))
     for one in (state, peer, late_peer):
--- a/tests/unit/gateway/test_epoch_merge.py
+++ b/tests/unit/gateway/test_epoch_merge.py
@@ -1,8 +1,8 @@
-"""A store that came back from an older copy: everybody ends at its word, and nobody goes back.
+"""After the store is restored from an older copy, all gateways converge and no value regresses.
 
-What users saw: a change was confirmed after the store had been away, and was not in force for
-seconds; the store gave revisions out again, and what had a lower one than was known counted as old.
-The order of events and the evidence: ``tests/functional/gateway/test_restored_store.py``.
+Guards against confirmed changes that were not in force for seconds after an outage of the store:
+the restored store assigned revisions again, and gateways took changes with a lower revision than a
+known one for old. The order of events: ``tests/functional/gateway/test_restored_store.py``.
 """
 
 from __future__ import annotations
@@ -139,7 +139,7 @@
 
 
 def test_what_a_copy_lacks_is_gone_if_it_is_not_written_again_and_the_store_was_heard() -> None:
-    """A process that was suspended after it read the copy must not take its own sleep for that."""
+    """The time of a suspension after the read of the copy must not count as time to rewrite."""
     now = [0.0]
     history = TopicHistory(lambda: now[0])
     merge = EpochMerge(history, backend_precedence_s, lambda: now[0])
@@ -155,7 +155,7 @@
 
 
 def known_state(*values: StoredValue, up_to: StoreRevision) -> SharedState:
-    """Return a state that has read these values of both topics, at one moment."""
+    """Return a state that has read these values of both topics at once."""
     state = SharedState(DECODERS, lambda: 100.0, lambda _: None)
     read_all(state, *values, up_to=up_to)
     return state
@@ -187,7 +187,7 @@
 
 @pytest.mark.parametrize("is_ahead", [False, True])
 def test_who_just_started_with_the_copy_learns_what_it_lacks_from_peers(is_ahead: bool) -> None:
-    """A peer knows it from before, whether or not that peer has heard of the new epoch."""
+    """A peer has the lost values from before, whether or not it has observed the new epoch."""
     lost = (
         configured(21, at(63, 1)),
         StoredValue(KEY, at(62, 1), entry(1, "draining")),
@@ -212,7 +212,7 @@
 
 
 def test_a_gateway_of_older_software_teaches_what_it_knows_without_epochs() -> None:
-    """It tells bare numbers, which are of no epoch that the store tells; nothing goes back."""
+    """It sends revision numbers without an epoch; no value regresses."""
     state = known_state(configured(21, at(60, 2)), up_to=at(60, 2))
     older = msgspec.structs.replace(
         snapshot_for(
@@ -230,7 +230,7 @@
 
 @dataclass
 class Store:
-    """The oracle: what stands, and every write since the beginning of the epoch's copy."""
+    """The oracle: current contents, and every write since the start of the epoch's copy."""
 
     epoch: int = 1
     writes: list[tuple[str, bytes | None]] = field(default_factory=list)
@@ -257,7 +257,7 @@
 
 
 class Gateway:
-    """One gateway's knowledge, and what it must never take back in its life."""
+    """One gateway's state, and what must not regress while it runs."""
 
     def __init__(self, machine: DrillMachine) -> None:
         self.state = SharedState(DECODERS, lambda: machine.now, lambda _: None)
@@ -272,10 +272,10 @@
 
 
 class DrillMachine(RuleBasedStateMachine):
-    """Gateways, a store that goes back now and then, and whoever writes there.
+    """Gateways, a store that is restored from copies now and then, and its writers.
 
-    Answers of the store may arrive late, twice or never; gateways pull from each other and start
-    again at any moment.  All that the store lost is written again within 5 s, in any order.
+    Answers of the store may arrive late, twice or never; gateways pull from each other and restart
+    at any moment. All writes that the store lost are repeated within 5 s, in any order.
     """
 
     def __init__(self) -> None:
@@ -311,7 +311,7 @@
 
     @rule(key=BACKENDS)
     def back_end_lives_on(self, key: str) -> None:
-        """It starts, then says that it leaves, then is gone, then another start comes."""
+        """A back end becomes ready, then leaving, then is removed; then its next start follows."""
         value = self.truth.get(key)
         if value is None:
             self.started += 1
@@ -399,7 +399,7 @@
                 assert known.leaving or start not in gateway.left
 
     def teardown(self) -> None:
-        """After all is written again and was heard for long enough, everybody knows the store."""
+        """Once all lost writes are repeated and confirmed, all states match the store."""
         self.write_all_again()
         for _ in range(2):
             for who in range(len(self.gateways)):
--- a/tests/unit/gateway/test_shared_state.py
+++ b/tests/unit/gateway/test_shared_state.py
@@ -1,4 +1,4 @@
-"""What gateways know of the store: newest wins, in any order, whoever tells it."""
+"""Merging of store values: the newest wins, in any order and from any source."""
 
 from __future__ import annotations
 
@@ -135,7 +135,7 @@
 
 
 def test_a_value_newer_than_a_readings_first_page_waits_for_the_watch() -> None:
-    """Taken at once, it would claim knowledge of a change that an earlier page missed."""
+    """Applied at once, it would claim knowledge of a change that an earlier page missed."""
     state = new_state()
     state.apply_complete(Topic.BACKENDS, Reading((backend("a", 5), backend("b", 9)), at(7)))
     assert state.revision(Topic.BACKENDS) == at(5)
@@ -194,7 +194,7 @@
 
 
 def test_a_gateway_that_has_just_started_assumes_peers_it_has_not_heard() -> None:
-    """Otherwise all that start together would each take every connection of a back end."""
+    """Otherwise, gateways that start together would each use all connections of a back end."""
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=100.0)
     assert peers.nodes(100.5) >= 8
     peers.heard_from(member("10.0.0.2"), 100.5)
@@ -260,7 +260,7 @@
 
 
 def test_digests_of_a_large_fleet_stay_within_the_bytes_allowed() -> None:
-    """At most 3 KB/s of control for a node (docs/CAPACITY.md), datagram headers included."""
+    """At most 3 KB/s of control traffic per node (docs/CAPACITY.md), with datagram headers."""
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     for index in range(729):
         host = f"10.{index // 250}.250.{index % 250}"
--- a/tests/unit/gateway/test_staleness_bound.py
+++ b/tests/unit/gateway/test_staleness_bound.py
@@ -1,4 +1,4 @@
-"""How far knowledge reaches is never believed to be later than it is."""
+"""The staleness bound never claims knowledge that is more recent than it is."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class FakeState:
-    """The little of the shared state that counts here."""
+    """The part of the shared state that the bound uses."""
 
     known: TopicHistory = field(default_factory=lambda: TopicHistory(lambda: 0.0))
     may_lack_lost_words: bool = False
@@ -40,7 +40,7 @@
 
 @dataclass
 class Question:
-    """A question to the store or to a node; answered at some moment, then delivered, or not."""
+    """A request to the store or to a gateway; answered at some moment, then delivered or lost."""
 
     asker: int
     sent_at: float
@@ -50,9 +50,9 @@
 
 
 class KnowledgeMachine(RuleBasedStateMachine):
-    """Three gateways and a store: anything may take any time, come twice, or never.
+    """Three gateways and a store: messages take any time, and may be duplicated or lost.
 
-    A pause of a gateway is that nothing is delivered to it for a while.
+    A pause of a gateway is a time without any delivery to it.
     """
 
     def __init__(self) -> None:
@@ -116,7 +116,7 @@
 
     @rule(learner=NODES, teacher=NODES)
     def news_arrives_early(self, learner: int, teacher: int) -> None:
-        """A digest, a watch or a snapshot brings changes, and proves nothing."""
+        """A digest, a watch or a snapshot brings changes without a proof."""
         self.states[learner].learn(self.states[teacher].known.revision)
 
     @invariant()
--- a/tests/unit/gateway/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -1,4 +1,4 @@
-"""A follower of the store watches from what it knows, and rests after changes."""
+"""A follower of the store watches from the latest known revision and pauses after changes."""
 
 from __future__ import annotations
 
@@ -43,12 +43,12 @@
 
 
 def in_epoch(value: StoredValue) -> StoredValue:
-    """Return the same of the epoch of these tests."""
+    """Return the same value in the epoch of these tests."""
     return StoredValue(value.key, at(value.revision.number, EPOCH), value.value)
 
 
 class ScriptedStore:
-    """Gives one change to every watch, and remembers from where each one began."""
+    """Answers every watch with one change, and records the revision from which it began."""
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self.watched_after: list[StoreRevision] = []
@@ -72,7 +72,7 @@
 
 
 class AlwaysReads:
-    """Readers of a fleet in which this gateway follows the store."""
+    """Stands in for the readers of a fleet in which this gateway follows the store."""
 
     def __init__(self, readers: int, place: int) -> None:
         self._readers = readers
@@ -92,7 +92,7 @@
 
 
 class RefusingStore(ScriptedStore):
-    """Refuses every watch that begins in a span of time."""
+    """Refuses every watch that begins in a given span of time."""
 
     def __init__(self, clock: Callable[[], float], refuses: tuple[float, float]) -> None:
         super().__init__(clock)
@@ -116,7 +116,7 @@
     place: int = 0,
     operator_revision: int = FIRST_REVISION,
 ) -> ScriptedStore:
-    """Follow back ends for a while; peers teach a revision after the first change."""
+    """Follow back ends for a while; peers send a revision after the first change."""
     loop = async_solipsism.EventLoop()
     store = RefusingStore(loop.time, refuses) if refuses else store_type(loop.time)
 
@@ -174,9 +174,9 @@
 
 
 class CalmStore(ScriptedStore):
-    """Has no news; from some moment on its connections say nothing, but new ones work.
+    """Has no changes; from some moment on its open connections are silent, but new ones work.
 
-    A connection is as old as the watch that was answered over it last.
+    A connection is as old as the latest watch that was answered over it.
     """
 
     silent_from = float("inf")
@@ -192,7 +192,7 @@
 
 
 class SilentStore(CalmStore):
-    """Falls silent while the first long watch waits."""
+    """Becomes silent while the first long watch waits."""
 
     silent_from = 1.0
 
@@ -208,22 +208,22 @@
     store = follow(10.0, readers=8, place=place, store_type=SilentStore)
     first, second, *_ = store.watched_at
     assert second - first <= TURN_S[Topic.BACKENDS] + OVERDUE_S + PLACE_STEP_S * place + 0.01
-    # It asks briefly first: the answer shows that the store is there.
+    # The next watch is a probe: its answer shows that the store is reachable.
     assert store.waits_s[1] == SHORTEST_WAIT_S
     assert store.waits_s[2] > SHORTEST_WAIT_S
 
 
 def test_an_answer_behind_what_is_known_confirms_nothing() -> None:
-    """The other topic is known further than the store says it is: this watch is not to be believed.
+    """The other topic is known up to a later revision than the one this watch reports.
 
-    Its word does not count, so it is doubted, again and again.
+    Its answer is no confirmation, so the watch is suspected repeatedly.
     """
     behind = follow(20.0, readers=8, store_type=CalmStore, operator_revision=FIRST_REVISION + 1)
     assert behind.waits_s.count(SHORTEST_WAIT_S) >= 20.0 / (TURN_S[Topic.BACKENDS] + 1.0)
 
 
 def test_a_watch_that_news_have_overtaken_is_given_up() -> None:
-    """A peer tells of a change, and the watch that should have told it first goes on waiting."""
+    """A peer reports a change, and the watch that should have reported it continues to wait."""
     store = follow(5.0, readers=8, taught=50, store_type=CalmStore)
     assert store.watched_at[1] - store.watched_at[0] <= 0.02 + OVERTAKEN_S + 0.01
 
@@ -239,7 +239,7 @@
 
 
 class ForgetfulStore(ScriptedStore):
-    """Tells its epoch on readings alone: every watch seems to be of another one."""
+    """Reports its epoch in complete reads only: every watch seems to be of another one."""
 
     async def watch(self, topic: Topic, after: StoreRevision, wait_s: float) -> Reading:
         self.watched_at.append(self._clock())
--- a/tests/unit/platform/test_platform_adapter.py
+++ b/tests/unit/platform/test_platform_adapter.py
@@ -1,4 +1,4 @@
-"""The adapter to the users' platform: formats, settings, and that it stays one small folder."""
+"""The adapter to the users' platform: formats, settings, and limits on the folder itself."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 PRODUCT = Path(__file__).parents[3] / "tinrudder"
 MAX_FOLDER_LINES = 600
 
-# Names that only the platform's wire has; words that the field uses anyway are not listed.
+# Names that only the platform's interfaces use; general terms of the field are not listed.
 PLATFORM_NAMES = (
     "tinrudder-request-id",
     "tinrudder-deadline-ms",
@@ -108,7 +108,7 @@
 
 
 def test_the_folder_decides_nothing() -> None:
-    """It reads no clock, sets no timer, draws no chance and starts no task."""
+    """It uses no clock, timer, random source or task."""
     forbidden = {"time", "random", "sleep", "call_later", "call_at", "create_task"}
     used = {
         f"{path.name}: {node.attr if isinstance(node, ast.Attribute) else node.id}"
--- a/tinrudder/gateway/store/backend_entries.py
+++ b/tinrudder/gateway/store/backend_entries.py
@@ -1,10 +1,10 @@
-"""What gateways know of the back ends' entries: for each key the word that holds, whoever told it.
+"""Keeps the back ends' entries known to this gateway, merged from all sources.
 
-Removals are kept for a while, and values that cannot be read as long as they stand, or an older
-value from a peer would bring a back end back.
+Removals are retained for a while, and undecodable values until they are replaced; otherwise an
+older value from a peer would bring a back end back.
 
-Owns the newest words of each key, and the entry that is in force; relies on the decoder of the
-platform's entries, and on the history of the topic for what is older than what.
+Owns the newest values of each key and the entry that is in force. Relies on the decoder of the
+platform's entries, and on the topic's history for the order of values.
 """
 
 from __future__ import annotations
@@ -22,20 +22,21 @@
 from tinrudder.gateway.store.topic_history import TopicHistory
 
 REMOVAL_MEMORY_S = 120.0
-"""Seconds for which a removal is kept, so that a peer's older value cannot bring a back end back:
-it must stay above the 90 s after which peers are forgotten."""
+"""Seconds for which a removal is retained, so that a peer's older value cannot bring a back end
+back: it must stay above the 90 s after which peers are forgotten."""
 OLDER_START_S = 5.0
-"""How long an entry of an older start must stand before it counts.  A late write of a process that
-has ended is replaced at the next heartbeat of the one in its place, or goes after three heartbeats
-without a write, 3.6 s; what stands longer was written by a live process whose clock went back."""
+"""Seconds that an entry with an older start time must persist before it is accepted. A late write
+of a process that has ended is replaced by the next heartbeat of its successor, or expires after
+three heartbeats without a write, 3.6 s; an entry that persists longer was written by a live
+process whose clock went back."""
 UNREADABLE_KEPT_BYTES = 4096
-"""Of a value that cannot be read: longer ones are kept and told to peers as empty, which cannot be
-read either.  A usable entry has some 250 bytes, a value of the store up to a megabyte: sixteen of
-these would exceed what a peer accepts as a snapshot, and hide every other entry."""
+"""Maximum size of an undecodable value: longer ones are stored and sent to peers as empty, which is
+undecodable too. A usable entry has some 250 bytes, a value of the store up to a megabyte: 16 of
+these would exceed the size of a snapshot that a peer accepts, and hide every other entry."""
 
 
 class EntryStanding(enum.Enum):
-    """What the word that holds on a back end's key says of the entry that was in force last."""
+    """State of a back end's key, relative to the entry that was in force last."""
 
     IN_FORCE = "in force"
     REMOVED = "removed"
@@ -44,12 +45,13 @@
 
 
 class KnownBackend(Struct, frozen=True):
-    """A back end's entry with the time this process learned of its present state.
+    """A back end's entry, and when this process learned of its present state.
 
     :param entry: the newest one that was in force.
-    :param value: what holds of its key, whatever that says.
-    :param said_at: when this process learned that the back end wrote ``entry``.  It stays where a
-        store that is back from a copy only shows the same entry again.
+    :param value: the winning value of its key, whether or not it is in force.
+    :param since: when the present state was learned.
+    :param said_at: when this process learned that the back end wrote ``entry``. Unchanged if a
+        store restored from a copy returns the same entry again.
     """
 
     entry: BackendEntry
@@ -60,24 +62,25 @@
 
     @property
     def in_force(self) -> bool:
-        """Tell whether ``entry`` is what holds now."""
+        """Tell whether ``entry`` is currently in force."""
         return self.standing is EntryStanding.IN_FORCE
 
     @property
     def is_set_aside(self) -> bool:
-        """Tell whether what holds is of an older start, and must stand for long to count."""
+        """Tell whether the winning value has an older start time, and is not yet accepted."""
         return self.standing is EntryStanding.OLDER_START
 
     @property
     def leaving(self) -> bool:
-        """Tell whether it takes no new work."""
+        """Tell whether the back end takes no new work."""
         return not self.in_force or self.entry.leaving
 
 
 class BackendEntries:
-    """The back ends as this process knows them.
+    """The back ends as known to this process.
 
-    :ivar known: by their keys, those that have ever been in force.
+    :ivar known: back ends that have ever been in force, by key.
+    :ivar forgotten_up_to: highest revision of the removals whose retention is over.
     """
 
     def __init__(
@@ -87,7 +90,7 @@
         clock: Callable[[], float],
         on_unreadable: Callable[[str], None],
     ) -> None:
-        """Start knowing none."""
+        """Start without any back end."""
         self.known: dict[str, KnownBackend] = {}
         self.forgotten_up_to = NO_REVISION
         self.words = EpochMerge(history, backend_precedence_s, clock)
@@ -97,21 +100,21 @@
         self._on_unreadable = on_unreadable
 
     def apply(self, value: StoredValue) -> bool:
-        """Take a word on a key; tell whether it changed what a back end may get."""
+        """Apply a value of a key; tell whether it may change which requests a back end gets."""
         if not self.words.is_news(value):
             return False
         word = HeardValue(value, self._clock(), self._read_entry(value))
         if word.entry is None and len(value.value or b"") > UNREADABLE_KEPT_BYTES:
             word = HeardValue(StoredValue(value.key, value.revision, b""), word.since)
         if self._waits_already(word):
-            # Who writes again while its older start waits to count does not wait anew.
+            # A repeated write keeps the time since which its older start waits to be accepted.
             before = self.words.winner(value.key)
             assert before is not None
             word = HeardValue(word.value, before.since, word.entry)
         return self.words.take(word) and self._put(word.value.key)
 
     def settle(self) -> list[HeardValue]:
-        """Let words count that had to stand for long; return those that hold since."""
+        """End precedence whose time is over; return the values that win since."""
         settled = self.words.settle()
         for word in settled:
             self._put(word.value.key)
@@ -127,7 +130,7 @@
                 self.known.pop(word.value.key, None)
 
     def accept_older_starts(self) -> bool:
-        """Put entries in force that stood for long, although a younger start was known.
+        """Accept entries with an older start time that have persisted for long enough.
 
         Tell whether there were any.
         """
@@ -141,7 +144,7 @@
         return bool(settled)
 
     def _put(self, key: str) -> bool:
-        """Take over the word that holds now; tell whether an entry is or was in force."""
+        """Update a back end to its key's winning value; tell whether it is or was in force."""
         word = self.words.winner(key)
         assert word is not None
         if word.is_removal:
@@ -155,7 +158,7 @@
         return True
 
     def _waits_already(self, word: HeardValue) -> bool:
-        """Tell whether a word is of the same start as the one that waits to count."""
+        """Tell whether a value has the same start as one that is waiting to be accepted."""
         known = self.known.get(word.value.key)
         if word.entry is None or known is None or not known.is_set_aside:
             return False
@@ -167,7 +170,7 @@
         )
 
     def _read_entry(self, value: StoredValue) -> BackendEntry | None:
-        """Decode an entry; ``None`` if it is removed or cannot be read."""
+        """Decode an entry; ``None`` if it is removed or undecodable."""
         if value.value is None:
             return None
         try:
@@ -177,7 +180,7 @@
             return None
 
     def _put_in_force(self, entry: BackendEntry, value: StoredValue) -> None:
-        """Take a back end's word; what it said of leaving dates from when it said so first."""
+        """Put an entry in force; repeated writes keep the time of the first leaving state."""
         known = self.known.get(value.key)
         now = self._clock()
         since = said_at = now
@@ -187,15 +190,16 @@
         self.known[value.key] = KnownBackend(entry, value, since, said_at)
 
     def _is_shown_again(self, known: KnownBackend, entry: BackendEntry) -> bool:
-        """Tell whether an entry is the one that is known, shown by a store back from a copy.
+        """Tell whether an entry is the known one, returned again by a restored store.
 
-        A back end that says the same again is cold from then on; one that is only shown, or written
-        again since the store lost it, is not: else all would be cold at once.
+        A back end that writes the same entry again is cold from then on. An entry that is only read
+        again, or rewritten because the store lost it, does not make it cold; otherwise all back
+        ends would be cold at once.
         """
         return known.entry == entry and self._history.restored_s < WRITTEN_AGAIN_S
 
     def _withdraw(self, value: StoredValue, standing: EntryStanding) -> bool:
-        """Note that no entry of a key is in force; tell whether one has ever been."""
+        """Mark a key's entry as not in force; tell whether one has ever been."""
         known = self.known.get(value.key)
         if known is None:
             return False
--- a/tinrudder/gateway/store/configuration_freshness.py
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -1,7 +1,8 @@
-"""Decides whether a refusal that ends a client's tries may be given from what is known here.
+"""Decides whether the known configuration is recent enough to refuse a request for good.
 
-A status such as 401 or 404 is final for a client, so it is given only where a newer configuration
-would be known.  Owns no state; relies on the staleness bound, on peers and on the store's status.
+Clients do not retry after a status such as 401 or 404, so a gateway may return it only if it would
+know a newer configuration. Owns no state; relies on the staleness bound, on peers and on the
+store's status.
 """
 
 from __future__ import annotations
@@ -15,22 +16,22 @@
 from tinrudder.gateway.store.store_status import StoreStatus
 
 FRESH_SHARE = 0.5
-"""Part of the bound within which a refusal that ends a client's tries may be given: below the time
-within which a change must be in force anyway, and above the usual age."""
+"""Part of the bound within which a final refusal may be returned: below the time within which a
+change must be in force anyway, and above the usual age."""
 NEWS_S = 2.0
-"""Seconds without a message of any peer after which a newer configuration may be unknown here: four
-intervals of digests, so that a few lost datagrams change nothing."""
+"""Seconds without a message from any peer after which a newer configuration may be unknown here:
+four digest intervals, so that a few lost datagrams have no effect."""
 
 
 class ConfigurationFreshness(Struct, frozen=True):
-    """How far a refusal may rely on the configuration in force.
+    """Decides how far a refusal may rely on the configuration in force.
 
-    :param bound_s: seconds that the configuration may be old; ``None``: its age is not kept.
+    :param bound_s: maximum age of the configuration, seconds; ``None``: its age is not bounded.
     :param change_in_force_s: seconds within which a confirmed change must be in force.
-    :param unconfirmed_s: returns how old the store's last word is, as far as known.
-    :param is_needed: tells whether the configuration in force asks for the bound, as it has keys.
-    :param may_lack_lost_words: tells whether the store lost what it acknowledged, and has not
-        been given it again yet, as far as is known.
+    :param unconfirmed_s: returns the time since the store's latest known confirmation.
+    :param is_needed: tells whether the bound applies, as the configuration in force has API keys.
+    :param may_lack_lost_words: tells whether the store may have lost acknowledged writes that have
+        not been repeated yet.
     :param clock: returns the time of the event loop, seconds.
     """
 
@@ -45,14 +46,14 @@
     clock: Callable[[], float]
 
     def is_too_old(self) -> bool:
-        """Tell whether a key that ended may still be believed here."""
+        """Tell whether this gateway may still accept a key that has been revoked."""
         return self.bound_s is not None and self.staleness_bound.age_s > self.bound_s
 
     def would_know_newer(self) -> bool:
-        """Tell whether a configuration that must be in force by now would be known here.
+        """Tell whether every configuration that must be in force by now would be known here.
 
-        That a peer or the store says something is not enough: what they say of may be old too.  A
-        caller that is told "there is no such route" does not come back.
+        A message from a peer or the store is not sufficient, since its content may be stale too. A
+        client that is told "there is no such route" does not retry.
         """
         if self.bound_s is not None and self.is_needed():
             return self.staleness_bound.age_s <= self.bound_s * FRESH_SHARE
--- a/tinrudder/gateway/store/configuration_in_force.py
+++ b/tinrudder/gateway/store/configuration_in_force.py
@@ -1,9 +1,10 @@
-"""The configuration in force: of all that were heard, the one with the operator's highest version.
+"""Keeps the configuration in force: the received one with the operator's highest version.
 
-The operator's versions order configurations where the store's revisions do not: a store that came
-back from an older copy shows an older one at a place that comes later.
+Configurations are ordered by the operator's versions instead of store revisions: a store restored
+from an older copy may present an older configuration at a later revision.
 
-Owns the configuration and where the store held it; relies on the decoder of the platform's form.
+Owns the configuration and the revision at which the store held it. Relies on the decoder of the
+platform's format.
 """
 
 from __future__ import annotations
@@ -18,9 +19,9 @@
 
 
 class AcceptedConfiguration(Struct, frozen=True):
-    """The configuration in force, and the newest place at which the store held it.
+    """The configuration in force and the latest revision at which the store is known to hold it.
 
-    :param source: who told it first: the store, or a peer's address.
+    :param source: where it was received from first: the store, or a peer's address.
     """
 
     configuration: GatewayConfiguration
@@ -29,19 +30,19 @@
 
 
 class ConfigurationInForce:
-    """What the operator asks for, as this process knows it; it never goes back.
+    """The operator's newest configuration known to this process; its version never decreases.
 
-    :ivar accepted: ``None`` while none was heard.
+    :ivar accepted: ``None`` until a configuration is received.
     """
 
     def __init__(self, decode: Callable[[bytes], GatewayConfiguration]) -> None:
-        """Start knowing none."""
+        """Start without a configuration."""
         self.accepted: AcceptedConfiguration | None = None
         self._decode = decode
 
     @property
     def revision(self) -> StoreRevision:
-        """Return where the store held it last, as far as known; before everything for none."""
+        """Return the latest known revision of the configuration; the lowest one for none."""
         return self.accepted.value.revision if self.accepted is not None else NO_REVISION
 
     @property
@@ -50,9 +51,9 @@
         return self.accepted.configuration.version if self.accepted is not None else 0
 
     def apply(self, value: StoredValue, source: str = STORE) -> bool:
-        """Put a configuration in force if it is newer; tell whether it was.
+        """Put a configuration in force if it is newer; tell whether that was done.
 
-        :raises UnreadableValueError: it breaks the platform's form.
+        :raises UnreadableValueError: it does not match the platform's format.
         """
         accepted = self.accepted
         if value.value is None or value.revision == self.revision:
@@ -65,7 +66,7 @@
         if is_older or value.revision <= accepted.value.revision:
             return False
         if value.value == accepted.value.value:
-            # Written again, or shown at another place: nothing changes for requests.
+            # The same bytes at a later revision: nothing changes for requests.
             self.accepted = AcceptedConfiguration(accepted.configuration, value, accepted.source)
             return False
         self.accepted = AcceptedConfiguration(configuration, value, source)
--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -1,6 +1,6 @@
-"""What is told of the store's history: that another epoch began, and what ended by its word.
+"""Values that report changes of the store's history: a new epoch, and the end of precedence.
 
-Owns nothing: values, and who is told of them.
+Owns nothing: values and their listeners.
 """
 
 from __future__ import annotations
@@ -15,11 +15,12 @@
 
 
 class EpochChange(Struct, frozen=True):
-    """The store came back from an older copy, as this process found.
+    """This process found that the store was restored from an older copy.
 
-    :param known: how far this process knew the epoch before.
-    :param shown: how far the new epoch goes.
-    :param kept: keys on which what is known stands against what the store shows, or does not show.
+    :param known: revision up to which this process knew the previous epoch.
+    :param shown: revision up to which the new epoch was read.
+    :param kept: keys whose known value takes precedence over the store's value, or over its lack of
+        one.
     """
 
     topic: Topic
@@ -29,11 +30,11 @@
 
 
 class HistoryListener(Struct, frozen=True):
-    """Who is told of the store's history.
+    """Callbacks for changes of the store's history.
 
-    :param on_epoch: of every later epoch.
-    :param on_settled: of the words that hold after others stood against them for long enough, or
-        after nothing was written again.
+    :param on_epoch: called for every later epoch.
+    :param on_settled: called with the values that win since another value's precedence ended, or
+        since a missing key was not written again in time.
     """
 
     on_epoch: Callable[[EpochChange], None] = lambda change: None
@@ -41,4 +42,4 @@
 
 
 NOBODY = HistoryListener()
-"""Is told of the store's history where nobody wants to know."""
+"""Ignores all changes of the store's history."""
--- a/tinrudder/gateway/store/epoch_rules.py
+++ b/tinrudder/gateway/store/epoch_rules.py
@@ -1,17 +1,16 @@
-"""Which of two values of one key wins, where the store came back from an older copy in between.
+"""Decides which of two values of a key wins if the store was restored from a copy in between.
 
 Owns no state: pure rules and their bounds.
 
-A word of the later epoch may be older than one of the earlier epoch: the copy held it, and whoever
-wrote the newer one has not written it again yet.  Numbers of two epochs cannot tell, so the
-life of what a word speaks of decides: a back end is ready, then says that it leaves, then is gone,
-and a start that comes later replaces one that came earlier.  A word of the earlier epoch stands
-against a later one that would lead back in that life, for a bounded time; after that the store is
-believed.  A word that leads forward counts at once.
+A value of the later epoch may be older than one of the earlier epoch: the copy contained it, and
+the newer value has not been written again yet. Revisions of two epochs do not order them, so the
+life cycle of the back end or evacuation decides. A back end is ready, then leaving, then removed,
+and a later start replaces an earlier one. A value of the earlier epoch takes precedence over a
+later one that would go back in this life cycle, for a bounded time; after that the store's value
+wins. A value that goes forward wins at once.
 
-What was written in the later epoch, after a gateway had read all of it, was not in the copy:
-whoever wrote it said it anew.  Such a word counts at once, too, but for a back end that said that
-it leaves.
+A value written in the later epoch after a gateway had read all of it was not in the copy, so it is
+a new write. It wins at once, too, except over the leaving state of the same start of a back end.
 
 The operator's configuration needs no such rule: its versions order it over all epochs.
 """
@@ -25,24 +24,25 @@
 from tinrudder.gateway.store.stored_values import StoredValue
 
 WRITTEN_AGAIN_S = 6.0
-"""Seconds from the begin of an epoch within which all that the copy lacks is written again.  Back
-ends write every 1.2 s, an entry that nobody writes any more goes after
-three of these, 3.6 s, and an operator is given 5 s.  Until then what is known stands against a
-copy that lacks it, or that shows it as it was before; after that the store is believed."""
+"""Seconds from the start of an epoch within which everything that the copy lacks is written again.
+Back ends write every 1.2 s, an entry that is no longer written expires after three of these
+intervals, 3.6 s, and an operator is given 5 s. Until then known values take precedence over a
+copy that lacks them or holds an older state; after that the store's contents prevail."""
 LEAVING_STANDS_S = 120.0
-"""The same for a back end that said that it leaves, against a copy that shows it as ready.  It
-never takes that back, so the bound only ends what a wrong epoch might have brought about; as long
-as removals are remembered."""
+"""The same for a back end that announced that it leaves, if the copy has it as ready. A back end
+never revokes that announcement, so this bound only ends the effects of a wrong epoch; it equals
+the time for which removals are retained."""
 ENDED_EVACUATION_STANDS_S = 4.0
-"""The same for the end of an evacuation, against a copy that shows it in force: the operator may
-have evacuated the zone anew, and that must be obeyed within 5 s."""
+"""The same for the end of an evacuation, if the copy has it in force: the operator may have
+evacuated the zone again, which must take effect within 5 s."""
 
 
 class HeardValue(Struct, frozen=True):
-    """One value of a key, as this gateway heard it.
+    """One value of a key, as observed by this gateway.
 
-    :param since: when it was heard first.
-    :param entry: of a back end; ``None`` if it is removed, cannot be read, or is something else.
+    :param since: when it was first observed.
+    :param entry: decoded entry of a back end; ``None`` if it is removed, undecodable, or another
+        kind of value.
     """
 
     value: StoredValue
@@ -51,7 +51,7 @@
 
     @property
     def revision(self) -> StoreRevision:
-        """Return where it stands in the store's history."""
+        """Return its revision in the store."""
         return self.value.revision
 
     @property
@@ -61,12 +61,12 @@
 
 
 def backend_precedence_s(earlier: HeardValue, later: HeardValue, *, may_be_copied: bool) -> float:
-    """Return for how long a back end's word stands against one of a later epoch; 0: not at all.
+    """Return for how long a back end's value wins over one of a later epoch; 0: not at all.
 
-    :param may_be_copied: the copy may have held the later word.
+    :param may_be_copied: the copy may have contained the later value.
     """
     if later.is_removal:
-        # Told by the store in its new epoch; that a copy merely lacks a key is no such word.
+        # The store reported a removal in its new epoch; a key missing from the copy has none.
         return 0.0
     before, after = earlier.entry, later.entry
     if before is not None and after is not None and after.is_same_start(before):
@@ -81,7 +81,7 @@
 def evacuation_precedence_s(
     earlier: HeardValue, later: HeardValue, *, may_be_copied: bool
 ) -> float:
-    """Return for how long a word on a zone stands against one of a later epoch; 0: not at all."""
+    """Return for how long a zone's value wins over one of a later epoch; 0: not at all."""
     if earlier.is_removal and not later.is_removal and may_be_copied:
         return ENDED_EVACUATION_STANDS_S
     return 0.0
--- a/tinrudder/gateway/store/evacuations.py
+++ b/tinrudder/gateway/store/evacuations.py
@@ -1,11 +1,11 @@
-"""Zones whose back ends the operator wants to get nothing, as this process knows them.
+"""Keeps the zones that the operator has evacuated: their back ends receive no requests.
 
-Like everything that gateways teach each other, the highest revision of a key wins, whoever told
-it; a store that is back from a copy is believed by the rule for words of two epochs.  Removals are
-kept for the life of the process: there is at most one for each zone that was ever named, and
-without it an older word of a peer would bring the evacuation back.
+As for all values that gateways share, the highest revision of a key wins, whatever its source;
+after a restore of the store, :mod:`.epoch_rules` decides between values of two epochs. Removals are
+kept for the life of the process: there is at most one for each zone ever named, and without it an
+older value from a peer would restore the evacuation.
 
-Owns the newest words of each key; relies on the shared state to hand it values.
+Owns the newest values of each key. Relies on the shared state to pass values in.
 """
 
 from __future__ import annotations
@@ -20,22 +20,22 @@
 
 
 class Evacuations:
-    """The newest word on each zone that was ever evacuated."""
+    """The newest value for each zone that was ever evacuated."""
 
     def __init__(self, history: TopicHistory, clock: Callable[[], float]) -> None:
-        """Start knowing of none."""
+        """Start without any evacuation."""
         self.words = EpochMerge(history, evacuation_precedence_s, clock)
         self._clock = clock
         self._zone_of_key: dict[str, str] = {}
 
     @property
     def zones(self) -> frozenset[str]:
-        """Return the zones whose back ends get nothing."""
+        """Return the zones whose back ends receive no requests."""
         in_force = (word.value.key for word in self.words if not word.is_removal)
         return frozenset(self._zone_of_key[key] for key in in_force)
 
     def apply(self, zone: str, value: StoredValue, source: str) -> bool:
-        """Take an evacuation or its end; tell whether that was new."""
+        """Apply an evacuation or its end; tell whether the winning value changed."""
         self._zone_of_key[value.key] = zone
         before = self.words.winner(value.key)
         if not self.words.take(HeardValue(value, self._clock())):
@@ -47,7 +47,7 @@
         return True
 
     def settle(self) -> list[HeardValue]:
-        """Let words count that had to stand for long; return those that hold since."""
+        """End precedence whose time is over; return the values that win since."""
         before = self.zones
         settled = self.words.settle()
         for word in settled:
@@ -58,7 +58,7 @@
 
 
 def _log(zone: str, word: HeardValue, source: str) -> None:
-    """Write the line of a zone that was evacuated or taken back, and how that became known."""
+    """Log that a zone was evacuated or taken back, and the source of that information."""
     fields: dict[str, LogValue] = {
         "zone": zone,
         "epoch": word.revision.epoch,
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -1,12 +1,12 @@
-"""What gateways know of the store: for each key the word that holds, whoever told it.
+"""Merges the store's values from all sources: for each key, the value that is in force.
 
-The store gives one revision to every change, so values from the store itself and from other
-gateways merge by one rule: within an epoch of the store, the highest revision of a key wins.  Where
-the store came back from an older copy, a later epoch may show less than is known; then the
-operator's version of the configuration decides, and for all else :mod:`.epoch_rules`.
+The store assigns one revision to every change, so values from the store itself and from other
+gateways merge by one rule: within an epoch of the store, the highest revision of a key wins. After
+a restore from an older copy, a later epoch may hold less than is known here. Then the operator's
+version decides for the configuration, and :mod:`.epoch_rules` for all other keys.
 
-Owns what is in force, and how far the knowledge goes; relies on the decoders of the platform's
-values, and tells its listeners of every change in the order in which they subscribed.
+Owns the values in force, and the revisions up to which they are known. Relies on the decoders of
+the platform's values; notifies listeners of every change in the order in which they subscribed.
 """
 
 from __future__ import annotations
@@ -37,12 +37,12 @@
 
 
 class SharedState:
-    """What the operator asks for and the back ends, as this process knows them.
+    """The operator's settings and the back ends, as known to this process.
 
-    Nothing goes back within one life of the process, but for what a store that came back from a
-    copy still lacks when all must have been written there again.
+    No key goes back to an older value while the process runs, with one exception: after a restore
+    from a copy, the store's contents prevail once lost writes must have been repeated there.
 
-    :ivar evacuations: zones whose back ends get nothing.
+    :ivar evacuations: zones whose back ends receive no requests.
     """
 
     def __init__(
@@ -52,7 +52,7 @@
         on_unreadable: Callable[[str], None],
         history_listener: HistoryListener = NOBODY,
     ) -> None:
-        """Start knowing nothing."""
+        """Start empty."""
         self._configuration = ConfigurationInForce(decoders.configuration)
         self.backends_read = False
         self._histories = {topic: TopicHistory(clock) for topic in Topic}
@@ -73,12 +73,12 @@
 
     @property
     def accepted(self) -> AcceptedConfiguration | None:
-        """Return the configuration in force; ``None`` while none was heard."""
+        """Return the configuration in force; ``None`` until one is received."""
         return self._configuration.accepted
 
     @property
     def configuration_revision(self) -> StoreRevision:
-        """Return where the store held the configuration in force; before everything for none."""
+        """Return the latest known revision of the configuration; the lowest one for none."""
         return self._configuration.revision
 
     @property
@@ -88,7 +88,7 @@
 
     @property
     def forgotten_up_to(self) -> StoreRevision:
-        """Return the highest revision of a removal that was forgotten."""
+        """Return the highest revision of the removals whose retention is over."""
         return self._entries.forgotten_up_to
 
     @property
@@ -98,16 +98,16 @@
 
     @property
     def epoch(self) -> int:
-        """Return the latest epoch of the store that is followed here."""
+        """Return the latest epoch in which the store is followed here."""
         return max(history.epoch for history in self._histories.values())
 
     @property
     def may_lack_lost_words(self) -> bool:
-        """Tell whether the operator may have said something that nobody can know now.
+        """Tell whether an acknowledged write of the operator may be unknown to every gateway.
 
-        The store lost what it acknowledged last, and what of that reached no gateway is known
-        again only once it is written again.  The configuration is one key: once it stands at a
-        place that the copy had not reached, it is the newest.
+        A restored store has lost its latest acknowledged writes; those that had reached no gateway
+        become known only once they are written again. The configuration is a single key: if its
+        revision is beyond the end of the copy, it is the newest.
         """
         history = self._histories[Topic.OPERATOR]
         if self.configuration_revision > history.copy_up_to:
@@ -116,22 +116,22 @@
 
     @property
     def kept(self) -> list[str]:
-        """Return the keys on which what is known stands against the store's latest epoch."""
+        """Return the keys whose known value takes precedence over the store's latest epoch."""
         return [key for topic in Topic for key in self._kept_of(topic)]
 
     @property
     def kept_s(self) -> float:
-        """Return for how long the store has shown less than is known here; 0: it does not."""
+        """Return for how long the store has held less than is known here; 0: it holds all."""
         if not self.kept:
             return 0.0
         return max(history.seen_s for history in self._histories.values())
 
     def history(self, topic: Topic) -> TopicHistory:
-        """Return what is known of a topic's history."""
+        """Return the observed history of a topic."""
         return self._histories[topic]
 
     def revision(self, topic: Topic) -> StoreRevision:
-        """Return the revision up to which all of a topic is known."""
+        """Return the revision up to which every change of a topic is known."""
         return self._histories[topic].revision
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -139,9 +139,9 @@
         self._listeners.append(listener)
 
     def apply(self, topic: Topic, values: Iterable[StoredValue], source: str = STORE) -> bool:
-        """Take changed values; tell whether anything was new.
+        """Merge changed values; tell whether the state changed.
 
-        :param source: where they come from; a peer's address if not from the store.
+        :param source: the store, or the address of the peer that sent them.
         """
         changed = False
         history = self._histories[topic]
@@ -158,15 +158,16 @@
         return changed
 
     def apply_complete(self, topic: Topic, reading: Reading, source: str = STORE) -> bool:
-        """Take a complete reading: what it lacks is gone as of its revision.
+        """Merge a complete read: keys that it lacks are removed as of its revision.
 
-        Its pages are no snapshot: a value that changed while they were read may stand on a later
-        page although another change before it was missed on an earlier one.  Such values wait for
-        the watch, so that this state is complete up to the highest revision that it holds.  Where
-        the key of a value cannot be read, nothing is known to be missing.
+        Its pages are not a snapshot: a value that changed during the read may be on a later page
+        although an earlier change was missed on a previous page. Such values are left to the watch,
+        so that this state is complete up to the highest revision that it holds. If the key of any
+        value is unreadable, no key is taken as missing.
 
-        The first reading of a later epoch shows what the copy held.  What it lacks is not gone: it
-        may be written again, and it is gone if it is not.
+        The first read of a later epoch returns the contents of the copy. A key that it lacks is not
+        removed at once, since it may be written again; it is removed if that does not happen in
+        time.
         """
         history = self._histories[topic]
         known = history.revision
@@ -187,7 +188,7 @@
         return changed
 
     def settle(self) -> None:
-        """Let words count that others stood against for long; drop what is of no more use."""
+        """End precedence whose time is over, and drop removals after their retention."""
         self._entries.forget_old_removals()
         settled = [*self.evacuations.settle(), *self._entries.settle()]
         if settled:
@@ -196,23 +197,23 @@
             self._announce()
 
     def confirm(self, topic: Topic, age_s: float = 0.0) -> None:
-        """Note that some time ago nothing newer was in the store than what is known now."""
+        """Record that ``age_s`` seconds ago the store held nothing newer than is known now."""
         self._histories[topic].confirm(age_s)
 
     def unconfirmed_s(self, topic: Topic) -> float:
-        """Return for how long nobody is known to have seen the store say that this is all."""
+        """Return the time since the store's latest known confirmation that nothing is newer."""
         return self._histories[topic].unconfirmed_s
 
     def note_backends_read(self) -> None:
-        """Note that the list of back ends has been complete once."""
+        """Record that the list of back ends has been complete once."""
         if not self.backends_read:
             self.backends_read = True
             self._announce()
 
     def values_for(self, topic: Topic, position: TopicPosition) -> tuple[StoredValue, ...]:
-        """Return back ends' values, or evacuations, and removals that a peer may lack.
+        """Return values of back ends or evacuations, with removals, that a peer may lack.
 
-        :param position: how far the peer is; one that follows another epoch gets everything.
+        :param position: the peer's position; a peer in another epoch gets everything.
         """
         history = self._histories[topic]
         words = self._words(topic)
@@ -223,11 +224,11 @@
         return values + tuple(word.value for word in words.kept())
 
     def _words(self, topic: Topic) -> EpochMerge:
-        """Return the words on a topic's keys, but for the configuration."""
+        """Return the merge of a topic's keys, without the configuration."""
         return self.evacuations.words if topic is Topic.OPERATOR else self._entries.words
 
     def _kept_of(self, topic: Topic) -> list[str]:
-        """Return a topic's keys on which what is known stands against the store's epoch."""
+        """Return a topic's keys whose known value takes precedence over the store's epoch."""
         keys = [word.value.key for word in self._words(topic).kept()]
         accepted = self.accepted
         is_older = self.configuration_revision.epoch < self._histories[topic].epoch
@@ -236,20 +237,20 @@
         return keys
 
     def _missing(self, topic: Topic, reading: Reading) -> list[StoredValue]:
-        """Return the removals of what this epoch had shown and a whole reading of it lacks."""
+        """Return removals for the keys shown in this epoch that a complete read of it lacks."""
         present = {value.key for value in reading.values}
         words = self._words(topic)
         keys = [word.value.key for word in words if word.value.key not in present]
         return [StoredValue(key, reading.revision, None) for key in keys if words.is_shown(key)]
 
     def _tell_epoch(self, topic: Topic, known: StoreRevision, shown: StoreRevision) -> None:
-        """Tell that a later epoch is followed: peers must hear of it even if nothing changed."""
+        """Report that a later epoch is followed: peers must learn it even if no value changed."""
         kept = tuple(self._kept_of(topic))
         self._history_listener.on_epoch(EpochChange(topic, known, shown, kept))
         self._announce()
 
     def _apply_operator_value(self, value: StoredValue, source: str) -> bool:
-        """Take a newer configuration, evacuation or removal of one; leave other keys alone."""
+        """Apply a newer configuration, evacuation or end of one; ignore other keys."""
         try:
             key = self._decoders.operator_key(value.key)
             match key:
@@ -260,14 +261,14 @@
                 case _:
                     return False
         except UnreadableValueError as error:
-            # Not heard of: a peer of newer software may read it, and must not take this gateway's
-            # word that nothing is newer.
+            # Not recorded as observed: a peer with newer software may be able to read the value,
+            # and must not conclude from this gateway's position that nothing is newer.
             self._on_unreadable(str(error))
             return False
         self._histories[Topic.OPERATOR].hear(value.revision)
         return changed
 
     def _announce(self) -> None:
-        """Tell everybody who asked."""
+        """Call all listeners."""
         for listener in self._listeners:
             listener()
--- a/tinrudder/gateway/store/staleness_bound.py
+++ b/tinrudder/gateway/store/staleness_bound.py
@@ -1,13 +1,14 @@
-"""How far this gateway's knowledge of what the operator asks for reaches.
+"""Bounds the staleness of what this gateway knows of the operator's settings.
 
-A lower bound of the moment, by this process's steady clock, up to which it knows all that the store
-has acknowledged.  Proofs count from when a question *left*: a pause of this process, bytes held up
-on the way or an answer that comes twice can only make the bound older than it might be.
+The bound is a moment on this process's monotonic clock: every change that the store had
+acknowledged by then is known here. Proofs count from the time a request was *sent*: a pause of this
+process, delayed bytes or a duplicate answer can then only make the bound older than necessary.
 
-A store that came back from an older copy proves nothing until what it lost must have been written
-again: that nothing newer stands there says nothing of a key that was ended and is lost.
+After the store is restored from an older copy, it proves nothing until lost writes must have been
+repeated: if the revocation of a key was lost, an answer that nothing is newer does not show it.
 
-Owns the bound and proofs that wait; relies on followers, keeper and pulls to report proofs.
+Owns the bound and the pending proofs. Relies on followers, the staleness keeper and snapshot pulls
+to report proofs.
 """
 
 from __future__ import annotations
@@ -20,15 +21,15 @@
 
 NEVER = float("-inf")
 MOST_WAITING = 8
-"""Proofs that wait for a revision which is not known here yet; each new one is of use longer than
-the oldest, so that one is dropped."""
+"""Maximum number of proofs that wait for a revision not yet known here. The proof of the lowest
+revision is dropped first, since newer ones stay useful for longer."""
 
 
 class StalenessBound:
-    """The bound, and proofs that hold once this gateway has caught up."""
+    """The bound, and proofs that become valid once this gateway has caught up."""
 
     def __init__(self, state: SharedState, clock: Callable[[], float]) -> None:
-        """Prove nothing yet."""
+        """Start without any proof."""
         self._state = state
         self._clock = clock
         self._reaches = NEVER
@@ -37,19 +38,20 @@
 
     @property
     def age_s(self) -> float:
-        """Return how old the knowledge is at most; infinite while nothing is proven."""
+        """Return the maximum age of the knowledge; infinite while nothing is proven."""
         return self._clock() - self._reaches
 
     @property
     def told_age_s(self) -> float | None:
-        """Return the age as others may be told; ``None`` while nothing is proven."""
+        """Return the age to report to other processes; ``None`` while nothing is proven."""
         return None if self._reaches == NEVER else max(0.0, self.age_s)
 
     def prove(self, at: float, revision: StoreRevision = NO_REVISION) -> None:
-        """Note that at a moment nothing newer than a revision was there.
+        """Record that nothing newer than a revision existed at a given moment.
 
-        :param at: when the question left, less the age of the answerer's own knowledge.
-        :param revision: the answerer's; while this gateway knows less, the proof waits.
+        :param at: when the request was sent, minus the age of the answerer's own knowledge.
+        :param revision: the answerer's revision; the proof is pending while this gateway knows
+            less.
         """
         if self._state.may_lack_lost_words:
             return
@@ -61,7 +63,7 @@
             del self._waiting[min(self._waiting)]
 
     def _on_state_change(self) -> None:
-        """Take the proofs that hold now."""
+        """Apply the pending proofs that have become valid."""
         if not self._waiting or self._state.may_lack_lost_words:
             return
         covers = self._state.history(Topic.OPERATOR).covers
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -1,10 +1,10 @@
-"""Keeps the knowledge of what the operator asks for young, where the deployment bounds its age.
+"""Limits the staleness of the operator's settings, if the deployment sets a bound on it.
 
-Readers read the store, everybody else asks them: a question to a peer in the own zone costs
-nothing, a call to the store and bytes between zones are paid for.
+Readers read the store and all other gateways query the readers: a query to a peer in the same zone
+is free, while calls to the store and traffic between zones are charged for.
 
-Owns its one reading of the store; relies on the bound for the age, on probes to ask peers, and on
-the choice of readers for whom to ask.
+Owns its single read of the store in flight. Relies on the staleness bound for the age, on probes to
+query peers, and on the choice of readers for the peers to query.
 """
 
 from __future__ import annotations
@@ -23,26 +23,29 @@
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
 LOOK_S = 0.2
-"""How often the age is looked at: a tenth of the shortest share of the bound below."""
+"""Interval of the checks of the age, seconds: a tenth of the shortest share of the bound below."""
 ASK_SHARE = 0.2
-"""Part of the bound after which a peer in the zone is asked.  With the readers' share an age stays
-below half of the bound, so that one lost reader or three lost datagrams refuse nothing."""
+"""Part of the bound after which a peer in the zone is queried. Together with the readers' share,
+the age stays below half of the bound, so that one lost reader or three lost datagrams cause no
+refusals."""
 READ_SHARE = 0.3
-"""The same for the first reader and the store: with a bound of 5 s, one call in 1.5 s for all.  The
-other readers ask it: a question across zones costs a 25th of a call."""
+"""The same for the first reader's read of the store: with a bound of 5 s, one call in 1.5 s for all
+gateways. The other readers query the first one: a query between zones costs a 25th of a call."""
 READ_STEP_SHARE = 0.025
-"""How much later each further reader reads, if nobody answers it: an eighth of a second; the last
-of eight before half of the bound."""
+"""Increment of that share for each further rank, if no query was answered: an eighth of a second
+with that bound; the last of eight reads before half of the bound."""
 FIRST_READERS = 2
-"""Readers that others ask beyond their zone: the one that reads first, and one in its place."""
+"""Number of readers that are queried from other zones: the one that reads first, and its
+substitute."""
 ASK_ELSEWHERE_SHARE = 0.5
-"""The same for readers of other zones, when the zone's own do not help."""
+"""Part of the bound after which readers of other zones are queried: those of the zone did not
+answer."""
 READ_ALONE_SHARE = 0.6
-"""The same for whoever is no reader: nobody that it can reach knows better."""
+"""The same for a read of the store by a gateway that is no reader: no peer in reach helped."""
 
 
 class StalenessKeeper:
-    """Asks and reads as the knowledge grows old."""
+    """Queries peers and reads the store as the state ages."""
 
     def __init__(
         self,
@@ -54,7 +57,7 @@
         probes: Probes,
         random_source: random.Random,
     ) -> None:
-        """Keep the age of ``freshness`` within its bound, where it has one."""
+        """Keep the age of ``freshness`` within its bound, if it has one."""
         self.reads = 0
         self._freshness = freshness
         self._staleness_bound = freshness.staleness_bound
@@ -73,11 +76,11 @@
         state.subscribe(self._on_state_change)
 
     def subscribe_to_newer(self, listener: Callable[[Address], None]) -> None:
-        """Call ``listener`` with each peer that turns out to know more than this gateway."""
+        """Call ``listener`` with each peer that turns out to have newer state than this gateway."""
         self._on_newer.append(listener)
 
     async def run(self) -> None:
-        """Look for ever."""
+        """Check the age forever."""
         if self._bound_s is None:
             return
         while True:
@@ -85,7 +88,7 @@
             self.look()
 
     def look(self) -> None:
-        """Do what the age asks for now."""
+        """Start the queries and the read that the current age requires."""
         if self._bound_s is None or not self._freshness.is_needed():
             return
         share = self._staleness_bound.age_s / self._bound_s
@@ -99,14 +102,14 @@
             self._ask_elsewhere()
 
     def _ask_beside(self) -> bool:
-        """Ask one of the zone's readers; tell whether there is one."""
+        """Query one of the zone's readers; tell whether there is one."""
         beside = self._readers.addresses(self._peers.own_zone)
         if beside:
             self._probes.ask(self._random.choice(beside))
         return bool(beside)
 
     def _ask_elsewhere(self) -> None:
-        """Ask one of those that read first, or any peer where no reader is known."""
+        """Query one of the first readers, or any peer if no reader is known."""
         anywhere = self._readers.addresses()[:FIRST_READERS]
         if anywhere:
             self._probes.ask(self._random.choice(anywhere))
@@ -116,40 +119,40 @@
             self._probes.ask(peer)
 
     def _read(self, *, is_reader: bool) -> None:
-        """Read the store, unless that is under way or failed a moment ago."""
+        """Read the store, unless a read is in flight or has just failed."""
         now = self._loop.time()
         if self._reading is not None or now < self._read_again_at:
             return
         pause_s = self._readers.retry_pause_s(LOOK_S)
         if not is_reader and self._read_again_at == 0.0:
-            # All of those that lost their readers come here at the same moment.
+            # Jitter: all gateways that lost their readers get here at the same time.
             self._read_again_at = now + self._random.uniform(0.0, pause_s)
             return
         self._read_again_at = now + pause_s
         self._reading = self._loop.create_task(self._read_once())
 
     async def _read_once(self) -> None:
-        """Read everything that the operator asks for: what the answer lacks was not there."""
+        """Read all of the operator's settings: keys that the answer lacks did not exist."""
         asked_at = self._loop.time()
         self.reads += 1
         try:
             reading = await self._store.read(Topic.OPERATOR)
         except StoreUnavailableError:
-            # The follower of the same topic logs that the store is lost; the age shows the rest.
+            # The follower of the same topic logs that the store is lost; the age shows the effect.
             return
         finally:
             self._reading = None
         self._read_again_at = 0.0
         self._state.apply_complete(Topic.OPERATOR, reading)
         if reading.revision.epoch < self._state.epoch:
-            # An answer from before the store came back from a copy: it may be as old as that.
+            # An answer from before the store's restore, which may be as old as the restore.
             return
         self._state.confirm(Topic.OPERATOR, self._loop.time() - asked_at)
         if reading.whole:
             self._staleness_bound.prove(asked_at)
 
     def _on_answer(self, sent: SentProbe, answer: ProbeAnswer) -> None:
-        """Take a peer's word; fetch what it knows beyond this gateway."""
+        """Apply a peer's answer; report the peer if it has newer state than this gateway."""
         if answer.knowledge_age_s is not None:
             at = sent.sent_at - answer.knowledge_age_s
             self._staleness_bound.prove(at, answer.operator_revision)
@@ -158,6 +161,6 @@
                 listener(sent.peer)
 
     def _on_state_change(self) -> None:
-        """Ask at once when this gateway begins to need it."""
+        """Check at once when the state becomes complete, as nothing is proven yet."""
         if self._state.complete and self._staleness_bound.told_age_s is None:
             self.look()
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -1,13 +1,14 @@
-"""Keeps the shared state up with the metadata store, whatever the store does.
+"""Follows the metadata store and applies its changes to the shared state.
 
-One follower for each topic: read everything, then watch; forgotten history leads back to a full
-read, and so does another epoch of the store, whoever heard of it.  A watch that waits is doubted
-when no reader has heard the store for a turn (:mod:`.watch_turns`).  Calls are priced, so of many
-gateways only a few readers follow the store, and digests tell the others.  Digests also tell how
-old the store's last word is: where no reader gets through, everybody tries.
+There is one follower for each topic. It reads everything, then watches for changes; a watch from a
+forgotten revision and another epoch of the store, observed by any gateway, lead back to a complete
+read. A waiting watch is suspected if the store has not confirmed to any reader for longer than the
+first reader's wait (:mod:`.watch_turns`). Calls are charged for, so of many gateways only a few
+readers follow the store, and digests inform the others. Digests also carry the time since the
+store's latest confirmation: if no reader reaches the store, all gateways try.
 
-Owns its place in the store's history; relies on the choice of readers to tell whether it has to
-follow, and hands what it reads to the shared state.
+Owns the revision from which it watches. Relies on the choice of readers to decide whether this
+gateway follows the store, and passes what it reads to the shared state.
 """
 
 from __future__ import annotations
@@ -38,29 +39,29 @@
 )
 
 RECHECK_S = 0.2
-"""Seconds between two looks whether this gateway has to follow the store."""
+"""Interval in seconds between checks of whether this gateway has to follow the store."""
 FIRST_RETRY_S = 0.1
-"""Seconds until a call is repeated that the store did not answer; doubled at every failure."""
+"""Seconds until a call that the store did not answer is retried; doubled with every failure."""
 LONGEST_RETRY_S = 0.8
-"""Most seconds of the same: a store that is back must be found within a second."""
+"""Upper limit of the same in seconds: a restored connection to the store must be noticed within a
+second."""
 REST_PER_READER_S = {Topic.OPERATOR: 0.05, Topic.BACKENDS: 0.12}
-"""Seconds that a follower rests after changes, for each reader.  Back ends change more often, and a
-late change of theirs does less harm."""
+"""Seconds that a follower pauses after changes, for each reader. Back ends change more often, and a
+delay of their changes does less harm."""
 LONGEST_REST_S = {Topic.OPERATOR: 0.1, Topic.BACKENDS: 1.0}
-"""Most seconds of the same: what the operator asks for must be in force within seconds, and a back
-end that leaves must get no new work after a few."""
+"""Upper limit of the same in seconds: changes by the operator must be in force within seconds, and
+a leaving back end must get no new work after a few."""
 REST_SPREAD = 0.6
-"""Part of a rest by which it differs by chance: wide, so that some readers are awake at any
-moment."""
+"""Jitter of a pause, as a part of it: wide, so that some readers are watching at any moment."""
 UNSETTLED_WAIT_S = 1.0
-"""Seconds that a watch waits just after the store came back from a copy: what is kept against the
-store ends by its word, and must end in time."""
+"""Seconds that a watch waits just after the store was restored from a copy: the precedence of known
+values ends with the store's confirmations, and must end in time."""
 OVERTAKEN_S = 1.0
-"""Seconds after which a watch is given up that has not told what is known by another way: a slow
-store's answer takes a quarter of that."""
+"""Seconds after which a watch is cancelled that has not reported a change known from another
+source: a slow store's answer takes a quarter of that."""
 TELL_AFTER_S = 0.3
-"""Age in seconds of the store's last word from which on the other readers are told of a new one;
-where several hear a change at once, one tells."""
+"""Age in seconds of the store's latest confirmation from which on the other readers are notified of
+a new one; if several readers receive a change at once, only one notifies."""
 
 CompleteReadListener = Callable[[Topic, float], None]
 AskingListener = Callable[[Topic, ReadReason | None], None]
@@ -68,18 +69,20 @@
 
 
 class WatchDoubtedError(Exception):
-    """A watch was given up that may wait over a connection whose way is gone."""
+    """A watch was cancelled because its connection may be broken."""
 
 
 class FollowerParts(Struct, frozen=True):
-    """What the followers of all topics rely on.
-
-    :param store: is read and watched; ``state`` takes what it says.
-    :param status: takes note whether the store answers.
-    :param readers: tells whether this gateway follows the store at all.
-    :param on_complete_read: is told when all was read that was there at a moment.
-    :param on_asking: is told why this gateway asks the store; of no reason when it stops.
-    :param on_silent: is told that a question brought what a watch had not told.
+    """What the followers of all topics depend on.
+
+    :param store: is read and watched; the results go to ``state``.
+    :param status: records whether the store answers.
+    :param readers: decides whether this gateway follows the store at all.
+    :param on_complete_read: called with the topic and the time at which a complete read was
+        requested.
+    :param on_asking: called with the reason why this gateway begins to query the store, or with
+        ``None`` when it stops.
+    :param on_silent: called when a new query returned changes that a watch had not reported.
     """
 
     store: MetadataStore
@@ -96,7 +99,7 @@
     """Follows one topic until it is cancelled."""
 
     def __init__(self, topic: Topic, parts: FollowerParts) -> None:
-        """Begin with a reading of everything."""
+        """Begin with a complete read."""
         self._topic = topic
         self._store = parts.store
         self._state = parts.state
@@ -109,44 +112,45 @@
         self._watching: asyncio.Task[Reading] | None = None
         self._is_epoch_over = False
         self._is_overtaken = False
-        # The next question only wants to know whether the store answers.
+        # The next watch only probes whether the store answers.
         self._is_brief = False
-        # The last watch was given up, or had no answer.
+        # The last watch was cancelled, or had no answer.
         self._is_watch_lost = False
         self._on_confirmed: list[Callable[[], None]] = []
         self._on_silent = parts.on_silent
         self._on_asking = parts.on_asking
         self._reason: ReadReason | None = None
         self._retry_s = FIRST_RETRY_S
-        # Seconds until everything is read again after a watch was refused; 0: at once.
+        # Seconds to pause before a complete read after a refused watch; 0: none.
         self._reread_s = 0.0
         self._state.subscribe(self._on_state_change)
 
     @property
     def topic(self) -> Topic:
-        """Return what is followed."""
+        """Return the topic that is followed."""
         return self._topic
 
     def subscribe_to_confirmed(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when this gateway heard the store, and nobody had for a moment."""
+        """Call ``listener`` on each confirmation that ends a time without any."""
         self._on_confirmed.append(listener)
 
     def doubt(self) -> None:
-        """Give up the watch that waits, if any, and ask over a new connection.
+        """Cancel the waiting watch, if any, and query the store over a new connection.
 
-        A question that is brief anyway is let end by itself.
+        A query that only probes the store is not cancelled, as it ends soon.
         """
         if self._watching is not None and not self._is_brief:
             self._watching.cancel()
 
     async def run(self) -> None:
-        """Follow for ever."""
+        """Follow forever."""
         while True:
             reason = self._readers.reason_to_read(self._topic)
             self._tell_reason(reason)
             if reason is None:
                 self._revision = None
-                # Who begins to ask has a reason to doubt what it heard.
+                # A gateway that begins to query has a reason to distrust its connections, so it
+                # probes first.
                 self._is_brief = True
                 self._status.note_not_asked(self._topic)
                 await asyncio.sleep(RECHECK_S)
@@ -165,13 +169,13 @@
                 self._retry_s = FIRST_RETRY_S
 
     def _tell_reason(self, reason: ReadReason | None) -> None:
-        """Tell when this gateway begins or stops to ask, or does it for another reason."""
+        """Report when this gateway begins or stops to query the store, or its reason changes."""
         if reason is not self._reason:
             self._reason = reason
             self._on_asking(self._topic, reason)
 
     async def _step(self) -> None:
-        """Read everything, or what has changed."""
+        """Read everything, or wait for changes."""
         self._revision = self._known_revision()
         if self._revision is None:
             await self._read()
@@ -183,19 +187,19 @@
             await self._rest_before_reread()
             return
         if reading is None or reading.revision.epoch != self._revision.epoch:
-            # The number asked for means another change in that epoch: what was told may not be all.
+            # The given number denotes another change in that epoch, so changes may be missing.
             self._forget_place()
             await self._rest_before_reread()
             return
         self._reread_s = 0.0
         if self._is_watch_lost and reading.values:
-            # It had not told this: its way was gone.
+            # The cancelled watch had not reported these changes: its connection was broken.
             self._on_silent(self._topic)
         self._is_brief = self._is_watch_lost = False
         self._revision = max(self._revision, reading.revision)
         self._state.apply(self._topic, reading.values)
         if reading.revision >= max(self._state.revision(topic) for topic in Topic):
-            # Else the store has gone further than this watch tells, which so proves nothing.
+            # Otherwise the store is known to be ahead of this answer, which then proves nothing.
             self._confirm()
         if reading.values:
             await asyncio.sleep(self._rest_s())
@@ -203,7 +207,7 @@
     async def _read(self) -> None:
         """Read everything.
 
-        :raises EarlierEpochError: it shows the store as it was before it came back from a copy.
+        :raises EarlierEpochError: the answer is from before the store's latest restore.
         """
         asked_at = asyncio.get_running_loop().time()
         reading = await self._store.read(self._topic)
@@ -211,8 +215,8 @@
             self._state.apply_complete(self._topic, reading)
             told = f"epoch {reading.revision.epoch} after {self._state.epoch}"
             raise EarlierEpochError(told)
-        # Before the values: whoever hears of these may ask how old they are.  What a copy lacks was
-        # there, so the first reading of a later epoch proves nothing.
+        # Before the values are applied: their listeners may query the staleness. A copy may lack
+        # acknowledged writes, so the first read of a later epoch proves nothing.
         is_copy = self._state.history(self._topic).is_later_epoch(reading.revision)
         if reading.whole and not is_copy:
             self._on_complete_read(self._topic, asked_at)
@@ -221,12 +225,12 @@
         self._confirm()
 
     async def _watch(self, after: StoreRevision) -> Reading | None:
-        """Watch for changes; ``None`` if a later epoch was heard of elsewhere meanwhile.
+        """Watch for changes; ``None`` if a later epoch was observed elsewhere meanwhile.
 
-        The store may keep such a watch waiting to its end, as long as nothing changes behind a
-        number that meant another place when it was asked for.
+        The store may answer such a watch only at the end of its wait if no change follows the given
+        number, which denotes another change in the new epoch.
 
-        :raises WatchDoubtedError: its way may be gone.
+        :raises WatchDoubtedError: its connection may be broken.
         """
         loop = asyncio.get_running_loop()
         watch = loop.create_task(self._store.watch(self._topic, after, self._wait_s()))
@@ -244,7 +248,7 @@
             watch.cancel()
 
     async def _wait_for(self, watch: asyncio.Task[Reading]) -> None:
-        """Wait until a watch has ended, or a turn is overdue and this watch is the one to doubt."""
+        """Wait until a watch has ended or is suspected."""
         while not watch.done():
             doubted_in_s = self._seconds_to_doubt()
             if doubted_in_s == 0.0:
@@ -252,14 +256,14 @@
             await asyncio.wait({watch}, timeout=doubted_in_s)
 
     def _seconds_to_doubt(self) -> float | None:
-        """Return in how many seconds the watch is doubted; ``None``: it is not, but timed."""
+        """Return in how many seconds the watch is suspected; ``None``: only its timeout applies."""
         if self._is_brief:
             return None
         unconfirmed_s = self._state.unconfirmed_s(self._topic)
         return seconds_to_doubt(self._topic, unconfirmed_s, self._place)
 
     def _on_state_change(self) -> None:
-        """Give a watch up that waits in an epoch which is over, or that news have overtaken."""
+        """Cancel a watch of a past epoch, or one that has not reported a known change in time."""
         watch = self._watching
         if watch is None or self._revision is None:
             return
@@ -267,20 +271,20 @@
             self._is_epoch_over = True
             watch.cancel()
         elif self._state.revision(self._topic) > self._revision and not self._is_overtaken:
-            # The store tells every watch at once: one that goes on waiting is not heard.
+            # The store answers all watches at once: one that continues to wait is cut off.
             self._is_overtaken = True
             asyncio.get_running_loop().call_later(OVERTAKEN_S, watch.cancel)
 
     def _forget_place(self) -> None:
-        """Read everything next."""
+        """Make the next step a complete read."""
         self._revision = None
         self._must_reread = True
 
     def _known_revision(self) -> StoreRevision | None:
-        """Return the revision up to which everything is known; ``None``: read it all.
+        """Return the revision up to which everything is known; ``None``: a read is needed.
 
-        Every gateway's knowledge is complete up to its highest revision, since the store tells
-        changes in their order, and so is what two of them know together.
+        Every gateway's state is complete up to its highest revision, since the store reports
+        changes in order; hence the merged state of two gateways is complete up to the higher one.
         """
         revision = self._revision
         if not self._must_reread and self._state.complete:
@@ -289,18 +293,17 @@
         return None if is_over else revision
 
     async def _rest_before_reread(self) -> None:
-        """Rest before everything is read again, unless this is the first useless watch in a row.
+        """Pause before a complete read, unless this is the first useless watch in a row.
 
-        A store may refuse the watch that follows a whole read too, or answer it from another epoch,
-        and both are answered within milliseconds: without rest, one gateway called it 500 times a
-        second.
+        A store may refuse the watch after a complete read too, or answer it from another epoch,
+        each within milliseconds: without a pause, one gateway called it 500 times a second.
         """
         if self._reread_s:
             await asyncio.sleep(self._readers.retry_pause_s(self._reread_s))
         self._reread_s = min(LONGEST_RETRY_S, max(FIRST_RETRY_S, self._reread_s * 2))
 
     def _confirm(self) -> None:
-        """Note the store's word that nothing newer is there; tell other readers if it is news."""
+        """Record that the store has nothing newer; notify other readers if that was overdue."""
         self._must_reread = False
         unconfirmed_s = self._state.unconfirmed_s(self._topic)
         self._state.confirm(self._topic)
@@ -319,15 +322,15 @@
 
     @property
     def _place(self) -> int:
-        """Return this gateway's place among those that ask; behind all readers if it is none."""
+        """Return this gateway's rank among the readers; the last one if it is no reader."""
         place = self._readers.place()
         return self._readers.count() - 1 if place is None else place
 
     def _rest_s(self) -> float:
-        """Return how long to rest after changes, which often come in numbers.
+        """Return how long to pause after changes, which often come in groups.
 
-        A change wakes every reader.  The more there are, the longer each rests, at other moments
-        than the rest: those that are awake bring what comes next to all, by digest.
+        Every change wakes every reader. The more readers there are, the longer each one pauses,
+        with jitter: those that are watching send the next changes to all others by digest.
         """
         rest_s = self._readers.count() * REST_PER_READER_S[self._topic]
         rest_s = min(LONGEST_REST_S[self._topic], rest_s)
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -1,7 +1,7 @@
-"""Which gateways follow the metadata store for all.
+"""Chooses the gateways that follow the metadata store on behalf of all.
 
-Owns a short memory of the choice and of a pull that failed; relies on the list of peers and on the
-rule that ranks candidates.
+Owns a short-lived cache of the choice and the time of the latest failed pull. Relies on the list of
+peers and on the rule that ranks candidates.
 """
 
 from __future__ import annotations
@@ -19,35 +19,35 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 READERS = 4
-"""Gateways that follow the store for all: one for each zone where there are four, so that the loss
-of one, or of a zone, leaves the others.  Each change is a call of every one of them."""
+"""Number of gateways that follow the store for all: one for each zone where there are four, so that
+the loss of one, or of a zone, leaves the others. Each change costs one call by each of them."""
 ACQUAINTANCE_S = 1.0
-"""Seconds after its start for which a process relies on the seeds rather than on its own choice of
-readers: five of its first digests, after which it knows the others."""
+"""Seconds after its start for which a process uses the seeds as readers instead of its own choice:
+after five of its first digests it knows the other gateways."""
 SILENCE_S = 1.5
-"""Seconds without a message of any peer after which a gateway asks the store itself: three
-intervals of digests, so that two lost datagrams do not lead to calls."""
+"""Seconds without a message from any peer after which a gateway queries the store itself: three
+digest intervals, so that two lost datagrams cause no calls."""
 PULL_FAILURE_MEMORY_S = 5.0
-"""Seconds for which a gateway asks the store itself after it could not pull from a peer: several
-pulls are tried within this time, and one that succeeds ends it."""
+"""Seconds for which a gateway queries the store itself after it failed to pull from a peer: several
+pulls are tried in this time, and a successful one ends it."""
 ROLE = "store reader"
-"""Part of what is hashed in the choice of readers: other roles fall on other gateways."""
+"""Part of the hash input for the choice of readers, so that other roles go to other gateways."""
 UNHEARD_PATIENCE_S = 0.1
-"""How long a start waits for any peer: three of its first digests and a round trip, but not for
-seeds that start later, while its clients wait.  Gateways wait one to two times as long, so that
-they do not ask all at once."""
+"""Seconds that a starting gateway waits for a first message from any peer: three of its first
+digests and a round trip. It does not wait for seeds that start later, since its clients wait
+meanwhile. Gateways wait one to two times as long, so that they do not all call at once."""
 HEARD_PATIENCE_S = 1.2
-"""The same where a peer was heard that knows too little itself: six calls of 0.2 s to a store."""
+"""The same if a peer has answered that knows too little itself: six calls of 0.2 s to a store."""
 CHOICE_KEPT_S = 0.1
-"""How long a choice of readers is used: it is asked for ten times a second, and costs a millisecond
-where hundreds of gateways are known."""
+"""Seconds for which a choice of readers is cached: it is requested ten times a second, and
+computing it takes a millisecond with hundreds of known gateways."""
 FLEET_RETRIES_PER_S = 20.0
-"""How often all gateways that are no readers together ask a store that does not answer: one of
-them finds within 0.1 s that it is back, and tells all."""
+"""Retries per second by all gateways together that are no readers, while the store does not answer:
+one of them finds within 0.1 s that it is back, and notifies all."""
 
 
 class ReadReason(enum.Enum):
-    """Why a gateway asks the store itself."""
+    """Why a gateway queries the store itself."""
 
     READER = "reader for all"
     PULL_FAILED = "a pull from a peer failed"
@@ -57,16 +57,16 @@
 
 
 class StoreReaders(Struct):
-    """Decides whether this gateway follows the store itself or relies on others' digests.
+    """Decides whether this gateway follows the store itself or relies on digests.
 
-    Calls to the store are priced, so of many gateways a few in every zone follow it.  Whoever has
-    a reason to doubt that news reaches it through peers asks the store too.
+    Calls to the store are charged for, so of many gateways a few in every zone follow it. A gateway
+    that may not get changes through its peers queries the store too.
 
     :param own: this gateway's address.
-    :param describe_own: returns this gateway as it would describe itself now.
-    :param stale_after_s: how old the store's last word may be; differs between gateways.
-    :param patience: how many times :data:`UNHEARD_PATIENCE_S` or :data:`HEARD_PATIENCE_S` this
-        gateway waits at its start until it reads the store itself; differs between gateways.
+    :param describe_own: returns this gateway's current description of itself.
+    :param stale_after_s: maximum age of the store's latest confirmation; differs between gateways.
+    :param patience: factor on :data:`UNHEARD_PATIENCE_S` and :data:`HEARD_PATIENCE_S`; differs
+        between gateways.
     :ivar seeds: the gateways that all others know from the start.
     """
 
@@ -84,11 +84,11 @@
     _choice: list[Member] = field(default_factory=list)
 
     def note_pull(self, *, succeeded: bool) -> None:
-        """Take the end of a pull: whoever cannot pull must not rely on peers."""
+        """Record the result of a pull: after a failure this gateway must not rely on peers."""
         self._pull_failed_at = float("-inf") if succeeded else self.clock()
 
     def reason_to_read(self, topic: Topic) -> ReadReason | None:
-        """Return why this gateway asks the store now; ``None``: others do it."""
+        """Return why this gateway queries the store now; ``None``: others do it."""
         now = self.clock()
         if self.is_reader():
             return ReadReason.READER
@@ -103,9 +103,9 @@
         return ReadReason.NO_WORD if is_unheard else None
 
     def retry_pause_s(self, own_pause_s: float) -> float:
-        """Return how long to rest after a call that the store did not answer.
+        """Return how long to pause after a call that the store did not answer.
 
-        :param own_pause_s: how long a gateway that follows the store for all would rest.
+        :param own_pause_s: pause of a gateway that is a reader.
         """
         if self.is_reader():
             return own_pause_s
@@ -114,16 +114,17 @@
 
     @property
     def _patience_s(self) -> float:
-        """Return how long after the start peers may still teach this gateway everything."""
+        """Return how long after the start this gateway waits for peers to send the state."""
         usual_s = HEARD_PATIENCE_S if self.peers.has_peers else UNHEARD_PATIENCE_S
         return usual_s * self.patience
 
     def is_reader(self) -> bool:
         """Tell whether this gateway is one of those that follow the store for all.
 
-        Just after a start the seeds alone do: everybody knows them, and who else there is shows
-        within a second.  Others that know too little to serve learn it from them.  A reader that
-        the store refuses keeps trying, while others, who hear of that, take its place.
+        Just after a start, only the seeds are readers: all gateways know them, and the others
+        become known within a second. Gateways that know too little to serve get the state from the
+        seeds. A reader whose calls the store refuses continues to try, while others, which learn of
+        that, replace it.
         """
         now = self.clock()
         if self._relies_on_seeds(now):
@@ -133,19 +134,19 @@
         return self.own in {one.address for one in self._chosen(now)}
 
     def count(self) -> int:
-        """Return how many gateways follow the store, this one among them."""
+        """Return the number of gateways that follow the store, including this one."""
         return len(self.addresses()) + 1
 
     def place(self) -> int | None:
-        """Return this gateway's place among the readers, 0 for the first; ``None``: it is none."""
+        """Return this gateway's rank among the readers, 0 for the first; ``None``: it is none."""
         if not self.is_reader():
             return None
         return sum(1 for address in self.addresses() if str(address) < str(self.own))
 
     def addresses(self, zone: str | None = None) -> list[Address]:
-        """Return the other readers, as far as they are known, in the order of their places.
+        """Return the other known readers, ordered by rank.
 
-        :param zone: only those of one zone; ``None``: all of them.
+        :param zone: only readers of this zone; ``None``: all of them.
         """
         now = self.clock()
         if self._relies_on_seeds(now) and zone is None:
@@ -158,12 +159,12 @@
         return sorted(found, key=str)
 
     def _relies_on_seeds(self, now: float) -> bool:
-        """Tell whether too little is known of the others to choose among them."""
+        """Tell whether too few other gateways are known to choose among them."""
         acquainted = self.state.complete and now - self.started_at >= ACQUAINTANCE_S
         return bool(self.seeds) and not acquainted
 
     def _chosen(self, now: float) -> list[Member]:
-        """Return those that follow the store for all, by the view of this gateway."""
+        """Return the readers of all gateways, as chosen from this gateway's list of peers."""
         if self._chosen_at is not None and now - self._chosen_at < CHOICE_KEPT_S:
             return self._choice
         others = [one for one in self.peers.candidates(now) if not one.without_store]
--- a/tinrudder/gateway/store/store_revision.py
+++ b/tinrudder/gateway/store/store_revision.py
@@ -1,13 +1,12 @@
-"""Places in the history of the platform's store, and their one order.
+"""Revisions of the platform's store across restores, and their order.
 
-Owns nothing: values only.  The store gives one number to every change.  When it comes back from an
-older copy of itself, it begins a new epoch there, and gives out again the numbers that the copy had
-not reached.  So a bare number says nothing of what is newer, and none is compared outside this
-module.
+Owns nothing: values only. The store assigns a number to every change. When it is restored from an
+older copy of itself, it begins a new epoch and assigns the numbers after the end of the copy again.
+So numbers alone do not order changes, and no other module compares them.
 
-What the order does not say: that a value of a later epoch was written later.  The copy holds
-values that were replaced before the epoch began; :mod:`tinrudder.gateway.store.epoch_rules` tells
-which of two values of different epochs holds.
+A value of a later epoch was not necessarily written later: the copy holds values that had been
+replaced before the epoch began. :mod:`tinrudder.gateway.store.epoch_rules` decides which of two
+values of different epochs wins.
 """
 
 from __future__ import annotations
@@ -16,12 +15,13 @@
 
 
 class StoreRevision(Struct, frozen=True, order=True):
-    """A place in the store's history; within an epoch, a higher number was given out later.
+    """A revision of the store; within an epoch, higher numbers were assigned later.
 
     >>> StoreRevision(1, 63) < StoreRevision(2, 60) < StoreRevision(2, 61)
     True
 
-    :param epoch: rises whenever the store comes back from an older copy; 0 where it tells none.
+    :param epoch: rises whenever the store is restored from an older copy; 0 if the store reports
+        none.
     """
 
     epoch: int = 0
@@ -29,14 +29,14 @@
 
 
 NO_REVISION = StoreRevision()
-"""Before everything."""
+"""The lowest revision, before any change."""
 
 
 class EpochBegin(Struct, frozen=True):
     """How an epoch began.
 
-    :param age_s: how long ago.
-    :param copy_up_to: the copy reached no further than this number.
+    :param age_s: seconds since then.
+    :param copy_up_to: upper bound of the copy's revision numbers.
     """
 
     age_s: float
@@ -44,12 +44,12 @@
 
 
 class TopicPosition(Struct, frozen=True):
-    """How far a gateway's knowledge of one topic goes.
+    """How much of one topic's history a gateway has observed.
 
-    :param revision: all up to here is known, in the epoch of this revision.
-    :param older: the highest revision of an earlier epoch that was heard of.
-    :param restored: the begin of this epoch, where it was lately and the gateway lived through it
-        or heard of it from one that did.
+    :param revision: every change of its epoch up to this revision is known.
+    :param older: highest revision observed in any earlier epoch.
+    :param restored: start of this epoch, if it was recent and observed by this gateway or reported
+        by one that observed it.
     """
 
     revision: StoreRevision = NO_REVISION
--- a/tinrudder/gateway/store/store_status.py
+++ b/tinrudder/gateway/store/store_status.py
@@ -1,7 +1,7 @@
-"""Whether the store answers this gateway, and how often it was called.
+"""Records whether the store answers this gateway, and how many calls were made.
 
-Owns the result of the latest call of each topic's follower and the count of all calls; relies on
-the followers to note every result.
+Owns the result of the latest call of each topic's follower and the count of all calls. Relies on
+the followers to record every result.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 
 
 class StoreStatus:
-    """The store as this gateway's calls find it.
+    """Reachability of the store as found by this gateway's calls.
 
     :ivar calls: calls to the store since the process started.
     """
 
     def __init__(self, on_change: ReachabilityListener) -> None:
-        """Tell ``on_change`` when a topic is lost or regained, and why; all begin as lost."""
+        """Call ``on_change`` when a topic is lost or regained; initially all are lost."""
         self.calls = 0
         self._on_change = on_change
         self._listeners: list[Callable[[], None]] = []
@@ -29,12 +29,12 @@
 
     @property
     def is_reachable(self) -> bool:
-        """Tell whether the last call of every topic was answered."""
+        """Tell whether the latest call of every topic was answered."""
         return len(self._reachable) == len(Topic)
 
     @property
     def is_lost(self) -> bool:
-        """Tell whether some topic is asked for and its last call was not answered."""
+        """Tell whether the latest call of any topic that this gateway follows was not answered."""
         return bool(self._lost)
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -46,25 +46,25 @@
         self.calls += 1
 
     def note_answered(self, topic: Topic) -> None:
-        """Note that a call was answered."""
+        """Record that a call was answered."""
         self._lost.discard(topic)
         if topic not in self._reachable:
             self._reachable.add(topic)
             self._tell(topic, reachable=True, detail="")
 
     def note_unanswered(self, topic: Topic, detail: str) -> None:
-        """Note that a call was not answered; ``detail`` says why."""
+        """Record that a call was not answered; ``detail`` gives the reason."""
         self._lost.add(topic)
         if topic in self._reachable:
             self._reachable.discard(topic)
             self._tell(topic, reachable=False, detail=detail)
 
     def note_not_asked(self, topic: Topic) -> None:
-        """Note that others follow a topic for this gateway: nothing is lost that is not asked."""
+        """Record that other gateways follow a topic for this one: it does not count as lost."""
         self._lost.discard(topic)
 
     def _tell(self, topic: Topic, *, reachable: bool, detail: str) -> None:
-        """Tell everybody who asked."""
+        """Notify all listeners."""
         self._on_change(topic, reachable, detail)
         for listener in self._listeners:
             listener()
--- a/tinrudder/gateway/store/stored_values.py
+++ b/tinrudder/gateway/store/stored_values.py
@@ -1,6 +1,6 @@
-"""What a gateway reads from its platform, whichever platform it is.
+"""Values that a gateway reads from its platform, and the interface of the metadata store.
 
-Owns nothing: values, and the interface of a store, which an adapter implements.
+Owns nothing: values, and an interface that an adapter for each platform implements.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 
 
 class Topic(enum.Enum):
-    """What is read: what the operator asks for, or the list of back ends.
+    """Part of the store that is read: the operator's settings, or the list of back ends.
 
-    The operator's configuration and evacuations of zones are one topic: they change rarely, and
-    one watch costs one call to the store however much it follows.
+    The operator's configuration and evacuations of zones are one topic: they change rarely, and a
+    watch costs one call to the store regardless of the number of keys.
     """
 
     OPERATOR = "operator"
@@ -28,14 +28,15 @@
 
 
 STORE = "store"
-"""Where what a gateway read itself comes from; else the address of the peer that told it."""
+"""Source of values that this gateway read from the store; otherwise the source is the address of
+the peer that sent them."""
 
 
 class StoredValue(Struct, frozen=True):
-    """One key at one revision.
+    """A key's value at one revision.
 
-    :param key: empty, without a revision, if the store's item names none that can be read.
-    :param value: ``None`` once it is removed; empty if the item's value cannot be read.
+    :param key: empty, without a revision, if the store's item has no readable key.
+    :param value: ``None`` if the key was removed; empty if the item's value is unreadable.
     """
 
     key: str
@@ -44,35 +45,35 @@
 
 
 class Reading(Struct, frozen=True):
-    """Values of a topic, complete or changed, as of a revision of the store."""
+    """Values of a topic as of a revision of the store: either all or the changed ones."""
 
     values: tuple[StoredValue, ...]
     revision: StoreRevision
 
     @property
     def whole(self) -> bool:
-        """Tell whether every value has a key: what is missing can then be told."""
+        """Tell whether every value has a key, so that missing keys can be determined."""
         return all(value.key for value in self.values)
 
 
 class StoreUnavailableError(Exception):
-    """The store did not answer, or refused; nothing is known to be wrong with what we hold."""
+    """The store did not answer, or refused; known values remain valid."""
 
 
 class HistoryForgottenError(StoreUnavailableError):
-    """The store no longer knows what changed since a revision: everything must be read again."""
+    """The store no longer has the changes since a revision; a complete read is needed."""
 
 
 class EarlierEpochError(StoreUnavailableError):
-    """The store answered from an epoch before the one that is followed; it proves nothing."""
+    """The store answered from an epoch before the current one, which proves nothing."""
 
 
 class UnreadableValueError(Exception):
-    """A value does not have the form agreed on; the text names key or header, and field."""
+    """A value does not match its format; the text names the key or header, and the field."""
 
 
 class MetadataStore(Protocol):
-    """The read-only store, as the product sees it."""
+    """The read-only metadata store."""
 
     async def read(self, topic: Topic) -> Reading:
         """Read every value of a topic.
@@ -81,10 +82,10 @@
         """
 
     async def watch(self, topic: Topic, after: StoreRevision, wait_s: float) -> Reading:
-        """Wait for changes behind a revision; no values when there were none in time.
+        """Wait for changes after a revision; return no values if there were none in time.
 
-        The answer may be of a later epoch than the revision asked for, which may mean another
-        change there: then more than these values may have changed.
+        The answer may be of a later epoch than the given revision, whose number may then denote a
+        different change: more than these values may have changed.
 
         :raises StoreUnavailableError: there was no usable answer.
         :raises HistoryForgottenError: :meth:`read` is needed.
@@ -92,24 +93,24 @@
 
 
 class ConfigurationKey(Struct, frozen=True):
-    """The key of the one configuration."""
+    """The key of the operator's configuration."""
 
 
 class EvacuationKey(Struct, frozen=True):
-    """A key that asks, as long as it stands, for no calls to the back ends of a zone."""
+    """A key that evacuates a zone as long as it exists: its back ends receive no calls."""
 
     zone: str
 
 
 class ForeignKey(Struct, frozen=True):
-    """A key of the operator's that means nothing to gateways."""
+    """A key of the operator that gateways do not use."""
 
 
 OperatorKey = ConfigurationKey | EvacuationKey | ForeignKey
 
 
 class ValueDecoders(Struct, frozen=True):
-    """Turn keys and bytes of the platform into the product's values.
+    """Convert the platform's keys and bytes into the product's values.
 
     Each raises :class:`UnreadableValueError`.
     """
--- a/tinrudder/gateway/store/topic_history.py
+++ b/tinrudder/gateway/store/topic_history.py
@@ -1,7 +1,7 @@
-"""How far one gateway knows one topic of the store: which epoch it follows, and up to which place.
+"""Tracks how much of the store's history of one topic this gateway has observed.
 
-Owns the place, the begin of the epoch and the time of the store's last word; relies on the shared
-state to enter an epoch only with a reading of everything in it.
+Owns the position, the start of the epoch and the time of the store's latest confirmation. Relies on
+the shared state to enter an epoch only with a complete read of it.
 """
 
 from __future__ import annotations
@@ -17,24 +17,24 @@
 )
 
 EPOCH_AGE_TOLD_S = LEAVING_STANDS_S
-"""Seconds for which gateways tell when an epoch began: as long as anything of the epoch before may
-stand against it."""
+"""Seconds after the start of an epoch during which gateways report its age: as long as a value of
+the previous epoch may take precedence."""
 
 
 class TopicHistory:
-    """What one gateway knows of the history of one topic.
+    """The part of one topic's history that this gateway has observed.
 
-    Relies on its owner to enter an epoch only with a reading of everything in it.
+    The owner must enter an epoch only with a complete read of it.
 
-    :ivar revision: all up to here is known.
-    :ivar older: the highest revision of an earlier epoch that was heard of.
-    :ivar copy_up_to: the copy with which this epoch began reached no further: it was read as of
-        this revision, here or at another gateway.
-    :ivar is_read_whole: whether a reading of this epoch missed no key.
+    :ivar revision: every change up to this revision is known.
+    :ivar older: highest revision observed in any earlier epoch.
+    :ivar copy_up_to: upper bound of the copy that this epoch began with: the revision of the
+        epoch's first complete read, here or at another gateway.
+    :ivar is_read_whole: whether a complete read of this epoch had a readable key for every item.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Know nothing yet; ``clock`` returns the time of the event loop, seconds."""
+        """Start without any history; ``clock`` returns the time of the event loop, seconds."""
         self.revision = NO_REVISION
         self.older = NO_REVISION
         self.copy_up_to = NO_REVISION
@@ -51,52 +51,55 @@
 
     @property
     def seen_s(self) -> float:
-        """Return for how long the store is known to have been followed in this epoch.
+        """Return how long the current epoch is known to have lasted at the latest confirmation.
 
-        Until its last word: a process that was suspended or cut off meanwhile did not see what was
-        written again.
+        Later time does not count: a process that was suspended or disconnected did not see what was
+        rewritten in that time.
         """
         began = [at for at in (self._entered_at, self._restored_at) if at is not None]
         return max(0.0, self._confirmed_at - min(began, default=self._clock()))
 
     @property
     def unconfirmed_s(self) -> float:
-        """Return for how long nobody is known to have seen the store say that this is all."""
+        """Return the time since the store's latest known confirmation that nothing is newer.
+
+        The confirmation may have been given to any gateway.
+        """
         return self._clock() - self._confirmed_at
 
     @property
     def is_restored(self) -> bool:
-        """Tell whether this epoch is known to have begun with a copy, rather than a start here."""
+        """Tell whether this epoch is known to have begun with a restore from a copy."""
         return self._restored_at is not None
 
     @property
     def restored_s(self) -> float:
-        """Return how long ago the store came back from a copy; infinite: never, as far as known."""
+        """Return how long ago the store was restored from a copy; infinite if not known."""
         return float("inf") if self._restored_at is None else self._clock() - self._restored_at
 
     def confirm(self, age_s: float) -> None:
-        """Note that some time ago the store said that nothing newer was there."""
+        """Record that the store had nothing newer ``age_s`` seconds ago."""
         self._confirmed_at = max(self._confirmed_at, self._clock() - age_s)
 
     def covers(self, revision: StoreRevision) -> bool:
-        """Tell whether all up to a revision has been heard of here."""
+        """Tell whether every change up to a revision has been observed here."""
         if revision.epoch == self.epoch:
             return revision.number <= self.revision.number
         return revision.epoch < self.epoch and revision <= self.older
 
     def covers_position(self, position: TopicPosition) -> bool:
-        """Tell whether a gateway at a position knows nothing that was not heard of here."""
+        """Tell whether everything known to a gateway at a position has been observed here."""
         return self.covers(position.revision) and self.covers(position.older)
 
     def is_later_epoch(self, revision: StoreRevision) -> bool:
-        """Tell whether a revision is of a later epoch than the one that is followed."""
+        """Tell whether a revision belongs to a later epoch than the current one."""
         return self._entered_at is not None and revision.epoch > self.epoch
 
     def enter(self, read_up_to: StoreRevision) -> bool:
-        """Begin an epoch with a reading of everything in it; tell whether it is another one.
+        """Begin an epoch with a complete read of it; tell whether a new epoch began.
 
-        Who followed an earlier epoch knows by this that the store came back from a copy, and counts
-        from this moment; who knew nothing may only have started.
+        A gateway that followed an earlier epoch learns from this that the store was restored, and
+        records the time. A gateway without history may just have started, so it records no restore.
         """
         is_later = self.is_later_epoch(read_up_to)
         if self._entered_at is not None and not is_later:
@@ -111,7 +114,7 @@
         return True
 
     def hear(self, revision: StoreRevision) -> None:
-        """Note that a change was heard of, in this epoch or an earlier one."""
+        """Record that a change of this epoch or an earlier one was observed."""
         if revision.epoch == self.epoch:
             self.revision = max(self.revision, revision)
             if self._entered_at is None:
@@ -120,7 +123,7 @@
             self.older = max(self.older, revision)
 
     def hear_position(self, position: TopicPosition) -> None:
-        """Note that all was heard of that a gateway at a position knows."""
+        """Record that everything known to a gateway at a position has been received."""
         self.hear(position.revision)
         self.hear(position.older)
         begin = position.restored
@@ -132,7 +135,7 @@
         self.copy_up_to = min(self.copy_up_to, StoreRevision(self.epoch, begin.copy_up_to))
 
     def position(self) -> TopicPosition:
-        """Return how far this gateway is."""
+        """Return this gateway's position, with the start of the epoch if that was recent."""
         begin = None
         if self.restored_s <= EPOCH_AGE_TOLD_S:
             begin = EpochBegin(self.restored_s, self.copy_up_to.number)
--- a/tinrudder/gateway/store/unreadable_values.py
+++ b/tinrudder/gateway/store/unreadable_values.py
@@ -1,6 +1,6 @@
-"""Counts and logs stored values that cannot be read, however many there are.
+"""Counts and logs stored values that cannot be decoded, with a limit on the log rate.
 
-Owns the count and the bound on log lines; relies on the shared state to report each value.
+Owns the count and the limit on log lines. Relies on the shared state to report each value.
 """
 
 from __future__ import annotations
@@ -10,28 +10,29 @@
 from tinrudder.common.logs import LogValue, log_problem
 
 LINES = 5
-"""Log lines in one window: enough to see whether one entry or a whole writer is wrong."""
+"""Log lines in one window: enough to see whether a single entry or an entire writer is wrong."""
 WINDOW_S = 10.0
-"""A writer with another form writes a value for each of its processes, and each time anew."""
+"""Length of a window in seconds. A writer with another format writes an unreadable value for each
+of its processes, again at every write."""
 DETAIL_LENGTH = 300
-"""Characters of one line: a key has 200 bytes at most, a value may have far more."""
+"""Maximum characters of the detail: a key has at most 200 bytes, a value may have far more."""
 
 
 class UnreadableValues:
-    """Takes what is wrong with each value; the key stands in it.
+    """Receives a description of each unreadable value, which includes its key.
 
-    :ivar count: how many there were.
+    :ivar count: number of unreadable values so far.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Start with none."""
+        """Start with a count of zero."""
         self.count = 0
         self._clock = clock
         self._window_began = float("-inf")
         self._lines = 0
 
     def note(self, detail: str) -> None:
-        """Count a value, and log it while there are few."""
+        """Count a value, and log it if the window's limit is not reached."""
         self.count += 1
         now = self._clock()
         if now - self._window_began >= WINDOW_S:
--- a/tinrudder/gateway/store/watch_turns.py
+++ b/tinrudder/gateway/store/watch_turns.py
@@ -1,13 +1,13 @@
-"""How long watches wait, and when one that waits is doubted.
+"""Rules on how long watches of the store wait, and when a waiting watch is suspected.
 
-A calm store leaves a watch open until its wait is over, and so does a connection whose way is gone.
-So the first reader waits for a turn only, and each of its answers tells all gateways that the store
-was heard.  Where that is overdue, it gives its watch up and asks over a new connection; if nobody
-answers that either, the reader in the next place does.  The time until a change is heard over
-silent connections is about one turn, however many gateways there are, and a calm store is asked as
-often.
+An idle store leaves a watch open until its wait time is over, and a broken connection looks the
+same. So only the first reader's watch waits for a short time, and each of its answers is reported
+to all gateways as a confirmation by the store. When that confirmation is overdue, the first reader
+abandons its watch and queries the store over a new connection; if that brings no answer, the reader
+of the next rank does the same. With silent connections, a change is thus noticed after about one
+short wait, regardless of the number of gateways, and an idle store receives no more calls.
 
-Owns nothing: rules only, for followers of the store.
+Owns no state; followers of the store apply the rules.
 """
 
 from __future__ import annotations
@@ -15,25 +15,25 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 TURN_S = {Topic.OPERATOR: 1.5, Topic.BACKENDS: 2.0}
-"""Seconds for which the first reader waits.  Each turn is a call, and calls are priced; a leaving
-back end serves on for 3 s where that is shortest."""
+"""Seconds that the first reader's watch waits. Each watch is a call, and calls are charged for; a
+leaving back end continues to serve for 3 s where that time is shortest."""
 OVERDUE_S = 0.25
-"""Seconds by which a turn may be late: an answer of a busy store, a late timer, the way of the word
-to the other readers."""
+"""Seconds by which the first reader's answer may be late: an answer of a busy store, a late timer,
+and the time until the other readers learn of it."""
 PLACE_STEP_S = 0.05
-"""Seconds by which a reader doubts its watch later than the one in the place before: time enough
-for that one's answer, and the word of it."""
+"""Seconds by which a reader suspects its watch later than the reader of the previous rank: enough
+for that reader to get an answer and report it."""
 LONGEST_WAIT_S = 28.0
-"""Seconds for which all other readers wait, one second less for each place; the platform bounds a
-wait to thirty."""
+"""Seconds that the watches of all other readers wait, one second less for each rank; the platform
+limits a wait to 30 s."""
 SHORTEST_WAIT_S = 0.001
-"""Seconds that a question waits which only wants to know whether the store answers."""
+"""Wait time in seconds of a query that only checks whether the store answers."""
 
 
 def watch_wait_s(topic: Topic, place: int) -> float:
     """Return how long a watch waits.
 
-    :param place: of this reader among all.
+    :param place: this reader's rank among all readers.
 
     >>> [watch_wait_s(Topic.OPERATOR, place) for place in range(3)]
     [1.5, 27.0, 26.0]
@@ -42,10 +42,10 @@
 
 
 def seconds_to_doubt(topic: Topic, unconfirmed_s: float, place: int) -> float:
-    """Return in how many seconds a watch is doubted, if nobody hears the store until then.
+    """Return in how many seconds a watch is suspected, unless the store confirms before.
 
-    :param unconfirmed_s: age of the store's last word, whoever heard it.
-    :param place: of this reader among all.
+    :param unconfirmed_s: time since the store's latest confirmation to any gateway.
+    :param place: this reader's rank among all readers.
 
     >>> seconds_to_doubt(Topic.OPERATOR, 1.0, 0), seconds_to_doubt(Topic.OPERATOR, 3.0, 0)
     (0.75, 0.0)
--- a/tinrudder/platform/__init__.py
+++ b/tinrudder/platform/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the users' platform: its names, formats and calls.  Nothing here decides."""
+"""Adapter to the users' platform: its names, formats and calls.  It makes no decisions."""
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -1,8 +1,8 @@
-"""The platform's configuration and back-end entries, decoded into the product's values.
+"""Decodes the platform's configuration and back-end entries into the product's values.
 
-Owns the names of the platform's documents, which no other folder of the product knows.  A comment
-stands at each field whose name says something else than it holds.  Relies on the product's types
-and on the rules for entries and tenants that do not depend on a platform.
+Owns the names of the platform's documents, which no other folder of the product uses. Fields with a
+misleading name have a comment. Relies on the product's types and on its platform-independent rules
+for entries and tenants.
 """
 
 from __future__ import annotations
@@ -41,9 +41,9 @@
 EVACUATION_PREFIX = "op/evacuate/"
 REPEATABLE_KIND = "safe"
 MILLISECONDS = 1000.0
-"""In a second: the platform counts times in milliseconds, the product in seconds."""
+"""In a second: the platform gives times in milliseconds, the product in seconds."""
 UNREADABLE = (msgspec.MsgspecError, ValueError, RecursionError)
-"""What bytes of any kind raise: text that is none and fields nested without end included."""
+"""Errors that arbitrary bytes raise, including undecodable text and unlimited nesting."""
 
 Milliseconds = Annotated[float, Meta(ge=0)]
 
@@ -57,22 +57,22 @@
     name: str
     host: str
     path_prefix: str
-    # Whether a request may run more than once: it may where this is REPEATABLE_KIND.
+    # Requests may run more than once if this is REPEATABLE_KIND.
     kind: str
-    # How long a request is held at most, counted from its arrival.
+    # Maximum time from the arrival of a request to its answer.
     timeout_ms: Milliseconds
-    # The latency objective.  It refuses nothing: an answer is worth little after it.
+    # The latency objective. Later answers are of little use, but are not refused.
     goal_ms: Milliseconds
-    # Different back ends that one request may be sent to, for each shard; no number of calls.
+    # Maximum number of different back ends per shard for a request; does not limit calls.
     attempts: int = 1
     # 0 is the most urgent.
     priority: int = 0
     service: str = ""
     split: list[_Split] = []
-    # The services that a scatter asks, each one a shard.
+    # The services that a scatter queries; each is a shard.
     gather: list[str] = []
     top_k: int = 0
-    # The least share of the shards that makes an answer, 0 to 1; it speaks of no version.
+    # The minimum share of shards for an answer, 0 to 1; unrelated to versions.
     oldest_version: float = 0.0
     public: bool = False
 
@@ -83,9 +83,9 @@
 
 class _Service(msgspec.Struct):
     name: str
-    # Connections that each back end takes from all gateways together.
+    # Maximum connections to each back end from all gateways together.
     max_conns: int = 1
-    # Calls a second that a cold back end bears from all gateways; zero stands for no such limit.
+    # Maximum calls per second to a cold back end from all gateways; 0: unlimited.
     cold_per_s: Annotated[float, Meta(ge=0)] = 0.0
 
 
@@ -108,14 +108,14 @@
     service: str
     addr: str
     zone: str
-    # Requests that it works on at once; more wait in its queue.
+    # Requests that it processes concurrently; others wait in its queue.
     slots: int
     state: Literal["ready", "draining"]
     cold_left_ms: Milliseconds = 0
-    # Checked for its form, not used: the store's revision orders entries.
+    # Validated but unused: entries are ordered by the store's revision.
     seq: Annotated[int, Meta(ge=0)] = 0
-    # When its process started, Unix milliseconds: it tells one start of an id from the next.  Back
-    # ends of older software do not say it.
+    # Start time of its process, Unix milliseconds; distinguishes restarts under the same id. Back
+    # ends with older software omit it.
     born: int = 0
 
 
@@ -124,9 +124,9 @@
 
 
 def decode_operator_key(key: str) -> OperatorKey:
-    """Tell what a key of the operator's stands for.
+    """Return the meaning of one of the operator's keys.
 
-    An evacuation is asked for by its key alone, so that its value needs no decoding.
+    An evacuation is expressed by its key alone; its value is not decoded.
 
     :raises UnreadableValueError: an evacuation that names no zone, or more than one.
     """
@@ -143,7 +143,7 @@
 def decode_configuration(value: bytes) -> GatewayConfiguration:
     """Decode a configuration.
 
-    :raises UnreadableValueError: it breaks the platform's form; the text names the field.
+    :raises UnreadableValueError: it does not match the format; the text names the field.
     """
     try:
         document = _configuration_decoder.decode(value)
@@ -168,7 +168,7 @@
 
 
 def _route(document: _Route) -> Route:
-    """Turn one route into the product's form."""
+    """Convert one route."""
     services = tuple(WeightedService(part.service, part.weight) for part in document.split)
     if document.service:
         services = (WeightedService(document.service),)
@@ -192,7 +192,7 @@
 def decode_backend(key: str, value: bytes) -> BackendEntry:
     """Decode a back end's entry.
 
-    :raises UnreadableValueError: it breaks the platform's form; the text names the field.
+    :raises UnreadableValueError: it does not match the format; the text names the field.
     """
     try:
         document = _backend_decoder.decode(value)
--- a/tinrudder/platform/headers.py
+++ b/tinrudder/platform/headers.py
@@ -1,6 +1,6 @@
-"""The platform's header names, and what each holds where its name misleads.
+"""The platform's header names, with comments on misleading ones.
 
-Owns the one table of them; the gateway gets it as a value.
+Owns their only table, which is passed to the gateway as a value.
 """
 
 from __future__ import annotations
@@ -8,11 +8,11 @@
 from tinrudder.gateway.model.configuration import HeaderNames
 
 STORE_EPOCH = b"store-era"
-"""In every answer of the store: rises by one whenever it comes back from an older copy."""
+"""In every answer of the store: rises by one whenever it is restored from an older copy."""
 
 HEADERS = HeaderNames(
     request_id=b"tinrudder-request-id",
-    # A time that is left, not a moment.
+    # The remaining time.
     deadline_ms=b"tinrudder-deadline-ms",
     # A back end's signature of its answer.
     stamp=b"tinrudder-server-stamp",
@@ -20,9 +20,9 @@
     expected_backend=b"tinrudder-expect-instance",
     load=b"tinrudder-backend-load",
     not_run=b"tinrudder-not-run",
-    # The signatures of the parts that a merged answer holds, not the parts.
+    # The signatures of the parts that a merged answer contains.
     parts=b"tinrudder-parts",
-    # How many parts it lacks, not which.
+    # The number of missing parts.
     missing_parts=b"tinrudder-missing-parts",
     tenant=b"tinrudder-tenant",
 )
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -1,6 +1,6 @@
-"""The header in which back ends tell their load, decoded into the product's report.
+"""Decodes the header in which back ends report their load.
 
-Owns nothing; what it cannot read is an error that the gateway counts.
+Owns nothing; an undecodable value raises an error that the gateway counts.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from tinrudder.platform.headers import HEADERS
 
 USUAL = 100.0
-"""The fourth figure where work takes as long as usual."""
+"""The fourth figure if work takes its usual time, percent."""
 MOST_DIGITS = 9
-"""Of one figure: far more requests than any back end queues, and no work to read."""
+"""Maximum digits of a figure: far more requests than any back end queues, and cheap to parse."""
 REMEMBERED = 1024
-"""Values whose reports are kept: one comes with every answer, and a few hundred differ.  Reading
-one again takes 0.1 us in place of 3.4 us (best of five runs of 100,000)."""
-# The work time is a percentage of the usual one, no duration.
+"""Cached reports: each answer carries a value, and a few hundred differ. A cache hit takes 0.1 us,
+decoding 3.4 us (best of five runs of 100,000)."""
+# The work time is a percentage of the usual one.
 _FIGURES = ("running", "waiting", "slots", "work time")
 
 
@@ -26,9 +26,9 @@
 def decode_load_report(value: bytes) -> LoadReport:
     """Decode ``running,waiting,slots`` or ``running,waiting,slots,work time``.
 
-    More figures may follow one day; they are skipped, as unknown fields are elsewhere.
+    Further figures are ignored for compatibility, as unknown fields are elsewhere.
 
-    :raises UnreadableValueError: figures are missing, or one is no whole number.
+    :raises UnreadableValueError: figures are missing, or one is not a whole number.
 
     >>> decode_load_report(b"1,0,2,130")
     LoadReport(running=1, waiting=0, slots=2, slowdown=1.3)
--- a/tinrudder/platform/settings_file.py
+++ b/tinrudder/platform/settings_file.py
@@ -1,7 +1,7 @@
-"""The platform's settings file, decoded into a gateway's settings.
+"""Decodes the platform's settings file into a gateway's settings.
 
-Owns the names of the file; a comment stands at each field whose name says too little.
-Unknown fields are skipped: the platform may add some at any time.
+Owns the names in the file; fields whose name is unclear have a comment. Unknown fields are ignored:
+the platform may add some at any time.
 """
 
 from __future__ import annotations
@@ -30,41 +30,41 @@
 
 
 class _Listen(msgspec.Struct):
-    # Where clients connect.
+    # Listening address for clients.
     front: str
-    # Where readiness is asked.
+    # Listening address for readiness checks.
     ready: str
-    # Where other gateways reach this one; without it, it has no peers.
+    # Listening address for other gateways; without it, this one has no peers.
     control: str = ""
 
 
 class _Bounds(msgspec.Struct):
-    # How long a back end that is leaving still serves; not how long this gateway takes to stop.
+    # How long a leaving back end continues to serve; see grace_s for this gateway's own stop.
     drain_ms: Positive = 3000
-    # Between the request to stop this gateway and its forced end.
+    # Time from the request to stop this gateway until it is killed.
     grace_s: Positive = 6
-    # The budget is of retries and hedges, for each service and for all gateways together.
+    # Budget of retries and hedges for each service, for all gateways together.
     budget_ratio: NotNegative = 0.1
     budget_window_s: Positive = 10
     budget_extra: NotNegative = 10
-    # A factor of the rate that a cold back end bears, and calls a second on top of it.
+    # Limit for a cold back end: a factor on its rate, and calls per second added to that.
     cold_excess: NotNegative = 1
     cold_slack: NotNegative = 0
-    # Between the store's word on a change and its being in force on every gateway.
+    # Maximum time from the store's confirmation of a change until it is in force on all gateways.
     config_apply_ms: Positive = 3000
     strict_revoke: bool = False
     revoke_ms: Positive = 5000
     quota_window_s: Positive = 5
-    # A part of a tenant's limit on top of it, and requests on top of that.
+    # Tolerance over a tenant's limit: a part of the limit, and requests added to that.
     quota_excess: NotNegative = 0.25
     quota_slack: NotNegative = 20
 
 
 class _Limits(msgspec.Struct):
-    # A part of each core; times their number it is the process's capacity.
+    # Usable part of each core; multiplied by the cores it is the process's capacity.
     cpu_share: Positive = 1.0
     cores: Positive = 1.0
-    # Zero stands for no limit.
+    # 0: unlimited.
     memory_mb: NotNegative = 0
 
 
@@ -85,7 +85,7 @@
 def load_gateway_settings(path: Path) -> GatewaySettings:
     """Read and check a settings file.
 
-    :raises SettingsFileError: it cannot be read or breaks a rule; the text names the field.
+    :raises SettingsFileError: it is unreadable or breaks a rule; the text names the field.
     """
     document = _read(path)
     listen = document.listen
@@ -122,7 +122,7 @@
 
 
 def _address(field: str, text: str) -> Address:
-    """Read an address, naming its field in the error."""
+    """Parse an address; an error names its field."""
     try:
         return Address.parse(text)
     except ValueError as error:
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -1,6 +1,6 @@
-"""Calls to the platform's metadata store.
+"""Client of the platform's metadata store.
 
-Owns the connections to it and the names of its answers; decodes keys and revisions, not values.
+Owns the connections to it and the names in its answers; decodes keys and revisions, but no values.
 The platform calls an epoch of the store its era.
 """
 
@@ -36,19 +36,19 @@
 RANGE_PATH = "/v1/kv-range"
 WATCH_PATH = "/v1/kv-watch"
 READ_TIMEOUT_S = 2.5
-"""How long one page may take to begin, seconds: other gateways read meanwhile, and tell."""
+"""Seconds until the answer with one page must begin: other gateways read meanwhile, and share."""
 WATCH_SLACK_S = 0.6
-"""How much longer than asked for a watch may take, seconds: a store sixty times slower."""
+"""Seconds added to a watch's wait time for its timeout: enough for a store sixty times slower."""
 MAX_PAGES = 100
-"""Pages of one read at most: it ends a read whose store always says that there is more."""
+"""Maximum pages of one read: ends a read whose store always reports more."""
 MAX_CONNECTIONS = 2
-"""For each topic: a watch holds one for seconds, during which a read may be needed."""
+"""Connections for each topic: a watch holds one for seconds, and a read may be needed meanwhile."""
 OK = 200
-"""HTTP status of an answer that is one."""
+"""HTTP status of a successful answer."""
 MAX_EPOCH_DIGITS = 9
-"""Longer epochs are not believed: one that rises with each restoration stays far below."""
+"""Longer epochs are ignored: the epoch rises by one with each restore and stays far below."""
 HISTORY_FORGOTTEN = 410
-"""HTTP status of a watch from before what the store remembers; everything must be read anew."""
+"""HTTP status of a watch from a revision whose history is gone; a complete read is needed."""
 
 
 RevisionNumber = Annotated[int, msgspec.Meta(ge=0, le=2**63 - 1)]
@@ -75,7 +75,7 @@
 
 class _WatchAnswer(msgspec.Struct):
     events: list[msgspec.Raw]
-    # The revision up to which all changes are told; the next watch begins there.
+    # All changes up to this revision are included; the next watch begins there.
     at: RevisionNumber
 
 
@@ -91,7 +91,7 @@
     """Reads the store over one connection for each topic, and another while a watch waits."""
 
     def __init__(self, address: Address, count_call: Callable[[], None]) -> None:
-        """Talk to ``address``; ``count_call`` counts what is priced."""
+        """Use the store at ``address``; ``count_call`` counts calls, which are charged for."""
         self._address = address
         self._count_call = count_call
         self._pools = {
@@ -103,7 +103,7 @@
     async def read(self, topic: Topic) -> Reading:
         """Read every value of a topic; see :class:`MetadataStore`.
 
-        Changes between pages lie behind the first page's revision.
+        Changes between pages have revisions after that of the first page.
         """
         values: list[StoredValue] = []
         revision: StoreRevision | None = None
@@ -136,7 +136,7 @@
     async def _call(
         self, topic: Topic, target: str, timeout_s: float, decoder: msgspec.json.Decoder[Document]
     ) -> tuple[Document, int]:
-        """Send one GET; return its answer decoded, and the store's epoch."""
+        """Send one GET; return its decoded answer and the store's epoch."""
         self._count_call()
         request = f"GET {target} HTTP/1.1\r\nHost: {self._address}\r\n\r\n".encode()
         try:
@@ -154,7 +154,7 @@
 
 
 def _epoch(headers: Headers) -> int:
-    """Return the store's epoch; 0 if it tells none that can be read.
+    """Return the store's epoch; 0 if the answer has no valid one.
 
     >>> _epoch(((b"store-era", b"3"),)), _epoch(()), _epoch(((b"store-era", b"-1"),))
     (3, 0, 0)
@@ -164,7 +164,7 @@
 
 
 def _value(raw: msgspec.Raw, epoch: int) -> StoredValue:
-    """Turn one item of an epoch into a value; whatever of it cannot be read is left empty."""
+    """Convert one item of an epoch; its unreadable parts are left empty."""
     try:
         place = _place_decoder.decode(raw)
     except UNREADABLE:
