--- a/tests/functional/gateway/test_restored_store.py
+++ b/tests/functional/gateway/test_restored_store.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize("change", [leave, evacuate])
-def test_what_takes_calls_away_after_the_store_came_back_is_obeyed(
+def test_leaving_and_evacuation_after_the_restore_take_effect(
     change: Callable[[EmulatedSite], None],
 ) -> None:
     """The same order of events, but the change after the restore is no configuration."""
@@ -123,7 +123,7 @@
     return asked | await ask(site)
 
 
-def test_who_said_that_it_leaves_gets_nothing_on_the_word_of_the_copy() -> None:
+def test_a_leaving_back_end_gets_no_requests_because_of_the_copy() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(2.0)
         site.drain("single-0")
@@ -137,7 +137,7 @@
     run_site(scenario, node_count=GATEWAYS)
 
 
-def test_who_is_gone_stays_gone_until_the_copy_forgets_it() -> None:
+def test_a_removed_back_end_stays_removed_although_the_copy_has_it() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(2.0)
         site.backends.pop("single-0").stop()
@@ -174,7 +174,7 @@
     run_site(scenario, node_count=GATEWAYS)
 
 
-def test_what_nobody_writes_again_ends_by_the_stores_word() -> None:
+def test_values_that_are_not_written_again_end_with_the_stores_contents() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(2.0)
         await site.add_backend("single-new", "single", "zone-a")
--- a/tests/functional/gateway/test_silent_connections.py
+++ b/tests/functional/gateway/test_silent_connections.py
@@ -32,7 +32,7 @@
 """Seconds from a confirmation until a change is in force wherever a new connection works."""
 LEAST_IN_FORCE_S = 3.0
 """The same, as limited by the strictest deployment."""
-UNHEARD_S = 0.1
+SILENT_FOR_S = 0.1
 ADDED_ROUTE = "added"
 
 
@@ -60,7 +60,7 @@
         site.configure()
         await asyncio.sleep(1.0)
         fall_silent(site)
-        await asyncio.sleep(UNHEARD_S)
+        await asyncio.sleep(SILENT_FOR_S)
         site.configure()
         return await in_force_after(site)
 
@@ -72,7 +72,7 @@
     async def scenario(site: EmulatedSite) -> set[str]:
         await asyncio.sleep(SETTLED_S)
         silence_store(site)
-        await asyncio.sleep(UNHEARD_S)
+        await asyncio.sleep(SILENT_FOR_S)
         site.drain("single-0")
         await asyncio.sleep(DRAIN_S)
         before = len(site.ledger.arrivals)
@@ -95,7 +95,7 @@
         following = site.store.watching_ports()
         assert 0 < len(following) < len(site.nodes)
         site.store.set_mode(StoreMode.SILENT, *following)
-        await asyncio.sleep(UNHEARD_S)
+        await asyncio.sleep(SILENT_FOR_S)
         site.configure()
         return await in_force_after(site)
 
@@ -117,7 +117,7 @@
     assert run_site(scenario, node_count=gateways) <= CALM_CALLS_PER_SECOND
 
 
-def test_a_route_is_not_denied_for_good_by_who_may_lack_it() -> None:
+def test_a_route_that_may_be_unknown_here_is_not_refused_for_good() -> None:
     """The store answers no gateway; requests of a new route get a status that callers retry.
 
     They do not retry after a 404.
--- a/tests/unit/gateway/test_backend_entries.py
+++ b/tests/unit/gateway/test_backend_entries.py
@@ -16,7 +16,7 @@
 from tinrudder.gateway.store.backend_entries import EntryStanding
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, UnreadableValueError
-from tinrudder.gateway.store.unreadable_values import LINES, UnreadableValues
+from tinrudder.gateway.store.unreadable_values import MAX_LINES, UnreadableValues
 from tinrudder.platform.documents import decode_backend
 from tinrudder_lab.emulator.foreign_entries import FOREIGN_VALUES, foreign_value
 
@@ -182,8 +182,8 @@
     for number in range(100):
         values.note(f"servers/{number}: `state`" + "x" * 10_000)
     assert values.count == 100
-    assert len(lines) == LINES
+    assert len(lines) == MAX_LINES
     assert str(lines[0]).startswith("servers/0: `state`") and len(str(lines[0])) <= 300
     now[0] = 11.0
     values.note("servers/later: `state`")
-    assert len(lines) == LINES + 1
+    assert len(lines) == MAX_LINES + 1
--- a/tests/unit/gateway/test_epoch_merge.py
+++ b/tests/unit/gateway/test_epoch_merge.py
@@ -21,7 +21,7 @@
 from tinrudder.gateway.peers.snapshots import snapshot_for, snapshot_request, take_snapshot
 from tinrudder.gateway.store.epoch_merge import EpochMerge
 from tinrudder.gateway.store.epoch_rules import (
-    LEAVING_STANDS_S,
+    LEAVING_PRECEDENCE_S,
     WRITTEN_AGAIN_S,
     HeardValue,
     backend_precedence_s,
@@ -47,7 +47,7 @@
     return msgspec.json.encode(document | {"born": start})
 
 
-def word(epoch: int, number: int, value: bytes | None, since: float = 0.0) -> HeardValue:
+def observed(epoch: int, number: int, value: bytes | None, since: float = 0.0) -> HeardValue:
     decoded = None if value is None or value == b"?" else decode_backend(KEY, value)
     return HeardValue(StoredValue(KEY, at(number, epoch), value), since, decoded)
 
@@ -60,17 +60,17 @@
 
 
 @given(
-    told=st.dictionaries(
+    writes=st.dictionaries(
         st.tuples(st.integers(1, EPOCHS), st.integers(1, 6)), VALUES, min_size=1, max_size=10
     ),
     seed=st.integers(0, 10_000),
     copy_up_to=st.integers(0, 6),
     seen_s=st.floats(0.0, WRITTEN_AGAIN_S * 0.9),
 )
-def test_what_holds_does_not_depend_on_the_order_or_number_of_words(
-    told: dict[tuple[int, int], bytes | None], seed: int, copy_up_to: int, seen_s: float
+def test_the_winner_does_not_depend_on_order_or_repetition(
+    writes: dict[tuple[int, int], bytes | None], seed: int, copy_up_to: int, seen_s: float
 ) -> None:
-    words = [word(epoch, number, value) for (epoch, number), value in told.items()]
+    observations = [observed(epoch, number, value) for (epoch, number), value in writes.items()]
     held = []
     for shuffle in (False, True):
         now = [100.0]
@@ -79,11 +79,13 @@
         now[0] += seen_s
         history.confirm(0.0)
         merge = EpochMerge(history, backend_precedence_s, lambda now=now: now[0])
-        heard = words * 2 if shuffle else sorted(words, key=lambda one: one.revision)
+        ordered = (
+            observations * 2 if shuffle else sorted(observations, key=lambda one: one.revision)
+        )
         if shuffle:
-            random.Random(seed).shuffle(heard)
-        for one in heard:
-            merge.take(one)
+            random.Random(seed).shuffle(ordered)
+        for one in ordered:
+            merge.record(one)
         held.append(merge.winner(KEY))
     assert held[0] == held[1]
 
@@ -94,7 +96,7 @@
         (entry(1), entry(1), 0.0),
         (entry(1), entry(1, "draining"), 0.0),
         (entry(1), None, 0.0),
-        (entry(1, "draining"), entry(1), LEAVING_STANDS_S),
+        (entry(1, "draining"), entry(1), LEAVING_PRECEDENCE_S),
         (None, entry(1), WRITTEN_AGAIN_S),
         (entry(2), entry(1), WRITTEN_AGAIN_S),
         (entry(1), entry(2), 0.0),
@@ -102,17 +104,17 @@
         (b"?", entry(1), WRITTEN_AGAIN_S),
     ],
 )
-def test_how_long_a_word_stands_against_a_copy(
+def test_how_long_a_value_takes_precedence_over_a_copy(
     known: bytes | None, shown: bytes | None, holds_s: float
 ) -> None:
     now = [0.0]
     history = TopicHistory(lambda: now[0])
     merge = EpochMerge(history, backend_precedence_s, lambda: now[0])
     history.enter(at(63, 1))
-    merge.take(word(1, 63, known))
+    merge.record(observed(1, 63, known))
     history.enter(at(60, 2))
-    merge.note_epoch()
-    merge.take(word(2, 60, shown))
+    merge.begin_epoch()
+    merge.record(observed(2, 60, shown))
     for moment in (0.0, max(0.0, holds_s - 0.1), holds_s):
         now[0] = moment
         history.confirm(0.0)
@@ -126,16 +128,16 @@
     ("known", "written", "counts"),
     [(None, entry(1), True), (b"?", entry(1), True), (entry(1, "draining"), entry(1), False)],
 )
-def test_what_was_not_in_the_copy_counts_at_once_unless_it_brings_back_who_leaves(
+def test_a_new_write_wins_at_once_unless_it_reverts_a_leaving_back_end(
     known: bytes | None, written: bytes, counts: bool
 ) -> None:
     history = TopicHistory(lambda: 0.0)
     merge = EpochMerge(history, backend_precedence_s, lambda: 0.0)
     history.enter(at(63, 1))
-    merge.take(word(1, 63, known))
+    merge.record(observed(1, 63, known))
     history.enter(at(60, 2))
-    merge.note_epoch()
-    assert merge.take(word(2, 61, written)) == counts
+    merge.begin_epoch()
+    assert merge.record(observed(2, 61, written)) == counts
 
 
 def test_what_a_copy_lacks_is_gone_if_it_is_not_written_again_and_the_store_was_heard() -> None:
@@ -144,10 +146,10 @@
     history = TopicHistory(lambda: now[0])
     merge = EpochMerge(history, backend_precedence_s, lambda: now[0])
     history.enter(at(63, 1))
-    merge.take(word(1, 63, entry(1)))
+    merge.record(observed(1, 63, entry(1)))
     history.enter(at(60, 2))
     history.is_read_whole = True
-    merge.note_epoch()
+    merge.begin_epoch()
     now[0] = WRITTEN_AGAIN_S * 5
     assert merge.settle() == []
     history.confirm(0.0)
@@ -181,12 +183,12 @@
     return StoredValue(CONFIGURATION_KEY, revision, document)
 
 
-def what_counts(state: SharedState) -> tuple[int, bool, frozenset[str]]:
+def effective_state(state: SharedState) -> tuple[int, bool, frozenset[str]]:
     return state.configuration_version, state.backends[KEY].leaving, state.evacuations.zones
 
 
 @pytest.mark.parametrize("is_ahead", [False, True])
-def test_who_just_started_with_the_copy_learns_what_it_lacks_from_peers(is_ahead: bool) -> None:
+def test_a_gateway_that_started_with_the_copy_gets_lost_values_from_peers(is_ahead: bool) -> None:
     """A peer has the lost values from before, whether or not it has observed the new epoch."""
     lost = (
         configured(21, at(63, 1)),
@@ -198,11 +200,11 @@
     if is_ahead:
         read_all(peer, *copy, up_to=at(60, 2))
     started = known_state(*copy, up_to=at(60, 2))
-    assert what_counts(started) == (12, False, frozenset())
+    assert effective_state(started) == (12, False, frozenset())
     pull(started, peer)
-    assert what_counts(started) == what_counts(peer) == (21, True, frozenset("z"))
+    assert effective_state(started) == effective_state(peer) == (21, True, frozenset("z"))
     pull(peer, started)
-    assert what_counts(peer) == (21, True, frozenset("z"))
+    assert effective_state(peer) == (21, True, frozenset("z"))
     histories = [
         (one.history(topic), other.history(topic))
         for topic in Topic
@@ -241,7 +243,7 @@
     def items(self) -> dict[str, tuple[int, bytes | None]]:
         return {key: (number, value) for number, (key, value) in enumerate(self.writes, start=1)}
 
-    def stands(self, key: str) -> bytes | None:
+    def current(self, key: str) -> bytes | None:
         return self.items().get(key, (0, None))[1]
 
     def reading(self, topic: Topic) -> Reading:
@@ -291,10 +293,10 @@
         self.operator_configures()
         for number in range(3):
             self.back_end_lives_on(f"{BACKENDS_PREFIX}{number}")
-        for who in range(3):
-            self.reads(who)
+        for index in range(3):
+            self.reads(index)
 
-    def say(self, key: str, value: bytes | None) -> None:
+    def write_new(self, key: str, value: bytes | None) -> None:
         self.truth[key] = value
         self.store.write(key, value)
 
@@ -302,12 +304,12 @@
     def operator_configures(self) -> None:
         self.version += 1
         document = {"version": self.version, "routes": []}
-        self.say(CONFIGURATION_KEY, msgspec.json.encode(document))
+        self.write_new(CONFIGURATION_KEY, msgspec.json.encode(document))
 
     @rule(evacuated=st.booleans())
     def operator_evacuates(self, evacuated: bool) -> None:
         if (self.truth.get(ZONE_KEY) is not None) != evacuated:
-            self.say(ZONE_KEY, b"{}" if evacuated else None)
+            self.write_new(ZONE_KEY, b"{}" if evacuated else None)
 
     @rule(key=BACKENDS)
     def back_end_lives_on(self, key: str) -> None:
@@ -315,11 +317,11 @@
         value = self.truth.get(key)
         if value is None:
             self.started += 1
-            self.say(key, entry(self.started))
+            self.write_new(key, entry(self.started))
         elif b"ready" in value:
-            self.say(key, value.replace(b"ready", b"draining"))
+            self.write_new(key, value.replace(b"ready", b"draining"))
         else:
-            self.say(key, None)
+            self.write_new(key, None)
 
     @rule(seconds=st.floats(0.1, 2.0))
     def time_passes(self, seconds: float) -> None:
@@ -337,55 +339,55 @@
 
     @rule(data=st.data())
     def something_is_written_again(self, data: st.DataObject) -> None:
-        lacking = [key for key, value in self.truth.items() if self.store.stands(key) != value]
+        lacking = [key for key, value in self.truth.items() if self.store.current(key) != value]
         if lacking:
             key = data.draw(st.sampled_from(sorted(lacking)))
             self.store.write(key, self.truth[key])
 
     def write_all_again(self) -> None:
         for key, value in self.truth.items():
-            if self.store.stands(key) != value:
+            if self.store.current(key) != value:
                 self.store.write(key, value)
         self.lost_at = None
 
-    @rule(who=GATEWAYS, topics=SOME_TOPICS)
-    def reads(self, who: int, topics: tuple[Topic, ...] = tuple(Topic)) -> None:
-        state = self.gateways[who].state
+    @rule(index=GATEWAYS, topics=SOME_TOPICS)
+    def reads(self, index: int, topics: tuple[Topic, ...] = tuple(Topic)) -> None:
+        state = self.gateways[index].state
         for topic in topics:
             state.apply_complete(topic, self.store.reading(topic))
             state.confirm(topic)
 
-    @rule(who=GATEWAYS, topic=st.sampled_from(list(Topic)))
-    def reads_slowly(self, who: int, topic: Topic) -> None:
-        self.late.append((who, topic, self.store.reading(topic)))
+    @rule(index=GATEWAYS, topic=st.sampled_from(list(Topic)))
+    def reads_slowly(self, index: int, topic: Topic) -> None:
+        self.late.append((index, topic, self.store.reading(topic)))
 
     @precondition(lambda self: self.late)
     @rule(which=st.integers(0, 5))
     def late_answer_arrives(self, which: int) -> None:
-        who, topic, reading = self.late[which % len(self.late)]
-        self.gateways[who].state.apply_complete(topic, reading)
+        index, topic, reading = self.late[which % len(self.late)]
+        self.gateways[index].state.apply_complete(topic, reading)
 
-    @rule(who=GATEWAYS)
-    def watches(self, who: int) -> None:
-        state = self.gateways[who].state
+    @rule(index=GATEWAYS)
+    def watches(self, index: int) -> None:
+        state = self.gateways[index].state
         for topic in Topic:
             known = state.revision(topic)
             if known.epoch == self.store.epoch:
                 state.apply(topic, self.store.events(topic, known.number))
                 state.confirm(topic)
 
-    @rule(who=GATEWAYS, peer=GATEWAYS)
-    def pulls(self, who: int, peer: int) -> None:
-        pull(self.gateways[who].state, self.gateways[peer].state)
+    @rule(index=GATEWAYS, peer=GATEWAYS)
+    def pulls(self, index: int, peer: int) -> None:
+        pull(self.gateways[index].state, self.gateways[peer].state)
 
-    @rule(who=GATEWAYS)
-    def settles(self, who: int) -> None:
-        self.gateways[who].state.settle()
+    @rule(index=GATEWAYS)
+    def settles(self, index: int) -> None:
+        self.gateways[index].state.settle()
 
-    @rule(who=GATEWAYS)
-    def starts_again(self, who: int) -> None:
-        self.gateways[who] = Gateway(self)
-        self.late = [one for one in self.late if one[0] != who]
+    @rule(index=GATEWAYS)
+    def starts_again(self, index: int) -> None:
+        self.gateways[index] = Gateway(self)
+        self.late = [one for one in self.late if one[0] != index]
 
     @invariant()
     def nothing_goes_back(self) -> None:
@@ -402,12 +404,12 @@
         """Once all lost writes are repeated and confirmed, all states match the store."""
         self.write_all_again()
         for _ in range(2):
-            for who in range(len(self.gateways)):
-                self.reads(who)
+            for index in range(len(self.gateways)):
+                self.reads(index)
             self.now += WRITTEN_AGAIN_S
             self.nothing_goes_back()
-        for who, gateway in enumerate(self.gateways):
-            self.reads(who)
+        for index, gateway in enumerate(self.gateways):
+            self.reads(index)
             gateway.state.settle()
             self.nothing_goes_back()
             assert gateway.state.configuration_version == self.version
--- a/tests/unit/gateway/test_shared_state.py
+++ b/tests/unit/gateway/test_shared_state.py
@@ -179,7 +179,7 @@
     assert state.forgotten_up_to == at(8)
 
 
-def test_the_age_of_the_stores_word_is_the_youngest_that_was_told() -> None:
+def test_the_latest_confirmation_of_the_store_counts() -> None:
     now = [10.0]
     state = SharedState(DECODERS, lambda: now[0], lambda _: None)
     assert state.unconfirmed_s(Topic.BACKENDS) == float("inf")
@@ -202,7 +202,7 @@
     assert peers.nodes(104.0 + 30.0) == 1
 
 
-def test_a_peer_that_another_names_counts_from_its_own_last_word() -> None:
+def test_a_reported_peer_counts_from_its_own_latest_message() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     stale, fresh = member("10.0.0.3"), member("10.0.0.4")
     peers.heard_of([ReportedMember(stale, 31.0), ReportedMember(fresh, 29.0)], 100.0)
@@ -211,7 +211,7 @@
     assert stale.address in peers.receivers(100.0)
 
 
-def test_older_word_of_a_peer_changes_nothing() -> None:
+def test_an_older_description_of_a_peer_changes_nothing() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     peers.heard_from(member("10.0.0.2", leaving=True), 100.0)
     peers.heard_of([ReportedMember(member("10.0.0.2"), 5.0)], 101.0)
@@ -220,7 +220,7 @@
     assert [one.address.host for one in peers.candidates(101.0)] == ["10.0.0.2"]
 
 
-def test_only_others_are_told_about_and_known() -> None:
+def test_a_gateway_neither_reports_nor_lists_itself() -> None:
     own = Address("10.0.0.1", 1)
     peers = PeerList(own, random.Random(1), started_at=0.0)
     peers.heard_of([ReportedMember(member("10.0.0.1"), 0.0)], 10.0)
--- a/tests/unit/gateway/test_staleness_bound.py
+++ b/tests/unit/gateway/test_staleness_bound.py
@@ -33,7 +33,7 @@
 
     def learn(self, revision: StoreRevision) -> None:
         if revision > self.known.revision:
-            self.known.hear(revision)
+            self.known.observe(revision)
             for listener in self.listeners:
                 listener()  # type: ignore[operator]
 
--- a/tests/unit/gateway/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -13,10 +13,10 @@
 from tests.unit.gateway.test_shared_state import DECODERS, backend, configuration
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.store_follower import (
-    LONGEST_REST_S,
-    LONGEST_RETRY_S,
-    OVERTAKEN_S,
-    REST_SPREAD,
+    MAX_BACKOFF_S,
+    MAX_PAUSE_S,
+    PAUSE_JITTER,
+    STALE_WATCH_S,
     FollowerParts,
     StoreFollower,
 )
@@ -30,11 +30,11 @@
     Topic,
 )
 from tinrudder.gateway.store.watch_turns import (
-    LONGEST_WAIT_S,
-    OVERDUE_S,
+    ANSWER_DELAY_S,
+    FIRST_READER_WAIT_S,
+    MAX_WAIT_S,
     PLACE_STEP_S,
-    SHORTEST_WAIT_S,
-    TURN_S,
+    PROBE_WAIT_S,
 )
 
 MOST_THE_STORE_WAITS_S = 30.0
@@ -157,7 +157,7 @@
 def test_more_readers_rest_longer_but_never_long(readers: int) -> None:
     store = follow(20.0, readers)
     gaps = [later - one for one, later in zip(store.watched_at, store.watched_at[1:], strict=False)]
-    assert max(gaps) <= LONGEST_REST_S[Topic.BACKENDS] * (1.0 + REST_SPREAD) + 0.02
+    assert max(gaps) <= MAX_PAUSE_S[Topic.BACKENDS] * (1.0 + PAUSE_JITTER) + 0.02
     assert len(gaps) > 5
     if readers == 1:
         assert max(gaps) <= 0.25
@@ -169,7 +169,7 @@
 ) -> None:
     waits = follow(5.0, readers=8, place=place).waits_s
     assert len(waits) > 3
-    assert set(waits) == {TURN_S[Topic.BACKENDS] if place == 0 else LONGEST_WAIT_S - place}
+    assert set(waits) == {FIRST_READER_WAIT_S[Topic.BACKENDS] if place == 0 else MAX_WAIT_S - place}
     assert max(waits) <= MOST_THE_STORE_WAITS_S
 
 
@@ -199,18 +199,21 @@
 
 def test_a_calm_store_that_answers_is_never_doubted() -> None:
     store = follow(60.0, readers=1, store_type=CalmStore)
-    assert set(store.waits_s) == {TURN_S[Topic.BACKENDS]}
-    assert len(store.waits_s) <= 60.0 / TURN_S[Topic.BACKENDS] + 1
+    assert set(store.waits_s) == {FIRST_READER_WAIT_S[Topic.BACKENDS]}
+    assert len(store.waits_s) <= 60.0 / FIRST_READER_WAIT_S[Topic.BACKENDS] + 1
 
 
 @pytest.mark.parametrize("place", [0, 1, 7])
 def test_a_silent_watch_is_given_up_after_a_turn(place: int) -> None:
     store = follow(10.0, readers=8, place=place, store_type=SilentStore)
     first, second, *_ = store.watched_at
-    assert second - first <= TURN_S[Topic.BACKENDS] + OVERDUE_S + PLACE_STEP_S * place + 0.01
+    assert (
+        second - first
+        <= FIRST_READER_WAIT_S[Topic.BACKENDS] + ANSWER_DELAY_S + PLACE_STEP_S * place + 0.01
+    )
     # The next watch is a probe: its answer shows that the store is reachable.
-    assert store.waits_s[1] == SHORTEST_WAIT_S
-    assert store.waits_s[2] > SHORTEST_WAIT_S
+    assert store.waits_s[1] == PROBE_WAIT_S
+    assert store.waits_s[2] > PROBE_WAIT_S
 
 
 def test_an_answer_behind_what_is_known_confirms_nothing() -> None:
@@ -219,23 +222,23 @@
     Its answer is no confirmation, so the watch is suspected repeatedly.
     """
     behind = follow(20.0, readers=8, store_type=CalmStore, operator_revision=FIRST_REVISION + 1)
-    assert behind.waits_s.count(SHORTEST_WAIT_S) >= 20.0 / (TURN_S[Topic.BACKENDS] + 1.0)
+    assert behind.waits_s.count(PROBE_WAIT_S) >= 20.0 / (FIRST_READER_WAIT_S[Topic.BACKENDS] + 1.0)
 
 
 def test_a_watch_that_news_have_overtaken_is_given_up() -> None:
     """A peer reports a change, and the watch that should have reported it continues to wait."""
     store = follow(5.0, readers=8, taught=50, store_type=CalmStore)
-    assert store.watched_at[1] - store.watched_at[0] <= 0.02 + OVERTAKEN_S + 0.01
+    assert store.watched_at[1] - store.watched_at[0] <= 0.02 + STALE_WATCH_S + 0.01
 
 
 def test_the_first_refused_watch_costs_no_rest_and_further_ones_do() -> None:
     watched = follow(20.0, readers=8, refuses=(0.0, 10.0)).watched_at
     refused = [at for at in watched if at < 10.0]
     assert refused[1] - refused[0] < 0.01
-    assert refused[-1] - refused[-2] >= LONGEST_RETRY_S
-    assert len(refused) <= 4 + 10.0 / LONGEST_RETRY_S
+    assert refused[-1] - refused[-2] >= MAX_BACKOFF_S
+    assert len(refused) <= 4 + 10.0 / MAX_BACKOFF_S
     answered = [at for at in watched if at >= 10.0]
-    assert answered[0] <= 10.0 + LONGEST_RETRY_S + 0.02
+    assert answered[0] <= 10.0 + MAX_BACKOFF_S + 0.02
 
 
 class ForgetfulStore(ScriptedStore):
@@ -250,4 +253,4 @@
 def test_watches_that_another_epoch_answers_lead_to_readings_with_rests() -> None:
     watched = follow(10.0, readers=8, store_type=ForgetfulStore).watched_at
     assert watched[1] - watched[0] < 0.01
-    assert len(watched) <= 5 + 10.0 / LONGEST_RETRY_S
+    assert len(watched) <= 5 + 10.0 / MAX_BACKOFF_S
--- a/tests/unit/platform/test_platform_adapter.py
+++ b/tests/unit/platform/test_platform_adapter.py
@@ -12,9 +12,9 @@
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
-    ForeignKey,
     OperatorKey,
     UnreadableValueError,
+    UnusedKey,
 )
 from tinrudder.platform.documents import (
     decode_backend,
@@ -88,8 +88,8 @@
     [
         ("op/config", ConfigurationKey()),
         ("op/evacuate/zone-a", EvacuationKey("zone-a")),
-        ("op/config2", ForeignKey()),
-        ("op/something", ForeignKey()),
+        ("op/config2", UnusedKey()),
+        ("op/something", UnusedKey()),
     ],
 )
 def test_an_operators_key_is_told_by_its_form(key: str, meaning: OperatorKey) -> None:
--- a/tinrudder/gateway/store/backend_entries.py
+++ b/tinrudder/gateway/store/backend_entries.py
@@ -21,7 +21,7 @@
 from tinrudder.gateway.store.stored_values import StoredValue, UnreadableValueError
 from tinrudder.gateway.store.topic_history import TopicHistory
 
-REMOVAL_MEMORY_S = 120.0
+REMOVAL_RETENTION_S = 120.0
 """Seconds for which a removal is retained, so that a peer's older value cannot bring a back end
 back: it must stay above the 90 s after which peers are forgotten."""
 OLDER_START_S = 5.0
@@ -29,7 +29,7 @@
 of a process that has ended is replaced by the next heartbeat of its successor, or expires after
 three heartbeats without a write, 3.6 s; an entry that persists longer was written by a live
 process whose clock went back."""
-UNREADABLE_KEPT_BYTES = 4096
+MAX_UNREADABLE_BYTES = 4096
 """Maximum size of an undecodable value: longer ones are stored and sent to peers as empty, which is
 undecodable too. A usable entry has some 250 bytes, a value of the store up to a megabyte: 16 of
 these would exceed the size of a snapshot that a peer accepts, and hide every other entry."""
@@ -66,7 +66,7 @@
         return self.standing is EntryStanding.IN_FORCE
 
     @property
-    def is_set_aside(self) -> bool:
+    def is_older_start(self) -> bool:
         """Tell whether the winning value has an older start time, and is not yet accepted."""
         return self.standing is EntryStanding.OLDER_START
 
@@ -93,7 +93,7 @@
         """Start without any back end."""
         self.known: dict[str, KnownBackend] = {}
         self.forgotten_up_to = NO_REVISION
-        self.words = EpochMerge(history, backend_precedence_s, clock)
+        self.merge = EpochMerge(history, backend_precedence_s, clock)
         self._history = history
         self._decode = decode
         self._clock = clock
@@ -101,33 +101,33 @@
 
     def apply(self, value: StoredValue) -> bool:
         """Apply a value of a key; tell whether it may change which requests a back end gets."""
-        if not self.words.is_news(value):
+        if not self.merge.is_newer(value):
             return False
-        word = HeardValue(value, self._clock(), self._read_entry(value))
-        if word.entry is None and len(value.value or b"") > UNREADABLE_KEPT_BYTES:
-            word = HeardValue(StoredValue(value.key, value.revision, b""), word.since)
-        if self._waits_already(word):
+        observed = HeardValue(value, self._clock(), self._read_entry(value))
+        if observed.entry is None and len(value.value or b"") > MAX_UNREADABLE_BYTES:
+            observed = HeardValue(StoredValue(value.key, value.revision, b""), observed.since)
+        if self._is_pending_start(observed):
             # A repeated write keeps the time since which its older start waits to be accepted.
-            before = self.words.winner(value.key)
+            before = self.merge.winner(value.key)
             assert before is not None
-            word = HeardValue(word.value, before.since, word.entry)
-        return self.words.take(word) and self._put(word.value.key)
+            observed = HeardValue(observed.value, before.since, observed.entry)
+        return self.merge.record(observed) and self._update(observed.value.key)
 
     def settle(self) -> list[HeardValue]:
         """End precedence whose time is over; return the values that win since."""
-        settled = self.words.settle()
-        for word in settled:
-            self._put(word.value.key)
+        settled = self.merge.settle()
+        for observed in settled:
+            self._update(observed.value.key)
         return settled
 
     def forget_old_removals(self) -> None:
         """Drop removals that no peer can contradict any more."""
-        horizon = self._clock() - REMOVAL_MEMORY_S
-        for word in self.words:
-            if word.is_removal and word.since < horizon:
-                self.forgotten_up_to = max(self.forgotten_up_to, word.revision)
-                self.words.forget(word.value.key)
-                self.known.pop(word.value.key, None)
+        horizon = self._clock() - REMOVAL_RETENTION_S
+        for observed in self.merge:
+            if observed.is_removal and observed.since < horizon:
+                self.forgotten_up_to = max(self.forgotten_up_to, observed.revision)
+                self.merge.forget(observed.value.key)
+                self.known.pop(observed.value.key, None)
 
     def accept_older_starts(self) -> bool:
         """Accept entries with an older start time that have persisted for long enough.
@@ -135,38 +135,38 @@
         Tell whether there were any.
         """
         horizon = self._clock() - OLDER_START_S
-        waiting = [key for key, one in self.known.items() if one.is_set_aside]
-        words = [word for key in waiting if (word := self.words.winner(key)) is not None]
-        settled = [word for word in words if word.since <= horizon]
-        for word in settled:
-            assert word.entry is not None
-            self._put_in_force(word.entry, word.value)
+        waiting = [key for key, one in self.known.items() if one.is_older_start]
+        winners = [observed for key in waiting if (observed := self.merge.winner(key)) is not None]
+        settled = [observed for observed in winners if observed.since <= horizon]
+        for observed in settled:
+            assert observed.entry is not None
+            self._put_in_force(observed.entry, observed.value)
         return bool(settled)
 
-    def _put(self, key: str) -> bool:
+    def _update(self, key: str) -> bool:
         """Update a back end to its key's winning value; tell whether it is or was in force."""
-        word = self.words.winner(key)
-        assert word is not None
-        if word.is_removal:
-            return self._withdraw(word.value, EntryStanding.REMOVED)
-        if word.entry is None:
-            return self._withdraw(word.value, EntryStanding.UNREADABLE)
+        observed = self.merge.winner(key)
+        assert observed is not None
+        if observed.is_removal:
+            return self._withdraw(observed.value, EntryStanding.REMOVED)
+        if observed.entry is None:
+            return self._withdraw(observed.value, EntryStanding.UNREADABLE)
         known = self.known.get(key)
-        if known is not None and word.entry.started_before(known.entry):
-            return self._withdraw(word.value, EntryStanding.OLDER_START)
-        self._put_in_force(word.entry, word.value)
+        if known is not None and observed.entry.started_before(known.entry):
+            return self._withdraw(observed.value, EntryStanding.OLDER_START)
+        self._put_in_force(observed.entry, observed.value)
         return True
 
-    def _waits_already(self, word: HeardValue) -> bool:
+    def _is_pending_start(self, observed: HeardValue) -> bool:
         """Tell whether a value has the same start as one that is waiting to be accepted."""
-        known = self.known.get(word.value.key)
-        if word.entry is None or known is None or not known.is_set_aside:
+        known = self.known.get(observed.value.key)
+        if observed.entry is None or known is None or not known.is_older_start:
             return False
-        waiting = self.words.winner(word.value.key)
+        waiting = self.merge.winner(observed.value.key)
         return (
             waiting is not None
             and waiting.entry is not None
-            and waiting.entry.is_same_start(word.entry)
+            and waiting.entry.is_same_start(observed.entry)
         )
 
     def _read_entry(self, value: StoredValue) -> BackendEntry | None:
@@ -186,10 +186,10 @@
         since = said_at = now
         if known is not None and known.in_force and known.entry.is_same_start(entry):
             since = known.since if known.entry.leaving == entry.leaving else now
-            said_at = known.said_at if self._is_shown_again(known, entry) else now
+            said_at = known.said_at if self._is_restored_copy(known, entry) else now
         self.known[value.key] = KnownBackend(entry, value, since, said_at)
 
-    def _is_shown_again(self, known: KnownBackend, entry: BackendEntry) -> bool:
+    def _is_restored_copy(self, known: KnownBackend, entry: BackendEntry) -> bool:
         """Tell whether an entry is the known one, returned again by a restored store.
 
         A back end that writes the same entry again is cold from then on. An entry that is only read
--- a/tinrudder/gateway/store/configuration_freshness.py
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -18,7 +18,7 @@
 FRESH_SHARE = 0.5
 """Part of the bound within which a final refusal may be returned: below the time within which a
 change must be in force anyway, and above the usual age."""
-NEWS_S = 2.0
+MAX_PEER_SILENCE_S = 2.0
 """Seconds without a message from any peer after which a newer configuration may be unknown here:
 four digest intervals, so that a few lost datagrams have no effect."""
 
@@ -60,5 +60,5 @@
         if self.may_lack_lost_words() or self.unconfirmed_s() > self.change_in_force_s:
             return False
         if self.peers.has_peers:
-            return self.peers.silent_s(self.clock()) <= NEWS_S
+            return self.peers.silent_s(self.clock()) <= MAX_PEER_SILENCE_S
         return self.store_status.is_reachable
--- a/tinrudder/gateway/store/epoch_merge.py
+++ b/tinrudder/gateway/store/epoch_merge.py
@@ -15,11 +15,11 @@
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.store.topic_history import TopicHistory
 
-Words = tuple[HeardValue, ...]
+Observations = tuple[HeardValue, ...]
 """Observed values of one key, in the order of their epochs; one for each epoch."""
 
 
-class StandsRule(Protocol):
+class PrecedenceRule(Protocol):
     """Decides for how long a value takes precedence over one of a later epoch."""
 
     def __call__(self, earlier: HeardValue, later: HeardValue, *, may_be_copied: bool) -> float:
@@ -30,33 +30,33 @@
     """The observed values of each key."""
 
     def __init__(
-        self, history: TopicHistory, precedence_s: StandsRule, clock: Callable[[], float]
+        self, history: TopicHistory, precedence_s: PrecedenceRule, clock: Callable[[], float]
     ) -> None:
         """Start empty.
 
         :param history: provides the epoch in which the store is followed, and its age.
         """
         self._history = history
-        self._stands_s = precedence_s
+        self._precedence_s = precedence_s
         self._clock = clock
-        self._words: dict[str, Words] = {}
-        self._holds: dict[str, HeardValue] = {}
+        self._observations: dict[str, Observations] = {}
+        self._winners: dict[str, HeardValue] = {}
         # Keys with values of an earlier epoch.
         self._unsettled: set[str] = set()
 
     def __iter__(self) -> Iterator[HeardValue]:
         """Return the winning value of each key."""
-        return iter(tuple(self._holds.values()))
+        return iter(tuple(self._winners.values()))
 
     def winner(self, key: str) -> HeardValue | None:
         """Return the winning value of a key; ``None`` if none was observed."""
-        return self._holds.get(key)
+        return self._winners.get(key)
 
-    def is_shown(self, key: str) -> bool:
+    def is_in_current_epoch(self, key: str) -> bool:
         """Tell whether any value of a key was observed in the current epoch."""
-        return self._shown(key) is not None
+        return self._current(key) is not None
 
-    def is_news(self, value: StoredValue) -> bool:
+    def is_newer(self, value: StoredValue) -> bool:
         """Tell whether a value is newer than the observed one of its key and epoch.
 
         A value of a later epoch is ignored: an epoch is only entered with a complete read.
@@ -64,25 +64,31 @@
         key, epoch = value.key, value.revision.epoch
         if epoch > self._history.epoch:
             return False
-        words = self._words.get(key, ())
-        if not words and epoch < self._history.epoch and self._is_settled:
+        observations = self._observations.get(key, ())
+        if not observations and epoch < self._history.epoch and self._is_settled:
             return False
-        return all(one.revision < value.revision for one in words if one.revision.epoch == epoch)
+        return all(
+            one.revision < value.revision for one in observations if one.revision.epoch == epoch
+        )
 
-    def take(self, word: HeardValue) -> bool:
-        """Add an observed value; tell whether the winner changed."""
-        if not self.is_news(word.value):
+    def record(self, observed: HeardValue) -> bool:
+        """Record an observed value; tell whether the winner changed."""
+        if not self.is_newer(observed.value):
             return False
-        key, epoch = word.value.key, word.revision.epoch
-        others = tuple(one for one in self._words.get(key, ()) if one.revision.epoch != epoch)
-        self._words[key] = tuple(sorted((*others, word), key=_epoch_of)) if others else (word,)
+        key, epoch = observed.value.key, observed.revision.epoch
+        others = tuple(
+            one for one in self._observations.get(key, ()) if one.revision.epoch != epoch
+        )
+        self._observations[key] = (
+            tuple(sorted((*others, observed), key=_epoch_of)) if others else (observed,)
+        )
         if others or epoch < self._history.epoch:
             self._unsettled.add(key)
         return self._decide(key)
 
-    def note_epoch(self) -> None:
+    def begin_epoch(self) -> None:
         """Begin to follow a later epoch, whose values may contradict any known one."""
-        self._unsettled.update(self._words)
+        self._unsettled.update(self._observations)
 
     def settle(self) -> list[HeardValue]:
         """Drop values that can no longer matter; return the values that win since.
@@ -92,28 +98,28 @@
         """
         changed = []
         for key in sorted(self._unsettled):
-            if self._is_settled and self._history.is_read_whole and self._shown(key) is None:
-                self._words[key] = (self._gone(key),)
+            if self._is_settled and self._history.is_read_whole and self._current(key) is None:
+                self._observations[key] = (self._removal(key),)
             if self._decide(key):
-                changed.append(self._holds[key])
-            if self._is_settled and self._holds[key].revision.epoch == self._history.epoch:
-                self._words[key] = (self._holds[key],)
+                changed.append(self._winners[key])
+            if self._is_settled and self._winners[key].revision.epoch == self._history.epoch:
+                self._observations[key] = (self._winners[key],)
                 self._unsettled.discard(key)
         return changed
 
-    def kept(self) -> list[HeardValue]:
+    def retained(self) -> list[HeardValue]:
         """Return the winning values of earlier epochs."""
-        held = (self._holds[key] for key in self._unsettled)
-        return [word for word in held if word.revision.epoch < self._history.epoch]
+        held = (self._winners[key] for key in self._unsettled)
+        return [observed for observed in held if observed.revision.epoch < self._history.epoch]
 
     def changes_since(self, revision: StoreRevision) -> tuple[StoredValue, ...]:
         """Return the values of this epoch after a revision."""
-        shown = (self._shown(key) for key in self._words)
+        shown = (self._current(key) for key in self._observations)
         return tuple(one.value for one in shown if one is not None and one.revision > revision)
 
     def forget(self, key: str) -> None:
         """Drop all values of a key."""
-        del self._words[key], self._holds[key]
+        del self._observations[key], self._winners[key]
         self._unsettled.discard(key)
 
     @property
@@ -121,32 +127,32 @@
         """Tell whether all writes that the store lost must have been repeated by now."""
         return self._history.seen_s >= WRITTEN_AGAIN_S
 
-    def _shown(self, key: str) -> HeardValue | None:
+    def _current(self, key: str) -> HeardValue | None:
         """Return a key's value of the current epoch; ``None`` if none was observed."""
-        words = self._words.get(key)
-        newest = words[-1] if words else None
+        observations = self._observations.get(key)
+        newest = observations[-1] if observations else None
         return newest if newest and newest.revision.epoch == self._history.epoch else None
 
     def _decide(self, key: str) -> bool:
         """Select the winner of a key, and tell whether it changed."""
-        words = self._words[key]
-        holds = words[0]
-        for later in words[1:]:
+        observations = self._observations[key]
+        winner = observations[0]
+        for later in observations[1:]:
             is_present = later.revision.epoch == self._history.epoch
             may_be_copied = not is_present or later.revision <= self._history.copy_up_to
-            precedence_s = self._stands_s(holds, later, may_be_copied=may_be_copied)
+            precedence_s = self._precedence_s(winner, later, may_be_copied=may_be_copied)
             # The duration of an intermediate epoch is unknown, so no precedence ended in it.
             if precedence_s <= (self._history.seen_s if is_present else 0.0):
-                holds = later
-        changed = self._holds.get(key) is not holds
-        self._holds[key] = holds
+                winner = later
+        changed = self._winners.get(key) is not winner
+        self._winners[key] = winner
         return changed
 
-    def _gone(self, key: str) -> HeardValue:
+    def _removal(self, key: str) -> HeardValue:
         """Return the removal of a key that the complete reads of this epoch lack."""
         return HeardValue(StoredValue(key, self._history.copy_up_to, None), self._clock())
 
 
-def _epoch_of(word: HeardValue) -> int:
+def _epoch_of(observed: HeardValue) -> int:
     """Return the epoch of an observed value."""
-    return word.revision.epoch
+    return observed.revision.epoch
--- a/tinrudder/gateway/store/epoch_rules.py
+++ b/tinrudder/gateway/store/epoch_rules.py
@@ -28,11 +28,11 @@
 Back ends write every 1.2 s, an entry that is no longer written expires after three of these
 intervals, 3.6 s, and an operator is given 5 s. Until then known values take precedence over a
 copy that lacks them or holds an older state; after that the store's contents prevail."""
-LEAVING_STANDS_S = 120.0
+LEAVING_PRECEDENCE_S = 120.0
 """The same for a back end that announced that it leaves, if the copy has it as ready. A back end
 never revokes that announcement, so this bound only ends the effects of a wrong epoch; it equals
 the time for which removals are retained."""
-ENDED_EVACUATION_STANDS_S = 4.0
+EVACUATION_END_PRECEDENCE_S = 4.0
 """The same for the end of an evacuation, if the copy has it in force: the operator may have
 evacuated the zone again, which must take effect within 5 s."""
 
@@ -70,7 +70,7 @@
         return 0.0
     before, after = earlier.entry, later.entry
     if before is not None and after is not None and after.is_same_start(before):
-        return LEAVING_STANDS_S if before.leaving and not after.leaving else 0.0
+        return LEAVING_PRECEDENCE_S if before.leaving and not after.leaving else 0.0
     if not may_be_copied:
         return 0.0
     if before is not None and after is not None and before.started_before(after):
@@ -83,5 +83,5 @@
 ) -> float:
     """Return for how long a zone's value wins over one of a later epoch; 0: not at all."""
     if earlier.is_removal and not later.is_removal and may_be_copied:
-        return ENDED_EVACUATION_STANDS_S
+        return EVACUATION_END_PRECEDENCE_S
     return 0.0
--- a/tinrudder/gateway/store/evacuations.py
+++ b/tinrudder/gateway/store/evacuations.py
@@ -24,46 +24,46 @@
 
     def __init__(self, history: TopicHistory, clock: Callable[[], float]) -> None:
         """Start without any evacuation."""
-        self.words = EpochMerge(history, evacuation_precedence_s, clock)
+        self.merge = EpochMerge(history, evacuation_precedence_s, clock)
         self._clock = clock
         self._zone_of_key: dict[str, str] = {}
 
     @property
     def zones(self) -> frozenset[str]:
         """Return the zones whose back ends receive no requests."""
-        in_force = (word.value.key for word in self.words if not word.is_removal)
+        in_force = (observed.value.key for observed in self.merge if not observed.is_removal)
         return frozenset(self._zone_of_key[key] for key in in_force)
 
     def apply(self, zone: str, value: StoredValue, source: str) -> bool:
         """Apply an evacuation or its end; tell whether the winning value changed."""
         self._zone_of_key[value.key] = zone
-        before = self.words.winner(value.key)
-        if not self.words.take(HeardValue(value, self._clock())):
+        before = self.merge.winner(value.key)
+        if not self.merge.record(HeardValue(value, self._clock())):
             return False
-        holds = self.words.winner(value.key)
-        assert holds is not None
-        if before is None or before.is_removal != holds.is_removal:
-            _log(zone, holds, source)
+        after = self.merge.winner(value.key)
+        assert after is not None
+        if before is None or before.is_removal != after.is_removal:
+            _log(zone, after, source)
         return True
 
     def settle(self) -> list[HeardValue]:
         """End precedence whose time is over; return the values that win since."""
         before = self.zones
-        settled = self.words.settle()
-        for word in settled:
-            zone = self._zone_of_key[word.value.key]
-            if (zone in before) == word.is_removal:
-                _log(zone, word, STORE)
+        settled = self.merge.settle()
+        for observed in settled:
+            zone = self._zone_of_key[observed.value.key]
+            if (zone in before) == observed.is_removal:
+                _log(zone, observed, STORE)
         return settled
 
 
-def _log(zone: str, word: HeardValue, source: str) -> None:
+def _log(zone: str, observed: HeardValue, source: str) -> None:
     """Log that a zone was evacuated or taken back, and the source of that information."""
     fields: dict[str, LogValue] = {
         "zone": zone,
-        "epoch": word.revision.epoch,
-        "revision": word.revision.number,
+        "epoch": observed.revision.epoch,
+        "revision": observed.revision.number,
         "source": source,
         "detail": f"{zone}, learned from {source}",
     }
-    log_event("zone_taken_back" if word.is_removal else "zone_evacuated", fields)
+    log_event("zone_taken_back" if observed.is_removal else "zone_evacuated", fields)
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -117,7 +117,7 @@
     @property
     def kept(self) -> list[str]:
         """Return the keys whose known value takes precedence over the store's latest epoch."""
-        return [key for topic in Topic for key in self._kept_of(topic)]
+        return [key for topic in Topic for key in self._retained_keys(topic)]
 
     @property
     def kept_s(self) -> float:
@@ -152,9 +152,9 @@
                 changed |= self._apply_operator_value(value, source)
             else:
                 changed |= self._entries.apply(value)
-                history.hear(value.revision)
+                history.observe(value.revision)
         if changed:
-            self._announce()
+            self._notify()
         return changed
 
     def apply_complete(self, topic: Topic, reading: Reading, source: str = STORE) -> bool:
@@ -175,7 +175,7 @@
         if reading.revision.epoch < history.epoch:
             return self.apply(topic, reading.values, source)
         if entered:
-            self._words(topic).note_epoch()
+            self._merge(topic).begin_epoch()
         settled = [value for value in reading.values if value.revision <= reading.revision]
         changed = self.apply(topic, settled, source)
         if reading.whole:
@@ -184,7 +184,7 @@
         if topic is Topic.BACKENDS:
             self.note_backends_read()
         if entered and known != NO_REVISION:
-            self._tell_epoch(topic, known, reading.revision)
+            self._report_epoch(topic, known, reading.revision)
         return changed
 
     def settle(self) -> None:
@@ -194,7 +194,7 @@
         if settled:
             self._history_listener.on_settled(settled)
         if self._entries.accept_older_starts() or settled:
-            self._announce()
+            self._notify()
 
     def confirm(self, topic: Topic, age_s: float = 0.0) -> None:
         """Record that ``age_s`` seconds ago the store held nothing newer than is known now."""
@@ -208,7 +208,7 @@
         """Record that the list of back ends has been complete once."""
         if not self.backends_read:
             self.backends_read = True
-            self._announce()
+            self._notify()
 
     def values_for(self, topic: Topic, position: TopicPosition) -> tuple[StoredValue, ...]:
         """Return values of back ends or evacuations, with removals, that a peer may lack.
@@ -216,20 +216,20 @@
         :param position: the peer's position; a peer in another epoch gets everything.
         """
         history = self._histories[topic]
-        words = self._words(topic)
+        merge = self._merge(topic)
         is_same_epoch = position.revision.epoch == history.epoch
-        values = words.changes_since(position.revision if is_same_epoch else NO_REVISION)
+        values = merge.changes_since(position.revision if is_same_epoch else NO_REVISION)
         if is_same_epoch and position.older >= history.older:
             return values
-        return values + tuple(word.value for word in words.kept())
+        return values + tuple(observed.value for observed in merge.retained())
 
-    def _words(self, topic: Topic) -> EpochMerge:
+    def _merge(self, topic: Topic) -> EpochMerge:
         """Return the merge of a topic's keys, without the configuration."""
-        return self.evacuations.words if topic is Topic.OPERATOR else self._entries.words
+        return self.evacuations.merge if topic is Topic.OPERATOR else self._entries.merge
 
-    def _kept_of(self, topic: Topic) -> list[str]:
+    def _retained_keys(self, topic: Topic) -> list[str]:
         """Return a topic's keys whose known value takes precedence over the store's epoch."""
-        keys = [word.value.key for word in self._words(topic).kept()]
+        keys = [observed.value.key for observed in self._merge(topic).retained()]
         accepted = self.accepted
         is_older = self.configuration_revision.epoch < self._histories[topic].epoch
         if topic is Topic.OPERATOR and accepted is not None and is_older:
@@ -239,15 +239,19 @@
     def _missing(self, topic: Topic, reading: Reading) -> list[StoredValue]:
         """Return removals for the keys shown in this epoch that a complete read of it lacks."""
         present = {value.key for value in reading.values}
-        words = self._words(topic)
-        keys = [word.value.key for word in words if word.value.key not in present]
-        return [StoredValue(key, reading.revision, None) for key in keys if words.is_shown(key)]
-
-    def _tell_epoch(self, topic: Topic, known: StoreRevision, shown: StoreRevision) -> None:
+        merge = self._merge(topic)
+        keys = [observed.value.key for observed in merge if observed.value.key not in present]
+        return [
+            StoredValue(key, reading.revision, None)
+            for key in keys
+            if merge.is_in_current_epoch(key)
+        ]
+
+    def _report_epoch(self, topic: Topic, known: StoreRevision, shown: StoreRevision) -> None:
         """Report that a later epoch is followed: peers must learn it even if no value changed."""
-        kept = tuple(self._kept_of(topic))
+        kept = tuple(self._retained_keys(topic))
         self._history_listener.on_epoch(EpochChange(topic, known, shown, kept))
-        self._announce()
+        self._notify()
 
     def _apply_operator_value(self, value: StoredValue, source: str) -> bool:
         """Apply a newer configuration, evacuation or end of one; ignore other keys."""
@@ -265,10 +269,10 @@
             # and must not conclude from this gateway's position that nothing is newer.
             self._on_unreadable(str(error))
             return False
-        self._histories[Topic.OPERATOR].hear(value.revision)
+        self._histories[Topic.OPERATOR].observe(value.revision)
         return changed
 
-    def _announce(self) -> None:
+    def _notify(self) -> None:
         """Call all listeners."""
         for listener in self._listeners:
             listener()
--- a/tinrudder/gateway/store/staleness_bound.py
+++ b/tinrudder/gateway/store/staleness_bound.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 NEVER = float("-inf")
-MOST_WAITING = 8
+MAX_PENDING_PROOFS = 8
 """Maximum number of proofs that wait for a revision not yet known here. The proof of the lowest
 revision is dropped first, since newer ones stay useful for longer."""
 
@@ -32,19 +32,19 @@
         """Start without any proof."""
         self._state = state
         self._clock = clock
-        self._reaches = NEVER
-        self._waiting: dict[StoreRevision, float] = {}
+        self._proven_until = NEVER
+        self._pending: dict[StoreRevision, float] = {}
         state.subscribe(self._on_state_change)
 
     @property
     def age_s(self) -> float:
         """Return the maximum age of the knowledge; infinite while nothing is proven."""
-        return self._clock() - self._reaches
+        return self._clock() - self._proven_until
 
     @property
     def told_age_s(self) -> float | None:
         """Return the age to report to other processes; ``None`` while nothing is proven."""
-        return None if self._reaches == NEVER else max(0.0, self.age_s)
+        return None if self._proven_until == NEVER else max(0.0, self.age_s)
 
     def prove(self, at: float, revision: StoreRevision = NO_REVISION) -> None:
         """Record that nothing newer than a revision existed at a given moment.
@@ -56,16 +56,16 @@
         if self._state.may_lack_lost_words:
             return
         if self._state.history(Topic.OPERATOR).covers(revision):
-            self._reaches = max(self._reaches, at)
+            self._proven_until = max(self._proven_until, at)
             return
-        self._waiting[revision] = max(at, self._waiting.get(revision, NEVER))
-        while len(self._waiting) > MOST_WAITING:
-            del self._waiting[min(self._waiting)]
+        self._pending[revision] = max(at, self._pending.get(revision, NEVER))
+        while len(self._pending) > MAX_PENDING_PROOFS:
+            del self._pending[min(self._pending)]
 
     def _on_state_change(self) -> None:
         """Apply the pending proofs that have become valid."""
-        if not self._waiting or self._state.may_lack_lost_words:
+        if not self._pending or self._state.may_lack_lost_words:
             return
         covers = self._state.history(Topic.OPERATOR).covers
-        for revision in [one for one in self._waiting if covers(one)]:
-            self._reaches = max(self._reaches, self._waiting.pop(revision))
+        for revision in [one for one in self._pending if covers(one)]:
+            self._proven_until = max(self._proven_until, self._pending.pop(revision))
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -22,7 +22,7 @@
 from tinrudder.gateway.store.store_readers import StoreReaders
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
-LOOK_S = 0.2
+CHECK_INTERVAL_S = 0.2
 """Interval of the checks of the age, seconds: a tenth of the shortest share of the bound below."""
 ASK_SHARE = 0.2
 """Part of the bound after which a peer in the zone is queried. Together with the readers' share,
@@ -40,7 +40,7 @@
 ASK_ELSEWHERE_SHARE = 0.5
 """Part of the bound after which readers of other zones are queried: those of the zone did not
 answer."""
-READ_ALONE_SHARE = 0.6
+NON_READER_SHARE = 0.6
 """The same for a read of the store by a gateway that is no reader: no peer in reach helped."""
 
 
@@ -84,10 +84,10 @@
         if self._bound_s is None:
             return
         while True:
-            await asyncio.sleep(LOOK_S * self._random.uniform(0.8, 1.2))
-            self.look()
+            await asyncio.sleep(CHECK_INTERVAL_S * self._random.uniform(0.8, 1.2))
+            self.check()
 
-    def look(self) -> None:
+    def check(self) -> None:
         """Start the queries and the read that the current age requires."""
         if self._bound_s is None or not self._freshness.is_needed():
             return
@@ -96,23 +96,23 @@
             return
         place = self._readers.place()
         is_reader = place is not None
-        if share >= (READ_ALONE_SHARE if place is None else READ_SHARE + place * READ_STEP_SHARE):
+        if share >= (NON_READER_SHARE if place is None else READ_SHARE + place * READ_STEP_SHARE):
             self._read(is_reader=is_reader)
-        if is_reader or share >= ASK_ELSEWHERE_SHARE or not self._ask_beside():
+        if is_reader or share >= ASK_ELSEWHERE_SHARE or not self._ask_in_zone():
             self._ask_elsewhere()
 
-    def _ask_beside(self) -> bool:
+    def _ask_in_zone(self) -> bool:
         """Query one of the zone's readers; tell whether there is one."""
-        beside = self._readers.addresses(self._peers.own_zone)
-        if beside:
-            self._probes.ask(self._random.choice(beside))
-        return bool(beside)
+        in_zone = self._readers.addresses(self._peers.own_zone)
+        if in_zone:
+            self._probes.ask(self._random.choice(in_zone))
+        return bool(in_zone)
 
     def _ask_elsewhere(self) -> None:
         """Query one of the first readers, or any peer if no reader is known."""
-        anywhere = self._readers.addresses()[:FIRST_READERS]
-        if anywhere:
-            self._probes.ask(self._random.choice(anywhere))
+        first_readers = self._readers.addresses()[:FIRST_READERS]
+        if first_readers:
+            self._probes.ask(self._random.choice(first_readers))
             return
         peer = self._peers.teacher(seeds_only=False)
         if peer is not None:
@@ -123,7 +123,7 @@
         now = self._loop.time()
         if self._reading is not None or now < self._read_again_at:
             return
-        pause_s = self._readers.retry_pause_s(LOOK_S)
+        pause_s = self._readers.retry_pause_s(CHECK_INTERVAL_S)
         if not is_reader and self._read_again_at == 0.0:
             # Jitter: all gateways that lost their readers get here at the same time.
             self._read_again_at = now + self._random.uniform(0.0, pause_s)
@@ -163,4 +163,4 @@
     def _on_state_change(self) -> None:
         """Check at once when the state becomes complete, as nothing is proven yet."""
         if self._state.complete and self._staleness_bound.told_age_s is None:
-            self.look()
+            self.check()
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -33,33 +33,33 @@
     Topic,
 )
 from tinrudder.gateway.store.watch_turns import (
-    SHORTEST_WAIT_S,
-    seconds_to_doubt,
+    PROBE_WAIT_S,
+    seconds_to_suspicion,
     watch_wait_s,
 )
 
-RECHECK_S = 0.2
+ROLE_CHECK_INTERVAL_S = 0.2
 """Interval in seconds between checks of whether this gateway has to follow the store."""
-FIRST_RETRY_S = 0.1
+MIN_BACKOFF_S = 0.1
 """Seconds until a call that the store did not answer is retried; doubled with every failure."""
-LONGEST_RETRY_S = 0.8
+MAX_BACKOFF_S = 0.8
 """Upper limit of the same in seconds: a restored connection to the store must be noticed within a
 second."""
-REST_PER_READER_S = {Topic.OPERATOR: 0.05, Topic.BACKENDS: 0.12}
+PAUSE_PER_READER_S = {Topic.OPERATOR: 0.05, Topic.BACKENDS: 0.12}
 """Seconds that a follower pauses after changes, for each reader. Back ends change more often, and a
 delay of their changes does less harm."""
-LONGEST_REST_S = {Topic.OPERATOR: 0.1, Topic.BACKENDS: 1.0}
+MAX_PAUSE_S = {Topic.OPERATOR: 0.1, Topic.BACKENDS: 1.0}
 """Upper limit of the same in seconds: changes by the operator must be in force within seconds, and
 a leaving back end must get no new work after a few."""
-REST_SPREAD = 0.6
+PAUSE_JITTER = 0.6
 """Jitter of a pause, as a part of it: wide, so that some readers are watching at any moment."""
-UNSETTLED_WAIT_S = 1.0
+RESTORED_WAIT_S = 1.0
 """Seconds that a watch waits just after the store was restored from a copy: the precedence of known
 values ends with the store's confirmations, and must end in time."""
-OVERTAKEN_S = 1.0
+STALE_WATCH_S = 1.0
 """Seconds after which a watch is cancelled that has not reported a change known from another
 source: a slow store's answer takes a quarter of that."""
-TELL_AFTER_S = 0.3
+NOTIFY_AFTER_S = 0.3
 """Age in seconds of the store's latest confirmation from which on the other readers are notified of
 a new one; if several readers receive a change at once, only one notifies."""
 
@@ -111,18 +111,18 @@
         self._must_reread = False
         self._watching: asyncio.Task[Reading] | None = None
         self._is_epoch_over = False
-        self._is_overtaken = False
+        self._is_stale = False
         # The next watch only probes whether the store answers.
-        self._is_brief = False
+        self._is_probe = False
         # The last watch was cancelled, or had no answer.
         self._is_watch_lost = False
         self._on_confirmed: list[Callable[[], None]] = []
         self._on_silent = parts.on_silent
         self._on_asking = parts.on_asking
         self._reason: ReadReason | None = None
-        self._retry_s = FIRST_RETRY_S
+        self._backoff_s = MIN_BACKOFF_S
         # Seconds to pause before a complete read after a refused watch; 0: none.
-        self._reread_s = 0.0
+        self._reread_backoff_s = 0.0
         self._state.subscribe(self._on_state_change)
 
     @property
@@ -139,36 +139,36 @@
 
         A query that only probes the store is not cancelled, as it ends soon.
         """
-        if self._watching is not None and not self._is_brief:
+        if self._watching is not None and not self._is_probe:
             self._watching.cancel()
 
     async def run(self) -> None:
         """Follow forever."""
         while True:
             reason = self._readers.reason_to_read(self._topic)
-            self._tell_reason(reason)
+            self._report_reason(reason)
             if reason is None:
                 self._revision = None
                 # A gateway that begins to query has a reason to distrust its connections, so it
                 # probes first.
-                self._is_brief = True
+                self._is_probe = True
                 self._status.note_not_asked(self._topic)
-                await asyncio.sleep(RECHECK_S)
+                await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
             try:
                 await self._step()
             except WatchDoubtedError:
-                self._is_brief = self._is_watch_lost = True
+                self._is_probe = self._is_watch_lost = True
             except StoreUnavailableError as error:
-                self._is_brief = self._is_watch_lost = True
+                self._is_probe = self._is_watch_lost = True
                 self._status.note_unanswered(self._topic, str(error))
-                await asyncio.sleep(self._readers.retry_pause_s(self._retry_s))
-                self._retry_s = min(LONGEST_RETRY_S, self._retry_s * 2)
+                await asyncio.sleep(self._readers.retry_pause_s(self._backoff_s))
+                self._backoff_s = min(MAX_BACKOFF_S, self._backoff_s * 2)
             else:
                 self._status.note_answered(self._topic)
-                self._retry_s = FIRST_RETRY_S
+                self._backoff_s = MIN_BACKOFF_S
 
-    def _tell_reason(self, reason: ReadReason | None) -> None:
+    def _report_reason(self, reason: ReadReason | None) -> None:
         """Report when this gateway begins or stops to query the store, or its reason changes."""
         if reason is not self._reason:
             self._reason = reason
@@ -183,26 +183,26 @@
         try:
             reading = await self._watch(self._revision)
         except HistoryForgottenError:
-            self._forget_place()
-            await self._rest_before_reread()
+            self._reset_position()
+            await self._pause_before_reread()
             return
         if reading is None or reading.revision.epoch != self._revision.epoch:
             # The given number denotes another change in that epoch, so changes may be missing.
-            self._forget_place()
-            await self._rest_before_reread()
+            self._reset_position()
+            await self._pause_before_reread()
             return
-        self._reread_s = 0.0
+        self._reread_backoff_s = 0.0
         if self._is_watch_lost and reading.values:
             # The cancelled watch had not reported these changes: its connection was broken.
             self._on_silent(self._topic)
-        self._is_brief = self._is_watch_lost = False
+        self._is_probe = self._is_watch_lost = False
         self._revision = max(self._revision, reading.revision)
         self._state.apply(self._topic, reading.values)
         if reading.revision >= max(self._state.revision(topic) for topic in Topic):
             # Otherwise the store is known to be ahead of this answer, which then proves nothing.
             self._confirm()
         if reading.values:
-            await asyncio.sleep(self._rest_s())
+            await asyncio.sleep(self._pause_s())
 
     async def _read(self) -> None:
         """Read everything.
@@ -213,8 +213,8 @@
         reading = await self._store.read(self._topic)
         if reading.revision.epoch < self._state.epoch:
             self._state.apply_complete(self._topic, reading)
-            told = f"epoch {reading.revision.epoch} after {self._state.epoch}"
-            raise EarlierEpochError(told)
+            detail = f"epoch {reading.revision.epoch} after {self._state.epoch}"
+            raise EarlierEpochError(detail)
         # Before the values are applied: their listeners may query the staleness. A copy may lack
         # acknowledged writes, so the first read of a later epoch proves nothing.
         is_copy = self._state.history(self._topic).is_later_epoch(reading.revision)
@@ -235,7 +235,7 @@
         loop = asyncio.get_running_loop()
         watch = loop.create_task(self._store.watch(self._topic, after, self._wait_s()))
         self._watching = watch
-        self._is_epoch_over = self._is_overtaken = False
+        self._is_epoch_over = self._is_stale = False
         try:
             await self._wait_for(watch)
             if self._is_epoch_over:
@@ -250,17 +250,17 @@
     async def _wait_for(self, watch: asyncio.Task[Reading]) -> None:
         """Wait until a watch has ended or is suspected."""
         while not watch.done():
-            doubted_in_s = self._seconds_to_doubt()
-            if doubted_in_s == 0.0:
+            suspected_in_s = self._seconds_to_suspicion()
+            if suspected_in_s == 0.0:
                 return
-            await asyncio.wait({watch}, timeout=doubted_in_s)
+            await asyncio.wait({watch}, timeout=suspected_in_s)
 
-    def _seconds_to_doubt(self) -> float | None:
+    def _seconds_to_suspicion(self) -> float | None:
         """Return in how many seconds the watch is suspected; ``None``: only its timeout applies."""
-        if self._is_brief:
+        if self._is_probe:
             return None
         unconfirmed_s = self._state.unconfirmed_s(self._topic)
-        return seconds_to_doubt(self._topic, unconfirmed_s, self._place)
+        return seconds_to_suspicion(self._topic, unconfirmed_s, self._place)
 
     def _on_state_change(self) -> None:
         """Cancel a watch of a past epoch, or one that has not reported a known change in time."""
@@ -270,12 +270,12 @@
         if self._revision.epoch < self._state.epoch:
             self._is_epoch_over = True
             watch.cancel()
-        elif self._state.revision(self._topic) > self._revision and not self._is_overtaken:
+        elif self._state.revision(self._topic) > self._revision and not self._is_stale:
             # The store answers all watches at once: one that continues to wait is cut off.
-            self._is_overtaken = True
-            asyncio.get_running_loop().call_later(OVERTAKEN_S, watch.cancel)
+            self._is_stale = True
+            asyncio.get_running_loop().call_later(STALE_WATCH_S, watch.cancel)
 
-    def _forget_place(self) -> None:
+    def _reset_position(self) -> None:
         """Make the next step a complete read."""
         self._revision = None
         self._must_reread = True
@@ -292,32 +292,32 @@
         is_over = revision is not None and revision.epoch < self._state.epoch
         return None if is_over else revision
 
-    async def _rest_before_reread(self) -> None:
+    async def _pause_before_reread(self) -> None:
         """Pause before a complete read, unless this is the first useless watch in a row.
 
         A store may refuse the watch after a complete read too, or answer it from another epoch,
         each within milliseconds: without a pause, one gateway called it 500 times a second.
         """
-        if self._reread_s:
-            await asyncio.sleep(self._readers.retry_pause_s(self._reread_s))
-        self._reread_s = min(LONGEST_RETRY_S, max(FIRST_RETRY_S, self._reread_s * 2))
+        if self._reread_backoff_s:
+            await asyncio.sleep(self._readers.retry_pause_s(self._reread_backoff_s))
+        self._reread_backoff_s = min(MAX_BACKOFF_S, max(MIN_BACKOFF_S, self._reread_backoff_s * 2))
 
     def _confirm(self) -> None:
         """Record that the store has nothing newer; notify other readers if that was overdue."""
         self._must_reread = False
         unconfirmed_s = self._state.unconfirmed_s(self._topic)
         self._state.confirm(self._topic)
-        if unconfirmed_s > TELL_AFTER_S:
+        if unconfirmed_s > NOTIFY_AFTER_S:
             for listener in self._on_confirmed:
                 listener()
 
     def _wait_s(self) -> float:
         """Return how long the next watch waits."""
-        if self._is_brief:
-            return SHORTEST_WAIT_S
+        if self._is_probe:
+            return PROBE_WAIT_S
         history = self._state.history(self._topic)
         if history.is_restored and history.seen_s < WRITTEN_AGAIN_S:
-            return UNSETTLED_WAIT_S
+            return RESTORED_WAIT_S
         return watch_wait_s(self._topic, self._place)
 
     @property
@@ -326,12 +326,12 @@
         place = self._readers.place()
         return self._readers.count() - 1 if place is None else place
 
-    def _rest_s(self) -> float:
+    def _pause_s(self) -> float:
         """Return how long to pause after changes, which often come in groups.
 
         Every change wakes every reader. The more readers there are, the longer each one pauses,
         with jitter: those that are watching send the next changes to all others by digest.
         """
-        rest_s = self._readers.count() * REST_PER_READER_S[self._topic]
-        rest_s = min(LONGEST_REST_S[self._topic], rest_s)
-        return rest_s * self._random.uniform(1.0 - REST_SPREAD, 1.0 + REST_SPREAD)
+        pause_s = self._readers.count() * PAUSE_PER_READER_S[self._topic]
+        pause_s = min(MAX_PAUSE_S[self._topic], pause_s)
+        return pause_s * self._random.uniform(1.0 - PAUSE_JITTER, 1.0 + PAUSE_JITTER)
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -21,10 +21,10 @@
 READERS = 4
 """Number of gateways that follow the store for all: one for each zone where there are four, so that
 the loss of one, or of a zone, leaves the others. Each change costs one call by each of them."""
-ACQUAINTANCE_S = 1.0
+SEEDS_ONLY_S = 1.0
 """Seconds after its start for which a process uses the seeds as readers instead of its own choice:
 after five of its first digests it knows the other gateways."""
-SILENCE_S = 1.5
+PEER_SILENCE_S = 1.5
 """Seconds without a message from any peer after which a gateway queries the store itself: three
 digest intervals, so that two lost datagrams cause no calls."""
 PULL_FAILURE_MEMORY_S = 5.0
@@ -32,13 +32,13 @@
 pulls are tried in this time, and a successful one ends it."""
 ROLE = "store reader"
 """Part of the hash input for the choice of readers, so that other roles go to other gateways."""
-UNHEARD_PATIENCE_S = 0.1
+NO_PEER_START_WAIT_S = 0.1
 """Seconds that a starting gateway waits for a first message from any peer: three of its first
 digests and a round trip. It does not wait for seeds that start later, since its clients wait
 meanwhile. Gateways wait one to two times as long, so that they do not all call at once."""
-HEARD_PATIENCE_S = 1.2
+START_WAIT_S = 1.2
 """The same if a peer has answered that knows too little itself: six calls of 0.2 s to a store."""
-CHOICE_KEPT_S = 0.1
+CHOICE_CACHE_S = 0.1
 """Seconds for which a choice of readers is cached: it is requested ten times a second, and
 computing it takes a millisecond with hundreds of known gateways."""
 FLEET_RETRIES_PER_S = 20.0
@@ -65,7 +65,7 @@
     :param own: this gateway's address.
     :param describe_own: returns this gateway's current description of itself.
     :param stale_after_s: maximum age of the store's latest confirmation; differs between gateways.
-    :param patience: factor on :data:`UNHEARD_PATIENCE_S` and :data:`HEARD_PATIENCE_S`; differs
+    :param patience: factor on :data:`NO_PEER_START_WAIT_S` and :data:`START_WAIT_S`; differs
         between gateways.
     :ivar seeds: the gateways that all others know from the start.
     """
@@ -95,12 +95,12 @@
         if now - self._pull_failed_at < PULL_FAILURE_MEMORY_S:
             return ReadReason.PULL_FAILED
         if not self.state.complete:
-            is_late = now - self.started_at > self._patience_s
+            is_late = now - self.started_at > self._start_wait_s
             return ReadReason.STARTING if is_late else None
-        if self.peers.silent_s(now) > SILENCE_S:
+        if self.peers.silent_s(now) > PEER_SILENCE_S:
             return ReadReason.NO_PEER
-        is_unheard = self.state.unconfirmed_s(topic) > self.stale_after_s
-        return ReadReason.NO_WORD if is_unheard else None
+        is_unconfirmed = self.state.unconfirmed_s(topic) > self.stale_after_s
+        return ReadReason.NO_WORD if is_unconfirmed else None
 
     def retry_pause_s(self, own_pause_s: float) -> float:
         """Return how long to pause after a call that the store did not answer.
@@ -113,9 +113,9 @@
         return max(own_pause_s, askers / FLEET_RETRIES_PER_S)
 
     @property
-    def _patience_s(self) -> float:
+    def _start_wait_s(self) -> float:
         """Return how long after the start this gateway waits for peers to send the state."""
-        usual_s = HEARD_PATIENCE_S if self.peers.has_peers else UNHEARD_PATIENCE_S
+        usual_s = START_WAIT_S if self.peers.has_peers else NO_PEER_START_WAIT_S
         return usual_s * self.patience
 
     def is_reader(self) -> bool:
@@ -160,12 +160,12 @@
 
     def _relies_on_seeds(self, now: float) -> bool:
         """Tell whether too few other gateways are known to choose among them."""
-        acquainted = self.state.complete and now - self.started_at >= ACQUAINTANCE_S
-        return bool(self.seeds) and not acquainted
+        knows_peers = self.state.complete and now - self.started_at >= SEEDS_ONLY_S
+        return bool(self.seeds) and not knows_peers
 
     def _chosen(self, now: float) -> list[Member]:
         """Return the readers of all gateways, as chosen from this gateway's list of peers."""
-        if self._chosen_at is not None and now - self._chosen_at < CHOICE_KEPT_S:
+        if self._chosen_at is not None and now - self._chosen_at < CHOICE_CACHE_S:
             return self._choice
         others = [one for one in self.peers.candidates(now) if not one.without_store]
         members = {str(one.address): one for one in (self.describe_own(), *others)}
--- a/tinrudder/gateway/store/store_status.py
+++ b/tinrudder/gateway/store/store_status.py
@@ -50,20 +50,20 @@
         self._lost.discard(topic)
         if topic not in self._reachable:
             self._reachable.add(topic)
-            self._tell(topic, reachable=True, detail="")
+            self._notify(topic, reachable=True, detail="")
 
     def note_unanswered(self, topic: Topic, detail: str) -> None:
         """Record that a call was not answered; ``detail`` gives the reason."""
         self._lost.add(topic)
         if topic in self._reachable:
             self._reachable.discard(topic)
-            self._tell(topic, reachable=False, detail=detail)
+            self._notify(topic, reachable=False, detail=detail)
 
     def note_not_asked(self, topic: Topic) -> None:
         """Record that other gateways follow a topic for this one: it does not count as lost."""
         self._lost.discard(topic)
 
-    def _tell(self, topic: Topic, *, reachable: bool, detail: str) -> None:
+    def _notify(self, topic: Topic, *, reachable: bool, detail: str) -> None:
         """Notify all listeners."""
         self._on_change(topic, reachable, detail)
         for listener in self._listeners:
--- a/tinrudder/gateway/store/stored_values.py
+++ b/tinrudder/gateway/store/stored_values.py
@@ -102,11 +102,11 @@
     zone: str
 
 
-class ForeignKey(Struct, frozen=True):
+class UnusedKey(Struct, frozen=True):
     """A key of the operator that gateways do not use."""
 
 
-OperatorKey = ConfigurationKey | EvacuationKey | ForeignKey
+OperatorKey = ConfigurationKey | EvacuationKey | UnusedKey
 
 
 class ValueDecoders(Struct, frozen=True):
--- a/tinrudder/gateway/store/topic_history.py
+++ b/tinrudder/gateway/store/topic_history.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Callable
 
-from tinrudder.gateway.store.epoch_rules import LEAVING_STANDS_S
+from tinrudder.gateway.store.epoch_rules import LEAVING_PRECEDENCE_S
 from tinrudder.gateway.store.store_revision import (
     NO_REVISION,
     EpochBegin,
@@ -16,7 +16,7 @@
     TopicPosition,
 )
 
-EPOCH_AGE_TOLD_S = LEAVING_STANDS_S
+EPOCH_AGE_REPORTED_S = LEAVING_PRECEDENCE_S
 """Seconds after the start of an epoch during which gateways report its age: as long as a value of
 the previous epoch may take precedence."""
 
@@ -113,7 +113,7 @@
         self._entered_at = self._clock()
         return True
 
-    def hear(self, revision: StoreRevision) -> None:
+    def observe(self, revision: StoreRevision) -> None:
         """Record that a change of this epoch or an earlier one was observed."""
         if revision.epoch == self.epoch:
             self.revision = max(self.revision, revision)
@@ -124,8 +124,8 @@
 
     def hear_position(self, position: TopicPosition) -> None:
         """Record that everything known to a gateway at a position has been received."""
-        self.hear(position.revision)
-        self.hear(position.older)
+        self.observe(position.revision)
+        self.observe(position.older)
         begin = position.restored
         if begin is None or position.revision.epoch != self.epoch:
             return
@@ -137,6 +137,6 @@
     def position(self) -> TopicPosition:
         """Return this gateway's position, with the start of the epoch if that was recent."""
         begin = None
-        if self.restored_s <= EPOCH_AGE_TOLD_S:
+        if self.restored_s <= EPOCH_AGE_REPORTED_S:
             begin = EpochBegin(self.restored_s, self.copy_up_to.number)
         return TopicPosition(self.revision, self.older, begin)
--- a/tinrudder/gateway/store/unreadable_values.py
+++ b/tinrudder/gateway/store/unreadable_values.py
@@ -9,7 +9,7 @@
 
 from tinrudder.common.logs import LogValue, log_problem
 
-LINES = 5
+MAX_LINES = 5
 """Log lines in one window: enough to see whether a single entry or an entire writer is wrong."""
 WINDOW_S = 10.0
 """Length of a window in seconds. A writer with another format writes an unreadable value for each
@@ -39,6 +39,6 @@
             self._window_began = now
             self._lines = 0
         self._lines += 1
-        if self._lines <= LINES:
+        if self._lines <= MAX_LINES:
             fields: dict[str, LogValue] = {"detail": detail[:DETAIL_LENGTH], "count": self.count}
             log_problem("unreadable_value", fields)
--- a/tinrudder/gateway/store/watch_turns.py
+++ b/tinrudder/gateway/store/watch_turns.py
@@ -14,19 +14,19 @@
 
 from tinrudder.gateway.store.stored_values import Topic
 
-TURN_S = {Topic.OPERATOR: 1.5, Topic.BACKENDS: 2.0}
+FIRST_READER_WAIT_S = {Topic.OPERATOR: 1.5, Topic.BACKENDS: 2.0}
 """Seconds that the first reader's watch waits. Each watch is a call, and calls are charged for; a
 leaving back end continues to serve for 3 s where that time is shortest."""
-OVERDUE_S = 0.25
+ANSWER_DELAY_S = 0.25
 """Seconds by which the first reader's answer may be late: an answer of a busy store, a late timer,
 and the time until the other readers learn of it."""
 PLACE_STEP_S = 0.05
 """Seconds by which a reader suspects its watch later than the reader of the previous rank: enough
 for that reader to get an answer and report it."""
-LONGEST_WAIT_S = 28.0
+MAX_WAIT_S = 28.0
 """Seconds that the watches of all other readers wait, one second less for each rank; the platform
 limits a wait to 30 s."""
-SHORTEST_WAIT_S = 0.001
+PROBE_WAIT_S = 0.001
 """Wait time in seconds of a query that only checks whether the store answers."""
 
 
@@ -38,17 +38,21 @@
     >>> [watch_wait_s(Topic.OPERATOR, place) for place in range(3)]
     [1.5, 27.0, 26.0]
     """
-    return TURN_S[topic] if place == 0 else max(TURN_S[topic], LONGEST_WAIT_S - place)
+    return (
+        FIRST_READER_WAIT_S[topic]
+        if place == 0
+        else max(FIRST_READER_WAIT_S[topic], MAX_WAIT_S - place)
+    )
 
 
-def seconds_to_doubt(topic: Topic, unconfirmed_s: float, place: int) -> float:
+def seconds_to_suspicion(topic: Topic, unconfirmed_s: float, place: int) -> float:
     """Return in how many seconds a watch is suspected, unless the store confirms before.
 
     :param unconfirmed_s: time since the store's latest confirmation to any gateway.
     :param place: this reader's rank among all readers.
 
-    >>> seconds_to_doubt(Topic.OPERATOR, 1.0, 0), seconds_to_doubt(Topic.OPERATOR, 3.0, 0)
+    >>> seconds_to_suspicion(Topic.OPERATOR, 1.0, 0), seconds_to_suspicion(Topic.OPERATOR, 3.0, 0)
     (0.75, 0.0)
     """
-    due_s = TURN_S[topic] + OVERDUE_S + PLACE_STEP_S * place
+    due_s = FIRST_READER_WAIT_S[topic] + ANSWER_DELAY_S + PLACE_STEP_S * place
     return max(0.0, round(due_s - unconfirmed_s, 3))
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -30,9 +30,9 @@
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
     EvacuationKey,
-    ForeignKey,
     OperatorKey,
     UnreadableValueError,
+    UnusedKey,
 )
 
 BACKENDS_PREFIX = "servers/"
@@ -133,7 +133,7 @@
     if key == CONFIGURATION_KEY:
         return ConfigurationKey()
     if not key.startswith(EVACUATION_PREFIX):
-        return ForeignKey()
+        return UnusedKey()
     zone = key.removeprefix(EVACUATION_PREFIX)
     if not zone or "/" in zone:
         raise UnreadableValueError(f"{key}: one zone must follow {EVACUATION_PREFIX!r}")
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -11,18 +11,18 @@
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.headers import HEADERS
 
-USUAL = 100.0
+USUAL_PERCENT = 100.0
 """The fourth figure if work takes its usual time, percent."""
-MOST_DIGITS = 9
+MAX_DIGITS = 9
 """Maximum digits of a figure: far more requests than any back end queues, and cheap to parse."""
-REMEMBERED = 1024
+CACHE_SIZE = 1024
 """Cached reports: each answer carries a value, and a few hundred differ. A cache hit takes 0.1 us,
 decoding 3.4 us (best of five runs of 100,000)."""
 # The work time is a percentage of the usual one.
 _FIGURES = ("running", "waiting", "slots", "work time")
 
 
-@functools.lru_cache(maxsize=REMEMBERED)
+@functools.lru_cache(maxsize=CACHE_SIZE)
 def decode_load_report(value: bytes) -> LoadReport:
     """Decode ``running,waiting,slots`` or ``running,waiting,slots,work time``.
 
@@ -40,7 +40,7 @@
     figures = []
     for field, part in zip(_FIGURES, parts, strict=False):
         text = part.strip()
-        if len(text) > MOST_DIGITS or not text.isdigit():
+        if len(text) > MAX_DIGITS or not text.isdigit():
             raise UnreadableValueError(f"{name}: {field}: {text[:20]!r} is no whole number")
         figures.append(int(text))
     running, waiting, slots, *rest = figures
@@ -48,4 +48,4 @@
         return LoadReport(running, waiting, slots)
     if rest[0] == 0:
         raise UnreadableValueError(f"{name}: {_FIGURES[-1]}: must be above zero")
-    return LoadReport(running, waiting, slots, rest[0] / USUAL)
+    return LoadReport(running, waiting, slots, rest[0] / USUAL_PERCENT)
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -37,7 +37,7 @@
 WATCH_PATH = "/v1/kv-watch"
 READ_TIMEOUT_S = 2.5
 """Seconds until the answer with one page must begin: other gateways read meanwhile, and share."""
-WATCH_SLACK_S = 0.6
+WATCH_MARGIN_S = 0.6
 """Seconds added to a watch's wait time for its timeout: enough for a store sixty times slower."""
 MAX_PAGES = 100
 """Maximum pages of one read: ends a read whose store always reports more."""
@@ -55,12 +55,12 @@
 Document = TypeVar("Document")
 
 
-class _Place(msgspec.Struct):
+class _KeyRevision(msgspec.Struct):
     key: str
     rev: RevisionNumber
 
 
-class _Item(_Place):
+class _Item(_KeyRevision):
     value: bytes = b""
     # The key was removed at this revision.
     gone: bool = False
@@ -83,7 +83,7 @@
 
 _range_decoder = msgspec.json.Decoder(_RangeAnswer)
 _watch_decoder = msgspec.json.Decoder(_WatchAnswer)
-_place_decoder = msgspec.json.Decoder(_Place)
+_key_revision_decoder = msgspec.json.Decoder(_KeyRevision)
 _item_decoder = msgspec.json.Decoder(_Item)
 
 
@@ -129,7 +129,7 @@
         wait_ms = int(wait_s * MILLISECONDS)
         parameters = {"path_prefix": PREFIXES[topic], "after": after.number, "wait_ms": wait_ms}
         target = f"{WATCH_PATH}?{urlencode(parameters)}"
-        document, epoch = await self._call(topic, target, wait_s + WATCH_SLACK_S, _watch_decoder)
+        document, epoch = await self._call(topic, target, wait_s + WATCH_MARGIN_S, _watch_decoder)
         values = tuple(_value(event, epoch) for event in document.events)
         return Reading(values, StoreRevision(epoch, document.at))
 
@@ -159,19 +159,19 @@
     >>> _epoch(((b"store-era", b"3"),)), _epoch(()), _epoch(((b"store-era", b"-1"),))
     (3, 0, 0)
     """
-    told = header_value(headers, STORE_EPOCH) or b""
-    return int(told) if told.isdigit() and len(told) <= MAX_EPOCH_DIGITS else 0
+    text = header_value(headers, STORE_EPOCH) or b""
+    return int(text) if text.isdigit() and len(text) <= MAX_EPOCH_DIGITS else 0
 
 
 def _value(raw: msgspec.Raw, epoch: int) -> StoredValue:
     """Convert one item of an epoch; its unreadable parts are left empty."""
     try:
-        place = _place_decoder.decode(raw)
+        key_revision = _key_revision_decoder.decode(raw)
     except UNREADABLE:
         return StoredValue("", NO_REVISION, b"")
-    revision = StoreRevision(epoch, place.rev)
+    revision = StoreRevision(epoch, key_revision.rev)
     try:
         item = _item_decoder.decode(raw)
     except UNREADABLE:
-        return StoredValue(place.key, revision, b"")
+        return StoredValue(key_revision.key, revision, b"")
     return StoredValue(item.key, revision, None if item.gone else item.value)
