--- a/tests/functional/gateway/test_restored_store.py
+++ b/tests/functional/gateway/test_restored_store.py
@@ -113,9 +113,9 @@
     return {arrival.backend_id for arrival in site.ledger.arrivals[before:]}
 
 
-async def ask_through(site: EmulatedSite, drill: StoreRestore, after_s: float = 1.0) -> set[str]:
+async def ask_through(site: EmulatedSite, restore: StoreRestore, after_s: float = 1.0) -> set[str]:
     """Send requests during the store's outage and restore; return the back ends called."""
-    running = asyncio.create_task(restore_store(site, drill))
+    running = asyncio.create_task(restore_store(site, restore))
     asked: set[str] = set()
     while not running.done():
         asked |= await ask(site, 1)
@@ -129,8 +129,8 @@
         site.drain("single-0")
         await asyncio.sleep(0.5)
         # It stops without another write; its entry in the copy expires without heartbeats.
-        drill = StoreRestore(age_s=1.0, backends_after_s=None)
-        asked = await ask_through(site, drill)
+        restore = StoreRestore(age_s=1.0, backends_after_s=None)
+        asked = await ask_through(site, restore)
         assert asked and "single-0" not in asked
         assert site.broken_promises() == []
 
@@ -163,8 +163,8 @@
             site.remove_entry(backend_id)
         await site.add_backend("single-new", "single", "zone-a")
         await asyncio.sleep(0.5)
-        drill = StoreRestore(age_s=1.0, backends_after_s=after_s)
-        running = asyncio.create_task(restore_store(site, drill))
+        restore = StoreRestore(age_s=1.0, backends_after_s=after_s)
+        running = asyncio.create_task(restore_store(site, restore))
         statuses = set()
         while not running.done():
             statuses.add((await site.send("single", site.random.randrange(GATEWAYS))).status)
@@ -180,8 +180,8 @@
         await site.add_backend("single-new", "single", "zone-a")
         site.evacuate("zone-b")
         await asyncio.sleep(0.5)
-        drill = StoreRestore(age_s=1.0, operator_after_s=None, backends_after_s=None)
-        await restore_store(site, drill)
+        restore = StoreRestore(age_s=1.0, operator_after_s=None, backends_after_s=None)
+        await restore_store(site, restore)
         assert "single-1" not in await ask(site)
         await asyncio.sleep(WRITTEN_AGAIN_S + 2.0)
         for node in site.nodes:
@@ -252,11 +252,11 @@
     async def scenario(site: EmulatedSite) -> None:
         await lose_changes(site)
         lost_version = site.version
-        drill = StoreRestore(age_s=2.5, operator_after_s=None)
+        restore = StoreRestore(age_s=2.5, operator_after_s=None)
         site.configure()
         await asyncio.sleep(0.5)
-        running = asyncio.create_task(restore_store(site, drill))
-        await asyncio.sleep(drill.away_s)
+        running = asyncio.create_task(restore_store(site, restore))
+        await asyncio.sleep(restore.away_s)
         for node in site.nodes[:3]:
             site.kill_node(node)
             site.start_node(node)
--- a/tests/functional/gateway/test_silent_connections.py
+++ b/tests/functional/gateway/test_silent_connections.py
@@ -30,7 +30,7 @@
 
 IN_FORCE_S = 2.0
 """Seconds from a confirmation until a change is in force wherever a new connection works."""
-LEAST_IN_FORCE_S = 3.0
+STRICTEST_IN_FORCE_S = 3.0
 """The same, as limited by the strictest deployment."""
 SILENT_FOR_S = 0.1
 ADDED_ROUTE = "added"
@@ -99,22 +99,22 @@
         site.configure()
         return await in_force_after(site)
 
-    assert run_site(scenario, node_count=24) <= LEAST_IN_FORCE_S
+    assert run_site(scenario, node_count=24) <= STRICTEST_IN_FORCE_S
 
 
-CALM_CALLS_PER_SECOND = 1.8
+IDLE_CALLS_PER_SECOND = 1.8
 """Maximum calls per second to an idle store by all gateways; independent of their number."""
 
 
 @pytest.mark.parametrize("gateways", [1, 3, 8, 24])
-def test_a_calm_store_is_asked_as_often_however_many_gateways(gateways: int) -> None:
+def test_calls_to_an_idle_store_do_not_grow_with_the_gateways(gateways: int) -> None:
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(15.0)
         before = site.store.calls
         await asyncio.sleep(60.0)
         return (site.store.calls - before) / 60.0
 
-    assert run_site(scenario, node_count=gateways) <= CALM_CALLS_PER_SECOND
+    assert run_site(scenario, node_count=gateways) <= IDLE_CALLS_PER_SECOND
 
 
 def test_a_route_that_may_be_unknown_here_is_not_refused_for_good() -> None:
--- a/tests/unit/gateway/test_shared_state.py
+++ b/tests/unit/gateway/test_shared_state.py
@@ -238,25 +238,25 @@
     assert len(peers.to_tell(11.0)) == 7
 
 
-@given(beside=st.integers(0, 40), elsewhere=st.integers(0, 40), seed=st.integers(0, 100))
+@given(same_zone=st.integers(0, 40), other_zones=st.integers(0, 40), seed=st.integers(0, 100))
 def test_digests_of_many_go_mostly_to_the_own_zone_but_always_beyond(
-    beside: int, elsewhere: int, seed: int
+    same_zone: int, other_zones: int, seed: int
 ) -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(seed), 0.0, "zone-a")
-    for index in range(beside):
+    for index in range(same_zone):
         peers.heard_from(Member(Address(f"10.1.0.{index}", 1), "zone-a"), 10.0)
-    for index in range(elsewhere):
+    for index in range(other_zones):
         peers.heard_from(Member(Address(f"10.2.0.{index}", 1), "zone-b"), 10.0)
     receivers = peers.receivers(11.0)
     beyond = [one for one in receivers if one.host.startswith("10.2")]
     assert len(set(receivers)) == len(receivers)
-    if beside + elsewhere <= 16:
-        assert len(receivers) == beside + elsewhere
-        assert len(peers.receivers(11.0, zone_only=True)) == beside
+    if same_zone + other_zones <= 16:
+        assert len(receivers) == same_zone + other_zones
+        assert len(peers.receivers(11.0, zone_only=True)) == same_zone
     else:
         assert len(receivers) == 3
-        assert bool(beyond) == bool(elsewhere)
-        assert len(beyond) <= max(1, 3 - beside)
+        assert bool(beyond) == bool(other_zones)
+        assert len(beyond) <= max(1, 3 - same_zone)
 
 
 def test_digests_of_a_large_fleet_stay_within_the_bytes_allowed() -> None:
--- a/tests/unit/gateway/test_staleness_bound.py
+++ b/tests/unit/gateway/test_staleness_bound.py
@@ -39,7 +39,7 @@
 
 
 @dataclass
-class Question:
+class PendingRequest:
     """A request to the store or to a gateway; answered at some moment, then delivered or lost."""
 
     asker: int
@@ -61,8 +61,8 @@
         self.changes: list[float] = []
         self.states = [FakeState() for _ in range(3)]
         self.known = [StalenessBound(state, lambda: self.now) for state in self.states]  # type: ignore[arg-type]
-        self.reads: list[Question] = []
-        self.probes: list[tuple[Question, int]] = []
+        self.reads: list[PendingRequest] = []
+        self.probes: list[tuple[PendingRequest, int]] = []
 
     @rule(seconds=st.floats(0.001, 4.0))
     def time_passes(self, seconds: float) -> None:
@@ -74,7 +74,7 @@
 
     @rule(asker=NODES)
     def ask_store(self, asker: int) -> None:
-        self.reads.append(Question(asker, self.now))
+        self.reads.append(PendingRequest(asker, self.now))
 
     @rule(which=st.integers(0, 5))
     def store_answers(self, which: int) -> None:
@@ -94,7 +94,7 @@
 
     @rule(asker=NODES, answerer=NODES)
     def ask_peer(self, asker: int, answerer: int) -> None:
-        self.probes.append((Question(asker, self.now), answerer))
+        self.probes.append((PendingRequest(asker, self.now), answerer))
 
     @rule(which=st.integers(0, 5))
     def peer_answers(self, which: int) -> None:
@@ -122,8 +122,8 @@
     @invariant()
     def nothing_is_missed(self) -> None:
         for state, known in zip(self.states, self.known, strict=True):
-            reaches = self.now - known.age_s
-            acknowledged = sum(1 for at in self.changes if at < reaches)
+            proven_until = self.now - known.age_s
+            acknowledged = sum(1 for at in self.changes if at < proven_until)
             assert state.known.revision >= at(acknowledged)
 
 
--- a/tests/unit/gateway/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -37,7 +37,7 @@
     PROBE_WAIT_S,
 )
 
-MOST_THE_STORE_WAITS_S = 30.0
+MAX_STORE_WAIT_S = 30.0
 FIRST_REVISION = 10
 EPOCH = 1
 
@@ -71,7 +71,7 @@
         return Reading((value,), value.revision)
 
 
-class AlwaysReads:
+class FixedReaders:
     """Stands in for the readers of a fleet in which this gateway follows the store."""
 
     def __init__(self, readers: int, place: int) -> None:
@@ -110,7 +110,7 @@
 def follow(
     seconds: float,
     readers: int,
-    taught: int | None = None,
+    peer_revision: int | None = None,
     refuses: tuple[float, float] | None = None,
     store_type: type[ScriptedStore] = ScriptedStore,
     place: int = 0,
@@ -128,15 +128,15 @@
             store,  # type: ignore[arg-type]
             state,
             StoreStatus(lambda topic, reachable, detail: None),
-            AlwaysReads(readers, place),  # type: ignore[arg-type]
+            FixedReaders(readers, place),  # type: ignore[arg-type]
             random.Random(1),
             lambda topic, asked_at: None,
         )
         follower = StoreFollower(Topic.BACKENDS, parts)
         task = loop.create_task(follower.run())
         await asyncio.sleep(0.02)
-        if taught is not None:
-            state.apply(Topic.BACKENDS, [in_epoch(backend("c", taught))])
+        if peer_revision is not None:
+            state.apply(Topic.BACKENDS, [in_epoch(backend("c", peer_revision))])
         await asyncio.sleep(seconds)
         task.cancel()
 
@@ -148,7 +148,7 @@
 
 
 def test_the_next_watch_begins_after_what_peers_told_meanwhile() -> None:
-    store = follow(1.0, readers=1, taught=50)
+    store = follow(1.0, readers=1, peer_revision=50)
     assert store.watched_after[0] == at(FIRST_REVISION, EPOCH)
     assert store.watched_after[1] == at(50, EPOCH)
 
@@ -164,16 +164,16 @@
 
 
 @pytest.mark.parametrize("place", [0, 1, 7])
-def test_the_first_reader_waits_a_turn_and_the_others_as_long_as_the_store_allows(
+def test_the_first_reader_waits_briefly_and_the_others_as_long_as_the_store_allows(
     place: int,
 ) -> None:
     waits = follow(5.0, readers=8, place=place).waits_s
     assert len(waits) > 3
     assert set(waits) == {FIRST_READER_WAIT_S[Topic.BACKENDS] if place == 0 else MAX_WAIT_S - place}
-    assert max(waits) <= MOST_THE_STORE_WAITS_S
+    assert max(waits) <= MAX_STORE_WAIT_S
 
 
-class CalmStore(ScriptedStore):
+class IdleStore(ScriptedStore):
     """Has no changes; from some moment on its open connections are silent, but new ones work.
 
     A connection is as old as the latest watch that was answered over it.
@@ -191,20 +191,20 @@
         return Reading((), after)
 
 
-class SilentStore(CalmStore):
+class SilentStore(IdleStore):
     """Becomes silent while the first long watch waits."""
 
     silent_from = 1.0
 
 
-def test_a_calm_store_that_answers_is_never_doubted() -> None:
-    store = follow(60.0, readers=1, store_type=CalmStore)
+def test_a_watch_of_an_idle_store_that_answers_is_never_suspected() -> None:
+    store = follow(60.0, readers=1, store_type=IdleStore)
     assert set(store.waits_s) == {FIRST_READER_WAIT_S[Topic.BACKENDS]}
     assert len(store.waits_s) <= 60.0 / FIRST_READER_WAIT_S[Topic.BACKENDS] + 1
 
 
 @pytest.mark.parametrize("place", [0, 1, 7])
-def test_a_silent_watch_is_given_up_after_a_turn(place: int) -> None:
+def test_a_silent_watch_is_cancelled_after_the_first_readers_wait(place: int) -> None:
     store = follow(10.0, readers=8, place=place, store_type=SilentStore)
     first, second, *_ = store.watched_at
     assert (
@@ -221,13 +221,13 @@
 
     Its answer is no confirmation, so the watch is suspected repeatedly.
     """
-    behind = follow(20.0, readers=8, store_type=CalmStore, operator_revision=FIRST_REVISION + 1)
+    behind = follow(20.0, readers=8, store_type=IdleStore, operator_revision=FIRST_REVISION + 1)
     assert behind.waits_s.count(PROBE_WAIT_S) >= 20.0 / (FIRST_READER_WAIT_S[Topic.BACKENDS] + 1.0)
 
 
-def test_a_watch_that_news_have_overtaken_is_given_up() -> None:
+def test_a_watch_that_misses_a_known_change_is_cancelled() -> None:
     """A peer reports a change, and the watch that should have reported it continues to wait."""
-    store = follow(5.0, readers=8, taught=50, store_type=CalmStore)
+    store = follow(5.0, readers=8, peer_revision=50, store_type=IdleStore)
     assert store.watched_at[1] - store.watched_at[0] <= 0.02 + STALE_WATCH_S + 0.01
 
 
@@ -241,7 +241,7 @@
     assert answered[0] <= 10.0 + MAX_BACKOFF_S + 0.02
 
 
-class ForgetfulStore(ScriptedStore):
+class EpochlessWatchStore(ScriptedStore):
     """Reports its epoch in complete reads only: every watch seems to be of another one."""
 
     async def watch(self, topic: Topic, after: StoreRevision, wait_s: float) -> Reading:
@@ -251,6 +251,6 @@
 
 
 def test_watches_that_another_epoch_answers_lead_to_readings_with_rests() -> None:
-    watched = follow(10.0, readers=8, store_type=ForgetfulStore).watched_at
+    watched = follow(10.0, readers=8, store_type=EpochlessWatchStore).watched_at
     assert watched[1] - watched[0] < 0.01
     assert len(watched) <= 5 + 10.0 / MAX_BACKOFF_S
--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -41,5 +41,5 @@
     on_settled: Callable[[list[HeardValue]], None] = lambda words: None
 
 
-NOBODY = HistoryListener()
+IGNORE_HISTORY = HistoryListener()
 """Ignores all changes of the store's history."""
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -18,7 +18,7 @@
     AcceptedConfiguration,
     ConfigurationInForce,
 )
-from tinrudder.gateway.store.epoch_change import NOBODY, EpochChange, HistoryListener
+from tinrudder.gateway.store.epoch_change import IGNORE_HISTORY, EpochChange, HistoryListener
 from tinrudder.gateway.store.epoch_merge import EpochMerge
 from tinrudder.gateway.store.epoch_rules import WRITTEN_AGAIN_S
 from tinrudder.gateway.store.evacuations import Evacuations
@@ -50,7 +50,7 @@
         decoders: ValueDecoders,
         clock: Callable[[], float],
         on_unreadable: Callable[[str], None],
-        history_listener: HistoryListener = NOBODY,
+        history_listener: HistoryListener = IGNORE_HISTORY,
     ) -> None:
         """Start empty."""
         self._configuration = ConfigurationInForce(decoders.configuration)
