--- a/tinrudder/gateway/store/configuration_freshness.py
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -1,8 +1,8 @@
 """Decides whether the known configuration is recent enough to refuse a request for good.
 
-Clients do not retry after a status such as 401 or 404, so a gateway may return it only if it would
-know a newer configuration. Owns no state; relies on the staleness bound, on peers and on the
-store's status.
+A status such as 401 or 404 is final for clients, so a gateway may return it only if it would know a
+newer configuration. Owns no state; relies on the staleness bound, on peers and on the store's
+status.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -1,11 +1,12 @@
 """Follows the metadata store and applies its changes to the shared state.
 
-There is one follower for each topic. It reads everything, then watches for changes; a watch from a
-forgotten revision and another epoch of the store, observed by any gateway, lead back to a complete
-read. A waiting watch is suspected if the store has not confirmed to any reader for longer than the
-first reader's wait (:mod:`.watch_turns`). Calls are charged for, so of many gateways only a few
-readers follow the store, and digests inform the others. Digests also carry the time since the
-store's latest confirmation: if no reader reaches the store, all gateways try.
+There is one follower for each topic. It reads everything, then watches for changes. It reads
+everything again if the store has forgotten the history since its revision, or if any gateway has
+observed a new epoch of the store. A waiting watch is suspected if the store has not confirmed to
+any reader for longer than the first reader's wait (:mod:`.watch_turns`). Calls are charged for, so
+of many gateways only a few readers follow the store, and digests inform the others. Digests also
+carry the time since the store's latest confirmation: if no reader reaches the store, all gateways
+try.
 
 Owns the revision from which it watches. Relies on the choice of readers to decide whether this
 gateway follows the store, and passes what it reads to the shared state.
@@ -131,7 +132,7 @@
         return self._topic
 
     def subscribe_to_confirmed(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` on each confirmation that ends a time without any."""
+        """Call ``listener`` on the store's first confirmation after a time without any."""
         self._on_confirmed.append(listener)
 
     def doubt(self) -> None:
@@ -213,7 +214,7 @@
         reading = await self._store.read(self._topic)
         if reading.revision.epoch < self._state.epoch:
             self._state.apply_complete(self._topic, reading)
-            detail = f"epoch {reading.revision.epoch} after {self._state.epoch}"
+            detail = f"answer from epoch {reading.revision.epoch}, expected {self._state.epoch}"
             raise EarlierEpochError(detail)
         # Before the values are applied: their listeners may query the staleness. A copy may lack
         # acknowledged writes, so the first read of a later epoch proves nothing.
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -42,8 +42,8 @@
 """Seconds for which a choice of readers is cached: it is requested ten times a second, and
 computing it takes a millisecond with hundreds of known gateways."""
 FLEET_RETRIES_PER_S = 20.0
-"""Retries per second by all gateways together that are no readers, while the store does not answer:
-one of them finds within 0.1 s that it is back, and notifies all."""
+"""Retries per second by all non-reader gateways together while the store does not answer: one of
+them finds within 0.1 s that it is back, and notifies all."""
 
 
 class ReadReason(enum.Enum):
--- a/tinrudder/gateway/store/watch_turns.py
+++ b/tinrudder/gateway/store/watch_turns.py
@@ -1,11 +1,12 @@
 """Rules on how long watches of the store wait, and when a waiting watch is suspected.
 
 An idle store leaves a watch open until its wait time is over, and a broken connection looks the
-same. So only the first reader's watch waits for a short time, and each of its answers is reported
-to all gateways as a confirmation by the store. When that confirmation is overdue, the first reader
-abandons its watch and queries the store over a new connection; if that brings no answer, the reader
-of the next rank does the same. With silent connections, a change is thus noticed after about one
-short wait, regardless of the number of gateways, and an idle store receives no more calls.
+same. Therefore the first reader's watch waits only for a short time, and each of its answers is
+reported to all gateways as a confirmation by the store. When that confirmation is overdue, the
+first reader abandons its watch and queries the store over a new connection; if that brings no
+answer, the reader of the next rank does the same. With silent connections, a change is thus noticed
+after about one short wait. Neither this time nor the number of calls to an idle store grows with
+the number of gateways.
 
 Owns no state; followers of the store apply the rules.
 """
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -41,7 +41,7 @@
     for field, part in zip(_FIGURES, parts, strict=False):
         text = part.strip()
         if len(text) > MAX_DIGITS or not text.isdigit():
-            raise UnreadableValueError(f"{name}: {field}: {text[:20]!r} is no whole number")
+            raise UnreadableValueError(f"{name}: {field}: {text[:20]!r} is not a whole number")
         figures.append(int(text))
     running, waiting, slots, *rest = figures
     if not rest:
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -122,7 +122,7 @@
             after = max((value.key for value in page), default="")
             if not document.more or not after:
                 return Reading(tuple(values), revision)
-        raise StoreUnavailableError(f"more than {MAX_PAGES} pages")
+        raise StoreUnavailableError(f"read has more than {MAX_PAGES} pages")
 
     async def watch(self, topic: Topic, after: StoreRevision, wait_s: float) -> Reading:
         """Wait for changes; see :class:`MetadataStore`."""
