--- a/tinrudder/gateway/store/epoch_rules.py
+++ b/tinrudder/gateway/store/epoch_rules.py
@@ -66,7 +66,7 @@
     :param may_be_copied: the copy may have contained the later value.
     """
     if later.is_removal:
-        # The store reported a removal in its new epoch; a key missing from the copy has none.
+        # An explicit removal in the new epoch; a key that the copy merely lacks has no removal.
         return 0.0
     before, after = earlier.entry, later.entry
     if before is not None and after is not None and after.is_same_start(before):
