--- a/tinrudder/gateway/peers/__init__.py
+++ b/tinrudder/gateway/peers/__init__.py
@@ -1,4 +1,4 @@
-"""Other gateways: who they are, what they are told, and which zones can be reached.
+"""Communication with peer gateways: membership, state exchange and zone reachability.
 
-Owns the one UDP socket between gateways, the list of members, and the exchange of state.
+Owns the single UDP socket between gateways, the member list, and the exchange of state.
 """
--- a/tinrudder/gateway/peers/correlation_ids.py
+++ b/tinrudder/gateway/peers/correlation_ids.py
@@ -1,6 +1,6 @@
-"""Numbers that match answers to questions between gateways.
+"""Correlation IDs that match answers to requests between gateways.
 
-Owns nothing: each part that asks counts on from the number drawn here.
+Owns nothing: each component that sends requests counts up from the number returned here.
 """
 
 from __future__ import annotations
@@ -8,13 +8,15 @@
 import os
 
 FIRST_BYTES = 7
-"""A process begins below 2^56: room for 250 times as many questions before a number has 64 bits."""
+"""Bytes of the random start. It is below 2^56: that leaves room for 250 times as many requests
+before an ID exceeds 64 bits."""
 
 
 def first_number() -> int:
-    """Return where a process begins to count its questions, above all small numbers.
+    """Return the random number, at least 2, from which a process numbers its requests.
 
-    Drawn by the system, not by a seed: an answer to the process that had this address before, which
-    began elsewhere, must match nothing, since it proves nothing of the time since.
+    The operating system supplies the randomness, so that each process starts at another number and
+    a late answer to an earlier process at this address matches no request of this one. Such an
+    answer proves nothing about the time since that process ended.
     """
     return int.from_bytes(os.urandom(FIRST_BYTES)) + 2
--- a/tinrudder/gateway/peers/held_for_peers.py
+++ b/tinrudder/gateway/peers/held_for_peers.py
@@ -1,6 +1,6 @@
-"""Counts the bytes that a gateway holds for other gateways.
+"""Counts the bytes that a gateway buffers for its peers.
 
-Owns only the list of who holds some: the connections that it opened, and those that it accepted.
+Owns the list of buffer holders: the connections that it opened, and those that it accepted.
 """
 
 from __future__ import annotations
@@ -9,24 +9,24 @@
 
 
 class HoldsBytes(Protocol):
-    """Holds bytes for other gateways."""
+    """A component that buffers bytes for peers."""
 
     @property
     def held_bytes(self) -> int:
-        """Return how many bytes."""
+        """Return the number of buffered bytes."""
 
 
 class HeldForPeers:
-    """The sum over all who hold bytes for other gateways."""
+    """Sums the bytes that all registered components buffer for peers."""
 
     def __init__(self) -> None:
-        """Begin with nobody."""
+        """Start without any holder."""
         self._holders: list[HoldsBytes] = []
 
     def add(self, holder: HoldsBytes) -> None:
-        """Count what ``holder`` holds from now on."""
+        """Include ``holder`` in the total."""
         self._holders.append(holder)
 
     def total(self) -> int:
-        """Return the bytes of frames not taken by peers, and of their requests at work."""
+        """Return the bytes of frames that peers have not read and of their requests in progress."""
         return sum(holder.held_bytes for holder in self._holders)
--- a/tinrudder/gateway/peers/own_member.py
+++ b/tinrudder/gateway/peers/own_member.py
@@ -1,7 +1,6 @@
-"""How this gateway describes itself to other gateways.
+"""Describes this gateway to its peers.
 
-Owns nothing; relies on the lifecycle of the process, on what is known of the store, and on whether
-the store answers.
+Owns nothing; relies on the process lifecycle, the shared state, and the status of the store.
 """
 
 from __future__ import annotations
@@ -18,8 +17,8 @@
 class OwnMember(Struct, frozen=True):
     """This gateway as a member of the fleet.
 
-    :param address: where other gateways reach it.
-    :param capacity: how strong its machine is, in the unit of the settings.
+    :param address: the address at which peers reach it.
+    :param capacity: the capacity of its machine, in the unit of the settings.
     """
 
     address: Address
@@ -30,7 +29,7 @@
     store_status: StoreStatus
 
     def describe(self) -> Member:
-        """Return this gateway as others should see it now."""
+        """Return the current description of this gateway."""
         return Member(
             address=self.address,
             zone=self.zone,
--- a/tinrudder/gateway/peers/peer_datagrams.py
+++ b/tinrudder/gateway/peers/peer_datagrams.py
@@ -1,7 +1,7 @@
-"""The one UDP socket between gateways: every kind of datagram goes to the part that handles it.
+"""Sends and receives all datagrams between gateways, and dispatches each kind to its handler.
 
-Owns the socket, the table of handlers and the count of bytes sent; relies on the codec to tell
-what a datagram is, and on each part to register for its kind.
+Owns the UDP socket, the handler table and the traffic counters; relies on the codec to decode
+datagrams, and on each component to register a handler for its kind.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 
 LOG_PAUSE_S = 10.0
-"""Least time between two log lines of unreadable datagrams: who sends one sends many, and the
-counter tells how many."""
+"""Minimum seconds between two log lines about unreadable datagrams: a peer that sends one usually
+sends many, and the counter shows how many."""
 
 Kind = TypeVar("Kind", bound=PeerDatagram)
 
@@ -27,12 +27,12 @@
 class PeerDatagrams(asyncio.DatagramProtocol):
     """Sends and receives datagrams.
 
-    :ivar unreadable: how many were none.
-    :ivar traffic: what this gateway sends others, by datagram and otherwise.
+    :ivar unreadable: number of received datagrams that could not be decoded.
+    :ivar traffic: counts of what this gateway sends to peers, over UDP and TCP.
     """
 
     def __init__(self) -> None:
-        """Handle nothing yet."""
+        """Start without a socket and without handlers."""
         self.unreadable = 0
         self.traffic = PeerTraffic()
         self._handlers: dict[type[Any], Callable[[Any, Address], None]] = {}
@@ -42,28 +42,28 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether anything can be sent."""
+        """Return whether the socket is open."""
         return self._transport is not None
 
     def handle(self, kind: type[Kind], handler: Callable[[Kind, Address], None]) -> None:
-        """Give datagrams of one kind, and their senders, to ``handler``."""
+        """Pass each datagram of one kind, with its sender, to ``handler``."""
         self._handlers[kind] = handler
 
     async def open(self, own: Address) -> None:
-        """Listen.
+        """Bind the socket to this gateway's address.
 
-        :raises OSError: the address is taken.
+        :raises OSError: the address is in use.
         """
         await self._loop.create_datagram_endpoint(lambda: self, local_addr=(own.host, own.port))
 
     def close(self) -> None:
-        """Send and receive nothing more."""
+        """Close the socket."""
         if self._transport is not None:
             self._transport.close()
             self._transport = None
 
     def send(self, datagram: PeerDatagram, *peers: Address) -> None:
-        """Send one datagram to some peers; nothing tells whether it arrives."""
+        """Send one datagram to each peer, without confirmation of delivery."""
         if self._transport is None:
             return
         payload = encode_datagram(datagram)
@@ -72,11 +72,11 @@
             self._transport.sendto(payload, (peer.host, peer.port))
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the socket."""
+        """Store the transport of the open socket."""
         self._transport = cast(asyncio.DatagramTransport, transport)
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hand over what a peer sent."""
+        """Decode a datagram and pass it to the handler of its kind."""
         try:
             datagram = decode_datagram(data)
         except MalformedPeerMessageError as error:
@@ -87,7 +87,7 @@
             handler(datagram, Address(addr[0], addr[1]))
 
     def _note_unreadable(self, problem: str, addr: tuple[str, int]) -> None:
-        """Count what is no datagram, and log it at a bounded rate."""
+        """Count an unreadable datagram, and log it at a bounded rate."""
         self.unreadable += 1
         now = self._loop.time()
         if now - self._logged_at >= LOG_PAUSE_S:
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -1,8 +1,7 @@
-"""Tells other gateways by UDP how far this one's knowledge of the store goes, and hears theirs.
+"""Exchanges digests with peers over UDP, which state the store revisions that each gateway knows.
 
-Owns the rhythm of digests and the list of peers that start and wait to learn; relies on
-``SnapshotPulls`` to fetch what a digest promises, and on ``PeerService`` to answer those who fetch
-it here.
+Owns the digest schedule and the set of starting peers that wait for a digest; relies on
+``SnapshotPulls`` to fetch newer state from peers, and on ``PeerService`` to serve it to them.
 """
 
 from __future__ import annotations
@@ -23,28 +22,29 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 DIGEST_INTERVAL_S = 0.5
-"""Seconds between two digests: a change must be in force everywhere within seconds, and a gateway
-that hears no peer for 1.5 s, three digests, asks the store itself."""
+"""Seconds between two digests: a change must take effect everywhere within seconds, and a gateway
+that receives nothing from peers for 1.5 s, three digests, reads the store itself."""
 FIRST_DIGEST_INTERVAL_S = 0.2
-"""Seconds between two of the first digests: whoever has just started is to be known soon."""
+"""Seconds between digests after a start, so that peers learn of a new process quickly."""
 FIRST_DIGESTS = 15
-"""Digests sent at the shorter interval: for 3 s, as long as a start counts as settling."""
+"""Number of digests sent at the shorter interval: 3 s, as long as a process counts as settling."""
 IMPATIENT_INTERVAL_S = 0.03
-"""Seconds between two digests of a process that knows too little to serve: several round trips of a
-few milliseconds."""
+"""Seconds between two digests of a process whose state is still incomplete: several round trips of
+a few milliseconds."""
 IMPATIENT_DIGESTS = 10
-"""How often a process that knows too little to serve asks at first: seeds that start at the same
-time may not listen yet, and a round trip and their reading of the store take about as long."""
+"""Number of digests that a process with incomplete state sends at that interval: seeds that start
+at the same time may not listen yet, and a round trip plus their read of the store takes about as
+long as these digests."""
 INTRODUCTIONS = (2, 6)
-"""After which digests a process that has just started asks for all members: 0.2 s after it is
-complete, when seeds have heard of those that started with it, and 1 s, when processes on machines
-half as fast have started too."""
+"""Numbers of the digests after which a new process requests the full member list: 0.2 s after its
+state is complete, when seeds know the processes that started with it, and 1 s after, when
+processes on machines half as fast have started too."""
 INTERVAL_SPREAD = 0.2
-"""Part of an interval by which it differs by chance, so that gateways do not send all at once."""
+"""Jitter as a fraction of the interval, so that gateways do not all send at once."""
 
 
 class PeerExchange:
-    """Sends digests, takes those of peers, and starts and stops what serves peers."""
+    """Sends and processes digests, and starts and stops the service for peers."""
 
     def __init__(
         self,
@@ -57,7 +57,7 @@
         service: PeerService,
         random_source: random.Random,
     ) -> None:
-        """Tell peers of every change of ``state``."""
+        """Announce every change of ``state`` to peers."""
         self._own_member = own_member
         self._state = state
         self._peers = peers
@@ -74,16 +74,16 @@
         state.subscribe(self._on_state_change)
 
     async def start(self) -> None:
-        """Listen, and say that this gateway has started.
+        """Listen for peers and start to send digests.
 
-        :raises OSError: the address is taken.
+        :raises OSError: the address is in use.
         """
         await self._datagrams.open(self._own_member.address)
         await self._service.start(self._own_member.address)
         self._ticking = self._loop.create_task(self._tick())
 
     async def stop(self) -> None:
-        """Stop listening and close every connection once its answers have left."""
+        """Stop listening, and close every connection once its answers have been sent."""
         if self._ticking is not None:
             self._ticking.cancel()
         self._datagrams.close()
@@ -91,9 +91,9 @@
         await self._pulls.close()
 
     def send_digests(self, *, zone_only: bool = False) -> None:
-        """Tell peers how far this gateway's knowledge goes.
+        """Send a digest to some peers.
 
-        :param zone_only: only those in this gateway's zone, where there are few in all.
+        :param zone_only: in a small fleet, leave out peers in other zones.
         """
         if not self._datagrams.is_open:
             return
@@ -107,17 +107,17 @@
             self._datagrams.send(self._digest(elsewhere=True), *elsewhere)
 
     def tell(self, receivers: list[Address]) -> None:
-        """Tell some peers how far this gateway's knowledge goes, and nothing of others."""
+        """Send a digest without the member list to the given peers."""
         if self._datagrams.is_open and receivers:
             self._datagrams.send(self._digest(names_members=False), *receivers)
 
     def send_to_zone(self) -> None:
-        """Send a digest to everybody in the own zone, where bytes cost nothing."""
+        """Send a digest to all peers in the own zone, where traffic is free of charge."""
         zone = self._own_member.describe().zone
         self._datagrams.send(self._digest(), *self._peers.members_in(zone, self._loop.time()))
 
     def _on_digest(self, digest: Digest, _peer: Address) -> None:
-        """Take a peer's digest."""
+        """Apply a peer's digest to the member list, the zone paths and the pulls."""
         now = self._loop.time()
         self._peers.heard_from(digest.sender, now)
         self._zone_monitor.heard(digest)
@@ -130,16 +130,16 @@
         self._pulls.compare(digest, now)
 
     def _answer_starting(self) -> None:
-        """Send a digest to peers that know too little to serve, once there is enough here."""
+        """Send a digest to peers with incomplete state, once the state here is complete."""
         if not self._datagrams.is_open or not self._state.complete:
             return
         self._datagrams.send(self._digest(), *self._waiting_to_learn)
         self._waiting_to_learn.clear()
 
     def _digest(self, *, elsewhere: bool = False, names_members: bool = True) -> Digest:
-        """Return what this gateway knows.
+        """Return the current digest of this gateway.
 
-        :param elsewhere: for gateways in other zones.
+        :param elsewhere: the digest goes to other zones.
         """
         state = self._state
         now = self._loop.time()
@@ -155,27 +155,27 @@
         )
 
     def _positions(self) -> tuple[StoreRevision, ...]:
-        """Return how far this gateway's knowledge goes, as its digests tell it."""
+        """Return the store revisions that this gateway announces in its digests."""
         histories = (self._state.history(topic) for topic in Topic)
         return tuple(one for history in histories for one in (history.revision, history.older))
 
     def _unconfirmed_s(self, topic: Topic) -> float | None:
-        """Return the age of the store's last word on a topic, as far as known."""
+        """Return the seconds since the store last confirmed a topic; ``None`` if not known."""
         age_s = self._state.unconfirmed_s(topic)
         return age_s if age_s != float("inf") else None
 
     def _on_state_change(self) -> None:
-        """Tell peers of a change at once."""
+        """Send digests immediately if a store revision has changed."""
         self._answer_starting()
         if self._positions() != self._announced_positions:
             self.send_digests()
 
     async def _tick(self) -> None:
-        """Send digests regularly, not all gateways at the same time; more often at first."""
+        """Send digests at intervals with jitter, and more often after the start."""
         sent = 0
         impatient = 0
         while True:
-            # Peers in other zones hear every second one: bytes between zones are paid for.
+            # Peers in other zones get every second digest: traffic between zones is paid for.
             self.send_digests(zone_only=sent > FIRST_DIGESTS and sent % 2 == 1)
             if not self._state.complete and impatient < IMPATIENT_DIGESTS:
                 impatient += 1
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -1,11 +1,11 @@
-"""Which other gateways there are, as far as this one has heard.
+"""Membership of the fleet as this gateway knows it.
 
-Gateways tell each other in digests whom they know and how old that knowledge is.  The age, not a
-time of day, travels, so that clocks need not agree; it only grows, so a gateway that has gone is
-forgotten everywhere at about the same moment.
+Digests list known members with the age of that information.  Ages rather than timestamps are sent,
+so clocks need not agree.  An age only grows as it is passed on, so all gateways drop a member that
+has left at about the same time.
 
-Owns the members, the seeds and when each was last heard of; relies on the exchange of digests to
-tell it.
+Owns the members, the seeds and the time of each member's latest message; relies on the exchange of
+digests for updates.
 """
 
 from __future__ import annotations
@@ -19,49 +19,51 @@
 from tinrudder.gateway.peers.peer_messages import Member, ReportedMember
 
 ALL_PEERS_UP_TO = 16
-"""Peers up to which a digest goes to all of them; of more, only some are drawn: a digest is a few
-hundred bytes, so that sixteen cost what a few requests do."""
+"""Number of peers up to which a digest goes to all of them; beyond it, to a random sample. A digest
+is a few hundred bytes, so sixteen cost as much as a few requests."""
 RANDOM_PEERS = 3
-"""Peers to which a digest goes in a large fleet: the number that know a change multiplies by four
-at each round of digests."""
+"""Number of peers that get a digest in a large fleet: the number of gateways that know a change
+multiplies by four in each round of digests."""
 RANDOM_PEERS_ELSEWHERE = 1
-"""How many of the random peers are of other zones, between which bytes are paid for."""
+"""How many of these random peers are in other zones, since traffic between zones is paid for."""
 COUNTED_FOR_S = 30.0
-"""Seconds after its latest word for which a peer counts as one of those that share budgets: long,
-since too low a count makes every gateway take too large a part."""
+"""Seconds after its latest message for which a peer counts as a sharer of fleet-wide budgets. The
+time is long because too low a count makes every gateway take too large a share."""
 CANDIDATE_FOR_S = 15.0
-"""Seconds after its latest word for which a peer may be asked to do something for others: shorter
-than it counts, since whoever asks one that is gone loses time."""
+"""Seconds after its latest message for which a peer may be asked to coordinate: shorter than
+``COUNTED_FOR_S``, since a request to a peer that is gone loses time."""
 FORGOTTEN_AFTER_S = 90.0
-"""Seconds after which a silent peer is dropped, unless it is a seed: three times as long as it
-counts, so that digests still go to a peer that comes back after a cut."""
+"""Seconds after which a silent peer is dropped, unless it is a seed: three times
+``COUNTED_FOR_S``, so that digests still reach a peer that returns after a network partition."""
 TOLD_PEERS = 7
-"""Members named in a digest of a large fleet: drawn anew each time, so that all are named within as
-many digests as the fleet has sevenths."""
+"""Number of members listed in a digest of a large fleet: a new random sample each time, so that
+listing the whole fleet takes as many digests as it has groups of seven members."""
 TOLD_PEERS_OF_FEW = 2
-"""Where everybody hears everybody, others are named only for those who have just started."""
+"""The same in a small fleet: there all gateways hear each other directly, and the list serves only
+processes that have just started."""
 TOLD_PEERS_ELSEWHERE = 2
-"""Bytes between zones are paid for, and whoever hears it tells its own zone: of 12 MB between four
-zones on a calm day of 74 gateways, digests that named seven members were 3.5."""
+"""The same in a digest to another zone: traffic between zones is paid for, and the receiver passes
+the list on in its own zone. With seven members listed, digests made up 3.5 MB of the 12 MB sent
+between four zones on a day without incidents in a fleet of 74 gateways."""
 SETTLE_S = 3.0
-"""Seconds after its start for which a process does not trust its count of the others: as long as it
+"""Seconds after its start for which a process does not trust its count of peers: as long as it
 sends its first digests at the shorter interval."""
 ASSUMED_AT_START = 10
-"""Gateways that a process assumes until then, itself included: if all start at once, each takes at
-most a tenth of what they share."""
+"""Minimum fleet size, itself included, that a process assumes while it settles: if all gateways
+start at once, each takes at most a tenth of a shared budget."""
 
 
 class _Known(Struct, frozen=True):
-    """A peer and the monotonic time of its own latest word, as far as known here."""
+    """A peer and the monotonic time of its latest message, as far as known here."""
 
     member: Member
     heard_at: float
 
 
 class PeerList:
-    """Peers with the time of each one's latest word.
+    """Peers with the time of each one's latest message.
 
-    Seeds are kept although they may be stale: after a cut they are the way back.
+    Seeds are kept even if they may be stale: after a partition, the fleet rejoins through them.
     """
 
     def __init__(
@@ -71,7 +73,7 @@
         started_at: float,
         own_zone: str = "",
     ) -> None:
-        """Start with nobody but ``own``; ``started_at`` is when this process began."""
+        """Start without peers; ``own`` is this gateway, ``started_at`` the start of the process."""
         self._own = own
         self.own_zone = own_zone
         self._settled_at = started_at + SETTLE_S
@@ -82,7 +84,7 @@
 
     @property
     def heard_of_in_all(self) -> int:
-        """Return how many peers have been heard of lately or long ago."""
+        """Return the number of known peers, silent ones included."""
         return len(self._known)
 
     def set_seeds(self, seeds: Iterable[Address]) -> None:
@@ -90,13 +92,13 @@
         self._seeds = {seed for seed in seeds if seed != self._own}
 
     def heard_from(self, member: Member, now: float) -> None:
-        """Note a message of a peer's own."""
+        """Record a message that came from the peer itself."""
         if member.address != self._own:
             self._known[member.address] = _Known(member, now)
             self._last_message_at = now
 
     def heard_of(self, told: Iterable[ReportedMember], now: float) -> None:
-        """Note what another peer knows, where it is newer than what is known here."""
+        """Merge members reported by a peer, where its information is newer."""
         for one in told:
             address = one.member.address
             heard_at = now - max(0.0, one.age_s)
@@ -105,18 +107,18 @@
                 self._known[address] = _Known(one.member, heard_at)
 
     def nodes(self, now: float) -> int:
-        """Return how many gateways there seem to be, this one included.
+        """Return the estimated number of gateways, this one included.
 
-        A peer counts for long after it falls silent: too low a number would make every gateway
-        take too large a part of what they share.  For the same reason a process that has just
-        started, perhaps together with all others, assumes some that it has not heard yet.
+        A peer counts for a long time after it falls silent: too low a number would make every
+        gateway take too large a share of common budgets.  For the same reason a process that has
+        just started, perhaps together with the whole fleet, assumes a minimum fleet size.
         """
         horizon = now - COUNTED_FOR_S
         heard = 1 + sum(1 for known in self._known.values() if known.heard_at >= horizon)
         return max(heard, ASSUMED_AT_START) if self.is_settling(now) else heard
 
     def candidates(self, now: float) -> list[Member]:
-        """Return the peers that may be asked to coordinate, by address."""
+        """Return the peers that may be asked to coordinate, sorted by address."""
         horizon = now - CANDIDATE_FOR_S
         members = (
             known.member
@@ -126,12 +128,12 @@
         return sorted(members, key=lambda member: str(member.address))
 
     def zones(self, now: float) -> list[str]:
-        """Return the zone of each peer that counts."""
+        """Return the zone of each counted peer."""
         horizon = now - COUNTED_FOR_S
         return [one.member.zone for one in self._known.values() if one.heard_at >= horizon]
 
     def members_in(self, zone: str, now: float) -> list[Address]:
-        """Return the addresses of the peers of a zone that count."""
+        """Return the addresses of the counted peers in a zone."""
         horizon = now - COUNTED_FOR_S
         return [
             address
@@ -140,29 +142,29 @@
         ]
 
     def everybody(self, now: float, most: int) -> list[Address]:
-        """Return the addresses of all peers that count, drawn by chance where they are too many."""
+        """Return the addresses of all counted peers, or a random sample of ``most`` of them."""
         horizon = now - COUNTED_FOR_S
         counted = [address for address, known in self._known.items() if known.heard_at >= horizon]
         return self._random.sample(counted, most) if len(counted) > most else counted
 
     def zone_of(self, address: Address) -> str | None:
-        """Return the zone of a peer, ``None`` if it is not known."""
+        """Return the zone of a peer; ``None`` if the peer is unknown."""
         known = self._known.get(address)
         return known.member.zone if known is not None else None
 
     @property
     def has_peers(self) -> bool:
-        """Tell whether any peer was heard from lately."""
+        """Return whether a message from any peer has arrived recently."""
         return self._last_message_at is not None
 
     def silent_s(self, now: float) -> float:
-        """Return how long no peer was heard from."""
+        """Return the seconds since the latest message from any peer."""
         return now - self._last_message_at if self._last_message_at is not None else float("inf")
 
     def receivers(self, now: float, *, zone_only: bool = False) -> list[Address]:
         """Return the peers that the next digest goes to.
 
-        :param zone_only: leave out peers in other zones, where there are few in all.
+        :param zone_only: in a small fleet, leave out peers in other zones.
         """
         self._forget(now)
         everybody = sorted(self._seeds | self._known.keys(), key=str)
@@ -176,7 +178,7 @@
         return drawn + self._random.sample(elsewhere, RANDOM_PEERS - few_beside)
 
     def to_tell(self, now: float, *, elsewhere: bool = False) -> tuple[ReportedMember, ...]:
-        """Return some peers to name in a digest, drawn anew each time.
+        """Return a new random sample of members to list in a digest.
 
         :param elsewhere: the digest goes to another zone.
         """
@@ -190,7 +192,7 @@
         return tuple(ReportedMember(known.member, now - known.heard_at) for known in drawn)
 
     def all_told(self, now: float) -> tuple[ReportedMember, ...]:
-        """Return every peer that counts, for one that has just started."""
+        """Return all counted peers, for a gateway that has just started."""
         horizon = now - COUNTED_FOR_S
         return tuple(
             ReportedMember(known.member, now - known.heard_at)
@@ -199,24 +201,24 @@
         )
 
     def is_settling(self, now: float) -> bool:
-        """Tell whether this process has just started, perhaps together with all others."""
+        """Return whether this process has just started and may not know its peers yet."""
         return now < self._settled_at
 
     def teacher(self, *, seeds_only: bool) -> Address | None:
-        """Draw a peer to learn from; ``None`` where nobody is known.
+        """Return a random peer to request state from; ``None`` if no peer is known.
 
-        :param seeds_only: only one whom all others tell of themselves at their start.
+        :param seeds_only: only seeds, which every gateway contacts when it starts.
         """
         known = self._seeds if seeds_only else self._seeds | self._known.keys()
         return self._random.choice(sorted(known, key=str)) if known else None
 
     def is_elsewhere(self, address: Address) -> bool:
-        """Tell whether a peer is known to be in another zone."""
+        """Return whether a peer is known to be in another zone."""
         known = self._known.get(address)
         return known is not None and known.member.zone != self.own_zone
 
     def _forget(self, now: float) -> None:
-        """Drop peers that were silent for long."""
+        """Drop peers that have been silent for ``FORGOTTEN_AFTER_S``."""
         horizon = now - FORGOTTEN_AFTER_S
         for address in [a for a, known in self._known.items() if known.heard_at < horizon]:
             del self._known[address]
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -1,6 +1,6 @@
-"""What gateways tell each other.
+"""Messages between gateways.
 
-Owns nothing: values only.  The codecs in ``wire`` turn them into bytes and back.
+Values only.  The codecs in ``wire`` encode and decode them.
 """
 
 from __future__ import annotations
@@ -19,12 +19,12 @@
 
 
 class Member(Struct, frozen=True):
-    """One gateway, as it describes itself.
+    """A gateway's description of itself.
 
     :param capacity: processor cores.
-    :param leaving: it has been told to stop.
-    :param starting: it knows too little to serve.
-    :param without_store: the store does not answer it.
+    :param leaving: it has been asked to stop.
+    :param starting: its state is not complete enough to serve.
+    :param without_store: it gets no answers from the store.
     """
 
     address: Address
@@ -36,30 +36,32 @@
 
     @property
     def serves_others(self) -> bool:
-        """Tell whether it may be asked to coordinate."""
+        """Return whether it may be asked to coordinate."""
         return not self.leaving and not self.starting
 
 
 class ReportedMember(Struct, frozen=True):
-    """A member as another gateway knows it; ``age_s`` is how old that knowledge is, seconds."""
+    """A member as another gateway knows it; ``age_s`` is the age of that information, seconds."""
 
     member: Member
     age_s: float
 
 
 class Digest(Struct, frozen=True):
-    """How far a gateway's knowledge of the store goes; sent by datagram.
+    """A summary of the store revisions that a gateway knows; sent as a datagram.
 
-    :param operator: how far the sender knows what the operator asks for: the configuration,
-        evacuations of zones, and ends of these.
-    :param backends: how far it knows the list of back ends.
+    :param operator: the sender's position in the operator's settings: the configuration, and the
+        starts and ends of zone evacuations.
+    :param backends: the sender's position in the list of back ends.
     :param members: some other gateways.
-    :param operator_unconfirmed_s: how long ago the store said, to the sender or to somebody whom
-        it heard, that nothing newer was there; ``None``: never.
+    :param operator_unconfirmed_s: seconds since the store confirmed, to the sender or to a peer
+        that passed it on, that it had nothing newer; ``None``: never.
     :param backends_unconfirmed_s: the same for the list of back ends.
-    :param silent_zones: zones from which the sender hears nothing any more.
-    :param configuration_version: of the configuration in force; 0: none, or the sender's software
-        is too old to say.  It orders configurations where a store that lost history does not.
+    :param silent_zones: zones that the sender suspects or considers unreachable by its own
+        observation.
+    :param configuration_version: version of the configuration in force; 0: none, or the sender's
+        software is too old to send it.  It orders configurations after the store has lost history,
+        when revisions no longer do.
     """
 
     sender: Member
@@ -73,9 +75,9 @@
 
 
 class Probe(Struct, frozen=True):
-    """Asks whether a peer hears, and how far its knowledge of the operator's word reaches.
+    """Asks whether a peer is reachable, and which revision of the operator's settings it knows.
 
-    :param number: echoed in the answer; no two probes of a process share one.
+    :param number: echoed in the answer; unique among the probes of a process.
     """
 
     number: int
@@ -84,8 +86,8 @@
 class ProbeAnswer(Struct, frozen=True):
     """Answers a probe.
 
-    :param knowledge_age_s: how old the answerer's knowledge was when it answered; ``None``: it
-        was never proven.
+    :param knowledge_age_s: age of the sender's knowledge when it answered; ``None``: it was never
+        confirmed.
     """
 
     number: int
@@ -94,11 +96,11 @@
 
 
 class QuotaReport(Struct, frozen=True):
-    """Tells a tenant's quota home of requests.
+    """Reports a tenant's requests to the gateway that is the tenant's quota home.
 
-    :param admitted: how many the entry has let run without asking, less those that never ran.
-    :param asks: whether one more may run is wanted to know.
-    :param held: what a home said lately; ``None``: nothing.
+    :param admitted: requests that the entry admitted without asking, less those that never ran.
+    :param asks: the entry asks whether it may admit one more request.
+    :param held: the bucket level that a home reported recently; ``None``: none did.
     """
 
     number: int
@@ -109,12 +111,13 @@
 
 
 class QuotaVerdict(Struct, frozen=True):
-    """A quota home's answer to a report; by number 0, its word to everybody.
+    """A quota home's answer to a report; with number 0, a broadcast to all entries.
 
-    :param granted: whether the request asked for may run.
-    :param wait_s: when the tenant may ask again, if not.
-    :param pressed_s: for how long entries must ask first; 0: they need not.
-    :param tokens: what the bucket holds; ``None``: the home knows no limit of the tenant's.
+    :param granted: whether the request that the entry asked for may run.
+    :param wait_s: seconds after which the tenant may ask again, if it may not.
+    :param pressed_s: seconds for which entries must ask before they admit a request; 0: they need
+        not ask.
+    :param tokens: tokens in the bucket; ``None``: the home knows no limit for the tenant.
     """
 
     number: int
@@ -135,11 +138,11 @@
 
 
 class ReportedEvidence(Struct, frozen=True):
-    """What a gateway knows of one request that may be poison; see :class:`Evidence`.
+    """A gateway's evidence about one request that may be poison; see :class:`Evidence`.
 
-    :param cleared: how often what was held against it has been dropped.
-    :param cleared_age_s: how long ago that was last; ``None``: never.
-    :param trial_age_s: how long ago a trial began; ``None``: never.
+    :param cleared: how often the evidence against the request has been dropped.
+    :param cleared_age_s: seconds since it was last dropped; ``None``: never.
+    :param trial_age_s: seconds since a trial began; ``None``: never.
     """
 
     fingerprint: bytes
@@ -151,9 +154,9 @@
 
 
 class PoisonReport(Struct, frozen=True):
-    """Tells peers of requests that may be poison.
+    """Reports requests that may be poison to peers.
 
-    :param asks: the sender wants to be told everything: it has just started, or stood still.
+    :param asks: the sender requests all evidence, after a start or a pause of its process.
     """
 
     evidence: tuple[ReportedEvidence, ...] = ()
@@ -161,7 +164,7 @@
 
 
 class LoadNews(Struct, frozen=True):
-    """Tells peers of back ends whose queues are long."""
+    """Reports back ends with long queues to peers."""
 
     loads: tuple[ReportedLoad, ...]
 
@@ -170,10 +173,10 @@
 
 
 class SnapshotRequest(Struct, frozen=True):
-    """Asks for what a peer knows beyond these positions.
+    """Requests a peer's state beyond these positions.
 
     :param configuration_version: see :class:`Digest`.
-    :param members_wanted: the asker has just started and knows few other gateways.
+    :param members_wanted: the requester has just started and knows few other gateways.
     """
 
     operator: TopicPosition
@@ -185,15 +188,16 @@
 class Snapshot(Struct, frozen=True):
     """A gateway's state.
 
-    :param backends_read: the sender has had a complete list of back ends.
-    :param changes_only: only back ends' changes since the asker's position.
-    :param operator_position: how far the sender knows what the operator asks for; ``None``: its
-        software is too old to say.
+    :param backends_read: the sender has received a complete list of back ends.
+    :param changes_only: ``backends`` holds only changes since the requester's position.
+    :param operator_position: the sender's position in the operator's settings; ``None``: its
+        software is too old to send it.
     :param backends_position: the same for back ends.
-    :param members: all gateways that the sender counts, itself included, where asked for.
-    :param evacuations: of zones, and ends of these, that are newer than what the asker knows.
-    :param knowledge_age_s: how old the sender's knowledge of the operator's word was when it
-        answered; ``None``: it was never proven.
+    :param members: all gateways that the sender counts, itself included, if requested.
+    :param evacuations: starts and ends of zone evacuations that are newer than the requester's
+        position.
+    :param knowledge_age_s: age of the sender's knowledge of the operator's settings when it
+        answered; ``None``: it was never confirmed.
     """
 
     configuration: StoredValue | None
@@ -210,16 +214,17 @@
 class ScatterRequest(Struct, frozen=True):
     """Asks a coordinator to run a client's scatter.
 
-    Times are what is left when this is sent, since clocks of two machines have nothing in common.
+    Times are durations left at the moment of sending, since the clocks of two machines may differ.
 
-    :param objective_left_s: may be negative: the objective has passed.
+    :param objective_left_s: negative if the objective has passed.
     :param returning: the client has been waiting since an earlier attempt.
-    :param configuration_revision: the entry's, within the store's epoch; for coordinators of older
-        software, which go by it.
-    :param configuration_version: the entry's; an older configuration must not answer.
-    :param shards: only these shards of the route are asked for; empty: all of them.
-    :param minimum_share: the least share of ``shards`` that is of use.
-    :param priority: 0 is the most urgent; the tenant's if it has one, else the route's.
+    :param configuration_revision: the entry's revision within the store's epoch, for coordinators
+        with older software, which compare it.
+    :param configuration_version: the entry's version; the request must not be answered from an
+        older configuration.
+    :param shards: the shards of the route to query; empty: all of them.
+    :param minimum_share: the smallest share of ``shards`` that makes a useful answer.
+    :param priority: 0 is the most urgent; the tenant's priority if it has one, else the route's.
     """
 
     request: HttpRequest
@@ -248,9 +253,10 @@
 class ScatterEnd:
     """How a coordinated scatter ended.
 
-    :param configuration_version: of the configuration that answered.
-    :param repeats: calls beyond the first of each shard.
-    :param elapsed_s: how long the answering gateway had the request until it decided to answer.
+    :param configuration_version: version of the configuration used for the answer.
+    :param repeats: calls beyond the first one to each shard.
+    :param elapsed_s: seconds from when the answering gateway received the request until it decided
+        on the answer.
     """
 
     outcome: RequestOutcome
@@ -262,7 +268,8 @@
 
 @dataclass(frozen=True, slots=True)
 class Declined:
-    """The coordinator sent nothing and never will; the entry may ask another or run it itself."""
+    """The coordinator sent no calls for the scatter and will send none; the entry may ask another
+    coordinator or run the scatter itself."""
 
     detail: str
 
--- a/tinrudder/gateway/peers/peer_service.py
+++ b/tinrudder/gateway/peers/peer_service.py
@@ -1,7 +1,7 @@
-"""Answers the requests of other gateways by TCP: snapshots of what is known, and scatters.
+"""Serves requests of peers over TCP: state snapshots and scatters.
 
 Owns the listening socket for peers and the connections that it accepts; relies on the shared state
-for snapshots, and on whoever runs scatters for their answers.
+for snapshots, and on a callback that runs scatters.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 class PeerService:
-    """Serves other gateways from when it is started until it is closed."""
+    """Serves peers from its start until it is closed."""
 
     def __init__(
         self,
@@ -57,20 +57,20 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return the bytes held for peers that ask."""
+        """Return the bytes buffered for the peers that connected here."""
         return self._connections.held_bytes
 
     async def start(self, address: Address) -> None:
-        """Listen.
+        """Start to listen for connections.
 
-        :raises OSError: the address is taken.
+        :raises OSError: the address is in use.
         """
         self._listener = await asyncio.start_server(
             self._connections.serve, address.host, address.port
         )
 
     async def close(self) -> None:
-        """Stop listening, and close every connection once its answers have left."""
+        """Stop listening, and close every connection once its answers have been sent."""
         if self._listener is not None:
             self._listener.close()
         await self._connections.close()
@@ -78,7 +78,7 @@
     async def _serve(self, _peer: Address, asked: bytes) -> bytes:
         """Answer one request of a peer.
 
-        :raises MalformedPeerMessageError: it is none.
+        :raises MalformedPeerMessageError: the bytes are not a valid request.
         """
         request = decode_request(asked)
         answer: ScatterAnswer | Snapshot
@@ -92,7 +92,7 @@
         return payload
 
     def _snapshot(self, request: SnapshotRequest) -> Snapshot:
-        """Return what an asker may not know, and who else there is if it wants to know that."""
+        """Return the state that the requester may lack, with all members if it wants them."""
         told_age_s = self._staleness_bound.told_age_s
         snapshot = snapshot_for(self._state, request, told_age_s)
         if not request.members_wanted:
--- a/tinrudder/gateway/peers/peer_traffic.py
+++ b/tinrudder/gateway/peers/peer_traffic.py
@@ -1,8 +1,8 @@
-"""What a gateway sends other gateways, by kind of message.
+"""Counts the messages and bytes that a gateway sends to peers, by message type.
 
-Bytes between zones are paid for, and a kind that grows by itself shows here first.
+Traffic between zones is paid for, and a message type that is sent ever more often shows here first.
 
-Owns the counts; relies on whoever sends to note it.
+Owns the counters; relies on each sender to call ``note``.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 class PeerTraffic(Struct):
-    """Counts since the start of the process, by the name of a message's type.
+    """Counters since the start of the process, keyed by the name of the message type.
 
     >>> traffic = PeerTraffic()
     >>> traffic.note("text", size=100, copies=3)
@@ -25,10 +25,10 @@
     bytes: Counter[str] = field(default_factory=Counter)
 
     def note(self, message: object, size: int, copies: int = 1) -> None:
-        """Count a message that is sent.
+        """Count a sent message.
 
-        :param size: its bytes, without those of the protocols below.
-        :param copies: to how many gateways.
+        :param size: payload bytes, without the headers of lower protocol layers.
+        :param copies: number of gateways that it is sent to.
         """
         kind = type(message).__name__
         self.messages[kind] += copies
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -1,11 +1,11 @@
-"""Keeps what is known of poison requests, and tells other gateways of it.
+"""Keeps the evidence against poison requests, and replicates it to peers.
 
-News goes to every gateway at once, in a large fleet by way of others.  What one of them missed,
-since it was cut off, stood still or had not started yet, it hears within a second or two, by the
-reports that repeat.
+A change is sent to every gateway at once; in a large fleet, receivers forward it.  A gateway that
+missed a change, because it was partitioned, paused or not started yet, gets it within a second or
+two from the reports that are repeated.
 
-Owns the evidence of this gateway and the budgets of the datagrams that tell of it; relies on the
-rule of poison requests to judge, and on the calls to report what was lost under them.
+Owns this gateway's evidence and the send budgets of its reports; relies on the rule for poison
+requests to judge, and on the calls to report lost back ends.
 """
 
 from __future__ import annotations
@@ -39,38 +39,41 @@
 from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
 GATHER_S = 0.05
-"""How long news waits where no trial has failed: when a rack or all connections are lost, most
-requests are answered by other back ends within this time, so that nothing need be told of them."""
+"""Seconds for which a change is held back unless a trial has failed: when a rack or all connections
+are lost, other back ends answer most requests within this time, and these need no report."""
 TOLD_DIRECTLY = 64
-"""How many peers hear news from the gateway that has it: 11 KB of datagrams at once."""
+"""Number of peers to which a gateway sends its own changes: 11 KB of datagrams at once."""
 PASSED_TO = 8
-"""How many peers each of those that hear news first passes it to: 730 gateways have it after three
-hops, for 1.4 KB that each of them sends."""
+"""Number of peers to which each receiver forwards a change that is new to it: it reaches 730
+gateways in three hops, and each of them sends 1.4 KB."""
 REPEAT_S = 1.0
-"""How often some evidence is told again to some peers, for those that missed it."""
+"""Maximum seconds between two repeats of some evidence to some peers, for those that missed it."""
 MOST_IN_A_REPORT = 6
-"""Evidence in one datagram: 200 bytes each at most, and 1,200 pass every network whole."""
+"""Maximum items of evidence in one datagram: each has 200 bytes at most, and 1,200 bytes pass every
+network without fragmentation."""
 MOST_DATAGRAMS_AT_ONCE = 192
-"""Of reports, by one gateway: three pieces of news to all whom it tells directly.  As many again
-may go to those who ask."""
+"""Burst of report datagrams that one gateway may send: three changes to all ``TOLD_DIRECTLY``
+peers.  Answers to peers that request all evidence have a budget of the same size."""
 MOST_DATAGRAMS_A_SECOND = 24.0
-"""Of reports, by one gateway, after those: 5 KB a second at 200 bytes, below what a weak machine's
-link of 7 Mbit/s and its processor notice.  What is over it is left to the reports that repeat."""
+"""Report datagrams per second that one gateway may send after the burst: 5 KB/s at 200 bytes each,
+a negligible load for a weak machine with a link of 7 Mbit/s.  The repeated reports make up for
+those that exceed the budget."""
 ASK_S = 0.2
-"""Time between two questions of a process that has just started."""
+"""Seconds between two requests for all evidence by a process that has just started."""
 FIRST_ASKS = 10
-"""How often such a process asks for what others know: seeds that start at the same time have it as
-little, and need 2 s at most to listen."""
+"""Maximum number of such requests: seeds that start at the same time have no evidence either, and
+need up to 2 s to listen."""
 STOOD_STILL_S = 0.5
-"""Who wakes this much late has missed what was told meanwhile, and asks."""
+"""Seconds by which a timer must be late for the process to assume that it was paused and missed
+reports; it then requests all evidence."""
 
 
 class PoisonWatch:
-    """What a gateway's requests ask before they send calls, and tell after calls were lost.
+    """Judges requests before they are run, and records crashes of back ends that ran them.
 
     :ivar requests: the evidence.
-    :ivar refused: how many requests were refused since they were barred.
-    :ivar unsent: how many datagrams the bound on them kept back.
+    :ivar refused: number of requests refused because they were barred.
+    :ivar unsent: number of datagrams that were not sent because a send budget was used up.
     """
 
     def __init__(
@@ -82,15 +85,15 @@
         random_source: random.Random,
         starts_known_at: Callable[[], float] = lambda: math.inf,
     ) -> None:
-        """Tell ``peers`` whatever is found here.
+        """Replicate evidence to ``peers``.
 
-        :param starts_known_at: tells up to when all entries of back ends are known.
+        :param starts_known_at: returns the time up to which all entries of back ends are known.
         """
         self.requests = PoisonRequests()
         self.refused = 0
         self.unsent = 0
         self._budget = SendBudget(MOST_DATAGRAMS_AT_ONCE, MOST_DATAGRAMS_A_SECOND)
-        # All that is known takes up to 171 datagrams: who asks for it must not keep news back.
+        # All evidence takes up to 171 datagrams: a request for it must not delay new changes.
         self._answer_budget = SendBudget(MOST_DATAGRAMS_AT_ONCE, MOST_DATAGRAMS_A_SECOND)
         self._peers = peers
         self._datagrams = datagrams
@@ -100,34 +103,34 @@
         self._random = random_source
         self._news: set[bytes] = set()
         self._passing: set[bytes] = set()
-        # Requests of which no other gateway has heard, as far as is known here.
+        # Requests that have not been reported to or by any other gateway.
         self._untold: set[bytes] = set()
         self._telling: asyncio.TimerHandle | None = None
-        # Until then, that nothing is known here says nothing of the others.
+        # While this is false, empty evidence here does not mean that peers have none.
         self._told_everything = False
         datagrams.handle(PoisonReport, self._on_report)
 
     @property
     def is_calm(self) -> bool:
-        """Tell whether nothing is held against any request: then none need be judged."""
+        """Return whether there is no evidence, so that no request needs to be judged."""
         return self.requests.is_empty
 
     def barred(self) -> int:
-        """Return how many different requests are barred now."""
+        """Return the number of different requests that are barred now."""
         return self.requests.barred(self._clock())
 
     def alerts(self) -> int:
-        """Return for how many routes and callers all requests begin as canaries now."""
+        """Return the number of routes and callers whose requests all start as canaries now."""
         return self.requests.alerts(self._clock())
 
     def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
-        """Decide what may be done with a request now."""
+        """Return whether a request may run now, and under which restrictions."""
         return self.requests.judge(fingerprint, origin, self._clock())
 
     def refusal(self, route: Route, request: HttpRequest) -> NotRun | None:
-        """Return why a request may not run, if so: it is refused at once, and has not run.
+        """Return the refusal of a barred request; ``None`` if the request may run.
 
-        It may be asked again when its next trial is allowed; before, no gateway will send it.
+        The client may retry once the next trial is allowed; until then no gateway runs the request.
         """
         if self.is_calm:
             return None
@@ -140,9 +143,9 @@
         return NotRun(detail, judgement.barred_s)
 
     def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
-        """Hold a back end that was lost against the request that it ran.
+        """Record a back end that was lost while it ran a request.
 
-        :param life: names the start of the back end.
+        :param life: identifies the instance of the back end by its start.
         """
         now = self._clock()
         backend = crc32(life.encode())
@@ -160,33 +163,36 @@
             log_event("request_barred", fields)
         self._news.add(fingerprint)
         if trial:
-            # Before the answer leaves: the client's next try is on its way a moment later.
+            # Sent before the answer: the client may retry at another gateway a moment later.
             self._tell_news()
         else:
             self._tell_within(GATHER_S)
 
     def note_answer(self, fingerprint: bytes) -> None:
-        """Clear a request that a back end has answered."""
+        """Clear a request that a back end answered."""
         if not self.requests.note_answer(fingerprint, self._clock()):
             return
         log_event("request_cleared", {"fingerprint": fingerprint.hex()})
         self._tell_dropped(fingerprint)
 
     def note_survivor(self, fingerprint: bytes, life: str) -> None:
-        """Hold a back end no longer against a request: it has not crashed after all."""
+        """Drop a crash from the evidence against a request: the back end did not crash."""
         if not self.requests.note_survivor(fingerprint, crc32(life.encode())):
             return
         log_event("back_end_survived", {"fingerprint": fingerprint.hex(), "backend": life})
         self._tell_dropped(fingerprint)
 
     def note_alive(self, life: str, sent_at: float) -> None:
-        """Hold a back end no longer against requests after which it still answers."""
+        """Drop a back end's crash from the requests for which its answer disproves the crash.
+
+        :param sent_at: when the call was sent that the back end has answered.
+        """
         known_at = self._starts_known_at()
         for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at, known_at):
             self.note_survivor(fingerprint, life)
 
     def _tell_dropped(self, fingerprint: bytes) -> None:
-        """Tell others that something is held against a request no longer, if they know of it."""
+        """Report dropped evidence to peers, unless they were never told of the request."""
         evidence = self.requests.find(fingerprint)
         if fingerprint not in self._untold:
             self._news.add(fingerprint)
@@ -195,20 +201,20 @@
             self._news.discard(fingerprint)
 
     def begin_trial(self, fingerprint: bytes) -> None:
-        """Keep other gateways from a trial while one begins here."""
+        """Announce a trial that begins here, so that no other gateway begins one."""
         if self.requests.begin_trial(fingerprint, self._clock()):
             log_event("request_on_trial", {"fingerprint": fingerprint.hex()})
             self._news.add(fingerprint)
             self._tell_news()
 
     async def run(self) -> None:
-        """Ask for what others know, then repeat what is known here, until cancelled."""
+        """Request all evidence from peers, then repeat the own evidence until cancelled."""
         for _ in range(FIRST_ASKS):
             if self._told_everything:
                 break
             self._ask()
             await asyncio.sleep(ASK_S)
-        # Who started with all others finds nobody who knows anything, and can say so from now on.
+        # If the whole fleet started together, no peer has evidence, and this one may answer so.
         self._told_everything = True
         while True:
             due_at = self._clock() + REPEAT_S
@@ -220,12 +226,12 @@
             self._repeat()
 
     def _ask(self) -> None:
-        """Ask some peers for everything."""
+        """Request all evidence from some peers."""
         peers = self._peers.receivers(self._clock())
         self._datagrams.send(PoisonReport(asks=True), *peers)
 
     def _repeat(self) -> None:
-        """Tell some peers of some requests again."""
+        """Send a random sample of the evidence to some peers again."""
         known = self.requests.all()
         if not known:
             return
@@ -234,7 +240,7 @@
         self._send([one for one, _ in drawn], peers, self._budget)
 
     def _tell_within(self, seconds: float) -> None:
-        """Tell what has changed after some time at most, with what else changes meanwhile."""
+        """Schedule the pending changes to be sent together within ``seconds``."""
         loop = asyncio.get_running_loop()
         due_at = loop.time() + seconds
         if self._telling is not None:
@@ -244,7 +250,7 @@
         self._telling = loop.call_at(due_at, self._tell_news)
 
     def _tell_news(self) -> None:
-        """Tell every gateway what has changed here, and some what was heard for the first time."""
+        """Send own changes to all peers, and forward changes of others to some."""
         if self._telling is not None:
             self._telling.cancel()
             self._telling = None
@@ -258,7 +264,7 @@
     def _send(
         self, fingerprints: Iterable[bytes], peers: list[Address], budget: SendBudget
     ) -> None:
-        """Send evidence in as many reports as it takes, as far as the budget goes."""
+        """Send evidence in as many reports as needed, within the budget."""
         found = ((one, self.requests.find(one)) for one in fingerprints)
         told = [self._told(one, evidence) for one, evidence in found if evidence is not None]
         self._untold.difference_update(one.fingerprint for one in told)
@@ -269,7 +275,7 @@
             self._datagrams.send(report, *peers[:allowed])
 
     def _on_report(self, report: PoisonReport, sender: Address) -> None:
-        """Take what another gateway knows, and tell it what it asks for."""
+        """Merge the evidence of a report, or answer a request for all evidence."""
         if report.asks:
             self._answer(sender)
             return
@@ -280,7 +286,7 @@
             self._tell_news()
 
     def _take(self, told: ReportedEvidence) -> None:
-        """Take what is known elsewhere of one request; pass it on if it decides something here."""
+        """Merge a peer's evidence about a request; forward it if it changes the judgement here."""
         now = self._clock()
         evidence = _evidence_of(told, now)
         if not self.requests.is_worth_taking(told.fingerprint, evidence, now):
@@ -293,7 +299,7 @@
             self._passing.add(told.fingerprint)
 
     def _answer(self, peer: Address) -> None:
-        """Tell one peer everything, also that there is nothing."""
+        """Send all evidence to one peer, or an empty report if there is none."""
         if len(self.requests):
             known = [one for one, _ in self.requests.all()]
             self._send(known, [peer], self._answer_budget)
@@ -301,7 +307,7 @@
             self._datagrams.send(PoisonReport(), peer)
 
     def _told(self, fingerprint: bytes, evidence: Evidence) -> ReportedEvidence:
-        """Return evidence as it is told: with ages, since every gateway's clock is its own."""
+        """Return evidence for a report, with ages instead of times, since clocks may differ."""
         now = self._clock()
         crashes = tuple(
             ReportedCrash(one.backend, now - one.at, one.trial, one.survived)
@@ -326,7 +332,7 @@
 
 
 def _evidence_of(told: ReportedEvidence, now: float) -> Evidence:
-    """Return what a peer told, by the clock here."""
+    """Return reported evidence with ages converted to times of the local clock."""
     crashes = told.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
     return Evidence(
         told.origin,
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -1,10 +1,10 @@
-"""Questions of one datagram to other gateways, and what their answers prove.
+"""Probes peers with single datagrams, and matches their answers to the time of sending.
 
-An answer is matched by its number to the moment at which the question left.  Whatever delays it,
-and however often it comes, it proves something of that moment or later, never of one before.
+The number in an answer identifies the probe and thereby when it was sent.  However late or often
+an answer arrives, it describes the peer at that time or later, never before.
 
-Owns the questions under way; relies on the datagrams between gateways, and on who answers to
-describe what it knows.
+Owns the probes in flight; relies on the datagrams between gateways, and on a callback that
+describes what this gateway knows.
 """
 
 from __future__ import annotations
@@ -19,11 +19,11 @@
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
 
 REMEMBERED_S = 5.0
-"""How long an answer is waited for: what it proves would be too old to be of use later."""
+"""Seconds for which a probe waits for its answer: a later one would be too old to be of use."""
 
 
 class SentProbe(Struct, frozen=True):
-    """A question under way."""
+    """A probe in flight."""
 
     peer: Address
     sent_at: float
@@ -33,7 +33,7 @@
 
 
 class Probes:
-    """Asks peers, answers theirs, and tells listeners of answers."""
+    """Sends probes, answers those of peers, and notifies listeners of answers."""
 
     def __init__(
         self,
@@ -41,7 +41,7 @@
         describe: Callable[[int], ProbeAnswer],
         clock: Callable[[], float],
     ) -> None:
-        """Answer what peers ask with what ``describe`` returns for a question's number."""
+        """Answer each probe of a peer with what ``describe`` returns for its number."""
         self._datagrams = datagrams
         self._describe = describe
         self._clock = clock
@@ -52,11 +52,11 @@
         datagrams.handle(ProbeAnswer, self._on_answer)
 
     def subscribe(self, listener: AnswerListener) -> None:
-        """Tell ``listener`` of every answer."""
+        """Call ``listener`` with every probe that is answered, and its answer."""
         self._listeners.append(listener)
 
     def ask(self, *peers: Address) -> None:
-        """Ask some peers."""
+        """Send a probe to each of the peers."""
         now = self._clock()
         self._forget(now)
         for peer in peers:
@@ -65,7 +65,7 @@
             self._datagrams.send(Probe(self._number), peer)
 
     def _forget(self, now: float) -> None:
-        """Drop questions that are too old; they stand in the order in which they left."""
+        """Drop probes that are too old; ``_sent`` is in the order of sending."""
         for number, sent in tuple(self._sent.items()):
             if sent.sent_at > now - REMEMBERED_S:
                 return
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -1,7 +1,7 @@
-"""What cannot be had from where this gateway stands, while ways to some zones are closed.
+"""Refuses requests that cannot succeed while paths to some zones are closed.
 
-Owns a short memory of counts; relies on the zone monitor for closed ways and on the directory for
-back ends.
+Owns a short-lived cache of reachable shard counts; relies on the zone monitor for closed paths and
+on the directory for back ends.
 """
 
 from __future__ import annotations
@@ -16,20 +16,21 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 KEPT_S = 0.1
-"""How long a count of reachable shards is used; it takes 0.1 ms for 135 of them."""
+"""Seconds for which a count of reachable shards is cached; counting 135 shards takes 0.1 ms."""
 RETRY_AFTER_S = 2.0
-"""When to come back: load balancers that ask once a second take a gateway out after two misses."""
+"""Seconds after which a refused client may retry: a load balancer that checks once a second takes
+a gateway out after two failed checks."""
 
 
 class _Reachable(Struct, frozen=True):
-    """Which part of a route's shards can be had, as counted at a moment."""
+    """The share of a route's shards that is reachable, and when it was counted."""
 
     share: float
     counted_at: float
 
 
 class Reachability(Struct):
-    """Refuses at once what would only wait until its deadline.
+    """Refuses requests at once that would otherwise wait until their deadline.
 
     :param clock: returns the time of the event loop.
     """
@@ -41,11 +42,14 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether clients are served better by gateways elsewhere."""
+        """Return whether this gateway is partitioned from most of the fleet."""
         return self.zone_monitor.is_cut_off
 
     def refusal(self, route: Route) -> NotRun | None:
-        """Refuse a request that cannot have enough shards, or no back end; ``None``: it can."""
+        """Return the refusal of a request for which too few shards, or no back end, are reachable.
+
+        ``None`` if the request can be served.
+        """
         closed = self.zone_monitor.paths.closed
         if not closed:
             self._counted.clear()
@@ -66,7 +70,7 @@
         return NotRun(f"{detail}; out of reach: {' '.join(sorted(closed))}", RETRY_AFTER_S)
 
     def _share(self, index: tuple[str, ...]) -> float:
-        """Return which part of an index can be had, counted lately."""
+        """Return the reachable share of an index's shards, from the cache if it is recent."""
         now = self.clock()
         known = self._counted.get(index)
         if known is None or now - known.counted_at >= KEPT_S:
--- a/tinrudder/gateway/peers/snapshot_pulls.py
+++ b/tinrudder/gateway/peers/snapshot_pulls.py
@@ -1,7 +1,7 @@
-"""Learns from peers that know more: compares their digests with the shared state, and pulls.
+"""Pulls snapshots from peers whose digests show newer state than the shared state.
 
-Owns the one pull that is under way and how long this gateway has been behind; relies on the client
-for connections, and on the readers of the store to tell whether the store brings the news anyway.
+Owns the pull in progress and the time since which this gateway is behind; relies on the peer
+client for connections, and on the store readers to tell whether this gateway watches the store.
 """
 
 from __future__ import annotations
@@ -28,18 +28,17 @@
 from tinrudder.peers import PeerLostError, PeerNotSentError
 
 PULL_PATIENCE_S = 0.25
-"""Seconds for which a gateway that follows the store itself waits for it to bring what a peer's
-digest promised: a change reaches all watches of the store at about the same moment, and a pull for
-each of them would be for nothing."""
+"""Seconds for which a gateway that watches the store itself waits for a change that a peer's digest
+shows: a change reaches all watches of the store at about the same time, and makes pulls useless."""
 PULL_TIMEOUT_S = 1.0
-"""Seconds within which a peer must answer with its snapshot: a snapshot of hundreds of back ends
-takes milliseconds to write, and the next digest names another peer."""
+"""Timeout of a snapshot request in seconds: encoding a snapshot of hundreds of back ends takes
+milliseconds, and the next digest offers another peer to pull from."""
 
 PullListener = Callable[[str, str], None]
 
 
 class SnapshotPulls:
-    """Asks a peer for its snapshot when its digest shows that it knows more."""
+    """Requests a peer's snapshot when its digest shows newer state."""
 
     def __init__(
         self,
@@ -51,10 +50,10 @@
         readers: StoreReaders,
         on_pull: PullListener,
     ) -> None:
-        """Tell ``on_pull`` the peer and the result of every pull.
+        """Call ``on_pull`` with the peer and the result of every pull.
 
-        :param readers: tells whether this gateway follows the store itself, which then probably
-            brings news before a peer has to be asked.
+        :param readers: shows whether this gateway watches the store itself; the store then
+            probably delivers a change before a pull is needed.
         """
         self._state = state
         self._staleness_bound = staleness_bound
@@ -66,7 +65,7 @@
         self._loop = asyncio.get_running_loop()
         self._behind_since: float | None = None
         self._pulling: asyncio.Task[None] | None = None
-        # The event loop alone would not keep a task alive.
+        # The event loop keeps only weak references to tasks.
         self._introductions: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
@@ -74,12 +73,12 @@
         await self._client.close()
 
     def catch_up(self, peer: Address) -> None:
-        """Fetch what a peer knows beyond this gateway."""
+        """Start a pull from a peer, unless one is in progress."""
         if self._pulling is None:
             self._pulling = self._loop.create_task(self._pull(peer))
 
     def compare(self, digest: Digest, now: float) -> None:
-        """Pull from a peer that knows more, unless the store brings it soon anyway."""
+        """Pull from a peer with newer state, unless the store is expected to deliver it soon."""
         take_confirmations(self._state, digest)
         if not is_behind(self._state, digest):
             return
@@ -91,7 +90,7 @@
             self._pull_if_behind(digest)
 
     def learn_members(self, *, seeds_only: bool) -> None:
-        """Ask a peer for everybody whom it knows."""
+        """Request the member list, with the state, from a random peer."""
         teacher = self._peers.teacher(seeds_only=seeds_only)
         if teacher is not None:
             task = self._loop.create_task(self._introduce(teacher))
@@ -99,14 +98,14 @@
             task.add_done_callback(self._introductions.discard)
 
     def _pull_if_behind(self, digest: Digest) -> None:
-        """Start a pull if the store has not brought what the digest promised."""
+        """Start a pull if the state is still older than the digest shows."""
         if is_behind(self._state, digest):
             self.catch_up(digest.sender.address)
         else:
             self._behind_since = None
 
     async def _pull(self, peer: Address) -> None:
-        """Fetch a peer's snapshot and take what is newer."""
+        """Apply a peer's snapshot, and report the result."""
         try:
             await self._learn_from(peer)
         except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
@@ -120,7 +119,11 @@
             self._behind_since = None
 
     async def _learn_from(self, peer: Address) -> None:
-        """Take a peer's snapshot, and how far its knowledge reached when this was asked for."""
+        """Apply a peer's snapshot, and the staleness bound that it proves.
+
+        The age that the peer states counts from when the request was sent, the earliest time at
+        which the peer can have answered.
+        """
         asked_at = self._loop.time()
         snapshot = await self._request_snapshot(peer)
         self._peers.heard_of(snapshot.members, self._loop.time())
@@ -129,7 +132,7 @@
             self._staleness_bound.prove(asked_at - snapshot.knowledge_age_s)
 
     async def _request_snapshot(self, peer: Address) -> Snapshot:
-        """Ask one peer."""
+        """Request a snapshot from one peer."""
         settling = self._peers.is_settling(self._loop.time())
         request = snapshot_request(self._state, members_wanted=settling)
         payload = encode_request(request)
@@ -137,7 +140,7 @@
         return decode_snapshot(await self._client.request(peer, payload, PULL_TIMEOUT_S))
 
     async def _introduce(self, teacher: Address) -> None:
-        """Learn from one peer; one that fails is no reason to doubt the others."""
+        """Apply a peer's snapshot; a failure is only reported: other peers may still answer."""
         try:
             await self._learn_from(teacher)
         except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
--- a/tinrudder/gateway/peers/snapshots.py
+++ b/tinrudder/gateway/peers/snapshots.py
@@ -1,7 +1,7 @@
-"""What a gateway asks a peer for, tells one that asks, and takes from one that answered.
+"""Builds snapshot requests and snapshots from the shared state, and applies received snapshots.
 
-Owns nothing: each function works on the shared state alone.  However many gateways tell each other
-what they know, in whatever order, all know the same afterwards.
+Owns nothing: each function works on the shared state alone.  Gateways that exchange snapshots
+converge to the same state, whatever the order of the exchanges.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 
 
 def is_behind(state: SharedState, digest: Digest) -> bool:
-    """Tell whether a peer knows something that was not heard of here."""
+    """Return whether a peer's digest shows state that this gateway lacks."""
     return (
         digest.configuration_version > state.configuration_version
         or not state.history(Topic.OPERATOR).covers_position(digest.operator)
@@ -22,13 +22,13 @@
 
 
 def take_confirmations(state: SharedState, digest: Digest) -> None:
-    """Learn that the store had nothing newer, where this gateway knows as much."""
+    """Take over when the store confirmed a topic to a peer, if this gateway's state covers it."""
     _take_confirmation(state, Topic.OPERATOR, digest.operator, digest.operator_unconfirmed_s)
     _take_confirmation(state, Topic.BACKENDS, digest.backends, digest.backends_unconfirmed_s)
 
 
 def snapshot_request(state: SharedState, *, members_wanted: bool) -> SnapshotRequest:
-    """Return what to ask a peer for."""
+    """Return a request for the state that this gateway lacks."""
     backends = state.history(Topic.BACKENDS).position()
     return SnapshotRequest(
         operator=state.history(Topic.OPERATOR).position(),
@@ -41,10 +41,10 @@
 def snapshot_for(
     state: SharedState, request: SnapshotRequest, knowledge_age_s: float | None
 ) -> Snapshot:
-    """Return what an asker may not know; everything, where it follows another epoch."""
+    """Return the state that a requester may lack; all of it, if it follows another epoch."""
     asker = request.backends
     if asker.revision < state.forgotten_up_to:
-        # Removals are forgotten after a while: what is older can be told only as a whole.
+        # Removals are forgotten after a while, so an older requester needs the complete list.
         asker = TopicPosition()
     is_same_epoch = asker.revision.epoch == state.revision(Topic.BACKENDS).epoch
     return Snapshot(
@@ -60,9 +60,9 @@
 
 
 def take_snapshot(state: SharedState, snapshot: Snapshot, source: str) -> None:
-    """Take what is newer.
+    """Apply the values of a snapshot that are newer than the shared state.
 
-    :param source: the address of the peer that told it.
+    :param source: the address of the peer that sent it.
     """
     configuration = () if snapshot.configuration is None else (snapshot.configuration,)
     _take_operators_values(state, configuration + snapshot.evacuations, snapshot, source)
@@ -72,7 +72,7 @@
 def _take_confirmation(
     state: SharedState, topic: Topic, position: TopicPosition, age_s: float | None
 ) -> None:
-    """Take the age of a peer's word, unless it knows more or follows an epoch that is over."""
+    """Take over the age of a peer's confirmation, if its state is covered and its epoch current."""
     history = state.history(topic)
     is_same_epoch = position.revision.epoch == history.epoch
     if age_s is not None and is_same_epoch and history.covers(position.revision):
@@ -80,7 +80,7 @@
 
 
 def _newer_configuration(state: SharedState, request: SnapshotRequest) -> StoredValue | None:
-    """Return the configuration in force if the asker may not know it."""
+    """Return the configuration in force if the requester may not have it."""
     accepted = state.accepted
     if accepted is None:
         return None
@@ -92,7 +92,7 @@
 def _take_operators_values(
     state: SharedState, values: tuple[StoredValue, ...], snapshot: Snapshot, source: str
 ) -> None:
-    """Take what the operator asks for; all of it, if it is of a later epoch."""
+    """Apply the operator's settings; replace them all if the snapshot is of a later epoch."""
     history = state.history(Topic.OPERATOR)
     position = snapshot.operator_position
     if position is not None and position.revision.epoch > history.epoch:
@@ -104,7 +104,7 @@
 
 
 def _take_backends(state: SharedState, snapshot: Snapshot) -> None:
-    """Take entries of back ends; what a whole list lacks is gone."""
+    """Apply entries of back ends; a complete list also removes the entries that it lacks."""
     position = snapshot.backends_position
     if snapshot.backends_read and not snapshot.changes_only:
         newest = max((value.revision for value in snapshot.backends), default=NO_REVISION)
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -1,11 +1,11 @@
-"""Watches the ways to the fleet's zones, and says what follows for this gateway.
+"""Monitors the network paths to the fleet's zones, and detects when this gateway is cut off.
 
-Every answer from a zone shows that its way is open; a call that gets none has gateways there asked.
-Gateways of a zone that was cut off find that out one by one within a second, since each hears of
-the others' doubts.
+Every answer from a zone shows that its path is open; a call without an answer causes probes to
+gateways there.  In a zone that was cut off, every gateway notices it within a second, since each
+hears of the others' suspicions.
 
-Owns the state of each zone's way and the rounds of questions; relies on the rule of zone paths to
-judge, on probes to ask, and on calls to report answers and doubts.
+Owns the path state of each zone and the probe rounds; relies on the rule for zone paths to judge,
+on ``Probes`` to send probes, and on calls to report answers and suspicions.
 """
 
 from __future__ import annotations
@@ -23,23 +23,25 @@
 from tinrudder.gateway.peers.probes import Probes, SentProbe
 
 ROUND_S = 0.1
-"""Pause between two rounds of questions to a suspect zone: three fit before it is closed."""
+"""Seconds between two probe rounds to a suspect zone: three rounds fit in before it is closed."""
 CLOSED_ROUND_S = 0.25
-"""The same while it is closed: so long, at most, a way that is open again stays unused."""
+"""The same for a closed zone: the longest time for which a path that has recovered stays unused."""
 SILENCE_LOOK_S = 0.5
-"""How often it is looked whether anything was heard: as often as digests are sent."""
+"""Mean seconds between two checks whether other zones have fallen silent: the interval of
+digests."""
 ASKED_IN_ROUND = 3
-"""Gateways of a suspect zone that one round asks: one that stands still says nothing of others."""
+"""Number of gateways of a suspect zone that one round probes: a single one may just be paused."""
 LEAST_HEARD_SHARE = 0.5
-"""Of the gateways known: who hears fewer is on the smaller side of a cut."""
+"""Share of the known gateways: one that reaches less is on the smaller side of a partition."""
 HEARSAY_AGE_S = 0.1
-"""A peer's doubt is no reason to ask where an answer came since: later than this."""
+"""Assumed age, in seconds, of a suspicion that a peer reports: an answer that is more recent
+outweighs it."""
 
 
 class ZoneMonitor:
-    """Keeps :class:`ZonePaths` up to date by questions.
+    """Keeps :class:`ZonePaths` up to date with probes.
 
-    :ivar closings: how often a way was closed.
+    :ivar closings: number of times that a path was closed.
     """
 
     def __init__(
@@ -49,7 +51,7 @@
         probes: Probes,
         random_source: random.Random,
     ) -> None:
-        """Begin with every way open."""
+        """Start with all paths open."""
         self.paths = ZonePaths()
         self.closings = 0
         self._zone = zone
@@ -62,12 +64,12 @@
         probes.subscribe(self._on_answer)
 
     def subscribe(self, listener: Callable[[], None]) -> None:
-        """Call ``listener`` when a way closes or opens, after those that subscribed before."""
+        """Call ``listener`` when a path closes or opens, in the order of subscription."""
         self._listeners.append(listener)
 
     @property
     def heard_share(self) -> float:
-        """Return which part of the gateways known, this one included, can be reached."""
+        """Return the reachable share of the known gateways, this one included."""
         if not self.paths.doubtful:
             return 1.0
         zones = Counter(self._peers.zones(self._loop.time()))
@@ -78,39 +80,40 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether this gateway is on the smaller side of a cut.
+        """Return whether this gateway is on the smaller side of a network partition.
 
-        In halves, each side is as good as the other: nobody leaves.
+        If the sides are equal, neither counts as cut off.
         """
         return bool(self.paths.lost) and self.heard_share < LEAST_HEARD_SHARE
 
     def is_closed(self, zone: str) -> bool:
-        """Tell whether calls to a zone would only hang."""
+        """Return whether the path to a zone is closed, so that calls to it would hang."""
         return self.paths.is_closed(zone)
 
     def heard(self, digest: Digest) -> None:
-        """Take a peer's digest: it is there, and may doubt some zones."""
+        """Process a peer's digest: it shows that the peer is up, and which zones it suspects."""
         now = self._loop.time()
         self.paths.heard(digest.sender.zone, now)
         for zone in digest.silent_zones:
             self.doubt(zone, now - HEARSAY_AGE_S, by_hearsay=True)
 
     def answered(self, zone: str) -> None:
-        """Note an answer of a back end or a gateway in a zone."""
+        """Record an answer of a back end or a gateway in a zone."""
         if self.paths.answered(zone, self._loop.time()):
             self._log(zone)
             self._announce()
 
     def answered_by(self, peer: Address) -> None:
-        """Note an answer of a gateway."""
+        """Record an answer of a gateway."""
         zone = self._peers.zone_of(peer)
         if zone is not None:
             self.answered(zone)
 
     def doubt(self, zone: str, sent_at: float, *, by_hearsay: bool = False) -> None:
-        """Note that what was sent to a zone at a moment has no answer yet.
+        """Record that a message sent to a zone has no answer yet.
 
-        :param by_hearsay: another gateway sent it.
+        :param sent_at: when it was sent.
+        :param by_hearsay: another gateway sent it and reported the suspicion.
         """
         if not self.paths.doubt(zone, sent_at, self._loop.time(), by_hearsay=by_hearsay):
             return
@@ -121,13 +124,13 @@
         self._begin(zone)
 
     def doubt_way_to(self, peer: Address, sent_at: float) -> None:
-        """The same for what was sent to a gateway."""
+        """Record that a message sent to a gateway has no answer yet."""
         zone = self._peers.zone_of(peer)
         if zone is not None:
             self.doubt(zone, sent_at)
 
     async def run(self) -> None:
-        """Look for silence for ever."""
+        """Check for silence of all other zones until cancelled."""
         while True:
             await asyncio.sleep(SILENCE_LOOK_S * self._random.uniform(0.8, 1.2))
             now = self._loop.time()
@@ -138,12 +141,12 @@
                     self._begin(zone)
 
     def _begin(self, zone: str) -> None:
-        """Ask gateways of a zone until the way is known to be open, or closed."""
+        """Start probe rounds to a zone, unless they are running; they end when its path is open."""
         if zone not in self._asking:
             self._ask(zone)
 
     def _ask(self, zone: str) -> None:
-        """Send one round of questions, and look at the way again later."""
+        """Review the path to a zone; while it is not open, send probes and schedule a review."""
         self._asking.pop(zone, None)
         if self.paths.review(zone, self._loop.time()):
             if self.paths.is_closed(zone):
@@ -162,24 +165,24 @@
         self._asking[zone] = self._loop.call_later(pause_s, self._ask, zone)
 
     def _on_closing(self, zone: str) -> None:
-        """Count and tell that a zone is out of reach."""
+        """Count, log and announce that the path to a zone was closed."""
         self.closings += 1
         self._log(zone)
         self._announce()
 
     def _on_answer(self, sent: SentProbe, _answer: ProbeAnswer) -> None:
-        """Take a gateway's answer, unless it was asked before the way came into doubt."""
+        """Process a probe's answer, unless the probe was sent before the path became suspect."""
         zone = self._peers.zone_of(sent.peer)
         if zone is not None and sent.sent_at >= self.paths.path(zone).doubted_at:
             self.answered(zone)
 
     def _announce(self) -> None:
-        """Tell everybody who asked of a way that has closed or opened."""
+        """Notify all listeners of a path that has closed or opened."""
         for listener in self._listeners:
             listener()
 
     def _log(self, zone: str) -> None:
-        """Log the state of a way, and what it was judged by."""
+        """Log the state of a path, and the times and the share that it depends on."""
         path = self.paths.path(zone)
         now = self._loop.time()
         fields: dict[str, LogValue] = {
@@ -194,5 +197,5 @@
 
 
 def _seconds(value: float) -> float:
-    """Return seconds for a log line; -1 for never, which JSON has no number for."""
+    """Return seconds for a log line; -1 for infinity ("never"), which JSON cannot represent."""
     return round(value, 3) if value != float("inf") else -1.0
--- a/tinrudder/gateway/wire/__init__.py
+++ b/tinrudder/gateway/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between gateways as protobuf bytes; codecs refuse what is no message."""
+"""Protobuf codecs for messages between gateways; they reject malformed bytes."""
--- a/tinrudder/gateway/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -1,6 +1,6 @@
-"""Turns requests between gateways into protobuf and back, refusing what is no message.
+"""Encodes and decodes requests between gateways and their answers, and rejects malformed bytes.
 
-Owns the form of requests between gateways; relies on the generated classes of protobuf.
+Owns the encoding of these messages; relies on the generated protobuf classes.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 )
 
 MICROSECONDS = 1e6
-"""In a second: durations travel in microseconds."""
+"""Microseconds per second: durations are sent in microseconds."""
 
 
 def encode_request(request: PeerRequest) -> bytes:
@@ -46,9 +46,9 @@
 
 
 def decode_request(payload: bytes) -> PeerRequest:
-    """Read a peer's request.
+    """Decode a peer's request.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid request.
     """
     try:
         message = pb.PeerRequest.FromString(payload)
@@ -66,7 +66,9 @@
         case "scatter":
             return _decode_scatter(message.scatter)
         case _:
-            raise MalformedPeerMessageError("request: none of the kinds known")
+            raise MalformedPeerMessageError(
+                "request: the oneof field is not set or of an unknown kind"
+            )
 
 
 def encode_answer(answer: ScatterAnswer) -> bytes:
@@ -87,9 +89,9 @@
 
 
 def decode_answer(payload: bytes) -> ScatterAnswer:
-    """Read a coordinator's answer.
+    """Decode a coordinator's answer.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid answer.
     """
     try:
         message = pb.ScatterAnswer.FromString(payload)
@@ -143,7 +145,7 @@
 
 
 def _optional_version(message: pb.ScatterRequest) -> int | None:
-    """Return the entry's version; ``None``: its software is too old to say."""
+    """Return the entry's configuration version; ``None``: its software is too old to send it."""
     return message.configuration_version if message.HasField("configuration_version") else None
 
 
@@ -161,7 +163,7 @@
         case TimedOut():
             message.timed_out.detail = outcome.detail
         case _:
-            raise ValueError(f"{type(outcome).__name__} ends no scatter")
+            raise ValueError(f"{type(outcome).__name__} is not a valid outcome of a scatter")
 
 
 def _decode_outcome(message: pb.ScatterAnswer) -> RequestOutcome:
@@ -176,4 +178,6 @@
         case "timed_out":
             return TimedOut(message.timed_out.detail)
         case _:
-            raise MalformedPeerMessageError("outcome: none of the kinds known")
+            raise MalformedPeerMessageError(
+                "outcome: the oneof field is not set or of an unknown kind"
+            )
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -1,6 +1,6 @@
-"""Turns news of long queues into protobuf and back.
+"""Encodes and decodes reports of long queues.
 
-Owns the form of load news; relies on the generated classes of protobuf.
+Owns the encoding of load news; relies on the generated protobuf classes.
 """
 
 from __future__ import annotations
@@ -11,18 +11,18 @@
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, milliseconds_above
 
 PERCENT = 100.0
-"""In a whole: shares travel in percent."""
+"""Percent per whole: slowdowns are sent in percent."""
 LARGEST = 2**32 - 1
-"""What a field holds; a figure beyond it is none that a receiver believes."""
+"""Largest value of a field; larger ones are clamped, since no receiver would believe them."""
 
 
 def load_news_message(news: LoadNews) -> pb.LoadNews:
-    """Return the message of some news."""
+    """Return load news as a protobuf message."""
     return pb.LoadNews(loads=[_load_message(told) for told in news.loads])
 
 
 def load_news_of_message(message: pb.LoadNews) -> LoadNews:
-    """Read the message of some news."""
+    """Decode a protobuf message with load news."""
     return LoadNews(tuple(_load_of(load) for load in message.loads))
 
 
--- a/tinrudder/gateway/wire/peer_datagram_codec.py
+++ b/tinrudder/gateway/wire/peer_datagram_codec.py
@@ -1,4 +1,4 @@
-"""Turns the datagrams between gateways into protobuf and back, refusing what is none.
+"""Encodes and decodes datagrams between gateways, and rejects malformed bytes.
 
 Owns the envelope of all datagrams; relies on the codec of each kind.
 """
@@ -44,9 +44,9 @@
 
 
 def decode_datagram(payload: bytes) -> PeerDatagram:
-    """Read the payload of a datagram.
+    """Decode the payload of a datagram.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid datagram.
     """
     try:
         message = pb.Datagram.FromString(payload)
@@ -126,18 +126,20 @@
         case "load_news":
             return load_news_of_message(message.load_news)
         case _:
-            raise MalformedPeerMessageError("datagram: none of the kinds known")
+            raise MalformedPeerMessageError(
+                "datagram: the oneof field is not set or of an unknown kind"
+            )
 
 
 def _age_ms(held: HeldTokens | None) -> int:
-    """Return an age that may only be told too short: what a bucket held grows with it."""
+    """Return the age rounded down: a receiver assumes more tokens the older a level is."""
     return int(held.age_s * MILLISECONDS) if held is not None else 0
 
 
 def _held(report: pb.QuotaReport) -> HeldTokens | None:
-    """Read what another home said.
+    """Decode the bucket level that another home reported.
 
-    :raises ValueError: it is no number.
+    :raises ValueError: the level is not finite.
     """
     if not report.HasField("held"):
         return None
--- a/tinrudder/gateway/wire/poison_report_codec.py
+++ b/tinrudder/gateway/wire/poison_report_codec.py
@@ -1,6 +1,6 @@
-"""Turns reports of requests that may be poison into protobuf and back.
+"""Encodes and decodes reports of requests that may be poison.
 
-Owns the form of poison reports; relies on the generated classes of protobuf.
+Owns the encoding of poison reports; relies on the generated protobuf classes.
 """
 
 from __future__ import annotations
@@ -11,19 +11,19 @@
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS, age_of
 
 LONGEST_AGE_MS = 2**32 - 1
-"""The longest age that its field holds, milliseconds; an older one travels as this."""
+"""Largest age that fits its field, in milliseconds; larger ages are clamped to it."""
 
 
 def poison_report_message(report: PoisonReport) -> pb.PoisonReport:
-    """Return a report's message."""
+    """Return a report as a protobuf message."""
     evidence = [_evidence_message(told) for told in report.evidence]
     return pb.PoisonReport(evidence=evidence, asks=report.asks)
 
 
 def poison_report_of_message(message: pb.PoisonReport) -> PoisonReport:
-    """Read a report's message.
+    """Decode the protobuf message of a report.
 
-    :raises ValueError: a fingerprint or an origin has another length.
+    :raises ValueError: a fingerprint or an origin has the wrong length.
     """
     evidence = tuple(_evidence_of(told) for told in message.evidence)
     return PoisonReport(evidence, message.asks)
@@ -68,7 +68,7 @@
 
 
 def _age_ms(age_s: float) -> int:
-    """Return an age in whole milliseconds; one beyond what the field holds decides nothing."""
+    """Return an age in whole milliseconds, clamped to its field: older evidence has no effect."""
     return min(LONGEST_AGE_MS, max(0, int(age_s * MILLISECONDS)))
 
 
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -1,6 +1,7 @@
-"""Turns what gateways tell each other into protobuf and back, refusing what is no message.
+"""Encodes and decodes digests and snapshots, and rejects malformed bytes.
 
-Owns the form of snapshots and their compression; relies on the generated classes of protobuf.
+Owns the encoding of digests and snapshots, and the compression of snapshots; relies on the
+generated protobuf classes.
 """
 
 from __future__ import annotations
@@ -17,20 +18,20 @@
 from tinrudder.gateway.wire import snapshot_pb2 as pb
 
 MILLISECONDS = 1000.0
-"""In a second: ages travel in milliseconds."""
+"""Milliseconds per second: ages are sent in milliseconds."""
 COMPRESSION_LEVEL = 3
-"""Of zlib: 48 KB of documents shrink to 4.2 KB, in 0.7 ms with their encoding; the highest level
-gains a tenth more and takes 1.8 ms."""
+"""zlib level: 48 KB of documents shrink to 4.2 KB in 0.7 ms, encoding included; the highest level
+saves a tenth more and takes 1.8 ms."""
 MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024
-"""Decompressed: as many as a frame holds without compression."""
+"""Largest decompressed snapshot, in bytes: the capacity of a frame without compression."""
 
 
 class MalformedPeerMessageError(Exception):
-    """The bytes are no message between gateways."""
+    """The bytes are not a valid message between gateways."""
 
 
 def digest_message(digest: Digest) -> pb.Digest:
-    """Return a digest's message."""
+    """Return a digest as a protobuf message."""
     return pb.Digest(
         sender=_encode_member(digest.sender, 0.0),
         operator_revision=digest.operator.revision.number,
@@ -46,9 +47,9 @@
 
 
 def digest_of_message(message: pb.Digest) -> Digest:
-    """Read a digest's message.
+    """Decode the protobuf message of a digest.
 
-    :raises ValueError: an address has another form.
+    :raises ValueError: an address is malformed.
     """
     return Digest(
         sender=_decode_member(message.sender),
@@ -63,7 +64,7 @@
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the payload of a snapshot, compressed: documents repeat many words."""
+    """Return the payload of a snapshot, compressed since documents repeat many words."""
     message = pb.Snapshot(
         backends=[_encode_value(value) for value in snapshot.backends],
         backends_read=snapshot.backends_read,
@@ -82,9 +83,9 @@
 
 
 def decode_snapshot(payload: bytes) -> Snapshot:
-    """Read a snapshot.
+    """Decode a snapshot.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid snapshot.
     """
     try:
         message = pb.Snapshot.FromString(_decompress(payload))
@@ -109,7 +110,7 @@
 
 
 def position_message(position: TopicPosition) -> pb.TopicPosition:
-    """Return a position's message."""
+    """Return a position as a protobuf message."""
     begin = position.restored
     return pb.TopicPosition(
         epoch=position.revision.epoch,
@@ -122,13 +123,16 @@
 
 
 def position_of(message: Message, field: str, number: int) -> TopicPosition:
-    """Return a message's position; where it has none, its sender knows no epochs, but a number."""
+    """Return the position in ``field`` of a message.
+
+    Older software sends only ``number``, a revision number without an epoch; it counts as epoch 0.
+    """
     position = _optional_position(message, field)
     return TopicPosition(StoreRevision(0, number)) if position is None else position
 
 
 def _optional_position(message: Message, field: str) -> TopicPosition | None:
-    """Return a position that may be absent."""
+    """Return the position in ``field`` of a message; ``None`` if it is absent."""
     if not message.HasField(field):
         return None
     position: pb.TopicPosition = getattr(message, field)
@@ -141,14 +145,14 @@
 
 
 def _decompress(payload: bytes) -> bytes:
-    """Return what a peer compressed.
+    """Return the decompressed payload.
 
-    :raises ValueError: it is cut short, or larger than any snapshot.
+    :raises ValueError: it is truncated, or decompresses to more than ``MAX_SNAPSHOT_BYTES``.
     """
     decompressor = zlib.decompressobj()
     content = decompressor.decompress(payload, MAX_SNAPSHOT_BYTES)
     if not decompressor.eof:
-        raise ValueError(f"snapshot: cut short, or over {MAX_SNAPSHOT_BYTES} bytes")
+        raise ValueError(f"snapshot: truncated, or more than {MAX_SNAPSHOT_BYTES} bytes")
     return content
 
 
@@ -157,17 +161,17 @@
 
 
 def milliseconds_above(seconds: float) -> int:
-    """Return a time that may only be told too long, never too short."""
+    """Return a duration in milliseconds, rounded up so that it is never understated."""
     return math.ceil(seconds * MILLISECONDS)
 
 
 def optional_milliseconds_above(age_s: float | None) -> int | None:
-    """Return the same of an age that may be absent."""
+    """Return an age that may be absent, rounded up to milliseconds."""
     return None if age_s is None else milliseconds_above(age_s)
 
 
 def age_of(message: Message, field: str) -> float | None:
-    """Return an age that may be absent, seconds."""
+    """Return the age in ``field`` of a message, in seconds; ``None`` if it is absent."""
     if not message.HasField(field):
         return None
     milliseconds: int = getattr(message, field)
