--- a/tests/unit/gateway/test_gateway_relay_codec.py
+++ b/tests/unit/gateway/test_gateway_relay_codec.py
@@ -42,8 +42,8 @@
 from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
 from tinrudder.gateway.wire.snapshot_codec import (
     MalformedPeerMessageError,
-    digest_message,
-    digest_of_message,
+    digest_from_message,
+    digest_to_message,
 )
 
 MICROSECOND = 1e-6
@@ -139,9 +139,9 @@
 
     sender = snapshot_pb2.Member(address="10.0.0.1:81")
     told = snapshot_pb2.Digest(sender=sender, operator_revision=40, backends_revision=57)
-    digest = digest_of_message(told)
+    digest = digest_from_message(told)
     assert (digest.operator, digest.backends) == (position(40), position(57))
-    message = digest_message(Digest(digest.sender, position(60, 2), position(57, 2)))
+    message = digest_to_message(Digest(digest.sender, position(60, 2), position(57, 2)))
     assert (message.operator_revision, message.backends_revision) == (60, 57)
 
 
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -25,9 +25,9 @@
     ReportedEvidence,
 )
 from tinrudder.gateway.peers.poison_watch import (
-    GATHER_S,
-    MOST_DATAGRAMS_AT_ONCE,
-    MOST_IN_A_REPORT,
+    BATCH_DELAY_S,
+    BURST_DATAGRAMS,
+    MAX_EVIDENCE_PER_REPORT,
     PoisonWatch,
 )
 from tinrudder.gateway.runs.request_fingerprint import FINGERPRINT_BYTES
@@ -55,7 +55,7 @@
     st.none() | ages,
 )
 reports = st.builds(
-    PoisonReport, st.lists(evidence, max_size=MOST_IN_A_REPORT).map(tuple), st.booleans()
+    PoisonReport, st.lists(evidence, max_size=MAX_EVIDENCE_PER_REPORT).map(tuple), st.booleans()
 )
 
 
@@ -220,7 +220,7 @@
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-1", trial=False)
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-2", trial=False)
         first.note_survivor(FINGERPRINT, "back-end-1")
-        await asyncio.sleep(2 * GATHER_S)
+        await asyncio.sleep(2 * BATCH_DELAY_S)
         network.deliver()
         return second.judge(FINGERPRINT, ORIGIN).standing
 
@@ -233,7 +233,7 @@
         first, *_ = network.watches.values()
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-1", trial=False)
         first.note_answer(FINGERPRINT)
-        await asyncio.sleep(2 * GATHER_S)
+        await asyncio.sleep(2 * BATCH_DELAY_S)
         return len(network.waiting)
 
     assert run_in_virtual_time(play()) == 0
@@ -247,7 +247,7 @@
         first.requests.note_crash(fingerprint, ORIGIN, number, 99.0, trial=False)
     for _ in range(2):
         first._on_report(PoisonReport(asks=True), Address("10.0.0.1", 3))
-    assert network.sent.total() <= MOST_DATAGRAMS_AT_ONCE
+    assert network.sent.total() <= BURST_DATAGRAMS
     convict(first)
     network.deliver()
     assert second.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
--- a/tests/unit/gateway/test_probes.py
+++ b/tests/unit/gateway/test_probes.py
@@ -7,7 +7,7 @@
 from tests.support.store_revisions import at
 from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
-from tinrudder.gateway.peers.probes import REMEMBERED_S, Probes, SentProbe
+from tinrudder.gateway.peers.probes import PROBE_TIMEOUT_S, Probes, SentProbe
 
 PEER = Address("10.0.0.1", 80)
 
@@ -75,7 +75,7 @@
     datagrams, probes, now, heard = prepared()
     probes.ask(PEER)
     (question, _) = datagrams.sent[0]
-    now[0] += REMEMBERED_S
+    now[0] += PROBE_TIMEOUT_S
     probes.ask(PEER)
     datagrams.arrive(ProbeAnswer(question.number, at(7), 0.5))
     assert heard == []
--- a/tinrudder/gateway/peers/held_for_peers.py
+++ b/tinrudder/gateway/peers/held_for_peers.py
@@ -8,7 +8,7 @@
 from typing import Protocol
 
 
-class HoldsBytes(Protocol):
+class BufferHolder(Protocol):
     """A component that buffers bytes for peers."""
 
     @property
@@ -21,9 +21,9 @@
 
     def __init__(self) -> None:
         """Start without any holder."""
-        self._holders: list[HoldsBytes] = []
+        self._holders: list[BufferHolder] = []
 
-    def add(self, holder: HoldsBytes) -> None:
+    def add(self, holder: BufferHolder) -> None:
         """Include ``holder`` in the total."""
         self._holders.append(holder)
 
--- a/tinrudder/gateway/peers/peer_datagrams.py
+++ b/tinrudder/gateway/peers/peer_datagrams.py
@@ -17,7 +17,7 @@
 from tinrudder.gateway.wire.peer_datagram_codec import decode_datagram, encode_datagram
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError
 
-LOG_PAUSE_S = 10.0
+LOG_INTERVAL_S = 10.0
 """Minimum seconds between two log lines about unreadable datagrams: a peer that sends one usually
 sends many, and the counter shows how many."""
 
@@ -90,7 +90,7 @@
         """Count an unreadable datagram, and log it at a bounded rate."""
         self.unreadable += 1
         now = self._loop.time()
-        if now - self._logged_at >= LOG_PAUSE_S:
+        if now - self._logged_at >= LOG_INTERVAL_S:
             self._logged_at = now
             detail = f"{addr[0]}:{addr[1]}: {problem}"
             log_problem("unreadable_datagram", {"detail": detail, "count": self.unreadable})
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -28,18 +28,18 @@
 """Seconds between digests after a start, so that peers learn of a new process quickly."""
 FIRST_DIGESTS = 15
 """Number of digests sent at the shorter interval: 3 s, as long as a process counts as settling."""
-IMPATIENT_INTERVAL_S = 0.03
+INCOMPLETE_INTERVAL_S = 0.03
 """Seconds between two digests of a process whose state is still incomplete: several round trips of
 a few milliseconds."""
-IMPATIENT_DIGESTS = 10
+INCOMPLETE_DIGESTS = 10
 """Number of digests that a process with incomplete state sends at that interval: seeds that start
 at the same time may not listen yet, and a round trip plus their read of the store takes about as
 long as these digests."""
-INTRODUCTIONS = (2, 6)
+MEMBER_REQUESTS_AFTER = (2, 6)
 """Numbers of the digests after which a new process requests the full member list: 0.2 s after its
 state is complete, when seeds know the processes that started with it, and 1 s after, when
 processes on machines half as fast have started too."""
-INTERVAL_SPREAD = 0.2
+INTERVAL_JITTER = 0.2
 """Jitter as a fraction of the interval, so that gateways do not all send at once."""
 
 
@@ -68,8 +68,8 @@
         self._random = random_source
         self._loop = asyncio.get_running_loop()
         self._announced_positions = self._positions()
-        self._ticking: asyncio.Task[None] | None = None
-        self._waiting_to_learn: set[Address] = set()
+        self._digest_task: asyncio.Task[None] | None = None
+        self._starting_peers: set[Address] = set()
         datagrams.handle(Digest, self._on_digest)
         state.subscribe(self._on_state_change)
 
@@ -80,12 +80,12 @@
         """
         await self._datagrams.open(self._own_member.address)
         await self._service.start(self._own_member.address)
-        self._ticking = self._loop.create_task(self._tick())
+        self._digest_task = self._loop.create_task(self._send_periodically())
 
     async def stop(self) -> None:
         """Stop listening, and close every connection once its answers have been sent."""
-        if self._ticking is not None:
-            self._ticking.cancel()
+        if self._digest_task is not None:
+            self._digest_task.cancel()
         self._datagrams.close()
         await self._service.close()
         await self._pulls.close()
@@ -99,17 +99,17 @@
             return
         self._announced_positions = self._positions()
         receivers = self._peers.receivers(self._loop.time(), zone_only=zone_only)
-        elsewhere = [peer for peer in receivers if self._peers.is_elsewhere(peer)]
-        beside = [peer for peer in receivers if peer not in elsewhere]
-        if beside:
-            self._datagrams.send(self._digest(), *beside)
-        if elsewhere:
-            self._datagrams.send(self._digest(elsewhere=True), *elsewhere)
+        other_zone = [peer for peer in receivers if self._peers.is_elsewhere(peer)]
+        same_zone = [peer for peer in receivers if peer not in other_zone]
+        if same_zone:
+            self._datagrams.send(self._digest(), *same_zone)
+        if other_zone:
+            self._datagrams.send(self._digest(to_other_zone=True), *other_zone)
 
     def tell(self, receivers: list[Address]) -> None:
         """Send a digest without the member list to the given peers."""
         if self._datagrams.is_open and receivers:
-            self._datagrams.send(self._digest(names_members=False), *receivers)
+            self._datagrams.send(self._digest(with_members=False), *receivers)
 
     def send_to_zone(self) -> None:
         """Send a digest to all peers in the own zone, where traffic is free of charge."""
@@ -123,23 +123,23 @@
         self._zone_monitor.heard(digest)
         self._peers.heard_of(digest.members, now)
         if digest.sender.starting:
-            self._waiting_to_learn.add(digest.sender.address)
-            self._answer_starting()
+            self._starting_peers.add(digest.sender.address)
+            self._answer_starting_peers()
         else:
-            self._waiting_to_learn.discard(digest.sender.address)
+            self._starting_peers.discard(digest.sender.address)
         self._pulls.compare(digest, now)
 
-    def _answer_starting(self) -> None:
+    def _answer_starting_peers(self) -> None:
         """Send a digest to peers with incomplete state, once the state here is complete."""
         if not self._datagrams.is_open or not self._state.complete:
             return
-        self._datagrams.send(self._digest(), *self._waiting_to_learn)
-        self._waiting_to_learn.clear()
+        self._datagrams.send(self._digest(), *self._starting_peers)
+        self._starting_peers.clear()
 
-    def _digest(self, *, elsewhere: bool = False, names_members: bool = True) -> Digest:
+    def _digest(self, *, to_other_zone: bool = False, with_members: bool = True) -> Digest:
         """Return the current digest of this gateway.
 
-        :param elsewhere: the digest goes to other zones.
+        :param to_other_zone: the digest goes to other zones.
         """
         state = self._state
         now = self._loop.time()
@@ -147,7 +147,7 @@
             sender=self._own_member.describe(),
             operator=state.history(Topic.OPERATOR).position(),
             backends=state.history(Topic.BACKENDS).position(),
-            members=self._peers.to_tell(now, elsewhere=elsewhere) if names_members else (),
+            members=self._peers.to_tell(now, to_other_zone=to_other_zone) if with_members else (),
             operator_unconfirmed_s=self._unconfirmed_s(Topic.OPERATOR),
             backends_unconfirmed_s=self._unconfirmed_s(Topic.BACKENDS),
             silent_zones=self._zone_monitor.paths.told_doubts,
@@ -166,25 +166,25 @@
 
     def _on_state_change(self) -> None:
         """Send digests immediately if a store revision has changed."""
-        self._answer_starting()
+        self._answer_starting_peers()
         if self._positions() != self._announced_positions:
             self.send_digests()
 
-    async def _tick(self) -> None:
+    async def _send_periodically(self) -> None:
         """Send digests at intervals with jitter, and more often after the start."""
         sent = 0
-        impatient = 0
+        incomplete = 0
         while True:
             # Peers in other zones get every second digest: traffic between zones is paid for.
             self.send_digests(zone_only=sent > FIRST_DIGESTS and sent % 2 == 1)
-            if not self._state.complete and impatient < IMPATIENT_DIGESTS:
-                impatient += 1
-                await asyncio.sleep(IMPATIENT_INTERVAL_S)
+            if not self._state.complete and incomplete < INCOMPLETE_DIGESTS:
+                incomplete += 1
+                await asyncio.sleep(INCOMPLETE_INTERVAL_S)
                 continue
             sent += 1
-            if sent in INTRODUCTIONS:
-                self._pulls.learn_members(seeds_only=sent == INTRODUCTIONS[0])
+            if sent in MEMBER_REQUESTS_AFTER:
+                self._pulls.request_members(seeds_only=sent == MEMBER_REQUESTS_AFTER[0])
             interval_s = FIRST_DIGEST_INTERVAL_S if sent < FIRST_DIGESTS else DIGEST_INTERVAL_S
             await asyncio.sleep(
-                interval_s * self._random.uniform(1.0 - INTERVAL_SPREAD, 1.0 + INTERVAL_SPREAD)
+                interval_s * self._random.uniform(1.0 - INTERVAL_JITTER, 1.0 + INTERVAL_JITTER)
             )
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -18,42 +18,42 @@
 from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Member, ReportedMember
 
-ALL_PEERS_UP_TO = 16
+SMALL_FLEET_PEERS = 16
 """Number of peers up to which a digest goes to all of them; beyond it, to a random sample. A digest
 is a few hundred bytes, so sixteen cost as much as a few requests."""
-RANDOM_PEERS = 3
+DIGEST_FANOUT = 3
 """Number of peers that get a digest in a large fleet: the number of gateways that know a change
 multiplies by four in each round of digests."""
-RANDOM_PEERS_ELSEWHERE = 1
+DIGEST_FANOUT_OTHER_ZONE = 1
 """How many of these random peers are in other zones, since traffic between zones is paid for."""
-COUNTED_FOR_S = 30.0
+COUNTED_WITHIN_S = 30.0
 """Seconds after its latest message for which a peer counts as a sharer of fleet-wide budgets. The
 time is long because too low a count makes every gateway take too large a share."""
-CANDIDATE_FOR_S = 15.0
+CANDIDATE_WITHIN_S = 15.0
 """Seconds after its latest message for which a peer may be asked to coordinate: shorter than
-``COUNTED_FOR_S``, since a request to a peer that is gone loses time."""
+``COUNTED_WITHIN_S``, since a request to a peer that is gone loses time."""
 FORGOTTEN_AFTER_S = 90.0
 """Seconds after which a silent peer is dropped, unless it is a seed: three times
-``COUNTED_FOR_S``, so that digests still reach a peer that returns after a network partition."""
-TOLD_PEERS = 7
+``COUNTED_WITHIN_S``, so that digests still reach a peer that returns after a network partition."""
+LISTED_MEMBERS = 7
 """Number of members listed in a digest of a large fleet: a new random sample each time, so that
 listing the whole fleet takes as many digests as it has groups of seven members."""
-TOLD_PEERS_OF_FEW = 2
+LISTED_MEMBERS_IN_SMALL_FLEET = 2
 """The same in a small fleet: there all gateways hear each other directly, and the list serves only
 processes that have just started."""
-TOLD_PEERS_ELSEWHERE = 2
+LISTED_MEMBERS_OTHER_ZONE = 2
 """The same in a digest to another zone: traffic between zones is paid for, and the receiver passes
 the list on in its own zone. With seven members listed, digests made up 3.5 MB of the 12 MB sent
 between four zones on a day without incidents in a fleet of 74 gateways."""
 SETTLE_S = 3.0
 """Seconds after its start for which a process does not trust its count of peers: as long as it
 sends its first digests at the shorter interval."""
-ASSUMED_AT_START = 10
+ASSUMED_FLEET_SIZE = 10
 """Minimum fleet size, itself included, that a process assumes while it settles: if all gateways
 start at once, each takes at most a tenth of a shared budget."""
 
 
-class _Known(Struct, frozen=True):
+class _KnownMember(Struct, frozen=True):
     """A peer and the monotonic time of its latest message, as far as known here."""
 
     member: Member
@@ -79,7 +79,7 @@
         self._settled_at = started_at + SETTLE_S
         self._random = random_source
         self._seeds: set[Address] = set()
-        self._known: dict[Address, _Known] = {}
+        self._known: dict[Address, _KnownMember] = {}
         self._last_message_at: float | None = None
 
     @property
@@ -94,7 +94,7 @@
     def heard_from(self, member: Member, now: float) -> None:
         """Record a message that came from the peer itself."""
         if member.address != self._own:
-            self._known[member.address] = _Known(member, now)
+            self._known[member.address] = _KnownMember(member, now)
             self._last_message_at = now
 
     def heard_of(self, told: Iterable[ReportedMember], now: float) -> None:
@@ -104,7 +104,7 @@
             heard_at = now - max(0.0, one.age_s)
             known = self._known.get(address)
             if address != self._own and (known is None or known.heard_at < heard_at):
-                self._known[address] = _Known(one.member, heard_at)
+                self._known[address] = _KnownMember(one.member, heard_at)
 
     def nodes(self, now: float) -> int:
         """Return the estimated number of gateways, this one included.
@@ -113,13 +113,13 @@
         gateway take too large a share of common budgets.  For the same reason a process that has
         just started, perhaps together with the whole fleet, assumes a minimum fleet size.
         """
-        horizon = now - COUNTED_FOR_S
+        horizon = now - COUNTED_WITHIN_S
         heard = 1 + sum(1 for known in self._known.values() if known.heard_at >= horizon)
-        return max(heard, ASSUMED_AT_START) if self.is_settling(now) else heard
+        return max(heard, ASSUMED_FLEET_SIZE) if self.is_settling(now) else heard
 
     def candidates(self, now: float) -> list[Member]:
         """Return the peers that may be asked to coordinate, sorted by address."""
-        horizon = now - CANDIDATE_FOR_S
+        horizon = now - CANDIDATE_WITHIN_S
         members = (
             known.member
             for known in self._known.values()
@@ -129,23 +129,23 @@
 
     def zones(self, now: float) -> list[str]:
         """Return the zone of each counted peer."""
-        horizon = now - COUNTED_FOR_S
+        horizon = now - COUNTED_WITHIN_S
         return [one.member.zone for one in self._known.values() if one.heard_at >= horizon]
 
     def members_in(self, zone: str, now: float) -> list[Address]:
         """Return the addresses of the counted peers in a zone."""
-        horizon = now - COUNTED_FOR_S
+        horizon = now - COUNTED_WITHIN_S
         return [
             address
             for address, known in self._known.items()
             if known.member.zone == zone and known.heard_at >= horizon
         ]
 
-    def everybody(self, now: float, most: int) -> list[Address]:
-        """Return the addresses of all counted peers, or a random sample of ``most`` of them."""
-        horizon = now - COUNTED_FOR_S
+    def everybody(self, now: float, limit: int) -> list[Address]:
+        """Return the addresses of all counted peers, or a random sample of ``limit`` of them."""
+        horizon = now - COUNTED_WITHIN_S
         counted = [address for address, known in self._known.items() if known.heard_at >= horizon]
-        return self._random.sample(counted, most) if len(counted) > most else counted
+        return self._random.sample(counted, limit) if len(counted) > limit else counted
 
     def zone_of(self, address: Address) -> str | None:
         """Return the zone of a peer; ``None`` if the peer is unknown."""
@@ -166,34 +166,34 @@
 
         :param zone_only: in a small fleet, leave out peers in other zones.
         """
-        self._forget(now)
-        everybody = sorted(self._seeds | self._known.keys(), key=str)
-        elsewhere = [address for address in everybody if self.is_elsewhere(address)]
-        beside = [address for address in everybody if not self.is_elsewhere(address)]
-        if len(everybody) <= ALL_PEERS_UP_TO:
-            return beside if zone_only else everybody
-        few_elsewhere = min(RANDOM_PEERS_ELSEWHERE, len(elsewhere))
-        few_beside = min(RANDOM_PEERS - few_elsewhere, len(beside))
-        drawn = self._random.sample(beside, few_beside)
-        return drawn + self._random.sample(elsewhere, RANDOM_PEERS - few_beside)
-
-    def to_tell(self, now: float, *, elsewhere: bool = False) -> tuple[ReportedMember, ...]:
+        self._drop_silent(now)
+        addresses = sorted(self._seeds | self._known.keys(), key=str)
+        other_zone = [address for address in addresses if self.is_elsewhere(address)]
+        same_zone = [address for address in addresses if not self.is_elsewhere(address)]
+        if len(addresses) <= SMALL_FLEET_PEERS:
+            return same_zone if zone_only else addresses
+        other_zone_count = min(DIGEST_FANOUT_OTHER_ZONE, len(other_zone))
+        same_zone_count = min(DIGEST_FANOUT - other_zone_count, len(same_zone))
+        sampled = self._random.sample(same_zone, same_zone_count)
+        return sampled + self._random.sample(other_zone, DIGEST_FANOUT - same_zone_count)
+
+    def to_tell(self, now: float, *, to_other_zone: bool = False) -> tuple[ReportedMember, ...]:
         """Return a new random sample of members to list in a digest.
 
-        :param elsewhere: the digest goes to another zone.
+        :param to_other_zone: the digest goes to another zone.
         """
-        horizon = now - COUNTED_FOR_S
+        horizon = now - COUNTED_WITHIN_S
         counted = [known for known in self._known.values() if known.heard_at >= horizon]
-        few = len(self._seeds | self._known.keys()) <= ALL_PEERS_UP_TO
-        most = TOLD_PEERS_OF_FEW if few else TOLD_PEERS
-        if elsewhere:
-            most = min(most, TOLD_PEERS_ELSEWHERE)
-        drawn = self._random.sample(counted, min(most, len(counted)))
-        return tuple(ReportedMember(known.member, now - known.heard_at) for known in drawn)
-
-    def all_told(self, now: float) -> tuple[ReportedMember, ...]:
+        is_small_fleet = len(self._seeds | self._known.keys()) <= SMALL_FLEET_PEERS
+        limit = LISTED_MEMBERS_IN_SMALL_FLEET if is_small_fleet else LISTED_MEMBERS
+        if to_other_zone:
+            limit = min(limit, LISTED_MEMBERS_OTHER_ZONE)
+        sampled = self._random.sample(counted, min(limit, len(counted)))
+        return tuple(ReportedMember(known.member, now - known.heard_at) for known in sampled)
+
+    def counted_members(self, now: float) -> tuple[ReportedMember, ...]:
         """Return all counted peers, for a gateway that has just started."""
-        horizon = now - COUNTED_FOR_S
+        horizon = now - COUNTED_WITHIN_S
         return tuple(
             ReportedMember(known.member, now - known.heard_at)
             for known in self._known.values()
@@ -217,7 +217,7 @@
         known = self._known.get(address)
         return known is not None and known.member.zone != self.own_zone
 
-    def _forget(self, now: float) -> None:
+    def _drop_silent(self, now: float) -> None:
         """Drop peers that have been silent for ``FORGOTTEN_AFTER_S``."""
         horizon = now - FORGOTTEN_AFTER_S
         for address in [a for a, known in self._known.items() if known.heard_at < horizon]:
--- a/tinrudder/gateway/peers/peer_service.py
+++ b/tinrudder/gateway/peers/peer_service.py
@@ -75,12 +75,12 @@
             self._listener.close()
         await self._connections.close()
 
-    async def _serve(self, _peer: Address, asked: bytes) -> bytes:
+    async def _serve(self, _peer: Address, request_payload: bytes) -> bytes:
         """Answer one request of a peer.
 
         :raises MalformedPeerMessageError: the bytes are not a valid request.
         """
-        request = decode_request(asked)
+        request = decode_request(request_payload)
         answer: ScatterAnswer | Snapshot
         if isinstance(request, ScatterRequest):
             answer = await self._serve_scatter(request)
@@ -98,5 +98,5 @@
         if not request.members_wanted:
             return snapshot
         own = ReportedMember(self._own_member.describe(), 0.0)
-        members = (own, *self._peers.all_told(self._loop.time()))
+        members = (own, *self._peers.counted_members(self._loop.time()))
         return structs.replace(snapshot, members=members)
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -38,32 +38,32 @@
 from tinrudder.gateway.peers.peer_messages import PoisonReport, ReportedCrash, ReportedEvidence
 from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
-GATHER_S = 0.05
+BATCH_DELAY_S = 0.05
 """Seconds for which a change is held back unless a trial has failed: when a rack or all connections
 are lost, other back ends answer most requests within this time, and these need no report."""
-TOLD_DIRECTLY = 64
+DIRECT_RECEIVERS = 64
 """Number of peers to which a gateway sends its own changes: 11 KB of datagrams at once."""
-PASSED_TO = 8
+FORWARD_RECEIVERS = 8
 """Number of peers to which each receiver forwards a change that is new to it: it reaches 730
 gateways in three hops, and each of them sends 1.4 KB."""
-REPEAT_S = 1.0
+REPEAT_INTERVAL_S = 1.0
 """Maximum seconds between two repeats of some evidence to some peers, for those that missed it."""
-MOST_IN_A_REPORT = 6
+MAX_EVIDENCE_PER_REPORT = 6
 """Maximum items of evidence in one datagram: each has 200 bytes at most, and 1,200 bytes pass every
 network without fragmentation."""
-MOST_DATAGRAMS_AT_ONCE = 192
-"""Burst of report datagrams that one gateway may send: three changes to all ``TOLD_DIRECTLY``
+BURST_DATAGRAMS = 192
+"""Burst of report datagrams that one gateway may send: three changes to all ``DIRECT_RECEIVERS``
 peers.  Answers to peers that request all evidence have a budget of the same size."""
-MOST_DATAGRAMS_A_SECOND = 24.0
+DATAGRAMS_PER_S = 24.0
 """Report datagrams per second that one gateway may send after the burst: 5 KB/s at 200 bytes each,
 a negligible load for a weak machine with a link of 7 Mbit/s.  The repeated reports make up for
 those that exceed the budget."""
-ASK_S = 0.2
+SYNC_REQUEST_INTERVAL_S = 0.2
 """Seconds between two requests for all evidence by a process that has just started."""
-FIRST_ASKS = 10
+MAX_SYNC_REQUESTS = 10
 """Maximum number of such requests: seeds that start at the same time have no evidence either, and
 need up to 2 s to listen."""
-STOOD_STILL_S = 0.5
+PAUSE_DETECTED_S = 0.5
 """Seconds by which a timer must be late for the process to assume that it was paused and missed
 reports; it then requests all evidence."""
 
@@ -92,22 +92,22 @@
         self.requests = PoisonRequests()
         self.refused = 0
         self.unsent = 0
-        self._budget = SendBudget(MOST_DATAGRAMS_AT_ONCE, MOST_DATAGRAMS_A_SECOND)
+        self._budget = SendBudget(BURST_DATAGRAMS, DATAGRAMS_PER_S)
         # All evidence takes up to 171 datagrams: a request for it must not delay new changes.
-        self._answer_budget = SendBudget(MOST_DATAGRAMS_AT_ONCE, MOST_DATAGRAMS_A_SECOND)
+        self._answer_budget = SendBudget(BURST_DATAGRAMS, DATAGRAMS_PER_S)
         self._peers = peers
         self._datagrams = datagrams
         self._clock = clock
         self._starts_known_at = starts_known_at
         self._names = names
         self._random = random_source
-        self._news: set[bytes] = set()
-        self._passing: set[bytes] = set()
+        self._pending: set[bytes] = set()
+        self._to_forward: set[bytes] = set()
         # Requests that have not been reported to or by any other gateway.
-        self._untold: set[bytes] = set()
-        self._telling: asyncio.TimerHandle | None = None
+        self._unreported: set[bytes] = set()
+        self._send_timer: asyncio.TimerHandle | None = None
         # While this is false, empty evidence here does not mean that peers have none.
-        self._told_everything = False
+        self._is_synced = False
         datagrams.handle(PoisonReport, self._on_report)
 
     @property
@@ -150,7 +150,7 @@
         now = self._clock()
         backend = crc32(life.encode())
         if self.requests.find(fingerprint) is None:
-            self._untold.add(fingerprint)
+            self._unreported.add(fingerprint)
         evidence = self.requests.note_crash(fingerprint, origin, backend, now, trial=trial)
         if evidence.barred_until > now:
             fields: dict[str, LogValue] = {
@@ -161,26 +161,26 @@
                 "barred_s": round(evidence.barred_until - now, 3),
             }
             log_event("request_barred", fields)
-        self._news.add(fingerprint)
+        self._pending.add(fingerprint)
         if trial:
             # Sent before the answer: the client may retry at another gateway a moment later.
-            self._tell_news()
+            self._send_changes()
         else:
-            self._tell_within(GATHER_S)
+            self._schedule_send(BATCH_DELAY_S)
 
     def note_answer(self, fingerprint: bytes) -> None:
         """Clear a request that a back end answered."""
         if not self.requests.note_answer(fingerprint, self._clock()):
             return
         log_event("request_cleared", {"fingerprint": fingerprint.hex()})
-        self._tell_dropped(fingerprint)
+        self._report_dropped(fingerprint)
 
     def note_survivor(self, fingerprint: bytes, life: str) -> None:
         """Drop a crash from the evidence against a request: the back end did not crash."""
         if not self.requests.note_survivor(fingerprint, crc32(life.encode())):
             return
         log_event("back_end_survived", {"fingerprint": fingerprint.hex(), "backend": life})
-        self._tell_dropped(fingerprint)
+        self._report_dropped(fingerprint)
 
     def note_alive(self, life: str, sent_at: float) -> None:
         """Drop a back end's crash from the requests for which its answer disproves the crash.
@@ -191,41 +191,43 @@
         for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at, known_at):
             self.note_survivor(fingerprint, life)
 
-    def _tell_dropped(self, fingerprint: bytes) -> None:
+    def _report_dropped(self, fingerprint: bytes) -> None:
         """Report dropped evidence to peers, unless they were never told of the request."""
         evidence = self.requests.find(fingerprint)
-        if fingerprint not in self._untold:
-            self._news.add(fingerprint)
-            self._tell_news()
+        if fingerprint not in self._unreported:
+            self._pending.add(fingerprint)
+            self._send_changes()
         elif evidence is not None and not evidence.held:
-            self._news.discard(fingerprint)
+            self._pending.discard(fingerprint)
 
     def begin_trial(self, fingerprint: bytes) -> None:
         """Announce a trial that begins here, so that no other gateway begins one."""
         if self.requests.begin_trial(fingerprint, self._clock()):
             log_event("request_on_trial", {"fingerprint": fingerprint.hex()})
-            self._news.add(fingerprint)
-            self._tell_news()
+            self._pending.add(fingerprint)
+            self._send_changes()
 
     async def run(self) -> None:
         """Request all evidence from peers, then repeat the own evidence until cancelled."""
-        for _ in range(FIRST_ASKS):
-            if self._told_everything:
+        for _ in range(MAX_SYNC_REQUESTS):
+            if self._is_synced:
                 break
-            self._ask()
-            await asyncio.sleep(ASK_S)
+            self._request_all()
+            await asyncio.sleep(SYNC_REQUEST_INTERVAL_S)
         # If the whole fleet started together, no peer has evidence, and this one may answer so.
-        self._told_everything = True
+        self._is_synced = True
         while True:
-            due_at = self._clock() + REPEAT_S
-            await asyncio.sleep(REPEAT_S * self._random.uniform(0.8, 1.0))
-            if self._clock() - due_at >= STOOD_STILL_S:
-                self._ask()
+            due_at = self._clock() + REPEAT_INTERVAL_S
+            await asyncio.sleep(REPEAT_INTERVAL_S * self._random.uniform(0.8, 1.0))
+            if self._clock() - due_at >= PAUSE_DETECTED_S:
+                self._request_all()
             self.requests.forget(self._clock())
-            self._untold = {one for one in self._untold if self.requests.find(one) is not None}
+            self._unreported = {
+                one for one in self._unreported if self.requests.find(one) is not None
+            }
             self._repeat()
 
-    def _ask(self) -> None:
+    def _request_all(self) -> None:
         """Request all evidence from some peers."""
         peers = self._peers.receivers(self._clock())
         self._datagrams.send(PoisonReport(asks=True), *peers)
@@ -235,78 +237,80 @@
         known = self.requests.all()
         if not known:
             return
-        drawn = self._random.sample(known, min(MOST_IN_A_REPORT, len(known)))
+        drawn = self._random.sample(known, min(MAX_EVIDENCE_PER_REPORT, len(known)))
         peers = self._peers.receivers(self._clock())
         self._send([one for one, _ in drawn], peers, self._budget)
 
-    def _tell_within(self, seconds: float) -> None:
+    def _schedule_send(self, seconds: float) -> None:
         """Schedule the pending changes to be sent together within ``seconds``."""
         loop = asyncio.get_running_loop()
         due_at = loop.time() + seconds
-        if self._telling is not None:
-            if self._telling.when() <= due_at:
+        if self._send_timer is not None:
+            if self._send_timer.when() <= due_at:
                 return
-            self._telling.cancel()
-        self._telling = loop.call_at(due_at, self._tell_news)
+            self._send_timer.cancel()
+        self._send_timer = loop.call_at(due_at, self._send_changes)
 
-    def _tell_news(self) -> None:
+    def _send_changes(self) -> None:
         """Send own changes to all peers, and forward changes of others to some."""
-        if self._telling is not None:
-            self._telling.cancel()
-            self._telling = None
-        news, self._news = self._news, set()
-        passing, self._passing = self._passing - news, set()
+        if self._send_timer is not None:
+            self._send_timer.cancel()
+            self._send_timer = None
+        changes, self._pending = self._pending, set()
+        forwarded, self._to_forward = self._to_forward - changes, set()
         now = self._clock()
-        self._send(news, self._peers.everybody(now, TOLD_DIRECTLY), self._budget)
-        if passing:
-            self._send(passing, self._peers.everybody(now, PASSED_TO), self._budget)
+        self._send(changes, self._peers.everybody(now, DIRECT_RECEIVERS), self._budget)
+        if forwarded:
+            self._send(forwarded, self._peers.everybody(now, FORWARD_RECEIVERS), self._budget)
 
     def _send(
         self, fingerprints: Iterable[bytes], peers: list[Address], budget: SendBudget
     ) -> None:
         """Send evidence in as many reports as needed, within the budget."""
         found = ((one, self.requests.find(one)) for one in fingerprints)
-        told = [self._told(one, evidence) for one, evidence in found if evidence is not None]
-        self._untold.difference_update(one.fingerprint for one in told)
-        for first in range(0, len(told), MOST_IN_A_REPORT):
+        reported = [
+            self._reported(one, evidence) for one, evidence in found if evidence is not None
+        ]
+        self._unreported.difference_update(one.fingerprint for one in reported)
+        for first in range(0, len(reported), MAX_EVIDENCE_PER_REPORT):
             allowed = budget.take(len(peers), self._clock())
             self.unsent += len(peers) - allowed
-            report = PoisonReport(tuple(told[first : first + MOST_IN_A_REPORT]))
+            report = PoisonReport(tuple(reported[first : first + MAX_EVIDENCE_PER_REPORT]))
             self._datagrams.send(report, *peers[:allowed])
 
     def _on_report(self, report: PoisonReport, sender: Address) -> None:
         """Merge the evidence of a report, or answer a request for all evidence."""
         if report.asks:
-            self._answer(sender)
+            self._send_all(sender)
             return
-        self._told_everything = True
-        for told in report.evidence:
-            self._take(told)
-        if self._passing:
-            self._tell_news()
+        self._is_synced = True
+        for reported in report.evidence:
+            self._merge_reported(reported)
+        if self._to_forward:
+            self._send_changes()
 
-    def _take(self, told: ReportedEvidence) -> None:
+    def _merge_reported(self, reported: ReportedEvidence) -> None:
         """Merge a peer's evidence about a request; forward it if it changes the judgement here."""
         now = self._clock()
-        evidence = _evidence_of(told, now)
-        if not self.requests.is_worth_taking(told.fingerprint, evidence, now):
+        evidence = _evidence_of(reported, now)
+        if not self.requests.is_worth_taking(reported.fingerprint, evidence, now):
             return
-        self._untold.discard(told.fingerprint)
-        before = self.requests.judge(told.fingerprint, told.origin, now)
-        self.requests.merge(told.fingerprint, evidence)
-        after = self.requests.judge(told.fingerprint, told.origin, now)
-        if after.standing is not before.standing and self._peers.heard_of_in_all > TOLD_DIRECTLY:
-            self._passing.add(told.fingerprint)
-
-    def _answer(self, peer: Address) -> None:
+        self._unreported.discard(reported.fingerprint)
+        before = self.requests.judge(reported.fingerprint, reported.origin, now)
+        self.requests.merge(reported.fingerprint, evidence)
+        after = self.requests.judge(reported.fingerprint, reported.origin, now)
+        if after.standing is not before.standing and self._peers.heard_of_in_all > DIRECT_RECEIVERS:
+            self._to_forward.add(reported.fingerprint)
+
+    def _send_all(self, peer: Address) -> None:
         """Send all evidence to one peer, or an empty report if there is none."""
         if len(self.requests):
             known = [one for one, _ in self.requests.all()]
             self._send(known, [peer], self._answer_budget)
-        elif self._told_everything:
+        elif self._is_synced:
             self._datagrams.send(PoisonReport(), peer)
 
-    def _told(self, fingerprint: bytes, evidence: Evidence) -> ReportedEvidence:
+    def _reported(self, fingerprint: bytes, evidence: Evidence) -> ReportedEvidence:
         """Return evidence for a report, with ages instead of times, since clocks may differ."""
         now = self._clock()
         crashes = tuple(
@@ -323,21 +327,21 @@
         )
 
 
-def _age(now: float, moment: float) -> float | None:
-    return None if moment == NEVER else now - moment
+def _age(now: float, time: float) -> float | None:
+    return None if time == NEVER else now - time
 
 
-def _moment(now: float, age_s: float | None) -> float:
+def _time_of(now: float, age_s: float | None) -> float:
     return NEVER if age_s is None else now - age_s
 
 
-def _evidence_of(told: ReportedEvidence, now: float) -> Evidence:
+def _evidence_of(reported: ReportedEvidence, now: float) -> Evidence:
     """Return reported evidence with ages converted to times of the local clock."""
-    crashes = told.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
+    crashes = reported.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
     return Evidence(
-        told.origin,
+        reported.origin,
         tuple(Crash(one.backend, now - one.age_s, one.trial, one.survived) for one in crashes),
-        told.cleared,
-        _moment(now, told.cleared_age_s),
-        _moment(now, told.trial_age_s),
+        reported.cleared,
+        _time_of(now, reported.cleared_age_s),
+        _time_of(now, reported.trial_age_s),
     )
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -18,7 +18,7 @@
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
 
-REMEMBERED_S = 5.0
+PROBE_TIMEOUT_S = 5.0
 """Seconds for which a probe waits for its answer: a later one would be too old to be of use."""
 
 
@@ -58,16 +58,16 @@
     def ask(self, *peers: Address) -> None:
         """Send a probe to each of the peers."""
         now = self._clock()
-        self._forget(now)
+        self._drop_expired(now)
         for peer in peers:
             self._number += 1
             self._sent[self._number] = SentProbe(peer, now)
             self._datagrams.send(Probe(self._number), peer)
 
-    def _forget(self, now: float) -> None:
+    def _drop_expired(self, now: float) -> None:
         """Drop probes that are too old; ``_sent`` is in the order of sending."""
         for number, sent in tuple(self._sent.items()):
-            if sent.sent_at > now - REMEMBERED_S:
+            if sent.sent_at > now - PROBE_TIMEOUT_S:
                 return
             del self._sent[number]
 
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -15,7 +15,7 @@
 from tinrudder.gateway.model.outcomes import NotRun
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
-KEPT_S = 0.1
+CACHE_TTL_S = 0.1
 """Seconds for which a count of reachable shards is cached; counting 135 shards takes 0.1 ms."""
 RETRY_AFTER_S = 2.0
 """Seconds after which a refused client may retry: a load balancer that checks once a second takes
@@ -73,7 +73,7 @@
         """Return the reachable share of an index's shards, from the cache if it is recent."""
         now = self.clock()
         known = self._counted.get(index)
-        if known is None or now - known.counted_at >= KEPT_S:
+        if known is None or now - known.counted_at >= CACHE_TTL_S:
             reachable = sum(1 for service in index if self.directory.reachable(service))
             known = _Reachable(reachable / len(index), now)
             self._counted[index] = known
--- a/tinrudder/gateway/peers/snapshot_pulls.py
+++ b/tinrudder/gateway/peers/snapshot_pulls.py
@@ -15,9 +15,9 @@
 from tinrudder.gateway.peers.peer_messages import Digest, Snapshot
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 from tinrudder.gateway.peers.snapshots import (
+    apply_confirmations,
     is_behind,
     snapshot_request,
-    take_confirmations,
     take_snapshot,
 )
 from tinrudder.gateway.store.shared_state import SharedState
@@ -27,7 +27,7 @@
 from tinrudder.gateway.wire.snapshot_codec import MalformedPeerMessageError, decode_snapshot
 from tinrudder.peers import PeerLostError, PeerNotSentError
 
-PULL_PATIENCE_S = 0.25
+PULL_DELAY_S = 0.25
 """Seconds for which a gateway that watches the store itself waits for a change that a peer's digest
 shows: a change reaches all watches of the store at about the same time, and makes pulls useless."""
 PULL_TIMEOUT_S = 1.0
@@ -66,7 +66,7 @@
         self._behind_since: float | None = None
         self._pulling: asyncio.Task[None] | None = None
         # The event loop keeps only weak references to tasks.
-        self._introductions: set[asyncio.Task[None]] = set()
+        self._member_requests: set[asyncio.Task[None]] = set()
 
     async def close(self) -> None:
         """Close the connections to peers."""
@@ -79,23 +79,23 @@
 
     def compare(self, digest: Digest, now: float) -> None:
         """Pull from a peer with newer state, unless the store is expected to deliver it soon."""
-        take_confirmations(self._state, digest)
+        apply_confirmations(self._state, digest)
         if not is_behind(self._state, digest):
             return
         if self._behind_since is None:
             self._behind_since = now
-            self._loop.call_later(PULL_PATIENCE_S, self._pull_if_behind, digest)
-        patient = self._state.complete and self._readers.is_reader()
-        if not patient or now - self._behind_since >= PULL_PATIENCE_S:
+            self._loop.call_later(PULL_DELAY_S, self._pull_if_behind, digest)
+        expects_change = self._state.complete and self._readers.is_reader()
+        if not expects_change or now - self._behind_since >= PULL_DELAY_S:
             self._pull_if_behind(digest)
 
-    def learn_members(self, *, seeds_only: bool) -> None:
+    def request_members(self, *, seeds_only: bool) -> None:
         """Request the member list, with the state, from a random peer."""
         teacher = self._peers.teacher(seeds_only=seeds_only)
         if teacher is not None:
-            task = self._loop.create_task(self._introduce(teacher))
-            self._introductions.add(task)
-            task.add_done_callback(self._introductions.discard)
+            task = self._loop.create_task(self._request_members(teacher))
+            self._member_requests.add(task)
+            task.add_done_callback(self._member_requests.discard)
 
     def _pull_if_behind(self, digest: Digest) -> None:
         """Start a pull if the state is still older than the digest shows."""
@@ -107,7 +107,7 @@
     async def _pull(self, peer: Address) -> None:
         """Apply a peer's snapshot, and report the result."""
         try:
-            await self._learn_from(peer)
+            await self._apply_snapshot_of(peer)
         except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
             self._readers.note_pull(succeeded=False)
             self._on_pull(str(peer), f"failed: {error!r}")
@@ -118,18 +118,18 @@
             self._pulling = None
             self._behind_since = None
 
-    async def _learn_from(self, peer: Address) -> None:
+    async def _apply_snapshot_of(self, peer: Address) -> None:
         """Apply a peer's snapshot, and the staleness bound that it proves.
 
         The age that the peer states counts from when the request was sent, the earliest time at
         which the peer can have answered.
         """
-        asked_at = self._loop.time()
+        sent_at = self._loop.time()
         snapshot = await self._request_snapshot(peer)
         self._peers.heard_of(snapshot.members, self._loop.time())
         take_snapshot(self._state, snapshot, str(peer))
         if snapshot.knowledge_age_s is not None:
-            self._staleness_bound.prove(asked_at - snapshot.knowledge_age_s)
+            self._staleness_bound.prove(sent_at - snapshot.knowledge_age_s)
 
     async def _request_snapshot(self, peer: Address) -> Snapshot:
         """Request a snapshot from one peer."""
@@ -139,9 +139,9 @@
         self._traffic.note(request, len(payload))
         return decode_snapshot(await self._client.request(peer, payload, PULL_TIMEOUT_S))
 
-    async def _introduce(self, teacher: Address) -> None:
+    async def _request_members(self, teacher: Address) -> None:
         """Apply a peer's snapshot; a failure is only reported: other peers may still answer."""
         try:
-            await self._learn_from(teacher)
+            await self._apply_snapshot_of(teacher)
         except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
             self._on_pull(str(teacher), f"introduction failed: {error!r}")
--- a/tinrudder/gateway/peers/snapshots.py
+++ b/tinrudder/gateway/peers/snapshots.py
@@ -21,10 +21,10 @@
     )
 
 
-def take_confirmations(state: SharedState, digest: Digest) -> None:
+def apply_confirmations(state: SharedState, digest: Digest) -> None:
     """Take over when the store confirmed a topic to a peer, if this gateway's state covers it."""
-    _take_confirmation(state, Topic.OPERATOR, digest.operator, digest.operator_unconfirmed_s)
-    _take_confirmation(state, Topic.BACKENDS, digest.backends, digest.backends_unconfirmed_s)
+    _apply_confirmation(state, Topic.OPERATOR, digest.operator, digest.operator_unconfirmed_s)
+    _apply_confirmation(state, Topic.BACKENDS, digest.backends, digest.backends_unconfirmed_s)
 
 
 def snapshot_request(state: SharedState, *, members_wanted: bool) -> SnapshotRequest:
@@ -42,16 +42,16 @@
     state: SharedState, request: SnapshotRequest, knowledge_age_s: float | None
 ) -> Snapshot:
     """Return the state that a requester may lack; all of it, if it follows another epoch."""
-    asker = request.backends
-    if asker.revision < state.forgotten_up_to:
+    requester = request.backends
+    if requester.revision < state.forgotten_up_to:
         # Removals are forgotten after a while, so an older requester needs the complete list.
-        asker = TopicPosition()
-    is_same_epoch = asker.revision.epoch == state.revision(Topic.BACKENDS).epoch
+        requester = TopicPosition()
+    is_same_epoch = requester.revision.epoch == state.revision(Topic.BACKENDS).epoch
     return Snapshot(
         configuration=_newer_configuration(state, request),
-        backends=state.values_for(Topic.BACKENDS, asker),
+        backends=state.values_for(Topic.BACKENDS, requester),
         backends_read=state.backends_read,
-        changes_only=is_same_epoch and asker.revision != NO_REVISION,
+        changes_only=is_same_epoch and requester.revision != NO_REVISION,
         evacuations=state.values_for(Topic.OPERATOR, request.operator),
         knowledge_age_s=knowledge_age_s,
         operator_position=state.history(Topic.OPERATOR).position(),
@@ -65,11 +65,11 @@
     :param source: the address of the peer that sent it.
     """
     configuration = () if snapshot.configuration is None else (snapshot.configuration,)
-    _take_operators_values(state, configuration + snapshot.evacuations, snapshot, source)
-    _take_backends(state, snapshot)
+    _apply_operator_values(state, configuration + snapshot.evacuations, snapshot, source)
+    _apply_backends(state, snapshot)
 
 
-def _take_confirmation(
+def _apply_confirmation(
     state: SharedState, topic: Topic, position: TopicPosition, age_s: float | None
 ) -> None:
     """Take over the age of a peer's confirmation, if its state is covered and its epoch current."""
@@ -89,7 +89,7 @@
     return accepted.value if is_newer or has_moved else None
 
 
-def _take_operators_values(
+def _apply_operator_values(
     state: SharedState, values: tuple[StoredValue, ...], snapshot: Snapshot, source: str
 ) -> None:
     """Apply the operator's settings; replace them all if the snapshot is of a later epoch."""
@@ -103,7 +103,7 @@
         history.hear_position(position)
 
 
-def _take_backends(state: SharedState, snapshot: Snapshot) -> None:
+def _apply_backends(state: SharedState, snapshot: Snapshot) -> None:
     """Apply entries of back ends; a complete list also removes the entries that it lacks."""
     position = snapshot.backends_position
     if snapshot.backends_read and not snapshot.changes_only:
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -22,18 +22,18 @@
 from tinrudder.gateway.peers.peer_messages import Digest, ProbeAnswer
 from tinrudder.gateway.peers.probes import Probes, SentProbe
 
-ROUND_S = 0.1
+ROUND_INTERVAL_S = 0.1
 """Seconds between two probe rounds to a suspect zone: three rounds fit in before it is closed."""
-CLOSED_ROUND_S = 0.25
+CLOSED_ROUND_INTERVAL_S = 0.25
 """The same for a closed zone: the longest time for which a path that has recovered stays unused."""
-SILENCE_LOOK_S = 0.5
+SILENCE_CHECK_INTERVAL_S = 0.5
 """Mean seconds between two checks whether other zones have fallen silent: the interval of
 digests."""
-ASKED_IN_ROUND = 3
+PROBED_PER_ROUND = 3
 """Number of gateways of a suspect zone that one round probes: a single one may just be paused."""
-LEAST_HEARD_SHARE = 0.5
+MIN_REACHABLE_SHARE = 0.5
 """Share of the known gateways: one that reaches less is on the smaller side of a partition."""
-HEARSAY_AGE_S = 0.1
+REPORTED_SUSPICION_AGE_S = 0.1
 """Assumed age, in seconds, of a suspicion that a peer reports: an answer that is more recent
 outweighs it."""
 
@@ -60,7 +60,7 @@
         self._random = random_source
         self._listeners: list[Callable[[], None]] = []
         self._loop = asyncio.get_running_loop()
-        self._asking: dict[str, asyncio.TimerHandle] = {}
+        self._round_timers: dict[str, asyncio.TimerHandle] = {}
         probes.subscribe(self._on_answer)
 
     def subscribe(self, listener: Callable[[], None]) -> None:
@@ -84,7 +84,7 @@
 
         If the sides are equal, neither counts as cut off.
         """
-        return bool(self.paths.lost) and self.heard_share < LEAST_HEARD_SHARE
+        return bool(self.paths.lost) and self.heard_share < MIN_REACHABLE_SHARE
 
     def is_closed(self, zone: str) -> bool:
         """Return whether the path to a zone is closed, so that calls to it would hang."""
@@ -95,7 +95,7 @@
         now = self._loop.time()
         self.paths.heard(digest.sender.zone, now)
         for zone in digest.silent_zones:
-            self.doubt(zone, now - HEARSAY_AGE_S, by_hearsay=True)
+            self.doubt(zone, now - REPORTED_SUSPICION_AGE_S, by_hearsay=True)
 
     def answered(self, zone: str) -> None:
         """Record an answer of a back end or a gateway in a zone."""
@@ -121,7 +121,7 @@
             self._on_closing(zone)
         else:
             self._log(zone)
-        self._begin(zone)
+        self._start_rounds(zone)
 
     def doubt_way_to(self, peer: Address, sent_at: float) -> None:
         """Record that a message sent to a gateway has no answer yet."""
@@ -132,22 +132,22 @@
     async def run(self) -> None:
         """Check for silence of all other zones until cancelled."""
         while True:
-            await asyncio.sleep(SILENCE_LOOK_S * self._random.uniform(0.8, 1.2))
+            await asyncio.sleep(SILENCE_CHECK_INTERVAL_S * self._random.uniform(0.8, 1.2))
             now = self._loop.time()
             zones = tuple(set(self._peers.zones(now)))
             others = tuple(zone for zone in zones if zone != self._zone) or zones
             if self.paths.doubt_silent(others, now):
                 for zone in others:
-                    self._begin(zone)
+                    self._start_rounds(zone)
 
-    def _begin(self, zone: str) -> None:
+    def _start_rounds(self, zone: str) -> None:
         """Start probe rounds to a zone, unless they are running; they end when its path is open."""
-        if zone not in self._asking:
-            self._ask(zone)
+        if zone not in self._round_timers:
+            self._run_round(zone)
 
-    def _ask(self, zone: str) -> None:
+    def _run_round(self, zone: str) -> None:
         """Review the path to a zone; while it is not open, send probes and schedule a review."""
-        self._asking.pop(zone, None)
+        self._round_timers.pop(zone, None)
         if self.paths.review(zone, self._loop.time()):
             if self.paths.is_closed(zone):
                 self._on_closing(zone)
@@ -158,11 +158,11 @@
         if state is PathState.OPEN:
             return
         members = self._peers.members_in(zone, self._loop.time())
-        asked = ASKED_IN_ROUND if state is PathState.SUSPECT else 1
-        self._probes.ask(*self._random.sample(members, min(asked, len(members))))
+        probed = PROBED_PER_ROUND if state is PathState.SUSPECT else 1
+        self._probes.ask(*self._random.sample(members, min(probed, len(members))))
         self.paths.note_round(zone)
-        pause_s = ROUND_S if state is PathState.SUSPECT else CLOSED_ROUND_S
-        self._asking[zone] = self._loop.call_later(pause_s, self._ask, zone)
+        pause_s = ROUND_INTERVAL_S if state is PathState.SUSPECT else CLOSED_ROUND_INTERVAL_S
+        self._round_timers[zone] = self._loop.call_later(pause_s, self._run_round, zone)
 
     def _on_closing(self, zone: str) -> None:
         """Count, log and announce that the path to a zone was closed."""
--- a/tinrudder/gateway/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -22,11 +22,11 @@
 from tinrudder.gateway.wire import snapshot_pb2
 from tinrudder.gateway.wire.snapshot_codec import (
     MalformedPeerMessageError,
-    position_message,
-    position_of,
+    position_from_message,
+    position_to_message,
 )
 
-MICROSECONDS = 1e6
+MICROSECONDS_PER_S = 1e6
 """Microseconds per second: durations are sent in microseconds."""
 
 
@@ -37,8 +37,8 @@
             operator_revision=request.operator.revision.number,
             backends_revision=request.backends.revision.number,
             members_wanted=request.members_wanted,
-            operator=position_message(request.operator),
-            backends=position_message(request.backends),
+            operator=position_to_message(request.operator),
+            backends=position_to_message(request.backends),
             configuration_version=request.configuration_version,
         )
         return pb.PeerRequest(snapshot=snapshot).SerializeToString()
@@ -58,8 +58,8 @@
         case "snapshot":
             snapshot = message.snapshot
             return SnapshotRequest(
-                position_of(snapshot, "operator", snapshot.operator_revision),
-                position_of(snapshot, "backends", snapshot.backends_revision),
+                position_from_message(snapshot, "operator", snapshot.operator_revision),
+                position_from_message(snapshot, "backends", snapshot.backends_revision),
                 snapshot.members_wanted,
                 snapshot.configuration_version,
             )
@@ -82,7 +82,7 @@
             pb.MissingShard(service=shard.service, problem=shard.problem)
             for shard in answer.missing_shards
         ],
-        elapsed_us=int(answer.elapsed_s * MICROSECONDS),
+        elapsed_us=int(answer.elapsed_s * MICROSECONDS_PER_S),
     )
     _encode_outcome(answer.outcome, message)
     return message.SerializeToString()
@@ -105,7 +105,7 @@
         message.configuration_version,
         message.repeats,
         missing,
-        message.elapsed_us / MICROSECONDS,
+        message.elapsed_us / MICROSECONDS_PER_S,
     )
 
 
@@ -117,8 +117,8 @@
         headers=[pb.Header(name=name, value=value) for name, value in request.headers],
         body=request.body,
         request_id=scatter.request_id,
-        objective_left_us=int(scatter.objective_left_s * MICROSECONDS),
-        deadline_left_us=int(scatter.deadline_left_s * MICROSECONDS),
+        objective_left_us=int(scatter.objective_left_s * MICROSECONDS_PER_S),
+        deadline_left_us=int(scatter.deadline_left_s * MICROSECONDS_PER_S),
         returning=scatter.returning,
         configuration_revision=scatter.configuration_revision,
         shards=scatter.shards,
@@ -133,8 +133,8 @@
     return ScatterRequest(
         request=HttpRequest(message.method, message.target, headers, message.body),
         request_id=message.request_id,
-        objective_left_s=message.objective_left_us / MICROSECONDS,
-        deadline_left_s=message.deadline_left_us / MICROSECONDS,
+        objective_left_s=message.objective_left_us / MICROSECONDS_PER_S,
+        deadline_left_s=message.deadline_left_us / MICROSECONDS_PER_S,
         returning=message.returning,
         configuration_revision=message.configuration_revision,
         shards=tuple(message.shards),
--- a/tinrudder/gateway/wire/peer_datagram_codec.py
+++ b/tinrudder/gateway/wire/peer_datagram_codec.py
@@ -22,25 +22,25 @@
 )
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.wire import peer_datagram_pb2 as pb
-from tinrudder.gateway.wire.load_news_codec import load_news_message, load_news_of_message
+from tinrudder.gateway.wire.load_news_codec import load_news_from_message, load_news_to_message
 from tinrudder.gateway.wire.poison_report_codec import (
-    poison_report_message,
-    poison_report_of_message,
+    poison_report_from_message,
+    poison_report_to_message,
 )
 from tinrudder.gateway.wire.snapshot_codec import (
-    MILLISECONDS,
+    MILLISECONDS_PER_S,
     MalformedPeerMessageError,
-    age_of,
-    digest_message,
-    digest_of_message,
-    milliseconds_above,
-    optional_milliseconds_above,
+    digest_from_message,
+    digest_to_message,
+    milliseconds_rounded_up,
+    optional_age_s,
+    optional_milliseconds_rounded_up,
 )
 
 
 def encode_datagram(datagram: PeerDatagram) -> bytes:
     """Return the payload of a datagram."""
-    return _message(datagram).SerializeToString()
+    return _datagram_to_message(datagram).SerializeToString()
 
 
 def decode_datagram(payload: bytes) -> PeerDatagram:
@@ -50,15 +50,15 @@
     """
     try:
         message = pb.Datagram.FromString(payload)
-        return _content(message)
+        return _datagram_from_message(message)
     except (DecodeError, ValueError) as error:
         raise MalformedPeerMessageError(str(error)) from error
 
 
-def _message(datagram: PeerDatagram) -> pb.Datagram:
+def _datagram_to_message(datagram: PeerDatagram) -> pb.Datagram:
     match datagram:
         case Digest():
-            return pb.Datagram(digest=digest_message(datagram))
+            return pb.Datagram(digest=digest_to_message(datagram))
         case Probe(number=number):
             return pb.Datagram(probe=pb.Probe(number=number))
         case ProbeAnswer():
@@ -66,7 +66,7 @@
                 number=datagram.number,
                 operator_revision=datagram.operator_revision.number,
                 operator_epoch=datagram.operator_revision.epoch,
-                knowledge_age_ms=optional_milliseconds_above(datagram.knowledge_age_s),
+                knowledge_age_ms=optional_milliseconds_rounded_up(datagram.knowledge_age_s),
             )
             return pb.Datagram(probe_answer=answer)
         case QuotaReport():
@@ -84,32 +84,36 @@
                 number=datagram.number,
                 tenant=datagram.tenant,
                 granted=datagram.granted,
-                wait_ms=milliseconds_above(datagram.wait_s),
-                pressed_ms=milliseconds_above(datagram.pressed_s),
+                wait_ms=milliseconds_rounded_up(datagram.wait_s),
+                pressed_ms=milliseconds_rounded_up(datagram.pressed_s),
                 held=datagram.tokens,
             )
             return pb.Datagram(quota_verdict=verdict)
         case PoisonReport():
-            return pb.Datagram(poison_report=poison_report_message(datagram))
+            return pb.Datagram(poison_report=poison_report_to_message(datagram))
         case LoadNews():
-            return pb.Datagram(load_news=load_news_message(datagram))
+            return pb.Datagram(load_news=load_news_to_message(datagram))
 
 
-def _content(message: pb.Datagram) -> PeerDatagram:
+def _datagram_from_message(message: pb.Datagram) -> PeerDatagram:
     match message.WhichOneof("content"):
         case "digest":
-            return digest_of_message(message.digest)
+            return digest_from_message(message.digest)
         case "probe":
             return Probe(message.probe.number)
         case "probe_answer":
             answer = message.probe_answer
-            age_s = age_of(answer, "knowledge_age_ms")
+            age_s = optional_age_s(answer, "knowledge_age_ms")
             revision = StoreRevision(answer.operator_epoch, answer.operator_revision)
             return ProbeAnswer(answer.number, revision, age_s)
         case "quota_report":
             report = message.quota_report
             return QuotaReport(
-                report.number, report.tenant, report.admitted, report.asks, _held(report)
+                report.number,
+                report.tenant,
+                report.admitted,
+                report.asks,
+                _held_from_message(report),
             )
         case "quota_verdict":
             verdict = message.quota_verdict
@@ -117,14 +121,14 @@
                 verdict.number,
                 verdict.tenant,
                 verdict.granted,
-                verdict.wait_ms / MILLISECONDS,
-                verdict.pressed_ms / MILLISECONDS,
+                verdict.wait_ms / MILLISECONDS_PER_S,
+                verdict.pressed_ms / MILLISECONDS_PER_S,
                 verdict.held if verdict.HasField("held") else None,
             )
         case "poison_report":
-            return poison_report_of_message(message.poison_report)
+            return poison_report_from_message(message.poison_report)
         case "load_news":
-            return load_news_of_message(message.load_news)
+            return load_news_from_message(message.load_news)
         case _:
             raise MalformedPeerMessageError(
                 "datagram: the oneof field is not set or of an unknown kind"
@@ -133,10 +137,10 @@
 
 def _age_ms(held: HeldTokens | None) -> int:
     """Return the age rounded down: a receiver assumes more tokens the older a level is."""
-    return int(held.age_s * MILLISECONDS) if held is not None else 0
+    return int(held.age_s * MILLISECONDS_PER_S) if held is not None else 0
 
 
-def _held(report: pb.QuotaReport) -> HeldTokens | None:
+def _held_from_message(report: pb.QuotaReport) -> HeldTokens | None:
     """Decode the bucket level that another home reported.
 
     :raises ValueError: the level is not finite.
@@ -145,4 +149,4 @@
         return None
     if not math.isfinite(report.held):
         raise ValueError("quota report: held must be finite")
-    return HeldTokens(report.held, report.held_age_ms / MILLISECONDS)
+    return HeldTokens(report.held, report.held_age_ms / MILLISECONDS_PER_S)
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -17,7 +17,7 @@
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire import snapshot_pb2 as pb
 
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_S = 1000.0
 """Milliseconds per second: ages are sent in milliseconds."""
 COMPRESSION_LEVEL = 3
 """zlib level: 48 KB of documents shrink to 4.2 KB in 0.7 ms, encoding included; the highest level
@@ -30,34 +30,34 @@
     """The bytes are not a valid message between gateways."""
 
 
-def digest_message(digest: Digest) -> pb.Digest:
+def digest_to_message(digest: Digest) -> pb.Digest:
     """Return a digest as a protobuf message."""
     return pb.Digest(
         sender=_encode_member(digest.sender, 0.0),
         operator_revision=digest.operator.revision.number,
         backends_revision=digest.backends.revision.number,
-        members=[_encode_member(told.member, told.age_s) for told in digest.members],
+        members=[_encode_member(reported.member, reported.age_s) for reported in digest.members],
         operator_unconfirmed_ms=_milliseconds(digest.operator_unconfirmed_s),
         backends_unconfirmed_ms=_milliseconds(digest.backends_unconfirmed_s),
         silent_zones=digest.silent_zones,
-        operator=position_message(digest.operator),
-        backends=position_message(digest.backends),
+        operator=position_to_message(digest.operator),
+        backends=position_to_message(digest.backends),
         configuration_version=digest.configuration_version,
     )
 
 
-def digest_of_message(message: pb.Digest) -> Digest:
+def digest_from_message(message: pb.Digest) -> Digest:
     """Decode the protobuf message of a digest.
 
     :raises ValueError: an address is malformed.
     """
     return Digest(
         sender=_decode_member(message.sender),
-        operator=position_of(message, "operator", message.operator_revision),
-        backends=position_of(message, "backends", message.backends_revision),
-        members=tuple(_decode_told(member) for member in message.members),
-        operator_unconfirmed_s=age_of(message, "operator_unconfirmed_ms"),
-        backends_unconfirmed_s=age_of(message, "backends_unconfirmed_ms"),
+        operator=position_from_message(message, "operator", message.operator_revision),
+        backends=position_from_message(message, "backends", message.backends_revision),
+        members=tuple(_decode_reported_member(member) for member in message.members),
+        operator_unconfirmed_s=optional_age_s(message, "operator_unconfirmed_ms"),
+        backends_unconfirmed_s=optional_age_s(message, "backends_unconfirmed_ms"),
         silent_zones=tuple(message.silent_zones),
         configuration_version=message.configuration_version,
     )
@@ -69,14 +69,14 @@
         backends=[_encode_value(value) for value in snapshot.backends],
         backends_read=snapshot.backends_read,
         changes_only=snapshot.changes_only,
-        members=[_encode_member(told.member, told.age_s) for told in snapshot.members],
+        members=[_encode_member(reported.member, reported.age_s) for reported in snapshot.members],
         evacuations=[_encode_value(value) for value in snapshot.evacuations],
-        knowledge_age_ms=optional_milliseconds_above(snapshot.knowledge_age_s),
+        knowledge_age_ms=optional_milliseconds_rounded_up(snapshot.knowledge_age_s),
     )
     if snapshot.operator_position is not None:
-        message.operator_position.CopyFrom(position_message(snapshot.operator_position))
+        message.operator_position.CopyFrom(position_to_message(snapshot.operator_position))
     if snapshot.backends_position is not None:
-        message.backends_position.CopyFrom(position_message(snapshot.backends_position))
+        message.backends_position.CopyFrom(position_to_message(snapshot.backends_position))
     if snapshot.configuration is not None:
         message.configuration.CopyFrom(_encode_value(snapshot.configuration))
     return zlib.compress(message.SerializeToString(), COMPRESSION_LEVEL)
@@ -89,7 +89,7 @@
     """
     try:
         message = pb.Snapshot.FromString(_decompress(payload))
-        members = tuple(_decode_told(member) for member in message.members)
+        members = tuple(_decode_reported_member(member) for member in message.members)
     except (DecodeError, ValueError, zlib.error) as error:
         raise MalformedPeerMessageError(str(error)) from error
     configuration = None
@@ -103,13 +103,13 @@
         changes_only=message.changes_only,
         members=members,
         evacuations=tuple(_decode_value(value) for value in message.evacuations),
-        knowledge_age_s=age_of(message, "knowledge_age_ms"),
+        knowledge_age_s=optional_age_s(message, "knowledge_age_ms"),
         operator_position=_optional_position(message, "operator_position"),
         backends_position=_optional_position(message, "backends_position"),
     )
 
 
-def position_message(position: TopicPosition) -> pb.TopicPosition:
+def position_to_message(position: TopicPosition) -> pb.TopicPosition:
     """Return a position as a protobuf message."""
     begin = position.restored
     return pb.TopicPosition(
@@ -122,7 +122,7 @@
     )
 
 
-def position_of(message: Message, field: str, number: int) -> TopicPosition:
+def position_from_message(message: Message, field: str, number: int) -> TopicPosition:
     """Return the position in ``field`` of a message.
 
     Older software sends only ``number``, a revision number without an epoch; it counts as epoch 0.
@@ -136,7 +136,7 @@
     if not message.HasField(field):
         return None
     position: pb.TopicPosition = getattr(message, field)
-    age_s = age_of(position, "epoch_age_ms")
+    age_s = optional_age_s(position, "epoch_age_ms")
     return TopicPosition(
         StoreRevision(position.epoch, position.number),
         StoreRevision(position.older_epoch, position.older_number),
@@ -157,25 +157,25 @@
 
 
 def _milliseconds(age_s: float | None) -> int | None:
-    return None if age_s is None else int(age_s * MILLISECONDS)
+    return None if age_s is None else int(age_s * MILLISECONDS_PER_S)
 
 
-def milliseconds_above(seconds: float) -> int:
+def milliseconds_rounded_up(seconds: float) -> int:
     """Return a duration in milliseconds, rounded up so that it is never understated."""
-    return math.ceil(seconds * MILLISECONDS)
+    return math.ceil(seconds * MILLISECONDS_PER_S)
 
 
-def optional_milliseconds_above(age_s: float | None) -> int | None:
+def optional_milliseconds_rounded_up(age_s: float | None) -> int | None:
     """Return an age that may be absent, rounded up to milliseconds."""
-    return None if age_s is None else milliseconds_above(age_s)
+    return None if age_s is None else milliseconds_rounded_up(age_s)
 
 
-def age_of(message: Message, field: str) -> float | None:
+def optional_age_s(message: Message, field: str) -> float | None:
     """Return the age in ``field`` of a message, in seconds; ``None`` if it is absent."""
     if not message.HasField(field):
         return None
     milliseconds: int = getattr(message, field)
-    return milliseconds / MILLISECONDS
+    return milliseconds / MILLISECONDS_PER_S
 
 
 def _encode_member(member: Member, age_s: float) -> pb.Member:
@@ -186,7 +186,7 @@
         leaving=member.leaving,
         starting=member.starting,
         without_store=member.without_store,
-        age_ms=int(age_s * MILLISECONDS),
+        age_ms=int(age_s * MILLISECONDS_PER_S),
     )
 
 
@@ -201,8 +201,8 @@
     )
 
 
-def _decode_told(message: pb.Member) -> ReportedMember:
-    return ReportedMember(_decode_member(message), message.age_ms / MILLISECONDS)
+def _decode_reported_member(message: pb.Member) -> ReportedMember:
+    return ReportedMember(_decode_member(message), message.age_ms / MILLISECONDS_PER_S)
 
 
 def _encode_value(value: StoredValue) -> pb.Value:
