--- a/tests/functional/gateway/test_zone_cut.py
+++ b/tests/functional/gateway/test_zone_cut.py
@@ -1,7 +1,8 @@
-"""A zone is cut off: both sides say so at once, serve what they can, and meet again without rush.
+"""A network partition isolates a zone: both sides detect it quickly, serve what they can, and
+recover without a burst of connections.
 
-A cut is played from one side: to its gateways, whatever is on the other side stands still, and
-datagrams between the two are lost.
+The tests simulate a partition from one side: machines and back ends on the other side are paused,
+and datagrams between the sides are lost.
 """
 
 from __future__ import annotations
@@ -17,7 +18,7 @@
 
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 NOTICED_S = 1.0
-"""Within this time a cut is noticed where anything is asked for, see docs/design."""
+"""Seconds within which a partition is detected while requests arrive, see docs/design."""
 LONG_S = 600.0
 OBJECTIVE_S = 0.2
 SETTLED_S = 4.0
@@ -25,7 +26,7 @@
 
 
 def run_zones(scenario: Any, **options: Any) -> Any:
-    """Every shard's three copies stand in three of the four zones by turns."""
+    """Run a scenario with three copies of each shard, in three of the four zones in rotation."""
     settings = {"zones": ZONES, "spread": True, "copies": 3, "node_count": 8, "shards": 12}
     return run_site(scenario, **(settings | options))
 
@@ -40,7 +41,7 @@
 
 
 def silence(site: EmulatedSite, *zones: str) -> None:
-    """Let everything in some zones stand still, as whoever is cut off from them sees it."""
+    """Pause everything in some zones, as they appear to gateways that are cut off from them."""
     hosts = {site.nodes[index].host for index in nodes_in(site, *zones)}
     loop: Any = site.loop
     loop.datagram_lost = lambda source, target: (source[0] in hosts) != (target[0] in hosts)
@@ -107,7 +108,7 @@
         cut_off = nodes_in(site, "zone-d")
         await scatters(site, cut_off, SETTLED_S)
         silence(site, "zone-a", "zone-b", "zone-c")
-        # Only one of them is asked for anything; the others hear of it.
+        # Only one of them gets requests; the others learn of the partition from its digests.
         await scatters(site, cut_off[:1], NOTICED_S)
         assert [await ready(site, node) for node in cut_off] == [False, False]
         await asyncio.sleep(8.0)
--- a/tests/support/peer_network.py
+++ b/tests/support/peer_network.py
@@ -1,4 +1,4 @@
-"""A network of peers inside one event loop, with loss, cuts and counted bytes."""
+"""A simulated peer network in one event loop, with datagram loss, partitions and byte counts."""
 
 from __future__ import annotations
 
@@ -13,7 +13,10 @@
 
 @dataclass
 class PeerNetwork:
-    """Delivers between its transports; ``cut`` holds pairs of ports that can't reach each other."""
+    """Delivers messages between its transports.
+
+    ``cut`` holds the pairs of ports that cannot reach each other.
+    """
 
     loss: float = 0.0
     random: random.Random = field(default_factory=lambda: random.Random(7))
@@ -33,7 +36,7 @@
 
 @dataclass
 class MemoryPeerTransport:
-    """One peer's end of the network."""
+    """The transport of one peer."""
 
     network: PeerNetwork
     address: PeerAddress
--- a/tests/unit/gateway/test_gateway_relay_codec.py
+++ b/tests/unit/gateway/test_gateway_relay_codec.py
@@ -1,4 +1,5 @@
-"""Requests between gateways: what is written is read back, and nothing else is taken for one."""
+"""Codecs for messages between gateways: encoded messages decode unchanged, and malformed bytes are
+rejected."""
 
 from __future__ import annotations
 
@@ -129,7 +130,8 @@
 
 
 def test_gateways_of_older_software_tell_and_hear_numbers_without_epochs() -> None:
-    """During an upgrade both run side by side; the older know the first fields alone."""
+    """Both versions run side by side during an upgrade; the older one knows only the first fields,
+    which hold revision numbers without epochs."""
     older = snapshot_pb2.SnapshotRequest(operator_revision=40, backends_revision=57)
     payload = gateway_relay_pb2.PeerRequest(snapshot=older).SerializeToString()
     assert decode_request(payload) == SnapshotRequest(position(40), position(57))
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -1,4 +1,4 @@
-"""What one gateway sends and logs of queues, however many services are under load."""
+"""Load news and its log lines stay bounded, however many services are overloaded."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 
 
 class Wire:
-    """Counts bytes in place of a socket."""
+    """Counts the bytes that would be sent through a socket."""
 
     def __init__(self) -> None:
         self.bytes = 0
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -1,9 +1,9 @@
-"""News of poison requests ends by itself, however slow the way between gateways is.
+"""Replication of poison evidence dies out even if datagrams between gateways are slow.
 
-Evidence travels with its age, and a slow way makes it look younger.  Gateways whose datagrams take
-up to half a second tell each other of ten requests that lost a call and were answered; measured is
-what they still send long after.  Where the latest moment of an event held, one such request was
-enough at 113 gateways: 32, 565 and 11,900 datagrams a second from each after 1.5, 2 and 2.5 s.
+Evidence is sent with its age, and network delay makes it look more recent.  If receivers kept the
+latest time of an event, they would forward the same evidence forever: with one request at 113
+gateways, each sent 32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5 s.  The tests delay
+datagrams by up to 0.5 s, let ten requests lose a call and be answered, and count later datagrams.
 """
 
 from __future__ import annotations
@@ -30,14 +30,14 @@
 ANSWERED_AFTER_S = 0.15
 SETTLED_AFTER_S = 3.0
 REPEATED_TO = {7: 6, 28: 3, 113: 3}
-"""Whom each gateway tells again, once in 0.8 to 1 s."""
+"""Number of peers, by fleet size, to which each gateway repeats evidence every 0.8 to 1 s."""
 MOST_SENT_FOR_A_REQUEST = 25
-"""By each gateway: passed on to 8 when it is held against the request and when that is dropped, and
-what repeats meanwhile."""
+"""Datagrams that each gateway may send for a request: it forwards evidence to 8 peers when a crash
+is recorded and again when it is dropped, and repeats it in between."""
 
 
 class SlowNetwork:
-    """Gateways on one virtual clock, between which each datagram takes a time of its own."""
+    """Gateways on one virtual clock, with a random delay for each datagram."""
 
     def __init__(self, size: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -73,7 +73,7 @@
         self.watches[receiver]._on_report(report, sender)
 
     async def lose_and_answer(self, number: int) -> None:
-        """Let one gateway lose a call of a request, and a back end answer it a moment later."""
+        """Let one gateway lose a call of a request that a back end answers soon after."""
         await asyncio.sleep(self._random.uniform(0.0, SPAN_S))
         watch = self._random.choice(list(self.watches.values()))
         fingerprint = number.to_bytes(FINGERPRINT_BYTES, "big")
@@ -83,8 +83,8 @@
 
 
 async def play(size: int) -> tuple[float, float, int]:
-    """Return what a gateway sends in all and, after all is settled, in a second; and what is held
-    against requests then."""
+    """Return the datagrams per gateway in total, those per gateway in one second after the network
+    has settled, and how many pieces of evidence all gateways together still hold at the end."""
     network = SlowNetwork(size)
     tasks = [asyncio.create_task(watch.run()) for watch in network.watches.values()]
     await asyncio.sleep(3.0)
@@ -118,8 +118,8 @@
 
 
 async def play_forgetting() -> tuple[int, int]:
-    """Return what 113 gateways send in a second, and on how many of them a request is known, after
-    they have forgotten it at moments that differ by the time that news took."""
+    """Return the datagrams that 113 gateways send in a second, and the number of gateways that know
+    a request, after each has forgotten it at a time that differs by the propagation delay."""
     network = SlowNetwork(113)
     tasks = [asyncio.create_task(watch.run()) for watch in network.watches.values()]
     await asyncio.sleep(3.0)
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -1,4 +1,4 @@
-"""What gateways tell each other of poison requests: whole, bounded, and soon."""
+"""Replication of poison evidence between gateways: complete, bounded, and fast."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 FINGERPRINT = bytes(FINGERPRINT_BYTES)
 ORIGIN = b"o" * FINGERPRINT_BYTES
 
-# Eighths of a second: whole in milliseconds, the unit that travels, and exact as floats.
+# Eighths of a second are whole milliseconds, the unit on the wire, and exact as floats.
 ages = st.integers(0, 10**5).map(lambda eighths: eighths / 8)
 digests = st.binary(min_size=FINGERPRINT_BYTES, max_size=FINGERPRINT_BYTES)
 evidence = st.builds(
@@ -87,7 +87,7 @@
 
 
 class Network:
-    """Gateways without sockets; datagrams wait until the test delivers them."""
+    """Gateways without sockets; datagrams are queued until the test delivers them."""
 
     def __init__(self, size: int, lost_share: float = 0.0) -> None:
         self.now = 100.0
@@ -127,14 +127,14 @@
         return Socket()
 
     def deliver(self) -> None:
-        """Deliver what has been sent so far, one hop; what it leads to waits for the next."""
+        """Deliver all queued datagrams; those sent in response are queued for the next hop."""
         waiting, self.waiting = self.waiting, []
         for sender, receiver, report in waiting:
             if self._random.random() >= self._lost_share:
                 self.watches[receiver]._on_report(report, sender)
 
     def know(self) -> float:
-        """Return the share of the gateways by which the request is barred."""
+        """Return the share of the gateways that bar the request."""
         barred = [
             watch.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
             for watch in self.watches.values()
--- a/tests/unit/gateway/test_probes.py
+++ b/tests/unit/gateway/test_probes.py
@@ -1,4 +1,4 @@
-"""Probes prove something of the moment at which they left, whatever happens to their answers."""
+"""An answer to a probe counts from the time the probe was sent, even if late, repeated or stray."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class FakeDatagrams:
-    """Keeps what is sent, and hands in what the test wants to arrive."""
+    """Records sent datagrams, and delivers those that the test passes in."""
 
     def __init__(self) -> None:
         self.sent: list[Any] = []
@@ -61,7 +61,7 @@
 
 
 def test_an_answer_to_the_process_before_matches_nothing() -> None:
-    """Its first question has another number than this one's first."""
+    """Each process starts its numbering at another random number."""
     before, probes_before, _, _ = prepared()
     datagrams, probes, _, heard = prepared()
     probes_before.ask(PEER)
--- a/tests/unit/gateway/test_snapshot_codec.py
+++ b/tests/unit/gateway/test_snapshot_codec.py
@@ -1,4 +1,4 @@
-"""Snapshots between gateways: whole or refused, and small on the way."""
+"""Snapshots decode unchanged or are rejected, and are compressed to a fraction of their size."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -1,8 +1,8 @@
-"""Doubts of a zone end by themselves, however slow the way between gateways is.
+"""Suspicions of a zone end even if datagrams between gateways are slow.
 
-Gateways tell each other in digests which zones they doubt, and who hears of a doubt asks gateways
-there.  Where their answers take longer than the pause between two digests, each doubt reaches more
-than one other gateway before it has ended.
+Digests list the zones that a gateway suspects, and a receiver probes gateways in these zones.  If
+the answers take longer than the interval of digests, each suspicion reaches more than one other
+gateway before it ends, and suspicions that are passed on keep each other alive.
 """
 
 from __future__ import annotations
@@ -31,7 +31,7 @@
 
 
 class Gateway:
-    """What watches the ways of one gateway, and its digests."""
+    """The zone monitor of one gateway, and its digests."""
 
     def __init__(self, network: SlowNetwork, own: Member, members: list[Member]) -> None:
         loop = network.loop
@@ -48,7 +48,7 @@
         self.datagrams = datagrams
 
     async def tell(self) -> None:
-        """Send digests for ever."""
+        """Send digests until cancelled."""
         while True:
             await asyncio.sleep(DIGEST_S * random.Random(self.own.address.port).uniform(0.8, 1.2))
             digest = Digest(
@@ -58,7 +58,7 @@
 
 
 class SlowNetwork:
-    """Gateways on one virtual clock, between which each datagram takes a while."""
+    """Gateways on one virtual clock, with a random delay for each datagram."""
 
     def __init__(self, size: int) -> None:
         self.loop = asyncio.get_running_loop()
@@ -72,7 +72,7 @@
         self.gateways = [Gateway(self, member, members) for member in members]
 
     def socket(self, own: Address) -> PeerDatagrams:
-        """Return a socket whose datagrams take their time."""
+        """Return a socket whose datagrams are delayed."""
         network = self
 
         class Socket(PeerDatagrams):
@@ -95,8 +95,8 @@
 
 
 async def play(size: int) -> tuple[float, int]:
-    """Return the questions that a gateway sends in a second long after few doubts, and how many
-    ways are closed then."""
+    """Return the probes per gateway and second, and the number of closed paths, long after a few
+    gateways suspected a zone."""
     network = SlowNetwork(size)
     tasks = [asyncio.create_task(gateway.tell()) for gateway in network.gateways]
     await asyncio.sleep(1.0)
@@ -114,8 +114,8 @@
 
 @pytest.mark.parametrize("size", [28, 113])
 def test_few_doubts_of_a_zone_end_where_ways_are_slow(size: int) -> None:
-    """Where doubts that were only heard of are told on, 113 gateways ask 11 questions a second each
-    and 29 ways are closed, where 28 gateways ask 10.7 and close 9."""
+    """If gateways pass on suspicions that peers reported to them, 113 gateways send 11 probes a
+    second each and close 29 paths; 28 gateways send 10.7 probes a second each and close 9 paths."""
     loop = async_solipsism.EventLoop()
     try:
         a_second, closed = loop.run_until_complete(play(size))
