--- a/tests/unit/gateway/test_gateway_relay_codec.py
+++ b/tests/unit/gateway/test_gateway_relay_codec.py
@@ -186,7 +186,7 @@
             decode(b"")
 
 
-def test_only_the_ends_of_a_scatter_have_a_form() -> None:
+def test_only_outcomes_of_a_scatter_can_be_encoded() -> None:
     outcome: RequestOutcome = UnknownRoute()
     with pytest.raises(ValueError, match="UnknownRoute"):
         encode_answer(ScatterEnd(outcome, 1))
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -34,7 +34,7 @@
 PEERS = 112
 
 
-class Wire:
+class CountingSocket:
     """Counts the bytes that would be sent through a socket."""
 
     def __init__(self) -> None:
@@ -60,33 +60,33 @@
 ) -> None:
     lines: list[str] = []
     monkeypatch.setattr(load_news_exchange, "log_event", lambda event, fields: lines.append(event))
-    timers, wire = ManualTimers(now=100.0), Wire()
+    timers, socket = ManualTimers(now=100.0), CountingSocket()
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
     for number in range(peers):
         known.heard_from(Member(Address(f"10.0.1.{number}", 1)), 100.0)
     backends = [backend(number) for number in range(SERVICES)]
-    watch = LoadNewsExchange(known, wire, timers, lambda: backends)  # type: ignore[arg-type]
+    exchange = LoadNewsExchange(known, socket, timers, lambda: backends)  # type: ignore[arg-type]
     for _ in range(SECONDS * 10):
         for one in backends:
             one.observations.reported(4, 12, 4, timers.now)
-            watch.heard(one, shed=False, work_s=0.25)
+            exchange.heard(one, shed=False, work_s=0.25)
         timers.advance(0.1)
-    assert wire.bytes <= MOST_BYTES + BYTES_PER_S * SECONDS
-    assert (wire.bytes > 0) == (peers > 0)
+    assert socket.bytes <= MOST_BYTES + BYTES_PER_S * SECONDS
+    assert (socket.bytes > 0) == (peers > 0)
     assert 0 < len(lines) <= SECONDS / LOG_PAUSE_S + 1
 
 
 def test_what_others_told_meanwhile_is_not_passed_on() -> None:
-    timers, wire = ManualTimers(now=100.0), Wire()
+    timers, socket = ManualTimers(now=100.0), CountingSocket()
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
     known.heard_from(Member(Address("10.0.1.1", 1)), 100.0)
     one = backend(1)
-    watch = LoadNewsExchange(known, wire, timers, lambda: [one])  # type: ignore[arg-type]
+    exchange = LoadNewsExchange(known, socket, timers, lambda: [one])  # type: ignore[arg-type]
     one.observations.reported(4, 12, 4, timers.now)
-    watch.heard(one, shed=False, work_s=0.25)
+    exchange.heard(one, shed=False, work_s=0.25)
     timers.advance(GATHER_S / 2)
     told = ReportedLoad(start_number(one.entry), 7, 4, 1.0, 0.001)
-    wire.handler(LoadNews((told,)), Address("10.0.1.1", 1))
+    socket.handler(LoadNews((told,)), Address("10.0.1.1", 1))
     timers.advance(GATHER_S)
     assert one.observations.reported_backlog == 7
-    assert wire.bytes == 0
+    assert socket.bytes == 0
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -26,12 +26,12 @@
 
 ORIGIN = b"o" * FINGERPRINT_BYTES
 REQUESTS = 10
-SPAN_S = 1.0
+ARRIVAL_SPAN_S = 1.0
 ANSWERED_AFTER_S = 0.15
 SETTLED_AFTER_S = 3.0
-REPEATED_TO = {7: 6, 28: 3, 113: 3}
+REPEAT_RECEIVERS = {7: 6, 28: 3, 113: 3}
 """Number of peers, by fleet size, to which each gateway repeats evidence every 0.8 to 1 s."""
-MOST_SENT_FOR_A_REQUEST = 25
+MAX_DATAGRAMS_PER_REQUEST = 25
 """Datagrams that each gateway may send for a request: it forwards evidence to 8 peers when a crash
 is recorded and again when it is dropped, and repeats it in between."""
 
@@ -74,7 +74,7 @@
 
     async def lose_and_answer(self, number: int) -> None:
         """Let one gateway lose a call of a request that a back end answers soon after."""
-        await asyncio.sleep(self._random.uniform(0.0, SPAN_S))
+        await asyncio.sleep(self._random.uniform(0.0, ARRIVAL_SPAN_S))
         watch = self._random.choice(list(self.watches.values()))
         fingerprint = number.to_bytes(FINGERPRINT_BYTES, "big")
         watch.note_crash(fingerprint, ORIGIN, f"back-end-{number}", trial=number % 4 == 0)
@@ -82,7 +82,7 @@
         watch.note_answer(fingerprint)
 
 
-async def play(size: int) -> tuple[float, float, int]:
+async def simulate_answered_requests(size: int) -> tuple[float, float, int]:
     """Return the datagrams per gateway in total, those per gateway in one second after the network
     has settled, and how many pieces of evidence all gateways together still hold at the end."""
     network = SlowNetwork(size)
@@ -91,10 +91,10 @@
     before = network.sent
     await asyncio.gather(*(network.lose_and_answer(number) for number in range(REQUESTS)))
     await asyncio.sleep(SETTLED_AFTER_S)
-    in_all = (network.sent - before) / size
+    total = (network.sent - before) / size
     settled = network.sent
     await asyncio.sleep(1.0)
-    a_second = (network.sent - settled) / size
+    per_second = (network.sent - settled) / size
     held = sum(
         bool(evidence.held)
         for watch in network.watches.values()
@@ -102,22 +102,22 @@
     )
     for task in tasks:
         task.cancel()
-    return in_all, a_second, held
+    return total, per_second, held
 
 
 @pytest.mark.parametrize("size", [7, 28, 113])
 def test_news_of_requests_that_were_answered_ends_on_slow_ways(size: int) -> None:
     loop = async_solipsism.EventLoop()
     try:
-        in_all, a_second, held = loop.run_until_complete(play(size))
+        total, per_second, held = loop.run_until_complete(simulate_answered_requests(size))
     finally:
         loop.close()
     assert held == 0
-    assert a_second <= 1.25 * REPEATED_TO[size]
-    assert in_all <= REQUESTS * MOST_SENT_FOR_A_REQUEST
+    assert per_second <= 1.25 * REPEAT_RECEIVERS[size]
+    assert total <= REQUESTS * MAX_DATAGRAMS_PER_REQUEST
 
 
-async def play_forgetting() -> tuple[int, int]:
+async def simulate_forgetting() -> tuple[int, int]:
     """Return the datagrams that 113 gateways send in a second, and the number of gateways that know
     a request, after each has forgotten it at a time that differs by the propagation delay."""
     network = SlowNetwork(113)
@@ -136,10 +136,10 @@
     return network.sent - before, sum(len(watch.requests) for watch in network.watches.values())
 
 
-def test_what_some_have_forgotten_is_not_taken_from_those_who_have_not() -> None:
+def test_forgotten_evidence_is_not_merged_again_from_peers_that_still_have_it() -> None:
     loop = async_solipsism.EventLoop()
     try:
-        sent, known = loop.run_until_complete(play_forgetting())
+        sent, known = loop.run_until_complete(simulate_forgetting())
     finally:
         loop.close()
     assert (sent, known) == (0, 0)
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -41,11 +41,11 @@
 
 # Eighths of a second are whole milliseconds, the unit on the wire, and exact as floats.
 ages = st.integers(0, 10**5).map(lambda eighths: eighths / 8)
-digests = st.binary(min_size=FINGERPRINT_BYTES, max_size=FINGERPRINT_BYTES)
+digest_bytes = st.binary(min_size=FINGERPRINT_BYTES, max_size=FINGERPRINT_BYTES)
 evidence = st.builds(
     ReportedEvidence,
-    digests,
-    digests,
+    digest_bytes,
+    digest_bytes,
     st.lists(
         st.builds(ReportedCrash, st.integers(0, 2**32 - 1), ages, st.booleans(), st.booleans()),
         max_size=10,
@@ -67,7 +67,7 @@
 
 
 @given(st.binary(max_size=200), st.integers(0, 200), reports)
-def test_what_is_no_report_is_refused_by_one_kind_of_error(
+def test_malformed_reports_raise_only_one_kind_of_error(
     noise: bytes, cut: int, report: PoisonReport
 ) -> None:
     payload = encode_datagram(report)
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("field", ["fingerprint", "origin"])
-def test_a_digest_of_another_length_is_refused_by_its_name(field: str) -> None:
+def test_a_fingerprint_or_origin_of_wrong_length_is_rejected_by_name(field: str) -> None:
     digest = {"fingerprint": FINGERPRINT, "origin": ORIGIN} | {field: b"short"}
     payload = encode_datagram(PoisonReport((ReportedEvidence(**digest),)))
     with pytest.raises(MalformedPeerMessageError, match=field):
@@ -93,7 +93,7 @@
         self.now = 100.0
         self.sent: Counter[Address] = Counter()
         self.bytes_sent: Counter[Address] = Counter()
-        self.waiting: list[tuple[Address, Address, PoisonReport]] = []
+        self.queued: list[tuple[Address, Address, PoisonReport]] = []
         self.watches: dict[Address, PoisonWatch] = {}
         self._random = random.Random(1)
         self._lost_share = lost_share
@@ -122,18 +122,18 @@
                 for peer in peers:
                     network.sent[own] += 1
                     network.bytes_sent[own] += len(encode_datagram(datagram))
-                    network.waiting.append((own, peer, datagram))
+                    network.queued.append((own, peer, datagram))
 
         return Socket()
 
     def deliver(self) -> None:
         """Deliver all queued datagrams; those sent in response are queued for the next hop."""
-        waiting, self.waiting = self.waiting, []
-        for sender, receiver, report in waiting:
+        queued, self.queued = self.queued, []
+        for sender, receiver, report in queued:
             if self._random.random() >= self._lost_share:
                 self.watches[receiver]._on_report(report, sender)
 
-    def know(self) -> float:
+    def barred_share(self) -> float:
         """Return the share of the gateways that bar the request."""
         barred = [
             watch.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
@@ -150,7 +150,7 @@
         loop.close()
 
 
-def convict(watch: PoisonWatch) -> None:
+def bar_request(watch: PoisonWatch) -> None:
     for number in range(ENOUGH_CRASHES):
         last = number == ENOUGH_CRASHES - 1
         if not last:
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "hops", "lost_share", "least"),
+    ("size", "hops", "lost_share", "min_share"),
     [
         (7, 1, 0.0, 1.0),
         (64, 1, 0.0, 1.0),
@@ -170,36 +170,36 @@
     ],
 )
 def test_every_gateway_knows_a_barred_request_after_few_hops(
-    size: int, hops: int, lost_share: float, least: float
+    size: int, hops: int, lost_share: float, min_share: float
 ) -> None:
     network = Network(size, lost_share)
-    convict(next(iter(network.watches.values())))
+    bar_request(next(iter(network.watches.values())))
     for _ in range(hops):
         network.deliver()
-    assert network.know() >= least
+    assert network.barred_share() >= min_share
     assert max(network.bytes_sent.values()) <= 64 * 200
 
 
 def test_news_of_one_request_ends_by_itself() -> None:
     network = Network(300)
-    convict(next(iter(network.watches.values())))
+    bar_request(next(iter(network.watches.values())))
     for _ in range(20):
         network.deliver()
-    assert network.waiting == []
+    assert network.queued == []
 
 
-def test_who_knows_nothing_and_has_asked_nobody_does_not_say_that_there_is_nothing() -> None:
+def test_a_gateway_that_is_not_synced_does_not_answer_that_there_is_no_evidence() -> None:
     network = Network(3)
     first, second, third = network.watches.values()
     first._on_report(PoisonReport(asks=True), Address("10.0.0.1", 2))
-    assert network.waiting == []
+    assert network.queued == []
     third.requests.note_crash(FINGERPRINT, ORIGIN, 1, 100.0, trial=False)
     third._on_report(PoisonReport(asks=True), Address("10.0.0.1", 2))
     network.deliver()
     assert second.requests.find(FINGERPRINT) is not None
 
 
-def test_others_are_told_that_a_request_is_cleared_of_which_they_know_an_earlier_crash() -> None:
+def test_a_cleared_request_is_reported_to_peers_that_know_an_earlier_crash() -> None:
     async def play() -> Standing:
         network = Network(3)
         first, second, _ = network.watches.values()
@@ -213,7 +213,7 @@
     assert run_in_virtual_time(play()) is Standing.FREE
 
 
-def test_a_back_end_that_survived_keeps_no_news_of_others_back() -> None:
+def test_a_survivor_does_not_suppress_the_report_of_another_crash() -> None:
     async def play() -> Standing:
         network = Network(3)
         first, second, _ = network.watches.values()
@@ -227,19 +227,19 @@
     assert run_in_virtual_time(play()) is Standing.SUSPECT
 
 
-def test_what_is_cleared_before_others_hear_of_it_is_not_told() -> None:
+def test_a_request_cleared_before_its_first_report_is_not_reported() -> None:
     async def play() -> int:
         network = Network(3)
         first, *_ = network.watches.values()
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-1", trial=False)
         first.note_answer(FINGERPRINT)
         await asyncio.sleep(2 * BATCH_DELAY_S)
-        return len(network.waiting)
+        return len(network.queued)
 
     assert run_in_virtual_time(play()) == 0
 
 
-def test_who_asks_for_everything_keeps_no_news_back() -> None:
+def test_requests_for_all_evidence_do_not_delay_new_changes() -> None:
     network = Network(3)
     first, second, _ = network.watches.values()
     for number in range(MOST_REQUESTS):
@@ -248,6 +248,6 @@
     for _ in range(2):
         first._on_report(PoisonReport(asks=True), Address("10.0.0.1", 3))
     assert network.sent.total() <= BURST_DATAGRAMS
-    convict(first)
+    bar_request(first)
     network.deliver()
     assert second.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
--- a/tests/unit/gateway/test_probes.py
+++ b/tests/unit/gateway/test_probes.py
@@ -29,59 +29,59 @@
         self.handlers[type(datagram)](datagram, PEER)
 
 
-def prepared() -> tuple[FakeDatagrams, Probes, list[float], list[tuple[SentProbe, ProbeAnswer]]]:
+def make_probes() -> tuple[FakeDatagrams, Probes, list[float], list[tuple[SentProbe, ProbeAnswer]]]:
     datagrams, now = FakeDatagrams(), [100.0]
-    heard: list[tuple[SentProbe, ProbeAnswer]] = []
+    answers: list[tuple[SentProbe, ProbeAnswer]] = []
     probes = Probes(
         datagrams,  # type: ignore[arg-type]
         lambda number: ProbeAnswer(number, at(7), 0.5),
         lambda: now[0],
     )
-    probes.subscribe(lambda sent, answer: heard.append((sent, answer)))
-    return datagrams, probes, now, heard
+    probes.subscribe(lambda sent, answer: answers.append((sent, answer)))
+    return datagrams, probes, now, answers
 
 
 def test_an_answer_counts_from_when_the_question_left() -> None:
-    datagrams, probes, now, heard = prepared()
+    datagrams, probes, now, answers = make_probes()
     probes.ask(PEER)
-    (question, _) = datagrams.sent[0]
+    (probe, _) = datagrams.sent[0]
     now[0] += 4.0
-    answer = ProbeAnswer(question.number, at(7), 0.5)
+    answer = ProbeAnswer(probe.number, at(7), 0.5)
     datagrams.arrive(answer)
-    assert heard == [(SentProbe(PEER, 100.0), answer)]
+    assert answers == [(SentProbe(PEER, 100.0), answer)]
 
 
 def test_an_answer_counts_once_and_only_if_it_was_asked_for() -> None:
-    datagrams, probes, _, heard = prepared()
+    datagrams, probes, _, answers = make_probes()
     probes.ask(PEER)
-    (question, _) = datagrams.sent[0]
-    for number in (question.number, question.number, question.number + 1):
+    (probe, _) = datagrams.sent[0]
+    for number in (probe.number, probe.number, probe.number + 1):
         datagrams.arrive(ProbeAnswer(number, at(7), 0.5))
-    assert len(heard) == 1
+    assert len(answers) == 1
 
 
 def test_an_answer_to_the_process_before_matches_nothing() -> None:
     """Each process starts its numbering at another random number."""
-    before, probes_before, _, _ = prepared()
-    datagrams, probes, _, heard = prepared()
+    before, probes_before, _, _ = make_probes()
+    datagrams, probes, _, answers = make_probes()
     probes_before.ask(PEER)
     probes.ask(PEER)
-    (question, _) = before.sent[0]
-    datagrams.arrive(ProbeAnswer(question.number, at(7), 0.5))
-    assert heard == []
+    (probe, _) = before.sent[0]
+    datagrams.arrive(ProbeAnswer(probe.number, at(7), 0.5))
+    assert answers == []
 
 
 def test_questions_without_an_answer_are_forgotten() -> None:
-    datagrams, probes, now, heard = prepared()
+    datagrams, probes, now, answers = make_probes()
     probes.ask(PEER)
-    (question, _) = datagrams.sent[0]
+    (probe, _) = datagrams.sent[0]
     now[0] += PROBE_TIMEOUT_S
     probes.ask(PEER)
-    datagrams.arrive(ProbeAnswer(question.number, at(7), 0.5))
-    assert heard == []
+    datagrams.arrive(ProbeAnswer(probe.number, at(7), 0.5))
+    assert answers == []
 
 
 def test_a_question_is_answered_with_its_number() -> None:
-    datagrams, _, _, _ = prepared()
+    datagrams, _, _, _ = make_probes()
     datagrams.arrive(Probe(42))
     assert datagrams.sent == [(ProbeAnswer(42, at(7), 0.5), PEER)]
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -23,11 +23,11 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 ZONES = ("a", "b", "c", "d")
-DIGEST_S = 0.5
-WAY_S = (0.1, 0.3)
-DOUBTS = 6
-WATCHED_S = 8.0
-LOOK_S = 2.0
+DIGEST_INTERVAL_S = 0.5
+DELAY_RANGE_S = (0.1, 0.3)
+SUSPECTING_GATEWAYS = 6
+SETTLED_AFTER_S = 8.0
+MEASURED_S = 2.0
 
 
 class Gateway:
@@ -43,16 +43,18 @@
             self.peers.heard_from(member, loop.time())
         datagrams = network.socket(own.address)
         self.probes = Probes(datagrams, lambda number: ProbeAnswer(number, at(1)), loop.time)
-        self.watch = ZoneMonitor(own.zone, self.peers, self.probes, source)
-        datagrams.handle(Digest, lambda digest, _: self.watch.heard(digest))
+        self.zone_monitor = ZoneMonitor(own.zone, self.peers, self.probes, source)
+        datagrams.handle(Digest, lambda digest, _: self.zone_monitor.heard(digest))
         self.datagrams = datagrams
 
-    async def tell(self) -> None:
+    async def send_digests(self) -> None:
         """Send digests until cancelled."""
         while True:
-            await asyncio.sleep(DIGEST_S * random.Random(self.own.address.port).uniform(0.8, 1.2))
+            await asyncio.sleep(
+                DIGEST_INTERVAL_S * random.Random(self.own.address.port).uniform(0.8, 1.2)
+            )
             digest = Digest(
-                self.own, position(1), position(1), silent_zones=self.watch.paths.told_doubts
+                self.own, position(1), position(1), silent_zones=self.zone_monitor.paths.told_doubts
             )
             self.datagrams.send(digest, *self.peers.receivers(self.network.loop.time()))
 
@@ -62,7 +64,7 @@
 
     def __init__(self, size: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.questions = 0
+        self.probes_sent = 0
         self._random = random.Random(5)
         self._handlers: dict[Address, dict[type[Any], Any]] = {}
         members = [
@@ -81,10 +83,10 @@
                 network._handlers[own] = self._handlers
 
             def send(self, datagram: Any, *peers: Address) -> None:
-                network.questions += isinstance(datagram, Probe) * len(peers)
+                network.probes_sent += isinstance(datagram, Probe) * len(peers)
                 for peer in peers:
-                    way_s = network._random.uniform(*WAY_S)
-                    network.loop.call_later(way_s, network._deliver, datagram, own, peer)
+                    delay_s = network._random.uniform(*DELAY_RANGE_S)
+                    network.loop.call_later(delay_s, network._deliver, datagram, own, peer)
 
         return Socket()
 
@@ -94,22 +96,22 @@
             handler(datagram, sender)
 
 
-async def play(size: int) -> tuple[float, int]:
+async def simulate_suspicions(size: int) -> tuple[float, int]:
     """Return the probes per gateway and second, and the number of closed paths, long after a few
     gateways suspected a zone."""
     network = SlowNetwork(size)
-    tasks = [asyncio.create_task(gateway.tell()) for gateway in network.gateways]
+    tasks = [asyncio.create_task(gateway.send_digests()) for gateway in network.gateways]
     await asyncio.sleep(1.0)
-    for gateway in network.gateways[:DOUBTS]:
-        gateway.watch.doubt("b", network.loop.time())
-    await asyncio.sleep(WATCHED_S)
-    settled = network.questions
-    await asyncio.sleep(LOOK_S)
-    a_second = (network.questions - settled) / LOOK_S / size
-    closed = sum(len(gateway.watch.paths.lost) for gateway in network.gateways)
+    for gateway in network.gateways[:SUSPECTING_GATEWAYS]:
+        gateway.zone_monitor.doubt("b", network.loop.time())
+    await asyncio.sleep(SETTLED_AFTER_S)
+    settled = network.probes_sent
+    await asyncio.sleep(MEASURED_S)
+    per_second = (network.probes_sent - settled) / MEASURED_S / size
+    closed = sum(len(gateway.zone_monitor.paths.lost) for gateway in network.gateways)
     for task in tasks:
         task.cancel()
-    return a_second, closed
+    return per_second, closed
 
 
 @pytest.mark.parametrize("size", [28, 113])
@@ -118,8 +120,8 @@
     second each and close 29 paths; 28 gateways send 10.7 probes a second each and close 9 paths."""
     loop = async_solipsism.EventLoop()
     try:
-        a_second, closed = loop.run_until_complete(play(size))
+        per_second, closed = loop.run_until_complete(simulate_suspicions(size))
     finally:
         loop.close()
-    assert a_second == 0.0
+    assert per_second == 0.0
     assert closed == 0
