--- a/tests/unit/gateway/test_gateway_relay_codec.py
+++ b/tests/unit/gateway/test_gateway_relay_codec.py
@@ -50,9 +50,9 @@
 MICROSECOND = 1e-6
 TEXT = st.text(max_size=20)
 REVISION = st.integers(0, 2**63)
-PLACES = st.builds(StoreRevision, st.integers(0, 2**31 - 1), REVISION)
+STORE_REVISIONS = st.builds(StoreRevision, st.integers(0, 2**31 - 1), REVISION)
 BEGINS = st.builds(EpochBegin, st.integers(0, 120).map(float), REVISION)
-POSITIONS = st.builds(TopicPosition, PLACES, PLACES, st.none() | BEGINS)
+POSITIONS = st.builds(TopicPosition, STORE_REVISIONS, STORE_REVISIONS, st.none() | BEGINS)
 SECONDS = st.floats(0, 100).map(lambda value: round(value, 3))
 HEADERS = st.lists(st.tuples(st.binary(max_size=8), st.binary(max_size=8)), max_size=4).map(tuple)
 REQUESTS = st.builds(
@@ -129,25 +129,25 @@
     assert decode_request(encode_request(request)) == request
 
 
-def test_gateways_of_older_software_tell_and_hear_numbers_without_epochs() -> None:
+def test_older_gateways_exchange_revision_numbers_without_epochs() -> None:
     """Both versions run side by side during an upgrade; the older one knows only the first fields,
     which hold revision numbers without epochs."""
     older = snapshot_pb2.SnapshotRequest(operator_revision=40, backends_revision=57)
     payload = gateway_relay_pb2.PeerRequest(snapshot=older).SerializeToString()
     assert decode_request(payload) == SnapshotRequest(position(40), position(57))
     request = SnapshotRequest(position(60, 2), position(57, 2))
-    heard = gateway_relay_pb2.PeerRequest.FromString(encode_request(request)).snapshot
-    assert (heard.operator_revision, heard.backends_revision) == (60, 57)
+    decoded = gateway_relay_pb2.PeerRequest.FromString(encode_request(request)).snapshot
+    assert (decoded.operator_revision, decoded.backends_revision) == (60, 57)
 
     sender = snapshot_pb2.Member(address="10.0.0.1:81")
-    told = snapshot_pb2.Digest(sender=sender, operator_revision=40, backends_revision=57)
-    digest = digest_from_message(told)
+    older_digest = snapshot_pb2.Digest(sender=sender, operator_revision=40, backends_revision=57)
+    digest = digest_from_message(older_digest)
     assert (digest.operator, digest.backends) == (position(40), position(57))
     message = digest_to_message(Digest(digest.sender, position(60, 2), position(57, 2)))
     assert (message.operator_revision, message.backends_revision) == (60, 57)
 
 
-def test_an_entry_of_older_software_tells_no_version() -> None:
+def test_an_older_entry_sends_no_configuration_version() -> None:
     payload = gateway_relay_pb2.PeerRequest(
         scatter=gateway_relay_pb2.ScatterRequest(configuration_revision=63)
     ).SerializeToString()
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -76,7 +76,7 @@
     assert 0 < len(lines) <= SECONDS / LOG_PAUSE_S + 1
 
 
-def test_what_others_told_meanwhile_is_not_passed_on() -> None:
+def test_load_that_a_peer_has_reported_meanwhile_is_not_sent() -> None:
     timers, socket = ManualTimers(now=100.0), CountingSocket()
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
     known.heard_from(Member(Address("10.0.1.1", 1)), 100.0)
@@ -85,8 +85,8 @@
     one.observations.reported(4, 12, 4, timers.now)
     exchange.heard(one, shed=False, work_s=0.25)
     timers.advance(GATHER_S / 2)
-    told = ReportedLoad(start_number(one.entry), 7, 4, 1.0, 0.001)
-    socket.handler(LoadNews((told,)), Address("10.0.1.1", 1))
+    peer_load = ReportedLoad(start_number(one.entry), 7, 4, 1.0, 0.001)
+    socket.handler(LoadNews((peer_load,)), Address("10.0.1.1", 1))
     timers.advance(GATHER_S)
     assert one.observations.reported_backlog == 7
     assert socket.bytes == 0
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -106,7 +106,7 @@
 
 
 @pytest.mark.parametrize("size", [7, 28, 113])
-def test_news_of_requests_that_were_answered_ends_on_slow_ways(size: int) -> None:
+def test_evidence_of_answered_requests_stops_spreading_on_slow_networks(size: int) -> None:
     loop = async_solipsism.EventLoop()
     try:
         total, per_second, held = loop.run_until_complete(simulate_answered_requests(size))
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("size", "hops", "lost_share", "min_share"),
+    ("size", "hops", "lost_share", "least"),
     [
         (7, 1, 0.0, 1.0),
         (64, 1, 0.0, 1.0),
@@ -170,17 +170,17 @@
     ],
 )
 def test_every_gateway_knows_a_barred_request_after_few_hops(
-    size: int, hops: int, lost_share: float, min_share: float
+    size: int, hops: int, lost_share: float, least: float
 ) -> None:
     network = Network(size, lost_share)
     bar_request(next(iter(network.watches.values())))
     for _ in range(hops):
         network.deliver()
-    assert network.barred_share() >= min_share
+    assert network.barred_share() >= least
     assert max(network.bytes_sent.values()) <= 64 * 200
 
 
-def test_news_of_one_request_ends_by_itself() -> None:
+def test_forwarding_of_one_barred_request_ends() -> None:
     network = Network(300)
     bar_request(next(iter(network.watches.values())))
     for _ in range(20):
--- a/tests/unit/gateway/test_snapshot_codec.py
+++ b/tests/unit/gateway/test_snapshot_codec.py
@@ -50,7 +50,7 @@
 
 
 @given(snapshots, st.data())
-def test_what_is_cut_short_is_refused(snapshot: Snapshot, data: st.DataObject) -> None:
+def test_a_truncated_snapshot_is_refused(snapshot: Snapshot, data: st.DataObject) -> None:
     payload = encode_snapshot(snapshot)
     length = data.draw(st.integers(0, len(payload) - 1))
     with pytest.raises(MalformedPeerMessageError):
@@ -63,7 +63,7 @@
         assert isinstance(decode_snapshot(payload), Snapshot)
 
 
-def test_what_grows_beyond_any_snapshot_is_refused_before_it_fills_the_memory() -> None:
+def test_a_payload_that_decompresses_beyond_the_limit_is_refused() -> None:
     bomb = zlib.compress(bytes(MAX_SNAPSHOT_BYTES + 1), 9)
     with pytest.raises(MalformedPeerMessageError, match="bytes"):
         decode_snapshot(bomb)
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -115,7 +115,7 @@
 
 
 @pytest.mark.parametrize("size", [28, 113])
-def test_few_doubts_of_a_zone_end_where_ways_are_slow(size: int) -> None:
+def test_suspicions_of_a_zone_end_on_slow_networks(size: int) -> None:
     """If gateways pass on suspicions that peers reported to them, 113 gateways send 11 probes a
     second each and close 29 paths; 28 gateways send 10.7 probes a second each and close 9 paths."""
     loop = async_solipsism.EventLoop()
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -39,7 +39,7 @@
 """Number of members listed in a digest of a large fleet: a new random sample each time, so that
 listing the whole fleet takes as many digests as it has groups of seven members."""
 LISTED_MEMBERS_IN_SMALL_FLEET = 2
-"""The same in a small fleet: there all gateways hear each other directly, and the list serves only
+"""The same in a small fleet: there all gateways exchange digests directly, and the list serves only
 processes that have just started."""
 LISTED_MEMBERS_OTHER_ZONE = 2
 """The same in a digest to another zone: traffic between zones is paid for, and the receiver passes
@@ -97,9 +97,9 @@
             self._known[member.address] = _KnownMember(member, now)
             self._last_message_at = now
 
-    def heard_of(self, told: Iterable[ReportedMember], now: float) -> None:
+    def heard_of(self, reported: Iterable[ReportedMember], now: float) -> None:
         """Merge members reported by a peer, where its information is newer."""
-        for one in told:
+        for one in reported:
             address = one.member.address
             heard_at = now - max(0.0, one.age_s)
             known = self._known.get(address)
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -192,7 +192,7 @@
             self.note_survivor(fingerprint, life)
 
     def _report_dropped(self, fingerprint: bytes) -> None:
-        """Report dropped evidence to peers, unless they were never told of the request."""
+        """Report dropped evidence to peers, unless the request was never reported to them."""
         evidence = self.requests.find(fingerprint)
         if fingerprint not in self._unreported:
             self._pending.add(fingerprint)
