--- a/tinrudder/gateway/peers/snapshot_pulls.py
+++ b/tinrudder/gateway/peers/snapshot_pulls.py
@@ -91,9 +91,9 @@
 
     def request_members(self, *, seeds_only: bool) -> None:
         """Request the member list, with the state, from a random peer."""
-        teacher = self._peers.teacher(seeds_only=seeds_only)
-        if teacher is not None:
-            task = self._loop.create_task(self._request_members(teacher))
+        peer = self._peers.teacher(seeds_only=seeds_only)
+        if peer is not None:
+            task = self._loop.create_task(self._request_members(peer))
             self._member_requests.add(task)
             task.add_done_callback(self._member_requests.discard)
 
@@ -139,9 +139,9 @@
         self._traffic.note(request, len(payload))
         return decode_snapshot(await self._client.request(peer, payload, PULL_TIMEOUT_S))
 
-    async def _request_members(self, teacher: Address) -> None:
+    async def _request_members(self, peer: Address) -> None:
         """Apply a peer's snapshot; a failure is only reported: other peers may still answer."""
         try:
-            await self._apply_snapshot_of(teacher)
+            await self._apply_snapshot_of(peer)
         except (PeerNotSentError, PeerLostError, MalformedPeerMessageError) as error:
-            self._on_pull(str(teacher), f"introduction failed: {error!r}")
+            self._on_pull(str(peer), f"member request failed: {error!r}")
