--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -1,8 +1,8 @@
-"""Doubts of a zone end by themselves, however slow the way between gateways is.
+"""Suspicions of a zone end even if datagrams between gateways are slow.
 
-Gateways tell each other in digests which zones they doubt, and who hears of a doubt asks gateways
-there.  Where their answers take longer than the pause between two digests, each doubt reaches more
-than one other gateway before it has ended.
+Digests list the zones that a gateway suspects, and a receiver probes gateways in these zones.  If
+the answers take longer than the interval of digests, each suspicion reaches more than one other
+gateway before it ends, and suspicions that are passed on keep each other alive.
 """
 
 from __future__ import annotations
@@ -23,15 +23,15 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 ZONES = ("a", "b", "c", "d")
-DIGEST_S = 0.5
-WAY_S = (0.1, 0.3)
-DOUBTS = 6
-WATCHED_S = 8.0
-LOOK_S = 2.0
+DIGEST_INTERVAL_S = 0.5
+DELAY_RANGE_S = (0.1, 0.3)
+SUSPECTING_GATEWAYS = 6
+SETTLED_AFTER_S = 8.0
+MEASURED_S = 2.0
 
 
 class Gateway:
-    """What watches the ways of one gateway, and its digests."""
+    """The zone monitor of one gateway, and its digests."""
 
     def __init__(self, network: SlowNetwork, own: Member, members: list[Member]) -> None:
         loop = network.loop
@@ -43,26 +43,28 @@
             self.peers.heard_from(member, loop.time())
         datagrams = network.socket(own.address)
         self.probes = Probes(datagrams, lambda number: ProbeAnswer(number, at(1)), loop.time)
-        self.watch = ZoneMonitor(own.zone, self.peers, self.probes, source)
-        datagrams.handle(Digest, lambda digest, _: self.watch.heard(digest))
+        self.zone_monitor = ZoneMonitor(own.zone, self.peers, self.probes, source)
+        datagrams.handle(Digest, lambda digest, _: self.zone_monitor.heard(digest))
         self.datagrams = datagrams
 
-    async def tell(self) -> None:
-        """Send digests for ever."""
+    async def send_digests(self) -> None:
+        """Send digests until cancelled."""
         while True:
-            await asyncio.sleep(DIGEST_S * random.Random(self.own.address.port).uniform(0.8, 1.2))
+            await asyncio.sleep(
+                DIGEST_INTERVAL_S * random.Random(self.own.address.port).uniform(0.8, 1.2)
+            )
             digest = Digest(
-                self.own, position(1), position(1), silent_zones=self.watch.paths.told_doubts
+                self.own, position(1), position(1), silent_zones=self.zone_monitor.paths.told_doubts
             )
             self.datagrams.send(digest, *self.peers.receivers(self.network.loop.time()))
 
 
 class SlowNetwork:
-    """Gateways on one virtual clock, between which each datagram takes a while."""
+    """Gateways on one virtual clock, with a random delay for each datagram."""
 
     def __init__(self, size: int) -> None:
         self.loop = asyncio.get_running_loop()
-        self.questions = 0
+        self.probes_sent = 0
         self._random = random.Random(5)
         self._handlers: dict[Address, dict[type[Any], Any]] = {}
         members = [
@@ -72,7 +74,7 @@
         self.gateways = [Gateway(self, member, members) for member in members]
 
     def socket(self, own: Address) -> PeerDatagrams:
-        """Return a socket whose datagrams take their time."""
+        """Return a socket whose datagrams are delayed."""
         network = self
 
         class Socket(PeerDatagrams):
@@ -81,10 +83,10 @@
                 network._handlers[own] = self._handlers
 
             def send(self, datagram: Any, *peers: Address) -> None:
-                network.questions += isinstance(datagram, Probe) * len(peers)
+                network.probes_sent += isinstance(datagram, Probe) * len(peers)
                 for peer in peers:
-                    way_s = network._random.uniform(*WAY_S)
-                    network.loop.call_later(way_s, network._deliver, datagram, own, peer)
+                    delay_s = network._random.uniform(*DELAY_RANGE_S)
+                    network.loop.call_later(delay_s, network._deliver, datagram, own, peer)
 
         return Socket()
 
@@ -94,32 +96,32 @@
             handler(datagram, sender)
 
 
-async def play(size: int) -> tuple[float, int]:
-    """Return the questions that a gateway sends in a second long after few doubts, and how many
-    ways are closed then."""
+async def simulate_suspicions(size: int) -> tuple[float, int]:
+    """Return the probes per gateway and second, and the number of closed paths, long after a few
+    gateways suspected a zone."""
     network = SlowNetwork(size)
-    tasks = [asyncio.create_task(gateway.tell()) for gateway in network.gateways]
+    tasks = [asyncio.create_task(gateway.send_digests()) for gateway in network.gateways]
     await asyncio.sleep(1.0)
-    for gateway in network.gateways[:DOUBTS]:
-        gateway.watch.doubt("b", network.loop.time())
-    await asyncio.sleep(WATCHED_S)
-    settled = network.questions
-    await asyncio.sleep(LOOK_S)
-    a_second = (network.questions - settled) / LOOK_S / size
-    closed = sum(len(gateway.watch.paths.lost) for gateway in network.gateways)
+    for gateway in network.gateways[:SUSPECTING_GATEWAYS]:
+        gateway.zone_monitor.doubt("b", network.loop.time())
+    await asyncio.sleep(SETTLED_AFTER_S)
+    settled = network.probes_sent
+    await asyncio.sleep(MEASURED_S)
+    per_second = (network.probes_sent - settled) / MEASURED_S / size
+    closed = sum(len(gateway.zone_monitor.paths.lost) for gateway in network.gateways)
     for task in tasks:
         task.cancel()
-    return a_second, closed
+    return per_second, closed
 
 
 @pytest.mark.parametrize("size", [28, 113])
-def test_few_doubts_of_a_zone_end_where_ways_are_slow(size: int) -> None:
-    """Where doubts that were only heard of are told on, 113 gateways ask 11 questions a second each
-    and 29 ways are closed, where 28 gateways ask 10.7 and close 9."""
+def test_suspicions_of_a_zone_end_on_slow_networks(size: int) -> None:
+    """If gateways pass on suspicions that peers reported to them, 113 gateways send 11 probes a
+    second each and close 29 paths; 28 gateways send 10.7 probes a second each and close 9 paths."""
     loop = async_solipsism.EventLoop()
     try:
-        a_second, closed = loop.run_until_complete(play(size))
+        per_second, closed = loop.run_until_complete(simulate_suspicions(size))
     finally:
         loop.close()
-    assert a_second == 0.0
+    assert per_second == 0.0
     assert closed == 0
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -1,11 +1,11 @@
-"""Keeps what is known of poison requests, and tells other gateways of it.
+"""Keeps the evidence against poison requests, and replicates it to peers.
 
-News goes to every gateway at once, in a large fleet by way of others.  What one of them missed,
-since it was cut off, stood still or had not started yet, it hears within a second or two, by the
-reports that repeat.
+A change is sent to every gateway at once; in a large fleet, receivers forward it.  A gateway that
+missed a change, because it was partitioned, paused or not started yet, gets it within a second or
+two from the reports that are repeated.
 
-Owns the evidence of this gateway and the budgets of the datagrams that tell of it; relies on the
-rule of poison requests to judge, and on the calls to report what was lost under them.
+Owns this gateway's evidence and the send budgets of its reports; relies on the rule for poison
+requests to judge, and on the calls to report lost back ends.
 """
 
 from __future__ import annotations
@@ -38,39 +38,42 @@
 from tinrudder.gateway.peers.peer_messages import PoisonReport, ReportedCrash, ReportedEvidence
 from tinrudder.gateway.runs.request_fingerprint import fingerprint_of, origin_of
 
-GATHER_S = 0.05
-"""How long news waits where no trial has failed: when a rack or all connections are lost, most
-requests are answered by other back ends within this time, so that nothing need be told of them."""
-TOLD_DIRECTLY = 64
-"""How many peers hear news from the gateway that has it: 11 KB of datagrams at once."""
-PASSED_TO = 8
-"""How many peers each of those that hear news first passes it to: 730 gateways have it after three
-hops, for 1.4 KB that each of them sends."""
-REPEAT_S = 1.0
-"""How often some evidence is told again to some peers, for those that missed it."""
-MOST_IN_A_REPORT = 6
-"""Evidence in one datagram: 200 bytes each at most, and 1,200 pass every network whole."""
-MOST_DATAGRAMS_AT_ONCE = 192
-"""Of reports, by one gateway: three pieces of news to all whom it tells directly.  As many again
-may go to those who ask."""
-MOST_DATAGRAMS_A_SECOND = 24.0
-"""Of reports, by one gateway, after those: 5 KB a second at 200 bytes, below what a weak machine's
-link of 7 Mbit/s and its processor notice.  What is over it is left to the reports that repeat."""
-ASK_S = 0.2
-"""Time between two questions of a process that has just started."""
-FIRST_ASKS = 10
-"""How often such a process asks for what others know: seeds that start at the same time have it as
-little, and need 2 s at most to listen."""
-STOOD_STILL_S = 0.5
-"""Who wakes this much late has missed what was told meanwhile, and asks."""
+BATCH_DELAY_S = 0.05
+"""Seconds for which a change is held back unless a trial has failed: when a rack or all connections
+are lost, other back ends answer most requests within this time, and these need no report."""
+DIRECT_RECEIVERS = 64
+"""Number of peers to which a gateway sends its own changes: 11 KB of datagrams at once."""
+FORWARD_RECEIVERS = 8
+"""Number of peers to which each receiver forwards a change that is new to it: it reaches 730
+gateways in three hops, and each of them sends 1.4 KB."""
+REPEAT_INTERVAL_S = 1.0
+"""Maximum seconds between two repeats of some evidence to some peers, for those that missed it."""
+MAX_EVIDENCE_PER_REPORT = 6
+"""Maximum items of evidence in one datagram: each has 200 bytes at most, and 1,200 bytes pass every
+network without fragmentation."""
+BURST_DATAGRAMS = 192
+"""Burst of report datagrams that one gateway may send: three changes to all ``DIRECT_RECEIVERS``
+peers.  Answers to peers that request all evidence have a budget of the same size."""
+DATAGRAMS_PER_S = 24.0
+"""Report datagrams per second that one gateway may send after the burst: 5 KB/s at 200 bytes each,
+a negligible load for a weak machine with a link of 7 Mbit/s.  The repeated reports make up for
+those that exceed the budget."""
+SYNC_REQUEST_INTERVAL_S = 0.2
+"""Seconds between two requests for all evidence by a process that has just started."""
+MAX_SYNC_REQUESTS = 10
+"""Maximum number of such requests: seeds that start at the same time have no evidence either, and
+need up to 2 s to listen."""
+PAUSE_DETECTED_S = 0.5
+"""Seconds by which a timer must be late for the process to assume that it was paused and missed
+reports; it then requests all evidence."""
 
 
 class PoisonWatch:
-    """What a gateway's requests ask before they send calls, and tell after calls were lost.
+    """Judges requests before they are run, and records crashes of back ends that ran them.
 
     :ivar requests: the evidence.
-    :ivar refused: how many requests were refused since they were barred.
-    :ivar unsent: how many datagrams the bound on them kept back.
+    :ivar refused: number of requests refused because they were barred.
+    :ivar unsent: number of datagrams that were not sent because a send budget was used up.
     """
 
     def __init__(
@@ -82,52 +85,52 @@
         random_source: random.Random,
         starts_known_at: Callable[[], float] = lambda: math.inf,
     ) -> None:
-        """Tell ``peers`` whatever is found here.
+        """Replicate evidence to ``peers``.
 
-        :param starts_known_at: tells up to when all entries of back ends are known.
+        :param starts_known_at: returns the time up to which all entries of back ends are known.
         """
         self.requests = PoisonRequests()
         self.refused = 0
         self.unsent = 0
-        self._budget = SendBudget(MOST_DATAGRAMS_AT_ONCE, MOST_DATAGRAMS_A_SECOND)
-        # All that is known takes up to 171 datagrams: who asks for it must not keep news back.
-        self._answer_budget = SendBudget(MOST_DATAGRAMS_AT_ONCE, MOST_DATAGRAMS_A_SECOND)
+        self._budget = SendBudget(BURST_DATAGRAMS, DATAGRAMS_PER_S)
+        # All evidence takes up to 171 datagrams: a request for it must not delay new changes.
+        self._answer_budget = SendBudget(BURST_DATAGRAMS, DATAGRAMS_PER_S)
         self._peers = peers
         self._datagrams = datagrams
         self._clock = clock
         self._starts_known_at = starts_known_at
         self._names = names
         self._random = random_source
-        self._news: set[bytes] = set()
-        self._passing: set[bytes] = set()
-        # Requests of which no other gateway has heard, as far as is known here.
-        self._untold: set[bytes] = set()
-        self._telling: asyncio.TimerHandle | None = None
-        # Until then, that nothing is known here says nothing of the others.
-        self._told_everything = False
+        self._pending: set[bytes] = set()
+        self._to_forward: set[bytes] = set()
+        # Requests that have not been reported to or by any other gateway.
+        self._unreported: set[bytes] = set()
+        self._send_timer: asyncio.TimerHandle | None = None
+        # While this is false, empty evidence here does not mean that peers have none.
+        self._is_synced = False
         datagrams.handle(PoisonReport, self._on_report)
 
     @property
     def is_calm(self) -> bool:
-        """Tell whether nothing is held against any request: then none need be judged."""
+        """Return whether there is no evidence, so that no request needs to be judged."""
         return self.requests.is_empty
 
     def barred(self) -> int:
-        """Return how many different requests are barred now."""
+        """Return the number of different requests that are barred now."""
         return self.requests.barred(self._clock())
 
     def alerts(self) -> int:
-        """Return for how many routes and callers all requests begin as canaries now."""
+        """Return the number of routes and callers whose requests all start as canaries now."""
         return self.requests.alerts(self._clock())
 
     def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
-        """Decide what may be done with a request now."""
+        """Return whether a request may run now, and under which restrictions."""
         return self.requests.judge(fingerprint, origin, self._clock())
 
     def refusal(self, route: Route, request: HttpRequest) -> NotRun | None:
-        """Return why a request may not run, if so: it is refused at once, and has not run.
+        """Return the refusal of a barred request; ``None`` if the request may run.
 
-        It may be asked again when its next trial is allowed; before, no gateway will send it.
+        The client may retry once the next trial is allowed; until then no gateway runs the request.
         """
         if self.is_calm:
             return None
@@ -140,14 +143,14 @@
         return NotRun(detail, judgement.barred_s)
 
     def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
-        """Hold a back end that was lost against the request that it ran.
+        """Record a back end that was lost while it ran a request.
 
-        :param life: names the start of the back end.
+        :param life: identifies the instance of the back end by its start.
         """
         now = self._clock()
         backend = crc32(life.encode())
         if self.requests.find(fingerprint) is None:
-            self._untold.add(fingerprint)
+            self._unreported.add(fingerprint)
         evidence = self.requests.note_crash(fingerprint, origin, backend, now, trial=trial)
         if evidence.barred_until > now:
             fields: dict[str, LogValue] = {
@@ -158,150 +161,157 @@
                 "barred_s": round(evidence.barred_until - now, 3),
             }
             log_event("request_barred", fields)
-        self._news.add(fingerprint)
+        self._pending.add(fingerprint)
         if trial:
-            # Before the answer leaves: the client's next try is on its way a moment later.
-            self._tell_news()
+            # Sent before the answer: the client may retry at another gateway a moment later.
+            self._send_changes()
         else:
-            self._tell_within(GATHER_S)
+            self._schedule_send(BATCH_DELAY_S)
 
     def note_answer(self, fingerprint: bytes) -> None:
-        """Clear a request that a back end has answered."""
+        """Clear a request that a back end answered."""
         if not self.requests.note_answer(fingerprint, self._clock()):
             return
         log_event("request_cleared", {"fingerprint": fingerprint.hex()})
-        self._tell_dropped(fingerprint)
+        self._report_dropped(fingerprint)
 
     def note_survivor(self, fingerprint: bytes, life: str) -> None:
-        """Hold a back end no longer against a request: it has not crashed after all."""
+        """Drop a crash from the evidence against a request: the back end did not crash."""
         if not self.requests.note_survivor(fingerprint, crc32(life.encode())):
             return
         log_event("back_end_survived", {"fingerprint": fingerprint.hex(), "backend": life})
-        self._tell_dropped(fingerprint)
+        self._report_dropped(fingerprint)
 
     def note_alive(self, life: str, sent_at: float) -> None:
-        """Hold a back end no longer against requests after which it still answers."""
+        """Drop a back end's crash from the requests for which its answer disproves the crash.
+
+        :param sent_at: when the call was sent that the back end has answered.
+        """
         known_at = self._starts_known_at()
         for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at, known_at):
             self.note_survivor(fingerprint, life)
 
-    def _tell_dropped(self, fingerprint: bytes) -> None:
-        """Tell others that something is held against a request no longer, if they know of it."""
+    def _report_dropped(self, fingerprint: bytes) -> None:
+        """Report dropped evidence to peers, unless the request was never reported to them."""
         evidence = self.requests.find(fingerprint)
-        if fingerprint not in self._untold:
-            self._news.add(fingerprint)
-            self._tell_news()
+        if fingerprint not in self._unreported:
+            self._pending.add(fingerprint)
+            self._send_changes()
         elif evidence is not None and not evidence.held:
-            self._news.discard(fingerprint)
+            self._pending.discard(fingerprint)
 
     def begin_trial(self, fingerprint: bytes) -> None:
-        """Keep other gateways from a trial while one begins here."""
+        """Announce a trial that begins here, so that no other gateway begins one."""
         if self.requests.begin_trial(fingerprint, self._clock()):
             log_event("request_on_trial", {"fingerprint": fingerprint.hex()})
-            self._news.add(fingerprint)
-            self._tell_news()
+            self._pending.add(fingerprint)
+            self._send_changes()
 
     async def run(self) -> None:
-        """Ask for what others know, then repeat what is known here, until cancelled."""
-        for _ in range(FIRST_ASKS):
-            if self._told_everything:
+        """Request all evidence from peers, then repeat the own evidence until cancelled."""
+        for _ in range(MAX_SYNC_REQUESTS):
+            if self._is_synced:
                 break
-            self._ask()
-            await asyncio.sleep(ASK_S)
-        # Who started with all others finds nobody who knows anything, and can say so from now on.
-        self._told_everything = True
+            self._request_all()
+            await asyncio.sleep(SYNC_REQUEST_INTERVAL_S)
+        # If the whole fleet started together, no peer has evidence, and this one may answer so.
+        self._is_synced = True
         while True:
-            due_at = self._clock() + REPEAT_S
-            await asyncio.sleep(REPEAT_S * self._random.uniform(0.8, 1.0))
-            if self._clock() - due_at >= STOOD_STILL_S:
-                self._ask()
+            due_at = self._clock() + REPEAT_INTERVAL_S
+            await asyncio.sleep(REPEAT_INTERVAL_S * self._random.uniform(0.8, 1.0))
+            if self._clock() - due_at >= PAUSE_DETECTED_S:
+                self._request_all()
             self.requests.forget(self._clock())
-            self._untold = {one for one in self._untold if self.requests.find(one) is not None}
+            self._unreported = {
+                one for one in self._unreported if self.requests.find(one) is not None
+            }
             self._repeat()
 
-    def _ask(self) -> None:
-        """Ask some peers for everything."""
+    def _request_all(self) -> None:
+        """Request all evidence from some peers."""
         peers = self._peers.receivers(self._clock())
         self._datagrams.send(PoisonReport(asks=True), *peers)
 
     def _repeat(self) -> None:
-        """Tell some peers of some requests again."""
+        """Send a random sample of the evidence to some peers again."""
         known = self.requests.all()
         if not known:
             return
-        drawn = self._random.sample(known, min(MOST_IN_A_REPORT, len(known)))
+        drawn = self._random.sample(known, min(MAX_EVIDENCE_PER_REPORT, len(known)))
         peers = self._peers.receivers(self._clock())
         self._send([one for one, _ in drawn], peers, self._budget)
 
-    def _tell_within(self, seconds: float) -> None:
-        """Tell what has changed after some time at most, with what else changes meanwhile."""
+    def _schedule_send(self, seconds: float) -> None:
+        """Schedule the pending changes to be sent together within ``seconds``."""
         loop = asyncio.get_running_loop()
         due_at = loop.time() + seconds
-        if self._telling is not None:
-            if self._telling.when() <= due_at:
+        if self._send_timer is not None:
+            if self._send_timer.when() <= due_at:
                 return
-            self._telling.cancel()
-        self._telling = loop.call_at(due_at, self._tell_news)
-
-    def _tell_news(self) -> None:
-        """Tell every gateway what has changed here, and some what was heard for the first time."""
-        if self._telling is not None:
-            self._telling.cancel()
-            self._telling = None
-        news, self._news = self._news, set()
-        passing, self._passing = self._passing - news, set()
+            self._send_timer.cancel()
+        self._send_timer = loop.call_at(due_at, self._send_changes)
+
+    def _send_changes(self) -> None:
+        """Send own changes to all peers, and forward changes of others to some."""
+        if self._send_timer is not None:
+            self._send_timer.cancel()
+            self._send_timer = None
+        changes, self._pending = self._pending, set()
+        forwarded, self._to_forward = self._to_forward - changes, set()
         now = self._clock()
-        self._send(news, self._peers.everybody(now, TOLD_DIRECTLY), self._budget)
-        if passing:
-            self._send(passing, self._peers.everybody(now, PASSED_TO), self._budget)
+        self._send(changes, self._peers.everybody(now, DIRECT_RECEIVERS), self._budget)
+        if forwarded:
+            self._send(forwarded, self._peers.everybody(now, FORWARD_RECEIVERS), self._budget)
 
     def _send(
         self, fingerprints: Iterable[bytes], peers: list[Address], budget: SendBudget
     ) -> None:
-        """Send evidence in as many reports as it takes, as far as the budget goes."""
+        """Send evidence in as many reports as needed, within the budget."""
         found = ((one, self.requests.find(one)) for one in fingerprints)
-        told = [self._told(one, evidence) for one, evidence in found if evidence is not None]
-        self._untold.difference_update(one.fingerprint for one in told)
-        for first in range(0, len(told), MOST_IN_A_REPORT):
+        reported = [
+            self._reported(one, evidence) for one, evidence in found if evidence is not None
+        ]
+        self._unreported.difference_update(one.fingerprint for one in reported)
+        for first in range(0, len(reported), MAX_EVIDENCE_PER_REPORT):
             allowed = budget.take(len(peers), self._clock())
             self.unsent += len(peers) - allowed
-            report = PoisonReport(tuple(told[first : first + MOST_IN_A_REPORT]))
+            report = PoisonReport(tuple(reported[first : first + MAX_EVIDENCE_PER_REPORT]))
             self._datagrams.send(report, *peers[:allowed])
 
     def _on_report(self, report: PoisonReport, sender: Address) -> None:
-        """Take what another gateway knows, and tell it what it asks for."""
+        """Merge the evidence of a report, or answer a request for all evidence."""
         if report.asks:
-            self._answer(sender)
+            self._send_all(sender)
             return
-        self._told_everything = True
-        for told in report.evidence:
-            self._take(told)
-        if self._passing:
-            self._tell_news()
-
-    def _take(self, told: ReportedEvidence) -> None:
-        """Take what is known elsewhere of one request; pass it on if it decides something here."""
+        self._is_synced = True
+        for reported in report.evidence:
+            self._merge_reported(reported)
+        if self._to_forward:
+            self._send_changes()
+
+    def _merge_reported(self, reported: ReportedEvidence) -> None:
+        """Merge a peer's evidence about a request; forward it if it changes the judgement here."""
         now = self._clock()
-        evidence = _evidence_of(told, now)
-        if not self.requests.is_worth_taking(told.fingerprint, evidence, now):
+        evidence = _evidence_of(reported, now)
+        if not self.requests.is_worth_taking(reported.fingerprint, evidence, now):
             return
-        self._untold.discard(told.fingerprint)
-        before = self.requests.judge(told.fingerprint, told.origin, now)
-        self.requests.merge(told.fingerprint, evidence)
-        after = self.requests.judge(told.fingerprint, told.origin, now)
-        if after.standing is not before.standing and self._peers.heard_of_in_all > TOLD_DIRECTLY:
-            self._passing.add(told.fingerprint)
-
-    def _answer(self, peer: Address) -> None:
-        """Tell one peer everything, also that there is nothing."""
+        self._unreported.discard(reported.fingerprint)
+        before = self.requests.judge(reported.fingerprint, reported.origin, now)
+        self.requests.merge(reported.fingerprint, evidence)
+        after = self.requests.judge(reported.fingerprint, reported.origin, now)
+        if after.standing is not before.standing and self._peers.heard_of_in_all > DIRECT_RECEIVERS:
+            self._to_forward.add(reported.fingerprint)
+
+    def _send_all(self, peer: Address) -> None:
+        """Send all evidence to one peer, or an empty report if there is none."""
         if len(self.requests):
             known = [one for one, _ in self.requests.all()]
             self._send(known, [peer], self._answer_budget)
-        elif self._told_everything:
+        elif self._is_synced:
             self._datagrams.send(PoisonReport(), peer)
 
-    def _told(self, fingerprint: bytes, evidence: Evidence) -> ReportedEvidence:
-        """Return evidence as it is told: with ages, since every gateway's clock is its own."""
+    def _reported(self, fingerprint: bytes, evidence: Evidence) -> ReportedEvidence:
+        """Return evidence for a report, with ages instead of times, since clocks may differ."""
         now = self._clock()
         crashes = tuple(
             ReportedCrash(one.backend, now - one.at, one.trial, one.survived)
@@ -317,21 +327,21 @@
         )
 
 
-def _age(now: float, moment: float) -> float | None:
-    return None if moment == NEVER else now - moment
+def _age(now: float, time: float) -> float | None:
+    return None if time == NEVER else now - time
 
 
-def _moment(now: float, age_s: float | None) -> float:
+def _time_of(now: float, age_s: float | None) -> float:
     return NEVER if age_s is None else now - age_s
 
 
-def _evidence_of(told: ReportedEvidence, now: float) -> Evidence:
-    """Return what a peer told, by the clock here."""
-    crashes = told.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
+def _evidence_of(reported: ReportedEvidence, now: float) -> Evidence:
+    """Return reported evidence with ages converted to times of the local clock."""
+    crashes = reported.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
     return Evidence(
-        told.origin,
+        reported.origin,
         tuple(Crash(one.backend, now - one.age_s, one.trial, one.survived) for one in crashes),
-        told.cleared,
-        _moment(now, told.cleared_age_s),
-        _moment(now, told.trial_age_s),
+        reported.cleared,
+        _time_of(now, reported.cleared_age_s),
+        _time_of(now, reported.trial_age_s),
     )
--- a/tinrudder/gateway/wire/gateway_relay_codec.py
+++ b/tinrudder/gateway/wire/gateway_relay_codec.py
@@ -1,6 +1,6 @@
-"""Turns requests between gateways into protobuf and back, refusing what is no message.
+"""Encodes and decodes requests between gateways and their answers, and rejects malformed bytes.
 
-Owns the form of requests between gateways; relies on the generated classes of protobuf.
+Owns the encoding of these messages; relies on the generated protobuf classes.
 """
 
 from __future__ import annotations
@@ -22,12 +22,12 @@
 from tinrudder.gateway.wire import snapshot_pb2
 from tinrudder.gateway.wire.snapshot_codec import (
     MalformedPeerMessageError,
-    position_message,
-    position_of,
+    position_from_message,
+    position_to_message,
 )
 
-MICROSECONDS = 1e6
-"""In a second: durations travel in microseconds."""
+MICROSECONDS_PER_S = 1e6
+"""Microseconds per second: durations are sent in microseconds."""
 
 
 def encode_request(request: PeerRequest) -> bytes:
@@ -37,8 +37,8 @@
             operator_revision=request.operator.revision.number,
             backends_revision=request.backends.revision.number,
             members_wanted=request.members_wanted,
-            operator=position_message(request.operator),
-            backends=position_message(request.backends),
+            operator=position_to_message(request.operator),
+            backends=position_to_message(request.backends),
             configuration_version=request.configuration_version,
         )
         return pb.PeerRequest(snapshot=snapshot).SerializeToString()
@@ -46,9 +46,9 @@
 
 
 def decode_request(payload: bytes) -> PeerRequest:
-    """Read a peer's request.
+    """Decode a peer's request.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid request.
     """
     try:
         message = pb.PeerRequest.FromString(payload)
@@ -58,15 +58,17 @@
         case "snapshot":
             snapshot = message.snapshot
             return SnapshotRequest(
-                position_of(snapshot, "operator", snapshot.operator_revision),
-                position_of(snapshot, "backends", snapshot.backends_revision),
+                position_from_message(snapshot, "operator", snapshot.operator_revision),
+                position_from_message(snapshot, "backends", snapshot.backends_revision),
                 snapshot.members_wanted,
                 snapshot.configuration_version,
             )
         case "scatter":
             return _decode_scatter(message.scatter)
         case _:
-            raise MalformedPeerMessageError("request: none of the kinds known")
+            raise MalformedPeerMessageError(
+                "request: the oneof field is not set or of an unknown kind"
+            )
 
 
 def encode_answer(answer: ScatterAnswer) -> bytes:
@@ -80,16 +82,16 @@
             pb.MissingShard(service=shard.service, problem=shard.problem)
             for shard in answer.missing_shards
         ],
-        elapsed_us=int(answer.elapsed_s * MICROSECONDS),
+        elapsed_us=int(answer.elapsed_s * MICROSECONDS_PER_S),
     )
     _encode_outcome(answer.outcome, message)
     return message.SerializeToString()
 
 
 def decode_answer(payload: bytes) -> ScatterAnswer:
-    """Read a coordinator's answer.
+    """Decode a coordinator's answer.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid answer.
     """
     try:
         message = pb.ScatterAnswer.FromString(payload)
@@ -103,7 +105,7 @@
         message.configuration_version,
         message.repeats,
         missing,
-        message.elapsed_us / MICROSECONDS,
+        message.elapsed_us / MICROSECONDS_PER_S,
     )
 
 
@@ -115,8 +117,8 @@
         headers=[pb.Header(name=name, value=value) for name, value in request.headers],
         body=request.body,
         request_id=scatter.request_id,
-        objective_left_us=int(scatter.objective_left_s * MICROSECONDS),
-        deadline_left_us=int(scatter.deadline_left_s * MICROSECONDS),
+        objective_left_us=int(scatter.objective_left_s * MICROSECONDS_PER_S),
+        deadline_left_us=int(scatter.deadline_left_s * MICROSECONDS_PER_S),
         returning=scatter.returning,
         configuration_revision=scatter.configuration_revision,
         shards=scatter.shards,
@@ -131,8 +133,8 @@
     return ScatterRequest(
         request=HttpRequest(message.method, message.target, headers, message.body),
         request_id=message.request_id,
-        objective_left_s=message.objective_left_us / MICROSECONDS,
-        deadline_left_s=message.deadline_left_us / MICROSECONDS,
+        objective_left_s=message.objective_left_us / MICROSECONDS_PER_S,
+        deadline_left_s=message.deadline_left_us / MICROSECONDS_PER_S,
         returning=message.returning,
         configuration_revision=message.configuration_revision,
         shards=tuple(message.shards),
@@ -143,7 +145,7 @@
 
 
 def _optional_version(message: pb.ScatterRequest) -> int | None:
-    """Return the entry's version; ``None``: its software is too old to say."""
+    """Return the entry's configuration version; ``None``: its software is too old to send it."""
     return message.configuration_version if message.HasField("configuration_version") else None
 
 
@@ -161,7 +163,7 @@
         case TimedOut():
             message.timed_out.detail = outcome.detail
         case _:
-            raise ValueError(f"{type(outcome).__name__} ends no scatter")
+            raise ValueError(f"{type(outcome).__name__} is not a valid outcome of a scatter")
 
 
 def _decode_outcome(message: pb.ScatterAnswer) -> RequestOutcome:
@@ -176,4 +178,6 @@
         case "timed_out":
             return TimedOut(message.timed_out.detail)
         case _:
-            raise MalformedPeerMessageError("outcome: none of the kinds known")
+            raise MalformedPeerMessageError(
+                "outcome: the oneof field is not set or of an unknown kind"
+            )
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -1,6 +1,7 @@
-"""Turns what gateways tell each other into protobuf and back, refusing what is no message.
+"""Encodes and decodes digests and snapshots, and rejects malformed bytes.
 
-Owns the form of snapshots and their compression; relies on the generated classes of protobuf.
+Owns the encoding of digests and snapshots, and the compression of snapshots; relies on the
+generated protobuf classes.
 """
 
 from __future__ import annotations
@@ -16,79 +17,79 @@
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire import snapshot_pb2 as pb
 
-MILLISECONDS = 1000.0
-"""In a second: ages travel in milliseconds."""
+MILLISECONDS_PER_S = 1000.0
+"""Milliseconds per second: ages are sent in milliseconds."""
 COMPRESSION_LEVEL = 3
-"""Of zlib: 48 KB of documents shrink to 4.2 KB, in 0.7 ms with their encoding; the highest level
-gains a tenth more and takes 1.8 ms."""
+"""zlib level: 48 KB of documents shrink to 4.2 KB in 0.7 ms, encoding included; the highest level
+saves a tenth more and takes 1.8 ms."""
 MAX_SNAPSHOT_BYTES = 16 * 1024 * 1024
-"""Decompressed: as many as a frame holds without compression."""
+"""Largest decompressed snapshot, in bytes: the capacity of a frame without compression."""
 
 
 class MalformedPeerMessageError(Exception):
-    """The bytes are no message between gateways."""
+    """The bytes are not a valid message between gateways."""
 
 
-def digest_message(digest: Digest) -> pb.Digest:
-    """Return a digest's message."""
+def digest_to_message(digest: Digest) -> pb.Digest:
+    """Return a digest as a protobuf message."""
     return pb.Digest(
         sender=_encode_member(digest.sender, 0.0),
         operator_revision=digest.operator.revision.number,
         backends_revision=digest.backends.revision.number,
-        members=[_encode_member(told.member, told.age_s) for told in digest.members],
+        members=[_encode_member(reported.member, reported.age_s) for reported in digest.members],
         operator_unconfirmed_ms=_milliseconds(digest.operator_unconfirmed_s),
         backends_unconfirmed_ms=_milliseconds(digest.backends_unconfirmed_s),
         silent_zones=digest.silent_zones,
-        operator=position_message(digest.operator),
-        backends=position_message(digest.backends),
+        operator=position_to_message(digest.operator),
+        backends=position_to_message(digest.backends),
         configuration_version=digest.configuration_version,
     )
 
 
-def digest_of_message(message: pb.Digest) -> Digest:
-    """Read a digest's message.
+def digest_from_message(message: pb.Digest) -> Digest:
+    """Decode the protobuf message of a digest.
 
-    :raises ValueError: an address has another form.
+    :raises ValueError: an address is malformed.
     """
     return Digest(
         sender=_decode_member(message.sender),
-        operator=position_of(message, "operator", message.operator_revision),
-        backends=position_of(message, "backends", message.backends_revision),
-        members=tuple(_decode_told(member) for member in message.members),
-        operator_unconfirmed_s=age_of(message, "operator_unconfirmed_ms"),
-        backends_unconfirmed_s=age_of(message, "backends_unconfirmed_ms"),
+        operator=position_from_message(message, "operator", message.operator_revision),
+        backends=position_from_message(message, "backends", message.backends_revision),
+        members=tuple(_decode_reported_member(member) for member in message.members),
+        operator_unconfirmed_s=optional_age_s(message, "operator_unconfirmed_ms"),
+        backends_unconfirmed_s=optional_age_s(message, "backends_unconfirmed_ms"),
         silent_zones=tuple(message.silent_zones),
         configuration_version=message.configuration_version,
     )
 
 
 def encode_snapshot(snapshot: Snapshot) -> bytes:
-    """Return the payload of a snapshot, compressed: documents repeat many words."""
+    """Return the payload of a snapshot, compressed since documents repeat many words."""
     message = pb.Snapshot(
         backends=[_encode_value(value) for value in snapshot.backends],
         backends_read=snapshot.backends_read,
         changes_only=snapshot.changes_only,
-        members=[_encode_member(told.member, told.age_s) for told in snapshot.members],
+        members=[_encode_member(reported.member, reported.age_s) for reported in snapshot.members],
         evacuations=[_encode_value(value) for value in snapshot.evacuations],
-        knowledge_age_ms=optional_milliseconds_above(snapshot.knowledge_age_s),
+        knowledge_age_ms=optional_milliseconds_rounded_up(snapshot.knowledge_age_s),
     )
     if snapshot.operator_position is not None:
-        message.operator_position.CopyFrom(position_message(snapshot.operator_position))
+        message.operator_position.CopyFrom(position_to_message(snapshot.operator_position))
     if snapshot.backends_position is not None:
-        message.backends_position.CopyFrom(position_message(snapshot.backends_position))
+        message.backends_position.CopyFrom(position_to_message(snapshot.backends_position))
     if snapshot.configuration is not None:
         message.configuration.CopyFrom(_encode_value(snapshot.configuration))
     return zlib.compress(message.SerializeToString(), COMPRESSION_LEVEL)
 
 
 def decode_snapshot(payload: bytes) -> Snapshot:
-    """Read a snapshot.
+    """Decode a snapshot.
 
-    :raises MalformedPeerMessageError: it is none.
+    :raises MalformedPeerMessageError: the bytes are not a valid snapshot.
     """
     try:
         message = pb.Snapshot.FromString(_decompress(payload))
-        members = tuple(_decode_told(member) for member in message.members)
+        members = tuple(_decode_reported_member(member) for member in message.members)
     except (DecodeError, ValueError, zlib.error) as error:
         raise MalformedPeerMessageError(str(error)) from error
     configuration = None
@@ -102,14 +103,14 @@
         changes_only=message.changes_only,
         members=members,
         evacuations=tuple(_decode_value(value) for value in message.evacuations),
-        knowledge_age_s=age_of(message, "knowledge_age_ms"),
+        knowledge_age_s=optional_age_s(message, "knowledge_age_ms"),
         operator_position=_optional_position(message, "operator_position"),
         backends_position=_optional_position(message, "backends_position"),
     )
 
 
-def position_message(position: TopicPosition) -> pb.TopicPosition:
-    """Return a position's message."""
+def position_to_message(position: TopicPosition) -> pb.TopicPosition:
+    """Return a position as a protobuf message."""
     begin = position.restored
     return pb.TopicPosition(
         epoch=position.revision.epoch,
@@ -121,18 +122,21 @@
     )
 
 
-def position_of(message: Message, field: str, number: int) -> TopicPosition:
-    """Return a message's position; where it has none, its sender knows no epochs, but a number."""
+def position_from_message(message: Message, field: str, number: int) -> TopicPosition:
+    """Return the position in ``field`` of a message.
+
+    Older software sends only ``number``, a revision number without an epoch; it counts as epoch 0.
+    """
     position = _optional_position(message, field)
     return TopicPosition(StoreRevision(0, number)) if position is None else position
 
 
 def _optional_position(message: Message, field: str) -> TopicPosition | None:
-    """Return a position that may be absent."""
+    """Return the position in ``field`` of a message; ``None`` if it is absent."""
     if not message.HasField(field):
         return None
     position: pb.TopicPosition = getattr(message, field)
-    age_s = age_of(position, "epoch_age_ms")
+    age_s = optional_age_s(position, "epoch_age_ms")
     return TopicPosition(
         StoreRevision(position.epoch, position.number),
         StoreRevision(position.older_epoch, position.older_number),
@@ -141,37 +145,37 @@
 
 
 def _decompress(payload: bytes) -> bytes:
-    """Return what a peer compressed.
+    """Return the decompressed payload.
 
-    :raises ValueError: it is cut short, or larger than any snapshot.
+    :raises ValueError: it is truncated, or decompresses to more than ``MAX_SNAPSHOT_BYTES``.
     """
     decompressor = zlib.decompressobj()
     content = decompressor.decompress(payload, MAX_SNAPSHOT_BYTES)
     if not decompressor.eof:
-        raise ValueError(f"snapshot: cut short, or over {MAX_SNAPSHOT_BYTES} bytes")
+        raise ValueError(f"snapshot: truncated, or more than {MAX_SNAPSHOT_BYTES} bytes")
     return content
 
 
 def _milliseconds(age_s: float | None) -> int | None:
-    return None if age_s is None else int(age_s * MILLISECONDS)
+    return None if age_s is None else int(age_s * MILLISECONDS_PER_S)
 
 
-def milliseconds_above(seconds: float) -> int:
-    """Return a time that may only be told too long, never too short."""
-    return math.ceil(seconds * MILLISECONDS)
+def milliseconds_rounded_up(seconds: float) -> int:
+    """Return a duration in milliseconds, rounded up so that it is never understated."""
+    return math.ceil(seconds * MILLISECONDS_PER_S)
 
 
-def optional_milliseconds_above(age_s: float | None) -> int | None:
-    """Return the same of an age that may be absent."""
-    return None if age_s is None else milliseconds_above(age_s)
+def optional_milliseconds_rounded_up(age_s: float | None) -> int | None:
+    """Return an age that may be absent, rounded up to milliseconds."""
+    return None if age_s is None else milliseconds_rounded_up(age_s)
 
 
-def age_of(message: Message, field: str) -> float | None:
-    """Return an age that may be absent, seconds."""
+def optional_age_s(message: Message, field: str) -> float | None:
+    """Return the age in ``field`` of a message, in seconds; ``None`` if it is absent."""
     if not message.HasField(field):
         return None
     milliseconds: int = getattr(message, field)
-    return milliseconds / MILLISECONDS
+    return milliseconds / MILLISECONDS_PER_S
 
 
 def _encode_member(member: Member, age_s: float) -> pb.Member:
@@ -182,7 +186,7 @@
         leaving=member.leaving,
         starting=member.starting,
         without_store=member.without_store,
-        age_ms=int(age_s * MILLISECONDS),
+        age_ms=int(age_s * MILLISECONDS_PER_S),
     )
 
 
@@ -197,8 +201,8 @@
     )
 
 
-def _decode_told(message: pb.Member) -> ReportedMember:
-    return ReportedMember(_decode_member(message), message.age_ms / MILLISECONDS)
+def _decode_reported_member(message: pb.Member) -> ReportedMember:
+    return ReportedMember(_decode_member(message), message.age_ms / MILLISECONDS_PER_S)
 
 
 def _encode_value(value: StoredValue) -> pb.Value:
