--- a/tinrudder/gateway/backends/__init__.py
+++ b/tinrudder/gateway/backends/__init__.py
@@ -1,4 +1,4 @@
-"""Back ends as one gateway knows them: entries, connections, observations, load reports.
+"""Back ends of one gateway: entries, connections, observations and load reports.
 
-Owns every connection to a back end and what was seen on it.
+Owns every connection to a back end and this gateway's observations of each back end.
 """
--- a/tinrudder/gateway/backends/answer_check.py
+++ b/tinrudder/gateway/backends/answer_check.py
@@ -1,7 +1,7 @@
-"""Tells a back end's answer to a call from a rejection and from bytes that answer something else.
+"""Classifies a back end's answer to a call: valid, a rejection, or for another request.
 
-Owns nothing. An answer counts only if it names the request and, where it succeeded, carries the
-stamp of what it was answered from; whatever else arrives must never reach a client.
+Owns no state. An answer is valid only if it carries the request's id and, if successful, the
+server's stamp header. Anything else must not reach a client.
 """
 
 from __future__ import annotations
@@ -18,27 +18,27 @@
 )
 
 WRONG_BACKEND_STATUS = 421
-"""Misdirected Request (RFC 9110): something else listens at the address now."""
+"""HTTP status 421, Misdirected Request (RFC 9110): the address now belongs to another server."""
 
 
 class AnswerCheck:
-    """Judges answers by the names that the platform gives its headers."""
+    """Validates answers by the platform's header names."""
 
     def __init__(self, names: HeaderNames) -> None:
         self._names = names
 
     def check(self, call: UpstreamCall, answer: HttpAnswer) -> CallOutcome:
-        """Return what an answer makes of its call."""
+        """Return the outcome of a call for a complete answer."""
         names = self._names
         if header_value(answer.headers, names.request_id) != call.request_id:
-            return Broken("the answer names another request")
+            return Broken("the answer has the id of another request")
         if answer.status == WRONG_BACKEND_STATUS:
             return Rejected(answer.status, wrong_backend=True)
         if header_value(answer.headers, names.not_run) is not None:
             return Rejected(answer.status, load=header_value(answer.headers, names.load))
         if answer.successful:
             if header_value(answer.headers, names.stamp) is None:
-                return Broken("a success without a signature")
+                return Broken("successful answer without the server stamp header")
             if header_value(answer.headers, b"content-encoding") is not None:
-                return Broken("an encoded body was not asked for")
+                return Broken("answer with a content encoding that was not requested")
         return Answered(answer)
--- a/tinrudder/gateway/backends/answer_reader.py
+++ b/tinrudder/gateway/backends/answer_reader.py
@@ -1,8 +1,10 @@
-"""Reads one HTTP/1.1 answer at a time and says whether its connection may be used again.
+"""Parses one HTTP/1.1 answer and decides whether its connection may be reused.
 
-httptools splits the bytes; what it leaves open stands here: answers that end with their
-connection, answers to HEAD, interim answers, and bytes behind a whole answer.  Owns the bytes of
-the answer that it reads; a connection owns one reader for its life.
+httptools parses the bytes. This module adds the cases that httptools leaves to its caller: answers
+delimited by the end of the connection, answers to HEAD, interim (1xx) answers, and trailing bytes
+after a complete answer.
+
+Owns the bytes of the answer that it parses. A connection creates one reader for each call.
 """
 
 from __future__ import annotations
@@ -14,17 +16,17 @@
 from tinrudder.gateway.model.http_messages import Header, HttpAnswer
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Longest head of an answer, bytes. Chosen, not measured: a server that sends more is broken, and
-the head is held whole."""
+"""Largest head of an answer, bytes. The whole head is buffered; a server that sends more is
+faulty."""
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Longest body of an answer, bytes. Chosen, not measured: bodies are held whole, so this bounds
-what one call can take of the process's memory."""
+"""Largest body of an answer, bytes. Bodies are buffered whole, so this bounds the memory that one
+call can use."""
 STATUSES_WITHOUT_BODY = (204, 304)
 HTTP_VERSION_WITH_KEEP_ALIVE = "1.1"
 
 
 class ReadState(enum.Enum):
-    """How far an answer has come."""
+    """Progress of parsing an answer."""
 
     READING = "reading"
     COMPLETE = "complete"
@@ -32,11 +34,11 @@
 
 
 class AnswerReader:
-    """Takes the bytes of one answer.
+    """Parses the bytes of one answer.
 
-    Use a new one for each answer; its cost is one parser object.
+    Create a new reader for each answer; it costs one parser object.
 
-    :ivar body_bytes: how much of the body has come.
+    :ivar body_bytes: bytes of the body received so far.
 
     >>> reader = AnswerReader(body_expected=True)
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nok")
@@ -46,10 +48,11 @@
     """
 
     def __init__(self, *, body_expected: bool, most_bytes: float = MAX_ANSWER_BYTES) -> None:
-        """Begin.
+        """Start parsing an answer.
 
         :param body_expected: false for an answer to HEAD.
-        :param most_bytes: a larger body is not read to its end.
+        :param most_bytes: body size limit, at most :data:`MAX_ANSWER_BYTES`; a larger body makes
+            the answer unreadable.
         """
         self.body_bytes = 0
         self._most_bytes = min(most_bytes, MAX_ANSWER_BYTES)
@@ -71,16 +74,16 @@
 
     @property
     def begun(self) -> bool:
-        """Tell whether any byte of an answer has come, an interim one included."""
+        """Whether any byte of an answer has arrived, including interim answers."""
         return self._begun
 
     @property
     def answer(self) -> HttpAnswer:
-        """Return the answer, once it is complete."""
+        """The answer; valid only in state ``COMPLETE``."""
         return HttpAnswer(self._status, self._reason, tuple(self._headers), b"".join(self._body))
 
     def feed(self, data: bytes) -> ReadState:
-        """Take bytes as they arrive."""
+        """Parse the bytes that arrived."""
         if self.state is not ReadState.READING:
             self.reusable = False
             return self.state
@@ -102,7 +105,7 @@
         return self.state
 
     def end_of_stream(self) -> ReadState:
-        """Take the orderly end of the connection: it completes an answer without a length."""
+        """Handle an orderly close, which completes an answer without a declared length."""
         if self.state is not ReadState.READING:
             return self.state
         if self._head_complete and not self._framed:
@@ -110,22 +113,22 @@
         return self._fail("the connection ended inside the answer")
 
     def on_message_begin(self) -> None:
-        """Notice bytes behind a whole answer (called by the parser)."""
+        """Detect trailing bytes after a complete answer (parser callback)."""
         if self._message_complete:
             self._excess = True
 
     def on_status(self, status: bytes) -> None:
-        """Collect the reason phrase (called by the parser)."""
+        """Collect the reason phrase (parser callback)."""
         if not self._message_complete:
             self._reason += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header (called by the parser)."""
+        """Collect a header (parser callback)."""
         if not self._message_complete:
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Learn how the answer is framed (called by the parser)."""
+        """Determine the framing of the answer (parser callback)."""
         if self._message_complete:
             return
         self._status = self._parser.get_status_code()
@@ -141,14 +144,14 @@
             self._excess = True
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body (called by the parser)."""
+        """Collect part of the body (parser callback)."""
         if self._message_complete:
             return
         self._body.append(body)
         self.body_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer; interim answers are passed over (called by the parser)."""
+        """Mark the answer complete, or skip an interim answer (parser callback)."""
         if self._message_complete:
             return
         if self._status < 200:
@@ -162,13 +165,13 @@
         )
 
     def _forget_interim(self) -> None:
-        """Make room for the answer behind an interim one."""
+        """Discard an interim answer, so that the final one can be parsed."""
         self._headers.clear()
         self._reason = b""
         self._head_complete = False
 
     def _complete(self) -> ReadState:
-        """End with a whole answer."""
+        """Finish in state ``COMPLETE``."""
         if self._excess:
             self.reusable = False
         self.state = ReadState.COMPLETE
@@ -176,7 +179,7 @@
         return self.state
 
     def _fail(self, detail: str) -> ReadState:
-        """End without one."""
+        """Finish in state ``UNREADABLE``."""
         self.reusable = False
         self.detail = detail
         self.state = ReadState.UNREADABLE
@@ -184,5 +187,7 @@
         return self.state
 
     def _forget_parser(self) -> None:
-        """End the cycle of the two, which would keep the body until the collector's next run."""
+        """Break the reference cycle with the parser, which would keep the body in memory until the
+        next garbage collection.
+        """
         del self._parser
--- a/tinrudder/gateway/backends/backend.py
+++ b/tinrudder/gateway/backends/backend.py
@@ -1,7 +1,7 @@
-"""One start of one back end: its entry, its connections, and what this gateway has seen of it.
+"""One instance of a back end: its entry, its connections and this gateway's observations of it.
 
-Owned by :class:`~tinrudder.gateway.backends.backend_directory.BackendDirectory`, which keeps the
-flags in step with the shared state; calls read them and add observations.
+Owned by :class:`~tinrudder.gateway.backends.backend_directory.BackendDirectory`, which updates the
+flags from the shared state. Calls read the flags and add observations.
 """
 
 from __future__ import annotations
@@ -15,19 +15,20 @@
 
 
 class Backend(Struct, eq=False):
-    """One start of one back end, as this process sees it.
-
-    A back end that starts again under its id is another one: nothing that was seen of the start
-    before says anything of it.
-
-    :param cold_start_rate: this gateway's calls to it while it is cold.
-    :param entry_said_at: when this process learned that it wrote ``entry``.
-    :param leaving_since: when this process learned that it takes no new work; ``None`` before.
-    :param lapsed: its entry is gone although it never said that it leaves.
-    :param unreadable: its entry cannot be read any more, so that it is no last resort either.
-    :param ended: another start took its place; calls that have not left go elsewhere.
-    :param readdressed: something else answered at its address.
-    :param evacuated: the operator wants the back ends of its zone to get nothing.
+    """One instance of a back end, as this process sees it.
+
+    A back end that restarts under the same id is a new instance: observations of the previous
+    instance do not apply to it.
+
+    :param cold_start_rate: counts this gateway's calls to the back end while it is cold.
+    :param entry_said_at: when this process learned that the back end wrote ``entry``.
+    :param leaving_since: when this process learned that the back end accepts no new work; ``None``
+        if it has not.
+    :param lapsed: its entry is gone although the back end never announced that it leaves.
+    :param unreadable: its entry can no longer be read, so it is not used even as a last resort.
+    :param ended: it was replaced by another instance or removed; calls not sent yet go elsewhere.
+    :param readdressed: another server answered at its address.
+    :param evacuated: the operator evacuates its zone, so it gets no calls.
     """
 
     entry: BackendEntry
@@ -44,9 +45,9 @@
 
     @property
     def backend_id(self) -> str:
-        """Return the id."""
+        """The back end's id."""
         return self.entry.backend_id
 
     def is_cold(self, now: float) -> bool:
-        """Tell whether it is slow, and bears fewer requests, since it has just started."""
+        """Whether the back end has just started, and so is slower and handles fewer requests."""
         return now < self.observations.cold_until
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -1,7 +1,8 @@
-"""The back ends of each service: which of them may get new work.
+"""Tracks the back ends of each service and decides which of them may get new work.
 
-Owns the back ends, and with them every connection to one; they follow the shared state. Relies on
-the callers of a service for this gateway's part of connections and of cold starts.
+Owns the back ends, and with them every connection to one. The shared state is the source of their
+entries; the number of callers of each service determines this gateway's share of connections and of
+cold-start calls.
 """
 
 from __future__ import annotations
@@ -33,22 +34,25 @@
 from tinrudder.gateway.store.shared_state import SharedState
 
 FEWEST_REPLICAS = 2
-"""Replicas of a service that a gateway calls at least. With fewer it could neither hedge nor
-retry."""
+"""Smallest number of replicas of a service that a gateway calls. With fewer it could neither hedge
+nor retry."""
 LAST_RESORT_SHARE = 0.5
-"""Part of the time that a leaving back end still serves in which it may get new work where no other
-is left. Chosen, not measured: a call that leaves then has as long again to end."""
+"""Fraction of the drain time in which a leaving back end may still get new work if the service has
+no other. A call sent at the end of that time has as long again to complete."""
 LAPSE_S = 2.2
-"""How long after the store is back every living back end has recorded itself again, and a bit."""
+"""How long a back end whose entry lapsed stays usable, seconds. Slightly longer than living back
+ends need to re-register once the store is back."""
 LAPSE_SHARE = 0.8
-"""Part of the time that a back end serves after its entry is gone, whoever removed that."""
+"""Upper bound of :data:`LAPSE_S` as a fraction of the drain time, during which a back end keeps
+serving after its entry is gone, whoever removed the entry."""
 
 
 class DirectorySettings(Struct, frozen=True):
-    """What a gateway's settings say of its calls to back ends.
+    """Settings of a gateway for calls to back ends.
 
-    :param own_name: differs between gateways, so that they do not all pick the same replicas.
-    :param drain_s: how long back ends serve after they said that they leave.
+    :param own_name: this gateway's name; ranks replicas differently on each gateway, so that they
+        do not all pick the same ones.
+    :param drain_s: how long back ends keep serving after they announce that they leave.
     """
 
     own_name: str
@@ -57,11 +61,11 @@
 
 
 class ConnectionHooks(Struct, frozen=True):
-    """What connections to back ends need of the process.
+    """Hooks into the process for connections to back ends.
 
-    :param count_opened: is called for each that is opened.
-    :param memory: counts what is held for back ends; without it, nobody asks for that.
-    :param stood_still: tells whether this process did not run for a while since a moment.
+    :param count_opened: called for each connection opened.
+    :param memory: counts bytes held for back ends; ``None`` if nothing reads that count.
+    :param stood_still: tells whether this process has been paused since a given time.
     """
 
     count_opened: Callable[[], None]
@@ -70,7 +74,7 @@
 
 
 class BackendDirectory:
-    """Follows the shared state; a back end's connections close when it is gone."""
+    """Follows the shared state; closes a back end's connections once its entry is gone."""
 
     def __init__(
         self,
@@ -82,10 +86,10 @@
         callers: Callable[[str], Callers],
         is_closed: Callable[[str], bool],
     ) -> None:
-        """Follow ``state``.
+        """Subscribe to ``state``.
 
-        :param callers: tells which gateways call the back ends of a service.
-        :param is_closed: tells whether calls to a zone would only hang.
+        :param callers: returns the gateways that call the back ends of a service.
+        :param is_closed: tells whether a zone is out of reach, so that calls to it would hang.
         """
         self._connections = connections
         self._is_closed = is_closed
@@ -103,15 +107,15 @@
         state.subscribe(self.refresh)
 
     def __len__(self) -> int:
-        """Return how many back ends are known and not gone."""
+        """Return the number of known back ends whose instance has not ended."""
         return len(self._backends)
 
     def __iter__(self) -> Iterator[Backend]:
-        """Return the back ends that are known and not gone."""
+        """Iterate over the known back ends whose instance has not ended."""
         return iter(self._backends.values())
 
     def refresh(self) -> None:
-        """Take over what the shared state says now."""
+        """Apply the current shared state."""
         evacuated = self._state.evacuations.zones
         gone = set(self._backends)
         for key, known in self._state.backends.items():
@@ -131,13 +135,13 @@
     def usable(self, service: str) -> list[Backend]:
         """Return the back ends that may get new work.
 
-        Those that are leaving are a last resort, for a part of the time that they still serve.
-        Entries can lapse while the store is down although every back end lives; one that does is
-        back soon after the store's return, and one that is missing then is gone.
+        Leaving back ends are a last resort, for part of their drain time. Entries can lapse during
+        a store outage while every back end is alive: a living back end re-registers soon after the
+        store is back, and one that does not is gone.
 
-        Those of an evacuated zone are left out even where no others are, and so are those of a
-        zone that is out of reach, and cold ones that have had this gateway's part of what they
-        bear.
+        Back ends of an evacuated zone or of a zone out of reach are left out even if no others
+        remain, and so are cold back ends that have had this gateway's share of their cold-start
+        calls.
         """
         now = self._clock()
         known = self._services.get(service, [])
@@ -154,7 +158,7 @@
         return [backend for backend in backends if self.may_receive(backend)]
 
     def reason_for_none(self, service: str) -> str:
-        """Say why no back end of a service may get new work, for logs and callers."""
+        """Explain why no back end of a service may get new work, for logs and callers."""
         backends = self._services.get(service, [])
         if any(backend.evacuated for backend in backends):
             return "every back end left is in an evacuated zone"
@@ -168,27 +172,28 @@
         return "every back end is leaving" if backends else "no back end is known"
 
     def reachable(self, service: str) -> bool:
-        """Tell whether any back end of a service may be called from here, cold or not."""
+        """Whether this gateway may call any back end of a service, ignoring cold-start limits."""
         return any(self._is_wanted(one) for one in self._services.get(service, ()))
 
     def _is_wanted(self, backend: Backend) -> bool:
-        """Tell whether calls to a back end are neither forbidden nor vain."""
+        """Whether calls to a back end are allowed and its zone is within reach."""
         forbidden = backend.evacuated or backend.unreadable
         return not forbidden and not self._is_closed(backend.entry.zone)
 
     def staying(self, service: str) -> list[Backend]:
-        """Return the back ends of a service that take new work for longer."""
+        """Return the back ends of a service that are neither leaving nor evacuated."""
         return [one for one in self._staying(service) if not one.evacuated]
 
     def replica_zones(self, service: str) -> tuple[str, ...]:
-        """Return the zone of each back end of a service that takes new work for longer."""
+        """Return the zone of each back end of a service that is neither leaving nor evacuated."""
         return tuple(one.entry.zone for one in self.staying(service))
 
     def fits_attempts(self, service: str, attempts: int) -> bool:
-        """Tell whether two gateways may ask the back ends of a service for the same request.
+        """Whether two gateways may call the back ends of a service for the same request.
 
-        Neither knows whom the other asks, so no more back ends may stand than one request may run
-        on.  Those of an evacuated zone count: the other may have asked one a moment before.
+        Neither gateway knows which back ends the other calls, so the service may have no more back
+        ends than the request has attempts. Back ends of an evacuated zone count: the other gateway
+        may have called one a moment before.
         """
         return len(self._staying(service)) <= attempts
 
@@ -198,7 +203,9 @@
         return [backend for backend in backends if backend.leaving_since is None]
 
     def _own_replicas(self, service: str, staying: list[Backend]) -> list[Backend]:
-        """Leave out replicas where each of them would get more connections than it takes."""
+        """Reduce the replicas if calling all of them would give each more connections than it
+        accepts.
+        """
         share = self._shares.get(service, 1.0)
         if share >= 1.0:
             return staying
@@ -208,11 +215,11 @@
         return sorted(staying, key=self._rank)[-wanted:]
 
     def _rank(self, backend: Backend) -> int:
-        """Return how much this gateway prefers a replica to others, by chance."""
+        """Return this gateway's pseudo-random preference for a replica (rendezvous hashing)."""
         return rendezvous_score(self._own_name, backend.backend_id)
 
     def _connection_share(self, service: str) -> float:
-        """Return how many connections to one back end are this gateway's part."""
+        """Return this gateway's share of the connections that one back end accepts."""
         accepted = self._state.accepted
         spec = accepted.configuration.services.get(service) if accepted is not None else None
         if spec is None:
@@ -220,7 +227,7 @@
         return spec.max_connections * CONNECTION_SAFETY / max(1, self._callers(service).count)
 
     def may_receive(self, backend: Backend) -> bool:
-        """Tell whether a call may still leave for a back end that was chosen earlier."""
+        """Whether a call may still be sent to a back end that was selected earlier."""
         now = self._clock()
         if backend.ended or backend.unreadable or backend.readdressed or backend.evacuated:
             return False
@@ -232,24 +239,26 @@
         return now - backend.leaving_since <= allowed_s
 
     def note_call(self, backend: Backend) -> None:
-        """Count a call that leaves, where the back end bears only so many."""
+        """Count a call that is being sent, if the back end's cold-start rate is limited."""
         self._cold_starts.note_call(backend, self._clock())
 
     def trim(self) -> None:
-        """Close connections that back ends are about to close, and adapt their numbers."""
+        """Update connection limits and close idle connections that back ends are about to close."""
         self._set_connection_limits()
         for backend in self._backends.values():
             backend.pool.trim()
 
     def _take_entry(self, backend: Backend, known: KnownBackend) -> None:
-        """Take what a back end says of itself; it may say anew that it is cold at any time."""
+        """Apply a back end's entry; any new entry may declare the back end cold again."""
         backend.entry = known.entry
         if known.said_at != backend.entry_said_at and known.in_force:
             backend.entry_said_at = known.said_at
             backend.observations.cold_until = known.said_at + known.entry.cold_left_s
 
     def _of_this_start(self, key: str, known: KnownBackend) -> Backend | None:
-        """Return the back end of an entry, anew for another start; ``None`` if none may be used."""
+        """Return the back end for an entry, created if its instance is new; ``None`` for a new
+        instance whose entry is not in force.
+        """
         backend = self._backends.get(key)
         if backend is not None and backend.entry.is_same_start(known.entry):
             return backend
@@ -258,7 +267,7 @@
         return self._add(key, known.entry) if known.in_force else None
 
     def _add(self, key: str, entry: BackendEntry) -> Backend:
-        """Begin with a back end that was not known."""
+        """Create a back end."""
         address = Address(entry.host, entry.port)
         hooks = self._connections
         pool = UpstreamPool(
@@ -271,13 +280,13 @@
         return backend
 
     def _set_evacuated(self, backend: Backend, evacuated: bool) -> None:
-        """Let a back end get nothing, or calls again; idle connections would only age there."""
+        """Set or clear the evacuation flag; idle connections would only go stale meanwhile."""
         if evacuated and not backend.evacuated:
             backend.pool.close_idle()
         backend.evacuated = evacuated
 
     def _drop(self, key: str) -> None:
-        """Forget a back end; calls in progress end by themselves, and may have run."""
+        """Remove a back end; its calls in progress run to their end, and may have been executed."""
         backend = self._backends.pop(key)
         backend.ended = True
         of_service = self._services[backend.entry.service]
@@ -287,7 +296,9 @@
         backend.pool.close()
 
     def _set_connection_limits(self) -> None:
-        """Divide what each back end accepts among the gateways that call it."""
+        """Divide the connections and body bytes that each back end accepts among the gateways that
+        call it.
+        """
         accepted = self._state.accepted
         limits = accepted.configuration.limits if accepted is not None else ClientLimits()
         self._shares = {service: self._connection_share(service) for service in self._services}
--- a/tinrudder/gateway/backends/cold_start_limits.py
+++ b/tinrudder/gateway/backends/cold_start_limits.py
@@ -1,8 +1,9 @@
-"""How many calls this gateway may send to each cold back end now.
+"""Limits the calls that this gateway sends to each cold back end.
 
-Owns no state: the calls sent are counted on the back end. Relies on the configuration in force for
-the rate that a service's cold back ends bear, and on
-:mod:`tinrudder.gateway.decisions.placement.cold_start_rate` for this gateway's part of it.
+Owns no state: each back end counts the calls sent to it. The configuration in force gives the rate
+that a service's cold back ends accept, and
+:mod:`tinrudder.gateway.decisions.placement.cold_start_rate` gives this gateway's share of that
+rate.
 """
 
 from __future__ import annotations
@@ -16,7 +17,7 @@
 
 
 class ColdStartLimits:
-    """Holds calls to cold back ends to this gateway's part; times are monotonic, in seconds."""
+    """Limits calls to cold back ends to this gateway's share; times are monotonic seconds."""
 
     def __init__(
         self,
@@ -25,19 +26,19 @@
         callers: Callable[[str], Callers],
         bounds: ColdBounds,
     ) -> None:
-        """Divide among ``callers`` of a service what ``bounds`` make of its rate."""
+        """Divide a service's rate, as bounded by ``bounds``, among the service's ``callers``."""
         self._state = state
         self._own_name = own_name
         self._callers = callers
         self._bounds = bounds
 
     def note_call(self, backend: Backend, now: float) -> None:
-        """Count a call that leaves, where the back end bears only so many."""
+        """Count a call that is being sent, if the back end is cold and its rate is limited."""
         if backend.is_cold(now) and self._rate(backend) is not None:
             backend.cold_start_rate.note_sent(now)
 
     def bears_call(self, backend: Backend, now: float) -> bool:
-        """Tell whether a call would keep to this gateway's part of what a cold one bears."""
+        """Whether a call would stay within this gateway's share of the cold-start rate."""
         if not backend.is_cold(now):
             return True
         rate = self._rate(backend)
@@ -48,7 +49,9 @@
         return backend.cold_start_rate.may_send(now, part)
 
     def _rate(self, backend: Backend) -> float | None:
-        """Return what a cold one may get from all gateways in a second; ``None``: any number."""
+        """Return the calls a second that all gateways together may send to a cold back end;
+        ``None``: no limit.
+        """
         accepted = self._state.accepted
         services = accepted.configuration.services if accepted is not None else {}
         spec = services.get(backend.entry.service)
--- a/tinrudder/gateway/backends/entry_rules.py
+++ b/tinrudder/gateway/backends/entry_rules.py
@@ -1,7 +1,7 @@
-"""What a back end's entry must hold to name a back end to use, whoever wrote it.
+"""Validates the fields of a back end's entry, whichever client wrote it.
 
-Owns nothing. Adapters ask it before an entry goes further; a broken rule is an error that names the
-field and the rule.
+Owns no state. Adapters call it on each decoded entry; a violated rule raises an error that names
+the field and the rule.
 """
 
 from __future__ import annotations
@@ -11,36 +11,37 @@
 from tinrudder.gateway.model.configuration import BackendEntry
 
 MOST_BYTES = 65_536
-"""Of an entry, a choice: two hundred times what one has.  Gateways pass entries on to each other,
-hundreds in one message."""
+"""Largest entry, bytes: two hundred times the usual size. Gateways send each other hundreds of
+entries in one message."""
 MOST_SLOTS = 10_000
-"""Slots of one back end, a choice: far more than a machine works on at once.  Replicas are chosen
-by free slots, so one absurd figure would draw every call."""
+"""Largest number of slots of one back end: far more requests than a machine processes at once.
+Replicas are selected by free slots, so one absurd value would attract every call."""
 LONGEST_COLD_S = 86_400.0
-"""How long a back end may stay cold, seconds, a choice: a day.  Until then it gets few calls."""
+"""Longest cold time of a back end, seconds: a day. A cold back end gets few calls."""
 MOST_STARTED_MS = 2**53
-"""Moments of a start lie below this: larger numbers are not whole for every writer of JSON."""
+"""Exclusive upper bound of start times, ms since the epoch: not every JSON encoder keeps larger
+integers exact."""
 PORTS = range(1, 65_536)
 
 
 def check_entry(entry: BackendEntry, length: int) -> None:
-    """Refuse an entry whose fields have the right types and no usable meaning.
+    """Reject an entry whose fields have the right types but unusable values.
 
-    The id becomes a header of every call, so that nothing but visible ASCII may stand in it.  A
-    host must be an IP address: a name would be looked up for every connection, and some names
-    raise errors where they are.
+    The id becomes a header of every call, so it must be visible ASCII. The host must be an IP
+    address: a name would be resolved for every connection, and some names make the resolver raise
+    errors where the connection is opened.
 
-    :param length: of the entry's bytes.
-    :raises ValueError: the text names the field.
+    :param length: size of the encoded entry, bytes.
+    :raises ValueError: the message names the field.
     """
     if length > MOST_BYTES:
-        raise ValueError(f"entry: {length} bytes, at most {MOST_BYTES} are read")
+        raise ValueError(f"entry: {length} bytes, at most {MOST_BYTES} are accepted")
     if not _is_visible_ascii(entry.backend_id):
         raise ValueError("id: must be visible ASCII")
     if not entry.service:
         raise ValueError("service: must not be empty")
     if entry.port not in PORTS:
-        raise ValueError(f"address: port {entry.port} is none")
+        raise ValueError(f"address: invalid port {entry.port}")
     if not _is_ip_address(entry.host):
         raise ValueError("address: must be an IP address")
     if not 0 < entry.slots <= MOST_SLOTS:
@@ -52,14 +53,15 @@
 
 
 def _is_visible_ascii(text: str) -> bool:
-    """Tell whether a text can be the value of a header."""
+    """Whether a text is a valid header value without spaces."""
     return bool(text) and text.isascii() and text.isprintable() and " " not in text
 
 
 def _is_ip_address(host: str) -> bool:
-    """Tell whether a connection needs no look-up of a name.
+    """Whether a connection to a host needs no name resolution.
 
-    The system's parser takes 0.12 us, Python's 2.5 us, and hundreds are read at a start.
+    ``inet_pton`` takes 0.12 us and Python's ``ipaddress`` 2.5 us; hundreds of entries are read at a
+    start.
     """
     for family in (socket.AF_INET, socket.AF_INET6):
         try:
--- a/tinrudder/gateway/backends/http_fetch.py
+++ b/tinrudder/gateway/backends/http_fetch.py
@@ -1,7 +1,7 @@
-"""A plain request with one answer, for servers that are no back ends, such as the platform's store.
+"""Sends a plain HTTP request to a server that is not a back end, such as the platform's store.
 
-Owns nothing. Relies on a pool for the connection; turns every way to get no whole answer into one
-error.
+Owns no state. A pool provides the connection; every failure to get a complete answer raises the
+same error.
 """
 
 from __future__ import annotations
@@ -13,24 +13,25 @@
 from tinrudder.gateway.model.http_messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
 
 LONGEST_ARRIVAL_S = 2.5
-"""Most seconds beyond its time for which an answer is waited for that is arriving: a configuration
+"""How long after its timeout an answer that is still arriving is awaited, seconds: a configuration
 of a thousand routes takes half a second over a slow link."""
 PAUSE_S = 0.5
-"""Seconds without a byte after which an answer is not arriving any more."""
+"""Seconds without a byte after which an answer counts as stalled."""
 
 
 class FetchError(Exception):
-    """No whole answer came."""
+    """No complete answer arrived."""
 
 
 async def fetch(pool: UpstreamPool, request: bytes, timeout_s: float) -> HttpAnswer:
-    """Send a request and wait for its whole answer.
+    """Send a request and wait for its complete answer.
 
-    It goes over a connection that was heard a moment ago, or a new one: an idle one whose way is
-    gone would take the whole time to show it.
+    The request uses a new connection or one that received bytes a moment ago: on an idle connection
+    whose network path is lost, the failure would show only at the timeout.
 
-    :param timeout_s: until the answer begins, at the latest; one that is arriving is waited for.
-    :raises FetchError: none came in time; the connection is given up.
+    :param timeout_s: time until the first byte of the answer; an answer that is arriving then is
+        still awaited.
+    :raises FetchError: no answer arrived in time; the connection is closed.
     """
     loop = asyncio.get_running_loop()
     future: asyncio.Future[CallOutcome] = loop.create_future()
@@ -58,7 +59,7 @@
 
 
 def _is_arriving(call: UpstreamCall, now: float, due_at: float) -> bool:
-    """Tell whether bytes of the answer came a moment ago."""
+    """Whether bytes of the answer arrived within :data:`PAUSE_S`."""
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection) or call.sent_at is None:
         return False
@@ -67,10 +68,10 @@
 
 
 def _way(call: UpstreamCall, now: float) -> str:
-    """Tell over which connection a call without an answer went, for the log.
+    """Describe the connection of a call without an answer, for the log.
 
-    A silent server and a connection that lost its way look alike but for this: over the second, a
-    call that opens another connection is answered.
+    This distinguishes a silent server from a connection whose network path is lost: in the second
+    case a call on a new connection is answered.
     """
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection):
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -1,9 +1,9 @@
-"""Sends other gateways news of long queues at back ends that all of them call, and takes theirs.
+"""Exchanges reports of long back-end queues with the other gateways.
 
-Only what an answer to this gateway reported is sent, so nothing is passed on, and news ends with
-the queues.  Owns what is to be sent and which services are under pressure; what was heard goes into
-the back ends' observations. What is sent is bounded by
-:class:`~tinrudder.gateway.decisions.fleet.load_news.PendingNews`.
+A gateway sends only loads that were reported in answers to its own calls, so received reports are
+never forwarded and reports cease when the queues are gone. Owns the reports to be sent and the
+services that have long queues; received reports are stored in the back ends' observations.
+:class:`~tinrudder.gateway.decisions.fleet.load_news.PendingNews` bounds what is sent.
 """
 
 from __future__ import annotations
@@ -32,24 +32,24 @@
 from tinrudder.timers import Timers
 
 LOG_PAUSE_S = 10.0
-"""Least time between two lines of back ends under pressure, a choice: in an overload there is one
-for each second of each service, and the metrics tell how much."""
+"""Shortest time between two log lines about long queues, seconds: an overload would give a line a
+second for each service, and the metrics show the extent."""
 MOST_TAKEN = 16
-"""Back ends read from one datagram, a choice: four times what gateways tell in one."""
+"""Most back ends read from one datagram: four times as many as a gateway sends in one."""
 NEVER = float("-inf")
 
 
 def start_number(entry: BackendEntry) -> int:
-    """Return the number that stands for one start of a back end; 4 bytes in place of some 40."""
+    """Return a hash that identifies one instance of a back end; 4 bytes instead of about 40."""
     return crc32(entry.life.encode())
 
 
 class LoadNewsExchange:
-    """What one gateway tells and hears of queues.
+    """Sends and receives reports of long queues for one gateway.
 
-    :ivar sent: datagrams sent, each peer counted.
-    :ivar taken: loads of back ends that were newer than what was known here.
-    :ivar ignored: loads of back ends that are not known, or whose figures cannot be true.
+    :ivar sent: datagrams sent, counted for each peer.
+    :ivar taken: received loads that were newer than the known ones.
+    :ivar ignored: received loads of unknown back ends, or with implausible values.
     """
 
     def __init__(
@@ -59,7 +59,7 @@
         timers: Timers,
         backends: Callable[[], Iterable[Backend]],
     ) -> None:
-        """Tell ``peers``; ``backends`` gives all that are known."""
+        """Exchange reports with ``peers``; ``backends`` returns all known back ends."""
         self.sent = 0
         self.taken = 0
         self.ignored = 0
@@ -75,17 +75,18 @@
         datagrams.handle(LoadNews, self._on_news)
 
     def refresh(self) -> None:
-        """Take note that other back ends, or other starts of them, may be known now."""
+        """Rebuild the index of back ends at its next use, since entries have changed."""
         self._by_number = None
 
     def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
-        """Tell of a back end that has just answered, if calls wait at its service.
+        """Report a back end that has just answered, if calls are queued at its service.
 
-        While they do, also the back ends without a queue are told of: who has not heard of them
-        could not tell one that is free from one that is silent.
+        While they are, back ends without a queue are reported too: otherwise a gateway could not
+        distinguish a free back end from a silent one.
 
-        :param shed: it turned the call away.
-        :param work_s: how long calls hold a slot there, by what was seen here; 0: not known.
+        :param shed: the back end rejected the call.
+        :param work_s: how long a call occupies a slot there, as observed by this gateway; 0 if
+            unknown.
         """
         observations = backend.observations
         waiting = observations.reported_backlog - observations.slots
@@ -98,8 +99,8 @@
         self._tell_after(GATHER_S)
 
     def _is_pressed(self, service: str) -> bool:
-        """Tell whether a long queue of a service was seen here or told a moment ago."""
-        # Empty on quiet days, when every answer comes here.
+        """Whether a long queue of a service was observed or reported within :data:`MOST_AGE_S`."""
+        # Fast path: called for every answer, and usually no service has a long queue.
         if not self._pressed_at:
             return False
         pressed_at = self._pressed_at.get(service, NEVER)
@@ -109,7 +110,7 @@
         return False
 
     def _note_pressure(self, backend: Backend, moment: float, teller: str) -> None:
-        """Note a long queue, and log it where its service had none."""
+        """Record a long queue, and log it if its service had none before."""
         service = backend.entry.service
         before = self._pressed_at.get(service, NEVER)
         self._pressed_at[service] = max(before, moment)
@@ -130,7 +131,7 @@
         log_event("queues_long", fields)
 
     def _tell_after(self, seconds: float) -> None:
-        """Tell what is pending after some time, with what comes meanwhile."""
+        """Schedule sending, so that reports that arrive meanwhile share the datagram."""
         if not self._timer_set:
             self._timer_set = True
             self._timers.call_at(self._timers.time() + seconds, self._tell)
@@ -150,12 +151,14 @@
             self._tell_after(NEXT_S)
 
     def _told(self, noted: Noted, now: float) -> ReportedLoad | None:
-        """Return what is told of a back end; ``None`` if it is gone, or others told more."""
+        """Return the load to report for a back end; ``None`` if it is gone or other gateways
+        reported it often enough.
+        """
         backend = self._find(noted.backend)
         return tell_load(noted, backend.observations, now) if backend is not None else None
 
     def _on_news(self, news: LoadNews, sender: Address) -> None:
-        """Take what another gateway tells."""
+        """Handle a report from another gateway."""
         for told in news.loads[:MOST_TAKEN]:
             backend = self._find(told.backend)
             if backend is None or not told.is_credible:
@@ -167,7 +170,7 @@
                 self._note_pressure(backend, now - told.age_s, str(sender))
 
     def _find(self, number: int) -> Backend | None:
-        """Return a back end by the number of its start."""
+        """Return a back end by the hash of its instance."""
         if self._by_number is None:
             self._by_number = {start_number(one.entry): one for one in self._backends()}
         return self._by_number.get(number)
--- a/tinrudder/gateway/backends/load_reports.py
+++ b/tinrudder/gateway/backends/load_reports.py
@@ -1,6 +1,6 @@
-"""Reads back ends' load reports; unreadable ones are counted and logged, never lost in silence.
+"""Decodes back ends' load reports; counts and logs those that are unreadable.
 
-Owns the count of unreadable reports; relies on the adapter's decoder for their form.
+Owns the count of unreadable reports. The platform's decoder defines the format.
 """
 
 from __future__ import annotations
@@ -12,24 +12,27 @@
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 
 LOG_PAUSE_S = 10.0
-"""Between two log lines: a form that nobody can read comes with every answer."""
+"""Shortest time between two log lines, seconds: a report in an unknown format comes with every
+answer."""
 
 
 class LoadReports:
-    """Decodes reports by the platform's form.
+    """Decodes reports in the platform's format.
 
-    :ivar unreadable: how many could not be read.
+    :ivar unreadable: number of reports that could not be decoded.
     """
 
     def __init__(self, decode: Callable[[bytes], LoadReport], clock: Callable[[], float]) -> None:
-        """Decode with ``decode``, which raises :class:`UnreadableValueError`."""
+        """Decode with ``decode``, which raises :class:`UnreadableValueError` on failure."""
         self.unreadable = 0
         self._decode = decode
         self._clock = clock
         self._logged_at = float("-inf")
 
     def read(self, value: bytes, backend_id: str) -> LoadReport | None:
-        """Return the report; ``None`` if it cannot be read, which harms nothing else."""
+        """Return the report; ``None`` if it is unreadable, which does not affect the answer that
+        carried it.
+        """
         try:
             return self._decode(value)
         except UnreadableValueError as error:
@@ -38,7 +41,7 @@
             return None
 
     def _log(self, detail: str, backend_id: str) -> None:
-        """Log what could not be read, not more often than is of use."""
+        """Log an unreadable report, at most once in :data:`LOG_PAUSE_S`."""
         now = self._clock()
         if now - self._logged_at >= LOG_PAUSE_S:
             self._logged_at = now
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to a server, with at most one call at a time.
 
-Owns the socket and the outcome of the call on it. Says of a call that ended badly whether any byte
-of it may have been acted upon; that decides whether it may be sent again.
+Owns the socket and the outcome of the call on it. The outcome of a failed call states whether the
+server may have received any of it, which determines whether the call may be retried.
 """
 
 from __future__ import annotations
@@ -23,17 +23,18 @@
 )
 
 USER_TIMEOUT_MS = 4000
-"""After this time without an acknowledgement the kernel ends a connection, as long as the users'
-rules let a machine that is cut off count as in touch."""
+"""``TCP_USER_TIMEOUT``, ms: the kernel closes a connection after this time without an
+acknowledgement. It equals the time for which the users' rules let a machine that is cut off count
+as connected."""
 KEEP_ALIVE_MARGIN_S = 0.5
-"""How long before a server closes an idle connection it is not used any more: the server counts in
-whole seconds from another moment."""
+"""How long before the server's keep-alive timeout an idle connection is no longer used, seconds.
+The server counts in whole seconds and from a different moment."""
 NEVER = float("inf")
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 def never_stood_still(since: float) -> bool:
-    """Take this process for one that always ran."""
+    """Default for ``stood_still``: assume that this process was never paused."""
     return False
 
 
@@ -41,13 +42,13 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """Sends a call, reads its answer, and tells whether the connection may be used again.
+    """Sends a call, reads its answer, and decides whether the connection may be reused.
 
     :ivar opened_at: when it was opened.
-    :ivar heard_at: when anything came over it, at first its opening.
+    :ivar heard_at: when the last bytes arrived, initially when it was opened.
 
-    Whatever arrives while no call is waiting closes the connection: those bytes belong to no
-    request.  Answers are read as they arrive, whatever the client does who waits for them.
+    Bytes that arrive while no call is in progress close the connection, since they belong to no
+    request. Answers are read as they arrive, however slowly the client reads them.
     """
 
     def __init__(
@@ -58,9 +59,10 @@
         memory: HeldBytes,
         stood_still: Callable[[float], bool] = never_stood_still,
     ) -> None:
-        """Judge whole answers with ``check``; report to the pool.
+        """Validate complete answers with ``check``; report to the pool by ``on_free`` and
+        ``on_closed``.
 
-        :param stood_still: tells whether this process did not run for a while since a moment.
+        :param stood_still: tells whether this process has been paused since a given time.
         """
         self.usable_until = NEVER
         self._memory = memory
@@ -78,10 +80,10 @@
         self._reader: AnswerReader | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and let the kernel give up on a silent machine."""
+        """Keep the transport, and let the kernel time out a silent peer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # So that the transport tells of every byte that the socket does not take at once.
+        # At 0 the transport reports every byte that the socket does not accept immediately.
         transport.set_write_buffer_limits(high=0)
         tcp_socket = transport.get_extra_info("socket")
         if tcp_socket is not None:
@@ -89,15 +91,15 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether neither side has ended it, as far as known."""
+        """Whether neither side has closed the connection, as far as is known."""
         return self._transport is not None and not self._transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Tell whether another call may be sent."""
+        """Whether another call may be sent."""
         return self.is_open and self._call is None and self._loop.time() < self.usable_until
 
     def send(self, call: UpstreamCall) -> bool:
-        """Write one call; false when it was withdrawn and nothing was written."""
+        """Write one call; return false if it was withdrawn and nothing was written."""
         assert self._transport is not None
         data = call.make_bytes()
         if data is None:
@@ -112,22 +114,22 @@
         return True
 
     def abort(self) -> None:
-        """Drop the connection and whatever still arrives on it."""
+        """Close the connection and discard anything that still arrives on it."""
         self._call = None
         if self._transport is not None:
             self._transport.abort()
 
     def pause_writing(self) -> None:
-        """Count what the back end does not take."""
+        """Count the request bytes that the back end has not accepted."""
         assert self._transport is not None
         self._note_untaken(self._transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
-        """Count nothing more: the socket has taken everything."""
+        """Reset that count: the socket has accepted everything."""
         self._note_untaken(0)
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer of the call in progress."""
+        """Parse the answer of the call in progress."""
         reader = self._reader
         if self._call is None or reader is None:
             self.abort()
@@ -142,7 +144,7 @@
             self._end(Broken(reader.detail), reusable=False)
 
     def eof_received(self) -> bool:
-        """Take the orderly end; the transport closes by itself."""
+        """Handle an orderly close by the peer; the transport then closes itself."""
         reader = self._reader
         if self._call is not None and reader is not None:
             if reader.end_of_stream() is ReadState.COMPLETE:
@@ -152,7 +154,7 @@
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Without its whole answer, a call that was sent may have run."""
+        """Fail the call in progress: it may have run, since its complete answer did not arrive."""
         self._transport = None
         if self._call is not None:
             self._end(self._broken(f"connection lost: {exc}", exc), reusable=False)
@@ -161,10 +163,12 @@
         self._on_closed(self)
 
     def _broken(self, detail: str, exc: Exception | None) -> Broken:
-        """Say what the end of the connection tells, if the other side ended it.
+        """Return the outcome of a call whose connection was closed before the answer was complete.
 
-        Where the kernel gave up waiting, the way there is what failed; where the back end had not
-        been sent the whole request, or cut off what this process left unread, the request is not.
+        ``unanswered`` marks the request as a possible cause of a back-end crash. It is not set if
+        the kernel timed out, where the network path failed, nor if the back end had not been sent
+        the whole request or had begun to answer. While this process was paused, the back end may
+        have closed the connection over bytes left unread.
         """
         assert self._call is not None and self._call.sent_at is not None
         if self._stood_still(self._call.sent_at):
@@ -174,17 +178,17 @@
         return Broken(detail, unanswered)
 
     def _note_untaken(self, size: int) -> None:
-        """Count the bytes of a request that the socket has not taken."""
+        """Count the request bytes that the socket has not accepted."""
         self._memory.backends += size - self._untaken
         self._untaken = size
 
     def _count(self, size: int) -> None:
-        """Count the bytes of an answer that has come in part."""
+        """Count the bytes of a partly received answer."""
         self._memory.backends += size - self._counted
         self._counted = size
 
     def _end_with_answer(self, reader: AnswerReader) -> None:
-        """End the call with a whole answer."""
+        """End the call with a complete answer."""
         call = self._call
         assert call is not None and self._transport is not None
         answer = reader.answer
@@ -199,7 +203,7 @@
         self._end(outcome, reusable=reusable)
 
     def _note_keep_alive(self, answer: HttpAnswer) -> None:
-        """Learn how long the server keeps an idle connection."""
+        """Read from an answer how long the server keeps an idle connection open."""
         value = header_value(answer.headers, b"keep-alive")
         match = _KEEP_ALIVE_TIMEOUT.search(value) if value else None
         if match is None:
@@ -208,7 +212,7 @@
             self.usable_until = self._loop.time() + int(match[1]) - KEEP_ALIVE_MARGIN_S
 
     def _end(self, outcome: CallOutcome, *, reusable: bool) -> None:
-        """Free or close the connection, then report."""
+        """Finish the call; free the connection if it is reusable, else close it."""
         call = self._call
         assert call is not None
         self._call = None
@@ -223,5 +227,5 @@
 
 
 def accept_any_answer(call: UpstreamCall, answer: HttpAnswer) -> CallOutcome:
-    """Take every whole answer: for servers that echo no request id."""
+    """Accept every complete answer, for servers that do not echo the request id."""
     return Answered(answer)
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -1,8 +1,8 @@
-"""Connections to one server, never more than this gateway's part of what the server accepts.
+"""Connection pool for one server, limited to this gateway's share of the server's connections.
 
-A call takes an idle connection, or waits until one is free while another is opened.  Waiting calls
-have not been sent: no byte of theirs has left.  Owns the connections; its owner sets how many there
-may be, and how many bytes of bodies they may hold.
+A call takes an idle connection, or waits until one becomes free while another is being opened. No
+byte of a waiting call has been sent. Owns the connections; the pool's user sets the limits on
+connections and on body bytes in flight.
 """
 
 from __future__ import annotations
@@ -22,12 +22,13 @@
 from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
 
 CONNECT_TIMEOUT_S = 0.4
-"""How long a connection may take to open: a hundred times the way between zones, and less than the
-second after which a lost opening packet is sent again."""
+"""Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
+which TCP retransmits a lost SYN."""
 TRUSTED_S = 0.15
-"""How long ago a connection must have been heard for a call that may not be repeated.  Servers
-forget idle connections, after 0.17 s at times, and ones that went silent show nothing: such a call
-is lost with its connection, where opening another costs a few milliseconds."""
+"""Longest time since a connection received bytes for it to carry a call that must not be repeated,
+seconds. Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives
+no sign of it: such a call would be lost with its connection, whereas a new connection costs a few
+milliseconds."""
 
 
 class UpstreamPool:
@@ -41,10 +42,10 @@
         memory: HeldBytes | None = None,
         stood_still: Callable[[float], bool] = never_stood_still,
     ) -> None:
-        """Open connections as calls need them; ``on_opened`` counts them.
+        """Create an empty pool; ``on_opened`` is called for each connection opened.
 
-        :param memory: counts what is held for the server; without it, nobody asks for that.
-        :param stood_still: tells whether this process did not run for a while since a moment.
+        :param memory: counts bytes held for the server; ``None`` if nothing reads that count.
+        :param stood_still: tells whether this process has been paused since a given time.
         """
         self.max_connections = 1
         self.max_body_bytes = math.inf
@@ -65,17 +66,17 @@
 
     @property
     def connections(self) -> int:
-        """Return the number of connections, those being opened included."""
+        """The number of connections, including those being opened."""
         return len(self._open) + len(self._connecting)
 
     def has_connection_from_before(self, moment: float) -> bool:
-        """Tell whether a connection is open that was opened before a moment."""
+        """Whether a connection is open that was opened before ``moment``."""
         return any(one.is_open and one.opened_at < moment for one in self._open)
 
     def start(self, call: UpstreamCall) -> None:
-        """Send a call over an idle connection, or let it wait for one.
+        """Send a call over an idle connection, or queue it.
 
-        A large body waits until those on the way to the server leave room for it there.
+        A large body first waits until the bodies in flight to the server leave room for it.
         """
         if call.body_bytes and not self._take_room(call):
             call.carrier = self
@@ -84,7 +85,7 @@
         self._start(call)
 
     def _start(self, call: UpstreamCall) -> None:
-        """Send a call over an idle connection, or let it wait for one."""
+        """Send a call over an idle connection, or queue it."""
         connection = self._take_idle() if call.repeatable else self._take_trusted()
         if connection is not None:
             self._send(connection, call)
@@ -94,7 +95,7 @@
         self._open_as_allowed()
 
     def cancel(self, call: UpstreamCall) -> None:
-        """Take back a waiting call; close the connection of one that was sent."""
+        """Cancel a call: dequeue it, or close its connection if it was sent."""
         carrier = call.carrier
         call.forget()
         if isinstance(carrier, UpstreamConnection):
@@ -102,7 +103,9 @@
         self._give_room(call)
 
     def _take_room(self, call: UpstreamCall) -> bool:
-        """Count a large body as on its way, if there is room for it; the first one always has."""
+        """Reserve room for a large body, if there is any; with no other body in flight there always
+        is.
+        """
         if self._with_body and self._body_bytes + call.body_bytes > self.max_body_bytes:
             return False
         self._with_body.add(call)
@@ -117,7 +120,7 @@
         return True
 
     def _give_room(self, call: UpstreamCall) -> None:
-        """Count a body no more, and start calls that waited for that."""
+        """Release the room of a body, and start calls that waited for it."""
         if call not in self._with_body:
             return
         self._with_body.remove(call)
@@ -133,12 +136,12 @@
                 self._start(held)
 
     def close(self) -> None:
-        """Close what is idle now and the rest when its call has ended."""
+        """Close idle connections now and each other connection when its call has ended."""
         self._closed = True
         self.close_idle()
 
     def close_idle(self) -> None:
-        """Close what is idle now; calls that come later open connections again."""
+        """Close idle connections; later calls open new ones."""
         for connection in tuple(self._idle):
             connection.abort()
         self._idle.clear()
@@ -160,7 +163,9 @@
         return None
 
     def _take_trusted(self) -> UpstreamConnection | None:
-        """Return an idle connection that was heard a moment ago; else make room for a new one."""
+        """Return an idle connection that received bytes within :data:`TRUSTED_S`; else make room
+        for a new one.
+        """
         connection = self._take_idle()
         if connection is None:
             return None
@@ -173,13 +178,13 @@
         return None
 
     def _send(self, connection: UpstreamConnection, call: UpstreamCall) -> None:
-        """Send on a free connection, which stays free if the call was withdrawn."""
+        """Send a call on a free connection, which stays free if the call was withdrawn."""
         if not connection.send(call):
             call.finish(Withdrawn())
             self._on_free(connection)
 
     def _on_free(self, connection: UpstreamConnection) -> None:
-        """Give a free connection to the oldest waiting call, else keep it."""
+        """Assign a free connection to the oldest waiting call, or keep it idle."""
         if not connection.is_usable():
             connection.abort()
             return
@@ -192,14 +197,14 @@
             self._idle.append(connection)
 
     def _on_closed(self, connection: UpstreamConnection) -> None:
-        """Forget a connection; waiting calls may open another in its place."""
+        """Remove a connection; waiting calls may open another in its place."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
         self._open_as_allowed()
 
     def _open_as_allowed(self) -> None:
-        """Open connections for waiting calls, as many as are missing and allowed."""
+        """Open the connections that waiting calls need, up to the limit."""
         wanted = sum(1 for call in self._waiting if not call.finished)
         missing = wanted - len(self._connecting)
         allowed = self.max_connections - self.connections
@@ -208,7 +213,7 @@
             self._connecting.add(task)
 
     async def _connect(self) -> None:
-        """Open one connection; when that fails, the oldest waiting call was not sent."""
+        """Open one connection; on failure the oldest waiting call ends as not sent."""
         try:
             connection = await self._open_connection()
         except (OSError, TimeoutError) as error:
@@ -225,7 +230,7 @@
             self._on_connect_failed("connect: closed at once")
 
     async def _open_connection(self) -> UpstreamConnection:
-        """Connect within the time allowed."""
+        """Connect within :data:`CONNECT_TIMEOUT_S`."""
         async with asyncio.timeout(CONNECT_TIMEOUT_S):
             _, connection = await self._loop.create_connection(
                 self._new_connection, self._address.host, self._address.port
@@ -233,25 +238,27 @@
         return connection
 
     def _new_connection(self) -> UpstreamConnection:
-        """Make the protocol of a connection that reports here."""
+        """Create a connection's protocol object, which reports to this pool."""
         return UpstreamConnection(
             self._check, self._on_free, self._on_closed, self._memory, self._stood_still
         )
 
     def _forget_connecting(self) -> None:
-        """Take the current task off the list of those that connect."""
+        """Remove the current task from those that are connecting."""
         task = asyncio.current_task()
         assert task is not None
         self._connecting.discard(task)
 
     def _on_connect_failed(self, detail: str, *, refused: bool = False) -> None:
-        """Fail the oldest waiting call, or all of them when no connection is left to wait for."""
+        """Fail the oldest waiting call, or all of them if no connection is open that could serve
+        them.
+        """
         failed = 1 if self._open else len(self._waiting)
         for _ in range(min(failed, len(self._waiting))):
             self._waiting.popleft().finish(NotSent(detail, refused))
 
     def _next_waiting(self) -> UpstreamCall | None:
-        """Take the oldest waiting call that is still wanted."""
+        """Dequeue the oldest waiting call that has neither finished nor passed its deadline."""
         while self._waiting:
             call = self._waiting.popleft()
             if call.finished:
--- a/tinrudder/gateway/clients/__init__.py
+++ b/tinrudder/gateway/clients/__init__.py
@@ -1,5 +1,5 @@
-"""Connections from clients: whole requests in, answers out, and the memory held for them.
+"""Client connections: parsed requests in, answers out, and the memory held for both.
 
-Owns client sockets and the account of bytes held; hands each request to
+Owns client sockets and the account of bytes held; passes each request to
 :mod:`tinrudder.gateway.requests`.
 """
--- a/tinrudder/gateway/clients/answer_progress.py
+++ b/tinrudder/gateway/clients/answer_progress.py
@@ -1,8 +1,8 @@
-"""How long a client has taken nothing of its answer, and how long it may.
+"""Detects clients that do not read their answers, and defines the timeouts for them.
 
-Owns what was last seen of one client's progress; it reads the socket only when asked.  Relies on
-the kernel's count of acknowledged bytes (:mod:`tinrudder.gateway.clients.tcp_progress`), since a
-transport's buffer alone shows nothing of a slow client for half a minute.
+Owns the last observed progress of one client; the socket is inspected only on request. Relies on
+the kernel's count of acknowledged bytes (:mod:`tinrudder.gateway.clients.tcp_progress`): the
+transport's buffer alone may not change for half a minute with a slow client.
 """
 
 from __future__ import annotations
@@ -13,37 +13,39 @@
 from tinrudder.gateway.clients.tcp_progress import acknowledged_bytes
 
 UNREAD_S = 10.0
-"""How long a client may take nothing of its answer, seconds: 1 KB a second shows every 1.5 s on
-Ethernet, one segment at a time, and the kernel repeats a lost segment five times within 6.2 s.
-Over loopback, whose segments are 64 KB, such a client shows every 6 s with 4 KB of buffer, every
-24 s with 16 KB (``tcp_info`` read every 0.1 s for 60 s and 100 s)."""
+"""How long a client may read nothing of its answer, seconds. A client that reads 1 KB a second
+shows progress every 1.5 s on Ethernet, one segment at a time, and the kernel retransmits a lost
+segment five times within 6.2 s. Over loopback, whose segments are 64 KB, such a client shows
+progress every 6 s with 4 KB of buffer and every 24 s with 16 KB (``tcp_info`` read every 0.1 s for
+60 s and 100 s)."""
 UNREAD_PRESSED_S = 2.0
-"""The same on a planned stop, of whose grace, 6 s, it is a third, and near the bound of memory: a
-client that takes 1 KB a second still shows in time, and who takes nothing goes before others'
-requests are refused.  Two gateways of 152 MB with 12 slow clients a second each refused 338 of
-1,372 ordinary requests while this was 10 s near the bound, none of 1,381 with 2 s."""
+"""The same timeout during a planned stop, where it is a third of the 6 s grace, and near the memory
+bound. A client that reads 1 KB a second still shows progress in time, and one that reads nothing is
+disconnected before requests of others are refused. Two gateways of 152 MB with 12 slow clients a
+second each refused 338 of 1,372 ordinary requests with 10 s near the bound, and none of 1,381 with
+2 s."""
 UNREAD_FULL_S = 1.0
-"""The same while there is no room for anybody's requests, seconds.  Chosen, not measured: half of
+"""The same timeout while the memory bound is reached and every request is refused, seconds: half of
 :data:`UNREAD_PRESSED_S`."""
 
 
 class AnswerProgress:
-    """Follows one client's reading."""
+    """Tracks how far one client has read."""
 
     __slots__ = ("_seen", "_seen_at")
 
     def __init__(self) -> None:
-        """Know nothing; :meth:`begin` comes first."""
+        """Initialize; call :meth:`begin` before :meth:`idle_s`."""
         self._seen = (0, 0)
         self._seen_at = 0.0
 
     def begin(self, transport: asyncio.Transport, now: float) -> None:
-        """Follow what the client takes from now on."""
+        """Start tracking what the client reads."""
         self._seen = _progress_of(transport)
         self._seen_at = now
 
     def idle_s(self, transport: asyncio.Transport, now: float) -> float:
-        """Return for how long the client has taken nothing, as far as looks at it show."""
+        """Return how long the client has read nothing, as of the calls of this method."""
         progress = _progress_of(transport)
         if progress != self._seen:
             self._seen = progress
@@ -52,9 +54,9 @@
 
 
 def longest_unread_s(memory: MemoryAccount, *, closing: bool) -> float:
-    """Return how long a client may take nothing now, seconds.
+    """Return the current timeout for clients that read nothing, seconds.
 
-    :param closing: clients should go elsewhere, as on a planned stop.
+    :param closing: clients should use another gateway, as during a planned stop.
     """
     if memory.is_full:
         return UNREAD_FULL_S
@@ -63,5 +65,5 @@
 
 
 def _progress_of(transport: asyncio.Transport) -> tuple[int, int]:
-    """Return two figures of which one changes whenever the client takes anything."""
+    """Return two values of which at least one changes whenever the client reads."""
     return (transport.get_write_buffer_size(), acknowledged_bytes(transport))
--- a/tinrudder/gateway/clients/answers.py
+++ b/tinrudder/gateway/clients/answers.py
@@ -1,7 +1,6 @@
-"""Builds the answer that a client is sent from an outcome, and its bytes.
+"""Builds and encodes the client's answer for a request's outcome.
 
-Owns no state.  Relies on :func:`tinrudder.gateway.model.outcomes.status_of` for the one table from
-outcomes to statuses.
+Owns no state.  :func:`tinrudder.gateway.model.outcomes.status_of` maps outcomes to statuses.
 """
 
 from __future__ import annotations
@@ -21,13 +20,13 @@
 
 RETRY_AFTER = b"retry-after"
 STATUSES_WITHOUT_BODY = (204, 304)
-"""No Content and Not Modified, whose answers name no length here (RFC 9110)."""
+"""No Content and Not Modified, sent here without a Content-Length (RFC 9110)."""
 
 
 def build_answer(
     outcome: RequestOutcome, names: HeaderNames, request_id: bytes | None
 ) -> FinalAnswer:
-    """Return the answer that states ``outcome``."""
+    """Return the answer for ``outcome``."""
     status = status_of(outcome)
     if isinstance(outcome, Relayed):
         answer = outcome.answer
@@ -47,7 +46,7 @@
 
 
 def encode_answer(answer: FinalAnswer, *, close: bool, head_only: bool) -> bytes:
-    """Return the bytes of an answer.
+    """Return the encoded answer.
 
     :param head_only: the request was a HEAD, whose answer has no body.
     """
--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -1,9 +1,8 @@
-"""One connection from a client: serves its requests one at a time, and bounds what it may hold.
+"""One client connection: serves requests one at a time and bounds the memory held for the client.
 
-Owns the socket, the requests that were read and wait for the one before, and what is held for this
-client in the account of memory.  Relies on :class:`RequestReader` for whole requests, on a handler
-for their answers, and on :mod:`tinrudder.gateway.clients.answer_progress` for clients that do not
-read.
+Owns the socket, the pipelined requests, and the bytes held for this client in the memory account.
+:class:`RequestReader` parses requests, a handler serves them, and
+:mod:`tinrudder.gateway.clients.answer_progress` detects clients that do not read.
 """
 
 from __future__ import annotations
@@ -29,50 +28,49 @@
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 MAX_WAITING_REQUESTS = 16
-"""Whole requests that may wait on a connection behind the one in progress; with one more it is
-dropped.  Chosen, not measured: clients that pipeline at all send a few, and each is held in memory.
-"""
+"""Most pipelined requests that may wait behind the one in progress; one more closes the connection.
+Clients that pipeline at all send a few, and each request is held in memory."""
 LINGER_S = 1.0
-"""How long a refused connection stays open behind its answer, seconds.  Chosen, not measured: a
-reset that follows at once, while the client still sends, can take the answer from it."""
+"""How long a connection stays open after the answer to a refused request, seconds.  An immediate
+reset, while the client still sends, can make the client lose that answer."""
 WATCH_S = 0.25
-"""How often a connection is looked at while its client does not read or reading from it has
-stopped, seconds.  Chosen, not measured: a quarter of the shortest time that such looks tell of; no
-other connection has such a timer."""
+"""Interval of checks on a connection whose client does not read or whose reading is paused,
+seconds: a quarter of the shortest timeout that these checks enforce.  Other connections have no
+such timer."""
 PAUSED_S = 1.0
-"""How long a body may wait half read for room, seconds.  Chosen, not measured: its request is
-refused while its client still has time to ask elsewhere."""
+"""How long a partly read body may wait for memory, seconds.  After that the request is refused,
+while its client still has time to try another gateway."""
 
 
 class RequestInProgress(Protocol):
     """A request that is being served."""
 
     def abandon(self) -> None:
-        """Stop: the client has left."""
+        """Stop serving: the client has disconnected."""
 
 
 class HttpRequestHandler(Protocol):
-    """Serves requests; tells what the connection must know."""
+    """Serves requests and provides the limits for connections."""
 
     @property
     def limits(self) -> ClientLimits:
-        """Return the limits in force."""
+        """The limits in force."""
 
     @property
     def closing(self) -> bool:
-        """Tell whether clients should go elsewhere after their next answer."""
+        """Whether connections should be closed after their next answer."""
 
     def handle(self, request: HttpRequest, connection: ClientConnection) -> RequestInProgress:
         """Serve a request; exactly one :meth:`ClientConnection.answer` follows."""
 
 
 class ClientConnection(RequestReader, asyncio.Protocol):
-    """Speaks HTTP/1.1 with one client.
+    """HTTP/1.1 connection with one client.
 
-    A request that breaks the protocol or a limit is answered and the connection closed.  What a
-    client does not read is bounded: no other request of its is served or read meanwhile, and one
-    that takes nothing for a while loses its connection.  Whatever is held for it stands in
-    ``memory``.
+    A request that violates the protocol or a limit is answered with an error and the connection is
+    closed.  Unread answers are bounded: while a client has not read its answer, no other request of
+    this client is served or read, and the connection is closed if the client reads nothing for too
+    long.  All bytes held for the client are counted in ``memory``.
     """
 
     def __init__(
@@ -81,7 +79,7 @@
         open_connections: set[ClientConnection],
         memory: MemoryAccount,
     ) -> None:
-        """Pass requests to ``handler``; stand in ``open_connections`` while open."""
+        """Pass requests to ``handler``; stay registered in ``open_connections`` while open."""
         super().__init__(handler)
         self._handler = handler
         self._open_connections = open_connections
@@ -106,25 +104,25 @@
 
     @property
     def busy(self) -> bool:
-        """Tell whether a request is read in part or being served."""
+        """Whether a request is being received or served."""
         return self.busy_with_whole or self._reading_since is not None
 
     @property
     def busy_with_whole(self) -> bool:
-        """Tell whether a request that was read whole is being served or waits."""
+        """Whether a completely received request is being served or waiting."""
         return self._current is not None or bool(self._waiting)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Begin to wait for a request."""
+        """Start waiting for a request."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # So that the transport tells of every byte that the socket does not take at once.
+        # At 0 the transport reports every byte that the socket does not accept immediately.
         transport.set_write_buffer_limits(high=0)
         self._open_connections.add(self)
         self._arm()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Stop whatever is in progress for a client that has left."""
+        """Stop all work for a client that has disconnected."""
         self._transport = None
         self._open_connections.discard(self)
         if self._timer is not None:
@@ -142,18 +140,18 @@
             in_progress.abandon()
 
     def eof_received(self) -> bool:
-        """Treat the end of what a client sends as its leave."""
+        """Treat a half-close by the client as a disconnect."""
         return False
 
     def pause_writing(self) -> None:
-        """Count what the client does not read, and serve and read nothing more of it meanwhile."""
+        """Count unread answer bytes; serve and read no more requests until they are read."""
         assert self._transport is not None
         self._note_unread(self._transport.get_write_buffer_size())
         self._answer_progress.begin(self._transport, self._loop.time())
         self._pause()
 
     def resume_writing(self) -> None:
-        """Go on: the socket has taken everything."""
+        """Continue: the socket has accepted everything."""
         self._note_unread(0)
         self._idle_since = self._loop.time()
         self._resume()
@@ -161,7 +159,7 @@
             self._loop.call_soon(self._serve_next)
 
     def data_received(self, data: bytes) -> None:
-        """Read what arrived."""
+        """Parse the bytes that arrived."""
         if self._refused:
             return
         if self._reading_since is None:
@@ -178,14 +176,14 @@
             self._pause()
 
     def answer(self, answer: FinalAnswer) -> None:
-        """Write the answer of the request in progress and go on to the next."""
+        """Write the answer to the request in progress and serve the next request."""
         request = self._current
         self._current = None
         self._in_progress = None
         self._answered_at_once = True
         self._hold(-self._current_bytes)
         self._current_bytes = 0
-        # The client may have left while its request ran: nobody reads the answer.
+        # The client may have disconnected while its request ran.
         if self._transport is None or request is None:
             return
         close = not request.keep_alive or self._handler.closing
@@ -201,10 +199,10 @@
             self._loop.call_soon(self._serve_next)
 
     def refuse(self, status: int, headers: Headers = ()) -> None:
-        """Answer what cannot be served, and close."""
+        """Answer a request that cannot be served with an error, and close."""
         self._refused = True
         self._body = []
-        # An answer written now would be taken for that of the request that is still being served.
+        # The client would match an answer written now to the request that is still being served.
         if self._transport is None or self.busy_with_whole:
             self._abort()
             return
@@ -215,17 +213,17 @@
         self._loop.call_later(LINGER_S, self._abort)
 
     def close_if_idle(self) -> None:
-        """Close a connection on which nothing is in progress."""
+        """Close the connection if no request is being received or served."""
         if not self.busy and self._transport is not None:
             self._transport.close()
 
     def _send_continue(self) -> None:
-        """Tell a client that waits with its body to go on."""
+        """Send ``100 Continue``, so that the client sends the body."""
         if self._transport is not None:
             self._transport.write(CONTINUE)
 
     def _on_request(self, request: HttpRequest, size: int) -> None:
-        """Serve a whole request, or keep it until the one before is answered."""
+        """Serve a complete request, or queue it behind the one in progress."""
         self._reading_since = None
         self._waiting.append(request)
         self._waiting_bytes.append(size)
@@ -236,10 +234,10 @@
             self._serve_next()
 
     def _serve_next(self) -> None:
-        """Serve the oldest request that was read."""
+        """Serve the oldest queued request."""
         if self._current is not None or not self._waiting or self._transport is None:
             return
-        # Called soon after an answer that its client may not have read: one answer is held at most.
+        # The client may not have read the previous answer: at most one answer is buffered.
         if self._unread:
             return
         request = self._waiting.popleft()
@@ -247,26 +245,26 @@
         self._current_bytes = self._waiting_bytes.popleft()
         self._answered_at_once = False
         in_progress = self._handler.handle(request, self)
-        # Refusals are answered within that call: then there is nothing to abandon.
+        # Refusals are answered within handle(): then there is nothing to abandon.
         if not self._answered_at_once:
             self._in_progress = in_progress
 
     def _arm(self) -> None:
-        """Set the one timer, unless it is set to something earlier anyway."""
+        """Start the timer unless it is running."""
         if self._timer is None:
             limits = self._handler.limits
             wait = min(limits.header_timeout_s, limits.idle_timeout_s)
             self._timer = self._loop.call_later(wait, self._on_timer)
 
     def _on_timer(self) -> None:
-        """Close what rested too long, refuse what came too slowly, and look again later."""
+        """Enforce the idle and header timeouts, and restart the timer."""
         self._timer = None
         now = self._loop.time()
         limits = self._handler.limits
         if self._transport is None or self._refused:
             return
         if self._paused_at is not None:
-            # Neither the client's rest nor its slowness: it is this gateway that does not read.
+            # Neither timeout applies: this gateway has paused reading.
             self._arm()
             return
         if self._reading_since is not None and self._current is None:
@@ -279,22 +277,22 @@
         self._arm()
 
     def _abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
     def _hold(self, size: int) -> None:
-        """Count bytes of requests that are held, or are not any more."""
+        """Add to the bytes held for requests; negative to release."""
         self._held += size
         self._memory.clients += size
 
     def _note_unread(self, size: int) -> None:
-        """Count the bytes of answers that the socket has not taken."""
+        """Set the count of answer bytes that the socket has not accepted."""
         self._memory.clients += size - self._unread
         self._unread = size
 
     def _pause(self) -> None:
-        """Stop reading, and look again and again until that may end."""
+        """Pause reading, and check periodically whether it may resume."""
         assert self._transport is not None
         self._transport.pause_reading()
         if self._paused_at is None:
@@ -303,7 +301,9 @@
             self._watch = self._loop.call_later(WATCH_S, self._look)
 
     def _resume(self) -> None:
-        """Read on if nothing stands against it; the time without reading was not the client's."""
+        """Resume reading if nothing prevents it; the pause does not count towards the client's
+        timeouts.
+        """
         if self._paused_at is None or self._unread or self._paused_for_memory:
             return
         paused_s = self._loop.time() - self._paused_at
@@ -315,7 +315,7 @@
             self._transport.resume_reading()
 
     def _look(self) -> None:
-        """Decide what becomes of a client that does not read, or whose requests have no room."""
+        """Check a client that does not read, or whose request waits for memory."""
         self._watch = None
         if self._transport is None or self._paused_at is None or self._refused:
             return
@@ -328,7 +328,7 @@
             self._watch = self._loop.call_later(WATCH_S, self._look)
 
     def _look_at_unread(self, now: float) -> None:
-        """End the connection if its client takes nothing for too long."""
+        """Close the connection if its client has read nothing for too long."""
         assert self._transport is not None
         self._note_unread(self._transport.get_write_buffer_size())
         idle_s = self._answer_progress.idle_s(self._transport, now)
@@ -340,7 +340,7 @@
             self._abort()
 
     def _look_for_room(self, now: float) -> None:
-        """Read on when there is room; refuse what has waited for it too long."""
+        """Resume reading once there is memory; refuse a body that has waited too long."""
         if not self._memory.is_near:
             self._paused_for_memory = False
             self._resume()
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -1,7 +1,7 @@
-"""When an answer to a client is worth most, and when the last one must leave.
+"""Computes when the answer to a client should be sent, and by when the last one must be.
 
-Owns, for each route, the longest time that a client has named.  Relies on clients that name what is
-left of their time when they ask again; whoever names nothing gets the route's own timeout.
+Owns, for each route, the longest timeout that a client has stated.  Assumes that a client that
+retries states its remaining time; a client that states none gets the route's timeout.
 """
 
 from __future__ import annotations
@@ -14,30 +14,30 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 
 MILLISECONDS = 1000.0
-"""In a second."""
+"""Milliseconds in a second."""
 ANSWER_MARGIN_S = 0.015
-"""How long before the objective an answer leaves, seconds.  Chosen, not measured: a client counts
-from when it begins to connect, so four times 3 ms of a path between cities for connecting, the
-request and the answer, and 3 ms of work."""
+"""How long before the objective an answer is sent, seconds.  Clients count from when they begin to
+connect: four times 3 ms of a path between cities for connecting, the request and the answer, and 3
+ms of work."""
 DEADLINE_MARGIN_S = 0.02
-"""How long before the deadline the final answer leaves, seconds.  Chosen, not measured: a little
-more than the path of :data:`ANSWER_MARGIN_S`, since nothing after it is worth anything."""
+"""How long before the deadline the final answer is sent, seconds.  Slightly more than the path of
+:data:`ANSWER_MARGIN_S`, since an answer after the deadline is worthless."""
 LARGEST_MARGIN_SHARE = 0.25
-"""The most of a client's time that :data:`DEADLINE_MARGIN_S` may take, a share.  Chosen, not
-measured: who waits for 0.08 s or less still gets most of that time."""
+"""Upper bound of :data:`DEADLINE_MARGIN_S` as a fraction of the client's timeout.  A client with a
+timeout of 0.08 s or less keeps three quarters of it."""
 RETURNING_AFTER_S = 0.01
-"""A request that names so much less time than the longest on its route is of a client that came
-before, seconds.  Chosen, not measured: more than rounding makes, less than clients wait after a
-refusal."""
+"""A request whose stated time is this much below the longest on its route counts as a retry,
+seconds.  More than rounding causes, and less than clients wait after a refusal."""
 
 
 class Deadlines(Struct, frozen=True):
     """Monotonic times of one request.
 
-    :param objective_at: when an answer must leave to be worth most.
-    :param deadline_at: when a final answer must leave.
-    :param returning: the client has been waiting since an earlier attempt.
-    :param late: the objective passed meanwhile; ``objective_at`` is that of a new request.
+    :param objective_at: when an answer must be sent to meet the route's latency objective.
+    :param deadline_at: when the final answer must be sent.
+    :param returning: the request is a retry; the client has waited since an earlier attempt.
+    :param late: the objective passed before this attempt; ``objective_at`` is that of a new
+        request.
     """
 
     received_at: float
@@ -48,14 +48,14 @@
 
 
 class ClientDeadlines:
-    """Works out deadlines from what clients say of their patience.
+    """Computes deadlines from the timeouts that clients state.
 
-    A client that asks again names what is left of its time, so the longest time that was named on
-    a route tells how long a request has been under way already.
+    A client that retries states its remaining time, so the difference to the longest time stated on
+    the route is how long the request has been in progress.
     """
 
     def __init__(self, names: HeaderNames) -> None:
-        """Know no route yet."""
+        """Start without any route."""
         self._names = names
         self._longest_s: dict[str, float] = {}
 
@@ -68,8 +68,8 @@
         self._longest_s[route.name] = longest_s
         already_s = longest_s - wait_s
         limit_s = min(wait_s, route.timeout_s)
-        # Whoever comes back when the objective has passed is served by it anew: the answer is
-        # late in any case, or its first attempt was refused and does not count.
+        # A retry after the objective has passed gets a new objective: the answer is late in any
+        # case, or the first attempt was refused and does not count.
         started_at = received_at - already_s if already_s < route.objective_s else received_at
         return Deadlines(
             received_at=received_at,
@@ -82,12 +82,12 @@
         )
 
     def forget_unused(self, routes: Set[str]) -> None:
-        """Drop what belongs to routes that are not named any more."""
+        """Drop the data of routes that are not in ``routes``."""
         for name in self._longest_s.keys() - routes:
             del self._longest_s[name]
 
     def _wait_s(self, request: HttpRequest) -> float | None:
-        """Return how long the client will wait, ``None`` if it does not say."""
+        """Return the timeout that the client states; ``None`` if it states none."""
         for header, value in request.headers:
             if header == self._names.deadline_ms and value.strip().isdigit():
                 return int(value) / MILLISECONDS
--- a/tinrudder/gateway/clients/held_bytes.py
+++ b/tinrudder/gateway/clients/held_bytes.py
@@ -1,4 +1,4 @@
-"""The bytes that a gateway holds for others, as those count them who hold them.
+"""Counts the bytes that a gateway holds for clients, back ends and peers.
 
 Owns three sums.  Connections and runs add to them; :class:`MemoryAccount` bounds them.
 """
@@ -9,30 +9,30 @@
 
 
 class HeldBytes:
-    """Counts without a bound.
-
-    Those who hold bytes add them to the fields, and take them off again when they hold them no
-    more, whatever happened meanwhile.  Cost of all counting: 0.3 us a request at the client's
-    connection (6.2 before) and 0.2 us a call at a back end's (7.4), the least of 45 rounds of
-    20,000 by turns, as ``python -m bench.connection_cost`` measures them.
-
-    :ivar clients: bodies being read, requests waiting and in progress, answers that sockets have
-        not taken, bytes.
-    :ivar backends: requests that sockets have not taken, answers being read, parts that wait for
-        their merge, bytes.
-    :ivar peers: frames that peers' sockets have not taken, requests of theirs at work; as of the
-        latest look, bytes.
+    """Counts held bytes without a bound.
+
+    Code that holds bytes adds them to a field and must subtract them when it releases them, on
+    every path.  Counting costs 0.3 us a request on a client connection (6.2 without it) and 0.2 us
+    a call on a back-end connection (7.4 without it): the least of 45 alternating rounds of 20,000,
+    by ``bench.connection_cost``.
+
+    :ivar clients: bytes of bodies being read, of requests waiting and in progress, and of answers
+        that sockets have not accepted.
+    :ivar backends: bytes of requests that sockets have not accepted, of answers being read, and of
+        parts waiting to be merged.
+    :ivar peers: bytes of frames that peers' sockets have not accepted and of peers' requests in
+        progress, as of the latest refresh.
     """
 
     __slots__ = ("backends", "clients", "peers")
 
     def __init__(self) -> None:
-        """Begin with nothing held."""
+        """Start with nothing held."""
         self.clients = 0
         self.backends = 0
         self.peers = 0
 
     @property
     def largest_answer(self) -> float:
-        """Return the most that one answer may take, bytes."""
+        """The size limit of one answer, bytes."""
         return math.inf
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -1,8 +1,9 @@
-"""Bounds what a gateway holds for clients, back ends and peers, and says who finds no room.
+"""Bounds the memory that a gateway holds for clients, back ends and peers.
 
-Owns the counts of what was refused or ended for lack of room, and the log lines of that.  Relies on
-those who hold bytes to count them (:class:`HeldBytes`), and on
-:mod:`tinrudder.gateway.decisions.admission.memory_bound` for who is refused how early.
+Owns the counts of what was refused or closed for lack of memory, and their log lines.  Connections
+and runs count the bytes that they hold (:class:`HeldBytes`);
+:mod:`tinrudder.gateway.decisions.admission.memory_bound` decides at which fill each priority is
+refused.
 """
 
 from __future__ import annotations
@@ -21,17 +22,16 @@
 from tinrudder.gateway.model.outcomes import NotRun
 
 LOG_PAUSE_S = 1.0
-"""Least time between two log lines of one kind, seconds.  Chosen, not measured: metrics count what
-is left out."""
+"""Shortest time between two log lines of one event, seconds.  Metrics count the events left out."""
 
 
 class MemoryAccount(HeldBytes):
-    """What is held now, and the bound on it.
+    """The bytes held now, and the bound on them.
 
-    :ivar bound: the most that may be held, bytes.
-    :ivar refused: requests refused since there was no room.
-    :ivar ended_unread: connections ended since their client did not read.
-    :ivar pauses: times that reading from a client was stopped.
+    :ivar bound: the most bytes that may be held.
+    :ivar refused: requests refused for lack of memory.
+    :ivar ended_unread: connections closed because their client did not read.
+    :ivar pauses: how often reading from a client was paused.
     """
 
     __slots__ = (
@@ -51,9 +51,9 @@
         clock: Callable[[], float] = lambda: 0.0,
         count_peers: Callable[[], int] = lambda: 0,
     ) -> None:
-        """Begin with nothing held.
+        """Start with nothing held.
 
-        :param count_peers: counts what is held for peers now: a look at each of their connections.
+        :param count_peers: counts the bytes held for peers, by visiting each of their connections.
         """
         super().__init__()
         self.bound = bound
@@ -67,7 +67,7 @@
 
     @property
     def fill(self) -> float:
-        """Return the part of the bound that is held; 1 and more: there is no room."""
+        """The held fraction of the bound; at 1 or more there is no room."""
         self.look()
         if self.bound <= 0.0:
             return 1.0
@@ -75,32 +75,32 @@
 
     @property
     def may_be_near(self) -> bool:
-        """Tell cheaply, by the latest look at the peers, whether the account is worth another."""
+        """Cheap check, by the last count for peers, whether an exact one is worthwhile."""
         return self.clients + self.backends + self.peers >= self._near
 
     @property
     def is_near(self) -> bool:
-        """Tell whether bodies should not be read on."""
+        """Whether reading of bodies should pause."""
         return self.may_be_near and self.fill >= PAUSE_FILL
 
     @property
     def is_full(self) -> bool:
-        """Tell whether nothing more has room."""
+        """Whether the bound is reached."""
         return self.may_be_near and self.fill >= 1.0
 
     @property
     def largest_answer(self) -> float:
-        """Return the most that one answer may take, bytes."""
+        """The size limit of one answer, bytes."""
         return self.bound * LARGEST_ANSWER_SHARE
 
     def look(self) -> None:
-        """Count what is held for peers; the node's housekeeping does so every second."""
+        """Refresh the count for peers; the node's housekeeping also calls this every second."""
         self.peers = self._count_peers()
 
     def refusal(self, priority_steps: int) -> NotRun | None:
-        """Return why a request may not begin, if so; the less urgent ones are refused first.
+        """Return a refusal if a request may not start; less urgent requests are refused first.
 
-        :param priority_steps: how many priorities in use are more urgent than the request's.
+        :param priority_steps: number of priorities in use that are more urgent than the request's.
         """
         if not self.may_be_near:
             return None
@@ -113,12 +113,12 @@
         return NotRun(detail, retry_after_s(priority_steps))
 
     def note_refused_body(self) -> None:
-        """Count a request whose body found no room."""
+        """Count a request refused because its body found no room."""
         self.refused += 1
         self._log("memory_refused", {"refused": self.refused})
 
     def note_ended_unread(self, unread: int, idle_s: float) -> None:
-        """Count a connection that is ended since its client does not read."""
+        """Count a connection closed because its client does not read."""
         self.ended_unread += 1
         fields: dict[str, LogValue] = {
             "bytes": unread,
@@ -128,7 +128,7 @@
         self._log("client_ended_unread", fields)
 
     def _log(self, event: str, fields: dict[str, LogValue]) -> None:
-        """Write a line with what is held, unless one of its kind has just been written."""
+        """Log an event with the bytes held, at most once in :data:`LOG_PAUSE_S`."""
         now = self._clock()
         if now < self._line_at.get(event, -math.inf):
             return
@@ -138,5 +138,5 @@
 
 
 def _finite(bound: float) -> float | None:
-    """Return a bound as a log line has it."""
+    """Return the bound for a log line; ``None`` if there is none."""
     return None if math.isinf(bound) else bound
--- a/tinrudder/gateway/clients/plain_answers.py
+++ b/tinrudder/gateway/clients/plain_answers.py
@@ -1,6 +1,6 @@
-"""Answers for the platform's own questions: readiness, and this process's metrics.
+"""Serves fixed endpoints of this process, such as readiness and metrics.
 
-Owns no state; what is answered is asked of a function at each request.
+Owns no state; a function supplies each answer.
 """
 
 from __future__ import annotations
@@ -17,12 +17,12 @@
 
 
 class PlainHandler:
-    """Answers every request at once with what a function returns."""
+    """Answers every request immediately with a function's result."""
 
     closing = False
 
     def __init__(self, answer: Callable[[], FinalAnswer]) -> None:
-        """Ask ``answer`` at every request."""
+        """Call ``answer`` for every request."""
         self.limits = ClientLimits()
         self._answer = answer
 
@@ -32,7 +32,7 @@
         return self
 
     def abandon(self) -> None:
-        """Do nothing: every request was answered at once."""
+        """Do nothing: every request is answered immediately."""
 
 
 def readiness_answer(ready: bool) -> FinalAnswer:
@@ -42,7 +42,7 @@
 
 
 def text_answer(body: bytes) -> FinalAnswer:
-    """Return a text."""
+    """Return a plain-text answer in the format of metrics."""
     return FinalAnswer(
         STATUS_OK, REASONS[STATUS_OK], ((b"content-type", b"text/plain; version=0.0.4"),), body
     )
--- a/tinrudder/gateway/clients/request_reader.py
+++ b/tinrudder/gateway/clients/request_reader.py
@@ -1,11 +1,11 @@
-"""Puts the bytes of one client together to whole requests, within the limits in force.
+"""Assembles the bytes of one client into complete requests, within the limits in force.
 
-Owns the HTTP parser and the request that is read in part.  Whoever derives from it owns the socket:
-it is told of each whole request, of bytes to account for, and of what must be refused.
+Owns the HTTP parser and the partly received request.  The derived class owns the socket; it gets
+each complete request, the changes in bytes held, and the requests to refuse.
 
-A base class rather than a part of the connection: the parser calls it back many times a request,
-and a reference from a part back to its connection would be one more cycle that keeps bodies in
-memory until the collector's next run.
+This is a base class instead of a member of the connection: the parser calls back many times a
+request, and a member's reference to its connection would add a cycle that keeps bodies in memory
+until the next garbage collection.
 """
 
 from __future__ import annotations
@@ -24,32 +24,32 @@
 )
 
 HTTP_1_1 = "1.1"
-"""The version from which on connections stay open unless either side says otherwise (RFC 9112)."""
+"""The version since which connections are persistent by default (RFC 9112)."""
 
 
 class LimitSource(Protocol):
-    """Knows the limits on clients."""
+    """Provides the limits on clients."""
 
     @property
     def limits(self) -> ClientLimits:
-        """Return the limits in force."""
+        """The limits in force."""
 
 
 class RequestReader:
-    """Reads requests one after another; breaking the protocol or a limit is refused."""
+    """Parses successive requests; refuses those that violate the protocol or a limit."""
 
     def __init__(self, limit_source: LimitSource) -> None:
-        """Begin to read."""
+        """Start parsing."""
         self._limit_source = limit_source
         self._parser = httptools.HttpRequestParser(self)
         self._refused = False
         self._target = b""
         self._headers: list[Header] = []
-        # Bytes of the head as they came, counted until it is whole.
+        # Bytes received since the last complete request, until the head is complete.
         self._header_bytes = 0
-        # Bytes of the head as they are kept.
+        # Bytes of the complete head, as stored.
         self._head_bytes = 0
-        # Bytes that are accounted for while the head is not whole.
+        # Bytes counted as held while the head is incomplete.
         self._part_of_head = 0
         self._head_complete = False
         self._body: list[bytes] = []
@@ -57,22 +57,22 @@
 
     @abstractmethod
     def refuse(self, status: int, headers: Headers = ()) -> None:
-        """Answer what cannot be served, and read nothing more."""
+        """Answer a request that cannot be served with an error, and read nothing more."""
 
     @abstractmethod
     def _hold(self, size: int) -> None:
-        """Account for bytes that are held, or are not any more if below zero."""
+        """Add to the bytes held for requests; negative to release."""
 
     @abstractmethod
     def _send_continue(self) -> None:
-        """Tell a client that waits with its body to go on."""
+        """Send ``100 Continue``, so that the client sends the body."""
 
     @abstractmethod
     def _on_request(self, request: HttpRequest, size: int) -> None:
-        """Take a whole request, for which ``size`` bytes are accounted for."""
+        """Handle a complete request, for which ``size`` bytes are counted as held."""
 
     def _feed(self, data: bytes) -> None:
-        """Read what arrived."""
+        """Parse the bytes that arrived."""
         if not self._head_complete:
             self._header_bytes += len(data)
         try:
@@ -84,33 +84,35 @@
                 self.refuse(STATUS_BAD_REQUEST)
 
     def _stop_reading(self) -> None:
-        """Let go of the parser: the cycle of the two would keep a body until the collector runs."""
+        """Drop the parser: the reference cycle with it would keep a body in memory until the next
+        garbage collection.
+        """
         del self._parser
 
     def _take_part_of_head(self, size: int) -> None:
-        """Count a head that has not come whole, and refuse one that is too large."""
+        """Count part of an incomplete head, and refuse a head that is too large."""
         self._part_of_head += size
         self._hold(size)
         if self._header_bytes > self._limit_source.limits.max_header_bytes:
             self.refuse(STATUS_HEADER_TOO_LARGE)
 
     def on_message_begin(self) -> None:
-        """Begin a request (called by the parser)."""
+        """Start a request (parser callback)."""
         self._target = b""
         self._headers = []
         self._body = []
         self._body_bytes = 0
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target (called by the parser)."""
+        """Collect the target (parser callback)."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header (called by the parser)."""
+        """Collect a header (parser callback)."""
         self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Check what the head alone tells (called by the parser)."""
+        """Validate the head (parser callback)."""
         head_bytes = len(self._target) + sum(
             len(name) + len(value) for name, value in self._headers
         )
@@ -124,14 +126,15 @@
         names = [name for name, _ in self._headers]
         if b"expect" in names:
             self._send_continue()
-        # Two lengths, or a length and chunks: others on the way may see another end of the request.
+        # Two lengths, or a length and chunks: proxies may disagree on where the request ends
+        # (request smuggling).
         if names.count(b"content-length") > 1 or (
             b"content-length" in names and b"transfer-encoding" in names
         ):
             self.refuse(STATUS_BAD_REQUEST)
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body (called by the parser)."""
+        """Collect part of the body (parser callback)."""
         if self._refused:
             return
         self._body.append(body)
@@ -141,7 +144,7 @@
             self.refuse(STATUS_BODY_TOO_LARGE)
 
     def on_message_complete(self) -> None:
-        """Hand a whole request on (called by the parser)."""
+        """Pass on a complete request (parser callback)."""
         if self._refused:
             return
         self._header_bytes = 0
