--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -9,8 +9,16 @@
 
 from tests.support.slow_clients import connect, connect_paced, run_served
 from tinrudder.gateway.backends.answer_reader import AnswerReader, ReadState
-from tinrudder.gateway.clients.answer_progress import UNREAD_FULL_S, UNREAD_PRESSED_S, UNREAD_S
-from tinrudder.gateway.clients.client_connection import PAUSED_S, WATCH_S, ClientConnection
+from tinrudder.gateway.clients.answer_progress import (
+    UNREAD_TIMEOUT_FULL_S,
+    UNREAD_TIMEOUT_PRESSURE_S,
+    UNREAD_TIMEOUT_S,
+)
+from tinrudder.gateway.clients.client_connection import (
+    BODY_WAIT_TIMEOUT_S,
+    PAUSE_CHECK_INTERVAL_S,
+    ClientConnection,
+)
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
 from tinrudder.gateway.model.configuration import ClientLimits
@@ -58,12 +66,12 @@
 def test_a_client_that_reads_nothing_loses_its_connection_and_nobody_notices() -> None:
     async def scenario(account: MemoryAccount, connections: set[ClientConnection]) -> None:
         silent = await connect(GET)
-        await asyncio.sleep(UNREAD_S - WATCH_S)
+        await asyncio.sleep(UNREAD_TIMEOUT_S - PAUSE_CHECK_INTERVAL_S)
         assert LARGE - SOCKETS_TAKE <= account.clients <= LARGE
         reader, other = await connect(GET)
         assert (await reader.readexactly(LARGE))[:12] == b"HTTP/1.1 200"
         other.close()
-        await asyncio.sleep(3 * WATCH_S)
+        await asyncio.sleep(3 * PAUSE_CHECK_INTERVAL_S)
         assert account.clients == 0
         assert account.ended_unread == 1
         assert not connections
@@ -73,16 +81,17 @@
 
 
 @pytest.mark.parametrize(
-    ("bound", "ends_after_s"), [(400_000.0, UNREAD_PRESSED_S), (200_000.0, UNREAD_FULL_S)]
+    ("bound", "ends_after_s"),
+    [(400_000.0, UNREAD_TIMEOUT_PRESSURE_S), (200_000.0, UNREAD_TIMEOUT_FULL_S)],
 )
 def test_near_the_bound_answers_that_nobody_takes_go_sooner(
     bound: float, ends_after_s: float
 ) -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
         silent = await connect(GET)
-        await asyncio.sleep(ends_after_s - WATCH_S)
+        await asyncio.sleep(ends_after_s - PAUSE_CHECK_INTERVAL_S)
         assert account.clients >= LARGE - SOCKETS_TAKE
-        await asyncio.sleep(3 * WATCH_S)
+        await asyncio.sleep(3 * PAUSE_CHECK_INTERVAL_S)
         assert account.clients == 0
         silent[1].close()
 
@@ -118,7 +127,7 @@
 def test_what_was_left_unread_is_served_on_once_it_is_read() -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
         reader, _writer = await connect(GET * 8)
-        await asyncio.sleep(UNREAD_S / 2)
+        await asyncio.sleep(UNREAD_TIMEOUT_S / 2)
         for _ in range(8):
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200")
@@ -139,7 +148,7 @@
         assert gateway is not None
         assert gateway.process.memory.clients > LARGE - SOCKETS_TAKE
         gateway.request_stop()
-        await asyncio.sleep(max(UNREAD_PRESSED_S, GRACE_S / 2) + 1.0)
+        await asyncio.sleep(max(UNREAD_TIMEOUT_PRESSURE_S, GRACE_S / 2) + 1.0)
         assert gateway.process.lifecycle.state == "stopped"
         assert gateway.process.memory.ended_unread == 1
 
@@ -173,7 +182,7 @@
     run_site(scenario, node_count=1)
 
 
-@pytest.mark.parametrize("room_after_s", [PAUSED_S / 2, None])
+@pytest.mark.parametrize("room_after_s", [BODY_WAIT_TIMEOUT_S / 2, None])
 def test_a_body_without_room_waits_a_little_and_is_refused(room_after_s: float | None) -> None:
     async def scenario(account: MemoryAccount, connections: set[ClientConnection]) -> None:
         account.backends = 80_000
@@ -184,7 +193,7 @@
             account.backends = 0
             writer.write(b"x" * 50_000)
         else:
-            await asyncio.sleep(PAUSED_S + 2 * WATCH_S)
+            await asyncio.sleep(BODY_WAIT_TIMEOUT_S + 2 * PAUSE_CHECK_INTERVAL_S)
         answer = await reader.readuntil(b"\r\n\r\n")
         if room_after_s is not None:
             assert answer.startswith(b"HTTP/1.1 200")
--- a/tests/unit/gateway/test_memory_account.py
+++ b/tests/unit/gateway/test_memory_account.py
@@ -69,7 +69,7 @@
         self.transport.take(size)
 
     def look(self, _: int) -> None:
-        self.connection._look()
+        self.connection._check_pause()
 
     def answer(self, _: int) -> None:
         if self.handler.open:
--- a/tinrudder/gateway/backends/answer_reader.py
+++ b/tinrudder/gateway/backends/answer_reader.py
@@ -47,15 +47,15 @@
     (b'ok', True)
     """
 
-    def __init__(self, *, body_expected: bool, most_bytes: float = MAX_ANSWER_BYTES) -> None:
+    def __init__(self, *, body_expected: bool, max_bytes: float = MAX_ANSWER_BYTES) -> None:
         """Start parsing an answer.
 
         :param body_expected: false for an answer to HEAD.
-        :param most_bytes: body size limit, at most :data:`MAX_ANSWER_BYTES`; a larger body makes
+        :param max_bytes: body size limit, at most :data:`MAX_ANSWER_BYTES`; a larger body makes
             the answer unreadable.
         """
         self.body_bytes = 0
-        self._most_bytes = min(most_bytes, MAX_ANSWER_BYTES)
+        self._max_bytes = min(max_bytes, MAX_ANSWER_BYTES)
         self.state = ReadState.READING
         self.reusable = False
         self.detail = ""
@@ -69,13 +69,13 @@
         self._head_complete = False
         self._message_complete = False
         self._framed = False
-        self._excess = False
-        self._begun = False
+        self._must_close = False
+        self._has_begun = False
 
     @property
     def begun(self) -> bool:
         """Whether any byte of an answer has arrived, including interim answers."""
-        return self._begun
+        return self._has_begun
 
     @property
     def answer(self) -> HttpAnswer:
@@ -87,21 +87,21 @@
         if self.state is not ReadState.READING:
             self.reusable = False
             return self.state
-        self._begun = True
+        self._has_begun = True
         if not self._head_complete:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._excess = True
+            self._must_close = True
             if not self._message_complete:
                 return self._fail(f"unreadable answer: {error!r}")
         if self._message_complete:
             return self._complete()
         if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
             return self._fail("head of the answer larger than MAX_HEAD_BYTES")
-        if self.body_bytes > self._most_bytes:
-            return self._fail(f"answer larger than {self._most_bytes:.0f} bytes")
+        if self.body_bytes > self._max_bytes:
+            return self._fail(f"answer larger than {self._max_bytes:.0f} bytes")
         return self.state
 
     def end_of_stream(self) -> ReadState:
@@ -115,7 +115,7 @@
     def on_message_begin(self) -> None:
         """Detect trailing bytes after a complete answer (parser callback)."""
         if self._message_complete:
-            self._excess = True
+            self._must_close = True
 
     def on_status(self, status: bytes) -> None:
         """Collect the reason phrase (parser callback)."""
@@ -141,7 +141,7 @@
         )
         if not self._body_expected:
             self._message_complete = True
-            self._excess = True
+            self._must_close = True
 
     def on_body(self, body: bytes) -> None:
         """Collect part of the body (parser callback)."""
@@ -155,7 +155,7 @@
         if self._message_complete:
             return
         if self._status < 200:
-            self._forget_interim()
+            self._discard_interim()
             return
         self._message_complete = True
         self.reusable = (
@@ -164,7 +164,7 @@
             and self._framed
         )
 
-    def _forget_interim(self) -> None:
+    def _discard_interim(self) -> None:
         """Discard an interim answer, so that the final one can be parsed."""
         self._headers.clear()
         self._reason = b""
@@ -172,10 +172,10 @@
 
     def _complete(self) -> ReadState:
         """Finish in state ``COMPLETE``."""
-        if self._excess:
+        if self._must_close:
             self.reusable = False
         self.state = ReadState.COMPLETE
-        self._forget_parser()
+        self._release_parser()
         return self.state
 
     def _fail(self, detail: str) -> ReadState:
@@ -183,10 +183,10 @@
         self.reusable = False
         self.detail = detail
         self.state = ReadState.UNREADABLE
-        self._forget_parser()
+        self._release_parser()
         return self.state
 
-    def _forget_parser(self) -> None:
+    def _release_parser(self) -> None:
         """Break the reference cycle with the parser, which would keep the body in memory until the
         next garbage collection.
         """
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -33,18 +33,18 @@
 from tinrudder.gateway.store.backend_entries import EntryStanding, KnownBackend
 from tinrudder.gateway.store.shared_state import SharedState
 
-FEWEST_REPLICAS = 2
+MIN_REPLICAS = 2
 """Smallest number of replicas of a service that a gateway calls. With fewer it could neither hedge
 nor retry."""
-LAST_RESORT_SHARE = 0.5
+LAST_RESORT_DRAIN_FRACTION = 0.5
 """Fraction of the drain time in which a leaving back end may still get new work if the service has
 no other. A call sent at the end of that time has as long again to complete."""
-LAPSE_S = 2.2
+LAPSED_ENTRY_GRACE_S = 2.2
 """How long a back end whose entry lapsed stays usable, seconds. Slightly longer than living back
 ends need to re-register once the store is back."""
-LAPSE_SHARE = 0.8
-"""Upper bound of :data:`LAPSE_S` as a fraction of the drain time, during which a back end keeps
-serving after its entry is gone, whoever removed the entry."""
+LAPSED_ENTRY_DRAIN_FRACTION = 0.8
+"""Upper bound of :data:`LAPSED_ENTRY_GRACE_S` as a fraction of the drain time, during which a back
+end keeps serving after its entry is gone, whoever removed the entry."""
 
 
 class DirectorySettings(Struct, frozen=True):
@@ -91,19 +91,21 @@
         :param callers: returns the gateways that call the back ends of a service.
         :param is_closed: tells whether a zone is out of reach, so that calls to it would hang.
         """
-        self._connections = connections
-        self._is_closed = is_closed
+        self._connection_hooks = connections
+        self._is_zone_closed = is_closed
         self._state = state
-        self._answers = AnswerCheck(headers)
+        self._answer_check = AnswerCheck(headers)
         self._clock = clock
-        self._last_resort_s = settings.drain_s * LAST_RESORT_SHARE
-        self._lapse_s = min(LAPSE_S, settings.drain_s * LAPSE_SHARE)
+        self._last_resort_s = settings.drain_s * LAST_RESORT_DRAIN_FRACTION
+        self._lapsed_grace_s = min(
+            LAPSED_ENTRY_GRACE_S, settings.drain_s * LAPSED_ENTRY_DRAIN_FRACTION
+        )
         self._callers = callers
         self._own_name = settings.own_name
         self._cold_starts = ColdStartLimits(state, settings.own_name, callers, settings.cold)
         self._backends: dict[str, Backend] = {}
         self._services: dict[str, list[Backend]] = {}
-        self._shares: dict[str, float] = {}
+        self._connection_limits: dict[str, float] = {}
         state.subscribe(self.refresh)
 
     def __len__(self) -> int:
@@ -117,19 +119,19 @@
     def refresh(self) -> None:
         """Apply the current shared state."""
         evacuated = self._state.evacuations.zones
-        gone = set(self._backends)
+        removed_keys = set(self._backends)
         for key, known in self._state.backends.items():
-            gone.discard(key)
-            backend = self._of_this_start(key, known)
+            removed_keys.discard(key)
+            backend = self._backend_for(key, known)
             if backend is None:
                 continue
-            self._take_entry(backend, known)
+            self._apply_entry(backend, known)
             backend.leaving_since = known.since if known.leaving else None
             backend.lapsed = not known.in_force and not known.entry.leaving
             backend.unreadable = known.standing is EntryStanding.UNREADABLE
             self._set_evacuated(backend, known.entry.zone in evacuated)
-        for key in gone:
-            self._drop(key)
+        for key in removed_keys:
+            self._remove(key)
         self._set_connection_limits()
 
     def usable(self, service: str) -> list[Backend]:
@@ -146,15 +148,17 @@
         now = self._clock()
         known = self._services.get(service, [])
         backends = [
-            one for one in known if self._is_wanted(one) and self._cold_starts.bears_call(one, now)
+            one
+            for one in known
+            if self._is_callable(one) and self._cold_starts.allows_call(one, now)
         ]
-        staying = [
+        not_leaving = [
             backend
             for backend in backends
             if backend.leaving_since is None and not backend.readdressed
         ]
-        if staying:
-            return self._own_replicas(service, staying)
+        if not_leaving:
+            return self._own_replicas(service, not_leaving)
         return [backend for backend in backends if self.may_receive(backend)]
 
     def reason_for_none(self, service: str) -> str:
@@ -162,31 +166,31 @@
         backends = self._services.get(service, [])
         if any(backend.evacuated for backend in backends):
             return "every back end left is in an evacuated zone"
-        if any(self._is_closed(backend.entry.zone) for backend in backends):
+        if any(self._is_zone_closed(backend.entry.zone) for backend in backends):
             return "every back end left is in a zone out of reach"
         if any(backend.unreadable for backend in backends):
             return "every back end left has an entry that cannot be read"
         now = self._clock()
-        if not all(self._cold_starts.bears_call(backend, now) for backend in backends):
+        if not all(self._cold_starts.allows_call(backend, now) for backend in backends):
             return "every back end left is cold and has had this gateway's part of calls"
         return "every back end is leaving" if backends else "no back end is known"
 
     def reachable(self, service: str) -> bool:
         """Whether this gateway may call any back end of a service, ignoring cold-start limits."""
-        return any(self._is_wanted(one) for one in self._services.get(service, ()))
+        return any(self._is_callable(backend) for backend in self._services.get(service, ()))
 
-    def _is_wanted(self, backend: Backend) -> bool:
+    def _is_callable(self, backend: Backend) -> bool:
         """Whether calls to a back end are allowed and its zone is within reach."""
         forbidden = backend.evacuated or backend.unreadable
-        return not forbidden and not self._is_closed(backend.entry.zone)
+        return not forbidden and not self._is_zone_closed(backend.entry.zone)
 
     def staying(self, service: str) -> list[Backend]:
         """Return the back ends of a service that are neither leaving nor evacuated."""
-        return [one for one in self._staying(service) if not one.evacuated]
+        return [backend for backend in self._not_leaving(service) if not backend.evacuated]
 
     def replica_zones(self, service: str) -> tuple[str, ...]:
         """Return the zone of each back end of a service that is neither leaving nor evacuated."""
-        return tuple(one.entry.zone for one in self.staying(service))
+        return tuple(backend.entry.zone for backend in self.staying(service))
 
     def fits_attempts(self, service: str, attempts: int) -> bool:
         """Whether two gateways may call the back ends of a service for the same request.
@@ -195,24 +199,24 @@
         ends than the request has attempts. Back ends of an evacuated zone count: the other gateway
         may have called one a moment before.
         """
-        return len(self._staying(service)) <= attempts
+        return len(self._not_leaving(service)) <= attempts
 
-    def _staying(self, service: str) -> list[Backend]:
+    def _not_leaving(self, service: str) -> list[Backend]:
         """Return the back ends of a service that are not leaving."""
         backends = self._services.get(service, [])
         return [backend for backend in backends if backend.leaving_since is None]
 
-    def _own_replicas(self, service: str, staying: list[Backend]) -> list[Backend]:
+    def _own_replicas(self, service: str, not_leaving: list[Backend]) -> list[Backend]:
         """Reduce the replicas if calling all of them would give each more connections than it
         accepts.
         """
-        share = self._shares.get(service, 1.0)
+        share = self._connection_limits.get(service, 1.0)
         if share >= 1.0:
-            return staying
-        wanted = max(FEWEST_REPLICAS, math.ceil(share * len(staying)))
-        if wanted >= len(staying):
-            return staying
-        return sorted(staying, key=self._rank)[-wanted:]
+            return not_leaving
+        replica_count = max(MIN_REPLICAS, math.ceil(share * len(not_leaving)))
+        if replica_count >= len(not_leaving):
+            return not_leaving
+        return sorted(not_leaving, key=self._rank)[-replica_count:]
 
     def _rank(self, backend: Backend) -> int:
         """Return this gateway's pseudo-random preference for a replica (rendezvous hashing)."""
@@ -231,11 +235,11 @@
         now = self._clock()
         if backend.ended or backend.unreadable or backend.readdressed or backend.evacuated:
             return False
-        if not self._cold_starts.bears_call(backend, now):
+        if not self._cold_starts.allows_call(backend, now):
             return False
         if backend.leaving_since is None:
             return True
-        allowed_s = self._lapse_s if backend.lapsed else self._last_resort_s
+        allowed_s = self._lapsed_grace_s if backend.lapsed else self._last_resort_s
         return now - backend.leaving_since <= allowed_s
 
     def note_call(self, backend: Backend) -> None:
@@ -248,14 +252,14 @@
         for backend in self._backends.values():
             backend.pool.trim()
 
-    def _take_entry(self, backend: Backend, known: KnownBackend) -> None:
+    def _apply_entry(self, backend: Backend, known: KnownBackend) -> None:
         """Apply a back end's entry; any new entry may declare the back end cold again."""
         backend.entry = known.entry
         if known.said_at != backend.entry_said_at and known.in_force:
             backend.entry_said_at = known.said_at
             backend.observations.cold_until = known.said_at + known.entry.cold_left_s
 
-    def _of_this_start(self, key: str, known: KnownBackend) -> Backend | None:
+    def _backend_for(self, key: str, known: KnownBackend) -> Backend | None:
         """Return the back end for an entry, created if its instance is new; ``None`` for a new
         instance whose entry is not in force.
         """
@@ -263,15 +267,15 @@
         if backend is not None and backend.entry.is_same_start(known.entry):
             return backend
         if backend is not None:
-            self._drop(key)
+            self._remove(key)
         return self._add(key, known.entry) if known.in_force else None
 
     def _add(self, key: str, entry: BackendEntry) -> Backend:
         """Create a back end."""
         address = Address(entry.host, entry.port)
-        hooks = self._connections
+        hooks = self._connection_hooks
         pool = UpstreamPool(
-            address, self._answers.check, hooks.count_opened, hooks.memory, hooks.stood_still
+            address, self._answer_check.check, hooks.count_opened, hooks.memory, hooks.stood_still
         )
         observations = BackendObservations(slots=entry.slots)
         backend = Backend(entry, pool, observations)
@@ -285,7 +289,7 @@
             backend.pool.close_idle()
         backend.evacuated = evacuated
 
-    def _drop(self, key: str) -> None:
+    def _remove(self, key: str) -> None:
         """Remove a back end; its calls in progress run to their end, and may have been executed."""
         backend = self._backends.pop(key)
         backend.ended = True
@@ -301,9 +305,11 @@
         """
         accepted = self._state.accepted
         limits = accepted.configuration.limits if accepted is not None else ClientLimits()
-        self._shares = {service: self._connection_share(service) for service in self._services}
+        self._connection_limits = {
+            service: self._connection_share(service) for service in self._services
+        }
         for service, backends in self._services.items():
-            limit = max(1, int(self._shares[service]))
+            limit = max(1, int(self._connection_limits[service]))
             callers = self._callers(service).count
             for backend in backends:
                 backend.pool.max_connections = limit
--- a/tinrudder/gateway/backends/cold_start_limits.py
+++ b/tinrudder/gateway/backends/cold_start_limits.py
@@ -37,7 +37,7 @@
         if backend.is_cold(now) and self._rate(backend) is not None:
             backend.cold_start_rate.note_sent(now)
 
-    def bears_call(self, backend: Backend, now: float) -> bool:
+    def allows_call(self, backend: Backend, now: float) -> bool:
         """Whether a call would stay within this gateway's share of the cold-start rate."""
         if not backend.is_cold(now):
             return True
--- a/tinrudder/gateway/backends/entry_rules.py
+++ b/tinrudder/gateway/backends/entry_rules.py
@@ -10,15 +10,15 @@
 
 from tinrudder.gateway.model.configuration import BackendEntry
 
-MOST_BYTES = 65_536
+MAX_ENTRY_BYTES = 65_536
 """Largest entry, bytes: two hundred times the usual size. Gateways send each other hundreds of
 entries in one message."""
-MOST_SLOTS = 10_000
+MAX_SLOTS = 10_000
 """Largest number of slots of one back end: far more requests than a machine processes at once.
 Replicas are selected by free slots, so one absurd value would attract every call."""
-LONGEST_COLD_S = 86_400.0
+MAX_COLD_S = 86_400.0
 """Longest cold time of a back end, seconds: a day. A cold back end gets few calls."""
-MOST_STARTED_MS = 2**53
+STARTED_LIMIT_MS = 2**53
 """Exclusive upper bound of start times, ms since the epoch: not every JSON encoder keeps larger
 integers exact."""
 PORTS = range(1, 65_536)
@@ -34,8 +34,8 @@
     :param length: size of the encoded entry, bytes.
     :raises ValueError: the message names the field.
     """
-    if length > MOST_BYTES:
-        raise ValueError(f"entry: {length} bytes, at most {MOST_BYTES} are accepted")
+    if length > MAX_ENTRY_BYTES:
+        raise ValueError(f"entry: {length} bytes, at most {MAX_ENTRY_BYTES} are accepted")
     if not _is_visible_ascii(entry.backend_id):
         raise ValueError("id: must be visible ASCII")
     if not entry.service:
@@ -44,12 +44,12 @@
         raise ValueError(f"address: invalid port {entry.port}")
     if not _is_ip_address(entry.host):
         raise ValueError("address: must be an IP address")
-    if not 0 < entry.slots <= MOST_SLOTS:
-        raise ValueError(f"slots: must be 1 to {MOST_SLOTS}")
-    if not 0 <= entry.cold_left_s <= LONGEST_COLD_S:
-        raise ValueError(f"cold time: must be at most {LONGEST_COLD_S} s")
-    if not 0 <= entry.started_ms < MOST_STARTED_MS:
-        raise ValueError(f"start: must be below {MOST_STARTED_MS} ms")
+    if not 0 < entry.slots <= MAX_SLOTS:
+        raise ValueError(f"slots: must be 1 to {MAX_SLOTS}")
+    if not 0 <= entry.cold_left_s <= MAX_COLD_S:
+        raise ValueError(f"cold time: must be at most {MAX_COLD_S} s")
+    if not 0 <= entry.started_ms < STARTED_LIMIT_MS:
+        raise ValueError(f"start: must be below {STARTED_LIMIT_MS} ms")
 
 
 def _is_visible_ascii(text: str) -> bool:
--- a/tinrudder/gateway/backends/http_fetch.py
+++ b/tinrudder/gateway/backends/http_fetch.py
@@ -12,10 +12,10 @@
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
 from tinrudder.gateway.model.http_messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
 
-LONGEST_ARRIVAL_S = 2.5
+MAX_RECEIVE_EXTENSION_S = 2.5
 """How long after its timeout an answer that is still arriving is awaited, seconds: a configuration
 of a thousand routes takes half a second over a slow link."""
-PAUSE_S = 0.5
+STALL_TIMEOUT_S = 0.5
 """Seconds without a byte after which an answer counts as stalled."""
 
 
@@ -40,15 +40,17 @@
         if not future.done():
             future.set_result(outcome)
 
-    due_at = loop.time() + timeout_s
-    call = UpstreamCall(lambda: request, b"", on_outcome, due_at, repeatable=False)
+    answer_due_at = loop.time() + timeout_s
+    call = UpstreamCall(lambda: request, b"", on_outcome, answer_due_at, repeatable=False)
     pool.start(call)
     try:
         while not future.done():
-            await asyncio.wait({future}, timeout=max(PAUSE_S, due_at - loop.time()))
+            await asyncio.wait({future}, timeout=max(STALL_TIMEOUT_S, answer_due_at - loop.time()))
             now = loop.time()
-            if not future.done() and not _is_arriving(call, now, due_at):
-                raise FetchError(f"no answer in {timeout_s:.2f} s {_way(call, now)}")
+            if not future.done() and not _is_arriving(call, now, answer_due_at):
+                raise FetchError(
+                    f"no answer in {timeout_s:.2f} s {_describe_connection(call, now)}"
+                )
         outcome = future.result()
     finally:
         if not call.finished:
@@ -58,16 +60,20 @@
     raise FetchError(str(outcome))
 
 
-def _is_arriving(call: UpstreamCall, now: float, due_at: float) -> bool:
-    """Whether bytes of the answer arrived within :data:`PAUSE_S`."""
+def _is_arriving(call: UpstreamCall, now: float, answer_due_at: float) -> bool:
+    """Whether bytes of the answer arrived within :data:`STALL_TIMEOUT_S`."""
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection) or call.sent_at is None:
         return False
-    has_begun = connection.heard_at > call.sent_at
-    return has_begun and now - connection.heard_at < PAUSE_S and now < due_at + LONGEST_ARRIVAL_S
+    has_begun = connection.last_received_at > call.sent_at
+    return (
+        has_begun
+        and now - connection.last_received_at < STALL_TIMEOUT_S
+        and now < answer_due_at + MAX_RECEIVE_EXTENSION_S
+    )
 
 
-def _way(call: UpstreamCall, now: float) -> str:
+def _describe_connection(call: UpstreamCall, now: float) -> str:
     """Describe the connection of a call without an answer, for the log.
 
     This distinguishes a silent server from a connection whose network path is lost: in the second
@@ -76,5 +82,5 @@
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection):
         return "without a connection"
-    opened_s, heard_s = now - connection.opened_at, now - connection.heard_at
+    opened_s, heard_s = now - connection.opened_at, now - connection.last_received_at
     return f"over a connection opened {opened_s:.2f} s ago, last heard {heard_s:.2f} s ago"
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -34,7 +34,7 @@
 LOG_PAUSE_S = 10.0
 """Shortest time between two log lines about long queues, seconds: an overload would give a line a
 second for each service, and the metrics show the extent."""
-MOST_TAKEN = 16
+MAX_LOADS_PER_DATAGRAM = 16
 """Most back ends read from one datagram: four times as many as a gateway sends in one."""
 NEVER = float("-inf")
 
@@ -68,15 +68,15 @@
         self._timers = timers
         self._backends = backends
         self._pending = PendingNews()
-        self._pressed_at: dict[str, float] = {}
-        self._by_number: dict[int, Backend] | None = None
+        self._long_queue_at: dict[str, float] = {}
+        self._by_instance_hash: dict[int, Backend] | None = None
         self._timer_set = False
         self._logged_at = NEVER
-        datagrams.handle(LoadNews, self._on_news)
+        datagrams.handle(LoadNews, self._on_load_news)
 
     def refresh(self) -> None:
         """Rebuild the index of back ends at its next use, since entries have changed."""
-        self._by_number = None
+        self._by_instance_hash = None
 
     def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Report a back end that has just answered, if calls are queued at its service.
@@ -91,31 +91,31 @@
         observations = backend.observations
         waiting = observations.reported_backlog - observations.slots
         if shed or is_long(waiting, observations.slots):
-            self._note_pressure(backend, observations.reported_at, "")
-        elif not self._is_pressed(backend.entry.service):
+            self._note_long_queue(backend, observations.reported_at, "")
+        elif not self._has_long_queue(backend.entry.service):
             return
-        number = start_number(backend.entry)
-        self._pending.note(Noted(number, shed, work_s, observations.reported_at))
-        self._tell_after(GATHER_S)
+        instance_hash = start_number(backend.entry)
+        self._pending.note(Noted(instance_hash, shed, work_s, observations.reported_at))
+        self._schedule_send(GATHER_S)
 
-    def _is_pressed(self, service: str) -> bool:
+    def _has_long_queue(self, service: str) -> bool:
         """Whether a long queue of a service was observed or reported within :data:`MOST_AGE_S`."""
         # Fast path: called for every answer, and usually no service has a long queue.
-        if not self._pressed_at:
+        if not self._long_queue_at:
             return False
-        pressed_at = self._pressed_at.get(service, NEVER)
-        if self._timers.time() - pressed_at < MOST_AGE_S:
+        long_queue_at = self._long_queue_at.get(service, NEVER)
+        if self._timers.time() - long_queue_at < MOST_AGE_S:
             return True
-        self._pressed_at.pop(service, None)
+        self._long_queue_at.pop(service, None)
         return False
 
-    def _note_pressure(self, backend: Backend, moment: float, teller: str) -> None:
+    def _note_long_queue(self, backend: Backend, observed_at: float, reporter: str) -> None:
         """Record a long queue, and log it if its service had none before."""
         service = backend.entry.service
-        before = self._pressed_at.get(service, NEVER)
-        self._pressed_at[service] = max(before, moment)
+        previous_at = self._long_queue_at.get(service, NEVER)
+        self._long_queue_at[service] = max(previous_at, observed_at)
         now = self._timers.time()
-        if moment - before < MOST_AGE_S or now - self._logged_at < LOG_PAUSE_S:
+        if observed_at - previous_at < MOST_AGE_S or now - self._logged_at < LOG_PAUSE_S:
             return
         self._logged_at = now
         observations = backend.observations
@@ -124,53 +124,53 @@
             "backend": backend.backend_id,
             "calls": observations.reported_backlog,
             "slots": observations.slots,
-            "told_by": teller,
+            "told_by": reporter,
             "sent": self.sent,
             "taken": self.taken,
         }
         log_event("queues_long", fields)
 
-    def _tell_after(self, seconds: float) -> None:
+    def _schedule_send(self, seconds: float) -> None:
         """Schedule sending, so that reports that arrive meanwhile share the datagram."""
         if not self._timer_set:
             self._timer_set = True
-            self._timers.call_at(self._timers.time() + seconds, self._tell)
+            self._timers.call_at(self._timers.time() + seconds, self._send_pending)
 
-    def _tell(self) -> None:
+    def _send_pending(self) -> None:
         """Send one datagram to as many peers as the budget allows."""
         self._timer_set = False
         now = self._timers.time()
         noted, copies = self._pending.take(now, self._peers.heard_of_in_all)
-        told = (self._told(one, now) for one in noted)
-        loads = tuple(one for one in told if one is not None and one.is_credible)
+        reported = (self._load_to_report(one, now) for one in noted)
+        loads = tuple(one for one in reported if one is not None and one.is_credible)
         if loads:
             peers = self._peers.everybody(now, copies)
             self._datagrams.send(LoadNews(loads), *peers)
             self.sent += len(peers)
         if self._pending:
-            self._tell_after(NEXT_S)
+            self._schedule_send(NEXT_S)
 
-    def _told(self, noted: Noted, now: float) -> ReportedLoad | None:
-        """Return the load to report for a back end; ``None`` if it is gone or other gateways
-        reported it often enough.
+    def _load_to_report(self, noted: Noted, now: float) -> ReportedLoad | None:
+        """Return the load to report for a back end; ``None`` if it is gone or another gateway has
+        reported a newer load.
         """
-        backend = self._find(noted.backend)
+        backend = self._backend_of(noted.backend)
         return tell_load(noted, backend.observations, now) if backend is not None else None
 
-    def _on_news(self, news: LoadNews, sender: Address) -> None:
+    def _on_load_news(self, news: LoadNews, sender: Address) -> None:
         """Handle a report from another gateway."""
-        for told in news.loads[:MOST_TAKEN]:
-            backend = self._find(told.backend)
-            if backend is None or not told.is_credible:
+        for reported in news.loads[:MAX_LOADS_PER_DATAGRAM]:
+            backend = self._backend_of(reported.backend)
+            if backend is None or not reported.is_credible:
                 self.ignored += 1
                 continue
             now = self._timers.time()
-            self.taken += take_load(told, backend.observations, now)
-            if told.is_long:
-                self._note_pressure(backend, now - told.age_s, str(sender))
+            self.taken += take_load(reported, backend.observations, now)
+            if reported.is_long:
+                self._note_long_queue(backend, now - reported.age_s, str(sender))
 
-    def _find(self, number: int) -> Backend | None:
+    def _backend_of(self, instance_hash: int) -> Backend | None:
         """Return a back end by the hash of its instance."""
-        if self._by_number is None:
-            self._by_number = {start_number(one.entry): one for one in self._backends()}
-        return self._by_number.get(number)
+        if self._by_instance_hash is None:
+            self._by_instance_hash = {start_number(one.entry): one for one in self._backends()}
+        return self._by_instance_hash.get(instance_hash)
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -34,7 +34,7 @@
 
 
 def never_stood_still(since: float) -> bool:
-    """Default for ``stood_still``: assume that this process was never paused."""
+    """Default for ``was_paused``: assume that this process was never paused."""
     return False
 
 
@@ -45,7 +45,7 @@
     """Sends a call, reads its answer, and decides whether the connection may be reused.
 
     :ivar opened_at: when it was opened.
-    :ivar heard_at: when the last bytes arrived, initially when it was opened.
+    :ivar last_received_at: when the last bytes arrived, initially when it was opened.
 
     Bytes that arrive while no call is in progress close the connection, since they belong to no
     request. Answers are read as they arrive, however slowly the client reads them.
@@ -57,24 +57,24 @@
         on_free: Callable[[UpstreamConnection], None],
         on_closed: Callable[[UpstreamConnection], None],
         memory: HeldBytes,
-        stood_still: Callable[[float], bool] = never_stood_still,
+        was_paused: Callable[[float], bool] = never_stood_still,
     ) -> None:
         """Validate complete answers with ``check``; report to the pool by ``on_free`` and
         ``on_closed``.
 
-        :param stood_still: tells whether this process has been paused since a given time.
+        :param was_paused: tells whether this process has been paused since a given time.
         """
         self.usable_until = NEVER
         self._memory = memory
-        self._stood_still = stood_still
-        self._untaken = 0
-        self._counted = 0
+        self._was_paused = was_paused
+        self._unsent_bytes = 0
+        self._counted_answer_bytes = 0
         self._check = check
         self._on_free = on_free
         self._on_closed = on_closed
         self._loop = asyncio.get_running_loop()
         self.opened_at = self._loop.time()
-        self.heard_at = self.opened_at
+        self.last_received_at = self.opened_at
         self._transport: asyncio.Transport | None = None
         self._call: UpstreamCall | None = None
         self._reader: AnswerReader | None = None
@@ -106,7 +106,7 @@
             return False
         self._call = call
         self._reader = AnswerReader(
-            body_expected=call.body_expected, most_bytes=self._memory.largest_answer
+            body_expected=call.body_expected, max_bytes=self._memory.largest_answer
         )
         call.carrier = self
         call.sent_at = self._loop.time()
@@ -122,11 +122,11 @@
     def pause_writing(self) -> None:
         """Count the request bytes that the back end has not accepted."""
         assert self._transport is not None
-        self._note_untaken(self._transport.get_write_buffer_size())
+        self._set_unsent_bytes(self._transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
         """Reset that count: the socket has accepted everything."""
-        self._note_untaken(0)
+        self._set_unsent_bytes(0)
 
     def data_received(self, data: bytes) -> None:
         """Parse the answer of the call in progress."""
@@ -134,10 +134,10 @@
         if self._call is None or reader is None:
             self.abort()
             return
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         state = reader.feed(data)
         if state is ReadState.READING:
-            self._count(reader.body_bytes)
+            self._set_answer_bytes(reader.body_bytes)
         elif state is ReadState.COMPLETE:
             self._end_with_answer(reader)
         elif state is ReadState.UNREADABLE:
@@ -150,42 +150,43 @@
             if reader.end_of_stream() is ReadState.COMPLETE:
                 self._end_with_answer(reader)
             else:
-                self._end(self._broken(reader.detail, None), reusable=False)
+                self._end(self._outcome_of_close(reader.detail, None), reusable=False)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Fail the call in progress: it may have run, since its complete answer did not arrive."""
         self._transport = None
         if self._call is not None:
-            self._end(self._broken(f"connection lost: {exc}", exc), reusable=False)
-        self._note_untaken(0)
-        self._count(0)
+            self._end(self._outcome_of_close(f"connection lost: {exc}", exc), reusable=False)
+        self._set_unsent_bytes(0)
+        self._set_answer_bytes(0)
         self._on_closed(self)
 
-    def _broken(self, detail: str, exc: Exception | None) -> Broken:
+    def _outcome_of_close(self, detail: str, exc: Exception | None) -> Broken:
         """Return the outcome of a call whose connection was closed before the answer was complete.
 
         ``unanswered`` marks the request as a possible cause of a back-end crash. It is not set if
         the kernel timed out, where the network path failed, nor if the back end had not been sent
-        the whole request or had begun to answer. While this process was paused, the back end may
-        have closed the connection over bytes left unread.
+        the whole request or had begun to answer. If this process was paused meanwhile, the outcome
+        says nothing about the back end or the request: the back end may have closed the connection
+        over bytes left unread.
         """
         assert self._call is not None and self._call.sent_at is not None
-        if self._stood_still(self._call.sent_at):
+        if self._was_paused(self._call.sent_at):
             return Broken(detail, stood_still=True)
         begun = self._reader is not None and self._reader.begun
-        unanswered = not begun and not self._untaken and not isinstance(exc, TimeoutError)
+        unanswered = not begun and not self._unsent_bytes and not isinstance(exc, TimeoutError)
         return Broken(detail, unanswered)
 
-    def _note_untaken(self, size: int) -> None:
+    def _set_unsent_bytes(self, size: int) -> None:
         """Count the request bytes that the socket has not accepted."""
-        self._memory.backends += size - self._untaken
-        self._untaken = size
+        self._memory.backends += size - self._unsent_bytes
+        self._unsent_bytes = size
 
-    def _count(self, size: int) -> None:
+    def _set_answer_bytes(self, size: int) -> None:
         """Count the bytes of a partly received answer."""
-        self._memory.backends += size - self._counted
-        self._counted = size
+        self._memory.backends += size - self._counted_answer_bytes
+        self._counted_answer_bytes = size
 
     def _end_with_answer(self, reader: AnswerReader) -> None:
         """End the call with a complete answer."""
@@ -217,8 +218,8 @@
         assert call is not None
         self._call = None
         self._reader = None
-        if self._counted:
-            self._count(0)
+        if self._counted_answer_bytes:
+            self._set_answer_bytes(0)
         if not reusable:
             self.abort()
         call.finish(outcome)
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -40,59 +40,61 @@
         check: AnswerCheck,
         on_opened: Callable[[], None],
         memory: HeldBytes | None = None,
-        stood_still: Callable[[float], bool] = never_stood_still,
+        was_paused: Callable[[float], bool] = never_stood_still,
     ) -> None:
         """Create an empty pool; ``on_opened`` is called for each connection opened.
 
         :param memory: counts bytes held for the server; ``None`` if nothing reads that count.
-        :param stood_still: tells whether this process has been paused since a given time.
+        :param was_paused: tells whether this process has been paused since a given time.
         """
         self.max_connections = 1
         self.max_body_bytes = math.inf
         self._memory = memory if memory is not None else HeldBytes()
-        self._stood_still = stood_still
+        self._was_paused = was_paused
         self._body_bytes = 0
-        self._with_body: set[UpstreamCall] = set()
-        self._held: deque[UpstreamCall] = deque()
+        self._calls_with_body: set[UpstreamCall] = set()
+        self._waiting_for_room: deque[UpstreamCall] = deque()
         self._address = address
         self._check = check
         self._on_opened = on_opened
         self._loop = asyncio.get_running_loop()
         self._idle: list[UpstreamConnection] = []
         self._open: set[UpstreamConnection] = set()
-        self._connecting: set[asyncio.Task[None]] = set()
+        self._connect_tasks: set[asyncio.Task[None]] = set()
         self._waiting: deque[UpstreamCall] = deque()
         self._closed = False
 
     @property
     def connections(self) -> int:
         """The number of connections, including those being opened."""
-        return len(self._open) + len(self._connecting)
+        return len(self._open) + len(self._connect_tasks)
 
     def has_connection_from_before(self, moment: float) -> bool:
         """Whether a connection is open that was opened before ``moment``."""
-        return any(one.is_open and one.opened_at < moment for one in self._open)
+        return any(
+            connection.is_open and connection.opened_at < moment for connection in self._open
+        )
 
     def start(self, call: UpstreamCall) -> None:
         """Send a call over an idle connection, or queue it.
 
         A large body first waits until the bodies in flight to the server leave room for it.
         """
-        if call.body_bytes and not self._take_room(call):
+        if call.body_bytes and not self._reserve_body_bytes(call):
             call.carrier = self
-            self._held.append(call)
+            self._waiting_for_room.append(call)
             return
         self._start(call)
 
     def _start(self, call: UpstreamCall) -> None:
         """Send a call over an idle connection, or queue it."""
-        connection = self._take_idle() if call.repeatable else self._take_trusted()
+        connection = self._take_idle() if call.repeatable else self._take_recently_active()
         if connection is not None:
             self._send(connection, call)
             return
         call.carrier = self
         self._waiting.append(call)
-        self._open_as_allowed()
+        self._open_missing()
 
     def cancel(self, call: UpstreamCall) -> None:
         """Cancel a call: dequeue it, or close its connection if it was sent."""
@@ -100,40 +102,40 @@
         call.forget()
         if isinstance(carrier, UpstreamConnection):
             carrier.abort()
-        self._give_room(call)
+        self._release_body_bytes(call)
 
-    def _take_room(self, call: UpstreamCall) -> bool:
+    def _reserve_body_bytes(self, call: UpstreamCall) -> bool:
         """Reserve room for a large body, if there is any; with no other body in flight there always
         is.
         """
-        if self._with_body and self._body_bytes + call.body_bytes > self.max_body_bytes:
+        if self._calls_with_body and self._body_bytes + call.body_bytes > self.max_body_bytes:
             return False
-        self._with_body.add(call)
+        self._calls_with_body.add(call)
         self._body_bytes += call.body_bytes
         listener = call.listener
 
-        def end(outcome: CallOutcome) -> None:
-            self._give_room(call)
+        def release_and_report(outcome: CallOutcome) -> None:
+            self._release_body_bytes(call)
             listener(outcome)
 
-        call.listener = end
+        call.listener = release_and_report
         return True
 
-    def _give_room(self, call: UpstreamCall) -> None:
+    def _release_body_bytes(self, call: UpstreamCall) -> None:
         """Release the room of a body, and start calls that waited for it."""
-        if call not in self._with_body:
+        if call not in self._calls_with_body:
             return
-        self._with_body.remove(call)
+        self._calls_with_body.remove(call)
         self._body_bytes -= call.body_bytes
-        while self._held:
-            held = self._held[0]
-            if not held.finished and not self._take_room(held):
+        while self._waiting_for_room:
+            waiting = self._waiting_for_room[0]
+            if not waiting.finished and not self._reserve_body_bytes(waiting):
                 return
-            self._held.popleft()
-            if held.deadline <= self._loop.time():
-                held.finish(NotSent("no room for the body before the deadline"))
-            elif not held.finished:
-                self._start(held)
+            self._waiting_for_room.popleft()
+            if waiting.deadline <= self._loop.time():
+                waiting.finish(NotSent("no room for the body before the deadline"))
+            elif not waiting.finished:
+                self._start(waiting)
 
     def close(self) -> None:
         """Close idle connections now and each other connection when its call has ended."""
@@ -162,14 +164,14 @@
             connection.abort()
         return None
 
-    def _take_trusted(self) -> UpstreamConnection | None:
+    def _take_recently_active(self) -> UpstreamConnection | None:
         """Return an idle connection that received bytes within :data:`TRUSTED_S`; else make room
         for a new one.
         """
         connection = self._take_idle()
         if connection is None:
             return None
-        if self._loop.time() - connection.heard_at <= TRUSTED_S:
+        if self._loop.time() - connection.last_received_at <= TRUSTED_S:
             return connection
         if self.connections < self.max_connections:
             self._idle.append(connection)
@@ -201,27 +203,27 @@
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
-        self._open_as_allowed()
+        self._open_missing()
 
-    def _open_as_allowed(self) -> None:
+    def _open_missing(self) -> None:
         """Open the connections that waiting calls need, up to the limit."""
         wanted = sum(1 for call in self._waiting if not call.finished)
-        missing = wanted - len(self._connecting)
+        missing = wanted - len(self._connect_tasks)
         allowed = self.max_connections - self.connections
         for _ in range(min(missing, allowed)):
             task = self._loop.create_task(self._connect())
-            self._connecting.add(task)
+            self._connect_tasks.add(task)
 
     async def _connect(self) -> None:
         """Open one connection; on failure the oldest waiting call ends as not sent."""
         try:
             connection = await self._open_connection()
         except (OSError, TimeoutError) as error:
-            self._forget_connecting()
+            self._remove_connect_task()
             detail = f"connect: {str(error) or 'timed out'}"
             self._on_connect_failed(detail, refused=isinstance(error, ConnectionRefusedError))
             return
-        self._forget_connecting()
+        self._remove_connect_task()
         self._on_opened()
         if connection.is_usable():
             self._open.add(connection)
@@ -240,14 +242,14 @@
     def _new_connection(self) -> UpstreamConnection:
         """Create a connection's protocol object, which reports to this pool."""
         return UpstreamConnection(
-            self._check, self._on_free, self._on_closed, self._memory, self._stood_still
+            self._check, self._on_free, self._on_closed, self._memory, self._was_paused
         )
 
-    def _forget_connecting(self) -> None:
+    def _remove_connect_task(self) -> None:
         """Remove the current task from those that are connecting."""
         task = asyncio.current_task()
         assert task is not None
-        self._connecting.discard(task)
+        self._connect_tasks.discard(task)
 
     def _on_connect_failed(self, detail: str, *, refused: bool = False) -> None:
         """Fail the oldest waiting call, or all of them if no connection is open that could serve
--- a/tinrudder/gateway/clients/answer_progress.py
+++ b/tinrudder/gateway/clients/answer_progress.py
@@ -12,21 +12,21 @@
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.tcp_progress import acknowledged_bytes
 
-UNREAD_S = 10.0
+UNREAD_TIMEOUT_S = 10.0
 """How long a client may read nothing of its answer, seconds. A client that reads 1 KB a second
 shows progress every 1.5 s on Ethernet, one segment at a time, and the kernel retransmits a lost
 segment five times within 6.2 s. Over loopback, whose segments are 64 KB, such a client shows
 progress every 6 s with 4 KB of buffer and every 24 s with 16 KB (``tcp_info`` read every 0.1 s for
 60 s and 100 s)."""
-UNREAD_PRESSED_S = 2.0
+UNREAD_TIMEOUT_PRESSURE_S = 2.0
 """The same timeout during a planned stop, where it is a third of the 6 s grace, and near the memory
 bound. A client that reads 1 KB a second still shows progress in time, and one that reads nothing is
 disconnected before requests of others are refused. Two gateways of 152 MB with 12 slow clients a
 second each refused 338 of 1,372 ordinary requests with 10 s near the bound, and none of 1,381 with
 2 s."""
-UNREAD_FULL_S = 1.0
+UNREAD_TIMEOUT_FULL_S = 1.0
 """The same timeout while the memory bound is reached and every request is refused, seconds: half of
-:data:`UNREAD_PRESSED_S`."""
+:data:`UNREAD_TIMEOUT_PRESSURE_S`."""
 
 
 class AnswerProgress:
@@ -53,15 +53,15 @@
         return now - self._seen_at
 
 
-def longest_unread_s(memory: MemoryAccount, *, closing: bool) -> float:
+def unread_timeout_s(memory: MemoryAccount, *, closing: bool) -> float:
     """Return the current timeout for clients that read nothing, seconds.
 
     :param closing: clients should use another gateway, as during a planned stop.
     """
     if memory.is_full:
-        return UNREAD_FULL_S
-    pressed = closing or memory.is_near
-    return UNREAD_PRESSED_S if pressed else UNREAD_S
+        return UNREAD_TIMEOUT_FULL_S
+    is_reduced = closing or memory.is_near_bound
+    return UNREAD_TIMEOUT_PRESSURE_S if is_reduced else UNREAD_TIMEOUT_S
 
 
 def _progress_of(transport: asyncio.Transport) -> tuple[int, int]:
--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -11,7 +11,7 @@
 from collections import deque
 from typing import Protocol
 
-from tinrudder.gateway.clients.answer_progress import AnswerProgress, longest_unread_s
+from tinrudder.gateway.clients.answer_progress import AnswerProgress, unread_timeout_s
 from tinrudder.gateway.clients.answers import RETRY_AFTER, encode_answer
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.clients.request_reader import RequestReader
@@ -33,11 +33,11 @@
 LINGER_S = 1.0
 """How long a connection stays open after the answer to a refused request, seconds.  An immediate
 reset, while the client still sends, can make the client lose that answer."""
-WATCH_S = 0.25
+PAUSE_CHECK_INTERVAL_S = 0.25
 """Interval of checks on a connection whose client does not read or whose reading is paused,
 seconds: a quarter of the shortest timeout that these checks enforce.  Other connections have no
 such timer."""
-PAUSED_S = 1.0
+BODY_WAIT_TIMEOUT_S = 1.0
 """How long a partly read body may wait for memory, seconds.  After that the request is refused,
 while its client still has time to try another gateway."""
 
@@ -86,29 +86,29 @@
         self._loop = asyncio.get_running_loop()
         self._transport: asyncio.Transport | None = None
         self._memory = memory
-        self._held = 0
-        self._unread = 0
+        self._held_bytes = 0
+        self._unread_bytes = 0
         self._answer_progress = AnswerProgress()
         self._paused_at: float | None = None
         self._paused_for_memory = False
-        self._watch: TimerHandle | None = None
+        self._pause_timer: TimerHandle | None = None
         self._timer: TimerHandle | None = None
         self._idle_since = self._loop.time()
-        self._reading_since: float | None = None
+        self._receiving_since: float | None = None
         self._current: HttpRequest | None = None
         self._current_bytes = 0
         self._in_progress: RequestInProgress | None = None
-        self._answered_at_once = False
+        self._answered_synchronously = False
         self._waiting: deque[HttpRequest] = deque()
         self._waiting_bytes: deque[int] = deque()
 
     @property
     def busy(self) -> bool:
         """Whether a request is being received or served."""
-        return self.busy_with_whole or self._reading_since is not None
+        return self.has_complete_request or self._receiving_since is not None
 
     @property
-    def busy_with_whole(self) -> bool:
+    def has_complete_request(self) -> bool:
         """Whether a completely received request is being served or waiting."""
         return self._current is not None or bool(self._waiting)
 
@@ -119,7 +119,7 @@
         # At 0 the transport reports every byte that the socket does not accept immediately.
         transport.set_write_buffer_limits(high=0)
         self._open_connections.add(self)
-        self._arm()
+        self._start_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
         """Stop all work for a client that has disconnected."""
@@ -127,14 +127,14 @@
         self._open_connections.discard(self)
         if self._timer is not None:
             self._timer.cancel()
-        if self._watch is not None:
-            self._watch.cancel()
+        if self._pause_timer is not None:
+            self._pause_timer.cancel()
         self._waiting.clear()
         self._waiting_bytes.clear()
         self._current_bytes = 0
-        self._stop_reading()
-        self._hold(-self._held)
-        self._note_unread(0)
+        self._release_parser()
+        self._add_held(-self._held_bytes)
+        self._set_unread_bytes(0)
         if self._in_progress is not None:
             in_progress, self._in_progress = self._in_progress, None
             in_progress.abandon()
@@ -146,13 +146,13 @@
     def pause_writing(self) -> None:
         """Count unread answer bytes; serve and read no more requests until they are read."""
         assert self._transport is not None
-        self._note_unread(self._transport.get_write_buffer_size())
+        self._set_unread_bytes(self._transport.get_write_buffer_size())
         self._answer_progress.begin(self._transport, self._loop.time())
         self._pause()
 
     def resume_writing(self) -> None:
         """Continue: the socket has accepted everything."""
-        self._note_unread(0)
+        self._set_unread_bytes(0)
         self._idle_since = self._loop.time()
         self._resume()
         if self._waiting:
@@ -162,15 +162,15 @@
         """Parse the bytes that arrived."""
         if self._refused:
             return
-        if self._reading_since is None:
-            self._reading_since = self._loop.time()
-            self._arm()
+        if self._receiving_since is None:
+            self._receiving_since = self._loop.time()
+            self._start_timer()
         self._feed(data)
         if self._refused:
             return
-        if not self._head_complete and self._reading_since is not None:
-            self._take_part_of_head(len(data))
-        elif self._held > self._current_bytes and self._memory.is_near:
+        if not self._head_complete and self._receiving_since is not None:
+            self._count_partial_head(len(data))
+        elif self._held_bytes > self._current_bytes and self._memory.is_near_bound:
             self._paused_for_memory = True
             self._memory.pauses += 1
             self._pause()
@@ -180,8 +180,8 @@
         request = self._current
         self._current = None
         self._in_progress = None
-        self._answered_at_once = True
-        self._hold(-self._current_bytes)
+        self._answered_synchronously = True
+        self._add_held(-self._current_bytes)
         self._current_bytes = 0
         # The client may have disconnected while its request ran.
         if self._transport is None or request is None:
@@ -194,7 +194,7 @@
             self._transport.close()
             return
         self._idle_since = self._loop.time()
-        self._arm()
+        self._start_timer()
         if self._waiting:
             self._loop.call_soon(self._serve_next)
 
@@ -203,10 +203,10 @@
         self._refused = True
         self._body = []
         # The client would match an answer written now to the request that is still being served.
-        if self._transport is None or self.busy_with_whole:
+        if self._transport is None or self.has_complete_request:
             self._abort()
             return
-        self._hold(-self._held)
+        self._add_held(-self._held_bytes)
         answer = FinalAnswer(status, REASONS[status], headers, b"")
         self._transport.write(encode_answer(answer, close=True, head_only=False))
         self._transport.write_eof()
@@ -224,7 +224,7 @@
 
     def _on_request(self, request: HttpRequest, size: int) -> None:
         """Serve a complete request, or queue it behind the one in progress."""
-        self._reading_since = None
+        self._receiving_since = None
         self._waiting.append(request)
         self._waiting_bytes.append(size)
         if len(self._waiting) > MAX_WAITING_REQUESTS:
@@ -238,18 +238,18 @@
         if self._current is not None or not self._waiting or self._transport is None:
             return
         # The client may not have read the previous answer: at most one answer is buffered.
-        if self._unread:
+        if self._unread_bytes:
             return
         request = self._waiting.popleft()
         self._current = request
         self._current_bytes = self._waiting_bytes.popleft()
-        self._answered_at_once = False
+        self._answered_synchronously = False
         in_progress = self._handler.handle(request, self)
         # Refusals are answered within handle(): then there is nothing to abandon.
-        if not self._answered_at_once:
+        if not self._answered_synchronously:
             self._in_progress = in_progress
 
-    def _arm(self) -> None:
+    def _start_timer(self) -> None:
         """Start the timer unless it is running."""
         if self._timer is None:
             limits = self._handler.limits
@@ -265,31 +265,31 @@
             return
         if self._paused_at is not None:
             # Neither timeout applies: this gateway has paused reading.
-            self._arm()
+            self._start_timer()
             return
-        if self._reading_since is not None and self._current is None:
-            if now - self._reading_since >= limits.header_timeout_s:
+        if self._receiving_since is not None and self._current is None:
+            if now - self._receiving_since >= limits.header_timeout_s:
                 self.refuse(STATUS_TIMEOUT)
                 return
         elif not self.busy and now - self._idle_since >= limits.idle_timeout_s:
             self._transport.close()
             return
-        self._arm()
+        self._start_timer()
 
     def _abort(self) -> None:
         """Close the connection immediately."""
         if self._transport is not None:
             self._transport.abort()
 
-    def _hold(self, size: int) -> None:
+    def _add_held(self, size: int) -> None:
         """Add to the bytes held for requests; negative to release."""
-        self._held += size
+        self._held_bytes += size
         self._memory.clients += size
 
-    def _note_unread(self, size: int) -> None:
+    def _set_unread_bytes(self, size: int) -> None:
         """Set the count of answer bytes that the socket has not accepted."""
-        self._memory.clients += size - self._unread
-        self._unread = size
+        self._memory.clients += size - self._unread_bytes
+        self._unread_bytes = size
 
     def _pause(self) -> None:
         """Pause reading, and check periodically whether it may resume."""
@@ -297,57 +297,57 @@
         self._transport.pause_reading()
         if self._paused_at is None:
             self._paused_at = self._loop.time()
-        if self._watch is None:
-            self._watch = self._loop.call_later(WATCH_S, self._look)
+        if self._pause_timer is None:
+            self._pause_timer = self._loop.call_later(PAUSE_CHECK_INTERVAL_S, self._check_pause)
 
     def _resume(self) -> None:
         """Resume reading if nothing prevents it; the pause does not count towards the client's
         timeouts.
         """
-        if self._paused_at is None or self._unread or self._paused_for_memory:
+        if self._paused_at is None or self._unread_bytes or self._paused_for_memory:
             return
         paused_s = self._loop.time() - self._paused_at
         self._paused_at = None
         self._idle_since += paused_s
-        if self._reading_since is not None:
-            self._reading_since += paused_s
+        if self._receiving_since is not None:
+            self._receiving_since += paused_s
         if self._transport is not None:
             self._transport.resume_reading()
 
-    def _look(self) -> None:
+    def _check_pause(self) -> None:
         """Check a client that does not read, or whose request waits for memory."""
-        self._watch = None
+        self._pause_timer = None
         if self._transport is None or self._paused_at is None or self._refused:
             return
         now = self._loop.time()
-        if self._unread:
-            self._look_at_unread(now)
+        if self._unread_bytes:
+            self._check_unread(now)
         elif self._paused_for_memory:
-            self._look_for_room(now)
+            self._check_memory(now)
         if self._paused_at is not None:
-            self._watch = self._loop.call_later(WATCH_S, self._look)
+            self._pause_timer = self._loop.call_later(PAUSE_CHECK_INTERVAL_S, self._check_pause)
 
-    def _look_at_unread(self, now: float) -> None:
+    def _check_unread(self, now: float) -> None:
         """Close the connection if its client has read nothing for too long."""
         assert self._transport is not None
-        self._note_unread(self._transport.get_write_buffer_size())
+        self._set_unread_bytes(self._transport.get_write_buffer_size())
         idle_s = self._answer_progress.idle_s(self._transport, now)
         has_just_read = idle_s == 0.0
         if has_just_read:
             return
-        if idle_s >= longest_unread_s(self._memory, closing=self._handler.closing):
-            self._memory.note_ended_unread(self._unread, idle_s)
+        if idle_s >= unread_timeout_s(self._memory, closing=self._handler.closing):
+            self._memory.note_ended_unread(self._unread_bytes, idle_s)
             self._abort()
 
-    def _look_for_room(self, now: float) -> None:
+    def _check_memory(self, now: float) -> None:
         """Resume reading once there is memory; refuse a body that has waited too long."""
-        if not self._memory.is_near:
+        if not self._memory.is_near_bound:
             self._paused_for_memory = False
             self._resume()
             return
         assert self._paused_at is not None
-        too_long = now - self._paused_at >= PAUSED_S or self._memory.is_full
-        if too_long and self._held and not self.busy_with_whole:
+        too_long = now - self._paused_at >= BODY_WAIT_TIMEOUT_S or self._memory.is_full
+        if too_long and self._held_bytes and not self.has_complete_request:
             self._memory.note_refused_body()
             retry_after = b"%.3f" % RETRY_AFTER_S
             self.refuse(STATUS_UNAVAILABLE, ((RETRY_AFTER, retry_after),))
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -13,7 +13,7 @@
 from tinrudder.gateway.model.configuration import HeaderNames, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_SECOND = 1000.0
 """Milliseconds in a second."""
 ANSWER_MARGIN_S = 0.015
 """How long before the objective an answer is sent, seconds.  Clients count from when they begin to
@@ -22,10 +22,10 @@
 DEADLINE_MARGIN_S = 0.02
 """How long before the deadline the final answer is sent, seconds.  Slightly more than the path of
 :data:`ANSWER_MARGIN_S`, since an answer after the deadline is worthless."""
-LARGEST_MARGIN_SHARE = 0.25
+MAX_MARGIN_FRACTION = 0.25
 """Upper bound of :data:`DEADLINE_MARGIN_S` as a fraction of the client's timeout.  A client with a
 timeout of 0.08 s or less keeps three quarters of it."""
-RETURNING_AFTER_S = 0.01
+RETRY_DETECTION_S = 0.01
 """A request whose stated time is this much below the longest on its route counts as a retry,
 seconds.  More than rounding causes, and less than clients wait after a refusal."""
 
@@ -57,38 +57,38 @@
     def __init__(self, names: HeaderNames) -> None:
         """Start without any route."""
         self._names = names
-        self._longest_s: dict[str, float] = {}
+        self._longest_timeouts_s: dict[str, float] = {}
 
     def of(self, route: Route, request: HttpRequest, received_at: float) -> Deadlines:
         """Return the deadlines of one request."""
-        wait_s = self._wait_s(request)
-        if wait_s is None:
-            wait_s = route.timeout_s
-        longest_s = max(wait_s, self._longest_s.get(route.name, 0.0))
-        self._longest_s[route.name] = longest_s
-        already_s = longest_s - wait_s
-        limit_s = min(wait_s, route.timeout_s)
+        client_timeout_s = self._stated_timeout_s(request)
+        if client_timeout_s is None:
+            client_timeout_s = route.timeout_s
+        longest_timeout_s = max(client_timeout_s, self._longest_timeouts_s.get(route.name, 0.0))
+        self._longest_timeouts_s[route.name] = longest_timeout_s
+        elapsed_s = longest_timeout_s - client_timeout_s
+        limit_s = min(client_timeout_s, route.timeout_s)
         # A retry after the objective has passed gets a new objective: the answer is late in any
         # case, or the first attempt was refused and does not count.
-        started_at = received_at - already_s if already_s < route.objective_s else received_at
+        started_at = received_at - elapsed_s if elapsed_s < route.objective_s else received_at
         return Deadlines(
             received_at=received_at,
             objective_at=started_at + route.objective_s - ANSWER_MARGIN_S,
             deadline_at=received_at
             + limit_s
-            - min(DEADLINE_MARGIN_S, limit_s * LARGEST_MARGIN_SHARE),
-            returning=already_s > RETURNING_AFTER_S,
-            late=already_s >= route.objective_s,
+            - min(DEADLINE_MARGIN_S, limit_s * MAX_MARGIN_FRACTION),
+            returning=elapsed_s > RETRY_DETECTION_S,
+            late=elapsed_s >= route.objective_s,
         )
 
     def forget_unused(self, routes: Set[str]) -> None:
         """Drop the data of routes that are not in ``routes``."""
-        for name in self._longest_s.keys() - routes:
-            del self._longest_s[name]
+        for name in self._longest_timeouts_s.keys() - routes:
+            del self._longest_timeouts_s[name]
 
-    def _wait_s(self, request: HttpRequest) -> float | None:
+    def _stated_timeout_s(self, request: HttpRequest) -> float | None:
         """Return the timeout that the client states; ``None`` if it states none."""
         for header, value in request.headers:
             if header == self._names.deadline_ms and value.strip().isdigit():
-                return int(value) / MILLISECONDS
+                return int(value) / MILLISECONDS_PER_SECOND
         return None
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -79,7 +79,7 @@
         return self.clients + self.backends + self.peers >= self._near
 
     @property
-    def is_near(self) -> bool:
+    def is_near_bound(self) -> bool:
         """Whether reading of bodies should pause."""
         return self.may_be_near and self.fill >= PAUSE_FILL
 
--- a/tinrudder/gateway/clients/request_reader.py
+++ b/tinrudder/gateway/clients/request_reader.py
@@ -46,11 +46,11 @@
         self._target = b""
         self._headers: list[Header] = []
         # Bytes received since the last complete request, until the head is complete.
-        self._header_bytes = 0
+        self._received_head_bytes = 0
         # Bytes of the complete head, as stored.
-        self._head_bytes = 0
+        self._stored_head_bytes = 0
         # Bytes counted as held while the head is incomplete.
-        self._part_of_head = 0
+        self._partial_head_bytes = 0
         self._head_complete = False
         self._body: list[bytes] = []
         self._body_bytes = 0
@@ -60,7 +60,7 @@
         """Answer a request that cannot be served with an error, and read nothing more."""
 
     @abstractmethod
-    def _hold(self, size: int) -> None:
+    def _add_held(self, size: int) -> None:
         """Add to the bytes held for requests; negative to release."""
 
     @abstractmethod
@@ -74,7 +74,7 @@
     def _feed(self, data: bytes) -> None:
         """Parse the bytes that arrived."""
         if not self._head_complete:
-            self._header_bytes += len(data)
+            self._received_head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserUpgrade:
@@ -83,17 +83,17 @@
             if not self._refused:
                 self.refuse(STATUS_BAD_REQUEST)
 
-    def _stop_reading(self) -> None:
+    def _release_parser(self) -> None:
         """Drop the parser: the reference cycle with it would keep a body in memory until the next
         garbage collection.
         """
         del self._parser
 
-    def _take_part_of_head(self, size: int) -> None:
+    def _count_partial_head(self, size: int) -> None:
         """Count part of an incomplete head, and refuse a head that is too large."""
-        self._part_of_head += size
-        self._hold(size)
-        if self._header_bytes > self._limit_source.limits.max_header_bytes:
+        self._partial_head_bytes += size
+        self._add_held(size)
+        if self._received_head_bytes > self._limit_source.limits.max_header_bytes:
             self.refuse(STATUS_HEADER_TOO_LARGE)
 
     def on_message_begin(self) -> None:
@@ -117,9 +117,9 @@
             len(name) + len(value) for name, value in self._headers
         )
         self._head_complete = True
-        self._head_bytes = head_bytes
-        self._hold(head_bytes - self._part_of_head)
-        self._part_of_head = 0
+        self._stored_head_bytes = head_bytes
+        self._add_held(head_bytes - self._partial_head_bytes)
+        self._partial_head_bytes = 0
         if head_bytes > self._limit_source.limits.max_header_bytes:
             self.refuse(STATUS_HEADER_TOO_LARGE)
             return
@@ -139,7 +139,7 @@
             return
         self._body.append(body)
         self._body_bytes += len(body)
-        self._hold(len(body))
+        self._add_held(len(body))
         if self._body_bytes > self._limit_source.limits.max_body_bytes:
             self.refuse(STATUS_BODY_TOO_LARGE)
 
@@ -147,7 +147,7 @@
         """Pass on a complete request (parser callback)."""
         if self._refused:
             return
-        self._header_bytes = 0
+        self._received_head_bytes = 0
         self._head_complete = False
         keep_alive = self._parser.should_keep_alive()
         keep_alive = keep_alive and self._parser.get_http_version() == HTTP_1_1
@@ -159,4 +159,4 @@
             keep_alive,
         )
         self._body = []
-        self._on_request(request, self._head_bytes + self._body_bytes)
+        self._on_request(request, self._stored_head_bytes + self._body_bytes)
--- a/tinrudder/gateway/clients/tcp_progress.py
+++ b/tinrudder/gateway/clients/tcp_progress.py
@@ -10,10 +10,10 @@
 import struct
 
 _BYTES_ACKNOWLEDGED = struct.Struct("@Q")
-BYTES_ACKNOWLEDGED_AT = 120
+BYTES_ACKNOWLEDGED_OFFSET = 120
 """Byte offset of ``tcpi_bytes_acked`` in the kernel's ``struct tcp_info``: after 8 bytes, 24 words
 and two 64-bit rates (``linux/tcp.h``)."""
-TCP_INFO_BYTES = BYTES_ACKNOWLEDGED_AT + _BYTES_ACKNOWLEDGED.size
+TCP_INFO_BYTES = BYTES_ACKNOWLEDGED_OFFSET + _BYTES_ACKNOWLEDGED.size
 
 
 def acknowledged_bytes(transport: asyncio.Transport) -> int:
@@ -32,5 +32,5 @@
         return 0
     if len(info) < TCP_INFO_BYTES:
         return 0
-    (taken,) = _BYTES_ACKNOWLEDGED.unpack_from(info, BYTES_ACKNOWLEDGED_AT)
-    return int(taken)
+    (acknowledged,) = _BYTES_ACKNOWLEDGED.unpack_from(info, BYTES_ACKNOWLEDGED_OFFSET)
+    return int(acknowledged)
