--- a/tests/functional/gateway/test_client_leaves.py
+++ b/tests/functional/gateway/test_client_leaves.py
@@ -1,4 +1,4 @@
-"""Work for a client that has left ends within half a second, wherever it is done."""
+"""Work for a disconnected client stops within half a second on every gateway and back end."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 
 LEAVES_S = 0.05
 ENDED_S = 0.5
-"""Within this time after a client's close no back end is at work for it any more."""
+"""Seconds after a client's disconnect by which no back end works for it any more."""
 LONG_WORK_S = 3.0
 ROUTES = ("scatter", "single", "once")
 
 
 def at_work(site: EmulatedSite) -> int:
-    """Return how many requests back ends work on, or have queued."""
+    """Return the number of requests that back ends are processing or have queued."""
     return sum(
         1
         for backend in site.backends.values()
@@ -28,7 +28,7 @@
 
 
 async def leave(site: EmulatedSite, route: str, node: int) -> None:
-    """Ask, leave, and look at the back ends half a second later."""
+    """Send a request, disconnect, and check the back ends half a second later."""
     site.work_s = LONG_WORK_S
     for backend in site.backends.values():
         backend._work_s = lambda: LONG_WORK_S
--- a/tests/functional/gateway/test_restarted_back_ends.py
+++ b/tests/functional/gateway/test_restarted_back_ends.py
@@ -1,4 +1,8 @@
-"""Back ends that start again under their id, and entries by other writers, in virtual time."""
+"""Back ends that restart under the same id, and entries by foreign writers, in virtual time.
+
+Guards against a restarted back end that gets no calls because of what was known of its previous
+instance, and against one unreadable entry that hides others.
+"""
 
 from __future__ import annotations
 
@@ -13,9 +17,10 @@
 
 ALL_ROUTES = ("scatter", "single", "once")
 LEARNED_S = 0.7
-"""Within this time every gateway knows what the store says: a watch, a digest and a pull."""
+"""Seconds by which every gateway has the store's latest state, through a watch, a digest and a
+pull."""
 MANY = 12
-"""More gateways than read the store: some learn from peers alone."""
+"""More gateways than read the store, so that some learn only from peers."""
 
 
 def arrivals_at(site: EmulatedSite, backend_id: str, since: float) -> int:
@@ -42,7 +47,7 @@
 
 
 def test_failures_of_one_start_are_not_held_against_the_next() -> None:
-    """Calls that fail push a back end back for up to two seconds; the next start is another."""
+    """Failures make a back end suspect for up to two seconds; the next instance must not be."""
 
     async def scenario(site: EmulatedSite) -> None:
         site.backends["shard-0-0"].choose_fault = lambda: Fault.ERROR
@@ -63,7 +68,7 @@
 
 
 def test_what_may_not_be_repeated_is_not_sent_to_the_next_start() -> None:
-    """Both have the id that the call names; only the connection tells them apart."""
+    """Both instances have the id that the call names; only the connection distinguishes them."""
 
     async def scenario(site: EmulatedSite) -> None:
         sends = [asyncio.create_task(site.send("once", number % 3)) for number in range(30)]
@@ -101,7 +106,7 @@
         taken["single-1"] = FOREIGN_VALUES[0]
         for backend_id, make in taken.items():
             site.write_foreign(backend_id, make(site.entry_document(backend_id), site.random))
-        # A writer of its own, and a change behind it that must not be hidden.
+        # A foreign entry under a new key, and a later change that it must not hide.
         site.write_foreign("foreign-0", b"?")
         await site.add_backend("shard-0-2", "shard-0", "zone-a")
         await asyncio.sleep(LEARNED_S)
@@ -151,7 +156,7 @@
 
 @pytest.mark.parametrize("shown", [*SPOILED_ITEMS, None])
 def test_items_that_the_store_spoils_hide_no_others(shown: dict[str, object] | None) -> None:
-    """Each alone, and at last all of them."""
+    """Each invalid item alone, and then all of them."""
     spoiled = SPOILED_ITEMS if shown is None else (shown,)
 
     async def scenario(site: EmulatedSite) -> None:
@@ -177,7 +182,7 @@
 
 
 def test_a_request_that_ends_a_back_end_is_seen_over_its_starts() -> None:
-    """The emulated site as a whole, where back ends come back under their ids."""
+    """The whole emulated site, where crashed back ends restart under their ids."""
 
     async def scenario(site: EmulatedSite) -> None:
         def ends(request: ServedRequest) -> bool:
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -1,4 +1,8 @@
-"""Clients that read slowly or not at all, requests that find no memory, cut connections."""
+"""Slow clients, requests without room in memory, and back-end connections cut during a pause.
+
+Guards against clients that do not read: their answers fill the gateway's memory, so that requests
+of other clients are refused or a planned stop is delayed.
+"""
 
 from __future__ import annotations
 
@@ -31,12 +35,12 @@
 GET = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
 LARGE = 400_000
 SOCKETS_TAKE = 2 * 65536
-"""What the connection in memory and the client's own buffer take without anybody reading."""
+"""Bytes that the in-memory connection and the client's buffer hold without any reader."""
 PAUSE_S = 0.01
 
 
 class CountingHandler(PlainHandler):
-    """Answers at once and counts."""
+    """Answers immediately and counts the requests."""
 
     def __init__(self, size: int) -> None:
         super().__init__(lambda: text_answer(b"x" * size))
@@ -48,7 +52,7 @@
 
 
 class HoldingHandler(PlainHandler):
-    """Answers when it is told to."""
+    """Answers when the test calls for it."""
 
     def __init__(self) -> None:
         super().__init__(lambda: text_answer(b""))
@@ -211,8 +215,8 @@
 
 def test_time_in_which_this_side_did_not_read_is_not_the_clients() -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
-        # The first request is at work, the body of the second has no room for longer than a
-        # client may take for a whole request.
+        # While the first request is in progress, the body of the second waits for memory longer
+        # than the header timeout.
         head = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20000\r\n\r\n"
         reader, writer = await connect(GET)
         await asyncio.sleep(PAUSE_S)
@@ -286,7 +290,7 @@
             objects = gc.get_objects()
             readers = [one for one in objects if isinstance(one, AnswerReader)]
             left: list[object] = [one for one in readers if one.state is not ReadState.READING]
-            # The emulator's timers may keep a run, which keeps no answer then.
+            # The emulator's timers may keep a run alive; it must hold no answer then.
             shards = [one for one in objects if isinstance(one, ShardCalls)]
             left += [one for one in shards if one.part is not None and one.part.body]
         finally:
--- a/tests/functional/gateway/test_upstream_pool.py
+++ b/tests/functional/gateway/test_upstream_pool.py
@@ -1,4 +1,8 @@
-"""Connections to one server: what a failed attempt to connect is called."""
+"""The connection pool: connect timeouts, stale idle connections, and room for large bodies.
+
+Guards against sending a call that must not be repeated over an idle connection whose server no
+longer answers: the call would be lost with the connection.
+"""
 
 from __future__ import annotations
 
@@ -34,7 +38,7 @@
 
 
 class FakeServer:
-    """Answers calls until it is told to swallow what comes on the connections that are open."""
+    """Answers calls, except on connections that :meth:`go_silent` has muted."""
 
     def __init__(self) -> None:
         self.silent: set[asyncio.StreamWriter] = set()
@@ -47,7 +51,7 @@
         return Address(*server.sockets[0].getsockname()[:2])
 
     def go_silent(self) -> None:
-        """Let the connections that are open say nothing more; new ones work."""
+        """Stop answering on the connections that are open; new connections still work."""
         self.silent |= self.open
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -123,7 +127,7 @@
 
 
 class HoldingServer(FakeServer):
-    """Answers nothing before it is told to."""
+    """Answers nothing until ``answers`` is set."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -135,7 +139,7 @@
 
 
 class LargeCalls:
-    """Calls to a pool, what of them has been sent and what has ended."""
+    """Starts calls on a pool and records which were sent and which have ended."""
 
     def __init__(self, pool: UpstreamPool) -> None:
         self.pool = pool
--- a/tests/support/slow_clients.py
+++ b/tests/support/slow_clients.py
@@ -1,6 +1,6 @@
-"""Clients that read slowly or not at all, and a transport whose other side takes what it is told.
+"""Slow clients, and a transport that accepts only as many bytes as the test allows.
 
-The connections are in memory, 64 KB each way; time is virtual.
+Connections are in memory with 64 KB of buffer in each direction; time is virtual.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TakingTransport(asyncio.Transport):
-    """Takes a number of bytes; tells its protocol about the rest as asyncio's own does."""
+    """Accepts a set number of bytes; reports the rest to its protocol as asyncio transports do."""
 
     def __init__(self, protocol: asyncio.Protocol) -> None:
         super().__init__()
@@ -79,7 +79,7 @@
     scenario: Callable[[MemoryAccount, set[ClientConnection]], Coroutine[Any, Any, Result]],
     bound: float = float("inf"),
 ) -> Result:
-    """Serve connections with ``handler`` in virtual time while a scenario runs."""
+    """Run a scenario in virtual time while ``handler`` serves connections."""
     loop = EmulatorLoop()
     asyncio.set_event_loop(loop)
 
@@ -100,7 +100,7 @@
 
 
 class PacedClient(asyncio.BufferedProtocol):
-    """Takes a number of bytes from its socket, then waits, and so on."""
+    """Reads a number of bytes from its socket, waits, and repeats."""
 
     def __init__(self, size: int, pause_s: float) -> None:
         self.got = bytearray()
@@ -127,7 +127,7 @@
 
 
 async def connect_paced(data: bytes, size: int, pause_s: float) -> PacedClient:
-    """Open a connection that reads ``size`` bytes at a time, and send something."""
+    """Open a connection that reads ``size`` bytes at a time, and send ``data``."""
     loop = asyncio.get_running_loop()
     transport, client = await loop.create_connection(lambda: PacedClient(size, pause_s), HOST, PORT)
     transport.write(data)
@@ -135,7 +135,7 @@
 
 
 async def connect(data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a connection whose reader takes next to nothing ahead, and send something."""
+    """Open a connection whose reader buffers almost nothing, and send ``data``."""
     reader, writer = await asyncio.open_connection(HOST, PORT, limit=1024)
     writer.write(data)
     return reader, writer
--- a/tests/unit/gateway/test_answer_reader.py
+++ b/tests/unit/gateway/test_answer_reader.py
@@ -1,4 +1,8 @@
-"""The reader of back ends' bytes against a plain oracle: whole answers, and nothing in doubt."""
+"""The answer parser against an oracle: complete answers are read, and ambiguous bytes never are.
+
+Guards against a truncated answer that counts as complete, and against bytes of one answer that
+become part of another on a reused connection.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/test_backend_starts.py
+++ b/tests/unit/gateway/test_backend_starts.py
@@ -1,4 +1,9 @@
-"""A back end that starts again under its id: what it says wins, whoever tells it and when."""
+"""A back end that restarts under the same id: its newest entry wins, in any order of arrival.
+
+Guards against a late write by the previous process, or entries that arrive from the store and peers
+in another order, bringing back an instance that has ended, and against observations of one instance
+being applied to the next.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +38,7 @@
 
 
 class Told:
-    """A state whose clock the test moves."""
+    """The shared state of one gateway, with a clock that the test sets."""
 
     def __init__(self) -> None:
         self.now = 0.0
@@ -44,7 +49,7 @@
 
     @property
     def started_ms(self) -> int | None:
-        """Return the start that is in force."""
+        """The start time of the entry in force; ``None`` if there is none."""
         known = self.state.backends.get(KEY)
         return known.entry.started_ms if known is not None and known.in_force else None
 
@@ -65,7 +70,7 @@
 def test_the_newest_revision_decides_in_any_order_loss_and_repetition(
     words: list[Said], seed: int
 ) -> None:
-    """The oracle: the newest word of all that was heard, if it names a start that isn't older."""
+    """The oracle: the newest received write, unless an earlier one names a later start."""
     source = random.Random(seed)
     values = [said(revision, word) for revision, word in enumerate(words, start=1)]
     heard = [value for value in values * 2 if source.random() < 0.7] or values[:1]
@@ -86,7 +91,8 @@
         assert told.started_ms == newest
     else:
         assert told.started_ms in (newest, None)
-    # What stands for long holds, and every gateway that heard the newest word agrees on it.
+    # After OLDER_START_S an older start counts too: every gateway that received the newest write
+    # agrees on it.
     told.now = OLDER_START_S
     told.state.settle()
     assert told.started_ms == (newest if isinstance(newest, int) else None)
@@ -260,7 +266,7 @@
 
 
 def test_a_call_that_waits_for_the_ended_start_does_not_reach_the_next() -> None:
-    """Both listen at one address: the call was meant, and counted, for the one that ended."""
+    """Both instances use one address; the call was sent to, and counted for, the one that ended."""
 
     async def scenario() -> None:
         arrived: list[bytes] = []
--- a/tests/unit/gateway/test_client_deadlines.py
+++ b/tests/unit/gateway/test_client_deadlines.py
@@ -1,4 +1,4 @@
-"""Moments of a request: what a client on a long path sees of them."""
+"""Deadlines of a request, as seen by a client on a path with high latency."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 
 LONGEST_ONE_WAY_S = 0.003
-"""Of the sites served so far."""
+"""Largest one-way latency of the sites served, seconds."""
 CONNECTING_AND_ASKING = 3
 WORK_S = 0.002
 
--- a/tests/unit/gateway/test_load_reports.py
+++ b/tests/unit/gateway/test_load_reports.py
@@ -1,4 +1,4 @@
-"""Back ends' load reports: read in both forms, and never lost in silence."""
+"""Back ends' load reports: both formats decode; unreadable ones are counted and logged."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/test_memory_account.py
+++ b/tests/unit/gateway/test_memory_account.py
@@ -1,4 +1,8 @@
-"""The account of memory: bounds, and that it is empty after any sequence of events."""
+"""The memory account: its bounds, and that it returns to zero after any sequence of events.
+
+Guards against bytes that stay counted when a connection ends part way through a request or answer:
+such a leak would make the gateway refuse requests although its memory is free.
+"""
 
 from __future__ import annotations
 
@@ -26,7 +30,7 @@
 
 
 class LateHandler:
-    """Answers when it is told to."""
+    """Answers when the test calls for it."""
 
     closing = False
 
@@ -43,7 +47,7 @@
 
 
 class ClientTrial:
-    """One client's connection, and what may happen to it."""
+    """One client connection and the events that can happen to it."""
 
     def __init__(self, bound: float) -> None:
         self.account = MemoryAccount(bound)
@@ -80,7 +84,7 @@
 
 
 class BackendTrial:
-    """One connection to a back end, and what may happen to it."""
+    """One connection to a back end and the events that can happen to it."""
 
     def __init__(self) -> None:
         self.account = MemoryAccount(1000.0)
@@ -121,7 +125,7 @@
 
 
 async def play(trial: ClientTrial | BackendTrial, events: list[tuple[str, int]]) -> None:
-    """Let events happen until the connection has ended, then end it."""
+    """Apply events until the connection has ended, then end it."""
     for event, size in events:
         if trial.transport.closed:
             break
--- a/tests/unit/gateway/test_upstream_connection.py
+++ b/tests/unit/gateway/test_upstream_connection.py
@@ -1,4 +1,4 @@
-"""One connection to a back end: resets, foreign bytes, withdrawn calls, long requests."""
+"""One connection to a back end: resets, unexpected bytes, withdrawn calls and unsent requests."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class FakeTransport(asyncio.Transport):
-    """Remembers what was written and whether it was dropped."""
+    """Records what was written and whether the connection was aborted."""
 
     def __init__(self) -> None:
         super().__init__()
