--- a/tests/functional/gateway/test_client_leaves.py
+++ b/tests/functional/gateway/test_client_leaves.py
@@ -10,14 +10,14 @@
 from tests.support.many_gateways import SETTLED_S, run_many
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
-LEAVES_S = 0.05
-ENDED_S = 0.5
+DISCONNECT_AFTER_S = 0.05
+STOP_WITHIN_S = 0.5
 """Seconds after a client's disconnect by which no back end works for it any more."""
 LONG_WORK_S = 3.0
 ROUTES = ("scatter", "single", "once")
 
 
-def at_work(site: EmulatedSite) -> int:
+def requests_in_progress(site: EmulatedSite) -> int:
     """Return the number of requests that back ends are processing or have queued."""
     return sum(
         1
@@ -27,14 +27,14 @@
     )
 
 
-async def leave(site: EmulatedSite, route: str, node: int) -> None:
+async def check_work_stops(site: EmulatedSite, route: str, node: int) -> None:
     """Send a request, disconnect, and check the back ends half a second later."""
     site.work_s = LONG_WORK_S
     for backend in site.backends.values():
         backend._work_s = lambda: LONG_WORK_S
-    await site.send(route, node, leaves_after_s=LEAVES_S)
-    await asyncio.sleep(ENDED_S)
-    assert at_work(site) == 0
+    await site.send(route, node, leaves_after_s=DISCONNECT_AFTER_S)
+    await asyncio.sleep(STOP_WITHIN_S)
+    assert requests_in_progress(site) == 0
     arrivals = len(site.ledger.arrivals)
     assert arrivals
     await asyncio.sleep(2.0)
@@ -44,7 +44,7 @@
 @pytest.mark.parametrize("route", ROUTES)
 def test_back_ends_stop_where_the_gateway_calls_them_itself(route: str) -> None:
     async def scenario(site: EmulatedSite) -> None:
-        await leave(site, route, 0)
+        await check_work_stops(site, route, 0)
 
     run_site(scenario)
 
@@ -57,7 +57,7 @@
             for index, node in enumerate(site.nodes)
             if node.gateway is not None and not node.gateway.process.counters.coordinated
         )
-        await leave(site, "scatter", entry)
+        await check_work_stops(site, "scatter", entry)
 
     run_many(scenario)
 
@@ -66,13 +66,13 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         tasks: list[Any] = [
-            asyncio.create_task(site.send("scatter", node, leaves_after_s=LEAVES_S))
+            asyncio.create_task(site.send("scatter", node, leaves_after_s=DISCONNECT_AFTER_S))
             for node in range(len(site.nodes))
         ]
         for backend in site.backends.values():
             backend._work_s = lambda: LONG_WORK_S
         await asyncio.gather(*tasks)
-        await asyncio.sleep(ENDED_S)
+        await asyncio.sleep(STOP_WITHIN_S)
         for node in site.nodes:
             assert node.gateway is not None
             assert node.gateway.requests.handler.in_progress == 0
--- a/tests/functional/gateway/test_restarted_back_ends.py
+++ b/tests/functional/gateway/test_restarted_back_ends.py
@@ -16,10 +16,10 @@
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
 ALL_ROUTES = ("scatter", "single", "once")
-LEARNED_S = 0.7
+PROPAGATION_S = 0.7
 """Seconds by which every gateway has the store's latest state, through a watch, a digest and a
 pull."""
-MANY = 12
+LARGE_FLEET = 12
 """More gateways than read the store, so that some learn only from peers."""
 
 
@@ -37,7 +37,7 @@
         restarting = asyncio.create_task(site.restart_backend("shard-0-0", down_s, moves=moves))
         await site.traffic(down_s, 30.0, ALL_ROUTES)
         await restarting
-        await asyncio.sleep(LEARNED_S)
+        await asyncio.sleep(PROPAGATION_S)
         since = site.loop.time()
         await site.traffic(2.0, 30.0, ("scatter",))
         assert arrivals_at(site, "shard-0-0", since) >= 10
@@ -46,7 +46,7 @@
     run_site(scenario)
 
 
-def test_failures_of_one_start_are_not_held_against_the_next() -> None:
+def test_failures_of_one_start_do_not_count_against_the_next() -> None:
     """Failures make a back end suspect for up to two seconds; the next instance must not be."""
 
     async def scenario(site: EmulatedSite) -> None:
@@ -67,17 +67,17 @@
     run_site(scenario)
 
 
-def test_what_may_not_be_repeated_is_not_sent_to_the_next_start() -> None:
+def test_an_unrepeatable_call_is_not_sent_to_the_next_start() -> None:
     """Both instances have the id that the call names; only the connection distinguishes them."""
 
     async def scenario(site: EmulatedSite) -> None:
-        sends = [asyncio.create_task(site.send("once", number % 3)) for number in range(30)]
+        pending_sends = [asyncio.create_task(site.send("once", number % 3)) for number in range(30)]
         await asyncio.sleep(0.3)
         for copy in range(site.singles):
             await site.restart_backend(f"single-{copy}", 0.01)
-        results = await asyncio.gather(*sends)
-        lost = [result for result in results if result.status in (502, 504)]
-        assert lost
+        results = await asyncio.gather(*pending_sends)
+        failed_results = [result for result in results if result.status in (502, 504)]
+        assert failed_results
         assert site.broken_promises() == []
 
     run_site(scenario, work_s=1.0)
@@ -98,44 +98,46 @@
     run_site(scenario)
 
 
-@pytest.mark.parametrize("node_count", [3, MANY])
-def test_entries_that_become_unreadable_name_none_and_the_others_hold(node_count: int) -> None:
+@pytest.mark.parametrize("node_count", [3, LARGE_FLEET])
+def test_unreadable_entries_get_no_calls_and_the_others_stay_valid(node_count: int) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(1.0, 20.0, ALL_ROUTES)
-        taken = {f"shard-{number}-0": make for number, make in enumerate(FOREIGN_VALUES)}
-        taken["single-1"] = FOREIGN_VALUES[0]
-        for backend_id, make in taken.items():
+        overwritten = {f"shard-{number}-0": make for number, make in enumerate(FOREIGN_VALUES)}
+        overwritten["single-1"] = FOREIGN_VALUES[0]
+        for backend_id, make in overwritten.items():
             site.write_foreign(backend_id, make(site.entry_document(backend_id), site.random))
         # A foreign entry under a new key, and a later change that it must not hide.
         site.write_foreign("foreign-0", b"?")
         await site.add_backend("shard-0-2", "shard-0", "zone-a")
-        await asyncio.sleep(LEARNED_S)
+        await asyncio.sleep(PROPAGATION_S)
         since = site.loop.time()
         await site.traffic(2.0, 20.0, ALL_ROUTES)
-        assert {one: arrivals_at(site, one, since) for one in taken} == dict.fromkeys(taken, 0)
+        assert {one: arrivals_at(site, one, since) for one in overwritten} == dict.fromkeys(
+            overwritten, 0
+        )
         assert arrivals_at(site, "shard-0-2", since) > 0
         for node in site.nodes:
             assert node.gateway is not None
-            assert node.gateway.knowledge.unreadable_values.count == len(taken) + 1
-        for backend_id in taken:
+            assert node.gateway.knowledge.unreadable_values.count == len(overwritten) + 1
+        for backend_id in overwritten:
             site.rewrite_entry(backend_id)
-        await asyncio.sleep(LEARNED_S)
+        await asyncio.sleep(PROPAGATION_S)
         since = site.loop.time()
         await site.traffic(2.0, 20.0, ALL_ROUTES)
-        assert all(arrivals_at(site, backend_id, since) for backend_id in taken)
+        assert all(arrivals_at(site, backend_id, since) for backend_id in overwritten)
         assert site.served_share() == 1.0
         assert site.broken_promises() == []
 
     run_site(scenario, node_count=node_count)
 
 
-def test_what_a_back_end_works_on_is_finished_although_its_entry_cannot_be_read() -> None:
+def test_calls_in_progress_complete_after_the_entry_becomes_unreadable() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        sends = [asyncio.create_task(site.send("once", number % 3)) for number in range(6)]
+        pending_sends = [asyncio.create_task(site.send("once", number % 3)) for number in range(6)]
         await asyncio.sleep(0.1)
         for copy in range(site.singles):
             site.write_foreign(f"single-{copy}", b"?")
-        assert {result.status for result in await asyncio.gather(*sends)} == {200}
+        assert {result.status for result in await asyncio.gather(*pending_sends)} == {200}
         refused = await site.send("once")
         assert refused.status == 503
         assert site.broken_promises() == []
@@ -143,7 +145,7 @@
     run_site(scenario, work_s=0.6)
 
 
-SPOILED_ITEMS: tuple[dict[str, object], ...] = (
+INVALID_ITEMS: tuple[dict[str, object], ...] = (
     {"value": "no base64"},
     {"value": 5},
     {"rev": None},
@@ -154,16 +156,16 @@
 )
 
 
-@pytest.mark.parametrize("shown", [*SPOILED_ITEMS, None])
+@pytest.mark.parametrize("shown", [*INVALID_ITEMS, None])
 def test_items_that_the_store_spoils_hide_no_others(shown: dict[str, object] | None) -> None:
     """Each invalid item alone, and then all of them."""
-    spoiled = SPOILED_ITEMS if shown is None else (shown,)
+    invalid_items = INVALID_ITEMS if shown is None else (shown,)
 
     async def scenario(site: EmulatedSite) -> None:
-        for number, item in enumerate(spoiled):
+        for number, item in enumerate(invalid_items):
             site.store.put_spoiled(f"servers/aaa-{number}", item)
             site.store.put_spoiled(f"servers/zzz-{number}", item)
-        await asyncio.sleep(LEARNED_S)
+        await asyncio.sleep(PROPAGATION_S)
         for node in site.nodes:
             site.kill_node(node)
         await asyncio.sleep(0.1)
@@ -172,7 +174,7 @@
         await asyncio.sleep(2.0)
         assert [(await site.send("scatter", node)).status for node in range(2)] == [200] * 2
         site.drain("shard-0-0")
-        await asyncio.sleep(LEARNED_S)
+        await asyncio.sleep(PROPAGATION_S)
         for node in site.nodes:
             assert node.gateway is not None
             assert node.gateway.knowledge.state.backends["servers/shard-0-0"].leaving
@@ -185,16 +187,16 @@
     """The whole emulated site, where crashed back ends restart under their ids."""
 
     async def scenario(site: EmulatedSite) -> None:
-        def ends(request: ServedRequest) -> bool:
+        def crashes_back_end(request: ServedRequest) -> bool:
             return request.target.endswith("ends-back-ends")
 
         site.keeps_ids = True
-        site.ends_under = ends
-        beside = asyncio.create_task(site.traffic(20.0, 10.0, ALL_ROUTES))
+        site.ends_under = crashes_back_end
+        background = asyncio.create_task(site.traffic(20.0, 10.0, ALL_ROUTES))
         for turn in range(10):
             await site.send("scatter", turn % 3, target="/all/ends-back-ends")
             await asyncio.sleep(2.0)
-        await beside
+        await background
         assert set(site.backends) >= {"shard-0-0", "shard-0-1", "single-0"}
         assert site.broken_promises() == []
 
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -33,10 +33,10 @@
 from tinrudder_lab.emulator.site import CLIENT_PORT, GRACE_S, EmulatedSite, run_site
 
 GET = b"GET / HTTP/1.1\r\nHost: h\r\n\r\n"
-LARGE = 400_000
-SOCKETS_TAKE = 2 * 65536
+LARGE_BODY_BYTES = 400_000
+SOCKET_BUFFER_BYTES = 2 * 65536
 """Bytes that the in-memory connection and the client's buffer hold without any reader."""
-PAUSE_S = 0.01
+SHORT_WAIT_S = 0.01
 
 
 class CountingHandler(PlainHandler):
@@ -67,13 +67,13 @@
         self.waiting.clear()
 
 
-def test_a_client_that_reads_nothing_loses_its_connection_and_nobody_notices() -> None:
+def test_a_client_that_reads_nothing_is_disconnected_without_affecting_others() -> None:
     async def scenario(account: MemoryAccount, connections: set[ClientConnection]) -> None:
         silent = await connect(GET)
         await asyncio.sleep(UNREAD_TIMEOUT_S - PAUSE_CHECK_INTERVAL_S)
-        assert LARGE - SOCKETS_TAKE <= account.clients <= LARGE
+        assert LARGE_BODY_BYTES - SOCKET_BUFFER_BYTES <= account.clients <= LARGE_BODY_BYTES
         reader, other = await connect(GET)
-        assert (await reader.readexactly(LARGE))[:12] == b"HTTP/1.1 200"
+        assert (await reader.readexactly(LARGE_BODY_BYTES))[:12] == b"HTTP/1.1 200"
         other.close()
         await asyncio.sleep(3 * PAUSE_CHECK_INTERVAL_S)
         assert account.clients == 0
@@ -81,76 +81,76 @@
         assert not connections
         silent[1].close()
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE)), scenario)
+    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
 
 
 @pytest.mark.parametrize(
     ("bound", "ends_after_s"),
     [(400_000.0, UNREAD_TIMEOUT_PRESSURE_S), (200_000.0, UNREAD_TIMEOUT_FULL_S)],
 )
-def test_near_the_bound_answers_that_nobody_takes_go_sooner(
+def test_near_the_bound_unread_answers_are_dropped_sooner(
     bound: float, ends_after_s: float
 ) -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
         silent = await connect(GET)
         await asyncio.sleep(ends_after_s - PAUSE_CHECK_INTERVAL_S)
-        assert account.clients >= LARGE - SOCKETS_TAKE
+        assert account.clients >= LARGE_BODY_BYTES - SOCKET_BUFFER_BYTES
         await asyncio.sleep(3 * PAUSE_CHECK_INTERVAL_S)
         assert account.clients == 0
         silent[1].close()
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE)), scenario, bound)
+    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario, bound)
 
 
 def test_a_slow_but_steady_reader_gets_its_whole_answer() -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
         client = await connect_paced(GET, 1024, 1.0)
-        while len(client.got) < LARGE and not client.ended:
+        while len(client.received) < LARGE_BODY_BYTES and not client.ended:
             await asyncio.sleep(10.0)
-        assert len(client.got) > LARGE
+        assert len(client.received) > LARGE_BODY_BYTES
         assert account.clients == 0
         assert account.ended_unread == 0
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE)), scenario)
+    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
 
 
-def test_nothing_more_is_served_or_read_for_who_does_not_read() -> None:
+def test_no_more_requests_are_read_from_a_client_that_does_not_read() -> None:
     async def scenario(account: MemoryAccount, connections: set[ClientConnection]) -> None:
         _reader, writer = await connect(GET * 4)
         for _ in range(20):
-            await asyncio.sleep(PAUSE_S)
+            await asyncio.sleep(SHORT_WAIT_S)
             writer.write(GET)
         assert handler.served == 1
-        assert account.clients <= LARGE + 4 * len(GET)
+        assert account.clients <= LARGE_BODY_BYTES + 4 * len(GET)
         assert len(connections) == 1
 
-    handler = CountingHandler(LARGE)
+    handler = CountingHandler(LARGE_BODY_BYTES)
     run_served(handler, scenario)
 
 
-def test_what_was_left_unread_is_served_on_once_it_is_read() -> None:
+def test_serving_resumes_once_the_client_has_read_its_answer() -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
         reader, _writer = await connect(GET * 8)
         await asyncio.sleep(UNREAD_TIMEOUT_S / 2)
         for _ in range(8):
             head = await reader.readuntil(b"\r\n\r\n")
             assert head.startswith(b"HTTP/1.1 200")
-            await reader.readexactly(LARGE)
+            await reader.readexactly(LARGE_BODY_BYTES)
         assert account.clients == 0
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE)), scenario)
+    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
 
 
 def test_a_planned_stop_is_not_held_up_by_a_client_that_does_not_read() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.records_of = lambda request: LARGE // 16
+        site.records_of = lambda request: LARGE_BODY_BYTES // 16
         request = site.request("single")
         _reader, writer = await asyncio.open_connection(site.nodes[0].host, CLIENT_PORT, limit=1024)
         writer.write(request.encode())
         await asyncio.sleep(0.5)
         gateway = site.nodes[0].gateway
         assert gateway is not None
-        assert gateway.process.memory.clients > LARGE - SOCKETS_TAKE
+        assert gateway.process.memory.clients > LARGE_BODY_BYTES - SOCKET_BUFFER_BYTES
         gateway.request_stop()
         await asyncio.sleep(max(UNREAD_TIMEOUT_PRESSURE_S, GRACE_S / 2) + 1.0)
         assert gateway.process.lifecycle.state == "stopped"
@@ -213,13 +213,13 @@
     run_served(PlainHandler(lambda: text_answer(b"ok")), scenario, bound=150_000.0)
 
 
-def test_time_in_which_this_side_did_not_read_is_not_the_clients() -> None:
+def test_a_reading_pause_does_not_count_towards_the_header_timeout() -> None:
     async def scenario(account: MemoryAccount, _: set[ClientConnection]) -> None:
         # While the first request is in progress, the body of the second waits for memory longer
         # than the header timeout.
         head = b"POST / HTTP/1.1\r\nHost: h\r\nContent-Length: 20000\r\n\r\n"
         reader, writer = await connect(GET)
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(SHORT_WAIT_S)
         account.backends = 99_000
         writer.write(head + b"x" * 10_000)
         await asyncio.sleep(handler.limits.header_timeout_s + 1.0)
@@ -227,7 +227,7 @@
         handler.waiting.pop().answer(FinalAnswer(200, b"OK", (), b""))
         await asyncio.sleep(1.0)
         writer.write(b"x" * 10_000)
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(SHORT_WAIT_S)
         handler.waiting.pop().answer(FinalAnswer(200, b"OK", (), b""))
         for _ in range(2):
             assert (await reader.readuntil(b"\r\n\r\n")).startswith(b"HTTP/1.1 200")
@@ -257,7 +257,7 @@
 
 
 @pytest.mark.parametrize("stood_still_s", [0.0, 3.0])
-def test_connections_cut_while_this_process_stood_still_are_held_against_nobody(
+def test_connections_lost_while_this_process_was_paused_blame_nobody(
     stood_still_s: float,
 ) -> None:
     async def scenario(site: EmulatedSite) -> None:
@@ -266,7 +266,7 @@
         for backend in site.backends.values():
             backend.choose_fault = lambda: Fault.CLOSED
         sending = asyncio.create_task(site.send("single"))
-        await asyncio.sleep(PAUSE_S)
+        await asyncio.sleep(SHORT_WAIT_S)
         # As if the process had not run for some time up to now.
         gateway.process.pause._noted_at -= stood_still_s
         await sending
@@ -279,7 +279,7 @@
 
 
 @pytest.mark.parametrize("route", ["single", "scatter"])
-def test_what_a_request_held_goes_with_it_and_waits_for_no_collection(route: str) -> None:
+def test_memory_of_a_request_is_freed_without_garbage_collection(route: str) -> None:
     async def scenario(site: EmulatedSite) -> None:
         gc.collect()
         gc.disable()
@@ -289,22 +289,22 @@
             await asyncio.sleep(1.0)
             objects = gc.get_objects()
             readers = [one for one in objects if isinstance(one, AnswerReader)]
-            left: list[object] = [one for one in readers if one.state is not ReadState.READING]
+            retained: list[object] = [one for one in readers if one.state is not ReadState.READING]
             # The emulator's timers may keep a run alive; it must hold no answer then.
-            shards = [one for one in objects if isinstance(one, ShardCalls)]
-            left += [one for one in shards if one.part is not None and one.part.body]
+            shard_calls = [one for one in objects if isinstance(one, ShardCalls)]
+            retained += [one for one in shard_calls if one.part is not None and one.part.body]
         finally:
             gc.enable()
-        assert left == []
+        assert retained == []
 
     run_site(scenario)
 
 
 def test_a_call_that_fails_after_its_request_has_ended_is_not_sent_again() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        late = site.backends["shard-0-0"]
-        late.pause(0.35)
-        late.choose_fault = lambda: Fault.CLOSED
+        slow_backend = site.backends["shard-0-0"]
+        slow_backend.pause(0.35)
+        slow_backend.choose_fault = lambda: Fault.CLOSED
         result = await site.send("scatter")
         assert result.status == 200
         assert result.headers["tinrudder-missing-parts"] == "1"
--- a/tests/functional/gateway/test_upstream_pool.py
+++ b/tests/functional/gateway/test_upstream_pool.py
@@ -17,7 +17,7 @@
 from tinrudder.gateway.model.http_messages import Answered, CallOutcome, NotSent, UpstreamCall
 
 
-def test_an_attempt_to_connect_that_hangs_is_told_as_timed_out(
+def test_a_connect_attempt_that_hangs_is_reported_as_timed_out(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(upstream_pool, "CONNECT_TIMEOUT_S", 0.01)
@@ -82,7 +82,7 @@
 
 
 @pytest.mark.parametrize("most", [1, 2])
-def test_what_may_not_be_repeated_never_goes_over_a_connection_that_rested(
+def test_an_unrepeatable_call_never_uses_a_connection_that_was_idle(
     monkeypatch: pytest.MonkeyPatch, most: int
 ) -> None:
     monkeypatch.setattr(upstream_pool, "TRUSTED_S", 0.0)
@@ -102,7 +102,7 @@
     assert server.served == 2
 
 
-def test_what_may_be_repeated_uses_what_is_open() -> None:
+def test_a_repeatable_call_uses_an_open_connection() -> None:
     async def run() -> FakeServer:
         server = FakeServer()
         pool = UpstreamPool(await server.start(), accept_any_answer, lambda: None)
@@ -113,7 +113,7 @@
     assert asyncio.run(run()).opened == 1
 
 
-def test_a_connection_that_was_just_heard_is_trusted(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_recently_active_connection_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_pool, "TRUSTED_S", 60.0)
 
     async def run() -> FakeServer:
@@ -147,13 +147,17 @@
         self.ended: list[str] = []
 
     def start(self, name: str, body_bytes: int) -> UpstreamCall:
-        def leave() -> bytes:
+        def make_bytes() -> bytes:
             self.sent.append(name)
             return b"GET / HTTP/1.1\r\n\r\n"
 
-        end_at = asyncio.get_running_loop().time() + 60.0
+        deadline = asyncio.get_running_loop().time() + 60.0
         call = UpstreamCall(
-            leave, b"r", lambda outcome: self.ended.append(name), end_at, body_bytes=body_bytes
+            make_bytes,
+            b"r",
+            lambda outcome: self.ended.append(name),
+            deadline,
+            body_bytes=body_bytes,
         )
         self.pool.start(call)
         return call
@@ -164,7 +168,7 @@
                 await asyncio.sleep(0.001)
 
 
-def test_a_large_body_waits_until_those_on_the_way_leave_room() -> None:
+def test_a_large_body_waits_until_bodies_in_flight_leave_room() -> None:
     async def run() -> None:
         server = HoldingServer()
         pool = UpstreamPool(await server.start(), accept_any_answer, lambda: None)
--- a/tests/support/slow_clients.py
+++ b/tests/support/slow_clients.py
@@ -18,13 +18,13 @@
 Result = TypeVar("Result")
 
 
-class TakingTransport(asyncio.Transport):
+class ThrottledTransport(asyncio.Transport):
     """Accepts a set number of bytes; reports the rest to its protocol as asyncio transports do."""
 
     def __init__(self, protocol: asyncio.Protocol) -> None:
         super().__init__()
         self.protocol = protocol
-        self.takes = 0
+        self.capacity = 0
         self.unsent = 0
         self.reading = True
         self.closed = False
@@ -40,13 +40,13 @@
             return
         was_empty = self.unsent == 0
         self.unsent += len(data)
-        taken = min(self.takes, self.unsent)
-        self.takes -= taken
+        taken = min(self.capacity, self.unsent)
+        self.capacity -= taken
         self.unsent -= taken
         if was_empty and self.unsent:
             self.protocol.pause_writing()
 
-    def take(self, size: int) -> None:
+    def drain(self, size: int) -> None:
         if self.unsent and not self.closed:
             self.unsent = max(0, self.unsent - size)
             if not self.unsent:
@@ -103,7 +103,7 @@
     """Reads a number of bytes from its socket, waits, and repeats."""
 
     def __init__(self, size: int, pause_s: float) -> None:
-        self.got = bytearray()
+        self.received = bytearray()
         self.ended = False
         self._buffer = bytearray(size)
         self._pause_s = pause_s
@@ -118,7 +118,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         assert self._transport is not None
-        self.got += self._buffer[:nbytes]
+        self.received += self._buffer[:nbytes]
         self._transport.pause_reading()
         asyncio.get_running_loop().call_later(self._pause_s, self._transport.resume_reading)
 
--- a/tests/unit/gateway/test_client_deadlines.py
+++ b/tests/unit/gateway/test_client_deadlines.py
@@ -7,9 +7,9 @@
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 
-LONGEST_ONE_WAY_S = 0.003
+MAX_ONE_WAY_LATENCY_S = 0.003
 """Largest one-way latency of the sites served, seconds."""
-CONNECTING_AND_ASKING = 3
+ONE_WAY_TRIPS = 3
 WORK_S = 0.002
 
 
@@ -17,7 +17,7 @@
     route = Route("r", "h", "/", True, timeout_s=0.8, objective_s=0.057, attempts=2, priority=1)
     request = HttpRequest(b"GET", b"/", (), b"")
     began_at = 50.0
-    received_at = began_at + CONNECTING_AND_ASKING * LONGEST_ONE_WAY_S
+    received_at = began_at + ONE_WAY_TRIPS * MAX_ONE_WAY_LATENCY_S
     deadlines = ClientDeadlines(NAMES).of(route, request, received_at)
-    arrives_at = deadlines.objective_at + WORK_S + LONGEST_ONE_WAY_S
+    arrives_at = deadlines.objective_at + WORK_S + MAX_ONE_WAY_LATENCY_S
     assert arrives_at <= began_at + route.objective_s
--- a/tests/unit/gateway/test_memory_account.py
+++ b/tests/unit/gateway/test_memory_account.py
@@ -11,7 +11,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from tests.support.slow_clients import TakingTransport
+from tests.support.slow_clients import ThrottledTransport
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection, accept_any_answer
 from tinrudder.gateway.clients.client_connection import ClientConnection
 from tinrudder.gateway.clients.memory_account import MemoryAccount
@@ -29,7 +29,7 @@
 ANSWER = b"HTTP/1.1 200 OK\r\nContent-Length: 30\r\n\r\n" + b"y" * 30
 
 
-class LateHandler:
+class ManualHandler:
     """Answers when the test calls for it."""
 
     closing = False
@@ -38,7 +38,7 @@
         self.limits = ClientLimits(max_header_bytes=200, max_body_bytes=50)
         self.open: list[ClientConnection] = []
 
-    def handle(self, request: HttpRequest, connection: ClientConnection) -> LateHandler:
+    def handle(self, request: HttpRequest, connection: ClientConnection) -> ManualHandler:
         self.open.append(connection)
         return self
 
@@ -46,14 +46,14 @@
         self.open.clear()
 
 
-class ClientTrial:
+class ClientHarness:
     """One client connection and the events that can happen to it."""
 
     def __init__(self, bound: float) -> None:
         self.account = MemoryAccount(bound)
-        self.handler = LateHandler()
+        self.handler = ManualHandler()
         self.connection = ClientConnection(self.handler, set(), self.account)
-        self.transport = TakingTransport(self.connection)
+        self.transport = ThrottledTransport(self.connection)
         self.connection.connection_made(self.transport)
         self._stream = REQUEST * 40
 
@@ -67,10 +67,10 @@
             self.connection.data_received(b"\x00\r\n\r\n")
 
     def room(self, size: int) -> None:
-        self.transport.takes += size
+        self.transport.capacity += size
 
     def take(self, size: int) -> None:
-        self.transport.take(size)
+        self.transport.drain(size)
 
     def look(self, _: int) -> None:
         self.connection._check_pause()
@@ -83,7 +83,7 @@
         self.transport.abort()
 
 
-class BackendTrial:
+class BackendHarness:
     """One connection to a back end and the events that can happen to it."""
 
     def __init__(self) -> None:
@@ -91,7 +91,7 @@
         self.connection = UpstreamConnection(
             accept_any_answer, lambda one: None, lambda one: None, self.account
         )
-        self.transport = TakingTransport(self.connection)
+        self.transport = ThrottledTransport(self.connection)
         self.connection.connection_made(self.transport)
         self._stream = ANSWER * 40
 
@@ -105,10 +105,10 @@
         self._stream = self._stream[size:]
 
     def room(self, size: int) -> None:
-        self.transport.takes += size
+        self.transport.capacity += size
 
     def take(self, size: int) -> None:
-        self.transport.take(size)
+        self.transport.drain(size)
 
     def eof(self, _: int) -> None:
         self.connection.eof_received()
@@ -124,17 +124,19 @@
     return st.lists(st.tuples(st.sampled_from(names), st.integers(1, 60)), max_size=40)
 
 
-async def play(trial: ClientTrial | BackendTrial, events: list[tuple[str, int]]) -> None:
+async def apply_events(
+    harness: ClientHarness | BackendHarness, events: list[tuple[str, int]]
+) -> None:
     """Apply events until the connection has ended, then end it."""
     for event, size in events:
-        if trial.transport.closed:
+        if harness.transport.closed:
             break
-        getattr(trial, event)(size)
-        account = trial.account
-        assert account.clients + account.backends >= trial.transport.unsent
+        getattr(harness, event)(size)
+        account = harness.account
+        assert account.clients + account.backends >= harness.transport.unsent
         await asyncio.sleep(0)
-    trial.transport.abort()
-    assert (trial.account.clients, trial.account.backends) == (0, 0)
+    harness.transport.abort()
+    assert (harness.account.clients, harness.account.backends) == (0, 0)
 
 
 @settings(max_examples=200, deadline=None)
@@ -146,7 +148,7 @@
     events: list[tuple[str, int]], bound: float
 ) -> None:
     async def run() -> None:
-        await play(ClientTrial(bound), events)
+        await apply_events(ClientHarness(bound), events)
 
     asyncio.run(run())
 
@@ -157,7 +159,7 @@
     events: list[tuple[str, int]],
 ) -> None:
     async def run() -> None:
-        await play(BackendTrial(), events)
+        await apply_events(BackendHarness(), events)
 
     asyncio.run(run())
 
@@ -176,7 +178,7 @@
 
 
 @given(st.integers(0, 20), st.integers(0, 2_000_000), st.integers(0, 2_000_000))
-def test_whoever_is_less_urgent_is_refused_no_later(steps: int, clients: int, peers: int) -> None:
+def test_a_less_urgent_request_is_refused_no_later(steps: int, clients: int, peers: int) -> None:
     account = MemoryAccount(1_000_000.0, count_peers=lambda: peers)
     account.look()
     account.clients = clients
--- a/tests/unit/gateway/test_upstream_connection.py
+++ b/tests/unit/gateway/test_upstream_connection.py
@@ -39,7 +39,7 @@
         assert high == 0
 
 
-class Bench:
+class ConnectionHarness:
     """A connection, its transport and the outcomes of its calls."""
 
     def __init__(self) -> None:
@@ -47,13 +47,13 @@
         self.closed: list[UpstreamConnection] = []
         self.outcomes: list[CallOutcome] = []
         self.memory = MemoryAccount()
-        self.stood_still = False
+        self.was_paused = False
         self.connection = UpstreamConnection(
             accept_any_answer,
             self.freed.append,
             self.closed.append,
             self.memory,
-            lambda since: self.stood_still,
+            lambda since: self.was_paused,
         )
         self.transport = FakeTransport()
         self.connection.connection_made(self.transport)
@@ -62,89 +62,89 @@
         return self.connection.send(UpstreamCall(lambda: data, b"r1", self.outcomes.append, 1e9))
 
 
-def in_loop(check: Callable[[Bench], None]) -> None:
+def in_loop(check: Callable[[ConnectionHarness], None]) -> None:
     async def run() -> None:
-        check(Bench())
+        check(ConnectionHarness())
 
     asyncio.run(run())
 
 
 def test_a_whole_answer_frees_the_connection() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.connection.data_received(ANSWER)
-        assert isinstance(bench.outcomes[0], Answered)
-        assert bench.freed == [bench.connection]
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.connection.data_received(ANSWER)
+        assert isinstance(harness.outcomes[0], Answered)
+        assert harness.freed == [harness.connection]
 
     in_loop(check)
 
 
 @pytest.mark.parametrize("part", [b"", b"HTTP/1.1 200 OK\r\n\r\nab", ANSWER[:-1]])
 def test_a_reset_answer_is_broken_even_without_a_length(part: bytes) -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
         if part:
-            bench.connection.data_received(part)
-        bench.connection.connection_lost(ConnectionResetError())
-        assert isinstance(bench.outcomes[0], Broken)
-        assert bench.freed == []
+            harness.connection.data_received(part)
+        harness.connection.connection_lost(ConnectionResetError())
+        assert isinstance(harness.outcomes[0], Broken)
+        assert harness.freed == []
 
     in_loop(check)
 
 
 def test_an_orderly_end_completes_an_answer_without_a_length() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.connection.data_received(b"HTTP/1.1 200 OK\r\n\r\nab")
-        bench.connection.eof_received()
-        outcome = bench.outcomes[0]
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.connection.data_received(b"HTTP/1.1 200 OK\r\n\r\nab")
+        harness.connection.eof_received()
+        outcome = harness.outcomes[0]
         assert isinstance(outcome, Answered)
         assert outcome.answer.body == b"ab"
-        assert bench.transport.dropped
+        assert harness.transport.dropped
 
     in_loop(check)
 
 
 def test_bytes_without_a_call_close_the_connection() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.connection.data_received(ANSWER)
-        bench.connection.data_received(ANSWER)
-        assert bench.transport.dropped
-        assert not bench.connection.is_usable()
-        assert len(bench.outcomes) == 1
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.connection.data_received(ANSWER)
+        harness.connection.data_received(ANSWER)
+        assert harness.transport.dropped
+        assert not harness.connection.is_usable()
+        assert len(harness.outcomes) == 1
 
     in_loop(check)
 
 
 def test_an_answer_before_the_whole_request_left_closes_the_connection() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.transport.unsent = 10
-        bench.connection.data_received(ANSWER)
-        assert isinstance(bench.outcomes[0], Answered)
-        assert bench.transport.dropped
-        assert bench.freed == []
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.transport.unsent = 10
+        harness.connection.data_received(ANSWER)
+        assert isinstance(harness.outcomes[0], Answered)
+        assert harness.transport.dropped
+        assert harness.freed == []
 
     in_loop(check)
 
 
 def test_a_withdrawn_call_writes_nothing() -> None:
-    def check(bench: Bench) -> None:
-        assert not bench.send(None)
-        assert bench.transport.written == b""
-        assert bench.connection.is_usable()
+    def check(harness: ConnectionHarness) -> None:
+        assert not harness.send(None)
+        assert harness.transport.written == b""
+        assert harness.connection.is_usable()
 
     in_loop(check)
 
 
 def test_a_connection_is_left_before_the_server_closes_it() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.connection.data_received(
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.connection.data_received(
             b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nKeep-Alive: timeout=0\r\n\r\n"
         )
-        assert not bench.connection.is_usable()
+        assert not harness.connection.is_usable()
 
     in_loop(check)
 
@@ -158,15 +158,15 @@
         (ANSWER[:20], ConnectionResetError("reset by peer"), False),
     ],
 )
-def test_a_connection_that_ends_before_any_byte_of_an_answer_is_told_apart(
+def test_a_connection_lost_before_any_byte_of_an_answer_is_distinguished(
     received: bytes, error: Exception | None, unanswered: bool
 ) -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
         if received:
-            bench.connection.data_received(received)
-        bench.connection.connection_lost(error)
-        [outcome] = bench.outcomes
+            harness.connection.data_received(received)
+        harness.connection.connection_lost(error)
+        [outcome] = harness.outcomes
         assert isinstance(outcome, Broken)
         assert outcome.unanswered is unanswered
 
@@ -174,25 +174,25 @@
 
 
 @pytest.mark.parametrize(("received", "unanswered"), [(b"", True), (ANSWER[:20], False)])
-def test_an_orderly_end_before_any_byte_of_an_answer_is_told_apart(
+def test_an_orderly_end_before_any_byte_of_an_answer_is_distinguished(
     received: bytes, unanswered: bool
 ) -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
         if received:
-            bench.connection.data_received(received)
-        bench.connection.eof_received()
-        assert bench.outcomes == [Broken("the connection ended inside the answer", unanswered)]
+            harness.connection.data_received(received)
+        harness.connection.eof_received()
+        assert harness.outcomes == [Broken("the connection ended inside the answer", unanswered)]
 
     in_loop(check)
 
 
-def test_what_is_cut_while_this_process_stood_still_is_held_against_nobody() -> None:
-    def check(bench: Bench) -> None:
-        bench.stood_still = True
-        bench.send()
-        bench.connection.connection_lost(ConnectionResetError("reset by peer"))
-        [outcome] = bench.outcomes
+def test_a_connection_lost_while_this_process_was_paused_blames_nobody() -> None:
+    def check(harness: ConnectionHarness) -> None:
+        harness.was_paused = True
+        harness.send()
+        harness.connection.connection_lost(ConnectionResetError("reset by peer"))
+        [outcome] = harness.outcomes
         assert isinstance(outcome, Broken)
         assert outcome.stood_still
         assert not outcome.unanswered
@@ -200,29 +200,29 @@
     in_loop(check)
 
 
-def test_a_request_that_was_not_sent_whole_is_not_what_ended_the_back_end() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.transport.unsent = 10
-        bench.connection.pause_writing()
-        assert bench.memory.backends == 10
-        bench.transport.unsent = 0
-        bench.connection.connection_lost(ConnectionResetError("reset by peer"))
-        [outcome] = bench.outcomes
+def test_a_partly_sent_request_is_not_the_cause_of_a_back_end_crash() -> None:
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.transport.unsent = 10
+        harness.connection.pause_writing()
+        assert harness.memory.backends == 10
+        harness.transport.unsent = 0
+        harness.connection.connection_lost(ConnectionResetError("reset by peer"))
+        [outcome] = harness.outcomes
         assert isinstance(outcome, Broken)
         assert not outcome.unanswered
-        assert bench.memory.backends == 0
+        assert harness.memory.backends == 0
 
     in_loop(check)
 
 
 def test_an_answer_that_comes_in_parts_is_counted_until_it_is_whole() -> None:
-    def check(bench: Bench) -> None:
-        bench.send()
-        bench.connection.data_received(ANSWER[:-1])
-        assert bench.memory.backends == 1
-        bench.connection.data_received(ANSWER[-1:])
-        assert isinstance(bench.outcomes[0], Answered)
-        assert bench.memory.backends == 0
+    def check(harness: ConnectionHarness) -> None:
+        harness.send()
+        harness.connection.data_received(ANSWER[:-1])
+        assert harness.memory.backends == 1
+        harness.connection.data_received(ANSWER[-1:])
+        assert isinstance(harness.outcomes[0], Answered)
+        assert harness.memory.backends == 0
 
     in_loop(check)
