--- a/tinrudder/gateway/backends/http_fetch.py
+++ b/tinrudder/gateway/backends/http_fetch.py
@@ -82,5 +82,7 @@
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection):
         return "without a connection"
-    opened_s, heard_s = now - connection.opened_at, now - connection.last_received_at
-    return f"over a connection opened {opened_s:.2f} s ago, last heard {heard_s:.2f} s ago"
+    opened_s, received_s = now - connection.opened_at, now - connection.last_received_at
+    return (
+        f"over a connection opened {opened_s:.2f} s ago, last bytes received {received_s:.2f} s ago"
+    )
