--- a/tests/support/slow_clients.py
+++ b/tests/support/slow_clients.py
@@ -1,6 +1,6 @@
-"""Clients that read slowly or not at all, and a transport whose other side takes what it is told.
+"""Slow clients, and a transport that accepts only as many bytes as the test allows.
 
-The connections are in memory, 64 KB each way; time is virtual.
+Connections are in memory with 64 KB of buffer in each direction; time is virtual.
 """
 
 from __future__ import annotations
@@ -18,13 +18,13 @@
 Result = TypeVar("Result")
 
 
-class TakingTransport(asyncio.Transport):
-    """Takes a number of bytes; tells its protocol about the rest as asyncio's own does."""
+class ThrottledTransport(asyncio.Transport):
+    """Accepts a set number of bytes; reports the rest to its protocol as asyncio transports do."""
 
     def __init__(self, protocol: asyncio.Protocol) -> None:
         super().__init__()
         self.protocol = protocol
-        self.takes = 0
+        self.capacity = 0
         self.unsent = 0
         self.reading = True
         self.closed = False
@@ -40,13 +40,13 @@
             return
         was_empty = self.unsent == 0
         self.unsent += len(data)
-        taken = min(self.takes, self.unsent)
-        self.takes -= taken
+        taken = min(self.capacity, self.unsent)
+        self.capacity -= taken
         self.unsent -= taken
         if was_empty and self.unsent:
             self.protocol.pause_writing()
 
-    def take(self, size: int) -> None:
+    def drain(self, size: int) -> None:
         if self.unsent and not self.closed:
             self.unsent = max(0, self.unsent - size)
             if not self.unsent:
@@ -79,7 +79,7 @@
     scenario: Callable[[MemoryAccount, set[ClientConnection]], Coroutine[Any, Any, Result]],
     bound: float = float("inf"),
 ) -> Result:
-    """Serve connections with ``handler`` in virtual time while a scenario runs."""
+    """Run a scenario in virtual time while ``handler`` serves connections."""
     loop = EmulatorLoop()
     asyncio.set_event_loop(loop)
 
@@ -100,10 +100,10 @@
 
 
 class PacedClient(asyncio.BufferedProtocol):
-    """Takes a number of bytes from its socket, then waits, and so on."""
+    """Reads a number of bytes from its socket, waits, and repeats."""
 
     def __init__(self, size: int, pause_s: float) -> None:
-        self.got = bytearray()
+        self.received = bytearray()
         self.ended = False
         self._buffer = bytearray(size)
         self._pause_s = pause_s
@@ -118,7 +118,7 @@
 
     def buffer_updated(self, nbytes: int) -> None:
         assert self._transport is not None
-        self.got += self._buffer[:nbytes]
+        self.received += self._buffer[:nbytes]
         self._transport.pause_reading()
         asyncio.get_running_loop().call_later(self._pause_s, self._transport.resume_reading)
 
@@ -127,7 +127,7 @@
 
 
 async def connect_paced(data: bytes, size: int, pause_s: float) -> PacedClient:
-    """Open a connection that reads ``size`` bytes at a time, and send something."""
+    """Open a connection that reads ``size`` bytes at a time, and send ``data``."""
     loop = asyncio.get_running_loop()
     transport, client = await loop.create_connection(lambda: PacedClient(size, pause_s), HOST, PORT)
     transport.write(data)
@@ -135,7 +135,7 @@
 
 
 async def connect(data: bytes) -> tuple[asyncio.StreamReader, asyncio.StreamWriter]:
-    """Open a connection whose reader takes next to nothing ahead, and send something."""
+    """Open a connection whose reader buffers almost nothing, and send ``data``."""
     reader, writer = await asyncio.open_connection(HOST, PORT, limit=1024)
     writer.write(data)
     return reader, writer
--- a/tinrudder/gateway/backends/answer_reader.py
+++ b/tinrudder/gateway/backends/answer_reader.py
@@ -1,8 +1,10 @@
-"""Reads one HTTP/1.1 answer at a time and says whether its connection may be used again.
+"""Parses one HTTP/1.1 answer and decides whether its connection may be reused.
 
-httptools splits the bytes; what it leaves open stands here: answers that end with their
-connection, answers to HEAD, interim answers, and bytes behind a whole answer.  Owns the bytes of
-the answer that it reads; a connection owns one reader for its life.
+httptools parses the bytes. This module adds the cases that httptools leaves to its caller: answers
+delimited by the end of the connection, answers to HEAD, interim (1xx) answers, and trailing bytes
+after a complete answer.
+
+Owns the bytes of the answer that it parses. A connection creates one reader for each call.
 """
 
 from __future__ import annotations
@@ -14,17 +16,17 @@
 from tinrudder.gateway.model.http_messages import Header, HttpAnswer
 
 MAX_HEAD_BYTES = 64 * 1024
-"""Longest head of an answer, bytes. Chosen, not measured: a server that sends more is broken, and
-the head is held whole."""
+"""Largest head of an answer, bytes. The whole head is buffered; a server that sends more is
+faulty."""
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Longest body of an answer, bytes. Chosen, not measured: bodies are held whole, so this bounds
-what one call can take of the process's memory."""
+"""Largest body of an answer, bytes. Bodies are buffered whole, so this bounds the memory that one
+call can use."""
 STATUSES_WITHOUT_BODY = (204, 304)
 HTTP_VERSION_WITH_KEEP_ALIVE = "1.1"
 
 
 class ReadState(enum.Enum):
-    """How far an answer has come."""
+    """Progress of parsing an answer."""
 
     READING = "reading"
     COMPLETE = "complete"
@@ -32,11 +34,11 @@
 
 
 class AnswerReader:
-    """Takes the bytes of one answer.
+    """Parses the bytes of one answer.
 
-    Use a new one for each answer; its cost is one parser object.
+    Create a new reader for each answer; it costs one parser object.
 
-    :ivar body_bytes: how much of the body has come.
+    :ivar body_bytes: bytes of the body received so far.
 
     >>> reader = AnswerReader(body_expected=True)
     >>> reader.feed(b"HTTP/1.1 200 OK\\r\\nContent-Length: 2\\r\\n\\r\\nok")
@@ -45,14 +47,15 @@
     (b'ok', True)
     """
 
-    def __init__(self, *, body_expected: bool, most_bytes: float = MAX_ANSWER_BYTES) -> None:
-        """Begin.
+    def __init__(self, *, body_expected: bool, max_bytes: float = MAX_ANSWER_BYTES) -> None:
+        """Start parsing an answer.
 
         :param body_expected: false for an answer to HEAD.
-        :param most_bytes: a larger body is not read to its end.
+        :param max_bytes: body size limit, at most :data:`MAX_ANSWER_BYTES`; a larger body makes
+            the answer unreadable.
         """
         self.body_bytes = 0
-        self._most_bytes = min(most_bytes, MAX_ANSWER_BYTES)
+        self._max_bytes = min(max_bytes, MAX_ANSWER_BYTES)
         self.state = ReadState.READING
         self.reusable = False
         self.detail = ""
@@ -66,43 +69,43 @@
         self._head_complete = False
         self._message_complete = False
         self._framed = False
-        self._excess = False
-        self._begun = False
+        self._must_close = False
+        self._has_begun = False
 
     @property
     def begun(self) -> bool:
-        """Tell whether any byte of an answer has come, an interim one included."""
-        return self._begun
+        """Whether any byte of an answer has arrived, including interim answers."""
+        return self._has_begun
 
     @property
     def answer(self) -> HttpAnswer:
-        """Return the answer, once it is complete."""
+        """The answer; valid only in state ``COMPLETE``."""
         return HttpAnswer(self._status, self._reason, tuple(self._headers), b"".join(self._body))
 
     def feed(self, data: bytes) -> ReadState:
-        """Take bytes as they arrive."""
+        """Parse the bytes that arrived."""
         if self.state is not ReadState.READING:
             self.reusable = False
             return self.state
-        self._begun = True
+        self._has_begun = True
         if not self._head_complete:
             self._head_bytes += len(data)
         try:
             self._parser.feed_data(data)
         except (httptools.HttpParserError, httptools.HttpParserUpgrade) as error:
-            self._excess = True
+            self._must_close = True
             if not self._message_complete:
                 return self._fail(f"unreadable answer: {error!r}")
         if self._message_complete:
             return self._complete()
         if not self._head_complete and self._head_bytes > MAX_HEAD_BYTES:
             return self._fail("head of the answer larger than MAX_HEAD_BYTES")
-        if self.body_bytes > self._most_bytes:
-            return self._fail(f"answer larger than {self._most_bytes:.0f} bytes")
+        if self.body_bytes > self._max_bytes:
+            return self._fail(f"answer larger than {self._max_bytes:.0f} bytes")
         return self.state
 
     def end_of_stream(self) -> ReadState:
-        """Take the orderly end of the connection: it completes an answer without a length."""
+        """Handle an orderly close, which completes an answer without a declared length."""
         if self.state is not ReadState.READING:
             return self.state
         if self._head_complete and not self._framed:
@@ -110,22 +113,22 @@
         return self._fail("the connection ended inside the answer")
 
     def on_message_begin(self) -> None:
-        """Notice bytes behind a whole answer (called by the parser)."""
+        """Detect trailing bytes after a complete answer (parser callback)."""
         if self._message_complete:
-            self._excess = True
+            self._must_close = True
 
     def on_status(self, status: bytes) -> None:
-        """Collect the reason phrase (called by the parser)."""
+        """Collect the reason phrase (parser callback)."""
         if not self._message_complete:
             self._reason += status
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header (called by the parser)."""
+        """Collect a header (parser callback)."""
         if not self._message_complete:
             self._headers.append((name.lower(), value))
 
     def on_headers_complete(self) -> None:
-        """Learn how the answer is framed (called by the parser)."""
+        """Determine the framing of the answer (parser callback)."""
         if self._message_complete:
             return
         self._status = self._parser.get_status_code()
@@ -138,21 +141,21 @@
         )
         if not self._body_expected:
             self._message_complete = True
-            self._excess = True
+            self._must_close = True
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body (called by the parser)."""
+        """Collect part of the body (parser callback)."""
         if self._message_complete:
             return
         self._body.append(body)
         self.body_bytes += len(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer; interim answers are passed over (called by the parser)."""
+        """Mark the answer complete, or skip an interim answer (parser callback)."""
         if self._message_complete:
             return
         if self._status < 200:
-            self._forget_interim()
+            self._discard_interim()
             return
         self._message_complete = True
         self.reusable = (
@@ -161,28 +164,30 @@
             and self._framed
         )
 
-    def _forget_interim(self) -> None:
-        """Make room for the answer behind an interim one."""
+    def _discard_interim(self) -> None:
+        """Discard an interim answer, so that the final one can be parsed."""
         self._headers.clear()
         self._reason = b""
         self._head_complete = False
 
     def _complete(self) -> ReadState:
-        """End with a whole answer."""
-        if self._excess:
+        """Finish in state ``COMPLETE``."""
+        if self._must_close:
             self.reusable = False
         self.state = ReadState.COMPLETE
-        self._forget_parser()
+        self._release_parser()
         return self.state
 
     def _fail(self, detail: str) -> ReadState:
-        """End without one."""
+        """Finish in state ``UNREADABLE``."""
         self.reusable = False
         self.detail = detail
         self.state = ReadState.UNREADABLE
-        self._forget_parser()
+        self._release_parser()
         return self.state
 
-    def _forget_parser(self) -> None:
-        """End the cycle of the two, which would keep the body until the collector's next run."""
+    def _release_parser(self) -> None:
+        """Break the reference cycle with the parser, which would keep the body in memory until the
+        next garbage collection.
+        """
         del self._parser
--- a/tinrudder/gateway/backends/http_fetch.py
+++ b/tinrudder/gateway/backends/http_fetch.py
@@ -1,7 +1,7 @@
-"""A plain request with one answer, for servers that are no back ends, such as the platform's store.
+"""Sends a plain HTTP request to a server that is not a back end, such as the platform's store.
 
-Owns nothing. Relies on a pool for the connection; turns every way to get no whole answer into one
-error.
+Owns no state. A pool provides the connection; every failure to get a complete answer raises the
+same error.
 """
 
 from __future__ import annotations
@@ -12,25 +12,26 @@
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
 from tinrudder.gateway.model.http_messages import Answered, CallOutcome, HttpAnswer, UpstreamCall
 
-LONGEST_ARRIVAL_S = 2.5
-"""Most seconds beyond its time for which an answer is waited for that is arriving: a configuration
+MAX_RECEIVE_EXTENSION_S = 2.5
+"""How long after its timeout an answer that is still arriving is awaited, seconds: a configuration
 of a thousand routes takes half a second over a slow link."""
-PAUSE_S = 0.5
-"""Seconds without a byte after which an answer is not arriving any more."""
+STALL_TIMEOUT_S = 0.5
+"""Seconds without a byte after which an answer counts as stalled."""
 
 
 class FetchError(Exception):
-    """No whole answer came."""
+    """No complete answer arrived."""
 
 
 async def fetch(pool: UpstreamPool, request: bytes, timeout_s: float) -> HttpAnswer:
-    """Send a request and wait for its whole answer.
+    """Send a request and wait for its complete answer.
 
-    It goes over a connection that was heard a moment ago, or a new one: an idle one whose way is
-    gone would take the whole time to show it.
+    The request uses a new connection or one that received bytes a moment ago: on an idle connection
+    whose network path is lost, the failure would show only at the timeout.
 
-    :param timeout_s: until the answer begins, at the latest; one that is arriving is waited for.
-    :raises FetchError: none came in time; the connection is given up.
+    :param timeout_s: time until the first byte of the answer; an answer that is arriving then is
+        still awaited.
+    :raises FetchError: no answer arrived in time; the connection is closed.
     """
     loop = asyncio.get_running_loop()
     future: asyncio.Future[CallOutcome] = loop.create_future()
@@ -39,15 +40,17 @@
         if not future.done():
             future.set_result(outcome)
 
-    due_at = loop.time() + timeout_s
-    call = UpstreamCall(lambda: request, b"", on_outcome, due_at, repeatable=False)
+    answer_due_at = loop.time() + timeout_s
+    call = UpstreamCall(lambda: request, b"", on_outcome, answer_due_at, repeatable=False)
     pool.start(call)
     try:
         while not future.done():
-            await asyncio.wait({future}, timeout=max(PAUSE_S, due_at - loop.time()))
+            await asyncio.wait({future}, timeout=max(STALL_TIMEOUT_S, answer_due_at - loop.time()))
             now = loop.time()
-            if not future.done() and not _is_arriving(call, now, due_at):
-                raise FetchError(f"no answer in {timeout_s:.2f} s {_way(call, now)}")
+            if not future.done() and not _is_arriving(call, now, answer_due_at):
+                raise FetchError(
+                    f"no answer in {timeout_s:.2f} s {_describe_connection(call, now)}"
+                )
         outcome = future.result()
     finally:
         if not call.finished:
@@ -57,23 +60,29 @@
     raise FetchError(str(outcome))
 
 
-def _is_arriving(call: UpstreamCall, now: float, due_at: float) -> bool:
-    """Tell whether bytes of the answer came a moment ago."""
+def _is_arriving(call: UpstreamCall, now: float, answer_due_at: float) -> bool:
+    """Whether bytes of the answer arrived within :data:`STALL_TIMEOUT_S`."""
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection) or call.sent_at is None:
         return False
-    has_begun = connection.heard_at > call.sent_at
-    return has_begun and now - connection.heard_at < PAUSE_S and now < due_at + LONGEST_ARRIVAL_S
+    has_begun = connection.last_received_at > call.sent_at
+    return (
+        has_begun
+        and now - connection.last_received_at < STALL_TIMEOUT_S
+        and now < answer_due_at + MAX_RECEIVE_EXTENSION_S
+    )
 
 
-def _way(call: UpstreamCall, now: float) -> str:
-    """Tell over which connection a call without an answer went, for the log.
+def _describe_connection(call: UpstreamCall, now: float) -> str:
+    """Describe the connection of a call without an answer, for the log.
 
-    A silent server and a connection that lost its way look alike but for this: over the second, a
-    call that opens another connection is answered.
+    This distinguishes a silent server from a connection whose network path is lost: in the second
+    case a call on a new connection is answered.
     """
     connection = call.carrier
     if not isinstance(connection, UpstreamConnection):
         return "without a connection"
-    opened_s, heard_s = now - connection.opened_at, now - connection.heard_at
-    return f"over a connection opened {opened_s:.2f} s ago, last heard {heard_s:.2f} s ago"
+    opened_s, received_s = now - connection.opened_at, now - connection.last_received_at
+    return (
+        f"over a connection opened {opened_s:.2f} s ago, last bytes received {received_s:.2f} s ago"
+    )
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to a server, with at most one call at a time.
 
-Owns the socket and the outcome of the call on it. Says of a call that ended badly whether any byte
-of it may have been acted upon; that decides whether it may be sent again.
+Owns the socket and the outcome of the call on it. The outcome of a failed call states whether the
+server may have received any of it, which determines whether the call may be retried.
 """
 
 from __future__ import annotations
@@ -23,17 +23,18 @@
 )
 
 USER_TIMEOUT_MS = 4000
-"""After this time without an acknowledgement the kernel ends a connection, as long as the users'
-rules let a machine that is cut off count as in touch."""
+"""``TCP_USER_TIMEOUT``, ms: the kernel closes a connection after this time without an
+acknowledgement. It equals the time for which the users' rules let a machine that is cut off count
+as connected."""
 KEEP_ALIVE_MARGIN_S = 0.5
-"""How long before a server closes an idle connection it is not used any more: the server counts in
-whole seconds from another moment."""
+"""How long before the server's keep-alive timeout an idle connection is no longer used, seconds.
+The server counts in whole seconds and from a different moment."""
 NEVER = float("inf")
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
 def never_stood_still(since: float) -> bool:
-    """Take this process for one that always ran."""
+    """Default for ``was_paused``: assume that this process was never paused."""
     return False
 
 
@@ -41,13 +42,13 @@
 
 
 class UpstreamConnection(asyncio.Protocol):
-    """Sends a call, reads its answer, and tells whether the connection may be used again.
+    """Sends a call, reads its answer, and decides whether the connection may be reused.
 
     :ivar opened_at: when it was opened.
-    :ivar heard_at: when anything came over it, at first its opening.
+    :ivar last_received_at: when the last bytes arrived, initially when it was opened.
 
-    Whatever arrives while no call is waiting closes the connection: those bytes belong to no
-    request.  Answers are read as they arrive, whatever the client does who waits for them.
+    Bytes that arrive while no call is in progress close the connection, since they belong to no
+    request. Answers are read as they arrive, however slowly the client reads them.
     """
 
     def __init__(
@@ -56,32 +57,33 @@
         on_free: Callable[[UpstreamConnection], None],
         on_closed: Callable[[UpstreamConnection], None],
         memory: HeldBytes,
-        stood_still: Callable[[float], bool] = never_stood_still,
+        was_paused: Callable[[float], bool] = never_stood_still,
     ) -> None:
-        """Judge whole answers with ``check``; report to the pool.
+        """Validate complete answers with ``check``; report to the pool by ``on_free`` and
+        ``on_closed``.
 
-        :param stood_still: tells whether this process did not run for a while since a moment.
+        :param was_paused: tells whether this process has been paused since a given time.
         """
         self.usable_until = NEVER
         self._memory = memory
-        self._stood_still = stood_still
-        self._untaken = 0
-        self._counted = 0
+        self._was_paused = was_paused
+        self._unsent_bytes = 0
+        self._counted_answer_bytes = 0
         self._check = check
         self._on_free = on_free
         self._on_closed = on_closed
         self._loop = asyncio.get_running_loop()
         self.opened_at = self._loop.time()
-        self.heard_at = self.opened_at
+        self.last_received_at = self.opened_at
         self._transport: asyncio.Transport | None = None
         self._call: UpstreamCall | None = None
         self._reader: AnswerReader | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport, and let the kernel give up on a silent machine."""
+        """Keep the transport, and let the kernel time out a silent peer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        # So that the transport tells of every byte that the socket does not take at once.
+        # At 0 the transport reports every byte that the socket does not accept immediately.
         transport.set_write_buffer_limits(high=0)
         tcp_socket = transport.get_extra_info("socket")
         if tcp_socket is not None:
@@ -89,22 +91,22 @@
 
     @property
     def is_open(self) -> bool:
-        """Tell whether neither side has ended it, as far as known."""
+        """Whether neither side has closed the connection, as far as is known."""
         return self._transport is not None and not self._transport.is_closing()
 
     def is_usable(self) -> bool:
-        """Tell whether another call may be sent."""
+        """Whether another call may be sent."""
         return self.is_open and self._call is None and self._loop.time() < self.usable_until
 
     def send(self, call: UpstreamCall) -> bool:
-        """Write one call; false when it was withdrawn and nothing was written."""
+        """Write one call; return false if it was withdrawn and nothing was written."""
         assert self._transport is not None
         data = call.make_bytes()
         if data is None:
             return False
         self._call = call
         self._reader = AnswerReader(
-            body_expected=call.body_expected, most_bytes=self._memory.largest_answer
+            body_expected=call.body_expected, max_bytes=self._memory.largest_answer
         )
         call.carrier = self
         call.sent_at = self._loop.time()
@@ -112,79 +114,82 @@
         return True
 
     def abort(self) -> None:
-        """Drop the connection and whatever still arrives on it."""
+        """Close the connection and discard anything that still arrives on it."""
         self._call = None
         if self._transport is not None:
             self._transport.abort()
 
     def pause_writing(self) -> None:
-        """Count what the back end does not take."""
+        """Count the request bytes that the back end has not accepted."""
         assert self._transport is not None
-        self._note_untaken(self._transport.get_write_buffer_size())
+        self._set_unsent_bytes(self._transport.get_write_buffer_size())
 
     def resume_writing(self) -> None:
-        """Count nothing more: the socket has taken everything."""
-        self._note_untaken(0)
+        """Reset that count: the socket has accepted everything."""
+        self._set_unsent_bytes(0)
 
     def data_received(self, data: bytes) -> None:
-        """Read the answer of the call in progress."""
+        """Parse the answer of the call in progress."""
         reader = self._reader
         if self._call is None or reader is None:
             self.abort()
             return
-        self.heard_at = self._loop.time()
+        self.last_received_at = self._loop.time()
         state = reader.feed(data)
         if state is ReadState.READING:
-            self._count(reader.body_bytes)
+            self._set_answer_bytes(reader.body_bytes)
         elif state is ReadState.COMPLETE:
             self._end_with_answer(reader)
         elif state is ReadState.UNREADABLE:
             self._end(Broken(reader.detail), reusable=False)
 
     def eof_received(self) -> bool:
-        """Take the orderly end; the transport closes by itself."""
+        """Handle an orderly close by the peer; the transport then closes itself."""
         reader = self._reader
         if self._call is not None and reader is not None:
             if reader.end_of_stream() is ReadState.COMPLETE:
                 self._end_with_answer(reader)
             else:
-                self._end(self._broken(reader.detail, None), reusable=False)
+                self._end(self._outcome_of_close(reader.detail, None), reusable=False)
         return False
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Without its whole answer, a call that was sent may have run."""
+        """Fail the call in progress: it may have run, since its complete answer did not arrive."""
         self._transport = None
         if self._call is not None:
-            self._end(self._broken(f"connection lost: {exc}", exc), reusable=False)
-        self._note_untaken(0)
-        self._count(0)
+            self._end(self._outcome_of_close(f"connection lost: {exc}", exc), reusable=False)
+        self._set_unsent_bytes(0)
+        self._set_answer_bytes(0)
         self._on_closed(self)
 
-    def _broken(self, detail: str, exc: Exception | None) -> Broken:
-        """Say what the end of the connection tells, if the other side ended it.
+    def _outcome_of_close(self, detail: str, exc: Exception | None) -> Broken:
+        """Return the outcome of a call whose connection was closed before the answer was complete.
 
-        Where the kernel gave up waiting, the way there is what failed; where the back end had not
-        been sent the whole request, or cut off what this process left unread, the request is not.
+        ``unanswered`` marks the request as a possible cause of a back-end crash. It is not set if
+        the kernel timed out, where the network path failed, nor if the back end had not been sent
+        the whole request or had begun to answer. If this process was paused meanwhile, the outcome
+        says nothing about the back end or the request: the back end may have closed the connection
+        over bytes left unread.
         """
         assert self._call is not None and self._call.sent_at is not None
-        if self._stood_still(self._call.sent_at):
+        if self._was_paused(self._call.sent_at):
             return Broken(detail, stood_still=True)
         begun = self._reader is not None and self._reader.begun
-        unanswered = not begun and not self._untaken and not isinstance(exc, TimeoutError)
+        unanswered = not begun and not self._unsent_bytes and not isinstance(exc, TimeoutError)
         return Broken(detail, unanswered)
 
-    def _note_untaken(self, size: int) -> None:
-        """Count the bytes of a request that the socket has not taken."""
-        self._memory.backends += size - self._untaken
-        self._untaken = size
+    def _set_unsent_bytes(self, size: int) -> None:
+        """Count the request bytes that the socket has not accepted."""
+        self._memory.backends += size - self._unsent_bytes
+        self._unsent_bytes = size
 
-    def _count(self, size: int) -> None:
-        """Count the bytes of an answer that has come in part."""
-        self._memory.backends += size - self._counted
-        self._counted = size
+    def _set_answer_bytes(self, size: int) -> None:
+        """Count the bytes of a partly received answer."""
+        self._memory.backends += size - self._counted_answer_bytes
+        self._counted_answer_bytes = size
 
     def _end_with_answer(self, reader: AnswerReader) -> None:
-        """End the call with a whole answer."""
+        """End the call with a complete answer."""
         call = self._call
         assert call is not None and self._transport is not None
         answer = reader.answer
@@ -199,7 +204,7 @@
         self._end(outcome, reusable=reusable)
 
     def _note_keep_alive(self, answer: HttpAnswer) -> None:
-        """Learn how long the server keeps an idle connection."""
+        """Read from an answer how long the server keeps an idle connection open."""
         value = header_value(answer.headers, b"keep-alive")
         match = _KEEP_ALIVE_TIMEOUT.search(value) if value else None
         if match is None:
@@ -208,13 +213,13 @@
             self.usable_until = self._loop.time() + int(match[1]) - KEEP_ALIVE_MARGIN_S
 
     def _end(self, outcome: CallOutcome, *, reusable: bool) -> None:
-        """Free or close the connection, then report."""
+        """Finish the call; free the connection if it is reusable, else close it."""
         call = self._call
         assert call is not None
         self._call = None
         self._reader = None
-        if self._counted:
-            self._count(0)
+        if self._counted_answer_bytes:
+            self._set_answer_bytes(0)
         if not reusable:
             self.abort()
         call.finish(outcome)
@@ -223,5 +228,5 @@
 
 
 def accept_any_answer(call: UpstreamCall, answer: HttpAnswer) -> CallOutcome:
-    """Take every whole answer: for servers that echo no request id."""
+    """Accept every complete answer, for servers that do not echo the request id."""
     return Answered(answer)
