--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -1,4 +1,4 @@
-"""A few nodes that run operations, in virtual time, over one ledger that counts its runs."""
+"""A cluster in virtual time whose nodes run operations on one ledger that counts executions."""
 
 from __future__ import annotations
 
@@ -46,7 +46,10 @@
 
 
 class SleepyClock:
-    """One node's clocks; ``sleep`` moves both on at once, and no timer fires meanwhile."""
+    """The clocks of a node that can be suspended.
+
+    ``sleep`` advances both clocks at once without firing timers.
+    """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
@@ -67,9 +70,9 @@
 
 @dataclass
 class Ledger:
-    """All back ends: counts how often each key ran, and answers as it is told.
+    """Stands in for all back ends and counts the executions of each order.
 
-    :param replies: what the next calls get instead of running.
+    :param replies: replies to the next calls, which are then not executed.
     """
 
     ran: Counter[str] = field(default_factory=Counter)
@@ -83,7 +86,7 @@
 
     def _send(self, call: BackendCall, listener: ReplyListener) -> None:
         if call.may_leave is not None and not call.may_leave():
-            listener(call, NotSent("not any more"))
+            listener(call, NotSent("dispatch window closed"))
             return
         call.may_have_left = True
         if self.replies:
@@ -126,7 +129,7 @@
 
 
 class OperationNode:
-    """One node's claims and operations."""
+    """The claims service and the operation runner of one node."""
 
     def __init__(self, number: int, transport: MemoryPeerTransport, ledger: Ledger) -> None:
         self.clock = SleepyClock()
@@ -180,7 +183,7 @@
 
 
 class OperationCluster:
-    """Nodes in three zones that know each other; ready at 100 s of virtual time."""
+    """Nodes in three zones that know the same member list; ready at 100 s of virtual time."""
 
     def __init__(self, nodes: int = 5, loss: float = 0.0, seed: int = 7) -> None:
         self.ledger = Ledger()
--- a/tests/unit/cluster/test_claims.py
+++ b/tests/unit/cluster/test_claims.py
@@ -1,4 +1,7 @@
-"""Claims: voters, proposers and electorates, by example and by random histories."""
+"""Voters, proposers and electorates: examples, the exhaustive model, and random histories.
+
+Guards against a key that two proposers win, which could run its operation twice.
+"""
 
 from __future__ import annotations
 
@@ -198,7 +201,7 @@
 
 
 class ClaimMachine(RuleBasedStateMachine):
-    """Nodes with skewed clocks, lists that change and are learned late, restarts, duplicates."""
+    """Random histories with skewed clocks, late member lists, restarts and duplicate requests."""
 
     submissions = Bundle("submissions")
 
--- a/tests/unit/cluster/test_claims_codec.py
+++ b/tests/unit/cluster/test_claims_codec.py
@@ -1,4 +1,4 @@
-"""Claim messages survive the wire, and nothing else passes for one."""
+"""Claim messages decode to what was encoded; invalid bytes raise only ``MalformedClaimError``."""
 
 from __future__ import annotations
 
--- a/tinrudder/cluster/claims/claim.py
+++ b/tinrudder/cluster/claims/claim.py
@@ -1,4 +1,7 @@
-"""One attempt to claim a key, as its user holds it."""
+"""The handle that a caller of ``ClaimsService.claim`` receives for one attempt.
+
+Owns no state beyond the proposer that it wraps.
+"""
 
 from __future__ import annotations
 
@@ -10,7 +13,7 @@
 
 
 class Claim:
-    """One attempt to claim a key, won or not."""
+    """One attempt to claim a key, won or lost."""
 
     def __init__(
         self,
@@ -19,7 +22,7 @@
         wall_clock: WallClock,
         release: Callable[[ClaimProposer], None],
     ) -> None:
-        """Read both clocks at every question."""
+        """Wrap ``proposer``; ``release`` sends its votes back after it has given up."""
         self.proposer = proposer
         self._timers = timers
         self._wall_clock = wall_clock
@@ -27,28 +30,28 @@
 
     @property
     def won(self) -> bool:
-        """Tell whether the key is ours."""
+        """Return whether the key was won and may still be dispatched once."""
         return self.proposer.phase is ClaimPhase.WON
 
     @property
     def holders(self) -> tuple[ProposerId, ...]:
-        """Return the other proposers that voters named as the key's holders."""
+        """Return the proposers that voters named as holders of the key."""
         return tuple(self.proposer.holders)
 
     def begin_dispatch(self) -> bool:
-        """Use up the permission to send; ``True`` at most once."""
+        """Consume the permission to send; return ``True`` if it was available."""
         return self.proposer.begin_dispatch(self._timers.time(), self._wall_clock())
 
     def is_open(self) -> bool:
-        """Tell whether the time to send has not run out; ask again as the bytes leave."""
+        """Return whether the dispatch window is open; check again just before sending."""
         return self.proposer.window.is_open(self._timers.time(), self._wall_clock())
 
     def dispatch_did_not_start(self) -> None:
-        """Restore the permission: the request is known not to have started."""
+        """Restore the permission to send: the request is known not to have started."""
         self.proposer.dispatch_did_not_start()
 
     def give_up(self) -> bool:
-        """Renounce and release the votes; ``False`` if the request may have left."""
+        """Abandon the claim and release its votes; ``False`` if the request may have been sent."""
         if not self.proposer.give_up():
             return False
         self._release(self.proposer)
--- a/tinrudder/cluster/claims/claim_identity.py
+++ b/tinrudder/cluster/claims/claim_identity.py
@@ -1,4 +1,7 @@
-"""Numbers that tell starts of a proposer, and platform lists of one revision, apart."""
+"""Identifiers that distinguish restarts of a proposer and member lists of equal revision.
+
+Owns no state.
+"""
 
 from __future__ import annotations
 
@@ -10,15 +13,16 @@
 from tinrudder.cluster.claims.electorate_history import ListedVoter
 
 INSTANCE_RANDOM_BITS = 12
-"""Random bits below the start time, for two starts within a microsecond."""
+"""Random low bits of an instance number; they distinguish two starts within a microsecond."""
 MICROSECONDS = 1_000_000
-"""In a second."""
+"""Microseconds in a second."""
 
 
 def new_instance(now: float, source: random.Random) -> int:
-    """Return a number that no earlier start of this node had, whatever the random source.
+    """Return an instance number that no earlier start of this node used.
 
-    Two starts with one number could pass for one proposer, and a voter grants a proposer twice.
+    The start time makes it unique even if the random source repeats itself.  Two starts with
+    the same number could be taken for one proposer, whose repeated request a voter grants again.
     """
     return (int(now * MICROSECONDS) << INSTANCE_RANDOM_BITS) | source.getrandbits(
         INSTANCE_RANDOM_BITS
@@ -26,7 +30,11 @@
 
 
 def list_digest(revision: int, regions: Mapping[str, Sequence[ListedVoter]]) -> int:
-    """Return a digest of a list; two lists of one revision differ after a platform's restore."""
+    """Return a digest of a member list.
+
+    A revision does not identify a list: after the platform is restored, a different list may
+    have the same revision.
+    """
     lines = [
         f"{region}\t{listed.voter.identity}\t{listed.voter.zone}\t{listed.leaving}"
         for region in sorted(regions)
--- a/tinrudder/cluster/claims/claim_proposer.py
+++ b/tinrudder/cluster/claims/claim_proposer.py
@@ -1,7 +1,7 @@
-"""A proposer: one attempt to claim a key, and the permission to dispatch it once.
+"""The proposer's state machine: one attempt to claim a key and, once won, to dispatch it once.
 
-Pure: time comes in with every call.  The exhaustive model (``tinrudder_lab.claim_model``) runs
-this very class.
+Owns the votes of one attempt.  Does no I/O and reads no clock: callers pass the time in, so that
+the exhaustive model (``tinrudder_lab.claim_model``) can run this same class.
 """
 
 from __future__ import annotations
@@ -24,7 +24,11 @@
 
 
 class ClaimPhase(enum.StrEnum):
-    """How far an attempt has come; ``given_up`` and ``dispatched`` are final."""
+    """State of an attempt.
+
+    ``given_up`` is final; ``dispatched`` returns to ``won`` only if the request is known not to
+    have started.
+    """
 
     ASKING = "asking"
     WON = "won"
@@ -34,12 +38,12 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatchWindow:
-    """Until when a won claim may be dispatched, by two clocks.
+    """The time limits for dispatching a won claim, one for each of two clocks.
 
-    The monotonic clock may stand still while a machine sleeps and the wall clock may be set
-    back; passing either limit ends the permission.
+    The window closes when either limit passes, because neither clock suffices alone: the
+    monotonic clock may stop while the machine is suspended, and the wall clock may be set back.
 
-    :param monotonic_until: set before the first vote was asked for.
+    :param monotonic_until: fixed before the first vote request is sent.
     :param wall_until: no later than the request's ``valid_until``.
     """
 
@@ -47,7 +51,7 @@
     wall_until: float
 
     def is_open(self, monotonic: float, wall: float) -> bool:
-        """Tell whether the request may still be sent."""
+        """Return whether the request may still be sent."""
         return monotonic < self.monotonic_until and wall < self.wall_until
 
 
@@ -62,7 +66,10 @@
         window: DispatchWindow,
         electorates: Sequence[Electorate],
     ) -> None:
-        """Begin asking; ``electorates`` are those this node knows to be required."""
+        """Start the attempt, which gives up at once without ``electorates``.
+
+        :param electorates: the electorates that, as far as this node knows, the claim must win.
+        """
         self.proposer = proposer
         self.key = key
         self.valid_until = valid_until
@@ -78,7 +85,7 @@
             self.phase = ClaimPhase.GIVEN_UP
 
     def request_to(self, voter: Voter) -> VoteRequest:
-        """Return the request to send to a voter, citing all electorates known now."""
+        """Return the vote request for a voter, citing all electorates known so far."""
         cited = tuple(sorted(self.electorates))
         self.cited_to[voter] = len(cited)
         return VoteRequest(self.key, self.proposer, self.valid_until, cited)
@@ -89,9 +96,10 @@
         return tuple(sorted(everyone))
 
     def on_reply(self, voter: Voter, reply: VoteReply) -> tuple[Voter, ...]:
-        """Take a voter's reply and return the voters that must now be asked, or asked again.
+        """Record a voter's reply and return the voters to send a request to next.
 
-        Replies that come late, twice or after the end change nothing.
+        They may include voters that were asked before.  Repeated grants and refusals, and all
+        replies after the attempt is decided, have no effect.
         """
         if self.phase is not ClaimPhase.ASKING:
             return ()
@@ -110,31 +118,31 @@
         return ()
 
     def on_no_reply(self, voter: Voter) -> None:
-        """Note that a voter could not be asked or did not answer; it may have granted."""
+        """Record that no reply came from a voter, which may have granted its vote regardless."""
         if self.phase is ClaimPhase.ASKING and voter not in self.granted:
             self.refused.add(voter)
             self._judge()
 
     def may_dispatch(self, monotonic: float, wall: float) -> bool:
-        """Tell whether the request may leave right now; ask immediately before it does."""
+        """Return whether the request may be sent now; check immediately before sending."""
         return self.phase is ClaimPhase.WON and self.window.is_open(monotonic, wall)
 
     def begin_dispatch(self, monotonic: float, wall: float) -> bool:
-        """Use up the permission; ``True`` at most once."""
+        """Consume the permission to dispatch; return ``True`` if it was available."""
         if not self.may_dispatch(monotonic, wall):
             return False
         self.phase = ClaimPhase.DISPATCHED
         return True
 
     def dispatch_did_not_start(self) -> None:
-        """Restore the permission: the back end is known not to have started the request."""
+        """Restore the permission to dispatch: the back end did not start the request."""
         if self.phase is ClaimPhase.DISPATCHED:
             self.phase = ClaimPhase.WON
 
     def give_up(self) -> bool:
-        """Renounce for good; only then may votes be released.
+        """Abandon the attempt for good; votes may be released only after this succeeds.
 
-        :returns: ``False`` if the request may already have left.
+        :returns: ``False`` if the request may already have been sent.
         """
         if self.phase is ClaimPhase.DISPATCHED:
             return False
@@ -142,10 +150,11 @@
         return True
 
     def _extend(self, voter: Voter, electorates: Sequence[Electorate]) -> tuple[Voter, ...]:
-        """Add electorates that a voter requires, then ask it again along with new voters.
+        """Add the electorates that a voter requires; return it and the new voters, to be asked.
 
-        Grants already given stand: each was given for a part of what is cited now.  A voter
-        that was already asked citing all that is known requires something else: it refuses.
+        Earlier grants remain valid, because each was given for a subset of the electorates cited
+        now.  If the voter's last request already cited every known electorate, it requires
+        something that this proposer cannot supply, and counts as a refusal.
         """
         known = frozenset(self.voters())
         self._add(electorates)
@@ -157,12 +166,12 @@
         return (voter, *new)
 
     def _add(self, electorates: Sequence[Electorate]) -> None:
-        """Cite more electorates."""
+        """Add electorates to those that requests cite."""
         for electorate in electorates:
             self.electorates.setdefault(electorate.fingerprint, electorate)
 
     def _judge(self) -> None:
-        """Win with a majority in every electorate; give up when one is out of reach."""
+        """Win with a majority in every electorate; give up if any can no longer reach one."""
         if all(self._votes(one) >= one.majority for one in self.electorates.values()):
             self.phase = ClaimPhase.WON
         elif any(self._reachable(one) < one.majority for one in self.electorates.values()):
--- a/tinrudder/cluster/claims/claim_voter.py
+++ b/tinrudder/cluster/claims/claim_voter.py
@@ -1,7 +1,7 @@
-"""A voter: grants each key to at most one proposer, from memory alone.
+"""The voter's state machine: grants each key to at most one proposer.
 
-Pure: time comes in with every call.  The exhaustive model (``tinrudder_lab.claim_model``) runs
-this very class.
+Owns the grants of one process, in memory only.  Does no I/O and reads no clock: callers pass the
+time in, so that the exhaustive model (``tinrudder_lab.claim_model``) can run this same class.
 """
 
 from __future__ import annotations
@@ -26,19 +26,19 @@
 from tinrudder.cluster.claims.electorate import Electorate
 
 MAX_GRANTS = 50_000
-"""Grants of one window, released ones included; bounds a voter's memory."""
+"""Unexpired grants, released ones included, above which a voter abstains; bounds its memory."""
 
 
 @dataclass(frozen=True, slots=True)
 class Grant:
-    """Whom a key was granted to and until when that is remembered (wall clock)."""
+    """The proposer that holds a key, and the wall-clock time at which the grant is forgotten."""
 
     proposer: ProposerId
     remembered_until: float
 
 
 class ClaimVoter:
-    """One process's votes.  All times are wall-clock seconds of this node.
+    """The votes of one process.  All times are wall-clock seconds of this node.
 
     >>> from tinrudder.cluster.claims.claims import make_claim_key
     >>> from tinrudder.peers import PeerAddress
@@ -55,10 +55,10 @@
     """
 
     def __init__(self, limits: ClaimLimits, started_at: float) -> None:
-        """Begin without memory.
+        """Start without any grants.
 
-        :param started_at: when this process became ready to vote; what an earlier process at
-            this address may have granted before is unknown.
+        :param started_at: when this process became ready to vote.  Grants that an earlier
+            process at this address gave before that time are unknown.
         """
         self._limits = limits
         self.started_at = started_at
@@ -68,13 +68,13 @@
 
     @property
     def held(self) -> int:
-        """Return how many grants are remembered."""
+        """Return the number of current grants."""
         return len(self._grants)
 
     def vote(self, request: VoteRequest, required: Sequence[Electorate], now: float) -> VoteReply:
-        """Answer one request for a vote.
+        """Answer a vote request.
 
-        :param required: the electorates that, as this node knows, the claim must win.
+        :param required: the electorates that, as far as this node knows, the claim must win.
         """
         now = self._advance(now)
         reason = self._cannot_know(request.valid_until, now)
@@ -93,16 +93,16 @@
         return Granted()
 
     def release(self, release: VoteRelease) -> None:
-        """Take a vote back from the proposer that held it."""
+        """Withdraw a grant if the releasing proposer holds it."""
         grant = self._grants.get(release.key)
         if grant is not None and grant.proposer == release.proposer:
             del self._grants[release.key]
 
     def _cannot_know(self, valid_until: float, now: float) -> AbstainReason | None:
-        """Return why this voter's memory says nothing about a request.
+        """Return why this voter cannot know whether it already voted, ``None`` if it can.
 
-        A request valid until ``valid_until`` was accepted no earlier than ``window_s`` before
-        that; a voter that started later may have voted for it in an earlier life.
+        A request valid until ``valid_until`` was accepted at most ``window_s`` earlier.  If this
+        process started after that, a previous process at this address may have voted for it.
         """
         if now >= valid_until:
             return AbstainReason.EXPIRED
@@ -119,7 +119,11 @@
         heapq.heappush(self._expiries, (until, request.key))
 
     def _advance(self, now: float) -> float:
-        """Forget what has expired; a clock set back must not revive a forgotten key."""
+        """Drop expired grants and return the latest time seen.
+
+        Time never goes back here: otherwise, after the clock is set back, a key whose grant was
+        dropped could be granted a second time.
+        """
         self._latest = max(self._latest, now)
         while self._expiries and self._expiries[0][0] <= self._latest:
             until, key = heapq.heappop(self._expiries)
--- a/tinrudder/cluster/claims/claims.py
+++ b/tinrudder/cluster/claims/claims.py
@@ -1,7 +1,7 @@
-"""Claims: what proposers and voters say to each other about keys that may run at most once.
+"""Messages between proposers and voters about keys that may run at most once.
 
 A claim is a majority of votes for one key, held in memory only and for a bounded time
-(docs/CLAIMS.md).  The messages are plain data; ``claims_codec`` turns them into protobuf.
+(docs/CLAIMS.md).  Values only; ``claims_codec`` encodes them as protobuf.
 """
 
 from __future__ import annotations
@@ -14,13 +14,12 @@
 from tinrudder.peers import PeerAddress
 
 KEY_BYTES = 16
-"""Bytes of the digest of a key: 128 bits make a collision of two keys within a window impossible
-in practice."""
+"""Bytes of a key's digest: with 128 bits, two keys of one window do not collide in practice."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class ClaimKey:
-    """A request key within its tenant, as a digest: voters never learn either of them."""
+    """Digest of a tenant and its request key, so that voters learn neither."""
 
     digest: bytes
 
@@ -28,7 +27,8 @@
 def make_claim_key(tenant: str, request_key: str) -> ClaimKey:
     """Return the key of one tenant's request.
 
-    The tenant's length goes in first, so that no two pairs share a digest by concatenation.
+    The input starts with the tenant's length, so that different pairs cannot concatenate to the
+    same text.
 
     >>> make_claim_key("ab", "c") == make_claim_key("a", "bc")
     False
@@ -40,9 +40,10 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class ProposerId:
-    """One attempt to claim a key, unique over nodes, their restarts and their attempts.
+    """Identifies one attempt to claim a key, uniquely across nodes, restarts and attempts.
 
-    :param instance: which start of the process this is.
+    :param instance: identifies the start of the process, see :func:`new_instance`.
+    :param address: where to ask for the stored answer.
     """
 
     node: str
@@ -53,10 +54,10 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRequest:
-    """A proposer asks a voter for its vote.
+    """A proposer's request for a vote.
 
-    :param valid_until: wall-clock seconds; no voter grants the key from then on.
-    :param cited: fingerprints of every electorate in which the proposer wants a majority.
+    :param valid_until: wall-clock seconds from which no voter grants the key.
+    :param cited: fingerprints of every electorate in which the proposer seeks a majority.
     """
 
     key: ClaimKey
@@ -67,14 +68,14 @@
 
 @dataclass(frozen=True, slots=True)
 class VoteRelease:
-    """A proposer that will never dispatch gives its votes back."""
+    """Returns a vote; sent by a proposer that will never dispatch."""
 
     key: ClaimKey
     proposer: ProposerId
 
 
 class AbstainReason(enum.StrEnum):
-    """Why a voter neither grants nor refuses."""
+    """Why a voter neither grants its vote nor names a holder."""
 
     EXPIRED = "expired"
     WINDOW_TOO_LONG = "window_too_long"
@@ -85,26 +86,29 @@
 
 @dataclass(frozen=True, slots=True)
 class Granted:
-    """The vote is the proposer's until the request expires or the proposer releases it."""
+    """The proposer holds the vote until the request expires or the proposer releases it."""
 
 
 @dataclass(frozen=True, slots=True)
 class Held:
-    """Another proposer has this voter's vote."""
+    """Another proposer holds this voter's vote."""
 
     holder: ProposerId
 
 
 @dataclass(frozen=True, slots=True)
 class Abstained:
-    """The voter cannot say whether it has voted before."""
+    """The voter cannot vote safely, for example because it may have voted before a restart."""
 
     reason: AbstainReason
 
 
 @dataclass(frozen=True, slots=True)
 class NeedElectorates:
-    """The claim needs majorities in electorates that the proposer did not cite."""
+    """The claim also needs majorities in electorates that the proposer did not cite.
+
+    :param electorates: all that the voter requires.
+    """
 
     electorates: tuple[Electorate, ...]
 
@@ -114,12 +118,12 @@
 
 @dataclass(frozen=True, slots=True)
 class ClaimLimits:
-    """Times that every voter and proposer of a deployment must share, in seconds.
+    """Durations in seconds, which must be equal on every voter and proposer of a deployment.
 
     :param window_s: longest time from a request's acceptance to its ``valid_until``.
     :param clock_skew_s: largest difference between the wall clocks of any two nodes.
-    :param settle_s: a superseded member list keeps its say at least this long.
-    :param removed_wait_s: a machine off the list this long is taken to have stopped.
+    :param settle_s: shortest time for which claims must still win a superseded member list.
+    :param removed_wait_s: time after which a machine removed from the list counts as stopped.
     """
 
     window_s: float = 60.0
@@ -130,13 +134,13 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownList:
-    """A voter tells which list it knows: the revision goes with every message."""
+    """Announces which member list a voter knows; every message carries the revision itself."""
 
     voter: Voter
 
 
 class AnswerStatus(enum.StrEnum):
-    """What the holder of a key says of its request."""
+    """The holder's report of what became of its request."""
 
     RAN = "ran"
     NOT_RUN = "not_run"
@@ -146,9 +150,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AnswerQuestion:
-    """A duplicate asks the holder of its key for the stored answer.
+    """A duplicate request's question to the holder of its key, for the stored answer.
 
-    :param content: digest of the duplicate's own request; another request's answer is not given.
+    :param content: digest of the duplicate's request, so that it never receives the answer to a
+        different request under the same key.
     """
 
     key: ClaimKey
@@ -158,7 +163,7 @@
 
 @dataclass(frozen=True, slots=True)
 class StoredAnswer:
-    """The holder's word, and the encoded outcome if it is still held."""
+    """The holder's reply to a question, with the encoded outcome if it is still stored."""
 
     status: AnswerStatus
     payload: bytes = b""
--- a/tinrudder/cluster/claims/claims_service.py
+++ b/tinrudder/cluster/claims/claims_service.py
@@ -1,9 +1,9 @@
-"""Claims on a running node: asks voters over the peer transport and votes itself.
+"""Runs claims on a node: requests votes over the peer transport and votes on others' claims.
 
-All decisions are in :mod:`claim_voter`, :mod:`claim_proposer` and :mod:`electorate_history`;
-this module only carries messages and reads the clocks.
+Owns the message exchange, the timers and the clock readings; all decisions are in
+:mod:`claim_voter`, :mod:`claim_proposer` and :mod:`electorate_history`.
 
-A user of this library learns member lists into it, claims a key, and sends only while
+A user of this library passes in member lists, claims a key, and sends the request only if
 :meth:`Claim.begin_dispatch` allows it::
 
     service.learn_list(revision, {"region": listed_voters})
@@ -54,16 +54,17 @@
 from tinrudder.timers import TimerHandle, Timers, WallClock
 
 TELL_INTERVAL_S = 1.0
-"""Seconds between the rounds in which some nodes are told, while a list waits for that."""
+"""Seconds between rounds of announcements; each round reaches a part of the other nodes."""
 TELL_EVERYONE_S = 60.0
-"""While a list waits for it, every node is told once in this time which list this node knows."""
+"""Seconds in which every other node receives one announcement of the list that this node knows,
+and for which announcements continue after a list last waited for reports."""
 
 AnswerSource = Callable[[AnswerQuestion], Awaitable[StoredAnswer]]
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimNode:
-    """This node as voter and proposer."""
+    """The identity and region under which this node votes and proposes."""
 
     voter: Voter
     region: str
@@ -71,7 +72,7 @@
 
 @dataclass(slots=True)
 class ClaimCounters:
-    """What claims cost this node, since start."""
+    """Counts since start: claims attempted and won, and bytes sent for claims."""
 
     claims: int = 0
     won: int = 0
@@ -79,7 +80,7 @@
 
 
 class ClaimsService:
-    """Votes and claims on one node."""
+    """Votes, and claims keys, on behalf of one node."""
 
     def __init__(
         self,
@@ -91,9 +92,9 @@
         limits: ClaimLimits,
         answers: AnswerSource,
     ) -> None:
-        """Vote on ``channel`` from :meth:`start` on.
+        """Listen on ``channel``; votes only after :meth:`start`.
 
-        :param answers: tells a duplicate what became of a request that this node holds.
+        :param answers: looks up what became of a request whose key this node holds.
         """
         self._timers = timers
         self._wall_clock = wall_clock
@@ -116,23 +117,23 @@
 
     @property
     def held(self) -> int:
-        """Return how many keys this node's vote is given to."""
+        """Return the number of keys for which this node has granted its vote."""
         return self._voter.held if self._voter is not None else 0
 
     def start(self) -> None:
-        """Begin to vote, without memory of what an earlier process here may have granted."""
+        """Begin voting, without knowledge of grants by an earlier process at this address."""
         self._voter = ClaimVoter(self.limits, self._wall_clock())
         if self._timer is None:
             self._tell_some()
 
     def stop(self) -> None:
-        """Stop telling others which list this node knows."""
+        """Stop announcing which list this node knows."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def learn_list(self, revision: int, regions: Mapping[str, Sequence[ListedVoter]]) -> None:
-        """Take the platform's list, by region; an older or equal one changes nothing."""
+        """Add the platform's member list, by region; ignore it unless its revision is newer."""
         if revision <= self._revision:
             return
         self._revision = revision
@@ -154,12 +155,12 @@
         timeout_s: float,
         on_proposer: Callable[[ProposerId], None] | None = None,
     ) -> Claim:
-        """Ask the key's voters until it is won or out of reach, or ``timeout_s`` have passed.
+        """Request votes until the key is won, cannot be won, or ``timeout_s`` have passed.
 
-        Cancelling the task gives the claim up.
+        Cancelling the task gives up the claim.
 
-        :param window: set before the call; until when a won claim may be dispatched.
-        :param on_proposer: told under which name the votes are asked for, before any of them is.
+        :param window: when a won claim may be dispatched; fixed before this call.
+        :param on_proposer: called with the attempt's identity before the first vote request.
         """
         self.counters.claims += 1
         self._attempts += 1
@@ -185,7 +186,7 @@
     async def ask_holder(
         self, key: ClaimKey, holder: ProposerId, content: bytes, timeout_s: float
     ) -> StoredAnswer:
-        """Return what the holder of a key says became of its request."""
+        """Ask the holder of a key what became of its request; ``UNKNOWN`` without an answer."""
         question = AnswerQuestion(key, holder, content)
         if holder.address == self._node.voter.address:
             return await self._answers(question)
@@ -195,7 +196,7 @@
         return StoredAnswer(AnswerStatus.UNKNOWN)
 
     async def _ask_until_decided(self, proposer: ClaimProposer, until: float) -> None:
-        """Run the requests for votes side by side; replies are taken in a fixed order."""
+        """Run vote requests concurrently; handle the replies that are ready in request order."""
         asking: dict[asyncio.Task[VoteReply | None], Voter] = {}
         self._ask(proposer, proposer.voters(), until, asking)
         try:
@@ -219,7 +220,7 @@
         until: float,
         asking: dict[asyncio.Task[VoteReply | None], Voter],
     ) -> None:
-        """Start a request to each of ``voters``."""
+        """Start a vote request to each of ``voters``."""
         for voter in voters:
             request = proposer.request_to(voter)
             timeout_s = until - self._timers.time()
@@ -229,7 +230,7 @@
     async def _ask_voter(
         self, voter: Voter, request: VoteRequest, timeout_s: float
     ) -> VoteReply | None:
-        """Return a voter's reply, ``None`` if none came."""
+        """Return a voter's reply, ``None`` without one."""
         if voter.address == self._node.voter.address:
             return self._vote(request, self._list_digest)
         if timeout_s <= 0:
@@ -244,7 +245,10 @@
         timeout_s: float,
         identity: str | None = None,
     ) -> ClaimReply | None:
-        """Send one request; ``None`` if no readable reply came."""
+        """Send a request and return its reply, ``None`` if it is lost or cannot be decoded.
+
+        :param identity: the voter at ``destination``, whose list revision is recorded.
+        """
         payload = encode_request(SentRequest(self._revision, request, self._list_digest))
         self.counters.sent_bytes += len(payload)
         try:
@@ -257,7 +261,10 @@
         return sent.reply
 
     def _release(self, proposer: ClaimProposer) -> None:
-        """Give back every vote the proposer may hold; a lost release only costs the caller time."""
+        """Release every vote the proposer may hold.
+
+        If a release is lost, the vote stays held until it expires, which only delays the caller.
+        """
         release = VoteRelease(proposer.key, proposer.proposer)
         payload = encode_request(SentRequest(self._revision, release))
         for voter in proposer.voters():
@@ -268,7 +275,7 @@
                 self._voter.release(release)
 
     def _on_datagram(self, _source: PeerAddress, payload: bytes) -> None:
-        """Take a release, or a node's word which list it knows."""
+        """Handle a release, or another node's announcement of its list; ignore other bytes."""
         try:
             sent = decode_request(payload)
         except MalformedClaimError:
@@ -280,9 +287,10 @@
                 self._heard(voter.identity, sent.revision)
 
     async def _on_request(self, _source: PeerAddress, payload: bytes) -> bytes:
-        """Vote, or answer a duplicate's question.
+        """Answer a vote request, or a duplicate's question for a stored answer.
 
-        :raises MalformedClaimError: the bytes are no request; the peer sees a lost request.
+        :raises MalformedClaimError: if the bytes are not such a request; the peer then gets no
+            reply.
         """
         sent = decode_request(payload)
         match sent.request:
@@ -293,13 +301,13 @@
             case AnswerQuestion() as question:
                 reply = await self._answers(question)
             case _:
-                raise MalformedClaimError("claim request: comes as a datagram")
+                raise MalformedClaimError("claim request: this kind is sent only as a datagram")
         answer = encode_reply(SentReply(self._revision, reply))
         self.counters.sent_bytes += len(answer)
         return answer
 
     def _vote(self, request: VoteRequest, list_digest: int) -> VoteReply:
-        """Vote as this node."""
+        """Return this node's vote; abstain before :meth:`start` and without a settled history."""
         history = self._histories.get(self._node.region)
         if self._voter is None or history is None or not history.settled:
             return Abstained(AbstainReason.LIST_UNSETTLED)
@@ -308,9 +316,10 @@
         return self._voter.vote(request, required, self._wall_clock())
 
     def _tell_some(self) -> None:
-        """Tell a part of the nodes which list this one knows, while a list waits for that.
+        """Announce the known list to a part of the other nodes, while a list needs reports.
 
-        Without it a list could keep its say for good where few operations are sent.
+        Otherwise, with few operations and so few messages, a superseded list might never be
+        sealed.
         """
         now = self._timers.time()
         wall = self._wall_clock()
@@ -331,7 +340,7 @@
             self.counters.sent_bytes += len(payload)
 
     def _heard(self, identity: str, revision: int) -> None:
-        """Note that a node knows a list revision."""
+        """Record in every region's history that a node knows a list revision."""
         now = self._wall_clock()
         for history in self._histories.values():
             history.heard(identity, revision, now)
--- a/tinrudder/cluster/claims/electorate.py
+++ b/tinrudder/cluster/claims/electorate.py
@@ -1,4 +1,7 @@
-"""Who votes on a key: a few nodes chosen from one revision of the platform's member list."""
+"""Selects the voters of a key: a few nodes from one revision of the platform's member list.
+
+Owns no state beyond the list that it was given.
+"""
 
 from __future__ import annotations
 
@@ -10,21 +13,21 @@
 from tinrudder.peers import PeerAddress
 
 FULL_ELECTORATE = 5
-"""Voters of a key: two may be gone, and with three zones no zone has a majority."""
+"""Voters of a key: a majority survives the loss of two, and with three zones none holds one."""
 SMALL_ELECTORATE = 3
-"""Voters where there are fewer than five nodes."""
+"""Voters of a key with three or four nodes."""
 SINGLE_ELECTORATE = 1
-"""Voters where there are fewer than three nodes: no majority could outlast a loss."""
+"""Voters of a key with fewer than three nodes, where no majority could survive a loss."""
 ZONES_TO_SPREAD_OVER = 3
-"""Zones from which on no zone is given a majority of the voters."""
+"""Smallest number of zones at which no zone is given a majority of the voters."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class Voter:
-    """A node as a voter.
+    """A node as a voter, identified by name and address.
 
-    Name and address together are its identity: a process that came back under its name at
-    another address is another voter, for the old one may still be running.
+    A process that restarts under the same name at another address is a different voter, because
+    the old process may still be running.
     """
 
     name: str
@@ -39,9 +42,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Electorate:
-    """The voters of one key under one member list, sorted.
+    """The voters of one key under one member list.
 
-    :param fingerprint: equal for equal sets of voters.
+    :param voters: sorted.
+    :param fingerprint: hash of the voters' identities; equal sets have equal fingerprints.
     """
 
     voters: tuple[Voter, ...]
@@ -49,7 +53,7 @@
 
     @property
     def majority(self) -> int:
-        """Return how many votes any two claims cannot both have."""
+        """Return the smallest number of votes that two claims cannot both hold."""
         return len(self.voters) // 2 + 1
 
 
@@ -75,7 +79,7 @@
         self._identities = [voter.identity.encode() for voter in self.voters]
 
     def ranked(self, digest: bytes) -> list[Voter]:
-        """Return all voters, a key's first choice first."""
+        """Return all voters in descending order of their score for a key."""
         seed = int.from_bytes(digest[:8], "big")
         scores = [xxhash.xxh3_64_intdigest(identity, seed) for identity in self._identities]
         order = sorted(range(len(scores)), key=scores.__getitem__, reverse=True)
@@ -83,7 +87,7 @@
 
 
 class VoterList:
-    """The voters of one region at one list revision; chooses an electorate for each key."""
+    """The voters of one region at one list revision; selects the electorate of each key."""
 
     def __init__(self, revision: int, voters: Iterable[Voter]) -> None:
         """Keep ``voters``."""
@@ -93,11 +97,11 @@
         self.size = electorate_size(len(self.voters))
 
     def electorate(self, ranked: Sequence[Voter]) -> Electorate:
-        """Return a key's electorate: the first of the ranked voters, spread over the zones.
+        """Return a key's electorate: the highest-ranked voters, spread over the zones.
 
         With three zones or more, no zone holds a majority unless the others have too few nodes.
 
-        :param ranked: all of this list's voters, and maybe others, in the key's order.
+        :param ranked: all of this list's voters in the key's order; others are ignored.
         """
         zone_limit = self.size
         if self.zones >= ZONES_TO_SPREAD_OVER:
@@ -120,7 +124,7 @@
 
 
 def electorate_size(nodes: int) -> int:
-    """Return the number of voters of a key among so many nodes.
+    """Return the number of voters of a key, given the number of nodes.
 
     >>> [electorate_size(nodes) for nodes in (0, 1, 2, 3, 4, 5, 730)]
     [0, 1, 1, 3, 3, 5, 5]
--- a/tinrudder/cluster/claims/electorate_history.py
+++ b/tinrudder/cluster/claims/electorate_history.py
@@ -1,9 +1,14 @@
-"""Which electorates a claim must win while member lists change.
+"""Determines which electorates a claim must win while member lists change.
 
-A superseded list keeps its say until it is *sealed* for a key: ``settle_s`` have passed since
-its successor was learned, and a majority of its voters on that key either were heard to know
-a later list or have been off the list for ``removed_wait_s``; all of it before the request can
-have been accepted.  docs/CLAIMS.md tells why no two claims can then both win.
+Owns one node's history of member lists.  A claim must also win the electorates of superseded lists
+until they are *sealed* for its key.  A list is sealed when two conditions held before the earliest
+time at which the request can have been accepted:
+
+* ``settle_s`` have passed since its successor was learned;
+* a majority of its voters for that key either have reported a later list or have been off the
+  list for ``removed_wait_s``.
+
+docs/CLAIMS.md explains why two claims then cannot both win.
 """
 
 from __future__ import annotations
@@ -15,13 +20,16 @@
 from tinrudder.cluster.claims.electorate import Electorate, Voter, VoterList, VoterRanking
 
 MAX_UNSEALED_LISTS = 512
-"""Lists that may have their say at once; beyond it claims find no quorum.  Bounds memory and the
-size of a claim.  Chosen, not measured."""
+"""Lists, the newest included, above which claims find no quorum; bounds memory and the size of a
+claim."""
 
 
 @dataclass(frozen=True, slots=True)
 class ListedVoter:
-    """A machine on the platform's list; a leaving one is not chosen for new electorates."""
+    """A machine on the platform's member list.
+
+    :param leaving: excludes it from new electorates.
+    """
 
     voter: Voter
     leaving: bool = False
@@ -29,7 +37,7 @@
 
 @dataclass(frozen=True, slots=True)
 class KnownRevision:
-    """That a voter was heard to know a list revision, and when we first heard so (wall clock)."""
+    """A list revision that a voter reported, and the wall-clock time of its first report."""
 
     revision: int
     heard_at: float
@@ -37,17 +45,17 @@
 
 @dataclass(slots=True)
 class LearnedList:
-    """One list revision and when its successor was learned (wall clock)."""
+    """A list and the wall-clock time at which its successor was learned, if there is one."""
 
     voters: VoterList
     superseded_at: float | None = None
 
 
 class ElectorateHistory:
-    """One node's knowledge of the list's revisions in one region."""
+    """The member lists of one region that a node remembers."""
 
     def __init__(self, limits: ClaimLimits) -> None:
-        """Start without a list."""
+        """Start without any list."""
         self._limits = limits
         self._lists: list[LearnedList] = []
         self._ranking = VoterRanking(())
@@ -56,23 +64,26 @@
 
     @property
     def revision(self) -> int:
-        """Return the newest list revision known, 0 before the first."""
+        """Return the newest known list revision, 0 before the first list."""
         return self._lists[-1].voters.revision if self._lists else 0
 
     @property
     def settled(self) -> bool:
-        """Tell whether every list that may still matter is remembered."""
+        """Return whether claims can be decided: a list is known, and no more than the limit."""
         return 0 < len(self._lists) <= MAX_UNSEALED_LISTS
 
     def waits_for_word(self, now: float) -> bool:
-        """Tell whether a list keeps its say only because its voters were not heard."""
+        """Return whether the oldest list is past ``settle_s`` but still unsealed.
+
+        Only reports from its voters, or their removal, can then seal it.
+        """
         if len(self._lists) < 2:
             return False
         superseded_at = self._lists[0].superseded_at
         return superseded_at is not None and superseded_at + self._limits.settle_s < now
 
     def learn(self, revision: int, members: Sequence[ListedVoter], now: float) -> bool:
-        """Take a list newer than any known; a lower or equal revision changes nothing."""
+        """Add a list and return ``True``; ignore it unless its revision is the newest."""
         if revision <= self.revision:
             return False
         newest = VoterList(revision, [member.voter for member in members if not member.leaving])
@@ -90,18 +101,18 @@
         return True
 
     def forget_sealed(self, now: float) -> None:
-        """Drop lists that have lost their say for every key."""
+        """Drop the oldest lists that are sealed for every key."""
         if len(self._lists) > 1:
             self._forget_sealed(now)
 
     def heard(self, identity: str, revision: int, now: float) -> None:
-        """Note that a voter knows a revision."""
+        """Record that a voter knows a list revision."""
         known = self._known.setdefault(identity, [])
         if not known or known[-1].revision < revision:
             known.append(KnownRevision(revision, now))
 
     def required(self, key: ClaimKey, valid_until: float) -> tuple[Electorate, ...]:
-        """Return the electorates a claim must win, the newest list's last."""
+        """Return the electorates a claim must win, ordered from the oldest list to the newest."""
         issued_after = valid_until - self._limits.window_s - 2 * self._limits.clock_skew_s
         electorates: dict[int, Electorate] = {}
         ranked = self._ranking.ranked(key.digest)
@@ -114,18 +125,18 @@
     def left_out(
         self, key: ClaimKey, valid_until: float, *, same_list: bool
     ) -> tuple[Electorate, ...]:
-        """Return the electorates that a proposer may not have cited.
+        """Return the required electorates, or none if the proposer must have cited them all.
 
-        :param same_list: the proposer's newest list is ours.  It cites that one's electorate;
-            when we require no other, there is no need to work it out, which with many members
-            is most of a vote's cost.
+        :param same_list: the proposer's newest list equals ours, so it cites that list's
+            electorate.  If no other list is remembered, computing the electorate is skipped;
+            with many members that is most of the cost of a vote.
         """
         if same_list and len(self._lists) == 1:
             return ()
         return self.required(key, valid_until)
 
     def _sealed(self, learned: LearnedList, electorate: Electorate, before: float) -> bool:
-        """Tell whether a list has lost its say for requests accepted after ``before``."""
+        """Return whether a list is sealed for a key's requests accepted after ``before``."""
         if learned.superseded_at is None:
             return False
         if learned.superseded_at + self._limits.settle_s >= before:
@@ -135,7 +146,7 @@
         return moved >= electorate.majority
 
     def _moved(self, voter: Voter, revision: int, before: float) -> bool:
-        """Tell whether a voter can no longer grant to a proposer that knows only ``revision``."""
+        """Return whether a voter will not grant to a proposer that knows only ``revision``."""
         removed_at = self._removed_at.get(voter.identity)
         if removed_at is not None and removed_at + self._limits.removed_wait_s < before:
             return True
@@ -143,7 +154,7 @@
         return any(one.revision > revision and one.heard_at < before for one in known)
 
     def _note_removed(self, present: set[str], now: float) -> None:
-        """Remember since when voters of remembered lists are off the platform's list."""
+        """Update since when each voter of a remembered list is missing from the newest list."""
         for identity in sorted(self._named()):
             if identity in present:
                 self._removed_at.pop(identity, None)
@@ -158,7 +169,11 @@
         self._forget_absent()
 
     def _sealed_for_all_keys(self, learned: LearnedList, before: float) -> bool:
-        """Tell whether even the electorate with the fewest voters that moved has a majority."""
+        """Return whether a list is sealed for every key.
+
+        Checks the worst case: an electorate with as many as possible of the voters that have not
+        moved on.
+        """
         if learned.superseded_at is None:
             return False
         if learned.superseded_at + self._limits.settle_s >= before:
@@ -169,7 +184,7 @@
         return len(voters.voters) - moved <= minority
 
     def _forget_absent(self) -> None:
-        """Drop what is known of voters and revisions that no longer matter."""
+        """Drop records of voters and revisions that no remembered list needs."""
         named = self._named()
         oldest = self._lists[0].voters.revision
         for identity in sorted(self._known):
@@ -182,5 +197,5 @@
             del self._removed_at[identity]
 
     def _named(self) -> set[str]:
-        """Return the identities of every voter of a remembered list."""
+        """Return the identities of all voters of the remembered lists."""
         return {voter.identity for learned in self._lists for voter in learned.voters.voters}
--- a/tinrudder/cluster/replication/__init__.py
+++ b/tinrudder/cluster/replication/__init__.py
@@ -1,4 +1,4 @@
-"""A state that every process holds a copy of, merged by a join and spread by notices and pulls.
+"""Replicates a state to every process by notices and pulls, and merges copies by a join.
 
-Owns the exchange, not the meaning of an entry: whoever embeds it passes in the state and its rules.
+Owns the exchange.  The embedding program supplies the state and defines what an entry means.
 """
--- a/tinrudder/cluster/replication/replicated_state.py
+++ b/tinrudder/cluster/replication/replicated_state.py
@@ -1,6 +1,7 @@
-"""A keyed state that every node holds whole, as the exchange between nodes sees it.
+"""Interface to a keyed state of which every node holds a full copy.
 
-The exchange does not know what the entries mean: their owner encodes, checks and joins them.
+Owns no state: defines the exchanged values and the protocol that the state's owner implements.  The
+exchange treats entries as opaque bytes; their owner encodes, checks and joins them.
 """
 
 from __future__ import annotations
@@ -11,15 +12,16 @@
 
 
 class MalformedUpdateError(Exception):
-    """A peer's update can't be decoded, or does not have the digest it states."""
+    """A peer's update cannot be decoded, or its digest does not match its header."""
 
 
 @dataclass(frozen=True, slots=True)
 class StateHeader:
     """Identifies a state.
 
-    :param revision: of the document it follows; :param document_digest: settles ties.
-    :param state_digest: over the whole content; equal digests mean equal states.
+    :param revision: revision of the document that the state is based on.
+    :param document_digest: digest of that document; orders documents of equal revision.
+    :param state_digest: digest of the whole content; equal digests mean equal states.
     """
 
     revision: int
@@ -28,13 +30,13 @@
 
     @property
     def document(self) -> tuple[int, bytes]:
-        """What states are ordered by."""
+        """Return the key by which states are ordered."""
         return (self.revision, self.document_digest)
 
 
 @dataclass(frozen=True, slots=True)
 class StateUpdate:
-    """What a peer holds in the buckets in which it differs from us.
+    """A peer's content of the buckets that differ from ours.
 
     :param entries: every entry of those buckets, encoded.
     """
@@ -45,19 +47,19 @@
 
 
 class ReplicatedState(Protocol):
-    """The owner of the state."""
+    """Implemented by the owner of the state."""
 
     def header(self) -> StateHeader:
-        """Return what is held now."""
+        """Return the header of the current state."""
 
     def bucket_digests(self) -> Sequence[bytes]:
-        """Return one digest per bucket, the same number on every node."""
+        """Return one digest per bucket; the number of buckets is equal on every node."""
 
     def encode_buckets(self, buckets: Sequence[int]) -> list[bytes]:
-        """Return all entries of some buckets, encoded, in an order that depends on nothing else."""
+        """Return all entries of ``buckets``, encoded, in an order that only content determines."""
 
     def merge(self, update: StateUpdate) -> bool:
-        """Join a peer's state into ours; return whether ours changed.
+        """Join a peer's update into this state; return whether this state changed.
 
-        :raises MalformedUpdateError: the update is unusable, ours stays as it was.
+        :raises MalformedUpdateError: if the update is invalid; this state is then unchanged.
         """
--- a/tinrudder/cluster/replication/state_exchange.py
+++ b/tinrudder/cluster/replication/state_exchange.py
@@ -1,9 +1,10 @@
-"""Spreads a replicated state between nodes: rumours after a change, anti-entropy for the rest.
+"""Replicates a state between nodes by gossip after a change, and by periodic anti-entropy.
 
-A node whose state changed tells a few random peers in each of several rounds; whoever hears of a
-state that differs from its own pulls the difference from the sender.  Besides, every node tells
-one random peer now and then, which heals lost rumours and joins zones after a cut.  Weighed and
-measured in docs/CONFIGURATION.md.
+Owns the timers and the pulls in progress.  After a change a node sends a notice with its state's
+header to a few random peers in each of several rounds.  A peer whose state differs pulls the
+difference from the sender.  In addition, every node periodically sends a notice to one random peer,
+which makes up for lost notices and reconciles zones after a partition.  docs/CONFIGURATION.md
+discusses the design and gives measurements.
 """
 
 from __future__ import annotations
@@ -26,23 +27,25 @@
 
 PeerSource = Callable[[], Sequence[PeerAddress]]
 PULL_ERRORS = (MalformedUpdateError, StateChangedError, PeerNotSentError, PeerLostError)
-"""Failures of a pull that the next notice repairs."""
+"""Errors of a pull that need no handling, because a later notice causes another pull."""
 
 ASK_NEXT_S = 0.1
-"""Seconds between the further peers that a starting node asks, so that those that cannot be
-reached cost little.  Chosen, not measured."""
+"""Seconds between the starts of further pulls by a starting node, so that unreachable peers delay
+it little."""
 ENOUGH_ANSWERS = 2
-"""A second opinion: the first peer that answers may itself have been cut off."""
+"""Peers whose answers a starting node waits for: two, because the first peer to answer may itself
+have been partitioned from the others."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeSettings:
-    """How eagerly states spread.
+    """Parameters of the exchange.
 
-    :param fanout: peers told in each round; :param rounds: rounds after a change.
-    :param round_s: seconds between rounds.
-    :param anti_entropy_s: mean seconds between notices to one random peer at other times.
-    :param first_peers: peers asked at most by a node that has just started.
+    :param fanout: peers that receive a notice in each round.
+    :param rounds: rounds after a change.
+    :param round_s: mean seconds between rounds.
+    :param anti_entropy_s: mean seconds between the periodic notices to one random peer.
+    :param first_peers: most peers that a starting node pulls from.
     """
 
     fanout: int = 3
@@ -53,7 +56,7 @@
 
 
 class StateExchange:
-    """Keeps one node's state in step with its peers'."""
+    """Synchronizes one node's state with its peers."""
 
     def __init__(
         self,
@@ -64,7 +67,7 @@
         peers: PeerSource,
         settings: ExchangeSettings | None = None,
     ) -> None:
-        """Exchange ``state`` with whoever ``peers`` names; this node is not among them."""
+        """Exchange ``state`` with the peers that ``peers`` returns, which excludes this node."""
         self._state = state
         self._transport = transport
         self._timers = timers
@@ -80,11 +83,11 @@
         transport.listen(self._on_notice, self._on_request)
 
     def start(self) -> None:
-        """Begin anti-entropy."""
+        """Start anti-entropy."""
         self._set_idle_timer()
 
     def stop(self) -> None:
-        """End everything this part does by itself; requests are still answered."""
+        """Stop sending notices and pulling; pull requests are still answered."""
         self._stopped = True
         for timer in (self._round_timer, self._idle_timer):
             if timer is not None:
@@ -93,18 +96,18 @@
             self._pulling.cancel()
 
     def announce(self) -> None:
-        """Tell others of a change of our state."""
+        """Start rounds of notices after a change of this node's state."""
         self._rounds_left = self._settings.rounds
         if self._round_timer is None and not self._stopped:
             self._run_round()
 
     async def learn_from_peers(self) -> bool:
-        """Ask a few random peers for their state, as a node does that has just started.
+        """Pull from a few random peers when the node starts.
 
-        As many as are enough are asked at once and each further one a little later, so that peers
-        that can't be reached cost little.
+        Pulls from as many peers as must answer start at once.  Each further pull starts a little
+        later than the one before, so that unreachable peers cause little delay.
 
-        :returns: whether any answered.
+        :returns: whether any peer answered.
         """
         peers = self._sample(self._settings.first_peers)
         asking = [
@@ -123,7 +126,7 @@
         return answers > 0
 
     async def _ask(self, peer: PeerAddress, delay_s: float) -> bool:
-        """Pull from a peer after a while; return whether it answered."""
+        """Pull from a peer after a delay; return whether the pull succeeded."""
         await asyncio.sleep(delay_s)
         try:
             await pull_state(self._state, self._transport, peer)
@@ -132,17 +135,17 @@
         return True
 
     def refresh_now(self) -> None:
-        """Compare with a few peers at once: after a pause our state may be far behind."""
+        """Send a notice to a few peers at once: after a pause this state may be far behind."""
         for peer in self._sample(self._settings.fanout):
             self._send_notice(peer)
 
     def on_newer_revision(self, peer: PeerAddress, revision: int) -> None:
-        """Take another part's word that ``peer`` enforces a revision."""
+        """Pull from ``peer``, which enforces ``revision``, if that is newer than this state's."""
         if revision > self._state.header().revision:
             self._pull(peer)
 
     def _on_notice(self, source: PeerAddress, payload: bytes) -> None:
-        """Compare a peer's state with ours: pull if it has something, tell it if it lags."""
+        """Pull if the peer's state differs and is not older; send it a notice if it is older."""
         try:
             theirs = decode_notice(payload)
         except MalformedUpdateError as error:
@@ -157,11 +160,14 @@
             self._send_notice(source)
 
     async def _on_request(self, source: PeerAddress, payload: bytes) -> bytes:
-        """Answer a pull."""
+        """Answer a peer's pull request."""
         return answer_pull(self._state, payload)
 
     def _pull(self, peer: PeerAddress) -> None:
-        """Pull from a peer; while a pull runs, only the latest further peer is remembered."""
+        """Pull from a peer now, or after the running pull.
+
+        Only the latest peer is remembered for the next pull.
+        """
         if self._stopped:
             return
         self._next_peer = peer
@@ -169,24 +175,24 @@
             self._pulling = asyncio.create_task(self._run_pulls())
 
     async def _run_pulls(self) -> None:
-        """Pull until no further peer is known to differ."""
+        """Pull from the remembered peers until there is none left."""
         while self._next_peer is not None:
             peer, self._next_peer = self._next_peer, None
             try:
                 answer = await pull_state(self._state, self._transport, peer)
             except PULL_ERRORS as error:
-                # Harmless: its rumour returns by another peer, or by anti-entropy.
+                # Safe to skip: another peer's notice or anti-entropy causes a later pull.
                 log_problem("pull failed", {"peer": str(peer), "error": str(error)})
                 continue
             self._after_pull(peer, answer.header)
 
     def _after_pull(self, peer: PeerAddress, theirs: StateHeader) -> None:
-        """Tell the peer if we hold something it does not."""
+        """Send the peer a notice if this state still differs, so that it pulls what it lacks."""
         if self._state.header().state_digest != theirs.state_digest:
             self._send_notice(peer)
 
     def _run_round(self) -> None:
-        """Tell a few peers; again after a while, as long as rounds are left."""
+        """Send notices to a few peers and schedule the next round, if any rounds are left."""
         self._round_timer = None
         if self._rounds_left <= 0 or self._stopped:
             return
@@ -201,7 +207,7 @@
         self._idle_timer = self._timers.call_at(self._timers.time() + delay, self._on_idle)
 
     def _on_idle(self) -> None:
-        """Tell one random peer."""
+        """Send a notice to one random peer and schedule the next one."""
         for peer in self._sample(1):
             self._send_notice(peer)
         self._set_idle_timer()
--- a/tinrudder/cluster/replication/state_pull.py
+++ b/tinrudder/cluster/replication/state_pull.py
@@ -1,7 +1,7 @@
-"""One pull of a peer's state: only the buckets that differ, in bounded chunks.
+"""Pulls the buckets in which a peer's state differs, in bounded chunks, and answers such pulls.
 
-Owns nothing beyond the pull.  Relies on the state to join what arrived, and on digests to notice
-that either side changed meanwhile.
+Owns the progress of one pull.  Relies on the state to join the entries, and on digests to detect
+that either side changed during the pull.
 """
 
 from __future__ import annotations
@@ -23,27 +23,26 @@
 from tinrudder.peers import PeerAddress, PeerTransport
 
 CHUNK_BYTES = 256 * 1024
-"""Bytes of entries in one answer before compression, so that none holds up others for long.
-Chosen, not measured."""
+"""Bytes of entries in one answer before compression, so that no answer delays others for long."""
 MAX_CHUNKS = 512
-"""Chunks of one pull: a peer cannot keep a node fetching for ever."""
+"""Chunks of one pull, so that a peer cannot keep a node fetching without end."""
 MAX_RESTARTS = 3
-"""Times that a pull begins again because a state changed under it; then the next notice tries."""
+"""Attempts of one pull, each restarted because a state changed; the next notice tries again."""
 REQUEST_TIMEOUT_S = 2.0
-"""Seconds for one chunk.  Chosen, not measured: two thousand times the way between zones."""
+"""Seconds to wait for one chunk: two thousand times the one-way latency between zones."""
 
 
 class StateChangedError(Exception):
-    """Either side's state changed during the pull, so that its chunks don't fit together."""
+    """Either state changed during every attempt of a pull, so that its chunks are inconsistent."""
 
 
 async def pull_state(
     state: ReplicatedState, transport: PeerTransport, peer: PeerAddress
 ) -> PullAnswer:
-    """Fetch what differs at ``peer`` and join it; return the last answer.
+    """Fetch the buckets that differ at ``peer``, join them, and return the last answer.
 
-    :raises MalformedUpdateError: the peer's answers make no state.
-    :raises StateChangedError: states kept changing.
+    :raises MalformedUpdateError: if the peer's answers are not a valid update.
+    :raises StateChangedError: if a state changed during every attempt.
     :raises PeerNotSentError, PeerLostError: as the transport does.
     """
     for _ in range(MAX_RESTARTS):
@@ -54,13 +53,13 @@
         if answer.header != before:
             state.merge(StateUpdate(answer.header, answer.differing, tuple(entries)))
         return answer
-    raise StateChangedError(f"{peer}: states kept changing")
+    raise StateChangedError(f"{peer}: a state changed during each of {MAX_RESTARTS} pulls")
 
 
 async def _fetch_chunks(
     state: ReplicatedState, transport: PeerTransport, peer: PeerAddress
 ) -> tuple[PullAnswer, list[bytes]]:
-    """Return the last answer and the entries of all."""
+    """Return the last answer and the entries of all answers."""
     digests = short_digests(state.bucket_digests())
     entries: list[bytes] = []
     request = PullRequest(digests)
@@ -71,13 +70,13 @@
         if answer.changed or not answer.more:
             return answer, entries
         request = PullRequest(digests, answer.header.state_digest, len(entries))
-    raise MalformedUpdateError(f"{peer}: more than {MAX_CHUNKS} chunks")
+    raise MalformedUpdateError(f"{peer}: pull exceeds {MAX_CHUNKS} chunks")
 
 
 def answer_pull(state: ReplicatedState, payload: bytes) -> bytes:
-    """Return the answer to a peer's request.
+    """Return the encoded answer to a peer's pull request.
 
-    :raises MalformedUpdateError: the payload is no request.
+    :raises MalformedUpdateError: if the payload is not a valid request.
     """
     request = decode_request(payload)
     header = state.header()
@@ -97,7 +96,7 @@
 
 
 def _first_chunk(entries: list[bytes]) -> tuple[bytes, ...]:
-    """Return the entries that fit one chunk; one that is larger travels alone."""
+    """Return the leading entries that fit into one chunk; an oversized entry is sent alone."""
     size = 0
     for count, entry in enumerate(entries):
         size += len(entry)
--- a/tinrudder/cluster/wire/__init__.py
+++ b/tinrudder/cluster/wire/__init__.py
@@ -1,4 +1,5 @@
-"""The cluster library's messages as protobuf bytes, and the seal on its datagrams.
+"""Encodes the cluster library's messages as protobuf and authenticates its datagrams.
 
-Codecs refuse what breaks a size limit or holds no message; nothing here decides.
+Owns the codecs, which reject messages that are malformed or exceed a size limit, and the replay
+windows of datagram senders.
 """
--- a/tinrudder/cluster/wire/claims_codec.py
+++ b/tinrudder/cluster/wire/claims_codec.py
@@ -1,4 +1,7 @@
-"""Claim messages as protobuf bytes, with size limits both ways."""
+"""Encodes and decodes claim messages as protobuf, and limits the size of those received.
+
+Owns no state.
+"""
 
 from __future__ import annotations
 
@@ -29,21 +32,22 @@
 from tinrudder.peers import PeerAddress
 
 MAX_CLAIM_REQUEST_BYTES = 4096
-"""A request with the electorates that it cites; refused above, both ways."""
+"""Bytes of a request, which cites electorates by fingerprint; a larger one is not decoded."""
 MAX_CLAIM_REPLY_BYTES = 256 * 1024
-"""A reply, which may carry the stored answer of an operation; refused above, both ways."""
+"""Bytes of a reply, which may carry the stored answer of an operation; a larger one is not
+decoded."""
 
 ClaimRequest = VoteRequest | VoteRelease | AnswerQuestion | KnownList
 ClaimReply = VoteReply | StoredAnswer
 
 
 class MalformedClaimError(Exception):
-    """The bytes are no claim message."""
+    """The bytes are not a valid claim message."""
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request and the newest member list its sender knows, by revision and digest."""
+    """A request, with the revision and digest of the newest member list that its sender knows."""
 
     revision: int
     request: ClaimRequest
@@ -52,14 +56,14 @@
 
 @dataclass(frozen=True, slots=True)
 class SentReply:
-    """A reply and the newest member list its sender knows."""
+    """A reply, with the revision of the newest member list that its sender knows."""
 
     revision: int
     reply: ClaimReply
 
 
 def encode_request(sent: SentRequest) -> bytes:
-    """Return the bytes of a request."""
+    """Encode a request."""
     message = claims_pb2.ClaimRequest(revision=sent.revision, list_digest=sent.list_digest)
     match sent.request:
         case VoteRequest(key, proposer, valid_until, cited):
@@ -87,9 +91,9 @@
 
 
 def decode_request(payload: bytes) -> SentRequest:
-    """Return the request.
+    """Decode a request.
 
-    :raises MalformedClaimError: the bytes are no request.
+    :raises MalformedClaimError: if the bytes are not a valid request.
     """
     message = claims_pb2.ClaimRequest()
     _parse(message, payload, MAX_CLAIM_REQUEST_BYTES)
@@ -97,7 +101,7 @@
         case "vote":
             vote = message.vote
             if not math.isfinite(vote.valid_until):
-                raise MalformedClaimError("claim request: valid_until is not a time")
+                raise MalformedClaimError("claim request: valid_until is not a finite number")
             cited = tuple(vote.cited)
             proposer = _proposer(vote.proposer)
             request: ClaimRequest = VoteRequest(_key(vote.key), proposer, vote.valid_until, cited)
@@ -112,12 +116,12 @@
         case "known":
             request = KnownList(_voter(message.known))
         case _:
-            raise MalformedClaimError("claim request: of no known kind")
+            raise MalformedClaimError("claim request: unknown kind")
     return SentRequest(message.revision, request, message.list_digest)
 
 
 def encode_reply(sent: SentReply) -> bytes:
-    """Return the bytes of a reply."""
+    """Encode a reply."""
     message = claims_pb2.ClaimReply(revision=sent.revision)
     match sent.reply:
         case Granted():
@@ -136,9 +140,9 @@
 
 
 def decode_reply(payload: bytes) -> SentReply:
-    """Return the reply.
+    """Decode a reply.
 
-    :raises MalformedClaimError: the bytes are no reply.
+    :raises MalformedClaimError: if the bytes are not a valid reply.
     """
     message = claims_pb2.ClaimReply()
     _parse(message, payload, MAX_CLAIM_REPLY_BYTES)
@@ -149,7 +153,10 @@
 
 
 def _reply(message: claims_pb2.ClaimReply) -> ClaimReply:
-    """Turn a message into its tag; an unknown kind or reason is a ``ValueError``."""
+    """Convert a protobuf reply.
+
+    :raises ValueError: if its kind, reason, status or electorate is invalid.
+    """
     match message.WhichOneof("reply"):
         case "granted":
             return Granted()
@@ -161,7 +168,7 @@
             return NeedElectorates(tuple(map(_electorate, message.need.electorates)))
         case "answer":
             return StoredAnswer(AnswerStatus(message.answer.status), message.answer.payload)
-    raise ValueError("of no known kind")
+    raise ValueError("unknown kind")
 
 
 def _proposer_message(proposer: ProposerId) -> claims_pb2.ProposerMessage:
@@ -194,15 +201,15 @@
 
 
 def _electorate(message: claims_pb2.ElectorateMessage) -> Electorate:
-    """Return an electorate; its fingerprint is worked out here, not taken on trust."""
+    """Convert an electorate; computes its fingerprint instead of trusting one from the sender."""
     if not 1 <= len(message.voters) <= FULL_ELECTORATE:
-        raise ValueError(f"electorate of {len(message.voters)} voters")
+        raise ValueError(f"electorate has {len(message.voters)} voters, not 1 to {FULL_ELECTORATE}")
     return make_electorate(map(_voter, message.voters))
 
 
 def _key(digest: bytes) -> ClaimKey:
     if len(digest) != KEY_BYTES:
-        raise MalformedClaimError(f"claim key: {len(digest)} bytes, not {KEY_BYTES}")
+        raise MalformedClaimError(f"claim key: got {len(digest)} bytes, expected {KEY_BYTES}")
     return ClaimKey(digest)
 
 
@@ -210,7 +217,7 @@
     message: claims_pb2.ClaimRequest | claims_pb2.ClaimReply, payload: bytes, limit: int
 ) -> None:
     if len(payload) > limit:
-        raise MalformedClaimError(f"claim message: {len(payload)} bytes, at most {limit}")
+        raise MalformedClaimError(f"claim message: {len(payload)} bytes, limit is {limit}")
     try:
         message.ParseFromString(payload)
     except DecodeError as error:
--- a/tinrudder/cluster/wire/configuration_codec.py
+++ b/tinrudder/cluster/wire/configuration_codec.py
@@ -1,4 +1,7 @@
-"""Messages of the configuration exchange as protobuf bytes, with size limits both ways."""
+"""Encodes and decodes messages of the configuration exchange as protobuf, within size limits.
+
+Owns no state.
+"""
 
 from __future__ import annotations
 
@@ -12,25 +15,25 @@
 from tinrudder.cluster.wire import configuration_pb2
 
 SHORT_DIGEST_BYTES = 8
-"""Bytes of a bucket's digest in a request: a collision leaves one difference until the next
+"""Bytes of a bucket's digest in a request; a collision hides one difference until the next
 change."""
 MAX_HEADER_DIGEST_BYTES = 64
-"""Longest digest of a state that is read."""
+"""Bytes of the longest digest accepted in a state header."""
 MAX_BUCKETS = 4096
-"""Most buckets that are read from a request."""
+"""Largest number of buckets accepted in a request or an answer."""
 MAX_CHUNK_BYTES = 4 * 1024 * 1024
-"""Most bytes that one chunk may unfold to: a compressed answer cannot exhaust memory."""
+"""Bytes to which one chunk may decompress, so that a compressed answer cannot exhaust memory."""
 COMPRESSION_LEVEL = 6
-"""zlib's default, named so that a change of the default changes no bytes."""
+"""zlib's default level, set explicitly so that a change of the default changes no bytes."""
 
 
 @dataclass(frozen=True, slots=True)
 class PullRequest:
-    """Asks for what differs from the asker's buckets.
+    """Requests the buckets that differ from the sender's.
 
-    :param bucket_digests: of the asker, cut to ``SHORT_DIGEST_BYTES``.
-    :param state_digest: of the state whose later entries are wanted, empty for the first chunk.
-    :param skip: how many entries arrived already.
+    :param bucket_digests: digests of the sender's buckets, truncated to ``SHORT_DIGEST_BYTES``.
+    :param state_digest: digest of the state that later chunks must come from; empty for the first.
+    :param skip: number of entries that were already received.
     """
 
     bucket_digests: tuple[bytes, ...]
@@ -40,9 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class PullAnswer:
-    """Some entries of the buckets that differ.
+    """One chunk of the entries in the buckets that differ.
 
-    :param more: further entries follow; :param changed: the state asked for is gone.
+    :param more: further entries follow.
+    :param changed: the state has changed since the first chunk, so the pull must start anew.
     """
 
     header: StateHeader
@@ -53,14 +57,14 @@
 
 
 def encode_notice(header: StateHeader) -> bytes:
-    """Return the bytes of a notice."""
+    """Encode a notice."""
     return configuration_pb2.StateNotice(header=_header_message(header)).SerializeToString()
 
 
 def decode_notice(payload: bytes) -> StateHeader:
-    """Return the header a notice states.
+    """Decode a notice to the header that it carries.
 
-    :raises MalformedUpdateError: the bytes are no notice.
+    :raises MalformedUpdateError: if the bytes are not a valid notice.
     """
     message = configuration_pb2.StateNotice()
     _parse(message, payload)
@@ -68,7 +72,7 @@
 
 
 def encode_request(request: PullRequest) -> bytes:
-    """Return the bytes of a request."""
+    """Encode a request."""
     return configuration_pb2.PullRequest(
         bucket_digests=b"".join(request.bucket_digests),
         state_digest=request.state_digest,
@@ -77,22 +81,22 @@
 
 
 def decode_request(payload: bytes) -> PullRequest:
-    """Return a request.
+    """Decode a request.
 
-    :raises MalformedUpdateError: the bytes are no request.
+    :raises MalformedUpdateError: if the bytes are not a valid request.
     """
     message = configuration_pb2.PullRequest()
     _parse(message, payload)
     joined = message.bucket_digests
     if len(joined) % SHORT_DIGEST_BYTES or len(joined) > MAX_BUCKETS * SHORT_DIGEST_BYTES:
-        raise MalformedUpdateError("bucket_digests: not a whole number of digests")
+        raise MalformedUpdateError("bucket_digests: partial last digest, or too many digests")
     starts = range(0, len(joined), SHORT_DIGEST_BYTES)
     digests = tuple(joined[start : start + SHORT_DIGEST_BYTES] for start in starts)
     return PullRequest(digests, message.state_digest, message.skip)
 
 
 def encode_answer(answer: PullAnswer) -> bytes:
-    """Return the bytes of an answer, its entries compressed."""
+    """Encode an answer and compress its entries."""
     chunk = configuration_pb2.EntryChunk(entries=answer.entries).SerializeToString()
     return configuration_pb2.PullAnswer(
         header=_header_message(answer.header),
@@ -104,9 +108,10 @@
 
 
 def decode_answer(payload: bytes) -> PullAnswer:
-    """Return an answer.
+    """Decode an answer.
 
-    :raises MalformedUpdateError: the bytes are no answer, or unpack to too much.
+    :raises MalformedUpdateError: if the bytes are not a valid answer, or its chunk decompresses to
+        more than ``MAX_CHUNK_BYTES``.
     """
     message = configuration_pb2.PullAnswer()
     _parse(message, payload)
@@ -124,7 +129,7 @@
 
 
 def short_digests(digests: Sequence[bytes]) -> tuple[bytes, ...]:
-    """Return digests as they travel; a rare collision shows in the whole state's digest."""
+    """Truncate digests for a request; the whole state's digest still reveals a collision."""
     return tuple(digest[:SHORT_DIGEST_BYTES] for digest in digests)
 
 
@@ -135,7 +140,7 @@
     except zlib.error as error:
         raise MalformedUpdateError(f"chunk: {error}") from error
     if not decompressor.eof:
-        raise MalformedUpdateError(f"chunk: cut short, or more than {MAX_CHUNK_BYTES} bytes")
+        raise MalformedUpdateError(f"chunk: truncated, or above {MAX_CHUNK_BYTES} bytes")
     return content
 
 
@@ -168,7 +173,7 @@
 
 
 def _bits(positions: frozenset[int]) -> bytes:
-    """Return a bit per position.
+    """Encode positions as a bitmap, lowest bit first.
 
     >>> _bits(frozenset({0, 9})).hex(), sorted(_positions(bytes.fromhex("0102")))
     ('0102', [0, 9])
--- a/tinrudder/cluster/wire/datagram_seal.py
+++ b/tinrudder/cluster/wire/datagram_seal.py
@@ -1,8 +1,9 @@
-"""Authenticates datagrams between nodes that share a key.
+"""Authenticates datagrams between nodes that share a key, and rejects replays.
 
-A sealed datagram is the sender's session (8 bytes), its wall clock in seconds (4), a counter (4),
-the payload and a truncated HMAC-SHA256 (16).  Copies are refused twice over: by the clock when
-old, by a window of counters for each session when recent.  The payload is not encrypted.
+Owns the counter of this node and the replay windows of the senders.  A sealed datagram consists of
+the sender's session (8 bytes), its wall clock in seconds (4), a counter (4), the payload and a
+truncated HMAC-SHA256 (16).  The clock reveals old replays; a window of counters per session reveals
+recent ones.  The payload is not encrypted.
 """
 
 from __future__ import annotations
@@ -17,23 +18,24 @@
 from tinrudder.timers import WallClock
 
 MAX_CLOCK_DIFFERENCE_S = 60
-"""Seconds by which a sender's wall clock may differ.  Longer lets older copies in, shorter locks
-out nodes whose clocks are not kept."""
+"""Seconds by which a sender's wall clock may differ.  A larger limit admits older replays, a
+smaller one locks out nodes whose clocks are not synchronized."""
 WINDOW_COUNTERS = 64
-"""Counters of a session that may arrive out of order."""
+"""Counters per session, up to the highest received, within which datagrams may be reordered."""
 MAX_SESSIONS = 4096
-"""Senders remembered; beyond it the oldest is forgotten and its last minute could be replayed."""
+"""Sessions remembered; above it the least recently used is evicted, and its datagrams of the last
+minute could be replayed."""
 TAG_BYTES = 16
-"""Bytes kept of HMAC-SHA256: 128 bits."""
+"""Bytes of the truncated HMAC-SHA256: 128 bits."""
 _HEADER = struct.Struct("!QII")
 SEAL_BYTES = _HEADER.size + TAG_BYTES
-"""What sealing adds to a message."""
+"""Bytes that sealing adds to a message."""
 _WINDOW_MASK = (1 << WINDOW_COUNTERS) - 1
 _COUNTER_LIMIT = 1 << 32
 
 
 class RefusalReason(enum.StrEnum):
-    """Why a datagram was not let in."""
+    """Why a datagram was rejected."""
 
     TOO_SHORT = "too_short"
     FORGED = "forged"
@@ -42,17 +44,17 @@
 
 
 class RefusedDatagramError(Exception):
-    """A datagram that no holder of the key sent just now."""
+    """A datagram is too short, not authentic, not recent, or a replay."""
 
     def __init__(self, reason: RefusalReason) -> None:
-        """Keep the reason for the counters."""
+        """Store the reason for callers."""
         super().__init__(reason.value)
         self.reason = reason
 
 
 @dataclass(slots=True)
 class _Session:
-    """Counters of one sender: the highest, and a bit for each of the last ones seen."""
+    """Replay window of one sender: the highest counter received, and a bitmap of the last ones."""
 
     highest: int = 0
     seen: int = 0
@@ -73,12 +75,12 @@
     """
 
     def __init__(self, keys: Sequence[bytes], session: int, wall_clock: WallClock) -> None:
-        """Seal with the first key, open with any: so keys change without a stop.
+        """Seal with the first key and accept any, so that keys can be rotated without downtime.
 
-        :param session: random 64 bits, new at every start.
+        :param session: 64 random bits, drawn anew at every start.
         """
         if not keys or not all(keys):
-            raise ValueError("keys: at least one, none empty")
+            raise ValueError("keys: at least one key is required, and none may be empty")
         self._keys = tuple(keys)
         self._session = session
         self._wall_clock = wall_clock
@@ -86,16 +88,16 @@
         self._sessions: OrderedDict[int, _Session] = OrderedDict()
 
     def seal(self, payload: bytes) -> bytes:
-        """Return the payload with header and tag."""
+        """Return the payload with its header and tag."""
         self._counter = (self._counter + 1) % _COUNTER_LIMIT
         seconds = int(self._wall_clock()) % _COUNTER_LIMIT
         content = _HEADER.pack(self._session, seconds, self._counter) + payload
         return content + _tag(self._keys[0], content)
 
     def open(self, sealed: bytes) -> bytes:
-        """Return the payload.
+        """Return the payload of a sealed datagram.
 
-        :raises RefusedDatagramError: forged, old or seen before.
+        :raises RefusedDatagramError: if it is too short, forged, too old or new, or a replay.
         """
         if len(sealed) < SEAL_BYTES:
             raise RefusedDatagramError(RefusalReason.TOO_SHORT)
@@ -110,7 +112,7 @@
         return content[_HEADER.size :]
 
     def _is_new(self, number: int, counter: int) -> bool:
-        """Record a counter; refuse it when seen, or older than the window remembers."""
+        """Record a counter; return ``False`` if it was seen before or precedes the window."""
         session = self._sessions.get(number)
         if session is None:
             session = self._sessions[number] = _Session()
--- a/tinrudder/cluster/wire/membership_codec.py
+++ b/tinrudder/cluster/wire/membership_codec.py
@@ -1,4 +1,7 @@
-"""Turns membership messages into protobuf and back, refusing what breaks a limit."""
+"""Encodes and decodes membership messages as protobuf, and rejects those that exceed a limit.
+
+Owns the caches of encoded and decoded updates.
+"""
 
 from __future__ import annotations
 
@@ -29,17 +32,17 @@
 from tinrudder.peers import PeerAddress
 
 MAX_NAME_CHARACTERS = 100
-"""Longest name of a member or back end that is read."""
+"""Characters of the longest accepted name of a member, back end, zone or region."""
 MAX_HOST_CHARACTERS = 45
-"""Longest text of an IP address, IPv4 in IPv6 included."""
+"""Characters of the longest textual IP address, an IPv4-mapped IPv6 address."""
 MAX_PORT = 65535
-"""Highest port."""
+"""Highest valid port number."""
 MAX_UPDATES = 128
-"""Updates read from one datagram; more than fit into one that we send."""
+"""Updates accepted in one datagram; more than fit into a datagram that a node sends."""
 MAX_OBSERVATIONS = 32
-"""Observations read from one datagram."""
+"""Observations accepted in one datagram."""
 CACHED_UPDATES = 2048
-"""Encoded updates kept: one piece of news is sent to many."""
+"""Updates in each of the two caches: a node sends and receives the same update many times."""
 _DIGESTS = struct.Struct(f"!{BUCKETS}I")
 
 _STATUS_TO_WIRE = {
@@ -52,11 +55,11 @@
 
 
 class MalformedDatagramError(Exception):
-    """The payload is no membership message, or breaks a limit; the text names it."""
+    """The payload is not a valid membership message; the error text names the faulty part."""
 
 
 def encode_envelope(envelope: Envelope) -> bytes:
-    """Return the payload of a datagram."""
+    """Encode a message as the payload of a datagram."""
     message = pb.Envelope(
         sender=envelope.sender,
         incarnation=envelope.incarnation,
@@ -80,15 +83,15 @@
 
 
 def decode_envelope(payload: bytes) -> Envelope:
-    """Return the message.
+    """Decode the payload of a datagram.
 
-    :raises MalformedDatagramError: the payload is not one we take.
+    :raises MalformedDatagramError: if the payload is malformed or exceeds a limit.
     """
     message = pb.Envelope()
     try:
         message.ParseFromString(payload)
     except (DecodeError, ValueError) as error:
-        raise MalformedDatagramError("not a membership message") from error
+        raise MalformedDatagramError("payload is not a membership message") from error
     _check(len(message.updates) <= MAX_UPDATES, "updates")
     _check(len(message.observations) <= MAX_OBSERVATIONS, "observations")
     enforcement = None
@@ -150,7 +153,7 @@
         case "sync_answer":
             return SyncAnswer()
         case _:
-            raise MalformedDatagramError("no body")
+            raise MalformedDatagramError("body is missing or of an unknown kind")
 
 
 @functools.lru_cache(CACHED_UPDATES)
@@ -172,7 +175,7 @@
 
 @functools.lru_cache(CACHED_UPDATES)
 def _decode_update(payload: bytes) -> MemberUpdate:
-    """Decode one update; gossip brings each of them about ten times, so results are kept."""
+    """Decode one update.  Results are cached: gossip delivers each update about ten times."""
     message = pb.MemberUpdate()
     try:
         message.ParseFromString(payload)
@@ -199,7 +202,7 @@
     try:
         kind = ObservationKind(message.kind)
     except ValueError as error:
-        raise MalformedDatagramError("observation kind") from error
+        raise MalformedDatagramError("unknown observation kind") from error
     return Observation(
         _name(message.backend), kind, _name(message.origin), message.sequence, message.age_ms / 1000
     )
