--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -45,7 +45,7 @@
 LIMITS = ClaimLimits(window_s=60.0, clock_skew_s=1.0, settle_s=60.0, removed_wait_s=180.0)
 
 
-class SleepyClock:
+class SuspendableClock:
     """The clocks of a node that can be suspended.
 
     ``sleep`` advances both clocks at once without firing timers.
@@ -53,19 +53,19 @@
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._slept = 0.0
+        self._suspended_s = 0.0
 
     def sleep(self, seconds: float) -> None:
-        self._slept += seconds
+        self._suspended_s += seconds
 
     def time(self) -> float:
-        return self._loop.time() + self._slept
+        return self._loop.time() + self._suspended_s
 
     def wall(self) -> float:
         return WALL_START + self.time()
 
     def call_at(self, when: float, callback: object, *arguments: object) -> asyncio.TimerHandle:
-        return self._loop.call_at(when - self._slept, callback, *arguments)
+        return self._loop.call_at(when - self._suspended_s, callback, *arguments)
 
 
 @dataclass
@@ -132,7 +132,7 @@
     """The claims service and the operation runner of one node."""
 
     def __init__(self, number: int, transport: MemoryPeerTransport, ledger: Ledger) -> None:
-        self.clock = SleepyClock()
+        self.clock = SuspendableClock()
         self.address = transport.address
         self.voter = Voter(f"node-{number}", f"zone-{number % 3}", transport.address)
         store = ConfigurationStore()
--- a/tests/unit/cluster/test_claims.py
+++ b/tests/unit/cluster/test_claims.py
@@ -55,18 +55,18 @@
 
 
 def test_a_voter_grants_a_key_once_until_it_expires_or_is_released():
-    one = ClaimVoter(LIMITS, started_at=0.0)
-    assert one.vote(request(1), (), 1000.0) == Granted()
-    assert one.vote(request(1), (), 1001.0) == Granted()
-    assert one.vote(request(2), (), 1002.0) == Held(proposer_id(1))
-    one.release(VoteRelease(KEY, proposer_id(2)))
-    assert one.vote(request(2), (), 1003.0) == Held(proposer_id(1))
-    one.release(VoteRelease(KEY, proposer_id(1)))
-    assert one.vote(request(2), (), 1004.0) == Granted()
-    assert one.vote(request(1), (), 1050.0) == Abstained(AbstainReason.EXPIRED)
-    assert one.held == 1
-    one.vote(request(1), (), 1051.0)
-    assert one.held == 0
+    claim_voter = ClaimVoter(LIMITS, started_at=0.0)
+    assert claim_voter.vote(request(1), (), 1000.0) == Granted()
+    assert claim_voter.vote(request(1), (), 1001.0) == Granted()
+    assert claim_voter.vote(request(2), (), 1002.0) == Held(proposer_id(1))
+    claim_voter.release(VoteRelease(KEY, proposer_id(2)))
+    assert claim_voter.vote(request(2), (), 1003.0) == Held(proposer_id(1))
+    claim_voter.release(VoteRelease(KEY, proposer_id(1)))
+    assert claim_voter.vote(request(2), (), 1004.0) == Granted()
+    assert claim_voter.vote(request(1), (), 1050.0) == Abstained(AbstainReason.EXPIRED)
+    assert claim_voter.held == 1
+    claim_voter.vote(request(1), (), 1051.0)
+    assert claim_voter.held == 0
 
 
 @pytest.mark.parametrize(
@@ -77,16 +77,16 @@
         (0.0, 1050.0, AbstainReason.EXPIRED),
     ],
 )
-def test_a_voter_abstains_where_its_memory_says_nothing(started_at, now, reason):
+def test_a_voter_abstains_when_it_cannot_know_whether_it_voted(started_at, now, reason):
     assert ClaimVoter(LIMITS, started_at).vote(request(1), (), now) == Abstained(reason)
     assert ClaimVoter(LIMITS, 988.9).vote(request(1), (), 1000.0) == Granted()
 
 
 def test_a_clock_set_back_does_not_revive_a_forgotten_key():
-    one = ClaimVoter(LIMITS, started_at=0.0)
-    one.vote(request(1), (), 1000.0)
-    one.vote(request(1), (), 1060.0)
-    assert one.vote(request(2), (), 1000.0) == Abstained(AbstainReason.EXPIRED)
+    claim_voter = ClaimVoter(LIMITS, started_at=0.0)
+    claim_voter.vote(request(1), (), 1000.0)
+    claim_voter.vote(request(1), (), 1060.0)
+    assert claim_voter.vote(request(2), (), 1000.0) == Abstained(AbstainReason.EXPIRED)
 
 
 def test_a_proposer_learns_a_newer_list_from_the_voters_and_needs_both_majorities():
@@ -114,23 +114,27 @@
 
 
 def test_a_proposer_without_a_majority_in_reach_gives_up_for_good():
-    three = make_electorate([voter(1), voter(2), voter(3)])
-    proposer = ClaimProposer(proposer_id(1), KEY, 1050.0, DispatchWindow(50.0, 1050.0), (three,))
+    electorate = make_electorate([voter(1), voter(2), voter(3)])
+    proposer = ClaimProposer(
+        proposer_id(1), KEY, 1050.0, DispatchWindow(50.0, 1050.0), (electorate,)
+    )
     proposer.on_reply(voter(1), Held(proposer_id(2)))
     proposer.on_no_reply(voter(2))
     assert proposer.phase is ClaimPhase.GIVEN_UP
-    for one in three.voters:
+    for one in electorate.voters:
         proposer.on_reply(one, Granted())
     assert not proposer.begin_dispatch(0.0, 1000.0)
-    nobody = ClaimProposer(proposer_id(1), KEY, 1050.0, DispatchWindow(50.0, 1050.0), ())
-    assert nobody.phase is ClaimPhase.GIVEN_UP
+    without_electorates = ClaimProposer(
+        proposer_id(1), KEY, 1050.0, DispatchWindow(50.0, 1050.0), ()
+    )
+    assert without_electorates.phase is ClaimPhase.GIVEN_UP
 
 
 def test_one_name_at_two_addresses_is_two_voters():
     moved = Voter(voter(1).name, voter(1).zone, PeerAddress("127.0.0.2", 2))
-    both = make_electorate([moved, voter(1), voter(2)])
-    assert len(both.voters) == 3
-    assert both.fingerprint != make_electorate([voter(1), voter(2), voter(3)]).fingerprint
+    electorate = make_electorate([moved, voter(1), voter(2)])
+    assert len(electorate.voters) == 3
+    assert electorate.fingerprint != make_electorate([voter(1), voter(2), voter(3)]).fingerprint
 
 
 @pytest.mark.parametrize(("nodes", "zones", "most"), [(12, 3, 2), (12, 4, 2), (4, 3, 1)])
@@ -145,7 +149,7 @@
         assert voter(99) not in chosen
 
 
-def test_a_superseded_list_keeps_its_say_until_its_majority_moved_on():
+def test_a_superseded_list_is_required_until_its_majority_moved_on():
     history = ElectorateHistory(dataclasses.replace(LIMITS, removed_wait_s=10_000.0))
     first = [ListedVoter(voter(number)) for number in (1, 2, 3)]
     second = [ListedVoter(voter(number)) for number in (4, 5, 6)]
@@ -164,13 +168,13 @@
     assert required(262.1) == ["node-04"]
 
 
-def test_a_proposer_that_knows_the_one_list_left_nothing_out():
+def test_a_proposer_with_the_only_list_cited_every_electorate():
     history = ElectorateHistory(LIMITS)
     history.learn(1, [ListedVoter(voter(number)) for number in (1, 2, 3)], 0.0)
-    assert history.left_out(KEY, 50.0, same_list=True) == ()
-    assert history.left_out(KEY, 50.0, same_list=False) == history.required(KEY, 50.0) != ()
+    assert history.possibly_uncited(KEY, 50.0, same_list=True) == ()
+    assert history.possibly_uncited(KEY, 50.0, same_list=False) == history.required(KEY, 50.0) != ()
     history.learn(2, [ListedVoter(voter(number)) for number in (4, 5, 6)], 10.0)
-    assert len(history.left_out(KEY, 50.0, same_list=True)) == 2
+    assert len(history.possibly_uncited(KEY, 50.0, same_list=True)) == 2
 
 
 def test_machines_off_the_list_for_long_no_longer_count():
--- a/tests/unit/cluster/test_claims_codec.py
+++ b/tests/unit/cluster/test_claims_codec.py
@@ -59,7 +59,7 @@
 
 
 @given(st.builds(SentRequest, NUMBERS, REQUESTS, NUMBERS), st.data())
-def test_requests_survive_and_cut_ones_are_refused_or_read(sent, data):
+def test_requests_round_trip_and_truncated_ones_are_refused_or_decoded(sent, data):
     payload = encode_request(sent)
     assert decode_request(payload) == sent
     with contextlib.suppress(MalformedClaimError):
@@ -67,7 +67,7 @@
 
 
 @given(st.builds(SentReply, NUMBERS, REPLIES))
-def test_replies_survive_with_fingerprints_of_our_own(sent):
+def test_replies_round_trip_with_recomputed_fingerprints(sent):
     decoded = decode_reply(encode_reply(sent))
     assert decoded == sent
     if isinstance(decoded.reply, NeedElectorates):
@@ -76,7 +76,7 @@
 
 
 @given(st.binary(max_size=300))
-def test_random_bytes_never_raise_anything_else(payload):
+def test_random_bytes_raise_only_malformed_claim_error(payload):
     for decode in (decode_request, decode_reply):
         with contextlib.suppress(MalformedClaimError):
             decode(payload)
--- a/tinrudder/cluster/claims/claim_identity.py
+++ b/tinrudder/cluster/claims/claim_identity.py
@@ -14,7 +14,7 @@
 
 INSTANCE_RANDOM_BITS = 12
 """Random low bits of an instance number; they distinguish two starts within a microsecond."""
-MICROSECONDS = 1_000_000
+MICROSECONDS_PER_SECOND = 1_000_000
 """Microseconds in a second."""
 
 
@@ -24,7 +24,7 @@
     The start time makes it unique even if the random source repeats itself.  Two starts with
     the same number could be taken for one proposer, whose repeated request a voter grants again.
     """
-    return (int(now * MICROSECONDS) << INSTANCE_RANDOM_BITS) | source.getrandbits(
+    return (int(now * MICROSECONDS_PER_SECOND) << INSTANCE_RANDOM_BITS) | source.getrandbits(
         INSTANCE_RANDOM_BITS
     )
 
--- a/tinrudder/cluster/claims/claim_proposer.py
+++ b/tinrudder/cluster/claims/claim_proposer.py
@@ -80,7 +80,7 @@
         self.granted: set[Voter] = set()
         self.refused: set[Voter] = set()
         self.cited_to: dict[Voter, int] = {}
-        self._add(electorates)
+        self._cite(electorates)
         if not self.electorates:
             self.phase = ClaimPhase.GIVEN_UP
 
@@ -92,8 +92,10 @@
 
     def voters(self) -> tuple[Voter, ...]:
         """Return the voters of all electorates, sorted."""
-        everyone = {voter for one in self.electorates.values() for voter in one.voters}
-        return tuple(sorted(everyone))
+        all_voters = {
+            voter for electorate in self.electorates.values() for voter in electorate.voters
+        }
+        return tuple(sorted(all_voters))
 
     def on_reply(self, voter: Voter, reply: VoteReply) -> tuple[Voter, ...]:
         """Record a voter's reply and return the voters to send a request to next.
@@ -113,15 +115,15 @@
             case Abstained():
                 self.refused.add(voter)
             case NeedElectorates(electorates):
-                return self._extend(voter, electorates)
-        self._judge()
+                return self._add_required(voter, electorates)
+        self._update_phase()
         return ()
 
     def on_no_reply(self, voter: Voter) -> None:
         """Record that no reply came from a voter, which may have granted its vote regardless."""
         if self.phase is ClaimPhase.ASKING and voter not in self.granted:
             self.refused.add(voter)
-            self._judge()
+            self._update_phase()
 
     def may_dispatch(self, monotonic: float, wall: float) -> bool:
         """Return whether the request may be sent now; check immediately before sending."""
@@ -149,7 +151,7 @@
         self.phase = ClaimPhase.GIVEN_UP
         return True
 
-    def _extend(self, voter: Voter, electorates: Sequence[Electorate]) -> tuple[Voter, ...]:
+    def _add_required(self, voter: Voter, electorates: Sequence[Electorate]) -> tuple[Voter, ...]:
         """Add the electorates that a voter requires; return it and the new voters, to be asked.
 
         Earlier grants remain valid, because each was given for a subset of the electorates cited
@@ -157,28 +159,34 @@
         something that this proposer cannot supply, and counts as a refusal.
         """
         known = frozenset(self.voters())
-        self._add(electorates)
+        self._cite(electorates)
         if len(self.electorates) == self.cited_to.get(voter, 0):
             self.refused.add(voter)
-            self._judge()
+            self._update_phase()
             return ()
         new = [other for other in self.voters() if other not in known and other != voter]
         return (voter, *new)
 
-    def _add(self, electorates: Sequence[Electorate]) -> None:
+    def _cite(self, electorates: Sequence[Electorate]) -> None:
         """Add electorates to those that requests cite."""
         for electorate in electorates:
             self.electorates.setdefault(electorate.fingerprint, electorate)
 
-    def _judge(self) -> None:
+    def _update_phase(self) -> None:
         """Win with a majority in every electorate; give up if any can no longer reach one."""
-        if all(self._votes(one) >= one.majority for one in self.electorates.values()):
+        if all(
+            self._granted_votes(electorate) >= electorate.majority
+            for electorate in self.electorates.values()
+        ):
             self.phase = ClaimPhase.WON
-        elif any(self._reachable(one) < one.majority for one in self.electorates.values()):
+        elif any(
+            self._attainable_votes(electorate) < electorate.majority
+            for electorate in self.electorates.values()
+        ):
             self.phase = ClaimPhase.GIVEN_UP
 
-    def _votes(self, electorate: Electorate) -> int:
+    def _granted_votes(self, electorate: Electorate) -> int:
         return sum(voter in self.granted for voter in electorate.voters)
 
-    def _reachable(self, electorate: Electorate) -> int:
+    def _attainable_votes(self, electorate: Electorate) -> int:
         return sum(voter not in self.refused for voter in electorate.voters)
--- a/tinrudder/cluster/claims/claim_voter.py
+++ b/tinrudder/cluster/claims/claim_voter.py
@@ -34,7 +34,7 @@
     """The proposer that holds a key, and the wall-clock time at which the grant is forgotten."""
 
     proposer: ProposerId
-    remembered_until: float
+    expires_at: float
 
 
 class ClaimVoter:
@@ -62,7 +62,7 @@
         """
         self._limits = limits
         self.started_at = started_at
-        self._latest = started_at
+        self._latest_time = started_at
         self._grants: dict[ClaimKey, Grant] = {}
         self._expiries: list[tuple[float, ClaimKey]] = []
 
@@ -76,7 +76,7 @@
 
         :param required: the electorates that, as far as this node knows, the claim must win.
         """
-        now = self._advance(now)
+        now = self._drop_expired(now)
         reason = self._cannot_know(request.valid_until, now)
         if reason is not None:
             return Abstained(reason)
@@ -89,7 +89,7 @@
             return NeedElectorates(tuple(required))
         if len(self._expiries) >= MAX_GRANTS:
             return Abstained(AbstainReason.TOO_MANY_CLAIMS)
-        self._remember(request)
+        self._record_grant(request)
         return Granted()
 
     def release(self, release: VoteRelease) -> None:
@@ -113,21 +113,21 @@
             return AbstainReason.JUST_STARTED
         return None
 
-    def _remember(self, request: VoteRequest) -> None:
-        until = request.valid_until + self._limits.clock_skew_s
-        self._grants[request.key] = Grant(request.proposer, until)
-        heapq.heappush(self._expiries, (until, request.key))
+    def _record_grant(self, request: VoteRequest) -> None:
+        expiry = request.valid_until + self._limits.clock_skew_s
+        self._grants[request.key] = Grant(request.proposer, expiry)
+        heapq.heappush(self._expiries, (expiry, request.key))
 
-    def _advance(self, now: float) -> float:
+    def _drop_expired(self, now: float) -> float:
         """Drop expired grants and return the latest time seen.
 
         Time never goes back here: otherwise, after the clock is set back, a key whose grant was
         dropped could be granted a second time.
         """
-        self._latest = max(self._latest, now)
-        while self._expiries and self._expiries[0][0] <= self._latest:
-            until, key = heapq.heappop(self._expiries)
+        self._latest_time = max(self._latest_time, now)
+        while self._expiries and self._expiries[0][0] <= self._latest_time:
+            expiry, key = heapq.heappop(self._expiries)
             grant = self._grants.get(key)
-            if grant is not None and grant.remembered_until <= until:
+            if grant is not None and grant.expires_at <= expiry:
                 del self._grants[key]
-        return self._latest
+        return self._latest_time
--- a/tinrudder/cluster/claims/claims_service.py
+++ b/tinrudder/cluster/claims/claims_service.py
@@ -53,9 +53,9 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 from tinrudder.timers import TimerHandle, Timers, WallClock
 
-TELL_INTERVAL_S = 1.0
+ANNOUNCE_INTERVAL_S = 1.0
 """Seconds between rounds of announcements; each round reaches a part of the other nodes."""
-TELL_EVERYONE_S = 60.0
+ANNOUNCE_CYCLE_S = 60.0
 """Seconds in which every other node receives one announcement of the list that this node knows,
 and for which announcements continue after a list last waited for reports."""
 
@@ -101,15 +101,15 @@
         self._channel = channel
         self._node = node
         self.limits = limits
-        self._answers = answers
+        self._answer_source = answers
         self._instance = new_instance(wall_clock(), source)
         self._attempts = 0
         self._histories: dict[str, ElectorateHistory] = {}
         self._revision = 0
         self._list_digest = 0
-        self._everyone: tuple[PeerAddress, ...] = ()
-        self._told = 0
-        self._tell_until = 0.0
+        self._other_nodes: tuple[PeerAddress, ...] = ()
+        self._announcements_sent = 0
+        self._announce_until = 0.0
         self._timer: TimerHandle | None = None
         self._voter: ClaimVoter | None = None
         self.counters = ClaimCounters()
@@ -124,7 +124,7 @@
         """Begin voting, without knowledge of grants by an earlier process at this address."""
         self._voter = ClaimVoter(self.limits, self._wall_clock())
         if self._timer is None:
-            self._tell_some()
+            self._announce_known_list()
 
     def stop(self) -> None:
         """Stop announcing which list this node knows."""
@@ -142,9 +142,9 @@
         for region in sorted(self._histories.keys() | regions.keys()):
             history = self._histories.setdefault(region, ElectorateHistory(self.limits))
             history.learn(revision, regions.get(region, ()), now)
-        self._heard(self._node.voter.identity, revision)
-        everyone = {listed.voter.address for members in regions.values() for listed in members}
-        self._everyone = tuple(sorted(everyone - {self._node.voter.address}))
+        self._record_known_revision(self._node.voter.identity, revision)
+        addresses = {listed.voter.address for members in regions.values() for listed in members}
+        self._other_nodes = tuple(sorted(addresses - {self._node.voter.address}))
 
     async def claim(
         self,
@@ -176,7 +176,7 @@
         proposer = ClaimProposer(identity, key, valid_until, window, required)
         claim = Claim(proposer, self._timers, self._wall_clock, self._release)
         try:
-            await self._ask_until_decided(proposer, self._timers.time() + timeout_s)
+            await self._collect_votes(proposer, self._timers.time() + timeout_s)
         finally:
             if not claim.won:
                 claim.give_up()
@@ -189,45 +189,47 @@
         """Ask the holder of a key what became of its request; ``UNKNOWN`` without an answer."""
         question = AnswerQuestion(key, holder, content)
         if holder.address == self._node.voter.address:
-            return await self._answers(question)
+            return await self._answer_source(question)
         reply = await self._exchange(holder.address, question, timeout_s)
         if isinstance(reply, StoredAnswer):
             return reply
         return StoredAnswer(AnswerStatus.UNKNOWN)
 
-    async def _ask_until_decided(self, proposer: ClaimProposer, until: float) -> None:
+    async def _collect_votes(self, proposer: ClaimProposer, deadline: float) -> None:
         """Run vote requests concurrently; handle the replies that are ready in request order."""
-        asking: dict[asyncio.Task[VoteReply | None], Voter] = {}
-        self._ask(proposer, proposer.voters(), until, asking)
+        pending: dict[asyncio.Task[VoteReply | None], Voter] = {}
+        self._send_vote_requests(proposer, proposer.voters(), deadline, pending)
         try:
-            while asking and proposer.phase is ClaimPhase.ASKING:
-                await asyncio.wait(asking, return_when=asyncio.FIRST_COMPLETED)
-                for task in [task for task in asking if task.done()]:
-                    voter = asking.pop(task)
+            while pending and proposer.phase is ClaimPhase.ASKING:
+                await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+                for task in [task for task in pending if task.done()]:
+                    voter = pending.pop(task)
                     reply = task.result()
                     if reply is None:
                         proposer.on_no_reply(voter)
                     else:
-                        self._ask(proposer, proposer.on_reply(voter, reply), until, asking)
+                        self._send_vote_requests(
+                            proposer, proposer.on_reply(voter, reply), deadline, pending
+                        )
         finally:
-            for task in asking:
+            for task in pending:
                 task.cancel()
 
-    def _ask(
+    def _send_vote_requests(
         self,
         proposer: ClaimProposer,
         voters: Sequence[Voter],
-        until: float,
-        asking: dict[asyncio.Task[VoteReply | None], Voter],
+        deadline: float,
+        pending: dict[asyncio.Task[VoteReply | None], Voter],
     ) -> None:
         """Start a vote request to each of ``voters``."""
         for voter in voters:
             request = proposer.request_to(voter)
-            timeout_s = until - self._timers.time()
-            task = asyncio.create_task(self._ask_voter(voter, request, timeout_s))
-            asking[task] = voter
+            timeout_s = deadline - self._timers.time()
+            task = asyncio.create_task(self._request_vote(voter, request, timeout_s))
+            pending[task] = voter
 
-    async def _ask_voter(
+    async def _request_vote(
         self, voter: Voter, request: VoteRequest, timeout_s: float
     ) -> VoteReply | None:
         """Return a voter's reply, ``None`` without one."""
@@ -257,7 +259,7 @@
         except (PeerNotSentError, PeerLostError, MalformedClaimError):
             return None
         if identity is not None:
-            self._heard(identity, sent.revision)
+            self._record_known_revision(identity, sent.revision)
         return sent.reply
 
     def _release(self, proposer: ClaimProposer) -> None:
@@ -284,7 +286,7 @@
             case VoteRelease() as release if self._voter is not None:
                 self._voter.release(release)
             case KnownList(voter):
-                self._heard(voter.identity, sent.revision)
+                self._record_known_revision(voter.identity, sent.revision)
 
     async def _on_request(self, _source: PeerAddress, payload: bytes) -> bytes:
         """Answer a vote request, or a duplicate's question for a stored answer.
@@ -296,10 +298,10 @@
         match sent.request:
             case VoteRequest() as request:
                 proposer = request.proposer
-                self._heard(f"{proposer.node}@{proposer.address}", sent.revision)
+                self._record_known_revision(f"{proposer.node}@{proposer.address}", sent.revision)
                 reply: ClaimReply = self._vote(request, sent.list_digest)
             case AnswerQuestion() as question:
-                reply = await self._answers(question)
+                reply = await self._answer_source(question)
             case _:
                 raise MalformedClaimError("claim request: this kind is sent only as a datagram")
         answer = encode_reply(SentReply(self._revision, reply))
@@ -312,10 +314,10 @@
         if self._voter is None or history is None or not history.settled:
             return Abstained(AbstainReason.LIST_UNSETTLED)
         same_list = list_digest == self._list_digest
-        required = history.left_out(request.key, request.valid_until, same_list=same_list)
+        required = history.possibly_uncited(request.key, request.valid_until, same_list=same_list)
         return self._voter.vote(request, required, self._wall_clock())
 
-    def _tell_some(self) -> None:
+    def _announce_known_list(self) -> None:
         """Announce the known list to a part of the other nodes, while a list needs reports.
 
         Otherwise, with few operations and so few messages, a superseded list might never be
@@ -323,23 +325,23 @@
         """
         now = self._timers.time()
         wall = self._wall_clock()
-        self._timer = self._timers.call_at(now + TELL_INTERVAL_S, self._tell_some)
+        self._timer = self._timers.call_at(now + ANNOUNCE_INTERVAL_S, self._announce_known_list)
         for history in self._histories.values():
             history.forget_sealed(wall)
         own = self._histories.get(self._node.region)
-        if own is not None and own.waits_for_word(wall):
-            self._tell_until = now + TELL_EVERYONE_S
-        if now >= self._tell_until or not self._everyone:
+        if own is not None and own.awaits_revision_reports(wall):
+            self._announce_until = now + ANNOUNCE_CYCLE_S
+        if now >= self._announce_until or not self._other_nodes:
             return
         known = SentRequest(self._revision, KnownList(self._node.voter), self._list_digest)
         payload = encode_request(known)
-        for _ in range(math.ceil(len(self._everyone) * TELL_INTERVAL_S / TELL_EVERYONE_S)):
-            self._told += 1
-            destination = self._everyone[self._told % len(self._everyone)]
+        for _ in range(math.ceil(len(self._other_nodes) * ANNOUNCE_INTERVAL_S / ANNOUNCE_CYCLE_S)):
+            self._announcements_sent += 1
+            destination = self._other_nodes[self._announcements_sent % len(self._other_nodes)]
             self._channel.send_datagram(destination, payload)
             self.counters.sent_bytes += len(payload)
 
-    def _heard(self, identity: str, revision: int) -> None:
+    def _record_known_revision(self, identity: str, revision: int) -> None:
         """Record in every region's history that a node knows a list revision."""
         now = self._wall_clock()
         for history in self._histories.values():
--- a/tinrudder/cluster/claims/electorate_history.py
+++ b/tinrudder/cluster/claims/electorate_history.py
@@ -40,7 +40,7 @@
     """A list revision that a voter reported, and the wall-clock time of its first report."""
 
     revision: int
-    heard_at: float
+    reported_at: float
 
 
 @dataclass(slots=True)
@@ -59,7 +59,7 @@
         self._limits = limits
         self._lists: list[LearnedList] = []
         self._ranking = VoterRanking(())
-        self._known: dict[str, list[KnownRevision]] = {}
+        self._known_revisions: dict[str, list[KnownRevision]] = {}
         self._removed_at: dict[str, float] = {}
 
     @property
@@ -72,7 +72,7 @@
         """Return whether claims can be decided: a list is known, and no more than the limit."""
         return 0 < len(self._lists) <= MAX_UNSEALED_LISTS
 
-    def waits_for_word(self, now: float) -> bool:
+    def awaits_revision_reports(self, now: float) -> bool:
         """Return whether the oldest list is past ``settle_s`` but still unsealed.
 
         Only reports from its voters, or their removal, can then seal it.
@@ -93,7 +93,7 @@
             if self._lists:
                 self._lists[-1].superseded_at = now
             self._lists.append(LearnedList(newest))
-        self._note_removed({member.voter.identity for member in members}, now)
+        self._update_removals({member.voter.identity for member in members}, now)
         self._forget_sealed(now)
         self._ranking = VoterRanking(
             voter for learned in self._lists for voter in learned.voters.voters
@@ -107,7 +107,7 @@
 
     def heard(self, identity: str, revision: int, now: float) -> None:
         """Record that a voter knows a list revision."""
-        known = self._known.setdefault(identity, [])
+        known = self._known_revisions.setdefault(identity, [])
         if not known or known[-1].revision < revision:
             known.append(KnownRevision(revision, now))
 
@@ -122,7 +122,7 @@
                 electorates[electorate.fingerprint] = electorate
         return tuple(electorates.values())
 
-    def left_out(
+    def possibly_uncited(
         self, key: ClaimKey, valid_until: float, *, same_list: bool
     ) -> tuple[Electorate, ...]:
         """Return the required electorates, or none if the proposer must have cited them all.
@@ -142,20 +142,20 @@
         if learned.superseded_at + self._limits.settle_s >= before:
             return False
         revision = learned.voters.revision
-        moved = sum(self._moved(voter, revision, before) for voter in electorate.voters)
+        moved = sum(self._has_moved_on(voter, revision, before) for voter in electorate.voters)
         return moved >= electorate.majority
 
-    def _moved(self, voter: Voter, revision: int, before: float) -> bool:
+    def _has_moved_on(self, voter: Voter, revision: int, before: float) -> bool:
         """Return whether a voter will not grant to a proposer that knows only ``revision``."""
         removed_at = self._removed_at.get(voter.identity)
         if removed_at is not None and removed_at + self._limits.removed_wait_s < before:
             return True
-        known = self._known.get(voter.identity, ())
-        return any(one.revision > revision and one.heard_at < before for one in known)
+        known = self._known_revisions.get(voter.identity, ())
+        return any(report.revision > revision and report.reported_at < before for report in known)
 
-    def _note_removed(self, present: set[str], now: float) -> None:
+    def _update_removals(self, present: set[str], now: float) -> None:
         """Update since when each voter of a remembered list is missing from the newest list."""
-        for identity in sorted(self._named()):
+        for identity in sorted(self._voter_identities()):
             if identity in present:
                 self._removed_at.pop(identity, None)
             else:
@@ -166,7 +166,7 @@
         before = now - self._limits.window_s - 2 * self._limits.clock_skew_s
         while len(self._lists) > 1 and self._sealed_for_all_keys(self._lists[0], before):
             del self._lists[0]
-        self._forget_absent()
+        self._prune_records()
 
     def _sealed_for_all_keys(self, learned: LearnedList, before: float) -> bool:
         """Return whether a list is sealed for every key.
@@ -179,23 +179,25 @@
         if learned.superseded_at + self._limits.settle_s >= before:
             return False
         voters = learned.voters
-        moved = sum(self._moved(voter, voters.revision, before) for voter in voters.voters)
+        moved = sum(self._has_moved_on(voter, voters.revision, before) for voter in voters.voters)
         minority = max(0, (voters.size - 1) // 2)
         return len(voters.voters) - moved <= minority
 
-    def _forget_absent(self) -> None:
+    def _prune_records(self) -> None:
         """Drop records of voters and revisions that no remembered list needs."""
-        named = self._named()
+        named = self._voter_identities()
         oldest = self._lists[0].voters.revision
-        for identity in sorted(self._known):
-            kept = [one for one in self._known[identity] if one.revision > oldest]
+        for identity in sorted(self._known_revisions):
+            kept = [
+                report for report in self._known_revisions[identity] if report.revision > oldest
+            ]
             if kept and identity in named:
-                self._known[identity] = kept
+                self._known_revisions[identity] = kept
             else:
-                del self._known[identity]
+                del self._known_revisions[identity]
         for identity in sorted(self._removed_at.keys() - named):
             del self._removed_at[identity]
 
-    def _named(self) -> set[str]:
+    def _voter_identities(self) -> set[str]:
         """Return the identities of all voters of the remembered lists."""
         return {voter.identity for learned in self._lists for voter in learned.voters.voters}
--- a/tinrudder/cluster/replication/state_exchange.py
+++ b/tinrudder/cluster/replication/state_exchange.py
@@ -29,10 +29,10 @@
 PULL_ERRORS = (MalformedUpdateError, StateChangedError, PeerNotSentError, PeerLostError)
 """Errors of a pull that need no handling, because a later notice causes another pull."""
 
-ASK_NEXT_S = 0.1
+PULL_STAGGER_S = 0.1
 """Seconds between the starts of further pulls by a starting node, so that unreachable peers delay
 it little."""
-ENOUGH_ANSWERS = 2
+SUFFICIENT_ANSWERS = 2
 """Peers whose answers a starting node waits for: two, because the first peer to answer may itself
 have been partitioned from the others."""
 
@@ -76,24 +76,24 @@
         self._settings = settings or ExchangeSettings()
         self._rounds_left = 0
         self._round_timer: TimerHandle | None = None
-        self._idle_timer: TimerHandle | None = None
-        self._pulling: asyncio.Task[None] | None = None
+        self._anti_entropy_timer: TimerHandle | None = None
+        self._pull_task: asyncio.Task[None] | None = None
         self._next_peer: PeerAddress | None = None
         self._stopped = False
         transport.listen(self._on_notice, self._on_request)
 
     def start(self) -> None:
         """Start anti-entropy."""
-        self._set_idle_timer()
+        self._schedule_anti_entropy()
 
     def stop(self) -> None:
         """Stop sending notices and pulling; pull requests are still answered."""
         self._stopped = True
-        for timer in (self._round_timer, self._idle_timer):
+        for timer in (self._round_timer, self._anti_entropy_timer):
             if timer is not None:
                 timer.cancel()
-        if self._pulling is not None:
-            self._pulling.cancel()
+        if self._pull_task is not None:
+            self._pull_task.cancel()
 
     def announce(self) -> None:
         """Start rounds of notices after a change of this node's state."""
@@ -110,22 +110,26 @@
         :returns: whether any peer answered.
         """
         peers = self._sample(self._settings.first_peers)
-        asking = [
-            asyncio.create_task(self._ask(peer, max(0, number + 1 - ENOUGH_ANSWERS) * ASK_NEXT_S))
+        pulls = [
+            asyncio.create_task(
+                self._pull_after_delay(
+                    peer, max(0, number + 1 - SUFFICIENT_ANSWERS) * PULL_STAGGER_S
+                )
+            )
             for number, peer in enumerate(peers)
         ]
         answers = 0
         try:
-            for finished in asyncio.as_completed(asking):
+            for finished in asyncio.as_completed(pulls):
                 answers += await finished
-                if answers >= ENOUGH_ANSWERS:
+                if answers >= SUFFICIENT_ANSWERS:
                     break
         finally:
-            for task in asking:
+            for task in pulls:
                 task.cancel()
         return answers > 0
 
-    async def _ask(self, peer: PeerAddress, delay_s: float) -> bool:
+    async def _pull_after_delay(self, peer: PeerAddress, delay_s: float) -> bool:
         """Pull from a peer after a delay; return whether the pull succeeded."""
         await asyncio.sleep(delay_s)
         try:
@@ -142,7 +146,7 @@
     def on_newer_revision(self, peer: PeerAddress, revision: int) -> None:
         """Pull from ``peer``, which enforces ``revision``, if that is newer than this state's."""
         if revision > self._state.header().revision:
-            self._pull(peer)
+            self._request_pull(peer)
 
     def _on_notice(self, source: PeerAddress, payload: bytes) -> None:
         """Pull if the peer's state differs and is not older; send it a notice if it is older."""
@@ -155,7 +159,7 @@
         if theirs.state_digest == ours.state_digest:
             return
         if theirs.document >= ours.document:
-            self._pull(source)
+            self._request_pull(source)
         else:
             self._send_notice(source)
 
@@ -163,7 +167,7 @@
         """Answer a peer's pull request."""
         return answer_pull(self._state, payload)
 
-    def _pull(self, peer: PeerAddress) -> None:
+    def _request_pull(self, peer: PeerAddress) -> None:
         """Pull from a peer now, or after the running pull.
 
         Only the latest peer is remembered for the next pull.
@@ -171,8 +175,8 @@
         if self._stopped:
             return
         self._next_peer = peer
-        if self._pulling is None or self._pulling.done():
-            self._pulling = asyncio.create_task(self._run_pulls())
+        if self._pull_task is None or self._pull_task.done():
+            self._pull_task = asyncio.create_task(self._run_pulls())
 
     async def _run_pulls(self) -> None:
         """Pull from the remembered peers until there is none left."""
@@ -184,9 +188,9 @@
                 # Safe to skip: another peer's notice or anti-entropy causes a later pull.
                 log_problem("pull failed", {"peer": str(peer), "error": str(error)})
                 continue
-            self._after_pull(peer, answer.header)
+            self._notify_if_different(peer, answer.header)
 
-    def _after_pull(self, peer: PeerAddress, theirs: StateHeader) -> None:
+    def _notify_if_different(self, peer: PeerAddress, theirs: StateHeader) -> None:
         """Send the peer a notice if this state still differs, so that it pulls what it lacks."""
         if self._state.header().state_digest != theirs.state_digest:
             self._send_notice(peer)
@@ -202,15 +206,17 @@
         delay = self._settings.round_s * self._random.uniform(0.5, 1.5)
         self._round_timer = self._timers.call_at(self._timers.time() + delay, self._run_round)
 
-    def _set_idle_timer(self) -> None:
+    def _schedule_anti_entropy(self) -> None:
         delay = self._settings.anti_entropy_s * self._random.uniform(0.5, 1.5)
-        self._idle_timer = self._timers.call_at(self._timers.time() + delay, self._on_idle)
+        self._anti_entropy_timer = self._timers.call_at(
+            self._timers.time() + delay, self._run_anti_entropy
+        )
 
-    def _on_idle(self) -> None:
+    def _run_anti_entropy(self) -> None:
         """Send a notice to one random peer and schedule the next one."""
         for peer in self._sample(1):
             self._send_notice(peer)
-        self._set_idle_timer()
+        self._schedule_anti_entropy()
 
     def _send_notice(self, peer: PeerAddress) -> None:
         self._transport.send_datagram(peer, encode_notice(self._state.header()))
--- a/tinrudder/cluster/replication/state_pull.py
+++ b/tinrudder/cluster/replication/state_pull.py
@@ -82,12 +82,12 @@
     header = state.header()
     if request.state_digest and request.state_digest != header.state_digest:
         return encode_answer(PullAnswer(header, changed=True))
-    held = short_digests(state.bucket_digests())
-    theirs = request.bucket_digests
+    own_digests = short_digests(state.bucket_digests())
+    peer_digests = request.bucket_digests
     differing = frozenset(
         number
-        for number, digest in enumerate(held)
-        if number >= len(theirs) or theirs[number] != digest
+        for number, digest in enumerate(own_digests)
+        if number >= len(peer_digests) or peer_digests[number] != digest
     )
     entries = state.encode_buckets(sorted(differing))[request.skip :]
     chunk = _first_chunk(entries)
--- a/tinrudder/cluster/wire/configuration_codec.py
+++ b/tinrudder/cluster/wire/configuration_codec.py
@@ -87,11 +87,14 @@
     """
     message = configuration_pb2.PullRequest()
     _parse(message, payload)
-    joined = message.bucket_digests
-    if len(joined) % SHORT_DIGEST_BYTES or len(joined) > MAX_BUCKETS * SHORT_DIGEST_BYTES:
+    digest_bytes = message.bucket_digests
+    if (
+        len(digest_bytes) % SHORT_DIGEST_BYTES
+        or len(digest_bytes) > MAX_BUCKETS * SHORT_DIGEST_BYTES
+    ):
         raise MalformedUpdateError("bucket_digests: partial last digest, or too many digests")
-    starts = range(0, len(joined), SHORT_DIGEST_BYTES)
-    digests = tuple(joined[start : start + SHORT_DIGEST_BYTES] for start in starts)
+    starts = range(0, len(digest_bytes), SHORT_DIGEST_BYTES)
+    digests = tuple(digest_bytes[start : start + SHORT_DIGEST_BYTES] for start in starts)
     return PullRequest(digests, message.state_digest, message.skip)
 
 
@@ -100,7 +103,7 @@
     chunk = configuration_pb2.EntryChunk(entries=answer.entries).SerializeToString()
     return configuration_pb2.PullAnswer(
         header=_header_message(answer.header),
-        differing=_bits(answer.differing),
+        differing=_encode_bitmap(answer.differing),
         chunk=zlib.compress(chunk, COMPRESSION_LEVEL),
         more=answer.more,
         changed=answer.changed,
@@ -116,12 +119,12 @@
     message = configuration_pb2.PullAnswer()
     _parse(message, payload)
     chunk = configuration_pb2.EntryChunk()
-    _parse(chunk, _unpack(message.chunk))
+    _parse(chunk, _decompress(message.chunk))
     if len(message.differing) * 8 > MAX_BUCKETS:
         raise MalformedUpdateError("differing: too many buckets")
     return PullAnswer(
         _header(message.header),
-        _positions(message.differing),
+        _decode_bitmap(message.differing),
         tuple(chunk.entries),
         message.more,
         message.changed,
@@ -133,7 +136,7 @@
     return tuple(digest[:SHORT_DIGEST_BYTES] for digest in digests)
 
 
-def _unpack(compressed: bytes) -> bytes:
+def _decompress(compressed: bytes) -> bytes:
     decompressor = zlib.decompressobj()
     try:
         content = decompressor.decompress(compressed, MAX_CHUNK_BYTES)
@@ -166,22 +169,22 @@
 
 
 def _header(message: configuration_pb2.StateHeader) -> StateHeader:
-    longest = max(len(message.document_digest), len(message.state_digest))
-    if longest > MAX_HEADER_DIGEST_BYTES:
+    longest_digest = max(len(message.document_digest), len(message.state_digest))
+    if longest_digest > MAX_HEADER_DIGEST_BYTES:
         raise MalformedUpdateError("header: digest too long")
     return StateHeader(message.revision, message.document_digest, message.state_digest)
 
 
-def _bits(positions: frozenset[int]) -> bytes:
+def _encode_bitmap(positions: frozenset[int]) -> bytes:
     """Encode positions as a bitmap, lowest bit first.
 
-    >>> _bits(frozenset({0, 9})).hex(), sorted(_positions(bytes.fromhex("0102")))
+    >>> _encode_bitmap(frozenset({0, 9})).hex(), sorted(_decode_bitmap(bytes.fromhex("0102")))
     ('0102', [0, 9])
     """
     value = sum(1 << position for position in positions)
     return value.to_bytes((value.bit_length() + 7) // 8, "little")
 
 
-def _positions(content: bytes) -> frozenset[int]:
+def _decode_bitmap(content: bytes) -> frozenset[int]:
     value = int.from_bytes(content, "little")
     return frozenset(position for position in range(value.bit_length()) if value >> position & 1)
--- a/tinrudder/cluster/wire/datagram_seal.py
+++ b/tinrudder/cluster/wire/datagram_seal.py
@@ -53,11 +53,11 @@
 
 
 @dataclass(slots=True)
-class _Session:
+class _ReplayWindow:
     """Replay window of one sender: the highest counter received, and a bitmap of the last ones."""
 
     highest: int = 0
-    seen: int = 0
+    bitmap: int = 0
 
 
 class DatagramSeal:
@@ -85,7 +85,7 @@
         self._session = session
         self._wall_clock = wall_clock
         self._counter = 0
-        self._sessions: OrderedDict[int, _Session] = OrderedDict()
+        self._sessions: OrderedDict[int, _ReplayWindow] = OrderedDict()
 
     def seal(self, payload: bytes) -> bytes:
         """Return the payload with its header and tag."""
@@ -107,29 +107,29 @@
         session, seconds, counter = _HEADER.unpack_from(content)
         if abs(seconds - self._wall_clock()) > MAX_CLOCK_DIFFERENCE_S:
             raise RefusedDatagramError(RefusalReason.CLOCK)
-        if not self._is_new(session, counter):
+        if not self._accept_counter(session, counter):
             raise RefusedDatagramError(RefusalReason.REPLAYED)
         return content[_HEADER.size :]
 
-    def _is_new(self, number: int, counter: int) -> bool:
+    def _accept_counter(self, session_id: int, counter: int) -> bool:
         """Record a counter; return ``False`` if it was seen before or precedes the window."""
-        session = self._sessions.get(number)
-        if session is None:
-            session = self._sessions[number] = _Session()
+        window = self._sessions.get(session_id)
+        if window is None:
+            window = self._sessions[session_id] = _ReplayWindow()
             if len(self._sessions) > MAX_SESSIONS:
                 self._sessions.popitem(last=False)
         else:
-            self._sessions.move_to_end(number)
-        ahead = counter - session.highest
+            self._sessions.move_to_end(session_id)
+        ahead = counter - window.highest
         if ahead > 0:
-            kept = session.seen << ahead if ahead < WINDOW_COUNTERS else 0
-            session.seen = (kept | 1) & _WINDOW_MASK
-            session.highest = counter
+            shifted = window.bitmap << ahead if ahead < WINDOW_COUNTERS else 0
+            window.bitmap = (shifted | 1) & _WINDOW_MASK
+            window.highest = counter
             return True
         bit = 1 << -ahead
-        if -ahead >= WINDOW_COUNTERS or session.seen & bit:
+        if -ahead >= WINDOW_COUNTERS or window.bitmap & bit:
             return False
-        session.seen |= bit
+        window.bitmap |= bit
         return True
 
 
--- a/tinrudder/cluster/wire/membership_codec.py
+++ b/tinrudder/cluster/wire/membership_codec.py
@@ -96,8 +96,12 @@
     _check(len(message.observations) <= MAX_OBSERVATIONS, "observations")
     enforcement = None
     if message.HasField("enforcement"):
-        heard = message.enforcement
-        enforcement = Enforcement(heard.revision, heard.roster_digest, heard.bits)
+        enforcement_message = message.enforcement
+        enforcement = Enforcement(
+            enforcement_message.revision,
+            enforcement_message.roster_digest,
+            enforcement_message.bits,
+        )
     return Envelope(
         _name(message.sender),
         message.incarnation,
@@ -219,6 +223,6 @@
     return name
 
 
-def _check(holds: bool, what: str) -> None:
-    if not holds:
-        raise MalformedDatagramError(what)
+def _check(condition: bool, field: str) -> None:
+    if not condition:
+        raise MalformedDatagramError(field)
