--- a/tinrudder/cluster/claims/claims.py
+++ b/tinrudder/cluster/claims/claims.py
@@ -122,7 +122,7 @@
 
     :param window_s: longest time from a request's acceptance to its ``valid_until``.
     :param clock_skew_s: largest difference between the wall clocks of any two nodes.
-    :param settle_s: shortest time for which claims must still win a superseded member list.
+    :param settle_s: shortest time for which claims must win the electorates of a superseded list.
     :param removed_wait_s: time after which a machine removed from the list counts as stopped.
     """
 
--- a/tinrudder/cluster/replication/state_exchange.py
+++ b/tinrudder/cluster/replication/state_exchange.py
@@ -2,9 +2,10 @@
 
 Owns the timers and the pulls in progress.  After a change a node sends a notice with its state's
 header to a few random peers in each of several rounds.  A peer whose state differs pulls the
-difference from the sender.  In addition, every node periodically sends a notice to one random peer,
-which makes up for lost notices and reconciles zones after a partition.  docs/CONFIGURATION.md
-discusses the design and gives measurements.
+difference from the sender, or sends a notice back if the sender's document is older.  In addition,
+every node periodically sends a notice to one random peer, which makes up for lost notices and
+reconciles zones after a partition.  docs/CONFIGURATION.md discusses the design and gives
+measurements.
 """
 
 from __future__ import annotations
@@ -87,7 +88,7 @@
         self._schedule_anti_entropy()
 
     def stop(self) -> None:
-        """Stop sending notices and pulling; pull requests are still answered."""
+        """Stop the timers and pulls; notices and requests from peers are still answered."""
         self._stopped = True
         for timer in (self._round_timer, self._anti_entropy_timer):
             if timer is not None:
@@ -104,7 +105,7 @@
     async def learn_from_peers(self) -> bool:
         """Pull from a few random peers when the node starts.
 
-        Pulls from as many peers as must answer start at once.  Each further pull starts a little
+        The first ``SUFFICIENT_ANSWERS`` pulls start at once.  Each further pull starts a little
         later than the one before, so that unreachable peers cause little delay.
 
         :returns: whether any peer answered.
--- a/tinrudder/cluster/replication/state_pull.py
+++ b/tinrudder/cluster/replication/state_pull.py
@@ -25,9 +25,10 @@
 CHUNK_BYTES = 256 * 1024
 """Bytes of entries in one answer before compression, so that no answer delays others for long."""
 MAX_CHUNKS = 512
-"""Chunks of one pull, so that a peer cannot keep a node fetching without end."""
+"""Largest number of chunks in one pull, so that a peer cannot keep a node fetching forever."""
 MAX_RESTARTS = 3
-"""Attempts of one pull, each restarted because a state changed; the next notice tries again."""
+"""Attempts at one pull, which starts over if a state changes meanwhile.  After the last one, the
+next notice causes a new pull."""
 REQUEST_TIMEOUT_S = 2.0
 """Seconds to wait for one chunk: two thousand times the one-way latency between zones."""
 
