--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -1,4 +1,4 @@
-"""A few nodes that run operations, in virtual time, over one ledger that counts its runs."""
+"""A cluster in virtual time whose nodes run operations on one ledger that counts executions."""
 
 from __future__ import annotations
 
@@ -45,31 +45,34 @@
 LIMITS = ClaimLimits(window_s=60.0, clock_skew_s=1.0, settle_s=60.0, removed_wait_s=180.0)
 
 
-class SleepyClock:
-    """One node's clocks; ``sleep`` moves both on at once, and no timer fires meanwhile."""
+class SuspendableClock:
+    """The clocks of a node that can be suspended.
+
+    ``sleep`` advances both clocks at once without firing timers.
+    """
 
     def __init__(self) -> None:
         self._loop = asyncio.get_running_loop()
-        self._slept = 0.0
+        self._suspended_s = 0.0
 
     def sleep(self, seconds: float) -> None:
-        self._slept += seconds
+        self._suspended_s += seconds
 
     def time(self) -> float:
-        return self._loop.time() + self._slept
+        return self._loop.time() + self._suspended_s
 
     def wall(self) -> float:
         return WALL_START + self.time()
 
     def call_at(self, when: float, callback: object, *arguments: object) -> asyncio.TimerHandle:
-        return self._loop.call_at(when - self._slept, callback, *arguments)
+        return self._loop.call_at(when - self._suspended_s, callback, *arguments)
 
 
 @dataclass
 class Ledger:
-    """All back ends: counts how often each key ran, and answers as it is told.
+    """Stands in for all back ends and counts the executions of each order.
 
-    :param replies: what the next calls get instead of running.
+    :param replies: replies to the next calls, which are then not executed.
     """
 
     ran: Counter[str] = field(default_factory=Counter)
@@ -83,7 +86,7 @@
 
     def _send(self, call: BackendCall, listener: ReplyListener) -> None:
         if call.may_leave is not None and not call.may_leave():
-            listener(call, NotSent("not any more"))
+            listener(call, NotSent("dispatch window closed"))
             return
         call.may_have_left = True
         if self.replies:
@@ -126,10 +129,10 @@
 
 
 class OperationNode:
-    """One node's claims and operations."""
+    """The claims service and the operation runner of one node."""
 
     def __init__(self, number: int, transport: MemoryPeerTransport, ledger: Ledger) -> None:
-        self.clock = SleepyClock()
+        self.clock = SuspendableClock()
         self.address = transport.address
         self.voter = Voter(f"node-{number}", f"zone-{number % 3}", transport.address)
         store = ConfigurationStore()
@@ -180,7 +183,7 @@
 
 
 class OperationCluster:
-    """Nodes in three zones that know each other; ready at 100 s of virtual time."""
+    """Nodes in three zones that know the same member list; ready at 100 s of virtual time."""
 
     def __init__(self, nodes: int = 5, loss: float = 0.0, seed: int = 7) -> None:
         self.ledger = Ledger()
--- a/tinrudder/cluster/claims/claims_service.py
+++ b/tinrudder/cluster/claims/claims_service.py
@@ -1,9 +1,9 @@
-"""Claims on a running node: asks voters over the peer transport and votes itself.
+"""Runs claims on a node: requests votes over the peer transport and votes on others' claims.
 
-All decisions are in :mod:`claim_voter`, :mod:`claim_proposer` and :mod:`electorate_history`;
-this module only carries messages and reads the clocks.
+Owns the message exchange, the timers and the clock readings; all decisions are in
+:mod:`claim_voter`, :mod:`claim_proposer` and :mod:`electorate_history`.
 
-A user of this library learns member lists into it, claims a key, and sends only while
+A user of this library passes in member lists, claims a key, and sends the request only if
 :meth:`Claim.begin_dispatch` allows it::
 
     service.learn_list(revision, {"region": listed_voters})
@@ -53,17 +53,18 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 from tinrudder.timers import TimerHandle, Timers, WallClock
 
-TELL_INTERVAL_S = 1.0
-"""Seconds between the rounds in which some nodes are told, while a list waits for that."""
-TELL_EVERYONE_S = 60.0
-"""While a list waits for it, every node is told once in this time which list this node knows."""
+ANNOUNCE_INTERVAL_S = 1.0
+"""Seconds between rounds of announcements; each round reaches a part of the other nodes."""
+ANNOUNCE_CYCLE_S = 60.0
+"""Seconds in which every other node receives one announcement of the list that this node knows,
+and for which announcements continue after a list last waited for reports."""
 
 AnswerSource = Callable[[AnswerQuestion], Awaitable[StoredAnswer]]
 
 
 @dataclass(frozen=True, slots=True)
 class ClaimNode:
-    """This node as voter and proposer."""
+    """The identity and region under which this node votes and proposes."""
 
     voter: Voter
     region: str
@@ -71,7 +72,7 @@
 
 @dataclass(slots=True)
 class ClaimCounters:
-    """What claims cost this node, since start."""
+    """Counts since start: claims attempted and won, and bytes sent for claims."""
 
     claims: int = 0
     won: int = 0
@@ -79,7 +80,7 @@
 
 
 class ClaimsService:
-    """Votes and claims on one node."""
+    """Votes, and claims keys, on behalf of one node."""
 
     def __init__(
         self,
@@ -91,24 +92,24 @@
         limits: ClaimLimits,
         answers: AnswerSource,
     ) -> None:
-        """Vote on ``channel`` from :meth:`start` on.
+        """Listen on ``channel``; votes only after :meth:`start`.
 
-        :param answers: tells a duplicate what became of a request that this node holds.
+        :param answers: looks up what became of a request whose key this node holds.
         """
         self._timers = timers
         self._wall_clock = wall_clock
         self._channel = channel
         self._node = node
         self.limits = limits
-        self._answers = answers
+        self._answer_source = answers
         self._instance = new_instance(wall_clock(), source)
         self._attempts = 0
         self._histories: dict[str, ElectorateHistory] = {}
         self._revision = 0
         self._list_digest = 0
-        self._everyone: tuple[PeerAddress, ...] = ()
-        self._told = 0
-        self._tell_until = 0.0
+        self._other_nodes: tuple[PeerAddress, ...] = ()
+        self._announcements_sent = 0
+        self._announce_until = 0.0
         self._timer: TimerHandle | None = None
         self._voter: ClaimVoter | None = None
         self.counters = ClaimCounters()
@@ -116,23 +117,23 @@
 
     @property
     def held(self) -> int:
-        """Return how many keys this node's vote is given to."""
+        """Return the number of keys for which this node has granted its vote."""
         return self._voter.held if self._voter is not None else 0
 
     def start(self) -> None:
-        """Begin to vote, without memory of what an earlier process here may have granted."""
+        """Begin voting, without knowledge of grants by an earlier process at this address."""
         self._voter = ClaimVoter(self.limits, self._wall_clock())
         if self._timer is None:
-            self._tell_some()
+            self._announce_known_list()
 
     def stop(self) -> None:
-        """Stop telling others which list this node knows."""
+        """Stop announcing which list this node knows."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def learn_list(self, revision: int, regions: Mapping[str, Sequence[ListedVoter]]) -> None:
-        """Take the platform's list, by region; an older or equal one changes nothing."""
+        """Add the platform's member list, by region; ignore it unless its revision is newer."""
         if revision <= self._revision:
             return
         self._revision = revision
@@ -141,9 +142,9 @@
         for region in sorted(self._histories.keys() | regions.keys()):
             history = self._histories.setdefault(region, ElectorateHistory(self.limits))
             history.learn(revision, regions.get(region, ()), now)
-        self._heard(self._node.voter.identity, revision)
-        everyone = {listed.voter.address for members in regions.values() for listed in members}
-        self._everyone = tuple(sorted(everyone - {self._node.voter.address}))
+        self._record_known_revision(self._node.voter.identity, revision)
+        addresses = {listed.voter.address for members in regions.values() for listed in members}
+        self._other_nodes = tuple(sorted(addresses - {self._node.voter.address}))
 
     async def claim(
         self,
@@ -154,12 +155,12 @@
         timeout_s: float,
         on_proposer: Callable[[ProposerId], None] | None = None,
     ) -> Claim:
-        """Ask the key's voters until it is won or out of reach, or ``timeout_s`` have passed.
+        """Request votes until the key is won, cannot be won, or ``timeout_s`` have passed.
 
-        Cancelling the task gives the claim up.
+        Cancelling the task gives up the claim.
 
-        :param window: set before the call; until when a won claim may be dispatched.
-        :param on_proposer: told under which name the votes are asked for, before any of them is.
+        :param window: when a won claim may be dispatched; fixed before this call.
+        :param on_proposer: called with the attempt's identity before the first vote request.
         """
         self.counters.claims += 1
         self._attempts += 1
@@ -175,7 +176,7 @@
         proposer = ClaimProposer(identity, key, valid_until, window, required)
         claim = Claim(proposer, self._timers, self._wall_clock, self._release)
         try:
-            await self._ask_until_decided(proposer, self._timers.time() + timeout_s)
+            await self._collect_votes(proposer, self._timers.time() + timeout_s)
         finally:
             if not claim.won:
                 claim.give_up()
@@ -185,51 +186,53 @@
     async def ask_holder(
         self, key: ClaimKey, holder: ProposerId, content: bytes, timeout_s: float
     ) -> StoredAnswer:
-        """Return what the holder of a key says became of its request."""
+        """Ask the holder of a key what became of its request; ``UNKNOWN`` without an answer."""
         question = AnswerQuestion(key, holder, content)
         if holder.address == self._node.voter.address:
-            return await self._answers(question)
+            return await self._answer_source(question)
         reply = await self._exchange(holder.address, question, timeout_s)
         if isinstance(reply, StoredAnswer):
             return reply
         return StoredAnswer(AnswerStatus.UNKNOWN)
 
-    async def _ask_until_decided(self, proposer: ClaimProposer, until: float) -> None:
-        """Run the requests for votes side by side; replies are taken in a fixed order."""
-        asking: dict[asyncio.Task[VoteReply | None], Voter] = {}
-        self._ask(proposer, proposer.voters(), until, asking)
+    async def _collect_votes(self, proposer: ClaimProposer, deadline: float) -> None:
+        """Run vote requests concurrently; handle the replies that are ready in request order."""
+        pending: dict[asyncio.Task[VoteReply | None], Voter] = {}
+        self._send_vote_requests(proposer, proposer.voters(), deadline, pending)
         try:
-            while asking and proposer.phase is ClaimPhase.ASKING:
-                await asyncio.wait(asking, return_when=asyncio.FIRST_COMPLETED)
-                for task in [task for task in asking if task.done()]:
-                    voter = asking.pop(task)
+            while pending and proposer.phase is ClaimPhase.ASKING:
+                await asyncio.wait(pending, return_when=asyncio.FIRST_COMPLETED)
+                for task in [task for task in pending if task.done()]:
+                    voter = pending.pop(task)
                     reply = task.result()
                     if reply is None:
                         proposer.on_no_reply(voter)
                     else:
-                        self._ask(proposer, proposer.on_reply(voter, reply), until, asking)
+                        self._send_vote_requests(
+                            proposer, proposer.on_reply(voter, reply), deadline, pending
+                        )
         finally:
-            for task in asking:
+            for task in pending:
                 task.cancel()
 
-    def _ask(
+    def _send_vote_requests(
         self,
         proposer: ClaimProposer,
         voters: Sequence[Voter],
-        until: float,
-        asking: dict[asyncio.Task[VoteReply | None], Voter],
+        deadline: float,
+        pending: dict[asyncio.Task[VoteReply | None], Voter],
     ) -> None:
-        """Start a request to each of ``voters``."""
+        """Start a vote request to each of ``voters``."""
         for voter in voters:
             request = proposer.request_to(voter)
-            timeout_s = until - self._timers.time()
-            task = asyncio.create_task(self._ask_voter(voter, request, timeout_s))
-            asking[task] = voter
+            timeout_s = deadline - self._timers.time()
+            task = asyncio.create_task(self._request_vote(voter, request, timeout_s))
+            pending[task] = voter
 
-    async def _ask_voter(
+    async def _request_vote(
         self, voter: Voter, request: VoteRequest, timeout_s: float
     ) -> VoteReply | None:
-        """Return a voter's reply, ``None`` if none came."""
+        """Return a voter's reply, ``None`` without one."""
         if voter.address == self._node.voter.address:
             return self._vote(request, self._list_digest)
         if timeout_s <= 0:
@@ -244,7 +247,10 @@
         timeout_s: float,
         identity: str | None = None,
     ) -> ClaimReply | None:
-        """Send one request; ``None`` if no readable reply came."""
+        """Send a request and return its reply, ``None`` if it is lost or cannot be decoded.
+
+        :param identity: the voter at ``destination``, whose list revision is recorded.
+        """
         payload = encode_request(SentRequest(self._revision, request, self._list_digest))
         self.counters.sent_bytes += len(payload)
         try:
@@ -253,11 +259,14 @@
         except (PeerNotSentError, PeerLostError, MalformedClaimError):
             return None
         if identity is not None:
-            self._heard(identity, sent.revision)
+            self._record_known_revision(identity, sent.revision)
         return sent.reply
 
     def _release(self, proposer: ClaimProposer) -> None:
-        """Give back every vote the proposer may hold; a lost release only costs the caller time."""
+        """Release every vote the proposer may hold.
+
+        If a release is lost, the vote stays held until it expires, which only delays the caller.
+        """
         release = VoteRelease(proposer.key, proposer.proposer)
         payload = encode_request(SentRequest(self._revision, release))
         for voter in proposer.voters():
@@ -268,7 +277,7 @@
                 self._voter.release(release)
 
     def _on_datagram(self, _source: PeerAddress, payload: bytes) -> None:
-        """Take a release, or a node's word which list it knows."""
+        """Handle a release, or another node's announcement of its list; ignore other bytes."""
         try:
             sent = decode_request(payload)
         except MalformedClaimError:
@@ -277,61 +286,63 @@
             case VoteRelease() as release if self._voter is not None:
                 self._voter.release(release)
             case KnownList(voter):
-                self._heard(voter.identity, sent.revision)
+                self._record_known_revision(voter.identity, sent.revision)
 
     async def _on_request(self, _source: PeerAddress, payload: bytes) -> bytes:
-        """Vote, or answer a duplicate's question.
+        """Answer a vote request, or a duplicate's question for a stored answer.
 
-        :raises MalformedClaimError: the bytes are no request; the peer sees a lost request.
+        :raises MalformedClaimError: if the bytes are not such a request; the peer then gets no
+            reply.
         """
         sent = decode_request(payload)
         match sent.request:
             case VoteRequest() as request:
                 proposer = request.proposer
-                self._heard(f"{proposer.node}@{proposer.address}", sent.revision)
+                self._record_known_revision(f"{proposer.node}@{proposer.address}", sent.revision)
                 reply: ClaimReply = self._vote(request, sent.list_digest)
             case AnswerQuestion() as question:
-                reply = await self._answers(question)
+                reply = await self._answer_source(question)
             case _:
-                raise MalformedClaimError("claim request: comes as a datagram")
+                raise MalformedClaimError("claim request: this kind is sent only as a datagram")
         answer = encode_reply(SentReply(self._revision, reply))
         self.counters.sent_bytes += len(answer)
         return answer
 
     def _vote(self, request: VoteRequest, list_digest: int) -> VoteReply:
-        """Vote as this node."""
+        """Return this node's vote; abstain before :meth:`start` and without a settled history."""
         history = self._histories.get(self._node.region)
         if self._voter is None or history is None or not history.settled:
             return Abstained(AbstainReason.LIST_UNSETTLED)
         same_list = list_digest == self._list_digest
-        required = history.left_out(request.key, request.valid_until, same_list=same_list)
+        required = history.possibly_uncited(request.key, request.valid_until, same_list=same_list)
         return self._voter.vote(request, required, self._wall_clock())
 
-    def _tell_some(self) -> None:
-        """Tell a part of the nodes which list this one knows, while a list waits for that.
+    def _announce_known_list(self) -> None:
+        """Announce the known list to a part of the other nodes, while a list needs reports.
 
-        Without it a list could keep its say for good where few operations are sent.
+        Otherwise, with few operations and so few messages, a superseded list might never be
+        sealed.
         """
         now = self._timers.time()
         wall = self._wall_clock()
-        self._timer = self._timers.call_at(now + TELL_INTERVAL_S, self._tell_some)
+        self._timer = self._timers.call_at(now + ANNOUNCE_INTERVAL_S, self._announce_known_list)
         for history in self._histories.values():
             history.forget_sealed(wall)
         own = self._histories.get(self._node.region)
-        if own is not None and own.waits_for_word(wall):
-            self._tell_until = now + TELL_EVERYONE_S
-        if now >= self._tell_until or not self._everyone:
+        if own is not None and own.awaits_revision_reports(wall):
+            self._announce_until = now + ANNOUNCE_CYCLE_S
+        if now >= self._announce_until or not self._other_nodes:
             return
         known = SentRequest(self._revision, KnownList(self._node.voter), self._list_digest)
         payload = encode_request(known)
-        for _ in range(math.ceil(len(self._everyone) * TELL_INTERVAL_S / TELL_EVERYONE_S)):
-            self._told += 1
-            destination = self._everyone[self._told % len(self._everyone)]
+        for _ in range(math.ceil(len(self._other_nodes) * ANNOUNCE_INTERVAL_S / ANNOUNCE_CYCLE_S)):
+            self._announcements_sent += 1
+            destination = self._other_nodes[self._announcements_sent % len(self._other_nodes)]
             self._channel.send_datagram(destination, payload)
             self.counters.sent_bytes += len(payload)
 
-    def _heard(self, identity: str, revision: int) -> None:
-        """Note that a node knows a list revision."""
+    def _record_known_revision(self, identity: str, revision: int) -> None:
+        """Record in every region's history that a node knows a list revision."""
         now = self._wall_clock()
         for history in self._histories.values():
             history.heard(identity, revision, now)
