--- a/tinrudder/gateway/__init__.py
+++ b/tinrudder/gateway/__init__.py
@@ -1,9 +1,10 @@
-"""The gateway, the program on the users' machines: opaque requests to one back end or many shards.
+"""The gateway, which forwards opaque requests to one back end or scatters them over many shards.
 
-A request passes ``clients``, ``requests``, over many shards ``scatters``, and ``runs``, which
-sends its calls through ``backends``. ``store`` and ``peers`` keep what a gateway knows,
-``quotas`` tenants' limits, ``observability`` logs and metrics; ``decisions`` holds the pure
-rules, ``model`` the values that all pass, ``wire`` the messages between gateways. ``wiring``
-builds the parts of a process, and ``gateway`` starts and stops it. Knows no adapter:
-:mod:`tinrudder.platform` translates into this package's values from outside.
+A request passes through ``clients``, ``requests``, ``scatters`` if it concerns many shards, and
+``runs``, which sends its calls through ``backends``.  ``store`` and ``peers`` hold the state
+replicated from the metadata store and from other gateways, ``quotas`` the tenants' limits, and
+``observability`` logs and metrics.  ``decisions`` holds pure rules, ``model`` the values passed
+between packages, and ``wire`` the messages between gateways.  ``wiring`` builds the components of
+a process; ``gateway`` starts and stops it.  This package imports no adapter:
+:mod:`tinrudder.platform` translates external formats into its values.
 """
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -1,7 +1,7 @@
-"""The life of one gateway process, from its start to a planned stop.
+"""The lifecycle of one gateway process, from its start to a graceful shutdown.
 
-Owns the listening sockets, the clients' connections and the tasks that run as long as the process;
-relies on :mod:`tinrudder.gateway.wiring` for all parts.
+Owns the listening sockets, the client connections and the background tasks;
+:mod:`tinrudder.gateway.wiring` builds the components.
 """
 
 from __future__ import annotations
@@ -28,36 +28,34 @@
     from tinrudder.gateway.observability.metric_figures import MetricSources
 
 HOUSEKEEPING_S = LOOK_S
-"""Seconds between two rounds of housekeeping: as often as a pause of the process is looked for."""
+"""Seconds between two rounds of housekeeping, which include the check for a process pause."""
 LEAVE_S = 2.6
-"""Seconds for which a gateway that stops still takes what arrives, at most half of the grace.
-Chosen, not measured: load balancers that ask for readiness once a second take it out after two
-misses, and then what they sent before is still on its way."""
+"""Seconds for which a stopping gateway still accepts requests, at most half of the grace period.
+Load balancers that poll readiness once a second remove it after two failed polls, and requests sent
+before that are still in transit."""
 EXIT_MARGIN_S = 0.4
-"""Seconds of the grace kept for the end: a farewell to peers and the exit of the process.  Chosen,
-not measured: at least :data:`FAREWELL_S` and two looks at idle connections."""
+"""Seconds of the grace period reserved for closing peer connections and exiting the process: at
+least :data:`FAREWELL_S` and two polls for idle connections."""
 LAST_LOOK_S = 0.05
-"""Seconds between two looks for connections that have become idle.  Chosen, not measured."""
+"""Seconds between two polls for idle connections during the shutdown."""
 QUIET_LOOKS = 2
-"""Looks in a row that must find no connection: one that the kernel has accepted a moment ago is not
-known at the first of them."""
+"""Consecutive polls that must find no connection: one that the kernel has just accepted is not yet
+visible to the first poll."""
 FAREWELL_S = 0.2
-"""Seconds for closing the connections to peers: a dead peer takes no last bytes, and nothing that
-matters to it is waiting.  Chosen, not measured: many round trips of a few milliseconds."""
+"""Timeout in seconds for closing peer connections: many round trips of a few milliseconds.  A dead
+peer never reads the last bytes, and none of them matter to it."""
 LISTEN_BACKLOG = 1024
-"""Connections that the kernel may accept ahead of the process.  Chosen, not measured: a process
-that stood still for a second must find its clients' attempts; the kernel must not drop them."""
+"""Connections that the kernel may queue for ``accept``: it must not drop the attempts that clients
+make while the process is paused for a second."""
 SEND_BUFFER_BYTES = 128 * 1024
-"""What the kernel may hold of answers that a client has not taken, per connection; it takes twice
-that for its own.  Left to itself it took 3 to 3.9 MB for one client at 1 KB a second, on loopback,
-where no account counts it; 128 KB within 10 ms are 13 MB a second for one client."""
+"""Send buffer of each client connection in bytes, which the kernel doubles for its bookkeeping.
+With its default size, the kernel held 3 to 3.9 MB for one client that read 1 KB a second over
+loopback, and the memory account does not cover kernel buffers.  128 KB every 10 ms still allow one
+client 13 MB a second."""
 
 
 class Gateway:
-    """Serves clients until it is told to stop.
-
-    :ivar metrics: everything that the metrics address shows.
-    """
+    """Serves clients until a stop is requested."""
 
     def __init__(
         self,
@@ -67,10 +65,10 @@
         make_store: StoreFactory,
         metrics_address: Address | None = None,
     ) -> None:
-        """Wire everything together; nothing runs before :meth:`run`.
+        """Build all components; nothing runs before :meth:`run`.
 
-        :param make_store: opens the store at an address, and counts its calls.
-        :param metrics_address: where metrics are served; ``None``: nowhere.
+        :param make_store: returns a store client for an address that reports each of its calls.
+        :param metrics_address: address that serves metrics; ``None`` disables them.
         """
         parts = build_gateway(Surroundings.of(settings, names, decoders, make_store))
         self.settings = settings
@@ -91,34 +89,34 @@
         self.knowledge.state.subscribe(self._on_state_change)
 
     def nodes(self) -> int:
-        """Return how many gateways there seem to be."""
+        """Return the estimated number of gateways, including this one."""
         return self.fleet.peers.nodes(self._loop.time())
 
     def is_ready(self) -> bool:
-        """Tell whether clients should come here."""
+        """Return whether this gateway should receive client requests."""
         return self.process.lifecycle.is_ready() and not self.requests.reachability.is_cut_off
 
     def request_stop(self) -> None:
-        """Begin a planned stop; :meth:`run` returns when it is over."""
+        """Begin a graceful shutdown; :meth:`run` returns when it is complete."""
         self._stop_requested.set()
 
     def reload(self, settings: GatewaySettings) -> None:
-        """Take over what may change while the process runs: the seeds."""
+        """Apply the only setting that can change at run time: the seeds."""
         self.fleet.peers.set_seeds(settings.seeds)
         self.store.readers.seeds = settings.seeds
         log_event("reloaded", {"seeds": len(settings.seeds)})
 
     async def run(self) -> None:
-        """Serve until a stop is requested, then finish what is in progress.
+        """Serve until a stop is requested, then finish the requests in progress.
 
-        :raises OSError: an address of the settings is taken.
+        :raises OSError: an address in the settings is already in use.
         """
         await self._start()
         await self._stop_requested.wait()
         await self._stop()
 
     async def _start(self) -> None:
-        """Listen on every address and begin to learn."""
+        """Listen on every address and start the background tasks."""
         settings = self.settings
         ready = PlainHandler(lambda: readiness_answer(self.is_ready()))
         await self._listen(settings.health, ready, set())
@@ -142,7 +140,7 @@
     ) -> None:
         """Accept connections for a handler.
 
-        :raises OSError: the address is taken.
+        :raises OSError: the address is already in use.
         """
         memory = self.process.memory
         server = await self._loop.create_server(
@@ -153,12 +151,12 @@
             reuse_address=True,
         )
         for listening in server.sockets:
-            # Connections that it accepts have the same.
+            # Accepted connections inherit this option.
             listening.setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, SEND_BUFFER_BYTES)
         self._servers.append(server)
 
     async def _stop(self) -> None:
-        """Say that this gateway leaves, serve what still arrives, finish, and close."""
+        """Announce the shutdown, serve late requests, drain, and close."""
         stopped_at = self._loop.time()
         grace_s = self.settings.stop_grace_s
         lifecycle = self.process.lifecycle
@@ -181,8 +179,8 @@
         log_event("stopped", {"cut_off": handler.in_progress})
 
     async def _finish_requests(self, last_moment: float) -> None:
-        """Wait until no connection is left, or until a moment of the event loop's time."""
-        # A connection that was accepted a moment ago is not known yet, so one look is not enough.
+        """Wait until no connection is left, or until a deadline in event loop time."""
+        # A connection that has just been accepted is not visible yet, so one poll is not enough.
         quiet_looks = 0
         while quiet_looks < QUIET_LOOKS and self._loop.time() < last_moment:
             self._close_idle()
@@ -194,18 +192,18 @@
         """Close the connections to other gateways."""
         if self._exchange is None:
             return
-        # A dead peer takes no last bytes; nothing that matters to it is waiting.
+        # A dead peer never reads the last bytes, and none of them matter to it.
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(FAREWELL_S):
                 await self._exchange.stop()
 
     def _close_idle(self) -> None:
-        """Close connections on which nothing is in progress."""
+        """Close client connections without a request in progress."""
         for connection in tuple(self._connections):
             connection.close_if_idle()
 
     async def _keep_house(self) -> None:
-        """Drop what has become useless."""
+        """Run periodic maintenance: pause detection, memory account, store state, back ends."""
         while True:
             await asyncio.sleep(HOUSEKEEPING_S)
             self.process.pause.note(self._loop.time())
@@ -214,7 +212,7 @@
             self.backends.directory.trim()
 
     def _on_state_change(self) -> None:
-        """Become ready as soon as enough is known; log a new configuration."""
+        """Log a new configuration, and become ready once the state is complete."""
         state = self.knowledge.state
         accepted = state.accepted
         if accepted is not None and accepted.configuration.version != self._logged_version:
@@ -226,22 +224,22 @@
 
     @cached_property
     def metrics(self) -> GatewayMetrics:
-        """Return what the metrics address shows; its tables are loaded by the first who asks."""
+        """Return the metrics; their module is imported on first use."""
         from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
 
         return GatewayMetrics(self._metric_sources())
 
     def _metrics_answer(self) -> FinalAnswer:
-        """Return the text of the metrics; the library that writes it is loaded here.
+        """Return the metrics as text; the library that renders them is imported here.
 
-        It takes a fifth of a process's start, which every restart would pay.
+        It takes a fifth of a process's start-up time to load, which every restart would pay.
         """
         from tinrudder.gateway.observability.metrics_text import metrics_text
 
         return text_answer(metrics_text(self.metrics))
 
     def _metric_sources(self) -> MetricSources:
-        """Return the parts whose figures the metrics show."""
+        """Return the components that metrics are read from."""
         from tinrudder.gateway.observability.metric_figures import MetricSources
 
         return MetricSources(
--- a/tinrudder/gateway/observability/__init__.py
+++ b/tinrudder/gateway/observability/__init__.py
@@ -1,1 +1,1 @@
-"""Logs and metrics of a gateway. Reads the figures of other parts; decides nothing."""
+"""Structured logs and metrics of a gateway, read from its other components at each use."""
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -1,6 +1,6 @@
-"""The lines that a gateway logs of what it learns and of whom it can reach.
+"""Log events for configuration changes, store connectivity, coordination and pulls from peers.
 
-Owns the names and fields of these events; relies on the parts to call it.
+Owns the names and fields of these events; the components that detect a change call it.
 """
 
 from __future__ import annotations
@@ -14,13 +14,13 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 KEYS_NAMED = 20
-"""Keys that the lines of one change of epoch name at most: it may concern every back end."""
+"""Maximum number of keys logged for one change of epoch, which can affect every back end."""
 
 
 def log_configuration(accepted: AcceptedConfiguration, unconfirmed_s: float) -> None:
-    """Write the line of a configuration that has come into force.
+    """Log that a configuration has come into force.
 
-    :param unconfirmed_s: how old the store's last word was when this came.
+    :param unconfirmed_s: seconds since the store's last known confirmation of its contents.
     """
     fields: dict[str, LogValue] = {
         "version": accepted.configuration.version,
@@ -35,7 +35,7 @@
 
 
 def log_reachability(topic: Topic, reachable: bool, detail: str) -> None:
-    """Write the line of a store that was lost or regained."""
+    """Log that the store became unreachable or reachable again."""
     fields: dict[str, LogValue] = {"topic": topic.value, "detail": detail}
     if reachable:
         log_event("store_regained", fields)
@@ -44,10 +44,10 @@
 
 
 def log_asking(topic: Topic, reason: str, unconfirmed_s: float) -> None:
-    """Write the line of a gateway that begins, or stops, to ask the store itself.
+    """Log that this gateway starts or stops reading the store itself.
 
-    :param reason: why it asks; empty: others ask for it again.
-    :param unconfirmed_s: how old the store's last word on the topic is, as far as known here.
+    :param reason: why it reads the store; empty when other gateways read it again on its behalf.
+    :param unconfirmed_s: seconds since the last known confirmation of the topic by the store.
     """
     fields: dict[str, LogValue] = {
         "topic": topic.value,
@@ -58,12 +58,12 @@
 
 
 def log_silent_watch(topic: Topic) -> None:
-    """Write the line of news that a watch had not told which was given up for its silence."""
+    """Log that a read found a change which the store's watch had failed to deliver."""
     log_problem("store_watch_silent", {"topic": topic.value})
 
 
 def shown_age(age_s: float) -> float:
-    """Return an age for a log or a gauge, which have no word for never.
+    """Return an age for logs and gauges, rounded to milliseconds; infinity (never) becomes -1.
 
     >>> shown_age(1.23456), shown_age(float("inf"))
     (1.235, -1.0)
@@ -72,9 +72,9 @@
 
 
 def log_epoch(change: EpochChange) -> None:
-    """Write the line of a store that came back from an older copy.
+    """Log that the store was restored from an older copy.
 
-    It lost what it had acknowledged, so the operator should look.
+    It has lost acknowledged writes, so the operator should investigate.
     """
     fields: dict[str, LogValue] = {
         "topic": change.topic.value,
@@ -89,7 +89,7 @@
 
 
 def log_settled(words: list[HeardValue]) -> None:
-    """Write the lines of what the store is believed on, since nothing else was written again."""
+    """Log values accepted from a restored store, since conflicting ones were not written again."""
     for word in words[:KEYS_NAMED]:
         fields: dict[str, LogValue] = {
             "key": word.value.key,
@@ -102,7 +102,7 @@
 
 
 def log_coordination(coordination: Coordination, nodes: int) -> None:
-    """Write the line of a change in who calls the back ends of an index."""
+    """Log a change in which gateways call the back ends of an index."""
     fields: dict[str, LogValue] = {
         "own": coordination.own,
         "asked": " ".join(str(address) for address in coordination.asked),
@@ -114,7 +114,7 @@
 
 
 def log_pull(peer: str, result: str, revision: StoreRevision) -> None:
-    """Write the line of what a peer taught."""
+    """Log the result of pulling state from a peer."""
     fields: dict[str, LogValue] = {
         "peer": peer,
         "result": result,
--- a/tinrudder/gateway/observability/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -1,7 +1,7 @@
-"""What the metrics address of a gateway shows, with bounded labels.
+"""The metrics of a gateway, with a bounded number of labels.
 
-Owns nothing that is counted: it reads the figures of the gateway's parts at every scrape.  Relies
-on no library, which a start would have to load: ``metrics_text`` writes the text format.
+Owns no counters: it reads those of the gateway's components at every scrape.  Imports no metrics
+library, which would slow down the start of the process: ``metrics_text`` writes the text format.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 
 PREFIX = "tinrudder_gateway"
-"""Begins the name of every metric."""
+"""Prefix of every metric's name."""
 MOST_TENANTS = 100
-"""Tenants with figures of their own, those that asked most; a scrape of 100 takes 2 ms."""
+"""Number of tenants with their own labels, the busiest first; a scrape of 100 takes 2 ms."""
 OTHER_TENANTS = "other"
-"""The label of all other tenants together."""
+"""Label under which all other tenants are added up."""
 
 
 class Figure(Struct, frozen=True):
-    """A figure that some part of the gateway keeps.
+    """A metric without labels.
 
-    :param is_counter: it only grows while the process lives.
+    :param is_counter: whether the value never decreases while the process runs.
     """
 
     name: str
@@ -42,7 +42,7 @@
 
 
 class TenantFigure(Struct, frozen=True):
-    """What was decided on a tenant's requests, or is held for it."""
+    """A tenant's number of requests with one decision, or the tokens in its bucket."""
 
     tenant: str
     kind: str
@@ -50,10 +50,10 @@
 
 
 class GatewayMetrics:
-    """Everything the metrics address shows.
+    """All metrics of one gateway.
 
-    Labels are an outcome's tag, a route's priority and the busiest tenants, so that their number
-    stays small however many routes and tenants there are.
+    Labels are an outcome's tag, a route's priority and the busiest tenants, so their number stays
+    small regardless of how many routes and tenants there are.
     """
 
     def __init__(self, sources: MetricSources) -> None:
@@ -71,11 +71,11 @@
 
     @property
     def traffic(self) -> PeerTraffic:
-        """Return what was sent to other gateways."""
+        """Return the counts of traffic sent to other gateways."""
         return self._sources.datagrams.traffic
 
     def tenant_requests(self) -> list[TenantFigure]:
-        """Return the decisions on requests of the busiest tenants, and of all others together."""
+        """Return quota decisions per tenant: the busiest tenants, and all others added up."""
         counted = self._sources.quotas.counts.items()
         busiest = sorted(counted, key=lambda one: one[1].asked, reverse=True)
         totals: Counter[tuple[str, str]] = Counter()
@@ -87,12 +87,12 @@
         return [TenantFigure(tenant, kind, value) for (tenant, kind), value in totals.items()]
 
     def tenant_tokens(self) -> list[TenantFigure]:
-        """Return what the emptiest buckets hold, of tenants whose bucket this gateway owns."""
+        """Return the tokens in the emptiest of the token buckets that this gateway owns."""
         buckets = self._sources.quotas.bucket_owner.buckets.held()
         held = sorted(buckets.items(), key=lambda one: one[1])[:MOST_TENANTS]
         return [TenantFigure(tenant, "held", tokens) for tenant, tokens in held]
 
 
 def _figure(row: FigureRow, sources: MetricSources, *, is_counter: bool) -> Figure:
-    """Return a row of a table as a figure of one gateway."""
+    """Bind a row of a table to one gateway's components."""
     return Figure(f"{PREFIX}_{row.name}", row.help, partial(row.read, sources), is_counter)
--- a/tinrudder/gateway/observability/log_stream.py
+++ b/tinrudder/gateway/observability/log_stream.py
@@ -1,9 +1,10 @@
 """A text stream for logs that never blocks the process and bounds its volume.
 
-Whoever reads the logs may stall.  Lines that cannot be written at once, or that go beyond the rate,
-are dropped and counted; the count is written once there is room again.
+The reader of the logs may stall.  A bounded buffer holds lines that cannot be written immediately;
+lines beyond it, or beyond the rate limit, are dropped and counted.  The count is written once lines
+are accepted again.
 
-Owns the file descriptor and what waits for it; relies on the clock alone.
+Owns the file descriptor and its buffer.
 """
 
 from __future__ import annotations
@@ -14,14 +15,12 @@
 from collections.abc import Callable
 
 LINES_PER_SECOND = 400
-"""Lines that are written a second at most, in the long run.  Chosen, not measured: a bound on what
-a flood of requests may take of the machine for logs."""
+"""Sustained limit, lines per second: bounds the resources that logging uses during a flood of
+requests."""
 BURST_LINES = 800
-"""Lines that may be written at once after a calm time: two seconds of the rate.  Chosen, not
-measured."""
+"""Lines that may be written in one burst: two seconds at the sustained rate."""
 MAX_PENDING_BYTES = 256 * 1024
-"""Bytes kept for a reader that does not read.  Chosen, not measured: little beside the memory of a
-process."""
+"""Bytes buffered for a stalled reader: small compared with the memory of the process."""
 
 
 class BoundedLineStream(io.TextIOBase):
@@ -41,7 +40,7 @@
         burst_lines: float = BURST_LINES,
         clock: Callable[[], float] = time.monotonic,
     ) -> None:
-        """Write to ``file_descriptor``, which becomes non-blocking."""
+        """Write to ``file_descriptor``, which is made non-blocking."""
         super().__init__()
         os.set_blocking(file_descriptor, False)
         self.dropped = 0
@@ -55,11 +54,11 @@
         self._unreported = 0
 
     def writable(self) -> bool:
-        """Tell that this is a stream to write to."""
+        """Return true: the stream is write-only."""
         return True
 
     def write(self, text: str) -> int:
-        """Write a line, keep it while the reader lags a little, or drop and count it."""
+        """Write or buffer a line; drop and count it beyond the rate limit or the buffer's size."""
         if not self._take_token() or len(self._pending) > MAX_PENDING_BYTES:
             self.dropped += 1
             self._unreported += 1
@@ -73,11 +72,11 @@
         return len(text)
 
     def flush(self) -> None:
-        """Write what is pending as far as the reader takes it."""
+        """Write as much of the buffer as the descriptor accepts without blocking."""
         self._write_pending()
 
     def _take_token(self) -> bool:
-        """Tell whether the rate allows one more line."""
+        """Take a token for one line; return whether there was one."""
         now = self._clock()
         self._tokens = min(self._burst, self._tokens + (now - self._filled_at) * self._rate)
         self._filled_at = now
@@ -87,7 +86,7 @@
         return True
 
     def _write_pending(self) -> None:
-        """Write without waiting."""
+        """Write buffered bytes without blocking; discard them when the descriptor has failed."""
         while self._pending:
             try:
                 written = os.write(self._file_descriptor, self._pending)
--- a/tinrudder/gateway/observability/metric_figures.py
+++ b/tinrudder/gateway/observability/metric_figures.py
@@ -1,6 +1,6 @@
-"""The figures of a gateway's metrics, each with its name, its help text and where it is read.
+"""Definitions of a gateway's metrics without labels: name, help text and how to read the value.
 
-Owns the tables; relies on the gateway's parts, which count anyway.
+Owns the tables of counters and gauges; the gateway's components own the values.
 """
 
 from __future__ import annotations
@@ -31,10 +31,10 @@
 
 
 class MetricSources(Struct, frozen=True):
-    """The parts of a gateway whose figures are shown.
+    """The components of a gateway that metrics are read from.
 
-    :param nodes: returns how many gateways share budgets, this one included.
-    :param is_ready: tells whether clients should come here.
+    :param nodes: returns how many gateways share budgets, including this one.
+    :param is_ready: returns whether this gateway is ready for clients.
     """
 
     nodes: Callable[[], int]
@@ -59,7 +59,7 @@
 
 
 class FigureRow(Struct, frozen=True):
-    """One line of the tables below: a figure's name without the prefix, and where it is read."""
+    """A metric's name without the prefix, its help text, and how to read its value."""
 
     name: str
     help: str
@@ -199,7 +199,7 @@
         lambda sources: sources.requests.missing_shards,
     ),
 )
-"""Figures that only grow while the process lives."""
+"""Metrics that never decrease while the process runs."""
 
 GAUGES = (
     FigureRow(
@@ -316,4 +316,4 @@
     ),
     FigureRow("in_progress", "Requests being served.", lambda sources: sources.handler.in_progress),
 )
-"""Figures that are as they are now."""
+"""Metrics that show a current value."""
--- a/tinrudder/gateway/observability/metrics_text.py
+++ b/tinrudder/gateway/observability/metrics_text.py
@@ -1,6 +1,7 @@
-"""Writes the metrics of a gateway in the text format; imported by the first scrape.
+"""Renders a gateway's metrics in the Prometheus text format.
 
-Owns nothing; relies on the library of the format, which takes a fifth of a process's start to load.
+Owns no state.  It is imported on the first scrape, because the Prometheus library would take a
+fifth of a process's start-up time to load.
 """
 
 from __future__ import annotations
@@ -28,13 +29,13 @@
 
 
 class _GatewayCollector(Collector):
-    """Reads a gateway's figures."""
+    """Collects a gateway's metrics for the Prometheus library."""
 
     def __init__(self, metrics: GatewayMetrics) -> None:
         self._metrics = metrics
 
     def collect(self) -> Iterable[Metric]:
-        """Return every figure as it is now."""
+        """Yield every metric with its current value."""
         metrics = self._metrics
         for figure in metrics.figures:
             family = CounterMetricFamily if figure.is_counter else GaugeMetricFamily
@@ -49,14 +50,14 @@
 
 
 def metrics_text(metrics: GatewayMetrics) -> bytes:
-    """Return everything that a scrape asks for."""
+    """Return the response body of a scrape."""
     registry = CollectorRegistry()
     registry.register(_GatewayCollector(metrics))
     return generate_latest(registry)
 
 
 def _latencies(latencies: Mapping[LatencyLabels, LatencyCounts]) -> Metric:
-    """Return the histograms of finished requests."""
+    """Return the latency histograms of finished requests."""
     family = HistogramMetricFamily(
         f"{PREFIX}_request_seconds",
         "Time from a client's whole request to its outcome.",
@@ -69,7 +70,7 @@
 
 
 def _tenant_requests(decisions: Iterable[TenantFigure]) -> Metric:
-    """Return a counter with a label for each tenant and decision."""
+    """Return a counter labelled by tenant and decision."""
     family = CounterMetricFamily(
         f"{PREFIX}_tenant_requests",
         "Requests with a tenant's key, by what its limit said.",
@@ -81,7 +82,7 @@
 
 
 def _tenant_tokens(held_tokens: Iterable[TenantFigure]) -> Metric:
-    """Return a gauge with a label for each tenant."""
+    """Return a gauge labelled by tenant."""
     family = GaugeMetricFamily(
         f"{PREFIX}_tenant_tokens",
         "Requests that a tenant may ask now, where this gateway keeps its bucket.",
@@ -93,7 +94,7 @@
 
 
 def _by_kind(name: str, text: str, counts: Mapping[str, int]) -> Metric:
-    """Return a counter with a label for each kind of message."""
+    """Return a counter labelled by kind of message."""
     family = CounterMetricFamily(f"{PREFIX}_{name}", text, labels=["kind"])
     for kind, count in counts.items():
         family.add_metric([kind], count)
@@ -101,7 +102,7 @@
 
 
 def _cumulative(counts: LatencyCounts) -> Iterator[tuple[str, float]]:
-    """Yield each bucket's upper bound with the number of requests up to it."""
+    """Yield each bucket's upper bound with the cumulative number of requests."""
     bounds = [str(bound) for bound in LATENCY_BUCKETS_S] + [UNBOUNDED]
     reached = 0
     for bound, count in zip(bounds, counts.counts, strict=True):
--- a/tinrudder/gateway/observability/request_figures.py
+++ b/tinrudder/gateway/observability/request_figures.py
@@ -1,7 +1,7 @@
 """Counts finished requests for the metrics.
 
-Owns a latency histogram for each priority and outcome, and the count of missing shards; relies on
-the request handler to report each request once.  Counting needs no library.
+Owns a latency histogram for each priority and outcome, and the count of missing shards; the request
+handler must report each request exactly once.  Needs no metrics library.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 
 class RequestFigures(Struct):
-    """What the metrics show of finished requests.
+    """Metrics of finished requests.
 
     :ivar missing_shards: shards left out of merged answers since the process started.
     """
--- a/tinrudder/gateway/observability/request_latencies.py
+++ b/tinrudder/gateway/observability/request_latencies.py
@@ -1,6 +1,6 @@
-"""Counts of finished requests by latency, cheap to keep; a scrape turns them into text.
+"""Latency histograms of finished requests, cheap to update; a scrape renders them.
 
-Owns the bounds of the buckets; whoever keeps a histogram owns its counts.
+Owns the bucket bounds; the holder of a histogram owns its counts.
 """
 
 from __future__ import annotations
@@ -10,11 +10,12 @@
 from msgspec import Struct, field
 
 LATENCY_BUCKETS_S = (0.005, 0.01, 0.02, 0.03, 0.05, 0.075, 0.1, 0.15, 0.2, 0.3, 0.5, 1.0, 2.0, 5.0)
-"""Upper bounds, from a fast call's few milliseconds to the longest time that clients wait."""
+"""Upper bounds in seconds, from a fast call's few milliseconds to the longest time that clients
+wait."""
 
 
 class LatencyCounts(Struct):
-    """One histogram: how many requests fell into each bucket, the last one without a bound.
+    """One histogram: the number of requests in each bucket; the last bucket has no upper bound.
 
     >>> counts = LatencyCounts()
     >>> counts.observe(0.01)
@@ -33,7 +34,7 @@
 
 
 class LatencyLabels(Struct, frozen=True):
-    """What requests of one histogram have in common."""
+    """Labels of one histogram."""
 
     priority: str
     outcome: str
--- a/tinrudder/gateway/observability/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -1,6 +1,6 @@
-"""One structured line for each finished request, with what decided it.
+"""Structured log events for each finished request, with the reason for its outcome.
 
-Owns the names and fields of the lines; relies on the handler to describe how a request ended.
+Owns the names and fields of these events; the request handler describes how a request ended.
 """
 
 from __future__ import annotations
@@ -28,15 +28,15 @@
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
 
 CLIENT_LEFT = "client_left"
-"""The outcome of a request whose client left before the answer, as the log names it."""
+"""Logged outcome of a request whose client disconnected before the response."""
 MILLISECONDS = 1000.0
-"""In a second."""
+"""Milliseconds per second."""
 
 
 class FinishedRequest(Struct, frozen=True):
-    """How a request ended; ``outcome`` is ``None`` when its client left.
+    """How a request ended; ``outcome`` is ``None`` when its client disconnected.
 
-    :param tenant: the name of the tenant whose key it carried, empty for none.
+    :param tenant: name of the tenant whose API key the request carried; empty if none.
     """
 
     request_id: bytes
@@ -56,7 +56,7 @@
 
     @property
     def detail(self) -> str:
-        """Return why there is no answer."""
+        """Return why the gateway refused or failed the request; empty for other outcomes."""
         explained = NotRun | OverQuota | Unauthorized | NoAnswer | TimedOut | Invalid | UnknownRoute
         if isinstance(self.outcome, explained):
             return self.outcome.detail
@@ -67,7 +67,7 @@
 
 
 def log_request(request: FinishedRequest) -> None:
-    """Write the line of one request."""
+    """Log a finished request."""
     fields: dict[str, LogValue] = {
         "request": request.request_id.decode("latin-1"),
         "route": request.route.name if request.route is not None else "",
@@ -89,7 +89,7 @@
 
 
 def log_coordinated(scatter: ScatterRequest, route: Route, end: ScatterEnd) -> None:
-    """Write a coordinator's line of one request that another gateway handed over."""
+    """Log, on a coordinator, a finished scatter that another gateway delegated to it."""
     fields: dict[str, LogValue] = {
         "request": scatter.request_id.decode("latin-1"),
         "route": route.name,
@@ -104,7 +104,7 @@
 
 
 def log_coordinator_failed(request_id: bytes, coordinator: Address, problem: str) -> None:
-    """Write an entry's line of a coordinator that did not serve one request."""
+    """Log, on the gateway that received a request, that a coordinator failed to serve it."""
     fields: dict[str, LogValue] = {
         "request": request_id.decode("latin-1"),
         "coordinator": str(coordinator),
@@ -116,10 +116,11 @@
 def log_call_lost(
     request_id: bytes, fingerprint: bytes, service: str, backend_id: str, detail: str
 ) -> None:
-    """Write the line of a call whose connection ended before it was answered.
+    """Log a call whose connection closed before the response.
 
-    The fingerprint is the same for all tries of one client, at any gateway: lines of one
-    fingerprint with many back ends tell a request that ends back ends from back ends that end.
+    The fingerprint is the same for all attempts of one client, at any gateway.  If many back ends
+    are lost under one fingerprint, the request crashes them; if the fingerprints differ, the back
+    ends fail on their own.
     """
     fields: dict[str, LogValue] = {
         "request": request_id.decode("latin-1"),
@@ -132,14 +133,14 @@
 
 
 def _parts(outcome: RequestOutcome | None) -> dict[str, LogValue]:
-    """Count what a merged answer holds and lacks."""
+    """Return how many shards a merged answer includes and lacks."""
     if not isinstance(outcome, Merged):
         return {}
     return {"included": len(outcome.stamps), "missing": outcome.missing}
 
 
 def _missing(shards: Sequence[MissingShard]) -> dict[str, LogValue]:
-    """Name the shards without an answer and count the reasons."""
+    """Return the shards without an answer, and the count of each reason."""
     if not shards:
         return {}
     reasons = Counter(shard.problem for shard in shards)
--- a/tinrudder/gateway/parts.py
+++ b/tinrudder/gateway/parts.py
@@ -1,7 +1,7 @@
-"""The parts of a gateway, in groups, as they are built one after the other.
+"""Groups of a gateway's components, in the order in which they are built.
 
-Owns no state of its own: a group only names parts that belong together, so that what needs many of
-them takes one argument.  :mod:`tinrudder.gateway.wiring` makes the groups.
+Owns no state: a group holds references to related components, so that a function that needs many of
+them takes one argument.  :mod:`tinrudder.gateway.wiring` builds the groups.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 
 
 class ProcessParts(Struct, frozen=True):
-    """What concerns the process as a whole."""
+    """Components that concern the process as a whole."""
 
     lifecycle: NodeLifecycle
     pause: ProcessPause
@@ -51,7 +51,7 @@
 
 
 class KnowledgeParts(Struct, frozen=True):
-    """What is known of the store, whoever told it, and how old that is."""
+    """State replicated from the store, directly or through peers, and its staleness."""
 
     unreadable_values: UnreadableValues
     state: SharedState
@@ -61,7 +61,7 @@
 
 
 class FleetParts(Struct, frozen=True):
-    """The other gateways, and the ways to them."""
+    """The list of other gateways and the means to communicate with them."""
 
     peers: PeerList
     datagrams: PeerDatagrams
@@ -71,7 +71,7 @@
 
 
 class BackendParts(Struct, frozen=True):
-    """The back ends, what is seen of them, and who calls them."""
+    """The back ends, observations of them, and the choice of gateways that call them."""
 
     coordinators: Coordinators
     directory: BackendDirectory
@@ -81,7 +81,7 @@
 
 
 class RequestParts(Struct, frozen=True):
-    """What a client's request passes, and what other gateways' scatters do."""
+    """Components that serve requests of clients and scatters of other gateways."""
 
     figures: RequestFigures
     freshness: ConfigurationFreshness
@@ -93,7 +93,7 @@
 
 
 class StoreParts(Struct, frozen=True):
-    """What asks the store."""
+    """Components that read the store."""
 
     readers: StoreReaders
     followers: tuple[StoreFollower, ...]
@@ -101,9 +101,9 @@
 
 
 class GatewayParts(Struct, frozen=True):
-    """All parts of one gateway.
+    """All components of one gateway.
 
-    :param peer_exchange: ``None`` where the settings name no address for peers.
+    :param peer_exchange: ``None`` if the settings have no address for peers.
     """
 
     process: ProcessParts
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -1,9 +1,9 @@
-"""Builds the parts of a gateway from its leaves up, a group of parts at a time.
+"""Builds the components of a gateway, one group at a time, dependencies first.
 
-Owns no state: each function makes one group from those made before it.  Relies on their order.
-Listeners of the shared state are called in the order in which they subscribe, so that coordinators
-and back ends know a change before requests do, and peers hear of it after everybody here.  Where
-two parts need each other, the later one subscribes or connects to the earlier one.
+Owns no state: each function builds one group from the groups before it.  The order matters:
+listeners of the shared state are called in the order of their subscription, so coordinators and
+back ends process a change before requests do, and peers are notified after all local components.
+Where two components need each other, the later one subscribes or connects to the earlier one.
 """
 
 from __future__ import annotations
@@ -86,30 +86,31 @@
 from tinrudder.gateway.store.unreadable_values import UnreadableValues
 
 UNACKNOWLEDGED_S = 1.0
-"""Seconds that bytes sent to a peer may stay unacknowledged before its connection is given up: long
-beside round trips of a few milliseconds between zones, and short beside the time that a client
-waits for a scatter which another gateway runs."""
+"""Seconds that bytes sent to a peer may stay unacknowledged before the connection is closed: long
+compared with round trips of a few milliseconds between zones, and short compared with the time that
+a client waits for a scatter run by another gateway."""
 STALE_AFTER_S = 4.0
-"""Seconds without word from the store, by whatever way, after which a gateway that is no reader
-asks it too: some reader hears it every 2.4 s at the latest, and others know a second later."""
+"""Seconds without a confirmation by the store, direct or through peers, after which a gateway that
+is not a reader reads the store itself.  Some reader gets a confirmation at least every 2.4 s, which
+reaches the other gateways within another second."""
 STALE_SPREAD_S = 1.0
-"""Seconds by which the above differs between gateways, so that not all ask the store at once when
-its readers are gone."""
+"""Maximum jitter in seconds added to the above, so that gateways do not all read the store at once
+when its readers are gone."""
 SHORTEST_PATIENCE = 1.0
-"""Least factor by which a start waits for peers before it reads the store itself."""
+"""Smallest factor on the time that a starting gateway waits for peers before it reads the store."""
 LONGEST_PATIENCE = 2.0
-"""The largest one: gateways that start together are spread over as long as the shortest wait, so
-that one of them reads first and teaches the others."""
+"""Largest such factor: spreads gateways that start together over a period as long as the shortest
+wait, so that one of them reads the store first and sends its state to the others."""
 
 StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
 
 class Surroundings(Struct, frozen=True):
-    """What every part is built from.
+    """Inputs shared by all components.
 
-    :param own: the address under which other gateways know this one.
-    :param random: the gateway's one source of chance, seeded by its name; the order in which parts
-        draw from it decides what a seeded run does.
+    :param own: the address by which other gateways identify this one.
+    :param random: the gateway's random source, seeded with its name; the order in which components
+        draw from it determines the outcome of a seeded run.
     """
 
     settings: GatewaySettings
@@ -128,7 +129,7 @@
         decoders: ValueDecoders,
         make_store: StoreFactory,
     ) -> Surroundings:
-        """Return the surroundings of a gateway in the running event loop."""
+        """Return the inputs for a gateway in the running event loop."""
         loop = asyncio.get_running_loop()
         own = settings.peers or settings.clients
         source = random.Random(settings.name)
@@ -136,7 +137,7 @@
 
 
 def build_gateway(around: Surroundings) -> GatewayParts:
-    """Return the parts of a gateway; nothing of them runs yet."""
+    """Return the components of a gateway; none of them runs yet."""
     process = _build_process(around)
     knowledge = _build_knowledge(around, process)
     fleet = _build_fleet(around, process, knowledge)
@@ -397,7 +398,7 @@
 def _build_readers(
     around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts
 ) -> StoreReaders:
-    # Two draws, in this order.
+    # The order of these two draws determines the outcome of a seeded run.
     stale_after_s = STALE_AFTER_S + around.random.uniform(0.0, STALE_SPREAD_S)
     patience = around.random.uniform(SHORTEST_PATIENCE, LONGEST_PATIENCE)
     return StoreReaders(
@@ -421,7 +422,8 @@
     note_silent: Callable[[Topic], None],
 ) -> FollowerParts:
     def prove(topic: Topic, asked_at: float) -> None:
-        # A start serves keyed requests by what its first reading proves, without another one.
+        # Lets a starting gateway serve keyed requests after its first complete read, without
+        # another read that confirms it.
         if topic is Topic.OPERATOR:
             knowledge.staleness_bound.prove(asked_at)
 
