--- a/tinrudder/cli/__init__.py
+++ b/tinrudder/cli/__init__.py
@@ -1,5 +1,6 @@
-"""The ``tinrudder`` command, and the entries of both programs' processes.
+"""The ``tinrudder`` command, and the entry points of gateway and node processes.
 
-``gateway_process`` is what the users' machines run; ``gateway`` and ``serve`` start one process of
-each program, ``story`` reads a gateway's logs. Commands for a running node are ``node_commands``.
+``gateway_process`` is the entry point on production machines; the ``gateway`` and ``serve``
+subcommands run a gateway and a node; ``story`` reads gateway logs.  ``node_commands`` contains the
+commands that talk to a running node.
 """
--- a/tinrudder/cli/check_settings.py
+++ b/tinrudder/cli/check_settings.py
@@ -1,4 +1,4 @@
-"""``tinrudder check-settings``: check a node's settings without starting it."""
+"""``tinrudder check-settings``: validate a node's settings without starting it."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the subcommand."""
+    """Register the subcommand."""
     parser = subparsers.add_parser("check-settings", help="check a node's settings")
     parser.add_argument("--settings", type=Path, help="TOML settings file")
     add_settings_flags(parser)
@@ -25,7 +25,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Check file and flags as ``serve`` would."""
+    """Validate the settings file and flags as ``serve`` would."""
     try:
         settings = load_settings(arguments.settings, flags_given(arguments))
         read_cluster_keys(settings.cluster_key_file)
--- a/tinrudder/cli/completion.py
+++ b/tinrudder/cli/completion.py
@@ -1,4 +1,4 @@
-"""``tinrudder completion SHELL``: print a completion script."""
+"""``tinrudder completion SHELL``: print a shell completion script."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     subparsers: argparse._SubParsersAction[argparse.ArgumentParser],
     build_parser: Callable[[], argparse.ArgumentParser],
 ) -> None:
-    """Add the subcommand; it completes what ``build_parser`` returns."""
+    """Register the subcommand; its script completes the parser from ``build_parser``."""
     parser = subparsers.add_parser("completion", help="print a completion script for a shell")
     parser.add_argument("shell", choices=shtab.SUPPORTED_SHELLS)
 
--- a/tinrudder/cli/exit_codes.py
+++ b/tinrudder/cli/exit_codes.py
@@ -6,10 +6,10 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What a command found.
+    """The result of a command.
 
-    ``NEGATIVE`` is an answer, not an error: the file is not valid, the specs differ, the resource
-    was refused.
+    ``NEGATIVE`` reports a result rather than an error: the file is invalid, the specs differ, or
+    the resource was refused.
     """
 
     OK = 0
@@ -26,7 +26,7 @@
 
 
 class CommandError(Exception):
-    """A command can't go on; the text says why, the code tells scripts."""
+    """A command cannot continue; carries a message for users and an exit code for scripts."""
 
     def __init__(self, code: ExitCode, text: str) -> None:
         """Exit with ``code`` after printing ``text``."""
--- a/tinrudder/cli/gateway.py
+++ b/tinrudder/cli/gateway.py
@@ -1,7 +1,7 @@
 """``tinrudder gateway``: run one gateway on the users' platform.
 
-On the users' machines: ``python3 -m tinrudder.cli.gateway_process``, which imports nothing of the
-other commands.
+Production machines run ``python3 -m tinrudder.cli.gateway_process`` instead, which does not import
+the other commands.
 """
 
 from __future__ import annotations
@@ -33,38 +33,40 @@
 from tinrudder.platform.store_client import StoreClient
 
 STANDARD_OUTPUT = 1
-"""The file descriptor to which logs are written."""
+"""File descriptor that receives the logs."""
 SETTINGS_LOOK_S = 1.0
-"""Seconds between two looks at the time of the settings file.  Chosen, not measured: a change takes
-effect within about a second where no signal can be sent."""
+"""Seconds between two checks of the settings file's modification time: a change takes effect within
+about a second where no signal can be sent."""
 DECODERS = ValueDecoders(
     decode_operator_key, decode_configuration, decode_backend, decode_load_report
 )
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the subcommand."""
+    """Register the subcommand."""
     parser = subparsers.add_parser("gateway", help="run a gateway on the users' platform")
     add_flags(parser)
     parser.set_defaults(run=run)
 
 
 def add_flags(parser: argparse.ArgumentParser) -> None:
-    """Add the command's flags."""
+    """Add the flags of the command."""
     parser.add_argument(
         "--settings",
         type=Path,
-        help=f"the platform's settings file; default: the variable {SETTINGS_VARIABLE}",
+        help=f"the platform's settings file; default: the environment variable {SETTINGS_VARIABLE}",
     )
-    parser.add_argument("--metrics-port", type=int, default=0, help="serve /metrics there")
-    parser.add_argument("--check", action="store_true", help="check the settings and end")
-    parser.add_argument("--log-level", default="INFO", help="INFO, or WARNING for problems only")
+    parser.add_argument(
+        "--metrics-port", type=int, default=0, help="port that serves /metrics; 0 disables it"
+    )
+    parser.add_argument("--check", action="store_true", help="validate the settings and exit")
+    parser.add_argument("--log-level", default="INFO", help="INFO, or WARNING to log only problems")
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Run until told to stop."""
+    """Validate the settings, then run the gateway until a signal stops it."""
     path = arguments.settings or Path(os.environ.get(SETTINGS_VARIABLE, ""))
-    # Before the file is read: a change while it is read must not pass for known.
+    # Read the modification time before the file, so that a change during the read is noticed.
     modified_ns = _modified_ns(path)
     try:
         settings = load_gateway_settings(path)
@@ -87,7 +89,7 @@
 async def _serve(
     settings: GatewaySettings, path: Path, modified_ns: int, metrics_port: int
 ) -> None:
-    """Run the node; signals stop it or have the settings read again."""
+    """Run the gateway; signals stop it or reload its settings."""
     metrics = Address(settings.clients.host, metrics_port) if metrics_port else None
     node = Gateway(settings, HEADERS, DECODERS, StoreClient, metrics)
     loop = asyncio.get_running_loop()
@@ -101,7 +103,7 @@
 
 
 def _reload(node: Gateway, path: Path) -> None:
-    """Read the settings again; broken ones change nothing."""
+    """Reload the settings; invalid settings are logged and ignored."""
     try:
         node.reload(load_gateway_settings(path))
     except SettingsFileError as error:
@@ -109,7 +111,7 @@
 
 
 async def _look_for_changes(node: Gateway, path: Path, seen: int) -> None:
-    """Read the settings again when the file changes without a signal."""
+    """Reload the settings whenever the modification time of the file changes."""
     while True:
         await asyncio.sleep(SETTINGS_LOOK_S)
         modified = _modified_ns(path)
@@ -119,7 +121,7 @@
 
 
 def _modified_ns(path: Path) -> int:
-    """Return when a file was last changed; 0 if that cannot be told."""
+    """Return a file's modification time in nanoseconds, or 0 if the file cannot be accessed."""
     try:
         return path.stat().st_mtime_ns
     except OSError:
@@ -127,7 +129,7 @@
 
 
 def main() -> int:
-    """Run this one command."""
+    """Run the gateway command without the other subcommands."""
     parser = argparse.ArgumentParser(prog="tinrudder gateway", description=__doc__)
     add_flags(parser)
     return run(parser.parse_args())
--- a/tinrudder/cli/gateway_process.py
+++ b/tinrudder/cli/gateway_process.py
@@ -1,9 +1,9 @@
-"""Entry of a gateway process on the users' machines.
+"""Entry point of a gateway process on production machines.
 
-Signals may come at any moment of a process's life, and until a handler stands they end it.  So
-handlers stand first, before the long imports.  A reload is ignored: a change of the settings that
-it told of is noticed by the file's time.  A planned stop ends a process that has not served yet as
-one that has, with success.
+A signal that arrives before its handler is installed kills the process, so the handlers are
+installed before the slow imports.  SIGHUP is ignored here: a change of the settings is detected
+later by the file's modification time.  SIGTERM exits with code 0, as it does once the gateway
+serves.
 """
 
 from __future__ import annotations
--- a/tinrudder/cli/main.py
+++ b/tinrudder/cli/main.py
@@ -44,7 +44,7 @@
         code: int = arguments.run(arguments)
         sys.stdout.flush()
     except BrokenPipeError:
-        # Whoever read the output, say head, has seen enough.
+        # The reader of the output, such as head, has closed the pipe.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return ExitCode.OK
     return code
--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -50,21 +50,21 @@
 EXIT_OK = 0
 EXIT_USAGE = 2
 CALLER_KEEP_ALIVE_S = 75
-"""Seconds for which an idle connection of a caller is kept.  Chosen, not measured: a caller that
-asks once a minute need not connect anew."""
+"""Seconds that an idle caller connection stays open, so that a caller with one query a minute does
+not have to reconnect."""
 
 
 class CallerServer(uvicorn.Server):
-    """uvicorn without its signal handlers: the daemon decides when to stop."""
+    """uvicorn without its signal handlers: the daemon controls the shutdown."""
 
     @contextlib.contextmanager
     def capture_signals(self) -> Iterator[None]:
-        """Leave signals alone."""
+        """Install no signal handlers."""
         yield
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the subcommand."""
+    """Register the subcommand."""
     parser = subparsers.add_parser("serve", help="run one node")
     parser.add_argument("--settings", type=Path, help="TOML settings file")
     add_settings_flags(parser)
@@ -72,7 +72,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Check the settings and serve."""
+    """Validate the settings and run the node."""
     try:
         settings = load_settings(arguments.settings, flags_given(arguments))
         cluster_keys = read_cluster_keys(settings.cluster_key_file)
@@ -93,7 +93,7 @@
 async def serve(
     settings: NodeSettings, cluster_keys: tuple[bytes, ...] = DEVELOPMENT_CLUSTER_KEYS
 ) -> None:
-    """Serve until told to stop; a planned stop cuts off nothing."""
+    """Serve until SIGTERM or SIGINT, then shut down without cutting off queries in progress."""
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
@@ -123,7 +123,7 @@
     platform: PlatformClient,
     cluster_keys: tuple[bytes, ...],
 ) -> Node:
-    """Open the port for other nodes and build the node on it; nothing of it runs yet."""
+    """Open the port for peer traffic and build the node on it; the node does not run yet."""
     peers = TcpPeerTransport(settings.host, settings.peer_port, edges.peers)
     environment = Environment(
         timers=asyncio.get_running_loop(),
@@ -141,7 +141,7 @@
 def _build_callers(
     node: Node, settings: NodeSettings, cluster_keys: tuple[bytes, ...]
 ) -> CallerApplication:
-    """Return the HTTP application of callers, with the routes of operators beside theirs."""
+    """Return the HTTP application with the routes of callers and operators."""
     loop = asyncio.get_running_loop()
     metrics = NodeMetrics()
     show_node(metrics, node)
@@ -167,7 +167,7 @@
 def caller_config(
     settings: NodeSettings, app: ASGIApp, identity: Identity | None
 ) -> uvicorn.Config:
-    """Return how callers' and operators' HTTP is served; over TLS with an identity."""
+    """Return the HTTP server's configuration; with an identity, it uses TLS."""
     context = identity.listening_context() if identity is not None else None
     return uvicorn.Config(
         app,
--- a/tinrudder/cli/story.py
+++ b/tinrudder/cli/story.py
@@ -1,4 +1,4 @@
-"""``tinrudder story``: what a gateway's log tells of one request."""
+"""``tinrudder story``: summarize one request from a gateway's log."""
 
 from __future__ import annotations
 
@@ -12,8 +12,7 @@
 from tinrudder.cli.exit_codes import ExitCode
 
 CONTEXT_S = 10.0
-"""Seconds before a request's line within which other events of its gateway are shown.  Chosen, not
-measured."""
+"""Period in seconds before a request's log line in which other events of its gateway are shown."""
 STANDARD_INPUT = "-"
 REQUEST_EVENT = "request"
 COORDINATED_EVENT = "coordinated"
@@ -29,21 +28,21 @@
 OVERLOAD_DETAIL = "overload: place"
 QUOTA_EVENTS = frozenset(("quota_pressed", "quota_home_silent"))
 MEANINGS = {
-    "Merged": "answered from the shards that were in",
-    "Relayed": "a back end's own answer was passed on",
-    "NotRun": "refused: no back end ran it, and none will",
-    "OverQuota": "refused: the tenant has had what its limit allows; nothing ran",
-    "Unauthorized": "refused for good: no tenant has the key",
-    "UnknownRoute": "no route of the configuration in force matched host and path",
-    "Invalid": "the request breaks a rule of the protocol",
-    "NoAnswer": "a back end may have run it, and every call failed",
-    "TimedOut": "a back end may have run it, and no usable answer came in time",
-    "client_left": "the client closed its connection before the answer",
+    "Merged": "answered from the shards that had responded",
+    "Relayed": "a back end's own response was forwarded",
+    "NotRun": "refused: no back end ran the request, and none will",
+    "OverQuota": "refused: the tenant exceeded its rate limit; no back end ran the request",
+    "Unauthorized": "refused, and a retry will not help: no tenant has this API key",
+    "UnknownRoute": "no route of the configuration in force matched the host and path",
+    "Invalid": "the request violates the protocol",
+    "NoAnswer": "a back end may have run the request, but every call failed",
+    "TimedOut": "a back end may have run the request, but no usable response arrived in time",
+    "client_left": "the client closed its connection before the response",
 }
 
 
 class LogLine(msgspec.Struct):
-    """The fields of a log line that a story needs."""
+    """The fields of a log line that the summary uses."""
 
     time: float
     node: str = ""
@@ -91,15 +90,15 @@
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the subcommand."""
-    parser = subparsers.add_parser("story", help="tell from a log what became of a request")
+    """Register the subcommand."""
+    parser = subparsers.add_parser("story", help="summarize one request from a gateway's log")
     parser.add_argument("log", help=f"a gateway's log; {STANDARD_INPUT} for standard input")
     parser.add_argument("request", help="the request's id")
     parser.set_defaults(run=run)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the story of one request."""
+    """Print the summary of one request."""
     try:
         text = _read(arguments.log)
     except OSError as error:
@@ -115,7 +114,7 @@
 
 
 def read_log(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines that are a gateway's; a prefix before the JSON object is skipped."""
+    """Yield the lines with a gateway's JSON log record, ignoring any prefix before the object."""
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -127,7 +126,7 @@
 
 
 def tell_story(lines: list[LogLine], request: str) -> list[str]:
-    """Return the story of one request, and what its node learned shortly before; may be empty."""
+    """Return the summary of one request and of preceding events; empty if it was not logged."""
     story = []
     for line in lines:
         if line.request != request:
@@ -147,7 +146,7 @@
 
 
 def _request_lines(line: LogLine) -> list[str]:
-    """Tell the end of one request."""
+    """Describe the outcome of a request."""
     meaning = MEANINGS.get(line.outcome, line.outcome)
     told = [
         f"request {line.request} at {line.node}, {line.time:.3f}: {line.outcome}, "
@@ -168,7 +167,7 @@
 
 
 def _version_lines(lines: list[LogLine], request: LogLine) -> list[str]:
-    """Tell since when the version that decided was in force, and where the store held it."""
+    """Describe the configuration version that the request used, and its revision in the store."""
     before = [one for one in lines if one.node == request.node and one.time <= request.time]
     versions = [one for one in before if one.event == CONFIGURATION_EVENT]
     of_request = [one for one in versions if one.version == request.version]
@@ -195,17 +194,17 @@
 
 
 def _overload_lines(line: LogLine) -> list[str]:
-    """Explain the refusal of a scatter that would have waited too long."""
+    """Explain why a scatter was refused because of its expected queueing delay."""
     if not line.detail.startswith(OVERLOAD_DETAIL):
         return []
     return [
-        "  that is: nothing of it had left; with those before it, by the pace at which room became",
-        "    free lately, it would have waited for longer than it could bear",
+        "  meaning: none of its calls had been sent; given the scatters ahead of it in the queue",
+        "    and the recent rate of freed capacity, it would have exceeded its acceptable wait",
     ]
 
 
 def _lost_line(line: LogLine) -> str:
-    """Tell of a back end that was lost under a request."""
+    """Describe a connection to a back end that was lost during a call."""
     return (
         f"call lost at {line.node}, {line.time:.3f}: back end {line.backend} of {line.service}, "
         f"{line.detail} (fingerprint {line.fingerprint})"
@@ -213,7 +212,7 @@
 
 
 def _poison_lines(lines: list[LogLine], request: LogLine) -> list[str]:
-    """Tell which back ends were lost under all tries of a request that is refused for that."""
+    """Describe the lost calls and quarantine events of a request refused as poison."""
     told = []
     for line in lines:
         if line.event not in POISON_EVENTS or not line.fingerprint:
@@ -225,7 +224,7 @@
         elif line.event == BARRED_EVENT:
             told.append(
                 f"  barred at {line.node}, {line.time:.3f}, for {line.barred_s:g} s: back end "
-                f"{line.backend} was lost in a trial, {line.failed_trials} trials failed so far"
+                f"{line.backend} was lost in a trial; failed trials so far: {line.failed_trials}"
             )
         else:
             told.append(f"  {line.event} at {line.node}, {line.time:.3f}")
@@ -233,7 +232,7 @@
 
 
 def _coordinated_lines(line: LogLine) -> list[str]:
-    """Tell a coordinator's part in a request that another gateway handed over."""
+    """Describe a coordinator's run of a scatter that another gateway delegated to it."""
     again = ", another coordinator may have begun before" if line.repeated else ""
     return [
         f"coordinated by {line.node}, {line.time:.3f}: {line.outcome}, "
@@ -243,7 +242,7 @@
 
 
 def _coverage_lines(line: LogLine) -> list[str]:
-    """Tell which shards are in, and why others are not."""
+    """Describe which shards responded, and why others did not."""
     told = []
     if line.included is not None:
         told.append(f"  coverage: {line.included} shards in, {line.missing or 0} missing")
@@ -255,7 +254,7 @@
 
 
 def _context_lines(lines: list[LogLine], request: LogLine) -> list[str]:
-    """Tell what the node learned in the seconds before the request ended."""
+    """Describe the gateway's other events in the seconds before the request ended."""
     told = []
     for line in lines:
         age = request.time - line.time
@@ -268,7 +267,7 @@
 
 
 def _facts(line: LogLine) -> list[str]:
-    """Return what a line says beside its event, the most telling field first."""
+    """Return the fields that describe an event, the most specific first."""
     if line.event == ZONE_PATH_EVENT:
         return [line.zone, line.state, f"heard share {line.heard_share:g}"]
     if line.event in QUOTA_EVENTS:
@@ -277,5 +276,5 @@
 
 
 def _read(log: str) -> str:
-    """Return a log's text."""
+    """Return the text of a log file, or of standard input."""
     return sys.stdin.read() if log == STANDARD_INPUT else Path(log).read_text(errors="replace")
--- a/tinrudder/cli/tls_edges.py
+++ b/tinrudder/cli/tls_edges.py
@@ -1,4 +1,4 @@
-"""The TLS identities that the settings name, and the task that reloads them."""
+"""Loads the TLS identities named in the settings, and reloads them when their files change."""
 
 from __future__ import annotations
 
@@ -11,9 +11,9 @@
 
 
 def build_edges(settings: NodeSettings) -> TlsEdges:
-    """Read every identity that the settings name.
+    """Load every identity named in the settings.
 
-    :raises TlsError: one cannot be used.
+    :raises TlsError: an identity is unusable.
     """
     return TlsEdges(
         peers=_identity(
@@ -29,7 +29,7 @@
 
 
 async def follow_files(edges: TlsEdges, check_s: float) -> None:
-    """Reload identities whose files change; an unusable file changes nothing and is logged."""
+    """Reload identities whose files change; log an unusable file and keep the old identity."""
     while True:
         await asyncio.sleep(check_s)
         for identity in edges.identities():
@@ -41,7 +41,7 @@
 
 
 def _identity(certificate: str, key: str, authority: str) -> Identity | None:
-    """Return the identity, ``None`` when no file is named."""
+    """Return an identity, or ``None`` if the settings name no files for it."""
     if not certificate and not authority:
         return None
     return Identity(TlsFiles(_path(certificate), _path(key), _path(authority)))
