--- a/tinrudder/cli/gateway.py
+++ b/tinrudder/cli/gateway.py
@@ -34,7 +34,7 @@
 
 STANDARD_OUTPUT = 1
 """File descriptor that receives the logs."""
-SETTINGS_LOOK_S = 1.0
+SETTINGS_POLL_INTERVAL_S = 1.0
 """Seconds between two checks of the settings file's modification time: a change takes effect within
 about a second where no signal can be sent."""
 DECODERS = ValueDecoders(
@@ -91,33 +91,33 @@
 ) -> None:
     """Run the gateway; signals stop it or reload its settings."""
     metrics = Address(settings.clients.host, metrics_port) if metrics_port else None
-    node = Gateway(settings, HEADERS, DECODERS, StoreClient, metrics)
+    gateway = Gateway(settings, HEADERS, DECODERS, StoreClient, metrics)
     loop = asyncio.get_running_loop()
-    loop.add_signal_handler(signal.SIGTERM, node.request_stop)
-    loop.add_signal_handler(signal.SIGINT, node.request_stop)
-    loop.add_signal_handler(signal.SIGHUP, _reload, node, path)
-    looking = loop.create_task(_look_for_changes(node, path, modified_ns))
+    loop.add_signal_handler(signal.SIGTERM, gateway.request_stop)
+    loop.add_signal_handler(signal.SIGINT, gateway.request_stop)
+    loop.add_signal_handler(signal.SIGHUP, _reload, gateway, path)
+    settings_poller = loop.create_task(_poll_settings_file(gateway, path, modified_ns))
     tune_garbage_collection()
-    await node.run()
-    looking.cancel()
+    await gateway.run()
+    settings_poller.cancel()
 
 
-def _reload(node: Gateway, path: Path) -> None:
+def _reload(gateway: Gateway, path: Path) -> None:
     """Reload the settings; invalid settings are logged and ignored."""
     try:
-        node.reload(load_gateway_settings(path))
+        gateway.reload(load_gateway_settings(path))
     except SettingsFileError as error:
         log_problem("settings_refused", {"detail": str(error)})
 
 
-async def _look_for_changes(node: Gateway, path: Path, seen: int) -> None:
+async def _poll_settings_file(gateway: Gateway, path: Path, known_modified_ns: int) -> None:
     """Reload the settings whenever the modification time of the file changes."""
     while True:
-        await asyncio.sleep(SETTINGS_LOOK_S)
-        modified = _modified_ns(path)
-        if modified != seen:
-            seen = modified
-            _reload(node, path)
+        await asyncio.sleep(SETTINGS_POLL_INTERVAL_S)
+        modified_ns = _modified_ns(path)
+        if modified_ns != known_modified_ns:
+            known_modified_ns = modified_ns
+            _reload(gateway, path)
 
 
 def _modified_ns(path: Path) -> int:
--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -15,7 +15,7 @@
 import uvicorn
 from starlette.types import ASGIApp
 
-from tinrudder.cli.tls_edges import build_edges, follow_files
+from tinrudder.cli.tls_edges import load_tls_edges, reload_changed_identities
 from tinrudder.common import event_loop
 from tinrudder.common.garbage_collection import tune_garbage_collection
 from tinrudder.common.logs import configure_logs, log_problem
@@ -98,7 +98,7 @@
     stop_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop_requested.set)
-    edges = build_edges(settings)
+    edges = load_tls_edges(settings)
     platform = PlatformClient(settings.platform_url)
     node = await _open_node(settings, edges, platform, cluster_keys)
     await node.start()
@@ -107,7 +107,7 @@
     app = CloseWhenStopping(callers.app, node.lifecycle)
     server = CallerServer(caller_config(settings, app, edges.callers))
     serving = asyncio.create_task(server.serve())
-    reloading = asyncio.create_task(follow_files(edges, settings.tls_check_s))
+    reloading = asyncio.create_task(reload_changed_identities(edges, settings.tls_check_s))
     await stop_requested.wait()
     await node.leave()
     server.should_exit = True
--- a/tinrudder/cli/story.py
+++ b/tinrudder/cli/story.py
@@ -11,7 +11,7 @@
 
 from tinrudder.cli.exit_codes import ExitCode
 
-CONTEXT_S = 10.0
+CONTEXT_PERIOD_S = 10.0
 """Period in seconds before a request's log line in which other events of its gateway are shown."""
 STANDARD_INPUT = "-"
 REQUEST_EVENT = "request"
@@ -105,7 +105,7 @@
         print(f"tinrudder story: {arguments.log}: {error.strerror}", file=sys.stderr)
         return ExitCode.USAGE
     lines = list(read_log(text.splitlines()))
-    story = tell_story(lines, arguments.request)
+    story = summarize_request(lines, arguments.request)
     if not story:
         print(f"tinrudder story: no line about request {arguments.request}", file=sys.stderr)
         return ExitCode.NOT_FOUND
@@ -125,7 +125,7 @@
             continue
 
 
-def tell_story(lines: list[LogLine], request: str) -> list[str]:
+def summarize_request(lines: list[LogLine], request: str) -> list[str]:
     """Return the summary of one request and of preceding events; empty if it was not logged."""
     story = []
     for line in lines:
@@ -139,7 +139,7 @@
         elif line.event == COORDINATED_EVENT:
             story.extend(_coordinated_lines(line))
         elif line.event == CALL_LOST_EVENT:
-            story.append(_lost_line(line))
+            story.append(_lost_call_line(line))
         elif line.event == COORDINATOR_FAILED_EVENT:
             story.append(f"coordinator {line.coordinator} failed {line.node}: {line.detail}")
     return story
@@ -148,49 +148,49 @@
 def _request_lines(line: LogLine) -> list[str]:
     """Describe the outcome of a request."""
     meaning = MEANINGS.get(line.outcome, line.outcome)
-    told = [
+    output = [
         f"request {line.request} at {line.node}, {line.time:.3f}: {line.outcome}, "
         f"status {line.status}, after {line.elapsed_ms} ms",
         f"  meaning: {meaning}",
         f"  route: {line.route or 'none'}, configuration version {line.version}",
     ]
     if line.tenant:
-        told.append(f"  tenant: {line.tenant}")
+        output.append(f"  tenant: {line.tenant}")
     if line.target:
-        told.append(f"  target: {line.target}")
-    told.extend(_coverage_lines(line))
+        output.append(f"  target: {line.target}")
+    output.extend(_coverage_lines(line))
     if line.detail:
-        told.append(f"  decided by: {line.detail}")
-        told.extend(_overload_lines(line))
-    told.append(f"  calls beyond the first of each shard: {line.repeats}")
-    return told
+        output.append(f"  decided by: {line.detail}")
+        output.extend(_overload_lines(line))
+    output.append(f"  calls beyond the first of each shard: {line.repeats}")
+    return output
 
 
 def _version_lines(lines: list[LogLine], request: LogLine) -> list[str]:
     """Describe the configuration version that the request used, and its revision in the store."""
-    before = [one for one in lines if one.node == request.node and one.time <= request.time]
-    versions = [one for one in before if one.event == CONFIGURATION_EVENT]
-    of_request = [one for one in versions if one.version == request.version]
+    before = [entry for entry in lines if entry.node == request.node and entry.time <= request.time]
+    versions = [entry for entry in before if entry.event == CONFIGURATION_EVENT]
+    of_request = [entry for entry in versions if entry.version == request.version]
     if not of_request:
         return []
     since = of_request[-1]
-    told = [
+    output = [
         f"  version {since.version} in force for {request.time - since.time:.1f} s, "
         f"from revision {since.revision} of the store's epoch {since.epoch}"
     ]
     if since.source and since.unconfirmed_s is not None:
-        told.append(
+        output.append(
             f"  told by {since.source}; the store's last word before was "
             f"{since.unconfirmed_s:g} s old (-1: none)"
         )
-    for one in before:
-        if one.event == RESTORED_EVENT and one.time >= since.time:
-            told.append(
-                f"  {request.time - one.time:.1f} s before the store came back from a copy, "
-                f"{one.topic}: epoch {one.epoch} shows revision {one.shown}, known was "
-                f"{one.known}, {one.kept} keys kept"
+    for entry in before:
+        if entry.event == RESTORED_EVENT and entry.time >= since.time:
+            output.append(
+                f"  {request.time - entry.time:.1f} s before the store came back from a copy, "
+                f"{entry.topic}: epoch {entry.epoch} shows revision {entry.shown}, known was "
+                f"{entry.known}, {entry.kept} keys kept"
             )
-    return told
+    return output
 
 
 def _overload_lines(line: LogLine) -> list[str]:
@@ -203,7 +203,7 @@
     ]
 
 
-def _lost_line(line: LogLine) -> str:
+def _lost_call_line(line: LogLine) -> str:
     """Describe a connection to a back end that was lost during a call."""
     return (
         f"call lost at {line.node}, {line.time:.3f}: back end {line.backend} of {line.service}, "
@@ -213,60 +213,60 @@
 
 def _poison_lines(lines: list[LogLine], request: LogLine) -> list[str]:
     """Describe the lost calls and quarantine events of a request refused as poison."""
-    told = []
+    output = []
     for line in lines:
         if line.event not in POISON_EVENTS or not line.fingerprint:
             continue
         if line.fingerprint not in request.detail:
             continue
         if line.event == CALL_LOST_EVENT:
-            told.append(f"  {_lost_line(line)}, request {line.request}")
+            output.append(f"  {_lost_call_line(line)}, request {line.request}")
         elif line.event == BARRED_EVENT:
-            told.append(
+            output.append(
                 f"  barred at {line.node}, {line.time:.3f}, for {line.barred_s:g} s: back end "
                 f"{line.backend} was lost in a trial; failed trials so far: {line.failed_trials}"
             )
         else:
-            told.append(f"  {line.event} at {line.node}, {line.time:.3f}")
-    return told
+            output.append(f"  {line.event} at {line.node}, {line.time:.3f}")
+    return output
 
 
 def _coordinated_lines(line: LogLine) -> list[str]:
     """Describe a coordinator's run of a scatter that another gateway delegated to it."""
-    again = ", another coordinator may have begun before" if line.repeated else ""
+    repeat_note = ", another coordinator may have begun before" if line.repeated else ""
     return [
         f"coordinated by {line.node}, {line.time:.3f}: {line.outcome}, "
-        f"after {line.elapsed_ms} ms{again}",
+        f"after {line.elapsed_ms} ms{repeat_note}",
         *_coverage_lines(line),
     ]
 
 
 def _coverage_lines(line: LogLine) -> list[str]:
     """Describe which shards responded, and why others did not."""
-    told = []
+    output = []
     if line.included is not None:
-        told.append(f"  coverage: {line.included} shards in, {line.missing or 0} missing")
+        output.append(f"  coverage: {line.included} shards in, {line.missing or 0} missing")
     if line.missing_shards:
-        told.append(f"  without an answer: {line.missing_shards}")
+        output.append(f"  without an answer: {line.missing_shards}")
     if line.reasons:
-        told.append(f"  reasons: {line.reasons}")
-    return told
+        output.append(f"  reasons: {line.reasons}")
+    return output
 
 
 def _context_lines(lines: list[LogLine], request: LogLine) -> list[str]:
     """Describe the gateway's other events in the seconds before the request ended."""
-    told = []
+    output = []
     for line in lines:
         age = request.time - line.time
         about_requests = line.event in REQUEST_EVENTS or line.event in POISON_EVENTS
-        if line.node == request.node and not about_requests and 0 <= age <= CONTEXT_S:
-            words = " ".join(fact for fact in _facts(line) if fact)
+        if line.node == request.node and not about_requests and 0 <= age <= CONTEXT_PERIOD_S:
+            details = " ".join(detail for detail in _event_details(line) if detail)
             version = f"version {line.version}" if line.version else ""
-            told.append(f"  {age:.1f} s before: {line.event} {words} {version}".rstrip())
-    return told
+            output.append(f"  {age:.1f} s before: {line.event} {details} {version}".rstrip())
+    return output
 
 
-def _facts(line: LogLine) -> list[str]:
+def _event_details(line: LogLine) -> list[str]:
     """Return the fields that describe an event, the most specific first."""
     if line.event == ZONE_PATH_EVENT:
         return [line.zone, line.state, f"heard share {line.heard_share:g}"]
--- a/tinrudder/cli/tls_edges.py
+++ b/tinrudder/cli/tls_edges.py
@@ -10,7 +10,7 @@
 from tinrudder.node.tls import Identity, TlsEdges, TlsError, TlsFiles
 
 
-def build_edges(settings: NodeSettings) -> TlsEdges:
+def load_tls_edges(settings: NodeSettings) -> TlsEdges:
     """Load every identity named in the settings.
 
     :raises TlsError: an identity is unusable.
@@ -28,7 +28,7 @@
     )
 
 
-async def follow_files(edges: TlsEdges, check_s: float) -> None:
+async def reload_changed_identities(edges: TlsEdges, check_s: float) -> None:
     """Reload identities whose files change; log an unusable file and keep the old identity."""
     while True:
         await asyncio.sleep(check_s)
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -21,27 +21,27 @@
 from tinrudder.gateway.model.outcomes import FinalAnswer
 from tinrudder.gateway.observability.gateway_log import log_configuration
 from tinrudder.gateway.store.stored_values import Topic, ValueDecoders
-from tinrudder.gateway.wiring import StoreFactory, Surroundings, build_gateway
+from tinrudder.gateway.wiring import BuildContext, StoreFactory, build_gateway
 
 if TYPE_CHECKING:
     from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
     from tinrudder.gateway.observability.metric_figures import MetricSources
 
-HOUSEKEEPING_S = LOOK_S
+HOUSEKEEPING_INTERVAL_S = LOOK_S
 """Seconds between two rounds of housekeeping, which include the check for a process pause."""
-LEAVE_S = 2.6
+LEAVING_PERIOD_S = 2.6
 """Seconds for which a stopping gateway still accepts requests, at most half of the grace period.
 Load balancers that poll readiness once a second remove it after two failed polls, and requests sent
 before that are still in transit."""
 EXIT_MARGIN_S = 0.4
 """Seconds of the grace period reserved for closing peer connections and exiting the process: at
-least :data:`FAREWELL_S` and two polls for idle connections."""
-LAST_LOOK_S = 0.05
+least :data:`PEER_CLOSE_TIMEOUT_S` and two polls for idle connections."""
+IDLE_POLL_INTERVAL_S = 0.05
 """Seconds between two polls for idle connections during the shutdown."""
-QUIET_LOOKS = 2
+IDLE_POLLS_REQUIRED = 2
 """Consecutive polls that must find no connection: one that the kernel has just accepted is not yet
 visible to the first poll."""
-FAREWELL_S = 0.2
+PEER_CLOSE_TIMEOUT_S = 0.2
 """Timeout in seconds for closing peer connections: many round trips of a few milliseconds.  A dead
 peer never reads the last bytes, and none of them matter to it."""
 LISTEN_BACKLOG = 1024
@@ -70,7 +70,7 @@
         :param make_store: returns a store client for an address that reports each of its calls.
         :param metrics_address: address that serves metrics; ``None`` disables them.
         """
-        parts = build_gateway(Surroundings.of(settings, names, decoders, make_store))
+        parts = build_gateway(BuildContext.of(settings, names, decoders, make_store))
         self.settings = settings
         self.process = parts.process
         self.knowledge = parts.knowledge
@@ -78,7 +78,7 @@
         self.backends = parts.backends
         self.requests = parts.requests
         self.store = parts.store
-        self._exchange = parts.peer_exchange
+        self._peer_exchange = parts.peer_exchange
         self._loop = asyncio.get_running_loop()
         self._metrics_address = metrics_address
         self._stop_requested = asyncio.Event()
@@ -123,16 +123,16 @@
         await self._listen(settings.clients, self.requests.handler, self._connections)
         if self._metrics_address is not None:
             await self._listen(self._metrics_address, PlainHandler(self._metrics_answer), set())
-        if self._exchange is not None:
-            await self._exchange.start()
-        parts = (
+        if self._peer_exchange is not None:
+            await self._peer_exchange.start()
+        coroutines = (
             *(follower.run() for follower in self.store.followers),
-            self._keep_house(),
+            self._run_housekeeping(),
             self.store.staleness_keeper.run(),
             self.fleet.zone_monitor.run(),
             self.backends.poison_watch.run(),
         )
-        self._tasks = [self._loop.create_task(part) for part in parts]
+        self._tasks = [self._loop.create_task(coroutine) for coroutine in coroutines]
         log_event("started", {"clients": str(settings.clients), "zone": settings.zone})
 
     async def _listen(
@@ -164,10 +164,10 @@
         lifecycle.trigger("leave")
         handler.stop()
         self.requests.delegation_service.closing = True
-        if self._exchange is not None:
-            self._exchange.send_digests()
+        if self._peer_exchange is not None:
+            self._peer_exchange.send_digests()
         log_event("stopping", {"in_progress": handler.in_progress})
-        await asyncio.sleep(min(LEAVE_S, grace_s / 2))
+        await asyncio.sleep(min(LEAVING_PERIOD_S, grace_s / 2))
         lifecycle.trigger("drain")
         for server in self._servers:
             server.close()
@@ -178,34 +178,34 @@
         lifecycle.trigger("finish")
         log_event("stopped", {"cut_off": handler.in_progress})
 
-    async def _finish_requests(self, last_moment: float) -> None:
+    async def _finish_requests(self, deadline: float) -> None:
         """Wait until no connection is left, or until a deadline in event loop time."""
         # A connection that has just been accepted is not visible yet, so one poll is not enough.
-        quiet_looks = 0
-        while quiet_looks < QUIET_LOOKS and self._loop.time() < last_moment:
+        idle_polls = 0
+        while idle_polls < IDLE_POLLS_REQUIRED and self._loop.time() < deadline:
             self._close_idle()
-            await asyncio.sleep(LAST_LOOK_S)
+            await asyncio.sleep(IDLE_POLL_INTERVAL_S)
             busy = bool(self._connections) or self.requests.delegation_service.in_progress > 0
-            quiet_looks = 0 if busy else quiet_looks + 1
+            idle_polls = 0 if busy else idle_polls + 1
 
     async def _leave_peers(self) -> None:
         """Close the connections to other gateways."""
-        if self._exchange is None:
+        if self._peer_exchange is None:
             return
         # A dead peer never reads the last bytes, and none of them matter to it.
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(FAREWELL_S):
-                await self._exchange.stop()
+            async with asyncio.timeout(PEER_CLOSE_TIMEOUT_S):
+                await self._peer_exchange.stop()
 
     def _close_idle(self) -> None:
         """Close client connections without a request in progress."""
         for connection in tuple(self._connections):
             connection.close_if_idle()
 
-    async def _keep_house(self) -> None:
+    async def _run_housekeeping(self) -> None:
         """Run periodic maintenance: pause detection, memory account, store state, back ends."""
         while True:
-            await asyncio.sleep(HOUSEKEEPING_S)
+            await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.process.pause.note(self._loop.time())
             self.process.memory.look()
             self.knowledge.state.settle()
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -13,7 +13,7 @@
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.store.stored_values import Topic
 
-KEYS_NAMED = 20
+MAX_KEYS_LOGGED = 20
 """Maximum number of keys logged for one change of epoch, which can affect every back end."""
 
 
@@ -29,12 +29,12 @@
         "routes": len(accepted.configuration.routes),
         "tenants": len(accepted.configuration.tenants),
         "source": accepted.source,
-        "unconfirmed_s": shown_age(unconfirmed_s),
+        "unconfirmed_s": finite_age_s(unconfirmed_s),
     }
     log_event("configuration_in_force", fields)
 
 
-def log_reachability(topic: Topic, reachable: bool, detail: str) -> None:
+def log_store_reachability(topic: Topic, reachable: bool, detail: str) -> None:
     """Log that the store became unreachable or reachable again."""
     fields: dict[str, LogValue] = {"topic": topic.value, "detail": detail}
     if reachable:
@@ -43,7 +43,7 @@
         log_problem("store_lost", fields)
 
 
-def log_asking(topic: Topic, reason: str, unconfirmed_s: float) -> None:
+def log_store_reading(topic: Topic, reason: str, unconfirmed_s: float) -> None:
     """Log that this gateway starts or stops reading the store itself.
 
     :param reason: why it reads the store; empty when other gateways read it again on its behalf.
@@ -52,26 +52,26 @@
     fields: dict[str, LogValue] = {
         "topic": topic.value,
         "reason": reason,
-        "unconfirmed_s": shown_age(unconfirmed_s),
+        "unconfirmed_s": finite_age_s(unconfirmed_s),
     }
     log_event("store_asked" if reason else "store_left_to_others", fields)
 
 
-def log_silent_watch(topic: Topic) -> None:
+def log_missed_change(topic: Topic) -> None:
     """Log that a read found a change which the store's watch had failed to deliver."""
     log_problem("store_watch_silent", {"topic": topic.value})
 
 
-def shown_age(age_s: float) -> float:
+def finite_age_s(age_s: float) -> float:
     """Return an age for logs and gauges, rounded to milliseconds; infinity (never) becomes -1.
 
-    >>> shown_age(1.23456), shown_age(float("inf"))
+    >>> finite_age_s(1.23456), finite_age_s(float("inf"))
     (1.235, -1.0)
     """
     return -1.0 if age_s == float("inf") else round(age_s, 3)
 
 
-def log_epoch(change: EpochChange) -> None:
+def log_store_restored(change: EpochChange) -> None:
     """Log that the store was restored from an older copy.
 
     It has lost acknowledged writes, so the operator should investigate.
@@ -83,20 +83,20 @@
         "shown": change.shown.number,
         "known": change.known.number,
         "kept": len(change.kept),
-        "detail": " ".join(change.kept[:KEYS_NAMED]),
+        "detail": " ".join(change.kept[:MAX_KEYS_LOGGED]),
     }
     log_problem("store_restored", fields)
 
 
-def log_settled(words: list[HeardValue]) -> None:
+def log_settled_values(settled: list[HeardValue]) -> None:
     """Log values accepted from a restored store, since conflicting ones were not written again."""
-    for word in words[:KEYS_NAMED]:
+    for item in settled[:MAX_KEYS_LOGGED]:
         fields: dict[str, LogValue] = {
-            "key": word.value.key,
-            "epoch": word.revision.epoch,
-            "revision": word.revision.number,
-            "removed": word.is_removal,
-            "of": len(words),
+            "key": item.value.key,
+            "epoch": item.revision.epoch,
+            "revision": item.revision.number,
+            "removed": item.is_removal,
+            "of": len(settled),
         }
         log_event("store_believed", fields)
 
--- a/tinrudder/gateway/observability/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -15,7 +15,7 @@
 from tinrudder.gateway.observability.metric_figures import (
     COUNTERS,
     GAUGES,
-    FigureRow,
+    MetricDefinition,
     MetricSources,
 )
 from tinrudder.gateway.observability.request_latencies import LatencyCounts, LatencyLabels
@@ -23,13 +23,13 @@
 
 PREFIX = "tinrudder_gateway"
 """Prefix of every metric's name."""
-MOST_TENANTS = 100
+MAX_LABELLED_TENANTS = 100
 """Number of tenants with their own labels, the busiest first; a scrape of 100 takes 2 ms."""
 OTHER_TENANTS = "other"
 """Label under which all other tenants are added up."""
 
 
-class Figure(Struct, frozen=True):
+class ScalarMetric(Struct, frozen=True):
     """A metric without labels.
 
     :param is_counter: whether the value never decreases while the process runs.
@@ -41,7 +41,7 @@
     is_counter: bool
 
 
-class TenantFigure(Struct, frozen=True):
+class TenantSample(Struct, frozen=True):
     """A tenant's number of requests with one decision, or the tokens in its bucket."""
 
     tenant: str
@@ -59,9 +59,9 @@
     def __init__(self, sources: MetricSources) -> None:
         """Read ``sources`` at every scrape."""
         self._sources = sources
-        self.figures = [
-            *(_figure(row, sources, is_counter=True) for row in COUNTERS),
-            *(_figure(row, sources, is_counter=False) for row in GAUGES),
+        self.scalars = [
+            *(_bind(row, sources, is_counter=True) for row in COUNTERS),
+            *(_bind(row, sources, is_counter=False) for row in GAUGES),
         ]
 
     @property
@@ -74,25 +74,25 @@
         """Return the counts of traffic sent to other gateways."""
         return self._sources.datagrams.traffic
 
-    def tenant_requests(self) -> list[TenantFigure]:
+    def tenant_requests(self) -> list[TenantSample]:
         """Return quota decisions per tenant: the busiest tenants, and all others added up."""
         counted = self._sources.quotas.counts.items()
-        busiest = sorted(counted, key=lambda one: one[1].asked, reverse=True)
+        busiest = sorted(counted, key=lambda entry: entry[1].asked, reverse=True)
         totals: Counter[tuple[str, str]] = Counter()
-        for place, (name, counts) in enumerate(busiest):
-            tenant = name if place < MOST_TENANTS else OTHER_TENANTS
+        for rank, (name, counts) in enumerate(busiest):
+            tenant = name if rank < MAX_LABELLED_TENANTS else OTHER_TENANTS
             totals[tenant, "admitted"] += counts.admitted
             totals[tenant, "over_quota"] += counts.over_quota
             totals[tenant, "home_unknown"] += counts.unknown
-        return [TenantFigure(tenant, kind, value) for (tenant, kind), value in totals.items()]
+        return [TenantSample(tenant, kind, value) for (tenant, kind), value in totals.items()]
 
-    def tenant_tokens(self) -> list[TenantFigure]:
+    def tenant_tokens(self) -> list[TenantSample]:
         """Return the tokens in the emptiest of the token buckets that this gateway owns."""
         buckets = self._sources.quotas.bucket_owner.buckets.held()
-        held = sorted(buckets.items(), key=lambda one: one[1])[:MOST_TENANTS]
-        return [TenantFigure(tenant, "held", tokens) for tenant, tokens in held]
+        held = sorted(buckets.items(), key=lambda entry: entry[1])[:MAX_LABELLED_TENANTS]
+        return [TenantSample(tenant, "held", tokens) for tenant, tokens in held]
 
 
-def _figure(row: FigureRow, sources: MetricSources, *, is_counter: bool) -> Figure:
+def _bind(row: MetricDefinition, sources: MetricSources, *, is_counter: bool) -> ScalarMetric:
     """Bind a row of a table to one gateway's components."""
-    return Figure(f"{PREFIX}_{row.name}", row.help, partial(row.read, sources), is_counter)
+    return ScalarMetric(f"{PREFIX}_{row.name}", row.help, partial(row.read, sources), is_counter)
--- a/tinrudder/gateway/observability/metric_figures.py
+++ b/tinrudder/gateway/observability/metric_figures.py
@@ -13,7 +13,7 @@
 from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
-from tinrudder.gateway.observability.gateway_log import shown_age
+from tinrudder.gateway.observability.gateway_log import finite_age_s
 from tinrudder.gateway.observability.request_figures import RequestFigures
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
@@ -58,7 +58,7 @@
     staleness_keeper: StalenessKeeper
 
 
-class FigureRow(Struct, frozen=True):
+class MetricDefinition(Struct, frozen=True):
     """A metric's name without the prefix, its help text, and how to read its value."""
 
     name: str
@@ -67,133 +67,137 @@
 
 
 COUNTERS = (
-    FigureRow("requests", "Requests read.", lambda sources: sources.counters.requests),
-    FigureRow("calls", "Calls sent to back ends.", lambda sources: sources.counters.calls),
-    FigureRow(
+    MetricDefinition("requests", "Requests read.", lambda sources: sources.counters.requests),
+    MetricDefinition("calls", "Calls sent to back ends.", lambda sources: sources.counters.calls),
+    MetricDefinition(
         "hedges", "Calls sent beside one that was overdue.", lambda sources: sources.counters.hedges
     ),
-    FigureRow(
+    MetricDefinition(
         "retries", "Calls sent after one that failed.", lambda sources: sources.counters.retries
     ),
-    FigureRow(
+    MetricDefinition(
         "repeats_denied",
         "Hedges and retries that the budget did not allow.",
         lambda sources: sources.counters.repeats_denied,
     ),
-    FigureRow(
+    MetricDefinition(
         "rejections", "Calls that back ends rejected.", lambda sources: sources.counters.rejections
     ),
-    FigureRow("broken", "Calls without a usable answer.", lambda sources: sources.counters.broken),
-    FigureRow(
+    MetricDefinition(
+        "broken", "Calls without a usable answer.", lambda sources: sources.counters.broken
+    ),
+    MetricDefinition(
         "connections_opened",
         "Connections opened to back ends.",
         lambda sources: sources.counters.connections_opened,
     ),
-    FigureRow(
+    MetricDefinition(
         "refused",
         "Requests refused since they could not have been served in time.",
         lambda sources: sources.counters.refused,
     ),
-    FigureRow(
+    MetricDefinition(
         "relayed", "Scatters handed to coordinators.", lambda sources: sources.counters.relayed
     ),
-    FigureRow(
+    MetricDefinition(
         "delegated",
         "Groups of shards handed to gateways beside their replicas.",
         lambda sources: sources.counters.delegated,
     ),
-    FigureRow(
+    MetricDefinition(
         "delegations_run_here",
         "Groups of shards asked from here since the other gateway did not.",
         lambda sources: sources.counters.delegations_run_here,
     ),
-    FigureRow(
+    MetricDefinition(
         "relays_failed",
         "Coordinators that did not serve a scatter.",
         lambda sources: sources.counters.relays_failed,
     ),
-    FigureRow(
+    MetricDefinition(
         "relays_run_here",
         "Scatters run here because no coordinator served them.",
         lambda sources: sources.counters.relays_run_here,
     ),
-    FigureRow(
+    MetricDefinition(
         "coordinated",
         "Scatters run for other gateways.",
         lambda sources: sources.counters.coordinated,
     ),
-    FigureRow(
+    MetricDefinition(
         "clients_left",
         "Requests whose client left before the answer.",
         lambda sources: sources.counters.clients_left,
     ),
-    FigureRow("store_calls", "Calls to the store.", lambda sources: sources.store_status.calls),
-    FigureRow(
+    MetricDefinition(
+        "store_calls", "Calls to the store.", lambda sources: sources.store_status.calls
+    ),
+    MetricDefinition(
         "unreadable_values",
         "Values in the store that do not have the form agreed on.",
         lambda sources: sources.unreadable_values.count,
     ),
-    FigureRow(
+    MetricDefinition(
         "unreadable_load_reports",
         "Load reports of back ends that do not have the form agreed on.",
         lambda sources: sources.load_reports.unreadable,
     ),
-    FigureRow(
+    MetricDefinition(
         "unreadable_datagrams",
         "Datagrams that are none of the kinds that gateways send each other.",
         lambda sources: sources.datagrams.unreadable,
     ),
-    FigureRow(
+    MetricDefinition(
         "knowledge_reads",
         "Calls to the store to know that nothing newer is there.",
         lambda sources: sources.staleness_keeper.reads,
     ),
-    FigureRow(
+    MetricDefinition(
         "zone_closings",
         "Times that a zone went out of reach.",
         lambda sources: sources.zone_monitor.closings,
     ),
-    FigureRow(
+    MetricDefinition(
         "memory_refused",
         "Requests refused since there was no room in memory.",
         lambda sources: sources.memory.refused,
     ),
-    FigureRow(
+    MetricDefinition(
         "clients_ended_unread",
         "Connections ended since nobody read answers.",
         lambda sources: sources.memory.ended_unread,
     ),
-    FigureRow(
+    MetricDefinition(
         "reading_paused",
         "Times that reading from a client was stopped.",
         lambda sources: sources.memory.pauses,
     ),
-    FigureRow(
+    MetricDefinition(
         "poison_refused",
         "Requests refused since back ends crash under them.",
         lambda sources: sources.poison_watch.refused,
     ),
-    FigureRow(
+    MetricDefinition(
         "poison_reports_unsent",
         "Reports of poison requests kept back by the bound on them.",
         lambda sources: sources.poison_watch.unsent,
     ),
-    FigureRow(
+    MetricDefinition(
         "load_news_sent",
         "Datagrams that told other gateways of long queues, each receiver counted.",
         lambda sources: sources.load_news_exchange.sent,
     ),
-    FigureRow(
+    MetricDefinition(
         "load_news_taken",
         "Loads of back ends told by other gateways and newer than what was known.",
         lambda sources: sources.load_news_exchange.taken,
     ),
-    FigureRow(
+    MetricDefinition(
         "load_news_ignored",
         "Loads told of back ends that are not known, or that cannot be true.",
         lambda sources: sources.load_news_exchange.ignored,
     ),
-    FigureRow(
+    MetricDefinition(
         "missing_shards",
         "Shards left out of merged answers.",
         lambda sources: sources.requests.missing_shards,
@@ -202,118 +206,122 @@
 """Metrics that never decrease while the process runs."""
 
 GAUGES = (
-    FigureRow(
+    MetricDefinition(
         "held_clients_bytes",
         "Bytes held for clients: requests, and answers that they have not taken.",
         lambda sources: sources.memory.clients,
     ),
-    FigureRow(
+    MetricDefinition(
         "held_backends_bytes",
         "Bytes held of back ends: requests not taken, answers until they are merged.",
         lambda sources: sources.memory.backends,
     ),
-    FigureRow(
+    MetricDefinition(
         "held_peers_bytes",
         "Bytes held for other gateways, at the latest look, one a second.",
         lambda sources: sources.memory.peers,
     ),
-    FigureRow(
+    MetricDefinition(
         "held_bound_bytes",
         "Bytes that may be held for all together.",
         lambda sources: sources.memory.bound,
     ),
-    FigureRow(
+    MetricDefinition(
         "poison_alerts",
         "Routes and callers all whose requests begin as canaries now.",
         lambda sources: sources.poison_watch.alerts(),
     ),
-    FigureRow(
+    MetricDefinition(
         "configuration_revision",
         "Revision of the configuration in force.",
         lambda sources: sources.state.configuration_revision.number,
     ),
-    FigureRow(
+    MetricDefinition(
         "store_epoch",
         "The store's epoch, which rises whenever it comes back from an older copy; 0: not told.",
         lambda sources: sources.state.epoch,
     ),
-    FigureRow(
+    MetricDefinition(
         "store_behind_seconds",
         "For how long the store, back from an older copy, has shown less than is known here.",
         lambda sources: sources.state.kept_s,
     ),
-    FigureRow(
+    MetricDefinition(
         "store_kept_keys",
         "Keys on which what is known here stands against what the store shows.",
         lambda sources: len(sources.state.kept),
     ),
-    FigureRow(
+    MetricDefinition(
         "configuration_version",
         "The operator's version of the configuration in force.",
         lambda sources: sources.state.configuration_version,
     ),
-    FigureRow(
+    MetricDefinition(
         "nodes",
         "Gateways that share budgets, this one included.",
         lambda sources: sources.nodes(),
     ),
-    FigureRow("backends", "Back ends known.", lambda sources: len(sources.directory)),
-    FigureRow(
+    MetricDefinition("backends", "Back ends known.", lambda sources: len(sources.directory)),
+    MetricDefinition(
         "knowledge_age_seconds",
         "How old what is known of the operator's word is at most; -1: it was never proven.",
-        lambda sources: shown_age(sources.staleness_bound.age_s),
+        lambda sources: finite_age_s(sources.staleness_bound.age_s),
     ),
-    FigureRow(
+    MetricDefinition(
         "operator_unconfirmed_seconds",
         "How long ago the store said last that the operator asks for nothing newer; -1: never.",
-        lambda sources: shown_age(sources.state.unconfirmed_s(Topic.OPERATOR)),
+        lambda sources: finite_age_s(sources.state.unconfirmed_s(Topic.OPERATOR)),
     ),
-    FigureRow(
+    MetricDefinition(
         "backends_unconfirmed_seconds",
         "How long ago the store said last that its list of back ends is no newer; -1: never.",
-        lambda sources: shown_age(sources.state.unconfirmed_s(Topic.BACKENDS)),
+        lambda sources: finite_age_s(sources.state.unconfirmed_s(Topic.BACKENDS)),
     ),
-    FigureRow(
+    MetricDefinition(
         "zones_out_of_reach",
         "Zones to which calls would only hang.",
         lambda sources: len(sources.zone_monitor.paths.lost),
     ),
-    FigureRow(
+    MetricDefinition(
         "heard_share",
         "Part of the gateways known that can be reached, this one included.",
         lambda sources: sources.zone_monitor.heard_share,
     ),
-    FigureRow("ready", "1 while clients should come here.", lambda sources: sources.is_ready()),
-    FigureRow(
+    MetricDefinition(
+        "ready", "1 while clients should come here.", lambda sources: sources.is_ready()
+    ),
+    MetricDefinition(
         "suspect_requests",
         "Different requests under which back ends were lost lately.",
         lambda sources: len(sources.poison_watch.requests),
     ),
-    FigureRow(
+    MetricDefinition(
         "barred_requests",
         "Different requests that no gateway sends now, since back ends crash under them.",
         lambda sources: sources.poison_watch.barred(),
     ),
-    FigureRow(
+    MetricDefinition(
         "evacuated_zones",
         "Zones whose back ends get nothing since the operator evacuates them.",
         lambda sources: len(sources.state.evacuations.zones),
     ),
-    FigureRow(
+    MetricDefinition(
         "scatters_waiting",
         "Scatters that wait here for room at the back ends.",
         lambda sources: sources.scatter_admissions.waiting,
     ),
-    FigureRow(
+    MetricDefinition(
         "scatter_room_held",
         "Slots of a typical shard that running scatters hold.",
         lambda sources: sources.scatter_admissions.held,
     ),
-    FigureRow(
+    MetricDefinition(
         "scatter_room_limit",
         "Slots of a typical shard that scatters of this gateway may hold now.",
         lambda sources: sources.scatter_admissions.limit,
     ),
-    FigureRow("in_progress", "Requests being served.", lambda sources: sources.handler.in_progress),
+    MetricDefinition(
+        "in_progress", "Requests being served.", lambda sources: sources.handler.in_progress
+    ),
 )
 """Metrics that show a current value."""
--- a/tinrudder/gateway/observability/metrics_text.py
+++ b/tinrudder/gateway/observability/metrics_text.py
@@ -17,14 +17,14 @@
 )
 from prometheus_client.registry import Collector
 
-from tinrudder.gateway.observability.gateway_metrics import PREFIX, GatewayMetrics, TenantFigure
+from tinrudder.gateway.observability.gateway_metrics import PREFIX, GatewayMetrics, TenantSample
 from tinrudder.gateway.observability.request_latencies import (
     LATENCY_BUCKETS_S,
     LatencyCounts,
     LatencyLabels,
 )
 
-UNBOUNDED = "+Inf"
+INFINITE_BOUND = "+Inf"
 """The upper bound of a histogram's last bucket, as the text format writes it."""
 
 
@@ -37,9 +37,9 @@
     def collect(self) -> Iterable[Metric]:
         """Yield every metric with its current value."""
         metrics = self._metrics
-        for figure in metrics.figures:
-            family = CounterMetricFamily if figure.is_counter else GaugeMetricFamily
-            yield family(figure.name, figure.help, value=figure.read())
+        for scalar in metrics.scalars:
+            family = CounterMetricFamily if scalar.is_counter else GaugeMetricFamily
+            yield family(scalar.name, scalar.help, value=scalar.read())
         yield _latencies(metrics.latencies)
         yield _tenant_requests(metrics.tenant_requests())
         yield _tenant_tokens(metrics.tenant_tokens())
@@ -69,27 +69,27 @@
     return family
 
 
-def _tenant_requests(decisions: Iterable[TenantFigure]) -> Metric:
+def _tenant_requests(samples: Iterable[TenantSample]) -> Metric:
     """Return a counter labelled by tenant and decision."""
     family = CounterMetricFamily(
         f"{PREFIX}_tenant_requests",
         "Requests with a tenant's key, by what its limit said.",
         labels=["tenant", "decision"],
     )
-    for decided in decisions:
-        family.add_metric([decided.tenant, decided.kind], decided.value)
+    for sample in samples:
+        family.add_metric([sample.tenant, sample.kind], sample.value)
     return family
 
 
-def _tenant_tokens(held_tokens: Iterable[TenantFigure]) -> Metric:
+def _tenant_tokens(samples: Iterable[TenantSample]) -> Metric:
     """Return a gauge labelled by tenant."""
     family = GaugeMetricFamily(
         f"{PREFIX}_tenant_tokens",
         "Requests that a tenant may ask now, where this gateway keeps its bucket.",
         labels=["tenant"],
     )
-    for held in held_tokens:
-        family.add_metric([held.tenant], held.value)
+    for sample in samples:
+        family.add_metric([sample.tenant], sample.value)
     return family
 
 
@@ -103,8 +103,8 @@
 
 def _cumulative(counts: LatencyCounts) -> Iterator[tuple[str, float]]:
     """Yield each bucket's upper bound with the cumulative number of requests."""
-    bounds = [str(bound) for bound in LATENCY_BUCKETS_S] + [UNBOUNDED]
-    reached = 0
+    bounds = [str(bound) for bound in LATENCY_BUCKETS_S] + [INFINITE_BOUND]
+    cumulative = 0
     for bound, count in zip(bounds, counts.counts, strict=True):
-        reached += count
-        yield bound, float(reached)
+        cumulative += count
+        yield bound, float(cumulative)
--- a/tinrudder/gateway/observability/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -83,8 +83,8 @@
         fields["target"] = request.target.decode("latin-1")[:100]
     if request.detail:
         fields["detail"] = request.detail
-    fields.update(_parts(request.outcome))
-    fields.update(_missing(request.missing_shards))
+    fields.update(_coverage_fields(request.outcome))
+    fields.update(_missing_shard_fields(request.missing_shards))
     log_event("request", fields)
 
 
@@ -98,8 +98,8 @@
         "elapsed_ms": round(end.elapsed_s * MILLISECONDS, 1),
         "repeats": end.repeats,
     }
-    fields.update(_parts(end.outcome))
-    fields.update(_missing(end.missing_shards))
+    fields.update(_coverage_fields(end.outcome))
+    fields.update(_missing_shard_fields(end.missing_shards))
     log_event("coordinated", fields)
 
 
@@ -132,14 +132,14 @@
     log_event("call_lost", fields)
 
 
-def _parts(outcome: RequestOutcome | None) -> dict[str, LogValue]:
+def _coverage_fields(outcome: RequestOutcome | None) -> dict[str, LogValue]:
     """Return how many shards a merged answer includes and lacks."""
     if not isinstance(outcome, Merged):
         return {}
     return {"included": len(outcome.stamps), "missing": outcome.missing}
 
 
-def _missing(shards: Sequence[MissingShard]) -> dict[str, LogValue]:
+def _missing_shard_fields(shards: Sequence[MissingShard]) -> dict[str, LogValue]:
     """Return the shards without an answer, and the count of each reason."""
     if not shards:
         return {}
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -29,13 +29,13 @@
 from tinrudder.gateway.decisions.fleet.process_pause import ProcessPause
 from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
 from tinrudder.gateway.observability.gateway_log import (
-    log_asking,
     log_coordination,
-    log_epoch,
+    log_missed_change,
     log_pull,
-    log_reachability,
-    log_settled,
-    log_silent_watch,
+    log_settled_values,
+    log_store_reachability,
+    log_store_reading,
+    log_store_restored,
 )
 from tinrudder.gateway.observability.request_figures import RequestFigures
 from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
@@ -85,7 +85,7 @@
 from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
 from tinrudder.gateway.store.unreadable_values import UnreadableValues
 
-UNACKNOWLEDGED_S = 1.0
+UNACKNOWLEDGED_TIMEOUT_S = 1.0
 """Seconds that bytes sent to a peer may stay unacknowledged before the connection is closed: long
 compared with round trips of a few milliseconds between zones, and short compared with the time that
 a client waits for a scatter run by another gateway."""
@@ -93,19 +93,19 @@
 """Seconds without a confirmation by the store, direct or through peers, after which a gateway that
 is not a reader reads the store itself.  Some reader gets a confirmation at least every 2.4 s, which
 reaches the other gateways within another second."""
-STALE_SPREAD_S = 1.0
+STALE_JITTER_S = 1.0
 """Maximum jitter in seconds added to the above, so that gateways do not all read the store at once
 when its readers are gone."""
-SHORTEST_PATIENCE = 1.0
+MIN_STARTUP_WAIT_FACTOR = 1.0
 """Smallest factor on the time that a starting gateway waits for peers before it reads the store."""
-LONGEST_PATIENCE = 2.0
+MAX_STARTUP_WAIT_FACTOR = 2.0
 """Largest such factor: spreads gateways that start together over a period as long as the shortest
 wait, so that one of them reads the store first and sends its state to the others."""
 
 StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
 
-class Surroundings(Struct, frozen=True):
+class BuildContext(Struct, frozen=True):
     """Inputs shared by all components.
 
     :param own: the address by which other gateways identify this one.
@@ -128,7 +128,7 @@
         names: HeaderNames,
         decoders: ValueDecoders,
         make_store: StoreFactory,
-    ) -> Surroundings:
+    ) -> BuildContext:
         """Return the inputs for a gateway in the running event loop."""
         loop = asyncio.get_running_loop()
         own = settings.peers or settings.clients
@@ -136,52 +136,54 @@
         return cls(settings, names, decoders, make_store, loop, own, source)
 
 
-def build_gateway(around: Surroundings) -> GatewayParts:
+def build_gateway(context: BuildContext) -> GatewayParts:
     """Return the components of a gateway; none of them runs yet."""
-    process = _build_process(around)
-    knowledge = _build_knowledge(around, process)
-    fleet = _build_fleet(around, process, knowledge)
-    backends = _build_backends(around, process, knowledge, fleet)
-    requests = _build_requests(around, process, knowledge, fleet, backends)
-    store = _build_store(around, knowledge, fleet, requests)
-    exchange = _build_exchange(around, process, knowledge, fleet, requests, store)
+    process = _build_process(context)
+    knowledge = _build_knowledge(context, process)
+    fleet = _build_fleet(context, process, knowledge)
+    backends = _build_backends(context, process, knowledge, fleet)
+    requests = _build_requests(context, process, knowledge, fleet, backends)
+    store = _build_store(context, knowledge, fleet, requests)
+    exchange = _build_exchange(context, process, knowledge, fleet, requests, store)
     return GatewayParts(process, knowledge, fleet, backends, requests, store, exchange)
 
 
-def _build_process(around: Surroundings) -> ProcessParts:
-    clock = around.loop.time
+def _build_process(context: BuildContext) -> ProcessParts:
+    clock = context.loop.time
     held_for_peers = HeldForPeers()
     return ProcessParts(
         lifecycle=NodeLifecycle(),
         pause=ProcessPause(clock()),
         held_for_peers=held_for_peers,
-        memory=MemoryAccount(account_bytes(around.settings.memory_mb), clock, held_for_peers.total),
+        memory=MemoryAccount(
+            account_bytes(context.settings.memory_mb), clock, held_for_peers.total
+        ),
         counters=CallCounters(),
     )
 
 
-def _build_knowledge(around: Surroundings, process: ProcessParts) -> KnowledgeParts:
-    clock = around.loop.time
-    settings = around.settings
+def _build_knowledge(context: BuildContext, process: ProcessParts) -> KnowledgeParts:
+    clock = context.loop.time
+    settings = context.settings
     unreadable_values = UnreadableValues(clock)
-    listener = HistoryListener(log_epoch, log_settled)
-    state = SharedState(around.decoders, clock, unreadable_values.note, listener)
-    status = StoreStatus(log_reachability)
+    listener = HistoryListener(log_store_restored, log_settled_values)
+    state = SharedState(context.decoders, clock, unreadable_values.note, listener)
+    status = StoreStatus(log_store_reachability)
     return KnowledgeParts(
         unreadable_values,
         state,
         StalenessBound(state, clock),
         status,
-        OwnMember(around.own, settings.zone, settings.capacity, process.lifecycle, state, status),
+        OwnMember(context.own, settings.zone, settings.capacity, process.lifecycle, state, status),
     )
 
 
 def _build_fleet(
-    around: Surroundings, process: ProcessParts, knowledge: KnowledgeParts
+    context: BuildContext, process: ProcessParts, knowledge: KnowledgeParts
 ) -> FleetParts:
-    clock = around.loop.time
-    settings = around.settings
-    peers = PeerList(around.own, around.random, clock(), settings.zone)
+    clock = context.loop.time
+    settings = context.settings
+    peers = PeerList(context.own, context.random, clock(), settings.zone)
     peers.set_seeds(settings.seeds)
     datagrams = PeerDatagrams()
 
@@ -190,37 +192,37 @@
         return ProbeAnswer(number, knowledge.state.revision(Topic.OPERATOR), age_s)
 
     probes = Probes(datagrams, answer_probe, clock)
-    client = PeerClient(lambda: None, UNACKNOWLEDGED_S)
+    client = PeerClient(lambda: None, UNACKNOWLEDGED_TIMEOUT_S)
     process.held_for_peers.add(client)
-    zone_monitor = ZoneMonitor(settings.zone, peers, probes, around.random)
+    zone_monitor = ZoneMonitor(settings.zone, peers, probes, context.random)
     return FleetParts(peers, datagrams, probes, client, zone_monitor)
 
 
 def _build_backends(
-    around: Surroundings, process: ProcessParts, knowledge: KnowledgeParts, fleet: FleetParts
+    context: BuildContext, process: ProcessParts, knowledge: KnowledgeParts, fleet: FleetParts
 ) -> BackendParts:
     state = knowledge.state
-    coordinators = _build_coordinators(around, knowledge, fleet)
+    coordinators = _build_coordinators(context, knowledge, fleet)
     state.subscribe(coordinators.refresh)
     fleet.zone_monitor.subscribe(coordinators.reconsider)
-    directory = _build_directory(around, process, state, fleet, coordinators)
-    poison_watch = _build_poison_watch(around, state, fleet)
-    load_news = LoadNewsExchange(fleet.peers, fleet.datagrams, around.loop, lambda: directory)
+    directory = _build_directory(context, process, state, fleet, coordinators)
+    poison_watch = _build_poison_watch(context, state, fleet)
+    load_news = LoadNewsExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
     state.subscribe(load_news.refresh)
     call_context = CallContext(
-        loop=around.loop,
-        names=around.names,
-        zone=around.settings.zone,
+        loop=context.loop,
+        names=context.names,
+        zone=context.settings.zone,
         directory=directory,
-        bounds=around.settings.repeats,
+        bounds=context.settings.repeats,
         sharers=lambda service: coordinators.of_service(service).sharers,
-        started_at=around.loop.time(),
-        load_reports=LoadReports(around.decoders.load_report, around.loop.time),
+        started_at=context.loop.time(),
+        load_reports=LoadReports(context.decoders.load_report, context.loop.time),
         evidence=poison_watch,
         counters=process.counters,
-        own_name=str(around.own),
+        own_name=str(context.own),
         load_listener=load_news,
-        random=random.Random(f"forwarding {around.settings.name}"),
+        random=random.Random(f"forwarding {context.settings.name}"),
         memory=process.memory,
         zone_answered=fleet.zone_monitor.answered,
         zone_doubted=fleet.zone_monitor.doubt,
@@ -230,15 +232,15 @@
 
 
 def _build_coordinators(
-    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts
+    context: BuildContext, knowledge: KnowledgeParts, fleet: FleetParts
 ) -> Coordinators:
     def log_change(coordination: Coordination) -> None:
-        log_coordination(coordination, fleet.peers.nodes(around.loop.time()))
+        log_coordination(coordination, fleet.peers.nodes(context.loop.time()))
 
     return Coordinators(
         fleet.peers,
         knowledge.state,
-        around.loop.time,
+        context.loop.time,
         knowledge.own_member.describe,
         log_change,
         fleet.zone_monitor.is_closed,
@@ -246,13 +248,13 @@
 
 
 def _build_directory(
-    around: Surroundings,
+    context: BuildContext,
     process: ProcessParts,
     state: SharedState,
     fleet: FleetParts,
     coordinators: Coordinators,
 ) -> BackendDirectory:
-    clock = around.loop.time
+    clock = context.loop.time
     counters = process.counters
 
     def count_connection() -> None:
@@ -260,9 +262,9 @@
 
     return BackendDirectory(
         state,
-        around.names,
+        context.names,
         clock,
-        DirectorySettings(str(around.own), around.settings.drain_s, around.settings.cold),
+        DirectorySettings(str(context.own), context.settings.drain_s, context.settings.cold),
         ConnectionHooks(
             count_connection,
             process.memory,
@@ -273,20 +275,22 @@
     )
 
 
-def _build_poison_watch(around: Surroundings, state: SharedState, fleet: FleetParts) -> PoisonWatch:
-    clock = around.loop.time
+def _build_poison_watch(
+    context: BuildContext, state: SharedState, fleet: FleetParts
+) -> PoisonWatch:
+    clock = context.loop.time
     return PoisonWatch(
         fleet.peers,
         fleet.datagrams,
         clock,
-        around.names,
-        random.Random(f"poison {around.settings.name}"),
+        context.names,
+        random.Random(f"poison {context.settings.name}"),
         lambda: clock() - state.unconfirmed_s(Topic.BACKENDS),
     )
 
 
 def _build_requests(
-    around: Surroundings,
+    context: BuildContext,
     process: ProcessParts,
     knowledge: KnowledgeParts,
     fleet: FleetParts,
@@ -303,22 +307,22 @@
         traffic=fleet.datagrams.traffic,
     )
     tenants = TenantsInForce(state)
-    freshness = _build_freshness(around, knowledge, fleet, tenants)
-    reachability = Reachability(backends.directory, fleet.zone_monitor, around.loop.time)
+    freshness = _build_freshness(context, knowledge, fleet, tenants)
+    reachability = Reachability(backends.directory, fleet.zone_monitor, context.loop.time)
     quotas = Quotas(
-        around.own,
+        context.own,
         fleet.peers,
         fleet.zone_monitor,
         fleet.datagrams,
-        around.settings.quotas,
+        context.settings.quotas,
         tenants.find,
     )
-    planner = ScatterPlanner(call_context, delegation_context, around.random)
-    admissions = ScatterAdmissions(delegation_context, around.random)
-    figures = RequestFigures()
+    planner = ScatterPlanner(call_context, delegation_context, context.random)
+    admissions = ScatterAdmissions(delegation_context, context.random)
+    request_metrics = RequestFigures()
 
     def finish(request: FinishedRequest) -> None:
-        figures.observe(request)
+        request_metrics.observe(request)
         log_request(request)
 
     knows_newer = freshness.would_know_newer
@@ -329,13 +333,13 @@
             state=state,
             is_fresh=knows_newer,
             authentication=Authentication(
-                around.names, freshness.is_too_old, knows_newer, around.random
+                context.names, freshness.is_too_old, knows_newer, context.random
             ),
             quotas=quotas,
             reachability=reachability,
             poison=backends.poison_watch,
             service_admission=service_admission,
-            random=around.random,
+            random=context.random,
         ),
         RunPlanner(call_context, service_admission, delegation_context, planner, admissions),
         finish,
@@ -349,39 +353,41 @@
         reachability,
         backends.poison_watch,
     )
-    return RequestParts(figures, freshness, reachability, quotas, admissions, handler, service)
+    return RequestParts(
+        request_metrics, freshness, reachability, quotas, admissions, handler, service
+    )
 
 
 def _build_freshness(
-    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts, tenants: TenantsInForce
+    context: BuildContext, knowledge: KnowledgeParts, fleet: FleetParts, tenants: TenantsInForce
 ) -> ConfigurationFreshness:
     return ConfigurationFreshness(
         knowledge.staleness_bound,
-        around.settings.revocation_s,
-        around.settings.change_in_force_s,
+        context.settings.revocation_s,
+        context.settings.change_in_force_s,
         lambda: knowledge.state.unconfirmed_s(Topic.OPERATOR),
         tenants.are_there_any,
         fleet.peers,
         knowledge.store_status,
         lambda: knowledge.state.may_lack_lost_words,
-        around.loop.time,
+        context.loop.time,
     )
 
 
 def _build_store(
-    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts, requests: RequestParts
+    context: BuildContext, knowledge: KnowledgeParts, fleet: FleetParts, requests: RequestParts
 ) -> StoreParts:
-    store = around.make_store(around.settings.store, knowledge.store_status.count_call)
-    readers = _build_readers(around, knowledge, fleet)
+    store = context.make_store(context.settings.store, knowledge.store_status.count_call)
+    readers = _build_readers(context, knowledge, fleet)
     followers: list[StoreFollower] = []
 
-    def note_silent(topic: Topic) -> None:
-        log_silent_watch(topic)
+    def on_silent(topic: Topic) -> None:
+        log_missed_change(topic)
         for follower in followers:
             if follower.topic is not topic:
                 follower.doubt()
 
-    follower_parts = _follower_parts(around, store, knowledge, readers, note_silent)
+    follower_parts = _follower_parts(context, store, knowledge, readers, on_silent)
     followers.extend(StoreFollower(topic, follower_parts) for topic in Topic)
     keeper = StalenessKeeper(
         requests.freshness,
@@ -390,68 +396,68 @@
         readers,
         fleet.peers,
         fleet.probes,
-        around.random,
+        context.random,
     )
     return StoreParts(readers, tuple(followers), keeper)
 
 
 def _build_readers(
-    around: Surroundings, knowledge: KnowledgeParts, fleet: FleetParts
+    context: BuildContext, knowledge: KnowledgeParts, fleet: FleetParts
 ) -> StoreReaders:
     # The order of these two draws determines the outcome of a seeded run.
-    stale_after_s = STALE_AFTER_S + around.random.uniform(0.0, STALE_SPREAD_S)
-    patience = around.random.uniform(SHORTEST_PATIENCE, LONGEST_PATIENCE)
+    stale_after_s = STALE_AFTER_S + context.random.uniform(0.0, STALE_JITTER_S)
+    patience = context.random.uniform(MIN_STARTUP_WAIT_FACTOR, MAX_STARTUP_WAIT_FACTOR)
     return StoreReaders(
-        around.own,
+        context.own,
         fleet.peers,
         knowledge.state,
-        around.loop.time,
+        context.loop.time,
         knowledge.own_member.describe,
-        started_at=around.loop.time(),
+        started_at=context.loop.time(),
         stale_after_s=stale_after_s,
         patience=patience,
-        seeds=around.settings.seeds,
+        seeds=context.settings.seeds,
     )
 
 
 def _follower_parts(
-    around: Surroundings,
+    context: BuildContext,
     store: MetadataStore,
     knowledge: KnowledgeParts,
     readers: StoreReaders,
-    note_silent: Callable[[Topic], None],
+    on_silent: Callable[[Topic], None],
 ) -> FollowerParts:
-    def prove(topic: Topic, asked_at: float) -> None:
+    def on_complete_read(topic: Topic, asked_at: float) -> None:
         # Lets a starting gateway serve keyed requests after its first complete read, without
         # another read that confirms it.
         if topic is Topic.OPERATOR:
             knowledge.staleness_bound.prove(asked_at)
 
-    def tell_asking(topic: Topic, reason: ReadReason | None) -> None:
-        told = "" if reason is None else reason.value
-        log_asking(topic, told, knowledge.state.unconfirmed_s(topic))
+    def on_asking(topic: Topic, reason: ReadReason | None) -> None:
+        reason_text = "" if reason is None else reason.value
+        log_store_reading(topic, reason_text, knowledge.state.unconfirmed_s(topic))
 
     return FollowerParts(
         store,
         knowledge.state,
         knowledge.store_status,
         readers,
-        around.random,
-        prove,
-        tell_asking,
-        note_silent,
+        context.random,
+        on_complete_read,
+        on_asking,
+        on_silent,
     )
 
 
 def _build_exchange(
-    around: Surroundings,
+    context: BuildContext,
     process: ProcessParts,
     knowledge: KnowledgeParts,
     fleet: FleetParts,
     requests: RequestParts,
     store: StoreParts,
 ) -> PeerExchange | None:
-    if around.settings.peers is None:
+    if context.settings.peers is None:
         return None
 
     def log_result(peer: str, result: str) -> None:
@@ -483,7 +489,7 @@
         fleet.zone_monitor,
         pulls,
         service,
-        around.random,
+        context.random,
     )
     for follower in store.followers:
         follower.subscribe_to_confirmed(lambda: exchange.tell(store.readers.addresses()))
