--- a/tests/functional/gateway/test_process.py
+++ b/tests/functional/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""A gateway's process: signals that come before it can take them."""
+"""Signals that arrive while a gateway process starts, before its regular handlers are installed."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def test_a_reload_signal_during_the_start_ends_nothing(tmp_path: Path) -> None:
-    """The settings are a pipe, so that the process stands just before its handlers do."""
+    """The settings file is a pipe, so the process blocks just before it installs its handlers."""
     settings = tmp_path / "boot.toml"
     os.mkfifo(settings)
     command = [sys.executable, "-m", "tinrudder.cli.gateway_process", "--settings", str(settings)]
--- a/tests/functional/gateway/test_site.py
+++ b/tests/functional/gateway/test_site.py
@@ -1,4 +1,4 @@
-"""Gateways on our own model of the users' platform, in virtual time: each trouble alone."""
+"""Gateways on the emulated platform, in virtual time, with one kind of failure in each test."""
 
 from __future__ import annotations
 
@@ -495,7 +495,7 @@
         ]
 
     first = run_site(scenario, seed=5)
-    # What else the process has drawn must not matter: only the seeds of site and nodes do.
+    # Only the seeds of site and nodes may matter, not the state of the global random generator.
     for unrelated_seed in range(4):
         random.seed(unrelated_seed)
         assert run_site(scenario, seed=5) == first
@@ -553,7 +553,7 @@
 
 
 def test_a_connection_that_is_accepted_as_a_stop_ends_is_answered_or_not_read() -> None:
-    """A request that was passed on must be answered, at whatever moment it came."""
+    """A forwarded request must be answered, even if its connection was accepted during a stop."""
 
     async def scenario(site: EmulatedSite) -> None:
         gateway = site.nodes[0].gateway
@@ -562,7 +562,7 @@
         late: list[asyncio.Task[ClientResult]] = []
 
         def close_idle_while_one_is_being_accepted() -> None:
-            """Between the accept and its first callback a connection is not known yet."""
+            """A connection is not registered between its accept and its first callback."""
             close_idle()
             if not late:
                 late.append(asyncio.create_task(accepted_already(site)))
@@ -579,7 +579,7 @@
 
 
 async def accepted_already(site: EmulatedSite) -> ClientResult:
-    """Send a request over a connection that the kernel has accepted."""
+    """Send a request over a connection that the kernel has already accepted."""
     gateway = site.nodes[0].gateway
     assert gateway is not None
     connection = ClientConnection(
--- a/tests/support/many_gateways.py
+++ b/tests/support/many_gateways.py
@@ -1,4 +1,4 @@
-"""Sites with so many gateways that not all can call the back ends."""
+"""Helpers for sites with more gateways than the back ends' connection limits allow to call them."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def run_many(scenario: Any, **options: Any) -> Any:
-    """Run with so many gateways that not all can call the back ends."""
+    """Run a scenario with too many gateways for all of them to call the back ends."""
     return run_site(scenario, node_count=MANY, **options)
 
 
--- a/tests/unit/cli/test_gateway_commands.py
+++ b/tests/unit/cli/test_gateway_commands.py
@@ -1,4 +1,4 @@
-"""The gateway's command line: checked settings, and the story of a request from a log."""
+"""The gateway's commands: the check of its settings, and a request's summary from a log."""
 
 from __future__ import annotations
 
--- a/tests/unit/cli/test_samples.py
+++ b/tests/unit/cli/test_samples.py
@@ -1,4 +1,4 @@
-"""The samples in etc/ are valid as they stand."""
+"""The sample settings and resources in etc/ are valid."""
 
 from __future__ import annotations
 
--- a/tests/unit/cli/test_timeline.py
+++ b/tests/unit/cli/test_timeline.py
@@ -1,4 +1,4 @@
-"""What a fleet's requests got over time, from its logs."""
+"""The timeline of request outcomes computed from a fleet's logs."""
 
 from __future__ import annotations
 
--- a/tests/unit/gateway/test_gateway_metrics.py
+++ b/tests/unit/gateway/test_gateway_metrics.py
@@ -1,4 +1,4 @@
-"""The text of a gateway's metrics, and what a start does not load for it."""
+"""The text of a gateway's metrics, and which modules are not imported before the first scrape."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 from tinrudder_lab.emulator.site import EmulatedSite, SiteTenant, run_site
 
 LATER = ("prometheus_client", "http.server", "tinrudder.node.metrics", "tinrudder.node.outcomes")
-"""Modules that no request needs."""
+"""Modules that serving requests does not need; importing them would slow down the start."""
 
 
 def text_of(metrics: GatewayMetrics) -> str:
-    # Loaded here, as at the first scrape.
+    # Imported here, as at the first scrape.
     from tinrudder.gateway.observability.metrics_text import metrics_text
 
     return metrics_text(metrics).decode()
--- a/tests/unit/gateway/test_imports.py
+++ b/tests/unit/gateway/test_imports.py
@@ -1,4 +1,4 @@
-"""The modules of the gateway import each other without circles."""
+"""The modules of the gateway package have no circular imports."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def modules() -> dict[str, Path]:
-    """Return the gateway's modules by name."""
+    """Return the paths of the gateway's modules by module name."""
     root = FOLDER.parent.parent
     return {
         ".".join(path.relative_to(root).with_suffix("").parts).removesuffix(".__init__"): path
@@ -22,7 +22,7 @@
 
 
 def imported_by(path: Path, known: dict[str, Path]) -> set[str]:
-    """Return the gateway's modules that one imports anywhere, also for its types alone."""
+    """Return the gateway modules that a file imports, at any level and under ``TYPE_CHECKING``."""
     found: set[str] = set()
     for node in ast.walk(ast.parse(path.read_text())):
         if isinstance(node, ast.Import):
--- a/tests/unit/gateway/test_log_stream.py
+++ b/tests/unit/gateway/test_log_stream.py
@@ -1,4 +1,4 @@
-"""Logs never block the process and stay bounded."""
+"""The log stream never blocks the process, and its rate and buffer are bounded."""
 
 from __future__ import annotations
 
