--- a/tests/functional/gateway/test_site.py
+++ b/tests/functional/gateway/test_site.py
@@ -38,7 +38,7 @@
 
 
 @pytest.mark.parametrize("fault", [fault for fault in Fault if fault is not Fault.NONE])
-def test_bytes_that_lie_never_reach_a_client(fault: Fault) -> None:
+def test_faulty_responses_never_reach_a_client(fault: Fault) -> None:
     async def scenario(site: EmulatedSite) -> None:
         for backend in site.backends.values():
             backend.choose_fault = lambda: fault if site.random.random() < 0.05 else Fault.NONE
@@ -51,7 +51,7 @@
     run_site(scenario)
 
 
-def test_replicas_that_stand_still_are_hedged() -> None:
+def test_paused_replicas_are_hedged() -> None:
     async def scenario(site: EmulatedSite) -> None:
         async def pause_in_turn() -> None:
             while True:
@@ -181,14 +181,14 @@
     run_site(scenario)
 
 
-def lapse_all(site: EmulatedSite) -> None:
+def expire_all_entries(site: EmulatedSite) -> None:
     for backend_id in site.backends:
         site.store.remove(f"servers/{backend_id}")
 
 
-def test_lapsed_entries_serve_until_those_that_live_must_be_back() -> None:
+def test_lapsed_entries_are_used_until_live_back_ends_must_have_registered_again() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        lapse_all(site)
+        expire_all_entries(site)
         await asyncio.sleep(1.9)
         assert (await site.send("scatter")).status == 200
         assert (await site.send("single")).status == 200
@@ -201,14 +201,14 @@
 
 def test_a_lapsed_entry_that_comes_back_is_used_as_before() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        lapse_all(site)
+        expire_all_entries(site)
         await asyncio.sleep(1.8)
         for backend_id in tuple(site.backends):
             site.rewrite_entry(backend_id)
         await asyncio.sleep(4.0)
         first = len(site.ledger.results)
         await site.traffic(2.0, 20.0, ("scatter", "single"))
-        assert {one.status for one in site.ledger.results[first:]} == {200}
+        assert {result.status for result in site.ledger.results[first:]} == {200}
         assert_promises(site)
 
     run_site(scenario)
@@ -216,7 +216,7 @@
 
 def test_a_lapsed_entry_whose_address_was_reused_is_not_used() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        lapse_all(site)
+        expire_all_entries(site)
         for backend in site.backends.values():
             backend.backend_id = "someone-else"
         await asyncio.sleep(0.5)
@@ -425,7 +425,7 @@
     run_site(scenario)
 
 
-def test_a_slow_head_is_ended_with_a_promise() -> None:
+def test_a_slow_request_head_gets_408_and_a_closed_connection() -> None:
     async def scenario(site: EmulatedSite) -> None:
         stream, writer = await asyncio.open_connection(site.nodes[0].host, CLIENT_PORT)
         writer.write(b"GET /single/1 HTTP/1.1\r\n")
@@ -534,7 +534,7 @@
     run_site(scenario, node_count=8, shards=2, work_s=0.1)
 
 
-def test_a_gateway_that_hears_nobody_does_not_deny_a_new_route() -> None:
+def test_an_isolated_gateway_does_not_answer_404_for_a_new_route() -> None:
     async def scenario(site: EmulatedSite) -> None:
         assert isinstance(site.loop, EmulatorLoop)
         cut_off = site.nodes[0]
@@ -559,26 +559,28 @@
         gateway = site.nodes[0].gateway
         assert gateway is not None
         close_idle = gateway._close_idle
-        late: list[asyncio.Task[ClientResult]] = []
+        late_requests: list[asyncio.Task[ClientResult]] = []
 
         def close_idle_while_one_is_being_accepted() -> None:
             """A connection is not registered between its accept and its first callback."""
             close_idle()
-            if not late:
-                late.append(asyncio.create_task(accepted_already(site)))
+            if not late_requests:
+                late_requests.append(asyncio.create_task(send_over_accepted_connection(site)))
 
         gateway._close_idle = close_idle_while_one_is_being_accepted  # type: ignore[method-assign]
         gateway.request_stop()
         await asyncio.sleep(7.0)
         async with asyncio.timeout(1.0):
-            result = await late[0]
-        ran = [one for one in site.ledger.arrivals if one.request_id == result.request_id]
+            result = await late_requests[0]
+        ran = [
+            arrival for arrival in site.ledger.arrivals if arrival.request_id == result.request_id
+        ]
         assert result.status == 200 or not ran
 
     run_site(scenario, work_s=0.2)
 
 
-async def accepted_already(site: EmulatedSite) -> ClientResult:
+async def send_over_accepted_connection(site: EmulatedSite) -> ClientResult:
     """Send a request over a connection that the kernel has already accepted."""
     gateway = site.nodes[0].gateway
     assert gateway is not None
--- a/tests/unit/cli/test_gateway_commands.py
+++ b/tests/unit/cli/test_gateway_commands.py
@@ -62,17 +62,17 @@
     path = tmp_path / "log"
     path.write_text(LOG)
     assert main(["story", str(path), "r1"]) == ExitCode.OK
-    told = capsys.readouterr().out
-    assert "Merged, status 200, after 235.1 ms" in told
-    assert "18 shards in, 2 missing" in told
-    assert "without an answer: s1 s2" in told
-    assert "reasons: 2 x no answer yet" in told
-    assert "5.0 s before: store_lost operator no answer in 2.5 s" in told
-    assert "4.0 s before: zone_evacuated zone-a, learned from 10.0.0.2:81" in told
-    assert "other" not in told
+    output = capsys.readouterr().out
+    assert "Merged, status 200, after 235.1 ms" in output
+    assert "18 shards in, 2 missing" in output
+    assert "without an answer: s1 s2" in output
+    assert "reasons: 2 x no answer yet" in output
+    assert "5.0 s before: store_lost operator no answer in 2.5 s" in output
+    assert "4.0 s before: zone_evacuated zone-a, learned from 10.0.0.2:81" in output
+    assert "other" not in output
 
 
-def test_a_story_names_where_the_version_that_decided_stood_in_the_stores_history(
+def test_a_story_names_the_store_revision_of_the_configuration_version_used(
     tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "log"
@@ -92,12 +92,12 @@
     ]
     path.write_text("\n".join(lines))
     assert main(["story", str(path), "r4"]) == ExitCode.OK
-    told = capsys.readouterr().out
-    assert "version 21 in force for 40.0 s, from revision 63 of the store's epoch 1" in told
-    assert "told by 10.0.0.2:81; the store's last word before was 7.2 s old" in told
-    assert "5.0 s before: store_asked operator no peer was heard" in told
-    assert "10.0 s before the store came back from a copy, operator: epoch 2 shows" in told
-    assert "known was 63, 1 keys kept" in told
+    output = capsys.readouterr().out
+    assert "version 21 in force for 40.0 s, from revision 63 of the store's epoch 1" in output
+    assert "told by 10.0.0.2:81; the store's last word before was 7.2 s old" in output
+    assert "5.0 s before: store_asked operator no peer was heard" in output
+    assert "10.0 s before the store came back from a copy, operator: epoch 2 shows" in output
+    assert "known was 63, 1 keys kept" in output
 
 
 def test_a_story_names_the_tenant_and_why_its_limit_or_a_cut_refused_it(
@@ -123,12 +123,12 @@
         )
     )
     assert main(["story", str(path), "r2"]) == ExitCode.OK
-    told = capsys.readouterr().out
-    assert "OverQuota, status 429" in told
-    assert "  tenant: a" in told
-    assert f"decided by: {detail}" in told
-    assert "2.0 s before: zone_path zone-b closed heard share 0.75" in told
-    assert "1.0 s before: quota_pressed a" in told
+    output = capsys.readouterr().out
+    assert "OverQuota, status 429" in output
+    assert "  tenant: a" in output
+    assert f"decided by: {detail}" in output
+    assert "2.0 s before: zone_path zone-b closed heard share 0.75" in output
+    assert "1.0 s before: quota_pressed a" in output
 
 
 def test_a_story_names_the_back_ends_that_crashed_under_all_tries(
@@ -149,11 +149,11 @@
     log = tmp_path / "gateways.log"
     log.write_text("\n".join(json.dumps(line) for line in lines))
     assert main(["story", str(log), "second"]) == ExitCode.OK
-    told = capsys.readouterr().out
-    assert "back end b-1 of stock" in told
-    assert "back end b-2 of stock" in told
-    assert "b-9" not in told
-    assert "barred at gateway-1, 1.300, for 10 s" in told
+    output = capsys.readouterr().out
+    assert "back end b-1 of stock" in output
+    assert "back end b-2 of stock" in output
+    assert "b-9" not in output
+    assert "barred at gateway-1, 1.300, for 10 s" in output
     assert main(["story", str(log), "first"]) == ExitCode.OK
     assert "call lost at gateway-1" in capsys.readouterr().out
 
@@ -182,15 +182,15 @@
         '"outcome": "Merged", "status": 200, "elapsed_ms": 120.0}\n'
     )
     assert main(["story", str(path), "r1"]) == ExitCode.OK
-    told = capsys.readouterr().out
-    assert "coordinated by g2" in told
-    assert "another coordinator may have begun before" in told
-    assert "without an answer: s3" in told
-    assert "coordinator 10.0.0.3:1 failed g1: 10.0.0.3:1: silent" in told
-    assert "s before: coordinator" not in told
+    output = capsys.readouterr().out
+    assert "coordinated by g2" in output
+    assert "another coordinator may have begun before" in output
+    assert "without an answer: s3" in output
+    assert "coordinator 10.0.0.3:1 failed g1: 10.0.0.3:1: silent" in output
+    assert "s before: coordinator" not in output
 
 
-def test_a_reader_that_has_seen_enough_is_no_error(tmp_path: Path) -> None:
+def test_a_closed_output_pipe_is_no_error(tmp_path: Path) -> None:
     path = tmp_path / "log"
     path.write_text(LOG * 2000)
     command = [sys.executable, "-m", "tinrudder.cli.main", "story", str(path), "r1"]
--- a/tests/unit/cli/test_timeline.py
+++ b/tests/unit/cli/test_timeline.py
@@ -56,7 +56,7 @@
     ("text", "seconds", "problem"),
     [("nothing", "2", "no line"), (LOG[0], "0", "seconds"), (None, "2", "No such file")],
 )
-def test_what_cannot_be_shown_is_named(
+def test_unusable_input_is_reported(
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     text: str | None,
--- a/tests/unit/gateway/test_gateway_metrics.py
+++ b/tests/unit/gateway/test_gateway_metrics.py
@@ -11,7 +11,12 @@
 from tinrudder.gateway.peers.peer_messages import MissingShard
 from tinrudder_lab.emulator.site import EmulatedSite, SiteTenant, run_site
 
-LATER = ("prometheus_client", "http.server", "tinrudder.node.metrics", "tinrudder.node.outcomes")
+NOT_LOADED_AT_START = (
+    "prometheus_client",
+    "http.server",
+    "tinrudder.node.metrics",
+    "tinrudder.node.outcomes",
+)
 """Modules that serving requests does not need; importing them would slow down the start."""
 
 
@@ -28,8 +33,8 @@
         assert gateway is not None
         await site.send("scatter")
         missing = (MissingShard("shard-0", "late"), MissingShard("shard-1", "late"))
-        late = FinishedRequest(b"1", None, b"/", 1, TimedOut("late"), 0.25, missing)
-        gateway.requests.figures.observe(late)
+        timed_out = FinishedRequest(b"1", None, b"/", 1, TimedOut("late"), 0.25, missing)
+        gateway.requests.figures.observe(timed_out)
         return text_of(gateway.metrics)
 
     lines = run_site(scenario).splitlines()
@@ -46,7 +51,7 @@
     assert "tinrudder_gateway_clients_ended_unread_total 0.0" in lines
 
 
-def test_tenants_limits_knowledge_and_reach_are_shown() -> None:
+def test_quotas_staleness_and_reachability_are_shown() -> None:
     async def scenario(site: EmulatedSite) -> str:
         gateway = site.nodes[0].gateway
         assert gateway is not None
@@ -74,4 +79,4 @@
     loaded = subprocess.run(
         [sys.executable, "-c", program], capture_output=True, check=True, text=True
     ).stdout.split()
-    assert [name for name in LATER if name in loaded] == []
+    assert [name for name in NOT_LOADED_AT_START if name in loaded] == []
--- a/tests/unit/gateway/test_imports.py
+++ b/tests/unit/gateway/test_imports.py
@@ -29,12 +29,12 @@
             found.update(alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom) and node.module:
             for alias in node.names:
-                inside = f"{node.module}.{alias.name}"
-                found.add(inside if inside in known else node.module)
+                submodule = f"{node.module}.{alias.name}"
+                found.add(submodule if submodule in known else node.module)
     return found & known.keys()
 
 
-def test_no_module_reaches_itself() -> None:
+def test_there_are_no_circular_imports() -> None:
     known = modules()
     graph = {name: imported_by(path, known) for name, path in known.items()}
     assert len(graph) > 80 and sum(map(len, graph.values())) > 200
