--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -28,7 +28,7 @@
     from tinrudder.gateway.observability.metric_figures import MetricSources
 
 HOUSEKEEPING_INTERVAL_S = LOOK_S
-"""Seconds between two rounds of housekeeping, which include the check for a process pause."""
+"""Seconds between two rounds of housekeeping: the interval that pause detection requires."""
 LEAVING_PERIOD_S = 2.6
 """Seconds for which a stopping gateway still accepts requests, at most half of the grace period.
 Load balancers that poll readiness once a second remove it after two failed polls, and requests sent
@@ -67,7 +67,8 @@
     ) -> None:
         """Build all components; nothing runs before :meth:`run`.
 
-        :param make_store: returns a store client for an address that reports each of its calls.
+        :param make_store: returns a client of the store at an address; the client invokes the given
+            callback for each call to the store.
         :param metrics_address: address that serves metrics; ``None`` disables them.
         """
         parts = build_gateway(BuildContext.of(settings, names, decoders, make_store))
