--- a/tests/functional/gateway/test_site.py
+++ b/tests/functional/gateway/test_site.py
@@ -53,13 +53,13 @@
 
 def test_paused_replicas_are_hedged() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        async def pause_in_turn() -> None:
+        async def pause_random_backends() -> None:
             while True:
                 await asyncio.sleep(0.25)
                 backend = site.random.choice(list(site.backends.values()))
                 backend.pause(0.25)
 
-        pausing = asyncio.create_task(pause_in_turn())
+        pausing = asyncio.create_task(pause_random_backends())
         await site.traffic(10.0, 20.0, ("scatter",))
         pausing.cancel()
         results = site.ledger.results
