--- a/tinrudder/cli/story.py
+++ b/tinrudder/cli/story.py
@@ -1,4 +1,4 @@
-"""``tinrudder story``: what a gateway's log tells of one request."""
+"""``tinrudder story``: summarize one request from a gateway's log."""
 
 from __future__ import annotations
 
@@ -11,9 +11,8 @@
 
 from tinrudder.cli.exit_codes import ExitCode
 
-CONTEXT_S = 10.0
-"""Seconds before a request's line within which other events of its gateway are shown.  Chosen, not
-measured."""
+CONTEXT_PERIOD_S = 10.0
+"""Period in seconds before a request's log line in which other events of its gateway are shown."""
 STANDARD_INPUT = "-"
 REQUEST_EVENT = "request"
 COORDINATED_EVENT = "coordinated"
@@ -29,21 +28,21 @@
 OVERLOAD_DETAIL = "overload: place"
 QUOTA_EVENTS = frozenset(("quota_pressed", "quota_home_silent"))
 MEANINGS = {
-    "Merged": "answered from the shards that were in",
-    "Relayed": "a back end's own answer was passed on",
-    "NotRun": "refused: no back end ran it, and none will",
-    "OverQuota": "refused: the tenant has had what its limit allows; nothing ran",
-    "Unauthorized": "refused for good: no tenant has the key",
-    "UnknownRoute": "no route of the configuration in force matched host and path",
-    "Invalid": "the request breaks a rule of the protocol",
-    "NoAnswer": "a back end may have run it, and every call failed",
-    "TimedOut": "a back end may have run it, and no usable answer came in time",
-    "client_left": "the client closed its connection before the answer",
+    "Merged": "answered from the shards that had responded",
+    "Relayed": "a back end's own response was forwarded",
+    "NotRun": "refused: no back end ran the request, and none will",
+    "OverQuota": "refused: the tenant exceeded its rate limit; no back end ran the request",
+    "Unauthorized": "refused, and a retry will not help: no tenant has this API key",
+    "UnknownRoute": "no route of the configuration in force matched the host and path",
+    "Invalid": "the request violates the protocol",
+    "NoAnswer": "a back end may have run the request, but every call failed",
+    "TimedOut": "a back end may have run the request, but no usable response arrived in time",
+    "client_left": "the client closed its connection before the response",
 }
 
 
 class LogLine(msgspec.Struct):
-    """The fields of a log line that a story needs."""
+    """The fields of a log line that the summary uses."""
 
     time: float
     node: str = ""
@@ -91,22 +90,22 @@
 
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
-    """Add the subcommand."""
-    parser = subparsers.add_parser("story", help="tell from a log what became of a request")
+    """Register the subcommand."""
+    parser = subparsers.add_parser("story", help="summarize one request from a gateway's log")
     parser.add_argument("log", help=f"a gateway's log; {STANDARD_INPUT} for standard input")
     parser.add_argument("request", help="the request's id")
     parser.set_defaults(run=run)
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Print the story of one request."""
+    """Print the summary of one request."""
     try:
         text = _read(arguments.log)
     except OSError as error:
         print(f"tinrudder story: {arguments.log}: {error.strerror}", file=sys.stderr)
         return ExitCode.USAGE
     lines = list(read_log(text.splitlines()))
-    story = tell_story(lines, arguments.request)
+    story = summarize_request(lines, arguments.request)
     if not story:
         print(f"tinrudder story: no line about request {arguments.request}", file=sys.stderr)
         return ExitCode.NOT_FOUND
@@ -115,7 +114,7 @@
 
 
 def read_log(lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the lines that are a gateway's; a prefix before the JSON object is skipped."""
+    """Yield the lines with a gateway's JSON log record, ignoring any prefix before the object."""
     for line in lines:
         start = line.find("{")
         if start < 0:
@@ -126,8 +125,8 @@
             continue
 
 
-def tell_story(lines: list[LogLine], request: str) -> list[str]:
-    """Return the story of one request, and what its node learned shortly before; may be empty."""
+def summarize_request(lines: list[LogLine], request: str) -> list[str]:
+    """Return the summary of one request and of preceding events; empty if it was not logged."""
     story = []
     for line in lines:
         if line.request != request:
@@ -140,72 +139,72 @@
         elif line.event == COORDINATED_EVENT:
             story.extend(_coordinated_lines(line))
         elif line.event == CALL_LOST_EVENT:
-            story.append(_lost_line(line))
+            story.append(_lost_call_line(line))
         elif line.event == COORDINATOR_FAILED_EVENT:
             story.append(f"coordinator {line.coordinator} failed {line.node}: {line.detail}")
     return story
 
 
 def _request_lines(line: LogLine) -> list[str]:
-    """Tell the end of one request."""
+    """Describe the outcome of a request."""
     meaning = MEANINGS.get(line.outcome, line.outcome)
-    told = [
+    output = [
         f"request {line.request} at {line.node}, {line.time:.3f}: {line.outcome}, "
         f"status {line.status}, after {line.elapsed_ms} ms",
         f"  meaning: {meaning}",
         f"  route: {line.route or 'none'}, configuration version {line.version}",
     ]
     if line.tenant:
-        told.append(f"  tenant: {line.tenant}")
+        output.append(f"  tenant: {line.tenant}")
     if line.target:
-        told.append(f"  target: {line.target}")
-    told.extend(_coverage_lines(line))
+        output.append(f"  target: {line.target}")
+    output.extend(_coverage_lines(line))
     if line.detail:
-        told.append(f"  decided by: {line.detail}")
-        told.extend(_overload_lines(line))
-    told.append(f"  calls beyond the first of each shard: {line.repeats}")
-    return told
+        output.append(f"  decided by: {line.detail}")
+        output.extend(_overload_lines(line))
+    output.append(f"  calls beyond the first of each shard: {line.repeats}")
+    return output
 
 
 def _version_lines(lines: list[LogLine], request: LogLine) -> list[str]:
-    """Tell since when the version that decided was in force, and where the store held it."""
-    before = [one for one in lines if one.node == request.node and one.time <= request.time]
-    versions = [one for one in before if one.event == CONFIGURATION_EVENT]
-    of_request = [one for one in versions if one.version == request.version]
+    """Describe the configuration version that the request used, and its revision in the store."""
+    before = [entry for entry in lines if entry.node == request.node and entry.time <= request.time]
+    versions = [entry for entry in before if entry.event == CONFIGURATION_EVENT]
+    of_request = [entry for entry in versions if entry.version == request.version]
     if not of_request:
         return []
     since = of_request[-1]
-    told = [
+    output = [
         f"  version {since.version} in force for {request.time - since.time:.1f} s, "
         f"from revision {since.revision} of the store's epoch {since.epoch}"
     ]
     if since.source and since.unconfirmed_s is not None:
-        told.append(
+        output.append(
             f"  told by {since.source}; the store's last word before was "
             f"{since.unconfirmed_s:g} s old (-1: none)"
         )
-    for one in before:
-        if one.event == RESTORED_EVENT and one.time >= since.time:
-            told.append(
-                f"  {request.time - one.time:.1f} s before the store came back from a copy, "
-                f"{one.topic}: epoch {one.epoch} shows revision {one.shown}, known was "
-                f"{one.known}, {one.kept} keys kept"
+    for entry in before:
+        if entry.event == RESTORED_EVENT and entry.time >= since.time:
+            output.append(
+                f"  {request.time - entry.time:.1f} s before the store came back from a copy, "
+                f"{entry.topic}: epoch {entry.epoch} shows revision {entry.shown}, known was "
+                f"{entry.known}, {entry.kept} keys kept"
             )
-    return told
+    return output
 
 
 def _overload_lines(line: LogLine) -> list[str]:
-    """Explain the refusal of a scatter that would have waited too long."""
+    """Explain why a scatter was refused because of its expected queueing delay."""
     if not line.detail.startswith(OVERLOAD_DETAIL):
         return []
     return [
-        "  that is: nothing of it had left; with those before it, by the pace at which room became",
-        "    free lately, it would have waited for longer than it could bear",
+        "  meaning: none of its calls had been sent; given the scatters ahead of it in the queue",
+        "    and the recent rate of freed capacity, it would have exceeded its acceptable wait",
     ]
 
 
-def _lost_line(line: LogLine) -> str:
-    """Tell of a back end that was lost under a request."""
+def _lost_call_line(line: LogLine) -> str:
+    """Describe a connection to a back end that was lost during a call."""
     return (
         f"call lost at {line.node}, {line.time:.3f}: back end {line.backend} of {line.service}, "
         f"{line.detail} (fingerprint {line.fingerprint})"
@@ -213,62 +212,62 @@
 
 
 def _poison_lines(lines: list[LogLine], request: LogLine) -> list[str]:
-    """Tell which back ends were lost under all tries of a request that is refused for that."""
-    told = []
+    """Describe the lost calls and quarantine events of a request refused as poison."""
+    output = []
     for line in lines:
         if line.event not in POISON_EVENTS or not line.fingerprint:
             continue
         if line.fingerprint not in request.detail:
             continue
         if line.event == CALL_LOST_EVENT:
-            told.append(f"  {_lost_line(line)}, request {line.request}")
+            output.append(f"  {_lost_call_line(line)}, request {line.request}")
         elif line.event == BARRED_EVENT:
-            told.append(
+            output.append(
                 f"  barred at {line.node}, {line.time:.3f}, for {line.barred_s:g} s: back end "
-                f"{line.backend} was lost in a trial, {line.failed_trials} trials failed so far"
+                f"{line.backend} was lost in a trial; failed trials so far: {line.failed_trials}"
             )
         else:
-            told.append(f"  {line.event} at {line.node}, {line.time:.3f}")
-    return told
+            output.append(f"  {line.event} at {line.node}, {line.time:.3f}")
+    return output
 
 
 def _coordinated_lines(line: LogLine) -> list[str]:
-    """Tell a coordinator's part in a request that another gateway handed over."""
-    again = ", another coordinator may have begun before" if line.repeated else ""
+    """Describe a coordinator's run of a scatter that another gateway delegated to it."""
+    repeat_note = ", another coordinator may have begun before" if line.repeated else ""
     return [
         f"coordinated by {line.node}, {line.time:.3f}: {line.outcome}, "
-        f"after {line.elapsed_ms} ms{again}",
+        f"after {line.elapsed_ms} ms{repeat_note}",
         *_coverage_lines(line),
     ]
 
 
 def _coverage_lines(line: LogLine) -> list[str]:
-    """Tell which shards are in, and why others are not."""
-    told = []
+    """Describe which shards responded, and why others did not."""
+    output = []
     if line.included is not None:
-        told.append(f"  coverage: {line.included} shards in, {line.missing or 0} missing")
+        output.append(f"  coverage: {line.included} shards in, {line.missing or 0} missing")
     if line.missing_shards:
-        told.append(f"  without an answer: {line.missing_shards}")
+        output.append(f"  without an answer: {line.missing_shards}")
     if line.reasons:
-        told.append(f"  reasons: {line.reasons}")
-    return told
+        output.append(f"  reasons: {line.reasons}")
+    return output
 
 
 def _context_lines(lines: list[LogLine], request: LogLine) -> list[str]:
-    """Tell what the node learned in the seconds before the request ended."""
-    told = []
+    """Describe the gateway's other events in the seconds before the request ended."""
+    output = []
     for line in lines:
         age = request.time - line.time
         about_requests = line.event in REQUEST_EVENTS or line.event in POISON_EVENTS
-        if line.node == request.node and not about_requests and 0 <= age <= CONTEXT_S:
-            words = " ".join(fact for fact in _facts(line) if fact)
+        if line.node == request.node and not about_requests and 0 <= age <= CONTEXT_PERIOD_S:
+            details = " ".join(detail for detail in _event_details(line) if detail)
             version = f"version {line.version}" if line.version else ""
-            told.append(f"  {age:.1f} s before: {line.event} {words} {version}".rstrip())
-    return told
+            output.append(f"  {age:.1f} s before: {line.event} {details} {version}".rstrip())
+    return output
 
 
-def _facts(line: LogLine) -> list[str]:
-    """Return what a line says beside its event, the most telling field first."""
+def _event_details(line: LogLine) -> list[str]:
+    """Return the fields that describe an event, the most specific first."""
     if line.event == ZONE_PATH_EVENT:
         return [line.zone, line.state, f"heard share {line.heard_share:g}"]
     if line.event in QUOTA_EVENTS:
@@ -277,5 +276,5 @@
 
 
 def _read(log: str) -> str:
-    """Return a log's text."""
+    """Return the text of a log file, or of standard input."""
     return sys.stdin.read() if log == STANDARD_INPUT else Path(log).read_text(errors="replace")
