--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -38,7 +38,7 @@
     """
 
     on_epoch: Callable[[EpochChange], None] = lambda change: None
-    on_settled: Callable[[list[HeardValue]], None] = lambda words: None
+    on_settled: Callable[[list[HeardValue]], None] = lambda _winning_values: None
 
 
 IGNORE_HISTORY = HistoryListener()
