--- a/tinrudder/common/address.py
+++ b/tinrudder/common/address.py
@@ -1,4 +1,7 @@
-"""Where a process can be reached; the one address type of the product."""
+"""The network address of a process.
+
+Owns the only address type of the product.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +20,9 @@
 
     @classmethod
     def parse(cls, text: str) -> Address:
-        """Read ``HOST:PORT``.
+        """Parse ``HOST:PORT``.
 
-        :raises ValueError: the text has no such form.
+        :raises ValueError: the text is not of this form.
         """
         host, separator, port = text.rpartition(":")
         if not separator or not host or not (port.isascii() and port.isdigit()):
--- a/tinrudder/common/crash_limit.py
+++ b/tinrudder/common/crash_limit.py
@@ -1,10 +1,10 @@
-"""How many back ends one request may crash before it is given up; both programs keep to it.
+"""Limit on the back ends that one request may crash; gateways and nodes both enforce it.
 
-Owns one constant and relies on nothing.  The gateway's rule around it is
+Owns one constant and has no dependencies. The gateway's rule that applies it is
 ``gateway/decisions/admission/poison_requests.py``.
 """
 
 ENOUGH_CRASHES = 3
-"""How many back ends must have been lost under a request, one of them in a trial, before it is
-barred.  What is promised of poison requests counts from the third, and two may be lost by chance to
-a victim, whose retry goes to the next back end of a rack that is failing."""
+"""Back ends lost while running a request, one of them in a trial, before the request is barred. The
+guarantee about poison requests counts from the third loss. Two losses can be coincidence: a
+victim's retry goes to the next back end of a rack that is failing."""
--- a/tinrudder/common/event_loop.py
+++ b/tinrudder/common/event_loop.py
@@ -1,13 +1,14 @@
-"""The event loop of every process: its clock goes on while the machine is suspended.
+"""The event loop of every process, with a clock that includes the time of system suspensions.
 
-The kernel's steady clock, which asyncio takes, stands still then.  By it, a process that wakes
-after ten seconds takes what it knew before for ten seconds younger than it is: it honours a key
-that has ended meanwhile, serves requests whose deadline is over and sends on connections that the
-other side has closed.  One clock for everything keeps ages, deadlines and leases comparable, where
-a second one for some of them would have to be chosen right at each of a hundred places.
+Owns the clock that all ages, deadlines and leases are measured by. asyncio's default, the kernel's
+monotonic clock, stops during a suspension. With it, a process that resumes after ten seconds would
+treat its state as ten seconds fresher than it is: it would honour a key that has expired, serve
+requests whose deadline has passed, and send on connections that the peer has closed. A single clock
+keeps all these values comparable; with a second clock, each of a hundred places would have to
+choose the right one.
 
-Timers still wait by the steady clock, so one that falls into a suspension fires when the process
-next wakes for anything, at the latest after the shortest of all waits that were left.  Whoever acts
+Timers still wait by the monotonic clock, so a timer that expires during a suspension fires when the
+process next wakes for any reason, at the latest after the shortest remaining wait. Code that acts
 on a timer therefore reads :meth:`ElapsedTimeLoop.time` again.
 """
 
@@ -22,24 +23,24 @@
 
 
 class NoSuspensionClockError(Exception):
-    """The platform has no clock that counts suspensions; the text names what is missing."""
+    """The platform has no clock that includes suspensions; the message names the missing clock."""
 
 
 class ElapsedTimeLoop(asyncio.SelectorEventLoop):
-    """asyncio's own loop, with a clock that counts the time of suspensions.
+    """asyncio's selector event loop, with a clock that includes suspensions.
 
-    Cost: 0.19 us a reading in place of 0.14 us (medians of three runs of a million, by turns).
+    Cost: 0.19 us per reading instead of 0.14 us (medians of three alternating runs of a million).
     """
 
     def time(self) -> float:
-        """Return seconds since the machine's start, suspensions included; never goes back."""
+        """Return seconds since boot, suspensions included; the value never decreases."""
         return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def run(main: Coroutine[Any, Any, Result]) -> Result:
-    """Run a process's main coroutine to its end.
+    """Run a process's main coroutine to completion.
 
-    :raises NoSuspensionClockError: the platform cannot tell for how long it was suspended.
+    :raises NoSuspensionClockError: the platform cannot measure suspensions.
     """
     if not hasattr(time, "CLOCK_BOOTTIME"):
         main.close()
--- a/tinrudder/common/latency_window.py
+++ b/tinrudder/common/latency_window.py
@@ -1,7 +1,8 @@
 """Quantiles of a service's recent call latencies, in bounded memory and without sorting.
 
-Two histograms with buckets of equal ratio: the current one fills, the former one still counts
-until the next rotation, so the window spans between one and two periods.
+Owns two histograms whose buckets grow by a constant ratio. New latencies go into the current
+histogram; the previous one still counts until the next rotation, so the window spans between one
+and two periods.
 """
 
 from __future__ import annotations
@@ -11,25 +12,23 @@
 from collections.abc import Sequence
 
 SMALLEST_S = 1e-4
-"""Latency up to which all count as one, seconds. Chosen, not measured: no call over a network is
-as short."""
+"""Upper bound of the first bucket, seconds: no call over a network is as short as this."""
 BUCKET_RATIO = 1.07
-"""Upper end of a bucket over its lower one: a latency is told within 7% (arithmetic)."""
+"""Ratio of a bucket's upper bound to its lower bound: latencies are resolved to within 7%."""
 BUCKETS = 200
-"""How many buckets: with the two figures above they reach from 0.1 ms to about 75 s
-(arithmetic)."""
+"""Number of buckets: with the two constants above they cover 0.1 ms to about 75 s."""
 PERIOD_CALLS = 4000
-"""Calls after which the older half of the window is forgotten. Chosen, not measured: the window
-spans 4,000 to 8,000 calls, enough that 1 in 50 is counted some 80 times."""
+"""Calls after which the histograms rotate and the older one is dropped: the window spans 4,000 to
+8,000 calls, enough that an event of 1 in 50 is counted some 80 times."""
 REFRESH_CALLS = 64
-"""Calls for which a quantile is kept once it was worked out. Chosen, not measured: a walk over all
-buckets for 64 calls in place of one for each."""
+"""Calls for which a computed quantile stays cached: one pass over all buckets per 64 calls instead
+of one per call."""
 _LOG_RATIO = math.log(BUCKET_RATIO)
 _LOG_SMALLEST = math.log(SMALLEST_S)
 
 
 class LatencyWindow:
-    """Counts latencies from 0.1 ms to about 75 s, each within 7%.
+    """Histogram of latencies from 0.1 ms to about 75 s, each resolved to within 7%.
 
     >>> window = LatencyWindow()
     >>> for latency_ms in range(1, 101):
@@ -50,11 +49,11 @@
         self._stale_after = 0
 
     def __len__(self) -> int:
-        """Return how many calls the window spans."""
+        """Return the number of calls in the window."""
         return self._total + self._former_total
 
     def observe(self, seconds: float) -> None:
-        """Count one call."""
+        """Record the latency of one call."""
         if seconds <= SMALLEST_S:
             bucket = 0
         else:
@@ -76,7 +75,7 @@
         return cached
 
     def shares_above(self, times: Sequence[float]) -> tuple[float, ...]:
-        """Return which share of the calls took longer than each of some times, seconds.
+        """Return, for each of ``times`` in seconds, the share of calls that took longer.
 
         >>> window = LatencyWindow()
         >>> for latency_ms in range(1, 101):
@@ -92,7 +91,7 @@
         return tuple(1.0 - _counted(up_to, seconds) / total for seconds in times)
 
     def _compute_quantile(self, fraction: float) -> float:
-        """Walk the buckets up to the wanted rank."""
+        """Return the latency of the first bucket at which the cumulative count reaches the rank."""
         total = len(self)
         if not total:
             return 0.0
@@ -105,7 +104,7 @@
         return _latency_of(BUCKETS - 1)
 
     def _rotate(self) -> None:
-        """Forget the oldest period."""
+        """Make the current histogram the previous one and start an empty one."""
         self._former = self._counts
         self._former_total = self._total
         self._counts = [0] * BUCKETS
@@ -114,7 +113,10 @@
 
 
 def _counted(up_to: Sequence[int], seconds: float) -> float:
-    """Return how many calls took no longer, those of one bucket evenly spread within it."""
+    """Return the number of calls that took at most ``seconds``, interpolated linearly in a bucket.
+
+    :param cumulative: number of calls below each bucket's lower bound, by bucket.
+    """
     if seconds <= SMALLEST_S:
         return 0.0
     place = (math.log(seconds) - _LOG_SMALLEST) / _LOG_RATIO
@@ -125,5 +127,5 @@
 
 
 def _latency_of(bucket: int) -> float:
-    """Return the middle of a bucket, in the sense of ratios."""
+    """Return the geometric mean of a bucket's bounds, seconds."""
     return SMALLEST_S * math.exp((bucket + 0.5) * _LOG_RATIO)
--- a/tinrudder/common/lifecycle.py
+++ b/tinrudder/common/lifecycle.py
@@ -1,6 +1,6 @@
-"""The lifecycle of a process, from its start to the end of a planned stop.
+"""The life cycle of a process, from startup to the end of a planned stop.
 
-Owns the state and which transitions there are; whoever owns the process triggers them.
+Owns the state and the allowed transitions; the owner of the process triggers them.
 """
 
 from __future__ import annotations
@@ -12,10 +12,10 @@
 
 
 class NodeState(enum.StrEnum):
-    """What a node is doing.
+    """Life-cycle states of a node.
 
-    ``leaving``: the stop is announced, and everything that still arrives is served.
-    ``draining``: new work is refused as not run, and what is in progress is finished.
+    ``leaving``: the stop is announced; requests that still arrive are served.
+    ``draining``: new requests are refused as not run; requests in progress are finished.
     """
 
     STARTING = "starting"
@@ -29,13 +29,13 @@
 
 
 class NodeLifecycle:
-    """Walks through :class:`NodeState`, never backwards."""
+    """State machine over :class:`NodeState`; it never goes back to an earlier state."""
 
     state: str
     trigger: Callable[[str], bool]
 
     def __init__(self) -> None:
-        """Begin in ``starting``."""
+        """Start in ``starting``."""
         Machine(
             model=self,
             states=[state.value for state in NodeState],
@@ -50,15 +50,15 @@
         )
 
     def is_before_ready(self) -> bool:
-        """Tell whether the node is not ready yet."""
+        """Tell whether the node is still starting."""
         return self.state == NodeState.STARTING
 
     def is_ready(self) -> bool:
-        """Tell whether callers and load balancers should choose this node."""
+        """Tell whether callers and load balancers should send requests to this node."""
         return self.state == NodeState.SERVING
 
     def accepts_work(self) -> bool:
-        """Tell whether work that still arrives is served."""
+        """Tell whether requests that still arrive are served."""
         return self.state in (NodeState.SERVING, NodeState.LEAVING)
 
     def is_stopping(self) -> bool:
--- a/tinrudder/common/logs.py
+++ b/tinrudder/common/logs.py
@@ -1,6 +1,6 @@
-"""Structured logs: one JSON object a line, over absl.logging.
+"""Structured logs: one JSON object per line, written through absl.logging.
 
-Owns the form of a line; the names of events and their fields belong to who logs them.
+Owns the format of a line; callers own the names of events and fields.
 """
 
 from __future__ import annotations
@@ -19,15 +19,15 @@
 
 
 class JsonLineFormatter(logging.Formatter):
-    """Formats a record as one JSON line with time, level, event and fields."""
+    """Formats a log record as one JSON line with time, level, node, event and fields."""
 
     def __init__(self, node: str) -> None:
-        """Put ``node`` into every line."""
+        """Create a formatter that adds ``node`` to every line."""
         super().__init__()
         self._node = node
 
     def format(self, record: logging.LogRecord) -> str:
-        """Return the line."""
+        """Return the JSON line of a record."""
         line: dict[str, object] = {
             "time": round(record.created, 6),
             "level": record.levelname,
@@ -43,7 +43,7 @@
 def configure_logs(
     node: str, level: str = "INFO", stream: TextIO | io.TextIOBase | None = None
 ) -> None:
-    """Send all logs of the process as JSON lines to ``stream``, standard error by default."""
+    """Write all logs of the process as JSON lines to ``stream``, by default standard error."""
     handler = absl_logging.get_absl_handler()
     handler.python_handler.stream = stream if stream is not None else sys.stderr
     flags.FLAGS.mark_as_parsed()
@@ -55,10 +55,10 @@
 
 
 def log_event(event: str, fields: Mapping[str, LogValue] | None = None) -> None:
-    """Log an event with its fields."""
+    """Log an event with its fields, at level INFO."""
     absl_logging.get_absl_logger().info(event, extra={"fields": dict(fields or {})})
 
 
 def log_problem(event: str, fields: Mapping[str, LogValue] | None = None) -> None:
-    """Log something an operator should look at."""
+    """Log an event that an operator should look at, with its fields, at level WARNING."""
     absl_logging.get_absl_logger().warning(event, extra={"fields": dict(fields or {})})
--- a/tinrudder/common/transport/__init__.py
+++ b/tinrudder/common/transport/__init__.py
@@ -1,5 +1,5 @@
-"""Framed requests over TCP between processes of one fleet.
+"""Framed requests over TCP between processes of one fleet, used by gateways and nodes.
 
-Owns the frame format and the connections that carry it; what a payload means is the business of
-the program that sends it. Used by gateways and by nodes.
+Owns the frame format and the connections that carry frames; the sending program defines what a
+payload means.
 """
--- a/tinrudder/common/transport/frames.py
+++ b/tinrudder/common/transport/frames.py
@@ -1,7 +1,7 @@
 """Frames on a TCP connection between two nodes.
 
-A frame is a 4-byte length, a 1-byte type, an 8-byte request id and the payload.  Owns that form and
-its bounds; what a payload holds is the callers'.
+A frame consists of a 4-byte payload length, a 1-byte type, an 8-byte request id and the payload.
+Owns this format and its limits; callers define what a payload contains.
 """
 
 from __future__ import annotations
@@ -13,24 +13,26 @@
 from msgspec import Struct
 
 MAX_FRAME_BYTES = 16 * 1024 * 1024
-"""Largest payload, bytes: it bounds what one frame of a peer can make this process hold."""
+"""Maximum payload size, bytes: bounds the memory that one frame of a peer can occupy."""
 MAX_ERROR_BYTES = 1024
-"""Largest text of an error, bytes: it holds the name of an error's type."""
+"""Maximum size of an error text, bytes: it has to fit the name of an error's type."""
 FRAME_BODY_TIMEOUT_S = 10.0
-"""How long a payload may take after its header, seconds: it ends a connection whose peer stops in
-the middle of a frame."""
+"""Time limit for reading a payload after its header, seconds: closes a connection whose peer stops
+in the middle of a frame."""
 _HEADER = struct.Struct("!IBQ")
 
 
 class FrameType(enum.IntEnum):
-    """What a frame is.
-
-    ``REFUSED``: the peer did not start the request.  ``ERROR``: it started, and failed.
-    ``ACKNOWLEDGED_REQUEST``: a request that the peer answers at once, and regularly while
-    it is at work, with ``ACCEPTED``.  The peer begins only on ``CONFIRMED``, with which the sender
-    answers the first of them: who was taken for dead meanwhile never begins.
-    ``TRACKED_REQUEST``: the same without ``CONFIRMED``, a round trip sooner: it begins at once,
-    so whoever hears nothing of it must be able to bear that it begins later all the same.
+    """Frame types.
+
+    ``REFUSED``: the peer did not start the request. ``ERROR``: the peer started it, and it failed.
+    ``ACKNOWLEDGED_REQUEST``: the peer replies ``ACCEPTED`` at once and then periodically while it
+    works on the request. It starts only on ``CONFIRMED``, with which the sender replies to the
+    first ``ACCEPTED``: a peer that the sender has meanwhile taken for dead never starts the
+    request.
+    ``TRACKED_REQUEST``: the same without ``CONFIRMED``. The peer starts at once, which saves a
+    round trip, so a sender that receives no ``ACCEPTED`` must tolerate that the request may still
+    start later.
     """
 
     REQUEST = 1
@@ -45,11 +47,11 @@
 
 
 class FrameError(Exception):
-    """What arrived is not a frame; nothing after it on the connection can be trusted."""
+    """Received bytes are not a valid frame; the rest of the connection cannot be trusted."""
 
 
 class Frame(Struct, frozen=True):
-    """One frame."""
+    """One frame of a request or of its reply."""
 
     frame_type: FrameType
     request_id: int
@@ -57,7 +59,7 @@
 
 
 def encode_frame(frame: Frame) -> bytes:
-    """Return the bytes of a frame.
+    """Encode a frame.
 
     >>> len(encode_frame(Frame(FrameType.CANCEL, 7)))
     13
@@ -66,7 +68,7 @@
 
 
 class FrameHeader(Struct, frozen=True):
-    """What comes before a frame's payload."""
+    """The decoded header of a frame; the payload follows it."""
 
     length: int
     frame_type: FrameType
@@ -74,25 +76,25 @@
 
 
 async def read_header(reader: asyncio.StreamReader) -> FrameHeader:
-    """Read a frame's header; cancelling this loses no bytes.
+    """Read a frame's header; cancelling the read loses no bytes.
 
-    :raises FrameError: the payload would be too large, or the type is not known.
+    :raises FrameError: the payload is too large, or the type is unknown.
     :raises EOFError: the connection ended.
     """
     length, type_number, request_id = _HEADER.unpack(await reader.readexactly(_HEADER.size))
     if length > MAX_FRAME_BYTES:
-        raise FrameError(f"frame: {length} bytes, at most {MAX_FRAME_BYTES}")
+        raise FrameError(f"frame payload: {length} bytes, at most {MAX_FRAME_BYTES}")
     try:
         frame_type = FrameType(type_number)
     except ValueError as error:
-        raise FrameError(f"frame: {error}") from error
+        raise FrameError(f"frame type: {error}") from error
     return FrameHeader(length, frame_type, request_id)
 
 
 async def read_payload(reader: asyncio.StreamReader, header: FrameHeader) -> Frame:
-    """Read the rest of a frame.
+    """Read the payload that follows a header.
 
-    :raises FrameError: it came too slowly.
+    :raises FrameError: the payload did not arrive within ``FRAME_BODY_TIMEOUT_S``.
     :raises EOFError: the connection ended.
     """
     if header.length == 0:
@@ -101,5 +103,5 @@
         async with asyncio.timeout(FRAME_BODY_TIMEOUT_S):
             payload = await reader.readexactly(header.length)
     except TimeoutError as error:
-        raise FrameError(f"frame: no {header.length} bytes in time") from error
+        raise FrameError(f"frame payload: {header.length} bytes did not arrive in time") from error
     return Frame(header.frame_type, header.request_id, payload)
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -1,7 +1,7 @@
-"""Connections that this process opens to others: one each, carrying many requests at once.
+"""Client connections to peers: one per peer, multiplexing many requests.
 
-Owns the connections and the requests that wait on them; relies on the server to answer each request
-or to report its progress.
+Owns the connections and the pending requests; relies on the server to answer each request or to
+report its progress.
 """
 
 from __future__ import annotations
@@ -25,33 +25,35 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
 
 LONGEST_CONNECT_S = 1.0
-"""How long a connection may take to open, seconds, whoever waits for it: as long as a lost opening
-packet takes to be sent again."""
+"""Maximum time for opening a connection, seconds, shared by all requests that wait for it: the time
+after which TCP retransmits a lost SYN."""
 CONNECT_SHARE = 0.5
-"""Part of a request's time that opening may take: the other half is left for another peer."""
+"""Share of a request's timeout that opening a connection may take: the other half is left for
+another peer."""
 IDLE_CLOSE_S = 60.0
-"""How long an unused connection stays open, seconds: it must be below the server's
-``IDLE_TIMEOUT_S``, so that no request meets a connection that the server is closing."""
+"""Time after which an idle connection is closed, seconds: below the server's ``IDLE_TIMEOUT_S``, so
+that no request is sent on a connection that the server is closing."""
 LONGEST_SILENCE_S = 0.25
-"""How long a peer that has begun may say nothing, seconds: two reports of progress, one each 0.1 s,
-and the way."""
+"""Maximum time between progress reports of a peer that has begun, seconds: two report intervals of
+0.1 s and the network delay."""
 RETIRED_AFTER_S = 0.9
-"""How long a connection may say nothing since a request left, seconds, until no new one is sent
-over it: below the second for which a gateway waits for what a peer knows."""
+"""Time without any frame from the peer since a request was sent, seconds, after which the
+connection takes no new requests: below the 1 s for which a gateway waits for a snapshot that it
+pulls from a peer."""
 MAX_UNSENT_BYTES = MAX_FRAME_BYTES
-"""What one peer may leave unread: as much as the largest request; the rest of a small process's
-memory, 108 MB, bears six such peers."""
+"""Maximum size of one peer's write buffer, bytes: the size of the largest request. A small process
+has 108 MB to spare, enough for six such peers."""
 
 ClientContext = Callable[[], ssl.SSLContext | None]
 
 
 class _Waiting(Struct, eq=False):
-    """A request without an answer.
+    """A request whose answer has not arrived.
 
-    :param end: loop time at which nobody waits any longer.
-    :param patience: what is left of the time to hear of it, once waiting has begun.
-    :param begun: the peer has said that it is at work.
-    :param confirms: the peer waits for the word that this was heard.
+    :param end: loop time at which the request times out.
+    :param patience: time-out for the next progress report, set while the caller waits.
+    :param begun: the peer has reported that it accepted the request.
+    :param confirms: the peer starts only when this client confirms its report.
     """
 
     answer: asyncio.Future[bytes]
@@ -61,17 +63,18 @@
     confirms: bool = True
 
     def hear(self, now: float) -> None:
-        """Wait on: the peer says that it is at work."""
+        """Extend the time-out: the peer reports that it is working on the request."""
         self.begun = True
         if self.patience is not None and not self.patience.expired():
             self.patience.reschedule(min(self.end, now + LONGEST_SILENCE_S))
 
 
 class _Connection(Struct, eq=False):
-    """An open connection and the requests that wait on it.
+    """An open connection and its pending requests.
 
-    :param idle_timer: closes the connection after a while without requests.
-    :param unheard_since: when the first request left since anything came; ``None``: none did.
+    :param idle_timer: closes the connection after a period without requests.
+    :param unheard_since: when the first request was sent after the last received frame; ``None`` if
+        no request was sent since.
     """
 
     writer: asyncio.StreamWriter
@@ -82,29 +85,29 @@
     unheard_since: float | None = None
 
     def note_sent(self, now: float) -> None:
-        """Note that a request left."""
+        """Record that a request was sent."""
         if self.unheard_since is None:
             self.unheard_since = now
 
     def is_silent(self, now: float) -> bool:
-        """Tell whether nothing came for so long that the way may be gone without a reset."""
+        """Tell whether the path may have failed without a reset: no frame arrived for too long."""
         return self.unheard_since is not None and now - self.unheard_since >= RETIRED_AFTER_S
 
     def add(self, waiting: _Waiting) -> int:
-        """Return the id under which a request waits for its answer."""
+        """Add a pending request and return its id."""
         self.last_request_id += 1
         self.waiting[self.last_request_id] = waiting
         return self.last_request_id
 
 
 class PeerClient:
-    """Sends requests to other nodes."""
+    """Sends requests to peers over pooled connections."""
 
     def __init__(self, tls: ClientContext, unacknowledged_s: float | None = None) -> None:
-        """Open connections with the context that ``tls`` returns at that moment.
+        """Create a client; ``tls`` is called for the TLS context of each new connection.
 
-        :param unacknowledged_s: how long sent bytes may stay without the peer's acknowledgement
-            before a connection is given up; ``None`` leaves that to the system.
+        :param unacknowledged_s: how long sent bytes may stay unacknowledged by the peer's kernel
+            before the connection is closed; ``None`` leaves that to the system.
         """
         self._tls = tls
         self._unacknowledged_s = unacknowledged_s
@@ -123,11 +126,12 @@
     ) -> bytes:
         """Send a request and return its answer; see :class:`tinrudder.peers.PeerTransport`.
 
-        :param accept_within_s: the peer must say in this time that it has begun, counted from
-            now, opening a connection included; and again and again while it is at work.
-        :param begin_at_once: the peer begins without hearing that its first word arrived, so a
-            silent one may begin as well.
-        :raises PeerSilentError: it did not.
+        :param accept_within_s: time limit for the peer's first progress report, counted from now
+            and including the time for opening a connection. The peer must then report periodically
+            while it works on the request.
+        :param begin_at_once: the peer starts without waiting for a confirmation, so a request may
+            start although its sender got no report.
+        :raises PeerSilentError: the first progress report did not arrive in time.
         """
         if len(payload) > MAX_FRAME_BYTES:
             raise PeerNotSentError(f"request: {len(payload)} bytes, at most {MAX_FRAME_BYTES}")
@@ -158,7 +162,7 @@
     def _end_request(
         self, destination: PeerAddress, connection: _Connection, request_id: int
     ) -> None:
-        """Forget a request that nobody waits for any more, and let the peer end it."""
+        """Remove a request that ended, and cancel it at the peer if the caller was cancelled."""
         waiting = connection.waiting.pop(request_id, None)
         if waiting is not None and waiting.answer.cancelled():
             _write(connection, Frame(FrameType.CANCEL, request_id))
@@ -166,11 +170,11 @@
         self._close_when_idle(destination, connection)
 
     def _retire_if_silent(self, destination: PeerAddress, connection: _Connection) -> None:
-        """Send nothing more over a connection whose way may be gone.
+        """Stop using a connection whose path may have failed.
 
-        The next request opens another.  Where the kernel of the other side, or a proxy, still
-        acknowledges bytes, nothing else shows it.  What waits on it waits on: the peer may only be
-        slow.
+        The next request opens a new one. If the peer's kernel or a proxy still acknowledges bytes,
+        only the missing frames show the failure. Requests that are pending on the old connection
+        stay pending, since the peer may only be slow.
         """
         if not connection.is_silent(asyncio.get_running_loop().time()):
             return
@@ -182,12 +186,12 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return the bytes of frames that peers have not taken."""
+        """Return the number of bytes in the write buffers of all connections."""
         connections = (*self._connections.values(), *self._retired)
         return sum(one.writer.transport.get_write_buffer_size() for one in connections)
 
     async def close(self) -> None:
-        """Close every connection once what was written to it has left."""
+        """Close every connection after its write buffer has been flushed."""
         for task in tuple(self._connecting.values()):
             task.cancel()
         connections = (*self._connections.values(), *self._retired)
@@ -197,10 +201,10 @@
         await asyncio.gather(*readers, return_exceptions=True)
 
     async def _connection(self, destination: PeerAddress, connect_s: float) -> _Connection:
-        """Return the open connection to a peer, opening it if needed.
+        """Return the open connection to a peer, opening one if needed.
 
-        Requests that wait for the same connection share one attempt.  Opening may take only a
-        part of a request's time, so that some is left for another peer.
+        Requests that wait for the same connection share one attempt. Opening may take only a share
+        of a request's timeout, so that time is left for another peer.
         """
         existing = self._connections.get(destination)
         if existing is not None and not existing.writer.is_closing():
@@ -217,7 +221,7 @@
             raise PeerNotSentError(f"{destination}: no connection in time") from error
 
     async def _connect(self, destination: PeerAddress) -> _Connection:
-        """Open a connection and start reading from it."""
+        """Open a connection and start to read from it."""
         try:
             async with asyncio.timeout(LONGEST_CONNECT_S):
                 reader, writer = await asyncio.open_connection(
@@ -233,20 +237,22 @@
         return connection
 
     def _limit_silence(self, writer: asyncio.StreamWriter) -> None:
-        """Let the system give up on a machine that acknowledges nothing."""
+        """Set ``TCP_USER_TIMEOUT``, so that the kernel closes connections to an unresponsive
+        host."""
         tcp_socket = writer.get_extra_info("socket")
         if self._unacknowledged_s is not None and tcp_socket is not None:
             milliseconds = int(self._unacknowledged_s * 1000)
             tcp_socket.setsockopt(socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, milliseconds)
 
     def _on_connected(self, destination: PeerAddress, task: asyncio.Task[_Connection]) -> None:
-        """Forget a finished attempt; its error has reached those who waited."""
+        """Remove a finished connection attempt; its error has already reached the requests that
+        waited."""
         self._connecting.pop(destination, None)
         if not task.cancelled():
             task.exception()
 
     def _close_when_idle(self, destination: PeerAddress, connection: _Connection) -> None:
-        """Restart the idle timer."""
+        """Restart the idle timer of a connection."""
         if connection.idle_timer is not None:
             connection.idle_timer.cancel()
         loop = asyncio.get_running_loop()
@@ -255,7 +261,7 @@
         )
 
     def _close_if_idle(self, destination: PeerAddress, connection: _Connection) -> None:
-        """Close a connection that carries nothing; the next request opens another."""
+        """Close a connection without pending requests; the next request opens a new one."""
         if connection.waiting:
             return
         if self._connections.get(destination) is connection:
@@ -265,7 +271,7 @@
     async def _read(
         self, peer: PeerAddress, reader: asyncio.StreamReader, connection: _Connection
     ) -> None:
-        """Hand answers to whoever waits until the connection ends."""
+        """Dispatch received frames to pending requests until the connection ends."""
         try:
             while True:
                 header = await read_header(reader)
@@ -277,7 +283,8 @@
             self._end(peer, connection)
 
     def _end(self, peer: PeerAddress, connection: _Connection) -> None:
-        """Drop a connection and fail what waited on it: the peer may have received it."""
+        """Remove a connection and fail its pending requests as lost: the peer may have received
+        them."""
         connection.writer.close()
         if connection.idle_timer is not None:
             connection.idle_timer.cancel()
@@ -290,7 +297,7 @@
 
 
 def _settle(peer: PeerAddress, connection: _Connection, frame: Frame) -> None:
-    """Give one frame to the request it answers; late ones are dropped."""
+    """Dispatch one frame to its pending request; late frames are dropped."""
     waiting = connection.waiting.get(frame.request_id)
     if waiting is None or waiting.answer.done():
         return
@@ -309,7 +316,7 @@
 
 
 def _request_type(*, acknowledged: bool, begin_at_once: bool) -> FrameType:
-    """Return the type of a request's frame; see :class:`FrameType`."""
+    """Return the frame type of a request; see :class:`FrameType`."""
     if not acknowledged:
         return FrameType.REQUEST
     return FrameType.TRACKED_REQUEST if begin_at_once else FrameType.ACKNOWLEDGED_REQUEST
--- a/tinrudder/common/transport/peer_server.py
+++ b/tinrudder/common/transport/peer_server.py
@@ -1,6 +1,7 @@
-"""Connections that others open to this process: read requests, run the handler, answer.
+"""Server side of peer connections: reads requests, runs the handler and sends its answers.
 
-Owns the connections and one task for each request at work; a connection that ends ends its tasks.
+Owns the accepted connections and one task per running request; the tasks of a connection are
+cancelled when it ends.
 """
 
 from __future__ import annotations
@@ -26,30 +27,30 @@
 from tinrudder.peers import PeerAddress, RequestHandler
 
 MAX_REQUESTS_IN_FLIGHT = 1024
-"""Requests of one connection that run at once; more are refused as not begun: it bounds the tasks
-that one peer can cause."""
+"""Maximum number of concurrent requests on one connection: bounds the tasks that one peer can
+start. Further requests are refused as not started."""
 MAX_UNREAD_BYTES = MAX_FRAME_BYTES
-"""What one peer may leave unread: as much as the largest answer; the rest of a small process's
-memory, 108 MB, bears six such peers."""
+"""Maximum size of one peer's write buffer, bytes: the size of the largest answer. A small process
+has 108 MB to spare, enough for six such peers."""
 IDLE_TIMEOUT_S = 300.0
-"""How long a connection without requests is kept, seconds: five times the time after which clients
-close theirs, so it ends only those whose peer is gone."""
+"""Time after which a connection without requests is closed, seconds: five times the clients' own
+limit, so that it closes only connections whose peer is gone."""
 CLOSE_TIMEOUT_S = 2.0
-"""How long answers may take to leave at the end of the process, seconds: it bounds how long a peer
-that does not read delays a planned stop."""
+"""Time limit for flushing answers when the process stops, seconds: bounds how long a peer that does
+not read delays a planned stop."""
 PROGRESS_INTERVAL_S = 0.1
-"""How often a request at work is reported to its sender, seconds: it must be well below the
-client's ``LONGEST_SILENCE_S``."""
+"""Interval of progress reports for a running request, seconds: must be well below the client's
+``PROGRESS_TIMEOUT_S``."""
 UNCONFIRMED_S = 1.0
-"""How long a request waits for its sender's confirmation, seconds: the sender confirms at once, or
-has turned to another gateway and never will."""
+"""Time that a request waits for its sender's confirmation, seconds. A sender confirms at once; one
+that has turned to another gateway never does."""
 
 
 class _Accepted(Struct, eq=False):
-    """One accepted connection and the requests that run for it.
+    """One accepted connection and its running requests.
 
-    :param unconfirmed: requests that wait for their sender's word before they begin.
-    :param request_bytes: size of the requests that run.
+    :param unconfirmed: requests that start only when the sender confirms, by id.
+    :param request_bytes: total payload size of the running requests.
     """
 
     source: PeerAddress
@@ -60,15 +61,15 @@
 
 
 class PeerServer:
-    """Serves requests; a peer that breaks the rules loses its connection, nobody else's."""
+    """Serves requests; a protocol violation closes only the violating peer's connection."""
 
     def __init__(self, handler: Callable[[], RequestHandler | None]) -> None:
-        """Give requests to the handler that ``handler`` returns at that moment."""
+        """Create a server; ``handler`` is called for the current handler of each request."""
         self._handler = handler
         self._accepted: set[_Accepted] = set()
 
     async def serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Serve one connection until it ends, then cancel what still runs for it."""
+        """Serve one connection until it ends, then cancel its running requests."""
         host, port = writer.get_extra_info("peername")[:2]
         accepted = _Accepted(PeerAddress(host, port), writer)
         self._accepted.add(accepted)
@@ -88,14 +89,14 @@
 
     @property
     def held_bytes(self) -> int:
-        """Return the bytes of requests at work, and of frames that peers have not taken."""
+        """Return the bytes of running requests and of frames in write buffers."""
         at_work = sum(accepted.request_bytes for accepted in self._accepted)
         return at_work + sum(
             accepted.writer.transport.get_write_buffer_size() for accepted in self._accepted
         )
 
     async def close(self) -> None:
-        """Close every connection once the answers written to it have left."""
+        """Close every connection after its answers have been flushed."""
         writers = [accepted.writer for accepted in self._accepted]
         for writer in writers:
             writer.close()
@@ -108,11 +109,11 @@
                 writer.transport.abort()
 
     def _on_frame(self, accepted: _Accepted, frame: Frame) -> None:
-        """Start or cancel a request.
+        """Start, confirm or cancel a request.
 
-        An acknowledged request begins when the peer has confirmed that it heard of it.  A process
-        that stood still may read a request, and be at work on others, long after its sender has
-        turned to another: whatever it does then, it must not begin.
+        An acknowledged request starts only when its sender has confirmed it. A process that was
+        paused may read a request, and may be running others, long after the sender has turned to
+        another peer; such a request must not start.
         """
         match frame.frame_type:
             case FrameType.REQUEST:
@@ -132,10 +133,10 @@
                 if task is not None:
                     task.cancel()
             case _:
-                raise FrameError(f"frame: {frame.frame_type.name} is not for a server")
+                raise FrameError(f"frame type: {frame.frame_type.name} is not valid from a client")
 
     def _start(self, accepted: _Accepted, frame: Frame, confirmed: asyncio.Event | None) -> None:
-        """Run the handler in a task of its own, within the limits of a connection."""
+        """Run the handler in a new task, within the connection's limits."""
         handler = self._handler()
         if handler is None or len(accepted.running) >= MAX_REQUESTS_IN_FLIGHT:
             _write(accepted, Frame(FrameType.REFUSED, frame.request_id, b"too many requests"))
@@ -149,7 +150,7 @@
 
 
 async def _next_header(reader: asyncio.StreamReader, accepted: _Accepted) -> FrameHeader:
-    """Read a frame's header; a connection that carries nothing for long is closed."""
+    """Read the next frame header; close a connection that stays idle without running requests."""
     while True:
         try:
             async with asyncio.timeout(IDLE_TIMEOUT_S):
@@ -162,9 +163,10 @@
 async def _answer(
     accepted: _Accepted, handler: RequestHandler, frame: Frame, confirmed: asyncio.Event | None
 ) -> None:
-    """Run the handler and send its answer, or an error in its place: never silence.
+    """Run the handler and send its answer, or an error if it fails.
 
-    Only a request that its sender does not confirm has no answer: nobody waits for it.
+    A request that its sender does not confirm in time gets no answer: the sender no longer waits
+    for one.
     """
     if confirmed is not None and not await _is_confirmed(confirmed):
         return
@@ -181,7 +183,7 @@
 
 
 async def _is_confirmed(confirmed: asyncio.Event) -> bool:
-    """Wait for the sender's word that it heard of the request being taken."""
+    """Wait for the sender's confirmation; return whether it arrived in time."""
     try:
         async with asyncio.timeout(UNCONFIRMED_S):
             await confirmed.wait()
@@ -191,7 +193,7 @@
 
 
 def _report_progress(accepted: _Accepted, request_id: int) -> None:
-    """Say again and again that a request is at work, until it has ended."""
+    """Send a progress report now and periodically until the request ends."""
     if request_id not in accepted.running:
         return
     _write(accepted, Frame(FrameType.ACCEPTED, request_id))
@@ -200,7 +202,7 @@
 
 
 def _write(accepted: _Accepted, frame: Frame) -> None:
-    """Write a frame; a peer that does not read its answers loses the connection."""
+    """Write a frame; abort the connection of a peer that does not read its answers."""
     if accepted.writer.is_closing():
         return
     if accepted.writer.transport.get_write_buffer_size() > MAX_UNREAD_BYTES:
@@ -212,7 +214,7 @@
 def _forget(
     accepted: _Accepted, request_id: int, request_bytes: int, task: asyncio.Task[None]
 ) -> None:
-    """Drop an ended request."""
+    """Remove a finished request."""
     accepted.request_bytes -= request_bytes
     if accepted.running.get(request_id) is task:
         del accepted.running[request_id]
--- a/tinrudder/peers.py
+++ b/tinrudder/peers.py
@@ -1,4 +1,4 @@
-"""How nodes talk to each other, as a typed interface without a transport."""
+"""Communication between nodes, as typed interfaces independent of a transport."""
 
 from __future__ import annotations
 
@@ -8,25 +8,26 @@
 from tinrudder.common.address import Address
 
 MAX_DATAGRAM_BYTES = 1400
+"""Maximum size of a datagram, bytes."""
 
 
 PeerAddress = Address
-"""Where a process listens for the others of its fleet, TCP and UDP alike."""
+"""Address on which a process listens for peers, for both TCP and UDP."""
 
 
 class PeerNotSentError(Exception):
-    """The peer did not start the request: no byte can have reached it, or it refused."""
+    """The peer did not start the request: no byte can have reached it, or the peer refused it."""
 
 
 class PeerLostError(Exception):
-    """The peer may have received the request, but no answer came."""
+    """The peer may have received the request, but no answer arrived."""
 
 
 class PeerSilentError(PeerNotSentError):
-    """The peer did not even say in time that it took the request.
+    """The peer did not report in time that it accepted the request.
 
-    It may have received it, but begins only when its word has been confirmed, which never happens;
-    unless it was asked to begin at once.
+    It may have received the request, but starts it only after a confirmation, which it will not
+    get, unless the request was sent with ``begin_at_once``.
     """
 
 
@@ -37,21 +38,21 @@
 class PeerTransport(Protocol):
     """Carries opaque messages between nodes.
 
-    Datagrams may be lost, doubled or reordered.  A request is answered at most once; when the
-    requesting task is cancelled, the handler's task at the peer is cancelled too.
+    Datagrams may be lost, duplicated or reordered. A request is answered at most once; cancelling
+    the requesting task also cancels the handler's task at the peer.
     """
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who handles what arrives."""
+        """Set the handlers of incoming datagrams and requests."""
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
-        """Send at most ``MAX_DATAGRAM_BYTES``; loss is silent."""
+        """Send a datagram of at most ``MAX_DATAGRAM_BYTES``; a loss is not reported."""
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
         """Send a request and return its answer.
 
-        :raises PeerNotSentError: the peer cannot have started it.
-        :raises PeerLostError: it may have.
+        :raises PeerNotSentError: the peer cannot have started the request.
+        :raises PeerLostError: the peer may have started the request.
         """
 
     async def close(self) -> None:
--- a/tinrudder/timers.py
+++ b/tinrudder/timers.py
@@ -1,7 +1,7 @@
-"""Time as an argument: monotonic timers and the shared calendar clock.
+"""Interfaces for time: monotonic timers and the shared wall clock.
 
 ``Timers.time`` is monotonic and local to one process; ``WallClock`` is the calendar clock that
-validity windows refer to.  Both are in seconds.
+validity windows refer to. Both are in seconds.
 """
 
 from __future__ import annotations
@@ -13,17 +13,17 @@
 
 
 class TimerHandle(Protocol):
-    """A timer that has been set."""
+    """A scheduled timer."""
 
     def cancel(self) -> None:
-        """Stop the timer; a no-op once it has fired."""
+        """Cancel the timer; a no-op once it has fired."""
 
 
 class Timers(Protocol):
-    """Monotonic time and timers.  An asyncio event loop fits as it is."""
+    """Monotonic time and timers. An asyncio event loop implements this interface."""
 
     def time(self) -> float:
-        """Return monotonic seconds."""
+        """Return the monotonic time, seconds."""
 
     def call_at(self, when: float, callback: Callable[..., object], *args: object) -> TimerHandle:
-        """Call ``callback(*args)`` at monotonic time ``when``."""
+        """Call ``callback(*args)`` at monotonic time ``when``, seconds."""
