--- a/tinrudder/common/latency_window.py
+++ b/tinrudder/common/latency_window.py
@@ -11,7 +11,7 @@
 import math
 from collections.abc import Sequence
 
-SMALLEST_S = 1e-4
+MIN_LATENCY_S = 1e-4
 """Upper bound of the first bucket, seconds: no call over a network is as short as this."""
 BUCKET_RATIO = 1.07
 """Ratio of a bucket's upper bound to its lower bound: latencies are resolved to within 7%."""
@@ -24,7 +24,7 @@
 """Calls for which a computed quantile stays cached: one pass over all buckets per 64 calls instead
 of one per call."""
 _LOG_RATIO = math.log(BUCKET_RATIO)
-_LOG_SMALLEST = math.log(SMALLEST_S)
+_LOG_MIN_LATENCY = math.log(MIN_LATENCY_S)
 
 
 class LatencyWindow:
@@ -54,10 +54,10 @@
 
     def observe(self, seconds: float) -> None:
         """Record the latency of one call."""
-        if seconds <= SMALLEST_S:
+        if seconds <= MIN_LATENCY_S:
             bucket = 0
         else:
-            bucket = min(BUCKETS - 1, int((math.log(seconds) - _LOG_SMALLEST) / _LOG_RATIO))
+            bucket = min(BUCKETS - 1, int((math.log(seconds) - _LOG_MIN_LATENCY) / _LOG_RATIO))
         self._counts[bucket] += 1
         self._total += 1
         if self._total >= self._stale_after:
@@ -86,9 +86,11 @@
         total = len(self)
         if not total:
             return (0.0,) * len(times)
-        counts = (now + before for now, before in zip(self._counts, self._former, strict=True))
-        up_to = [0, *itertools.accumulate(counts)]
-        return tuple(1.0 - _counted(up_to, seconds) / total for seconds in times)
+        counts = (
+            current + previous for current, previous in zip(self._counts, self._former, strict=True)
+        )
+        cumulative = [0, *itertools.accumulate(counts)]
+        return tuple(1.0 - _count_up_to(cumulative, seconds) / total for seconds in times)
 
     def _compute_quantile(self, fraction: float) -> float:
         """Return the latency of the first bucket at which the cumulative count reaches the rank."""
@@ -96,12 +98,12 @@
         if not total:
             return 0.0
         rank = fraction * total
-        seen = 0
+        cumulative_count = 0
         for bucket in range(BUCKETS):
-            seen += self._counts[bucket] + self._former[bucket]
-            if seen >= rank:
-                return _latency_of(bucket)
-        return _latency_of(BUCKETS - 1)
+            cumulative_count += self._counts[bucket] + self._former[bucket]
+            if cumulative_count >= rank:
+                return _bucket_latency(bucket)
+        return _bucket_latency(BUCKETS - 1)
 
     def _rotate(self) -> None:
         """Make the current histogram the previous one and start an empty one."""
@@ -112,20 +114,20 @@
         self._stale_after = REFRESH_CALLS
 
 
-def _counted(up_to: Sequence[int], seconds: float) -> float:
+def _count_up_to(cumulative: Sequence[int], seconds: float) -> float:
     """Return the number of calls that took at most ``seconds``, interpolated linearly in a bucket.
 
     :param cumulative: number of calls below each bucket's lower bound, by bucket.
     """
-    if seconds <= SMALLEST_S:
+    if seconds <= MIN_LATENCY_S:
         return 0.0
-    place = (math.log(seconds) - _LOG_SMALLEST) / _LOG_RATIO
-    bucket = int(place)
+    position = (math.log(seconds) - _LOG_MIN_LATENCY) / _LOG_RATIO
+    bucket = int(position)
     if bucket >= BUCKETS:
-        return up_to[BUCKETS]
-    return up_to[bucket] + (place - bucket) * (up_to[bucket + 1] - up_to[bucket])
+        return cumulative[BUCKETS]
+    return cumulative[bucket] + (position - bucket) * (cumulative[bucket + 1] - cumulative[bucket])
 
 
-def _latency_of(bucket: int) -> float:
+def _bucket_latency(bucket: int) -> float:
     """Return the geometric mean of a bucket's bounds, seconds."""
-    return SMALLEST_S * math.exp((bucket + 0.5) * _LOG_RATIO)
+    return MIN_LATENCY_S * math.exp((bucket + 0.5) * _LOG_RATIO)
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -24,19 +24,19 @@
 )
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerSilentError
 
-LONGEST_CONNECT_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Maximum time for opening a connection, seconds, shared by all requests that wait for it: the time
 after which TCP retransmits a lost SYN."""
-CONNECT_SHARE = 0.5
+CONNECT_TIMEOUT_SHARE = 0.5
 """Share of a request's timeout that opening a connection may take: the other half is left for
 another peer."""
 IDLE_CLOSE_S = 60.0
 """Time after which an idle connection is closed, seconds: below the server's ``IDLE_TIMEOUT_S``, so
 that no request is sent on a connection that the server is closing."""
-LONGEST_SILENCE_S = 0.25
+PROGRESS_TIMEOUT_S = 0.25
 """Maximum time between progress reports of a peer that has begun, seconds: two report intervals of
 0.1 s and the network delay."""
-RETIRED_AFTER_S = 0.9
+RETIRE_AFTER_SILENCE_S = 0.9
 """Time without any frame from the peer since a request was sent, seconds, after which the
 connection takes no new requests: below the 1 s for which a gateway waits for a snapshot that it
 pulls from a peer."""
@@ -47,7 +47,7 @@
 ClientContext = Callable[[], ssl.SSLContext | None]
 
 
-class _Waiting(Struct, eq=False):
+class _PendingRequest(Struct, eq=False):
     """A request whose answer has not arrived.
 
     :param end: loop time at which the request times out.
@@ -62,11 +62,11 @@
     begun: bool = False
     confirms: bool = True
 
-    def hear(self, now: float) -> None:
+    def record_progress(self, now: float) -> None:
         """Extend the time-out: the peer reports that it is working on the request."""
         self.begun = True
         if self.patience is not None and not self.patience.expired():
-            self.patience.reschedule(min(self.end, now + LONGEST_SILENCE_S))
+            self.patience.reschedule(min(self.end, now + PROGRESS_TIMEOUT_S))
 
 
 class _Connection(Struct, eq=False):
@@ -78,7 +78,7 @@
     """
 
     writer: asyncio.StreamWriter
-    waiting: dict[int, _Waiting] = field(default_factory=dict)
+    waiting: dict[int, _PendingRequest] = field(default_factory=dict)
     last_request_id: int = 0
     reading: asyncio.Task[None] | None = None
     idle_timer: asyncio.TimerHandle | None = None
@@ -91,12 +91,12 @@
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the path may have failed without a reset: no frame arrived for too long."""
-        return self.unheard_since is not None and now - self.unheard_since >= RETIRED_AFTER_S
+        return self.unheard_since is not None and now - self.unheard_since >= RETIRE_AFTER_SILENCE_S
 
-    def add(self, waiting: _Waiting) -> int:
+    def add(self, pending: _PendingRequest) -> int:
         """Add a pending request and return its id."""
         self.last_request_id += 1
-        self.waiting[self.last_request_id] = waiting
+        self.waiting[self.last_request_id] = pending
         return self.last_request_id
 
 
@@ -136,25 +136,27 @@
         if len(payload) > MAX_FRAME_BYTES:
             raise PeerNotSentError(f"request: {len(payload)} bytes, at most {MAX_FRAME_BYTES}")
         loop = asyncio.get_running_loop()
-        end = loop.time() + timeout_s
+        deadline = loop.time() + timeout_s
         acknowledged = accept_within_s is not None
-        first_word_at = end if accept_within_s is None else min(end, loop.time() + accept_within_s)
-        connect_s = min(timeout_s * CONNECT_SHARE, first_word_at - loop.time())
+        accept_deadline = (
+            deadline if accept_within_s is None else min(deadline, loop.time() + accept_within_s)
+        )
+        connect_s = min(timeout_s * CONNECT_TIMEOUT_SHARE, accept_deadline - loop.time())
         connection = await self._connection(destination, connect_s)
         if connection.writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             raise PeerNotSentError(f"{destination}: does not read what it is sent")
-        waiting = _Waiting(loop.create_future(), end, confirms=not begin_at_once)
-        request_id = connection.add(waiting)
+        pending = _PendingRequest(loop.create_future(), deadline, confirms=not begin_at_once)
+        request_id = connection.add(pending)
         kind = _request_type(acknowledged=acknowledged, begin_at_once=begin_at_once)
         _write(connection, Frame(kind, request_id, payload))
         connection.note_sent(loop.time())
         try:
-            async with asyncio.timeout_at(first_word_at) as waiting.patience:
-                return await waiting.answer
+            async with asyncio.timeout_at(accept_deadline) as pending.patience:
+                return await pending.answer
         except TimeoutError as error:
-            if acknowledged and not waiting.begun:
+            if acknowledged and not pending.begun:
                 raise PeerSilentError(f"{destination}: silent") from error
-            waited_s = timeout_s - (end - loop.time())
+            waited_s = timeout_s - (deadline - loop.time())
             raise PeerLostError(f"{destination}: no answer in {waited_s:.3f} s") from error
         finally:
             self._end_request(destination, connection, request_id)
@@ -163,11 +165,11 @@
         self, destination: PeerAddress, connection: _Connection, request_id: int
     ) -> None:
         """Remove a request that ended, and cancel it at the peer if the caller was cancelled."""
-        waiting = connection.waiting.pop(request_id, None)
-        if waiting is not None and waiting.answer.cancelled():
+        pending = connection.waiting.pop(request_id, None)
+        if pending is not None and pending.answer.cancelled():
             _write(connection, Frame(FrameType.CANCEL, request_id))
         self._retire_if_silent(destination, connection)
-        self._close_when_idle(destination, connection)
+        self._restart_idle_timer(destination, connection)
 
     def _retire_if_silent(self, destination: PeerAddress, connection: _Connection) -> None:
         """Stop using a connection whose path may have failed.
@@ -223,20 +225,20 @@
     async def _connect(self, destination: PeerAddress) -> _Connection:
         """Open a connection and start to read from it."""
         try:
-            async with asyncio.timeout(LONGEST_CONNECT_S):
+            async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 reader, writer = await asyncio.open_connection(
                     destination.host, destination.port, ssl=self._tls()
                 )
         except (OSError, TimeoutError) as error:
             raise PeerNotSentError(f"{destination}: {error!r}") from error
-        self._limit_silence(writer)
+        self._set_user_timeout(writer)
         connection = _Connection(writer)
         self._connections[destination] = connection
         connection.reading = asyncio.create_task(self._read(destination, reader, connection))
-        self._close_when_idle(destination, connection)
+        self._restart_idle_timer(destination, connection)
         return connection
 
-    def _limit_silence(self, writer: asyncio.StreamWriter) -> None:
+    def _set_user_timeout(self, writer: asyncio.StreamWriter) -> None:
         """Set ``TCP_USER_TIMEOUT``, so that the kernel closes connections to an unresponsive
         host."""
         tcp_socket = writer.get_extra_info("socket")
@@ -251,7 +253,7 @@
         if not task.cancelled():
             task.exception()
 
-    def _close_when_idle(self, destination: PeerAddress, connection: _Connection) -> None:
+    def _restart_idle_timer(self, destination: PeerAddress, connection: _Connection) -> None:
         """Restart the idle timer of a connection."""
         if connection.idle_timer is not None:
             connection.idle_timer.cancel()
@@ -276,13 +278,13 @@
             while True:
                 header = await read_header(reader)
                 connection.unheard_since = None
-                _settle(peer, connection, await read_payload(reader, header))
+                _dispatch(peer, connection, await read_payload(reader, header))
         except (OSError, EOFError, FrameError):
             pass
         finally:
-            self._end(peer, connection)
+            self._drop_connection(peer, connection)
 
-    def _end(self, peer: PeerAddress, connection: _Connection) -> None:
+    def _drop_connection(self, peer: PeerAddress, connection: _Connection) -> None:
         """Remove a connection and fail its pending requests as lost: the peer may have received
         them."""
         connection.writer.close()
@@ -291,28 +293,28 @@
         if self._connections.get(peer) is connection:
             del self._connections[peer]
         self._retired.discard(connection)
-        for waiting in connection.waiting.values():
-            if not waiting.answer.done():
-                waiting.answer.set_exception(PeerLostError(f"{peer}: connection closed"))
+        for pending in connection.waiting.values():
+            if not pending.answer.done():
+                pending.answer.set_exception(PeerLostError(f"{peer}: connection closed"))
 
 
-def _settle(peer: PeerAddress, connection: _Connection, frame: Frame) -> None:
+def _dispatch(peer: PeerAddress, connection: _Connection, frame: Frame) -> None:
     """Dispatch one frame to its pending request; late frames are dropped."""
-    waiting = connection.waiting.get(frame.request_id)
-    if waiting is None or waiting.answer.done():
+    pending = connection.waiting.get(frame.request_id)
+    if pending is None or pending.answer.done():
         return
-    answer = waiting.answer
+    answer = pending.answer
     match frame.frame_type:
         case FrameType.ACCEPTED:
-            if not waiting.begun and waiting.confirms:
+            if not pending.begun and pending.confirms:
                 _write(connection, Frame(FrameType.CONFIRMED, frame.request_id))
-            waiting.hear(answer.get_loop().time())
+            pending.record_progress(answer.get_loop().time())
         case FrameType.ANSWER:
             answer.set_result(frame.payload)
         case FrameType.REFUSED:
-            answer.set_exception(PeerNotSentError(f"{peer}: {_text(frame)}"))
+            answer.set_exception(PeerNotSentError(f"{peer}: {_error_text(frame)}"))
         case FrameType.ERROR:
-            answer.set_exception(PeerLostError(f"{peer}: {_text(frame)}"))
+            answer.set_exception(PeerLostError(f"{peer}: {_error_text(frame)}"))
 
 
 def _request_type(*, acknowledged: bool, begin_at_once: bool) -> FrameType:
@@ -322,7 +324,7 @@
     return FrameType.TRACKED_REQUEST if begin_at_once else FrameType.ACKNOWLEDGED_REQUEST
 
 
-def _text(frame: Frame) -> str:
+def _error_text(frame: Frame) -> str:
     return frame.payload.decode(errors="replace")
 
 
