--- a/tinrudder/cluster/failure_detector.py
+++ b/tinrudder/cluster/failure_detector.py
@@ -1,7 +1,7 @@
-"""Parts of the failure detector: whom to probe, how long to suspect, how well we are ourselves.
+"""Parts of the failure detector: probe order, suspicion timeouts and local health.
 
-Owns the probe order, the local health score and the running suspicions.  Relies on
-``membership_protocol`` to tell it what was answered and on time and randomness passed in.
+Owns the probe order, the local health score and the running suspicions. Relies on
+``membership_protocol`` to report the results of probes, and on time and randomness passed in.
 """
 
 from __future__ import annotations
@@ -15,37 +15,37 @@
 from tinrudder.cluster.membership_settings import MembershipSettings
 
 MAX_HEALTH_SCORE = 8
-"""Most trouble that is counted: an unhealthy node probes at most nine times as slowly.  The bound
-of Lifeguard, not measured here."""
+"""Maximum health score, in missed probes: an unhealthy node probes at most nine times as slowly.
+Lifeguard's bound."""
 
 
 class ProbeOrder:
-    """Goes round all members in an order shuffled anew every round.
+    """Iterates over all members round by round, in an order shuffled for each round.
 
-    So the time until every member has been probed is bounded, unlike with random choice.
+    Unlike random selection, this bounds the time until every member has been probed.
     """
 
     def __init__(self, source: random.Random) -> None:
-        """Shuffle with ``source``."""
+        """Start with an empty round, to be shuffled with ``source``."""
         self._random = source
         self._waiting: list[str] = []
 
     def next(self, roster: Sequence[str]) -> str | None:
-        """Return the next name, ``None`` when the roster is empty."""
+        """Return the next name, or ``None`` if the roster is empty."""
         if not self._waiting:
             self._waiting = list(roster)
             self._random.shuffle(self._waiting)
         return self._waiting.pop() if self._waiting else None
 
     def add(self, name: str) -> None:
-        """Put a new member at a random place of the current round."""
+        """Insert a new member at a random position of the current round."""
         self._waiting.insert(self._random.randint(0, len(self._waiting)), name)
 
 
 class LocalHealth:
-    """How far to trust our own timing: unhealthy nodes probe slower and wait longer.
+    """Local health score: an unhealthy node probes less often and uses longer timeouts.
 
-    Without this, one node short of processor time declares healthy ones dead (Lifeguard).
+    Without the score, one node short of CPU time declares healthy nodes dead (Lifeguard).
 
     >>> health = LocalHealth()
     >>> health.note_trouble(2)
@@ -54,28 +54,31 @@
     """
 
     def __init__(self) -> None:
-        """Start healthy."""
+        """Start with a healthy score of 0."""
         self.score = 0
 
     def note_success(self) -> None:
-        """A probe was answered in time."""
+        """Lower the score: a probe was answered in time."""
         self.score = max(0, self.score - 1)
 
     def note_trouble(self, amount: int = 1) -> None:
-        """Something happened that is more likely our fault than others'."""
+        """Raise the score: a failure occurred that was more likely caused by this node than by
+        others."""
         self.score = min(MAX_HEALTH_SCORE, self.score + amount)
 
     def stretch(self, seconds: float) -> float:
-        """Return a timeout adjusted to our health."""
+        """Return an interval or timeout multiplied according to the score, seconds."""
         return seconds * (1 + self.score)
 
 
 @dataclass(slots=True)
 class Probe:
-    """One unanswered probe.
+    """A probe that has not been answered yet.
 
-    :param indirect_at: when relays are asked, monotonic seconds.
-    :param ends_at: when the target counts as not answering.
+    :param indirect_at: when indirect probes are requested from relays, monotonic seconds.
+    :param ends_at: when the probe fails, monotonic seconds.
+    :param relays: number of relays asked.
+    :param negative: number of negative acknowledgements from relays.
     """
 
     target: str
@@ -87,11 +90,11 @@
     indirect_sent: bool = False
 
     def wants_relays(self, now: float) -> bool:
-        """Tell whether it is time to probe through others."""
+        """Tell whether indirect probes are due."""
         return not self.indirect_sent and now >= self.indirect_at
 
     def next_deadline(self) -> float:
-        """Return when there is something to do."""
+        """Return the next time at which this probe needs action, monotonic seconds."""
         return self.ends_at if self.indirect_sent else min(self.indirect_at, self.ends_at)
 
 
@@ -107,20 +110,21 @@
 
 
 class Suspicions:
-    """Suspects and when each counts as dead unless it refutes.
+    """Suspected members and the deadlines by which they must refute.
 
-    The time shrinks with every independent confirmation, so that one node that sees badly is
-    slow to convict and many that agree are fast (Lifeguard).
+    The suspicion timeout shrinks with every independent confirmation. A single node with bad
+    connectivity is therefore slow to declare a member dead, and many nodes that agree are fast
+    (Lifeguard).
     """
 
     def __init__(self, settings: MembershipSettings) -> None:
-        """Use the times of ``settings``."""
+        """Start without suspicions, with the timeouts of ``settings``."""
         self._settings = settings
         self._suspicions: dict[str, _Suspicion] = {}
         self._heap: list[tuple[float, str, int]] = []
 
     def start(self, name: str, incarnation: int, reporter: str, now: float, nodes: int) -> None:
-        """Begin to suspect; a newer incarnation starts over."""
+        """Start a suspicion; it replaces an existing one of the member."""
         shortest, longest = self._settings.suspicion_range_s(nodes)
         needed = max(0, min(self._settings.confirmations, nodes - 2))
         suspicion = _Suspicion(incarnation, now, shortest, longest, needed, [reporter])
@@ -128,7 +132,7 @@
         self._schedule(name, suspicion)
 
     def confirm(self, name: str, incarnation: int, reporter: str) -> bool:
-        """Count another reporter; return whether it was new and still needed."""
+        """Add a reporter; return whether it was new and still needed."""
         suspicion = self._suspicions.get(name)
         if suspicion is None or suspicion.incarnation != incarnation:
             return False
@@ -139,11 +143,11 @@
         return True
 
     def drop(self, name: str) -> None:
-        """Stop suspecting."""
+        """Remove the suspicion of a member."""
         self._suspicions.pop(name, None)
 
     def next_deadline(self) -> float:
-        """Return when the next suspicion runs out, infinity for none."""
+        """Return when the next suspicion expires, or infinity if there is none."""
         while self._heap:
             deadline, name, incarnation = self._heap[0]
             if self._is_current(deadline, name, incarnation):
@@ -152,7 +156,7 @@
         return math.inf
 
     def expired(self, now: float) -> list[tuple[str, int]]:
-        """Return and drop suspects whose time is over, with their incarnation."""
+        """Remove the expired suspicions; return their members' names and incarnations."""
         found: list[tuple[str, int]] = []
         while self.next_deadline() <= now:
             _, name, incarnation = heapq.heappop(self._heap)
@@ -161,7 +165,7 @@
         return found
 
     def restart_all(self, now: float) -> None:
-        """Begin every suspicion anew: its time ran while this process did not."""
+        """Restart every suspicion's timeout, which elapsed while this process was paused."""
         for name, suspicion in self._suspicions.items():
             suspicion.started_at = now
             self._schedule(name, suspicion)
--- a/tinrudder/cluster/gossip.py
+++ b/tinrudder/cluster/gossip.py
@@ -1,6 +1,6 @@
-"""News waiting to be spread: each piece is sent a bounded number of times, newest first.
+"""Queue of updates to broadcast by gossip: each is sent a bounded number of times, newest first.
 
-Owns the pieces and how often each was sent; relies on its users to say what replaces what.
+Owns the updates and their transmission counts; callers define by key which update replaces which.
 """
 
 from __future__ import annotations
@@ -13,16 +13,16 @@
 
 @dataclass(slots=True)
 class _Entry(Generic[News]):
-    """One piece of news and its size in a datagram, bytes."""
+    """An update and its size in a datagram, bytes."""
 
     news: News
     size: int
 
 
 class BroadcastQueue(Generic[News]):
-    """Pieces of news by key, those sent least often first.
+    """Updates by key, ordered by transmission count, lowest first.
 
-    A newer piece under the same key replaces the older one and starts over.
+    An update replaces an older one with the same key and starts with no transmissions.
 
     >>> queue = BroadcastQueue()
     >>> queue.put("a", "a is suspect", 20)
@@ -40,26 +40,26 @@
         self._round_of: dict[str, int] = {}
 
     def __len__(self) -> int:
-        """Return how many pieces wait."""
+        """Return the number of queued updates."""
         return len(self._round_of)
 
     def put(self, key: str, news: News, size: int) -> None:
-        """Add a piece, replacing an older one under the key."""
+        """Queue an update, replacing an older one with the same key."""
         self.discard(key)
         self._round_of[key] = 0
         self._rounds[0][key] = _Entry(news, size)
 
     def discard(self, key: str) -> None:
-        """Drop a piece, if it is there."""
+        """Remove the update with this key, if any."""
         number = self._round_of.pop(key, None)
         if number is not None:
             del self._rounds[number][key]
 
     def take(self, budget: int, limit: int) -> tuple[News, ...]:
-        """Return pieces that fit and count them as sent once more.
+        """Return the updates for one datagram and count one more transmission for each.
 
         :param budget: bytes left in the datagram.
-        :param limit: pieces sent this often are dropped.
+        :param limit: transmissions after which an update is dropped.
         """
         chosen = self._choose(budget)
         for key, number, entry in chosen:
@@ -68,7 +68,8 @@
         return tuple(entry.news for _, _, entry in chosen)
 
     def _choose(self, budget: int) -> list[tuple[str, int, _Entry[News]]]:
-        """Return keys, rounds and entries, least often sent first, until the budget is used."""
+        """Return updates with key and transmission count, lowest count first, until one exceeds the
+        remaining budget."""
         chosen: list[tuple[str, int, _Entry[News]]] = []
         for number, entries in enumerate(self._rounds):
             for key, entry in entries.items():
@@ -79,7 +80,7 @@
         return chosen
 
     def _keep(self, key: str, number: int, entry: _Entry[News], limit: int) -> None:
-        """Put a piece that was sent ``number`` times back, unless that was often enough."""
+        """Queue an update again under its new transmission count, unless that reached the limit."""
         if number >= limit:
             del self._round_of[key]
             return
--- a/tinrudder/cluster/membership.py
+++ b/tinrudder/cluster/membership.py
@@ -1,7 +1,8 @@
-"""Membership on a transport: the part that embedders use.
+"""Membership over a transport: the API for embedders.
 
 Binds :class:`~tinrudder.cluster.membership_protocol.MembershipProtocol` to timers, a datagram
-transport and the cluster's keys.  It never raises for anything that arrives.
+transport and the cluster's keys. Owns the protocol's timer and the listeners. No received datagram
+makes it raise.
 """
 
 from __future__ import annotations
@@ -35,9 +36,9 @@
 from tinrudder.timers import TimerHandle, Timers, WallClock
 
 CHANNEL_BYTES = 1
-"""What the transport puts before a payload to tell channels apart."""
+"""Bytes that the transport puts before a payload to identify the channel."""
 DATAGRAM_BUDGET = MAX_DATAGRAM_BYTES - CHANNEL_BYTES - SEAL_BYTES
-"""Bytes of one message before it is sealed."""
+"""Maximum size of a message before it is sealed, bytes."""
 
 MemberListener = Callable[[MemberChanged], None]
 RevisionListener = Callable[[Member, int], None]
@@ -46,10 +47,11 @@
 
 @dataclass(slots=True)
 class MembershipCounters:
-    """Datagrams and bytes since the start, without UDP and IP headers.
+    """Counts of datagrams and bytes since the start; bytes exclude UDP and IP headers.
 
-    :param refused: not sealed with a key of ours, old, or seen before.
-    :param malformed: sealed, but no message of this protocol.
+    :param refused: received datagrams that were not sealed with one of the keys, were too old, or
+        were replays.
+    :param malformed: received datagrams that were sealed correctly but hold no valid message.
     """
 
     sent: int = 0
@@ -66,12 +68,12 @@
 
 
 class Membership:
-    """One node's membership.
+    """Membership of one node.
 
-    :param transport: datagrams between nodes, usually one channel of a shared transport.
-    :param own: ourselves; the incarnation comes from
+    :param transport: carries datagrams between nodes, usually as one channel of a shared transport.
+    :param own: this node; its incarnation comes from
         :func:`~tinrudder.cluster.membership_messages.first_incarnation`.
-    :param keys: shared by all nodes; the first seals, all open.
+    :param keys: shared by all nodes; the first key seals, and all keys open.
     """
 
     def __init__(
@@ -85,7 +87,7 @@
         settings: MembershipSettings | None = None,
         pause_detector: PauseDetector | None = None,
     ) -> None:
-        """Send nothing before :meth:`start`."""
+        """Create an instance that sends nothing before :meth:`start`."""
         self.counters = MembershipCounters()
         self.pause_detector = pause_detector or PauseDetector(timers, wall_clock)
         self._timers = timers
@@ -101,7 +103,7 @@
         self.pause_detector.subscribe(self._on_pause)
 
     def start(self, seeds: Sequence[PeerAddress] = ()) -> None:
-        """Begin; ``seeds`` are tried like listed members, also while there is no list."""
+        """Start; ``seeds`` are contacted like listed members, with or without a list."""
         self._running = True
         self._transport.listen(self._on_datagram, _refuse_request)
         self.pause_detector.start()
@@ -109,7 +111,7 @@
         self._arm()
 
     def stop(self) -> None:
-        """Tell the others that we are gone, and end."""
+        """Announce that this node has stopped, and stop."""
         if not self._running:
             return
         self._perform(self._protocol.stop(self._timers.time()))
@@ -119,69 +121,69 @@
             self._timer.cancel()
 
     def announce_joined(self) -> None:
-        """Tell the others that we are there; worth it once most of them are known."""
+        """Announce this node to the others; call it once most of them are known."""
         self._perform(self._protocol.announce_joined(self._timers.time()))
 
     def announce_leaving(self) -> None:
-        """Tell the others to give us no new work."""
+        """Announce that this node is leaving and takes no new work."""
         self._perform(self._protocol.announce_leaving(self._timers.time()))
 
     def view(self) -> MemberView:
-        """Return what this node believes now; replaced as a whole with every change."""
+        """Return the current view, an immutable object that every change replaces."""
         return self._protocol.view()
 
     def live_count(self) -> int:
-        """Return how many members are not dead, ourselves included."""
+        """Return the number of members that are not dead, this node included."""
         return len(self._protocol.table.roster)
 
     def own(self) -> Member:
-        """Return ourselves, with the current incarnation and status."""
+        """Return this node, with its current incarnation and status."""
         return self._protocol.own
 
     def offer_list(self, revision: int, listed: tuple[ListedMember, ...]) -> None:
-        """Take the platform's list of machines."""
+        """Apply a new revision of the platform's list of machines."""
         self._perform(self._protocol.offer_list(revision, listed, self._timers.time()))
 
     def set_enforced_revision(self, revision: int) -> None:
-        """Tell the others which revision of the configuration we enforce."""
+        """Announce the configuration revision that this node enforces."""
         self._perform(self._protocol.set_revision(revision, self._timers.time()))
 
     def enforced_revisions(self) -> tuple[EnforcedRevision, ...]:
-        """Return the revision that every member is known to enforce, by name."""
+        """Return the newest revision that each member is known to enforce."""
         return self._protocol.revisions.by_member()
 
     def all_enforce(self, revision: int) -> bool:
-        """Tell whether every member is known to enforce at least a revision."""
+        """Tell whether every member is known to enforce at least ``revision``."""
         return self._protocol.revisions.lowest() >= revision
 
     def publish_observation(self, backend: str, kind: ObservationKind) -> None:
-        """Tell the others what we observed of a back end."""
+        """Publish this node's observation of a back end."""
         self._perform(self._protocol.publish(backend, kind, self._timers.time()))
 
     def heard_observations(self) -> tuple[Hint, ...]:
-        """Return the hints that still count."""
+        """Return the observations of back ends that have not expired."""
         return self._protocol.observations.heard(self._timers.time())
 
     def on_member_changed(self, listener: MemberListener) -> None:
-        """Call ``listener`` whenever a member is new or changes."""
+        """Call ``listener`` when a member joins or changes."""
         self._listeners.members.append(listener)
 
     def on_newer_revision(self, listener: RevisionListener) -> None:
-        """Call ``listener`` when a member enforces a newer revision than we do.
+        """Call ``listener`` when a member enforces a newer revision than this node.
 
-        Repeated at most twice a second until we have caught up.
+        Repeated at most twice per second until this node has caught up.
         """
         self._listeners.revisions.append(listener)
 
     def on_observation(self, listener: ObservationListener) -> None:
-        """Call ``listener`` with every observation heard that is news."""
+        """Call ``listener`` with every new observation received from another node."""
         self._listeners.observations.append(listener)
 
     def _on_datagram(self, source: PeerAddress, datagram: bytes) -> None:
-        """Take what arrives, or drop and count it."""
+        """Process a received datagram, or drop and count it."""
         if not self._running:
             return
-        # A datagram may be the first thing that runs after a pause.
+        # A datagram may arrive before any timer fires after a pause.
         self.pause_detector.check()
         try:
             envelope = decode_envelope(self._seal.open(datagram))
@@ -196,8 +198,8 @@
     def _on_timer(self) -> None:
         self._timer = None
         self.pause_detector.check()
-        # An event loop fires up to its clock's resolution early.  By the clock nothing would be
-        # due then, and in virtual time the same timer would be set again for ever.
+        # An event loop may fire a timer early by up to its clock's resolution. By its clock nothing
+        # would be due yet, and in virtual time the same timer would be set again for ever.
         now = max(self._timers.time(), self._timer_at)
         self._perform(self._protocol.on_time(now))
 
@@ -206,7 +208,7 @@
             self._perform(self._protocol.on_pause(gap_s, self._timers.time()))
 
     def _perform(self, actions: list[Action]) -> None:
-        """Send datagrams, call listeners, set the timer."""
+        """Execute the protocol's actions and set the timer."""
         for action in actions:
             match action:
                 case Send():
@@ -225,14 +227,14 @@
     def _send(self, action: Send) -> None:
         datagram = self._seal.seal(encode_envelope(action.envelope))
         if len(datagram) + CHANNEL_BYTES > MAX_DATAGRAM_BYTES:
-            # More than the transport takes; the outbox adds updates only up to DATAGRAM_BUDGET.
+            # Larger than the transport allows; the outbox keeps updates within DATAGRAM_BUDGET.
             return
         self.counters.sent += 1
         self.counters.sent_bytes += len(datagram) + CHANNEL_BYTES
         self._transport.send_datagram(action.destination, datagram)
 
     def _arm(self) -> None:
-        """Set the timer for the next deadline, unless an earlier one is set."""
+        """Set the timer for the next deadline, unless it is already set for an earlier time."""
         if not self._running:
             return
         deadline = self._protocol.next_deadline()
@@ -245,5 +247,5 @@
 
 
 async def _refuse_request(source: PeerAddress, _: bytes) -> bytes:
-    """Membership uses datagrams alone."""
-    raise ValueError(f"{source}: membership takes no requests")
+    """Refuse a request: membership uses only datagrams."""
+    raise ValueError(f"membership does not accept requests: received one from {source}")
--- a/tinrudder/cluster/membership_events.py
+++ b/tinrudder/cluster/membership_events.py
@@ -1,7 +1,7 @@
-"""What membership tells its user, and what it asks its user to send.
+"""Actions that the membership protocol returns: events for listeners and datagrams to send.
 
-Plain data that :class:`~tinrudder.cluster.membership_protocol.MembershipProtocol` returns and the
-driver in ``membership`` acts upon; owns no state.
+Values only: :class:`~tinrudder.cluster.membership_protocol.MembershipProtocol` returns them and the
+driver in ``membership`` executes them.
 """
 
 from __future__ import annotations
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberChanged:
-    """A member is new or has another state; ``previous`` is ``None`` for a new one."""
+    """A member joined or changed; ``previous`` is ``None`` for a new member."""
 
     member: Member
     previous: Member | None
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NewerRevisionHeard:
-    """A member enforces a newer revision of the configuration than we do."""
+    """A member enforces a newer configuration revision than this node."""
 
     member: Member
     revision: int
@@ -31,7 +31,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ObservationHeard:
-    """Another node observed something of a back end."""
+    """Another node published an observation of a back end."""
 
     observation: Observation
 
--- a/tinrudder/cluster/membership_list.py
+++ b/tinrudder/cluster/membership_list.py
@@ -1,7 +1,7 @@
-"""The platform's list of machines as a hint: whom to contact, and who is said to be leaving.
+"""The platform's list of machines, used as a hint: which addresses to contact, and who is leaving.
 
-The list lags.  A listed machine that never answered is not a member, and a member that is not
-listed stays one.
+Owns the latest list and the seed addresses. The list lags: a listed machine that never answered is
+not a member, and a member that is not listed remains one.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class PlatformListing:
-    """The latest list, set against what this node knows itself."""
+    """The latest list, compared with the local membership table."""
 
     def __init__(self, table: MembershipTable) -> None:
-        """Compare with ``table``."""
+        """Start with an empty list, compared with ``table``."""
         self.revision = 0
         self.version = 0
         self._table = table
@@ -36,10 +36,10 @@
         self._unanswered_key = (-1, -1)
 
     def offer(self, revision: int, listed: tuple[ListedMember, ...]) -> tuple[str, ...]:
-        """Take a new list; return the names that have turned to leaving since the last one.
+        """Apply a new list; return the names that have changed to leaving since the previous one.
 
-        The first list after our own start names nobody as leaving: it lags, and what it says of
-        us is most likely about the start before.
+        The first list after this node's start reports no name as leaving: the list lags, and its
+        entry for this node most likely refers to the previous start.
         """
         before = {entry.name for entry in self._listed if entry.leaving}
         turned = tuple(entry.name for entry in listed if entry.leaving and entry.name not in before)
@@ -50,16 +50,17 @@
         return () if is_first else turned
 
     def says_live(self, name: str) -> bool:
-        """Tell whether the list names a member, and not as leaving."""
+        """Tell whether the list has this member and does not mark it as leaving."""
         return any(entry.name == name and not entry.leaving for entry in self._listed)
 
     def add_seeds(self, seeds: tuple[PeerAddress, ...]) -> None:
-        """Try these addresses too, whatever the list says."""
+        """Contact these addresses too, regardless of the list."""
         self._seeds += seeds
         self.version += 1
 
     def unanswered(self, own: PeerAddress) -> tuple[PeerAddress, ...]:
-        """Return the addresses of listed and of dead members that are not live members."""
+        """Return the addresses of listed and dead members, and seeds, where no live member is
+        known."""
         key = (self._table.version, self.version)
         if key != self._unanswered_key:
             self._unanswered = self._find_unanswered(own)
--- a/tinrudder/cluster/membership_messages.py
+++ b/tinrudder/cluster/membership_messages.py
@@ -1,6 +1,6 @@
-"""What nodes say to each other about membership, as plain immutable messages.
+"""Messages of the membership protocol, as immutable values.
 
-Owns no state.  ``wire.membership_codec`` turns them into bytes.
+Values only. ``wire.membership_codec`` encodes and decodes them.
 """
 
 from __future__ import annotations
@@ -12,12 +12,13 @@
 from tinrudder.peers import PeerAddress
 
 REFUTATION_BITS = 16
-"""Low bits of an incarnation count refutations; the rest is when the process started."""
+"""Number of low bits of an incarnation that count refutations; the higher bits hold the process's
+start time."""
 
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a member runs."""
+    """Location of a member."""
 
     zone: str
     region: str
@@ -26,10 +27,10 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberUpdate:
-    """What one node says of a member.
+    """One node's statement about a member.
 
-    :param place: ``None`` where the receiver must already know this start of the member.
-    :param reporter: who suspects it; empty for other states.
+    :param place: ``None`` if the receiver must already know this start of the member.
+    :param reporter: the node that suspects the member; empty for other states.
     """
 
     name: str
@@ -42,9 +43,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Enforcement:
-    """Which members enforce at least ``revision``, a bit for each name of the sorted roster.
+    """The members that enforce at least ``revision``, as one bit per name of the sorted roster.
 
-    Only a receiver with the same roster can read the bits, so the roster's digest goes along.
+    Only a receiver with the same roster can read the bits, so the message includes the roster's
+    digest.
     """
 
     revision: int
@@ -53,7 +55,7 @@
 
 
 class ObservationKind(enum.IntEnum):
-    """What a node observed of a back end; ``RECOVERED`` takes the others back."""
+    """Kinds of observations of a back end; ``RECOVERED`` withdraws the others."""
 
     RECOVERED = 0
     DRAINING = 1
@@ -65,8 +67,8 @@
 class Observation:
     """One node's observation of a back end.
 
-    :param sequence: grows with every observation of ``origin``.
-    :param age_s: how long ago it was made; relative, since clocks differ.
+    :param sequence: increases with every observation of ``origin``.
+    :param age_s: seconds since the observation was made; relative, since clocks differ.
     """
 
     backend: str
@@ -78,7 +80,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Ping:
-    """Asks for an acknowledgement; an empty target means whoever listens at the address."""
+    """Requests an acknowledgement; with an empty target, any node at the address answers."""
 
     sequence: int
     target: str = ""
@@ -86,7 +88,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PingRequest:
-    """Asks the receiver to ping a target in the sender's place."""
+    """Requests that the receiver ping a target on the sender's behalf."""
 
     sequence: int
     target: str
@@ -95,28 +97,28 @@
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The target of the ping with this sequence lives."""
+    """Reports that the target of the ping with this sequence number is alive."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class NegativeAcknowledgement:
-    """The relay is well but got no acknowledgement from the target."""
+    """Reports that the relay received no acknowledgement from the target."""
 
     sequence: int
 
 
 @dataclass(frozen=True, slots=True)
 class Gossip:
-    """Carries only what is piggybacked."""
+    """Has no content of its own; carries only piggybacked data."""
 
 
 @dataclass(frozen=True, slots=True)
 class SyncRequest:
-    """Anti-entropy: one digest for each bucket of members.
+    """Anti-entropy request: one digest per bucket of members.
 
-    :param is_return: the receiver answers, but does not ask back.
+    :param is_return: the receiver answers, but sends no request in return.
     """
 
     digests: tuple[int, ...]
@@ -125,7 +127,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SyncAnswer:
-    """The updates are members of buckets that differ."""
+    """Anti-entropy answer: the envelope's updates are the members of differing buckets."""
 
 
 Body = (
@@ -141,7 +143,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Envelope:
-    """One datagram: who sends it, its body and what rides along."""
+    """Content of one datagram: sender, body and piggybacked data."""
 
     sender: str
     incarnation: int
@@ -153,7 +155,7 @@
 
 
 def first_incarnation(wall_clock_s: float) -> int:
-    """Return the incarnation of a process that starts now.
+    """Return the incarnation of a process that starts at this wall-clock time, seconds.
 
     >>> first_incarnation(2.0) > first_incarnation(1.999)
     True
@@ -162,7 +164,7 @@
 
 
 def same_start(first: int, second: int) -> bool:
-    """Tell whether two incarnations belong to one start of the process.
+    """Tell whether two incarnations belong to the same start of the process.
 
     >>> same_start(first_incarnation(1.0), first_incarnation(1.0) + 1)
     True
@@ -171,7 +173,7 @@
 
 
 def full_update(member: Member, enforced_revision: int) -> MemberUpdate:
-    """Return everything known of a member; a suspicion is not passed on this way."""
+    """Return all that is known of a member; a suspected member is reported as alive."""
     status = member.status
     if status is MemberStatus.SUSPECT:
         status = MemberStatus.ALIVE
@@ -180,5 +182,5 @@
 
 
 def claim(member: Member, status: MemberStatus, reporter: str = "") -> MemberUpdate:
-    """Return a short statement about a known member."""
+    """Return a statement about a known member, without its location."""
     return MemberUpdate(member.name, member.incarnation, status, None, 0, reporter)
--- a/tinrudder/cluster/membership_outbox.py
+++ b/tinrudder/cluster/membership_outbox.py
@@ -1,7 +1,7 @@
-"""Builds the datagrams a node sends and fills what is left of each with news.
+"""Builds outgoing datagrams and fills the remaining space of each with queued updates.
 
-Owns the datagrams until the driver takes them, and the queue of news.  Relies on estimates of size,
-so that a message is encoded once.
+Owns the datagrams until the driver takes them, and the queue of updates. Relies on size estimates,
+so that each message is encoded only once.
 """
 
 from __future__ import annotations
@@ -29,8 +29,8 @@
 from tinrudder.cluster.view import Member
 from tinrudder.peers import PeerAddress
 
-# Upper estimates of what a part takes as protobuf without its names and addresses, in bytes.  A
-# datagram that turned out larger than the transport takes would be dropped.
+# Upper bounds on the protobuf size of message parts without their names and addresses, in bytes. A
+# datagram that turned out larger than the transport allows would be dropped.
 ENVELOPE_BYTES = 48
 UPDATE_BYTES = 32
 PLACE_BYTES = 16
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Send:
-    """A datagram to be sent."""
+    """A datagram to send."""
 
     destination: PeerAddress
     envelope: Envelope
@@ -59,7 +59,7 @@
         revisions: EnforcedRevisions,
         observations: Observations,
     ) -> None:
-        """Build datagrams of at most ``budget`` bytes; ``now`` is set before every use."""
+        """Build datagrams of at most ``budget`` bytes; callers set ``now`` before every use."""
         self.own = own
         self._budget = budget
         self._settings = settings
@@ -73,22 +73,22 @@
 
     @property
     def has_news(self) -> bool:
-        """Tell whether rounds of gossip are worth sending."""
+        """Tell whether there is anything to send in a gossip round."""
         waiting = len(self._news) > 0 or self._observations.waiting
         return waiting or self._revision_transmissions > 0
 
     def announce(self, update: MemberUpdate) -> None:
-        """Spread an update."""
+        """Queue an update for gossip."""
         self._news.put(update.name, update, update_size(update))
 
     def announce_revisions(self) -> None:
-        """Spread what is known of enforced revisions."""
+        """Attach the enforced revisions to the next datagrams."""
         self._revision_transmissions = self._limit()
 
     def send(
         self, destination: PeerAddress, body: Body, updates: tuple[MemberUpdate, ...] = ()
     ) -> None:
-        """Queue a datagram; ``updates`` go before any other news."""
+        """Queue a datagram; ``updates`` take precedence over queued updates."""
         room = self._budget - ENVELOPE_BYTES - len(self.own.name.encode()) - body_size(body)
         room -= sum(update_size(update) for update in updates)
         enforcement = self._enforcement(body)
@@ -114,19 +114,20 @@
         self._sends.append(Send(destination, envelope))
 
     def tell_many(self, members: Sequence[Member], update: MemberUpdate) -> None:
-        """Queue one update alone for many members: urgent news, rare enough to cost little."""
+        """Queue the same update for many members, without piggybacked data: for rare and urgent
+        updates."""
         revision = self._revisions.get(self.own.name)
         envelope = Envelope(self.own.name, self.own.incarnation, revision, Gossip(), (update,))
         self._sends.extend(Send(member.address, envelope) for member in members)
 
     def room_for_updates(self, body: Body) -> int:
-        """Return the bytes a datagram without other news leaves for updates."""
+        """Return the bytes left for updates in a datagram without other piggybacked data."""
         size = ENVELOPE_BYTES + len(self.own.name.encode()) + body_size(body)
         bits = (len(self._table.roster) + 7) // 8
         return self._budget - size - ENFORCEMENT_BYTES - bits
 
     def sample(self, source: random.Random, count: int) -> list[Member]:
-        """Return random members of the roster, never ourselves."""
+        """Return random members of the roster, excluding this node."""
         roster = self._table.roster
         names = source.sample(roster, min(len(roster), count + 1))
         others = [name for name in names if name != self.own.name][:count]
@@ -134,7 +135,7 @@
         return [member for member in members if member is not None]
 
     def drain(self) -> list[Send]:
-        """Return and clear what was queued."""
+        """Return and clear the queued datagrams."""
         sends = self._sends
         self._sends = []
         return sends
@@ -146,7 +147,8 @@
         return self._settings.transmissions(len(self._table.roster), len(self._news))
 
     def _enforcement(self, body: Body) -> Enforcement | None:
-        """Attach the revisions while they change, and wherever digests are compared."""
+        """Return the enforced revisions to attach while they spread and to anti-entropy
+        messages."""
         if self._revision_transmissions > 0:
             self._revision_transmissions -= 1
             return self._revisions.encode()
@@ -156,7 +158,7 @@
 
 
 def update_size(update: MemberUpdate) -> int:
-    """Return an upper bound of an update's encoded size, bytes."""
+    """Return an upper bound on an update's encoded size, bytes."""
     size = UPDATE_BYTES + len(update.name.encode()) + len(update.reporter.encode())
     if update.place is not None:
         place = update.place
@@ -166,7 +168,7 @@
 
 
 def body_size(body: Body) -> int:
-    """Return an upper bound of a body's encoded size, bytes."""
+    """Return an upper bound on a body's encoded size, bytes."""
     match body:
         case Ping():
             return BODY_BYTES + len(body.target.encode())
--- a/tinrudder/cluster/membership_probes.py
+++ b/tinrudder/cluster/membership_probes.py
@@ -1,7 +1,7 @@
-"""Probes members in turn: directly, then through relays; and relays for others.
+"""Probes members in turn, directly and then through relays, and relays probes for others.
 
-Owns the probes under way and those carried for others.  Relies on the outbox to send, and on
-``membership_protocol`` to draw the conclusion from a probe that failed.
+Owns the probes in progress and those relayed for others. Relies on the outbox to send, and on
+``membership_protocol`` to act on failed probes.
 """
 
 from __future__ import annotations
@@ -27,15 +27,15 @@
 from tinrudder.peers import PeerAddress
 
 MAX_RELAYED = 256
-"""Probes that a node carries for others at once; more are dropped and count as unanswered.
-Chosen, not measured: it bounds memory when many ask."""
+"""Maximum number of probes relayed at once: bounds memory when many nodes ask. Further ones are
+dropped and count as unanswered."""
 RELAY_PATIENCE = 0.8
-"""Share of the acknowledgement's timeout after which a relay says that it got none."""
+"""Share of the acknowledgement timeout after which a relay sends a negative acknowledgement."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Relayed:
-    """A probe made for another node; the negative answer is due at ``negative_at``."""
+    """A probe on another node's behalf; its negative acknowledgement is due at ``negative_at``."""
 
     sequence: int
     origin: PeerAddress
@@ -55,7 +55,7 @@
         health: LocalHealth,
         now: float,
     ) -> None:
-        """Start probing within one interval, at a random phase."""
+        """Schedule the first probe at a random time within one interval."""
         self.order = ProbeOrder(source)
         self._settings = settings
         self._random = source
@@ -68,7 +68,7 @@
         self._relayed: deque[_Relayed] = deque()
 
     def next_deadline(self) -> float:
-        """Return when :meth:`on_time` has something to do."""
+        """Return when :meth:`on_time` is next due."""
         deadline = self._next_probe_at
         for probe in self._probes:
             deadline = min(deadline, probe.next_deadline())
@@ -76,7 +76,7 @@
         return min(deadline, relayed)
 
     def on_time(self, now: float) -> list[str]:
-        """Go on with the probes; return the names of members that did not answer."""
+        """Advance the probes; return the names of members that did not answer."""
         self._answer_negatively(now)
         for probe in self._probes:
             if probe.wants_relays(now):
@@ -84,20 +84,20 @@
         failed = [probe for probe in self._probes if now >= probe.ends_at]
         for probe in failed:
             self._probes.remove(probe)
-            # Relays that say nothing at all hint at our own trouble.
+            # Relays that sent no negative acknowledgement either suggest a fault of this node.
             self._health.note_trouble(probe.relays - min(probe.relays, probe.negative))
         if now >= self._next_probe_at:
             self._start_probe(now)
         return [probe.target for probe in failed]
 
     def restart(self, now: float) -> None:
-        """Drop the probes in progress, whose time ran while this process did not."""
+        """Discard the probes in progress, whose timeouts elapsed while this process was paused."""
         self._probes.clear()
         self._relayed.clear()
         self._next_probe_at = now
 
     def on_acknowledgement(self, sequence: int) -> None:
-        """Take an answer to our probe, or pass on one that we relay."""
+        """Complete a probe of this node, or forward the acknowledgement of a relayed one."""
         for probe in self._probes:
             if probe.sequence == sequence:
                 self._health.note_success()
@@ -110,13 +110,13 @@
                 return
 
     def on_negative(self, sequence: int) -> None:
-        """A relay is well but got no answer."""
+        """Count a negative acknowledgement from a relay."""
         for probe in self._probes:
             if probe.sequence == sequence:
                 probe.negative += 1
 
     def on_ping_request(self, origin: PeerAddress, request: PingRequest, now: float) -> None:
-        """Probe in another node's place."""
+        """Probe a target on another node's behalf."""
         if len(self._relayed) >= MAX_RELAYED:
             return
         sequence = self._next_sequence()
@@ -125,7 +125,7 @@
         self._outbox.send(request.address, Ping(sequence, request.target))
 
     def ping(self, member: Member) -> int:
-        """Send a ping; a suspect learns of the suspicion at once, so that it can refute."""
+        """Send a ping; a suspect's ping carries the suspicion, so that it can refute at once."""
         sequence = self._next_sequence()
         updates: tuple[MemberUpdate, ...] = ()
         if member.status is MemberStatus.SUSPECT:
@@ -144,7 +144,7 @@
         self._probes.append(Probe(target.name, sequence, indirect_at, ends_at))
 
     def _next_target(self) -> Member | None:
-        """Return the next other member that is still on the roster."""
+        """Return the next member to probe, skipping this node and dead members."""
         for _ in range(len(self._table.roster) + 1):
             name = self.order.next(self._table.roster)
             member = self._table.get(name) if name is not None else None
@@ -155,7 +155,8 @@
         return None
 
     def _ask_relays(self, probe: Probe) -> None:
-        """Probe through others, and once more directly: most losses are of one datagram."""
+        """Request indirect probes and repeat the direct one: most losses affect a single
+        datagram."""
         probe.indirect_sent = True
         target = self._table.get(probe.target)
         if target is None:
--- a/tinrudder/cluster/membership_protocol.py
+++ b/tinrudder/cluster/membership_protocol.py
@@ -1,7 +1,8 @@
-"""Membership as a state machine: messages and time in, datagrams and events out.
+"""Membership as a state machine: takes messages and time, returns datagrams and events.
 
-Failure detection is SWIM's, with Lifeguard's local health and shrinking suspicion; news rides on
-every datagram; digests are compared now and then.  Time and randomness are passed in.
+Owns one node's membership state. Failure detection follows SWIM with Lifeguard's local health and
+dynamic suspicion timeouts; updates are piggybacked on every datagram; anti-entropy compares digests
+periodically. Time and randomness are passed in.
 """
 
 from __future__ import annotations
@@ -43,27 +44,26 @@
 from tinrudder.peers import PeerAddress
 
 MEET_INTERVAL_S = 0.1
-"""Seconds between comparisons of tables with nodes that were unknown: a start of all would
-otherwise ask for everything of everybody at once.  With it, 730 nodes that join within 2 s send at
-most 72 KB in one second each (docs/MEMBERSHIP.md)."""
+"""Minimum interval between table comparisons with previously unknown nodes, seconds: otherwise
+nodes that start together would all request whole tables from each other at once. With it, 730 nodes
+that join within 2 s send at most 72 KB in one second each (docs/MEMBERSHIP.md)."""
 REVISION_EVENT_INTERVAL_S = 0.5
-"""Seconds between events that the same newer revision is enforced elsewhere, until this node has
-caught up."""
+"""Interval of repeated events for the same newer revision, seconds, until this node has caught
+up."""
 CONTACTS_WHEN_ALONE = 3
-"""Listed members tried at a time by a node that knows nobody, in place of one.  Chosen, not
-measured."""
+"""Listed members contacted at a time by a node that knows no other member; otherwise one."""
 SYNCS_AFTER_PAUSE = 3
-"""Members that a node compares tables with after a pause: what it holds is old, and one of them
-may have been cut off.  Chosen, not measured."""
+"""Members with which a node compares tables after a pause: its state is stale, and one of them may
+have been partitioned."""
 PAUSE_TROUBLE = 2
-"""What a pause adds to the health score, in missed probes.  Chosen, not measured."""
+"""Amount that a pause adds to the health score, in missed probes."""
 TOLD_DIRECTLY = 200
-"""Members that are told at once of one that joined or leaves.  By gossip alone nodes disagreed for
-half a second on who coordinates, and queries were refused (docs/MEMBERSHIP.md)."""
+"""Members that are sent a join or leave directly. With gossip alone, nodes disagreed for half a
+second on the coordinator, and queries were refused (docs/MEMBERSHIP.md)."""
 
 
 class MembershipProtocol:
-    """One node's part; every public method takes the monotonic time ``now``, seconds."""
+    """The protocol of one node; public methods that take ``now`` expect monotonic seconds."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         datagram_budget: int,
         now: float,
     ) -> None:
-        """Start knowing only ourselves."""
+        """Start with a table that holds only this node."""
         self.table = MembershipTable()
         self.revisions = EnforcedRevisions(self.table)
         self.observations = Observations(own.name, own.incarnation)
@@ -102,11 +102,11 @@
 
     @property
     def own(self) -> Member:
-        """Return ourselves."""
+        """Return this node."""
         return self._outbox.own
 
     def view(self) -> MemberView:
-        """Return what we believe now; the same object until something changes."""
+        """Return the current view; the same object until something changes."""
         key = (self.table.version, self.listing.version)
         if key != self._view_key:
             self._view = build_view(self.table.members(), self.listing.revision)
@@ -114,7 +114,7 @@
         return self._view
 
     def next_deadline(self) -> float:
-        """Return when :meth:`on_time` is due."""
+        """Return when :meth:`on_time` is next due."""
         deadline = min(self._prober.next_deadline(), self._suspicions.next_deadline())
         deadline = min(deadline, self._next_sync_at, self._next_contact_at)
         if self._outbox.has_news:
@@ -122,7 +122,7 @@
         return deadline
 
     def on_time(self, now: float) -> list[Action]:
-        """Do whatever is due."""
+        """Execute everything that is due."""
         self._outbox.now = now
         if now >= self._prober.next_deadline():
             for name in self._prober.on_time(now):
@@ -138,7 +138,7 @@
         return self._take_actions()
 
     def on_message(self, source: PeerAddress, envelope: Envelope, now: float) -> list[Action]:
-        """Take one datagram of a member."""
+        """Process one received message."""
         self._outbox.now = now
         if envelope.sender == self.own.name and same_start(
             envelope.incarnation, self.own.incarnation
@@ -156,11 +156,13 @@
         return self._take_actions()
 
     def on_pause(self, gap_s: float, now: float) -> list[Action]:
-        """We slept: others may have buried us, and what we suspect ran on without us.
+        """Recover from a pause, after which the others may hold this node dead.
 
-        The incarnation is raised and tables are compared only where the others may have buried
-        us: when a whole site stalls for a second, every node would announce itself and ask for
-        tables for nothing, and the work of that could stall it again.
+        Suspicions and probes restart, since their timeouts elapsed during the pause. The
+        incarnation is raised and tables are compared only if the pause was long enough for the
+        others to declare this node dead. Otherwise, when a whole site stalls for a second, every
+        node would announce itself and request tables needlessly, and that load could stall the site
+        again.
         """
         self._outbox.now = now
         self.health.note_trouble(PAUSE_TROUBLE)
@@ -175,10 +177,10 @@
     def offer_list(
         self, revision: int, listed: tuple[ListedMember, ...], now: float
     ) -> list[Action]:
-        """Take the platform's list.
+        """Apply the platform's list.
 
-        Who turned to leaving on it is told to everyone at once: lists are read at different
-        times, and nodes that disagree on who coordinates get in each other's way.
+        A member that has changed to leaving is announced to all nodes at once: nodes read the list
+        at different times, and nodes that disagree on the coordinator interfere with each other.
         """
         self._outbox.now = now
         for name in self.listing.offer(revision, listed):
@@ -193,26 +195,26 @@
         return self._take_actions()
 
     def set_revision(self, revision: int, now: float) -> list[Action]:
-        """We enforce a revision of the configuration now."""
+        """Record and announce the configuration revision that this node enforces."""
         self._outbox.now = now
         if self.revisions.note(self.own.name, revision):
             self._outbox.announce_revisions()
         return self._take_actions()
 
     def publish(self, backend: str, kind: ObservationKind, now: float) -> list[Action]:
-        """Tell the others what we observed of a back end."""
+        """Publish this node's observation of a back end."""
         self._outbox.now = now
         self.observations.publish(backend, kind, now)
         return self._take_actions()
 
     def announce_joined(self, now: float) -> list[Action]:
-        """Tell the others that we are there, once we know most of them."""
+        """Announce this node directly; called once it knows most of the others."""
         self._outbox.now = now
         self._tell_directly(full_update(self.own, self.revisions.get(self.own.name)))
         return self._take_actions()
 
     def announce_leaving(self, now: float) -> list[Action]:
-        """Tell the others that we finish what we have and take nothing new."""
+        """Announce that this node finishes its work in progress and takes no new work."""
         self._outbox.now = now
         self._left_by_list = False
         self._set_own(replace(self.own, status=MemberStatus.LEAVING), now)
@@ -220,7 +222,7 @@
         return self._take_actions()
 
     def stop(self, now: float) -> list[Action]:
-        """Tell the others that we are gone; nothing is answered any more."""
+        """Announce that this node has stopped; it no longer refutes such statements."""
         self._outbox.now = now
         self._stopped = True
         gone = claim(self.own, MemberStatus.DEAD)
@@ -247,8 +249,8 @@
     def _on_update(
         self, source: PeerAddress, sender: str, update: MemberUpdate, is_sync: bool, now: float
     ) -> None:
-        """Merge one statement about a member."""
-        # Gossip brings the same object about ten times, since decoded updates are kept.
+        """Merge one received statement about a member."""
+        # Decoded updates are cached, so gossip delivers the same object about ten times.
         if not is_sync and self._last_gossip.get(update.name) is update:
             return
         if update.name == self.own.name:
@@ -272,7 +274,8 @@
             self._correct(source, held)
 
     def _on_claim_about_us(self, source: PeerAddress, update: MemberUpdate, now: float) -> None:
-        """Refute what is wrong: a suspicion, a death, or an earlier start of ours."""
+        """Refute a wrong statement about this node: a suspicion, a death, or one about an earlier
+        start."""
         if self._stopped or update.incarnation < self.own.incarnation:
             return
         same = update.incarnation == self.own.incarnation
@@ -287,7 +290,7 @@
         self._outbox.send(source, Gossip())
 
     def _on_sender(self, source: PeerAddress, envelope: Envelope, now: float) -> None:
-        """Compare how we hold the sender with the fact that it speaks."""
+        """Correct this node's and the sender's state, given that the sender is alive."""
         held = self.table.get(envelope.sender)
         if held is None or not same_start(held.incarnation, envelope.incarnation):
             self._meet(source, now)
@@ -301,7 +304,7 @@
             self._meet(source, now)
 
     def _on_revisions(self, envelope: Envelope, now: float) -> None:
-        """Learn who enforces what, and whether someone is ahead of us."""
+        """Merge the enforced revisions; emit an event if the sender's is newer than this node's."""
         news = False
         sender = self.table.get(envelope.sender)
         if sender is not None and same_start(sender.incarnation, envelope.incarnation):
@@ -319,14 +322,14 @@
             self._events.append(NewerRevisionHeard(sender, revision))
 
     def _adopt(self, update: MemberUpdate, now: float) -> None:
-        """Merge a statement of our own making and spread it."""
+        """Apply a statement made by this node and spread it if it changed the table."""
         held = self.table.get(update.name)
         if self.table.apply(update, now) is Merged.CHANGED:
             self._after_change(update, held, now)
             self._outbox.announce(update)
 
     def _after_change(self, update: MemberUpdate, held: Member | None, now: float) -> None:
-        """Adjust everything that hangs on a member's state."""
+        """Update the state that depends on a member's status or incarnation."""
         member = self.table.get(update.name)
         if member is None:
             return
@@ -342,7 +345,7 @@
         self._events.append(MemberChanged(member, held))
 
     def _on_probe_failed(self, name: str, now: float) -> None:
-        """Suspect a member; one that said it leaves is simply gone."""
+        """Suspect a member that did not answer; a leaving member is declared dead instead."""
         member = self.table.get(name)
         if member is None or member.status is MemberStatus.DEAD:
             return
@@ -354,9 +357,11 @@
         self._outbox.send(member.address, Gossip(), (suspicion,))
 
     def _doubt(self, sender: str, update: MemberUpdate, now: float) -> None:
-        """Another table holds a member dead that ours may hold alive, say after a cut.
+        """Suspect locally a member that another node's table holds dead, for example after a
+        partition.
 
-        Adopting it would bury the living, so the member is suspected here only and asked.
+        Adopting the statement could declare a live member dead, so the member is only suspected by
+        this node and is pinged.
         """
         held = self.table.get(update.name)
         if held is None or held.status not in (MemberStatus.ALIVE, MemberStatus.SUSPECT):
@@ -371,7 +376,7 @@
             self._prober.ping(suspect)
 
     def _correct(self, source: PeerAddress, held: Member) -> None:
-        """Answer an outdated statement of an anti-entropy answer with what we hold."""
+        """Answer an outdated statement in an anti-entropy answer with the newer local state."""
         if held.status is MemberStatus.DEAD:
             update = claim(held, MemberStatus.DEAD)
         else:
@@ -379,17 +384,18 @@
         self._outbox.send(source, SyncAnswer(), (update,))
 
     def _leave_by_list(self, now: float) -> None:
-        """The platform wants us to leave; it may change its mind, unlike a planned stop."""
+        """Leave because the platform's list says so; unlike a planned stop, the list can reverse
+        this."""
         if self.own.status is MemberStatus.ALIVE:
             self._left_by_list = True
             self._change_own(MemberStatus.LEAVING, self.own.incarnation, now)
             self._tell_directly(claim(self.own, MemberStatus.LEAVING))
 
     def _tell_directly(self, update: MemberUpdate) -> None:
-        """Tell most members at once; gossip brings it to those missed.
+        """Send an update directly to most members; gossip reaches the others.
 
-        Nodes that disagree on who coordinates keep slots from each other; by gossip alone that
-        lasted some rounds.
+        Nodes that disagree on the coordinator block each other's slots; with gossip alone, that
+        lasted several rounds.
         """
         members = self._outbox.sample(self._random, TOLD_DIRECTLY)
         self._outbox.tell_many(members, update)
@@ -403,7 +409,7 @@
         self._set_own(replace(self.own, incarnation=above + 1), now)
 
     def _set_own(self, own: Member, now: float) -> None:
-        """Change and spread our own state."""
+        """Change this node's own state and spread it."""
         started_anew = not same_start(own.incarnation, self.own.incarnation)
         self._outbox.own = own
         update = full_update(own, self.revisions.get(own.name))
@@ -413,7 +419,7 @@
         self._outbox.announce(update)
 
     def _meet(self, source: PeerAddress, now: float) -> None:
-        """Compare tables with a node that we did not know, or thought dead."""
+        """Compare tables with a node that was unknown or held dead."""
         if now < self._next_meeting_at:
             return
         self._next_meeting_at = now + MEET_INTERVAL_S
@@ -429,7 +435,7 @@
             self._last_gossip.pop(name, None)
 
     def _contact_unanswered(self, now: float) -> None:
-        """Try a listed or dead member: it may be up, or on the far side of a cut that healed."""
+        """Ping a listed or dead member: it may be up, or reachable again after a partition."""
         self._next_contact_at = now + self._settings.contact_interval_s
         candidates = self.listing.unanswered(self.own.address)
         count = CONTACTS_WHEN_ALONE if len(self.table.roster) == 1 else 1
@@ -439,7 +445,7 @@
             self._outbox.send(address, Ping(0), updates)
 
     def _gossip(self, now: float) -> None:
-        """One round of gossip."""
+        """Send one round of gossip."""
         self._next_gossip_at = now + self._settings.gossip_interval_s
         for member in self._outbox.sample(self._random, self._settings.gossip_fanout):
             if self._outbox.has_news:
--- a/tinrudder/cluster/membership_revisions.py
+++ b/tinrudder/cluster/membership_revisions.py
@@ -1,7 +1,8 @@
-"""Which member enforces which revision of the configuration.
+"""Configuration revisions that each member enforces.
 
-Spread as one bit a member: 92 bytes for 730 members, where separate statements would take 730
-times the datagrams.  Bits are only ever added, so any two nodes can merge what they hold.
+Owns the revision of each member. They spread as one bit per member: 92 bytes for 730 members, where
+separate statements would take 730 times as many datagrams. Bits are only ever added, so any two
+nodes can merge their states.
 """
 
 from __future__ import annotations
@@ -14,17 +15,17 @@
 
 @dataclass(frozen=True, slots=True)
 class EnforcedRevision:
-    """The newest revision a member is known to enforce, 0 for none."""
+    """The newest revision that a member is known to enforce, or 0 if none is known."""
 
     name: str
     revision: int
 
 
 class EnforcedRevisions:
-    """Revisions by member, for the members of one roster."""
+    """Enforced revisions by member, for the members of one roster."""
 
     def __init__(self, table: MembershipTable) -> None:
-        """Follow the roster of ``table``."""
+        """Start without revisions, for the roster of ``table``."""
         self._table = table
         self._revisions: dict[str, int] = {}
         self._roster_version = -1
@@ -32,23 +33,23 @@
         self._bits_revision = -1
 
     def get(self, name: str) -> int:
-        """Return a member's revision."""
+        """Return the newest revision that a member is known to enforce, 0 if none."""
         return self._revisions.get(name, 0)
 
     def reset(self, name: str, revision: int) -> None:
-        """A member has started anew and enforces only what it says now."""
+        """Replace a member's revision after its process restarted."""
         self._revisions.pop(name, None)
         if revision:
             self._revisions[name] = revision
         self._bits_revision = -1
 
     def forget(self, name: str) -> None:
-        """Drop a member."""
+        """Remove a member."""
         self._revisions.pop(name, None)
         self._bits_revision = -1
 
     def note(self, name: str, revision: int) -> bool:
-        """Take a member's word; return whether it was news."""
+        """Record a member's revision; return whether it is newer than the known one."""
         if revision <= self._revisions.get(name, 0):
             return False
         self._revisions[name] = revision
@@ -64,14 +65,15 @@
         return min((self.get(name) for name in self._table.roster), default=0)
 
     def encode(self) -> Enforcement:
-        """Return what this node knows."""
+        """Return the newest known revision and the members that enforce it."""
         self._refresh()
         size = (len(self._table.roster) + 7) // 8
         bits = self._bits.to_bytes(size, "little")
         return Enforcement(self._bits_revision, self._table.roster_digest, bits)
 
     def merge(self, heard: Enforcement) -> bool:
-        """Add another node's knowledge, if its roster is ours; return whether any was new."""
+        """Merge another node's bits if its roster is the same; return whether any revision was
+        new."""
         self._refresh()
         if heard.roster_digest != self._table.roster_digest:
             return False
@@ -88,7 +90,7 @@
         return news
 
     def _refresh(self) -> None:
-        """Rebuild the bits after a change."""
+        """Rebuild the bits after a change of revisions or roster."""
         unchanged = self._roster_version == self._table.roster_version
         if unchanged and self._bits_revision >= 0:
             return
--- a/tinrudder/cluster/membership_sync.py
+++ b/tinrudder/cluster/membership_sync.py
@@ -1,6 +1,7 @@
 """Anti-entropy: two nodes compare digests and exchange only the buckets that differ.
 
-Heals what gossip missed, gives a new node the members, and joins the two sides of a healed cut.
+Owns the exchange, not the table. Repairs what gossip missed, transfers the members to a new node,
+and merges both sides of a healed partition.
 """
 
 from __future__ import annotations
@@ -15,12 +16,12 @@
 from tinrudder.peers import PeerAddress
 
 MAX_ANSWER_DATAGRAMS = 8
-"""Datagrams of one answer at most; what is left follows with the next comparison.  A whole table
+"""Maximum number of datagrams per answer; the rest follows with the next comparison. A whole table
 is 50 KB at 730 nodes (docs/MEMBERSHIP.md)."""
 
 
 class AntiEntropy:
-    """Asks and answers comparisons of the membership table."""
+    """Requests and answers comparisons of the membership table."""
 
     def __init__(
         self,
@@ -29,21 +30,21 @@
         revisions: EnforcedRevisions,
         outbox: Outbox,
     ) -> None:
-        """Compare ``table``; ``source`` picks which buckets go first."""
+        """Compare ``table``; ``source`` determines which members are sent first."""
         self._random = source
         self._table = table
         self._revisions = revisions
         self._outbox = outbox
 
     def ask(self, destination: PeerAddress, *, is_return: bool = False) -> None:
-        """Send our digests, and ourselves for those who do not know us."""
+        """Send this node's digests, and its own entry for receivers that do not know it."""
         own = self._outbox.own
         update = full_update(own, self._revisions.get(own.name))
         request = SyncRequest(tuple(self._table.bucket_digests), is_return)
         self._outbox.send(destination, request, (update,))
 
     def answer(self, source: PeerAddress, request: SyncRequest) -> None:
-        """Send the buckets that differ, and ask for the same in return."""
+        """Send the members of differing buckets, and request the same in return."""
         differing = [
             bucket
             for bucket in range(BUCKETS)
@@ -54,7 +55,7 @@
         if not request.is_return:
             self.ask(source, is_return=True)
         members = list(self._table.in_buckets(frozenset(differing)))
-        # A large difference takes several rounds: not always the same part of it first.
+        # A large difference takes several rounds; a random start varies the part sent first.
         start = self._random.randrange(len(members)) if members else 0
         rotated = members[start:] + members[:start]
         self.send_updates(
@@ -62,7 +63,7 @@
         )
 
     def send_updates(self, destination: PeerAddress, updates: Iterable[MemberUpdate]) -> None:
-        """Send updates in as many answers as allowed."""
+        """Send updates in at most ``MAX_ANSWER_DATAGRAMS`` answers."""
         room = full_room = self._outbox.room_for_updates(SyncAnswer())
         batch: list[MemberUpdate] = []
         sent = 0
--- a/tinrudder/cluster/membership_table.py
+++ b/tinrudder/cluster/membership_table.py
@@ -1,7 +1,8 @@
-"""Everything one node holds of the others, and which of two statements wins.
+"""The membership table of one node, and the precedence of conflicting statements.
 
-A larger incarnation wins; within one incarnation, the state further down the list alive, suspect,
-leaving, dead.  So the order in which statements arrive does not matter.
+Owns the members, the roster and the digests. A larger incarnation wins; within one incarnation, the
+later state in the order alive, suspect, leaving, dead wins. The result therefore does not depend on
+the order in which statements arrive.
 """
 
 from __future__ import annotations
@@ -24,10 +25,9 @@
 from tinrudder.peers import PeerAddress
 
 BUCKETS = 64
-"""Buckets of the table that are compared by digest; their digests fit into one datagram, 256
-bytes."""
+"""Number of buckets compared by digest; all digests fit into one datagram, 256 bytes."""
 DIGEST_MASK = 0xFFFFFFFF
-"""A bucket's digest has 32 bits."""
+"""Mask that truncates a bucket's digest to 32 bits."""
 
 _RANKS = {
     MemberStatus.ALIVE: 0,
@@ -38,7 +38,7 @@
 
 
 class Merged(enum.Enum):
-    """What became of an update."""
+    """Result of merging an update."""
 
     CHANGED = "changed"
     SAME = "same"
@@ -48,16 +48,16 @@
 
 @dataclass(slots=True)
 class MemberRecord:
-    """A member and since when its status holds, monotonic seconds."""
+    """A member and the time since which its status holds, monotonic seconds."""
 
     member: Member
     since: float
 
 
 class MembershipTable:
-    """Members by name, with digests kept in step.
+    """Members by name, with digests that are updated on every change.
 
-    The roster is the sorted names of all members that are not dead.
+    The roster holds the sorted names of all members that are not dead.
     """
 
     def __init__(self) -> None:
@@ -71,7 +71,7 @@
         self._by_address: dict[PeerAddress, str] = {}
 
     def get(self, name: str) -> Member | None:
-        """Return a member."""
+        """Return a member by name."""
         record = self._records.get(name)
         return record.member if record is not None else None
 
@@ -81,19 +81,19 @@
         return self.get(name) if name is not None else None
 
     def members(self) -> tuple[Member, ...]:
-        """Return every member, dead ones included."""
+        """Return all members, including dead ones."""
         return tuple(record.member for record in self._records.values())
 
     def live(self) -> Iterator[Member]:
-        """Return the members of the roster, in order."""
+        """Return the members of the roster, sorted by name."""
         return (self._records[name].member for name in self.roster)
 
     def dead(self) -> tuple[Member, ...]:
-        """Return members believed dead."""
+        """Return the members held dead."""
         return tuple(member for member in self.members() if member.status is MemberStatus.DEAD)
 
     def apply(self, update: MemberUpdate, now: float) -> Merged:
-        """Merge one statement."""
+        """Merge one statement about a member."""
         held = self.get(update.name)
         if held is None:
             if update.place is None or update.status is MemberStatus.DEAD:
@@ -112,14 +112,15 @@
         return Merged.CHANGED
 
     def forget(self, name: str) -> None:
-        """Drop a dead member."""
+        """Remove a dead member."""
         member = self._records.pop(name).member
         if self._by_address.get(member.address) == name:
             del self._by_address[member.address]
         self.version += 1
 
     def forgettable(self, before: float) -> tuple[str, ...]:
-        """Return the names of members that died before a monotonic time."""
+        """Return the names of members that have been dead since before a monotonic time,
+        seconds."""
         return tuple(
             record.member.name
             for record in self._records.values()
@@ -127,11 +128,11 @@
         )
 
     def in_buckets(self, buckets: frozenset[int]) -> tuple[Member, ...]:
-        """Return the roster's members in some buckets."""
+        """Return the members of the roster that are in the given buckets."""
         return tuple(member for member in self.live() if bucket_of(member.name) in buckets)
 
     def _store(self, member: Member, held: Member | None, now: float) -> None:
-        """Replace a member and adjust roster and digests."""
+        """Store a member; update roster and digests."""
         if held is not None:
             self._remove_digests(held)
             if self._by_address.get(held.address) == held.name:
@@ -158,7 +159,7 @@
             del self.roster[bisect.bisect_left(self.roster, member.name)]
 
     def _add_digests(self, member: Member) -> None:
-        """Digests are exclusive-or sums, so adding twice removes."""
+        """Add a member to the digests; they are XOR sums, so adding it twice removes it."""
         if member.status is MemberStatus.DEAD:
             return
         leaving = member.status is MemberStatus.LEAVING
@@ -172,7 +173,7 @@
 
 
 def bucket_of(name: str) -> int:
-    """Return the bucket of a name."""
+    """Return the number of a name's bucket."""
     return _hash(name) % BUCKETS
 
 
@@ -181,7 +182,7 @@
 
 
 def _member_of(update: MemberUpdate, place: Place) -> Member:
-    """Return the member an update describes; names are interned, for every node repeats them."""
+    """Return the member that an update describes; strings are interned, since most repeat."""
     address = PeerAddress(sys.intern(place.address.host), place.address.port)
     return Member(
         sys.intern(update.name),
--- a/tinrudder/cluster/observations.py
+++ b/tinrudder/cluster/observations.py
@@ -1,7 +1,9 @@
-"""What other nodes say of back ends: small, aged hints, never trusted over one's own observations.
+"""Observations of back ends by other nodes: short-lived hints that rank below a node's own
+observations.
 
-Each back end has at most one entry, the most recent observation of any node.  Times are ages,
-added to on every hop, so that nodes need not agree on the clock.
+Owns at most one entry per back end, the most recent observation of any node. Messages carry ages
+instead of times, and each node adds the time for which it held the entry, so that nodes need not
+agree on the clock.
 """
 
 from __future__ import annotations
@@ -17,23 +19,23 @@
     ObservationKind.EJECTED: 10.0,
     ObservationKind.SLOW: 10.0,
 }
-"""Seconds for which an observation counts, by kind: a back end that leaves stays away for long,
-one that is slow may be quick again.  Chosen, not measured."""
+"""Seconds until an observation expires, by kind: a draining back end stays away for long, while a
+slow one may soon be fast again."""
 REPEAT_AFTER_S = 4.0
-"""Seconds after which the same observation is spread again.  Chosen, not measured: it bounds what
-one flapping back end costs everybody."""
+"""Minimum interval between publications of the same observation, seconds: bounds the cost that one
+flapping back end causes on all nodes."""
 MAX_ENTRIES = 512
-"""Back ends that observations are held of; bounds memory."""
+"""Maximum number of back ends with an observation: bounds memory."""
 MAX_BYTES_IN_DATAGRAM = 400
-"""Bytes of a datagram for observations at most, so that news of members has room beside them."""
+"""Maximum bytes for observations in a datagram, so that membership updates have room as well."""
 _ENTRY_OVERHEAD_BYTES = 32
 
 
 @dataclass(frozen=True, slots=True)
 class Hint:
-    """One heard observation.
+    """An observation and its current age.
 
-    :param age_s: seconds since ``origin`` made it.
+    :param age_s: seconds since ``origin`` made the observation.
     """
 
     backend: str
@@ -50,17 +52,17 @@
     observed_at: float
 
     def expired(self, now: float) -> bool:
-        """Tell whether it is too old to count."""
+        """Tell whether the observation has expired."""
         return now - self.observed_at >= TIME_TO_LIVE_S[self.kind]
 
 
 class Observations:
-    """The hints one node holds and spreads."""
+    """The observations that one node holds and spreads."""
 
     def __init__(self, own_name: str, first_sequence: int = 0) -> None:
-        """Publish as ``own_name``.
+        """Publish observations as ``own_name``.
 
-        :param first_sequence: above all that an earlier start of this node used.
+        :param first_sequence: above all sequence numbers that earlier starts of this node used.
         """
         self._own_name = own_name
         self._sequence = first_sequence
@@ -69,14 +71,14 @@
 
     @property
     def waiting(self) -> bool:
-        """Tell whether there is something to spread."""
+        """Tell whether observations are queued for gossip."""
         return len(self._queue) > 0
 
     def publish(self, backend: str, kind: ObservationKind, now: float) -> bool:
-        """Spread an own observation; return whether it was worth a message.
+        """Publish this node's observation; return whether it was queued.
 
-        The same word while it is still fresh everywhere is not repeated, and ``RECOVERED`` is
-        only said where something is to be taken back.
+        A repeated observation is not queued within ``REPEAT_AFTER_S``, and ``RECOVERED`` only if
+        there is an observation to withdraw.
         """
         held = self._entries.get(backend)
         if kind is ObservationKind.RECOVERED and (held is None or held.expired(now)):
@@ -88,7 +90,8 @@
         return True
 
     def merge(self, heard: Observation, now: float) -> bool:
-        """Take another node's observation; return whether it is the most recent one."""
+        """Merge another node's observation; return whether it replaced the entry of the back
+        end."""
         if heard.origin == self._own_name or heard.age_s >= TIME_TO_LIVE_S[heard.kind]:
             return False
         held = self._entries.get(heard.backend)
@@ -99,7 +102,7 @@
         return True
 
     def heard(self, now: float) -> tuple[Hint, ...]:
-        """Return the hints that still count, by back end."""
+        """Return the observations that have not expired, sorted by back end."""
         self._expire(now)
         return tuple(
             Hint(backend, entry.kind, entry.origin, now - entry.observed_at)
@@ -108,7 +111,7 @@
         )
 
     def take(self, budget: int, limit: int, now: float) -> tuple[Observation, ...]:
-        """Return observations to piggyback within ``budget`` bytes."""
+        """Return observations to piggyback, of at most ``budget`` bytes."""
         if not len(self._queue):
             return ()
         self._expire(now)
@@ -116,7 +119,7 @@
         return tuple(self._message(name, self._entries[name], now) for name in names)
 
     def current(self, budget: int, now: float) -> tuple[Observation, ...]:
-        """Return what counts now, as far as ``budget`` bytes go, for a node that may be new."""
+        """Return current observations of at most ``budget`` bytes, for a node that may be new."""
         room = min(budget, MAX_BYTES_IN_DATAGRAM)
         found = []
         for backend, entry in self._entries.items():
@@ -128,7 +131,7 @@
         return tuple(found)
 
     def _store(self, backend: str, entry: _Entry) -> None:
-        """Keep an entry; the oldest goes when there are too many."""
+        """Store an entry; evict the oldest one above ``MAX_ENTRIES``."""
         self._entries[backend] = entry
         self._queue.put(backend, backend, observation_size(backend, entry.origin))
         if len(self._entries) > MAX_ENTRIES:
@@ -151,12 +154,12 @@
 
 
 def observation_size(backend: str, origin: str) -> int:
-    """Return an upper bound of an observation's encoded size, bytes."""
+    """Return an upper bound on an observation's encoded size, bytes."""
     return _ENTRY_OVERHEAD_BYTES + len(backend.encode()) + len(origin.encode())
 
 
 def _replaces(heard: Observation, observed_at: float, held: _Entry) -> bool:
-    """Tell whether a heard observation is more recent than the held one."""
+    """Tell whether a received observation replaces the entry of its back end."""
     if heard.origin == held.origin:
         return heard.sequence > held.sequence
     if heard.kind is held.kind:
--- a/tinrudder/cluster/pause_detector.py
+++ b/tinrudder/cluster/pause_detector.py
@@ -1,9 +1,10 @@
-"""Notices that this process did not run for a while: stopped, swapped out, or its machine slept.
+"""Detects that this process did not run for a while: stopped, swapped out, or its machine
+suspended.
 
-Compares both clocks across the gaps of the event loop: the monotonic clock may stand still while
-a machine sleeps, and the calendar clock may be set back.  Whoever is about to act on something
-that time may have taken away calls :meth:`PauseDetector.check` first, for after a pause its own
-code can run before any timer does.
+Owns the times of the last check. Compares both clocks between checks, since the monotonic clock may
+stop while a machine is suspended, and the wall clock may be set back. After a pause, other code can
+run before any timer fires, so code that is about to act on state that may have expired calls
+:meth:`PauseDetector.check` first.
 """
 
 from __future__ import annotations
@@ -13,18 +14,18 @@
 from tinrudder.timers import TimerHandle, Timers, WallClock
 
 CHECK_INTERVAL_S = 0.25
-"""Seconds between checks while nothing else asks: a quarter of the threshold."""
+"""Interval of the periodic checks, seconds: a quarter of the threshold."""
 PAUSE_THRESHOLD_S = 1.0
-"""Seconds between two checks that count as a pause.  Chosen, not measured: above what a busy event
-loop is late, below the shortest time that others suspect a silent node (2 s)."""
+"""Time between two checks above which it counts as a pause, seconds: above the lateness of a busy
+event loop, below the shortest time after which others declare a silent suspect dead (2 s)."""
 
 PauseListener = Callable[[float], None]
 
 
 class PauseDetector:
-    """Raises an event when two checks lie further apart than the threshold.
+    """Calls listeners when the time between two checks exceeds the threshold.
 
-    Cost: four timers a second.  A calendar clock that is set forward counts as a pause.
+    Cost: four timers per second. A wall clock that is set forward counts as a pause.
 
     >>> now = [100.0]
     >>> class Clock:
@@ -44,7 +45,7 @@
     def __init__(
         self, timers: Timers, wall_clock: WallClock, threshold_s: float = PAUSE_THRESHOLD_S
     ) -> None:
-        """Begin now."""
+        """Measure the first gap from now."""
         self._timers = timers
         self._wall_clock = wall_clock
         self._threshold_s = threshold_s
@@ -58,19 +59,19 @@
         self._listeners.append(listener)
 
     def start(self) -> None:
-        """Check regularly from now on."""
+        """Start periodic checks."""
         self._monotonic = self._timers.time()
         self._wall = self._wall_clock()
         self._arm()
 
     def stop(self) -> None:
-        """Stop checking."""
+        """Stop periodic checks."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
     def check(self) -> bool:
-        """Return whether the process has just woken late; listeners are called first."""
+        """Tell whether the process was paused since the last check; call the listeners if so."""
         monotonic, wall = self._timers.time(), self._wall_clock()
         gap = max(monotonic - self._monotonic, wall - self._wall)
         self._monotonic, self._wall = monotonic, wall
--- a/tinrudder/cluster/view.py
+++ b/tinrudder/cluster/view.py
@@ -1,6 +1,7 @@
-"""What one node believes of the others: an immutable view, replaced as a whole.
+"""Immutable view of the members, as one node knows them.
 
-Owned by membership, which builds a new one with every change; a reader keeps the one it has read.
+Owned by membership, which replaces the view as a whole on every change; a reader keeps the view
+that it has read.
 """
 
 from __future__ import annotations
@@ -12,7 +13,7 @@
 
 
 class MemberStatus(enum.StrEnum):
-    """A member's state as this node sees it."""
+    """State of a member, as held by this node."""
 
     ALIVE = "alive"
     SUSPECT = "suspect"
@@ -22,9 +23,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """One node.
+    """A member of the cluster.
 
-    :param incarnation: which start of the process this is, larger after every start.
+    :param incarnation: identifies the start of the process; increases with every start and
+        refutation.
     """
 
     name: str
@@ -37,9 +39,9 @@
 
 @dataclass(frozen=True, slots=True)
 class MemberView:
-    """All members one node knows at one moment.
+    """All members that one node knows at one moment.
 
-    :param list_revision: the platform's list the view builds on.
+    :param list_revision: revision of the platform's list that the view is based on.
     """
 
     members: tuple[Member, ...] = ()
@@ -47,12 +49,12 @@
     by_name: dict[str, Member] = field(default_factory=dict)
 
     def usable(self) -> tuple[Member, ...]:
-        """Return the members that may be given new work."""
+        """Return the members that can be given new work."""
         return tuple(m for m in self.members if m.status is MemberStatus.ALIVE)
 
 
 def build_view(members: tuple[Member, ...], list_revision: int) -> MemberView:
-    """Return a view, sorted by name.
+    """Build a view, sorted by name.
 
     >>> address = PeerAddress("127.0.0.1", 1)
     >>> view = build_view((Member("b", 1, "z", "r", address), Member("a", 1, "z", "r", address)), 3)
