--- a/tinrudder/cluster/failure_detector.py
+++ b/tinrudder/cluster/failure_detector.py
@@ -28,18 +28,18 @@
     def __init__(self, source: random.Random) -> None:
         """Start with an empty round, to be shuffled with ``source``."""
         self._random = source
-        self._waiting: list[str] = []
+        self._remaining: list[str] = []
 
     def next(self, roster: Sequence[str]) -> str | None:
         """Return the next name, or ``None`` if the roster is empty."""
-        if not self._waiting:
-            self._waiting = list(roster)
-            self._random.shuffle(self._waiting)
-        return self._waiting.pop() if self._waiting else None
+        if not self._remaining:
+            self._remaining = list(roster)
+            self._random.shuffle(self._remaining)
+        return self._remaining.pop() if self._remaining else None
 
     def add(self, name: str) -> None:
         """Insert a new member at a random position of the current round."""
-        self._waiting.insert(self._random.randint(0, len(self._waiting)), name)
+        self._remaining.insert(self._random.randint(0, len(self._remaining)), name)
 
 
 class LocalHealth:
@@ -104,7 +104,7 @@
     started_at: float
     shortest_s: float
     longest_s: float
-    needed: int
+    confirmations_needed: int
     reporters: list[str] = field(default_factory=list)
     deadline: float = 0.0
 
@@ -126,8 +126,10 @@
     def start(self, name: str, incarnation: int, reporter: str, now: float, nodes: int) -> None:
         """Start a suspicion; it replaces an existing one of the member."""
         shortest, longest = self._settings.suspicion_range_s(nodes)
-        needed = max(0, min(self._settings.confirmations, nodes - 2))
-        suspicion = _Suspicion(incarnation, now, shortest, longest, needed, [reporter])
+        confirmations_needed = max(0, min(self._settings.confirmations, nodes - 2))
+        suspicion = _Suspicion(
+            incarnation, now, shortest, longest, confirmations_needed, [reporter]
+        )
         self._suspicions[name] = suspicion
         self._schedule(name, suspicion)
 
@@ -136,7 +138,10 @@
         suspicion = self._suspicions.get(name)
         if suspicion is None or suspicion.incarnation != incarnation:
             return False
-        if reporter in suspicion.reporters or len(suspicion.reporters) > suspicion.needed:
+        if (
+            reporter in suspicion.reporters
+            or len(suspicion.reporters) > suspicion.confirmations_needed
+        ):
             return False
         suspicion.reporters.append(reporter)
         self._schedule(name, suspicion)
@@ -174,8 +179,8 @@
         confirmations = len(suspicion.reporters) - 1
         spread = suspicion.longest_s - suspicion.shortest_s
         share = 1.0
-        if suspicion.needed:
-            share = math.log(confirmations + 1) / math.log(suspicion.needed + 1)
+        if suspicion.confirmations_needed:
+            share = math.log(confirmations + 1) / math.log(suspicion.confirmations_needed + 1)
         timeout = suspicion.longest_s - spread * min(1.0, share)
         suspicion.deadline = suspicion.started_at + timeout
         heapq.heappush(self._heap, (suspicion.deadline, name, suspicion.incarnation))
--- a/tinrudder/cluster/gossip.py
+++ b/tinrudder/cluster/gossip.py
@@ -15,7 +15,7 @@
 class _Entry(Generic[News]):
     """An update and its size in a datagram, bytes."""
 
-    news: News
+    update: News
     size: int
 
 
@@ -36,24 +36,24 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._rounds: list[dict[str, _Entry[News]]] = [{}]
-        self._round_of: dict[str, int] = {}
+        self._by_transmissions: list[dict[str, _Entry[News]]] = [{}]
+        self._transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
         """Return the number of queued updates."""
-        return len(self._round_of)
+        return len(self._transmissions)
 
-    def put(self, key: str, news: News, size: int) -> None:
+    def put(self, key: str, update: News, size: int) -> None:
         """Queue an update, replacing an older one with the same key."""
         self.discard(key)
-        self._round_of[key] = 0
-        self._rounds[0][key] = _Entry(news, size)
+        self._transmissions[key] = 0
+        self._by_transmissions[0][key] = _Entry(update, size)
 
     def discard(self, key: str) -> None:
         """Remove the update with this key, if any."""
-        number = self._round_of.pop(key, None)
-        if number is not None:
-            del self._rounds[number][key]
+        transmissions = self._transmissions.pop(key, None)
+        if transmissions is not None:
+            del self._by_transmissions[transmissions][key]
 
     def take(self, budget: int, limit: int) -> tuple[News, ...]:
         """Return the updates for one datagram and count one more transmission for each.
@@ -61,30 +61,30 @@
         :param budget: bytes left in the datagram.
         :param limit: transmissions after which an update is dropped.
         """
-        chosen = self._choose(budget)
-        for key, number, entry in chosen:
-            del self._rounds[number][key]
-            self._keep(key, number + 1, entry, limit)
-        return tuple(entry.news for _, _, entry in chosen)
+        selected = self._select(budget)
+        for key, transmissions, entry in selected:
+            del self._by_transmissions[transmissions][key]
+            self._requeue(key, transmissions + 1, entry, limit)
+        return tuple(entry.update for _, _, entry in selected)
 
-    def _choose(self, budget: int) -> list[tuple[str, int, _Entry[News]]]:
+    def _select(self, budget: int) -> list[tuple[str, int, _Entry[News]]]:
         """Return updates with key and transmission count, lowest count first, until one exceeds the
         remaining budget."""
-        chosen: list[tuple[str, int, _Entry[News]]] = []
-        for number, entries in enumerate(self._rounds):
+        selected: list[tuple[str, int, _Entry[News]]] = []
+        for transmissions, entries in enumerate(self._by_transmissions):
             for key, entry in entries.items():
                 if entry.size > budget:
-                    return chosen
+                    return selected
                 budget -= entry.size
-                chosen.append((key, number, entry))
-        return chosen
+                selected.append((key, transmissions, entry))
+        return selected
 
-    def _keep(self, key: str, number: int, entry: _Entry[News], limit: int) -> None:
+    def _requeue(self, key: str, transmissions: int, entry: _Entry[News], limit: int) -> None:
         """Queue an update again under its new transmission count, unless that reached the limit."""
-        if number >= limit:
-            del self._round_of[key]
+        if transmissions >= limit:
+            del self._transmissions[key]
             return
-        if number == len(self._rounds):
-            self._rounds.append({})
-        self._rounds[number][key] = entry
-        self._round_of[key] = number
+        if transmissions == len(self._by_transmissions):
+            self._by_transmissions.append({})
+        self._by_transmissions[transmissions][key] = entry
+        self._transmissions[key] = transmissions
--- a/tinrudder/cluster/membership_list.py
+++ b/tinrudder/cluster/membership_list.py
@@ -41,13 +41,15 @@
         The first list after this node's start reports no name as leaving: the list lags, and its
         entry for this node most likely refers to the previous start.
         """
-        before = {entry.name for entry in self._listed if entry.leaving}
-        turned = tuple(entry.name for entry in listed if entry.leaving and entry.name not in before)
+        previously_leaving = {entry.name for entry in self._listed if entry.leaving}
+        newly_leaving = tuple(
+            entry.name for entry in listed if entry.leaving and entry.name not in previously_leaving
+        )
         is_first = not self._listed
         self._listed = listed
         self.revision = revision
         self.version += 1
-        return () if is_first else turned
+        return () if is_first else newly_leaving
 
     def says_live(self, name: str) -> bool:
         """Tell whether the list has this member and does not mark it as leaving."""
--- a/tinrudder/cluster/membership_outbox.py
+++ b/tinrudder/cluster/membership_outbox.py
@@ -66,7 +66,7 @@
         self._table = table
         self._revisions = revisions
         self._observations = observations
-        self._news: BroadcastQueue[MemberUpdate] = BroadcastQueue()
+        self._updates: BroadcastQueue[MemberUpdate] = BroadcastQueue()
         self._revision_transmissions = 0
         self._sends: list[Send] = []
         self.now = 0.0
@@ -74,12 +74,12 @@
     @property
     def has_news(self) -> bool:
         """Tell whether there is anything to send in a gossip round."""
-        waiting = len(self._news) > 0 or self._observations.waiting
-        return waiting or self._revision_transmissions > 0
+        queued = len(self._updates) > 0 or self._observations.waiting
+        return queued or self._revision_transmissions > 0
 
     def announce(self, update: MemberUpdate) -> None:
         """Queue an update for gossip."""
-        self._news.put(update.name, update, update_size(update))
+        self._updates.put(update.name, update, update_size(update))
 
     def announce_revisions(self) -> None:
         """Attach the enforced revisions to the next datagrams."""
@@ -89,19 +89,19 @@
         self, destination: PeerAddress, body: Body, updates: tuple[MemberUpdate, ...] = ()
     ) -> None:
         """Queue a datagram; ``updates`` take precedence over queued updates."""
-        room = self._budget - ENVELOPE_BYTES - len(self.own.name.encode()) - body_size(body)
-        room -= sum(update_size(update) for update in updates)
+        remaining = self._budget - ENVELOPE_BYTES - len(self.own.name.encode()) - body_size(body)
+        remaining -= sum(update_size(update) for update in updates)
         enforcement = self._enforcement(body)
         if enforcement is not None:
-            room -= ENFORCEMENT_BYTES + len(enforcement.bits)
+            remaining -= ENFORCEMENT_BYTES + len(enforcement.bits)
         limit = self._limit()
         if isinstance(body, SyncAnswer):
-            observations = self._observations.current(room, self.now)
+            observations = self._observations.current(remaining, self.now)
         else:
-            observations = self._observations.take(room, limit, self.now)
-        room -= sum(observation_size(item.backend, item.origin) for item in observations)
+            observations = self._observations.take(remaining, limit, self.now)
+        remaining -= sum(observation_size(item.backend, item.origin) for item in observations)
         if not isinstance(body, SyncAnswer):
-            updates += self._news.take(room, self._news_limit())
+            updates += self._updates.take(remaining, self._update_limit())
         envelope = Envelope(
             self.own.name,
             self.own.incarnation,
@@ -143,8 +143,8 @@
     def _limit(self) -> int:
         return self._settings.retransmit_limit(len(self._table.roster))
 
-    def _news_limit(self) -> int:
-        return self._settings.transmissions(len(self._table.roster), len(self._news))
+    def _update_limit(self) -> int:
+        return self._settings.transmissions(len(self._table.roster), len(self._updates))
 
     def _enforcement(self, body: Body) -> Enforcement | None:
         """Return the enforced revisions to attach while they spread and to anti-entropy
--- a/tinrudder/cluster/membership_probes.py
+++ b/tinrudder/cluster/membership_probes.py
@@ -77,10 +77,10 @@
 
     def on_time(self, now: float) -> list[str]:
         """Advance the probes; return the names of members that did not answer."""
-        self._answer_negatively(now)
+        self._send_negative_acknowledgements(now)
         for probe in self._probes:
             if probe.wants_relays(now):
-                self._ask_relays(probe)
+                self._send_indirect_probes(probe)
         failed = [probe for probe in self._probes if now >= probe.ends_at]
         for probe in failed:
             self._probes.remove(probe)
@@ -154,7 +154,7 @@
                 return member
         return None
 
-    def _ask_relays(self, probe: Probe) -> None:
+    def _send_indirect_probes(self, probe: Probe) -> None:
         """Request indirect probes and repeat the direct one: most losses affect a single
         datagram."""
         probe.indirect_sent = True
@@ -169,7 +169,7 @@
                 probe.relays += 1
                 self._outbox.send(relay.address, request)
 
-    def _answer_negatively(self, now: float) -> None:
+    def _send_negative_acknowledgements(self, now: float) -> None:
         while self._relayed and self._relayed[0].negative_at <= now:
             relayed = self._relayed.popleft()
             self._outbox.send(relayed.origin, NegativeAcknowledgement(relayed.origin_sequence))
--- a/tinrudder/cluster/membership_protocol.py
+++ b/tinrudder/cluster/membership_protocol.py
@@ -91,12 +91,12 @@
         self._next_gossip_at = now
         self._next_sync_at = now + settings.sync_interval_s * source.random()
         self._next_contact_at = now
-        self._next_meeting_at = now
-        self._revision_told = (0, now)
+        self._next_unknown_sync_at = now
+        self._last_revision_event = (0, now)
         self._view = MemberView()
         self._view_key = (-1, -1)
         self._stopped = False
-        self._left_by_list = False
+        self._leaving_by_list = False
         self._last_gossip: dict[str, MemberUpdate] = {}
         self.table.apply(full_update(own, 0), now)
 
@@ -128,7 +128,7 @@
             for name in self._prober.on_time(now):
                 self._on_probe_failed(name, now)
         for name, incarnation in self._suspicions.expired(now):
-            self._adopt(MemberUpdate(name, incarnation, MemberStatus.DEAD), now)
+            self._apply_and_spread(MemberUpdate(name, incarnation, MemberStatus.DEAD), now)
         if now >= self._next_sync_at:
             self._start_sync(now)
         if now >= self._next_contact_at:
@@ -188,9 +188,9 @@
             if name == self.own.name:
                 self._leave_by_list(now)
             elif member is not None and member.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT):
-                self._adopt(claim(member, MemberStatus.LEAVING), now)
-        if self._left_by_list and self.listing.says_live(self.own.name):
-            self._left_by_list = False
+                self._apply_and_spread(claim(member, MemberStatus.LEAVING), now)
+        if self._leaving_by_list and self.listing.says_live(self.own.name):
+            self._leaving_by_list = False
             self._change_own(MemberStatus.ALIVE, self.own.incarnation + 1, now)
         return self._take_actions()
 
@@ -210,24 +210,24 @@
     def announce_joined(self, now: float) -> list[Action]:
         """Announce this node directly; called once it knows most of the others."""
         self._outbox.now = now
-        self._tell_directly(full_update(self.own, self.revisions.get(self.own.name)))
+        self._send_directly(full_update(self.own, self.revisions.get(self.own.name)))
         return self._take_actions()
 
     def announce_leaving(self, now: float) -> list[Action]:
         """Announce that this node finishes its work in progress and takes no new work."""
         self._outbox.now = now
-        self._left_by_list = False
+        self._leaving_by_list = False
         self._set_own(replace(self.own, status=MemberStatus.LEAVING), now)
-        self._tell_directly(claim(self.own, MemberStatus.LEAVING))
+        self._send_directly(claim(self.own, MemberStatus.LEAVING))
         return self._take_actions()
 
     def stop(self, now: float) -> list[Action]:
         """Announce that this node has stopped; it no longer refutes such statements."""
         self._outbox.now = now
         self._stopped = True
-        gone = claim(self.own, MemberStatus.DEAD)
+        stopped = claim(self.own, MemberStatus.DEAD)
         for member in self._outbox.sample(self._random, 2 * self._settings.gossip_fanout):
-            self._outbox.send(member.address, Gossip(), (gone,))
+            self._outbox.send(member.address, Gossip(), (stopped,))
         return self._take_actions()
 
     def _on_body(self, source: PeerAddress, envelope: Envelope, now: float) -> None:
@@ -254,26 +254,26 @@
         if not is_sync and self._last_gossip.get(update.name) is update:
             return
         if update.name == self.own.name:
-            self._on_claim_about_us(source, update, now)
+            self._on_claim_about_self(source, update, now)
             return
         if is_sync and update.status is MemberStatus.DEAD:
-            self._doubt(sender, update, now)
+            self._suspect_locally(sender, update, now)
             return
-        held = self.table.get(update.name)
+        known = self.table.get(update.name)
         merged = self.table.apply(update, now)
         if merged is not Merged.UNKNOWN_START:
             self._last_gossip[update.name] = update
         if merged is Merged.CHANGED:
-            self._after_change(update, held, now)
+            self._on_member_changed(update, known, now)
             if not is_sync:
                 self._outbox.announce(update)
         elif merged is Merged.SAME and update.status is MemberStatus.SUSPECT:
             if self._suspicions.confirm(update.name, update.incarnation, update.reporter):
                 self._outbox.announce(update)
-        elif merged is Merged.STALE and is_sync and held is not None:
-            self._correct(source, held)
+        elif merged is Merged.STALE and is_sync and known is not None:
+            self._send_correction(source, known)
 
-    def _on_claim_about_us(self, source: PeerAddress, update: MemberUpdate, now: float) -> None:
+    def _on_claim_about_self(self, source: PeerAddress, update: MemberUpdate, now: float) -> None:
         """Refute a wrong statement about this node: a suspicion, a death, or one about an earlier
         start."""
         if self._stopped or update.incarnation < self.own.incarnation:
@@ -291,44 +291,44 @@
 
     def _on_sender(self, source: PeerAddress, envelope: Envelope, now: float) -> None:
         """Correct this node's and the sender's state, given that the sender is alive."""
-        held = self.table.get(envelope.sender)
-        if held is None or not same_start(held.incarnation, envelope.incarnation):
-            self._meet(source, now)
+        known = self.table.get(envelope.sender)
+        if known is None or not same_start(known.incarnation, envelope.incarnation):
+            self._sync_with_unknown(source, now)
             return
-        if envelope.incarnation > held.incarnation:
+        if envelope.incarnation > known.incarnation:
             update = MemberUpdate(envelope.sender, envelope.incarnation, MemberStatus.ALIVE)
-            self._adopt(update, now)
-        elif held.status in (MemberStatus.SUSPECT, MemberStatus.DEAD):
-            self._outbox.send(source, Gossip(), (claim(held, held.status, self.own.name),))
-        if held.status is MemberStatus.DEAD:
-            self._meet(source, now)
+            self._apply_and_spread(update, now)
+        elif known.status in (MemberStatus.SUSPECT, MemberStatus.DEAD):
+            self._outbox.send(source, Gossip(), (claim(known, known.status, self.own.name),))
+        if known.status is MemberStatus.DEAD:
+            self._sync_with_unknown(source, now)
 
     def _on_revisions(self, envelope: Envelope, now: float) -> None:
         """Merge the enforced revisions; emit an event if the sender's is newer than this node's."""
-        news = False
+        changed = False
         sender = self.table.get(envelope.sender)
         if sender is not None and same_start(sender.incarnation, envelope.incarnation):
-            news = self.revisions.note(envelope.sender, envelope.enforced_revision)
+            changed = self.revisions.note(envelope.sender, envelope.enforced_revision)
         if envelope.enforcement is not None:
-            news = self.revisions.merge(envelope.enforcement) or news
-        if news:
+            changed = self.revisions.merge(envelope.enforcement) or changed
+        if changed:
             self._outbox.announce_revisions()
         revision = envelope.enforced_revision
         if sender is None or revision <= self.revisions.get(self.own.name):
             return
-        told, told_at = self._revision_told
-        if revision > told or now >= told_at + REVISION_EVENT_INTERVAL_S:
-            self._revision_told = (revision, now)
+        last_revision, last_event_at = self._last_revision_event
+        if revision > last_revision or now >= last_event_at + REVISION_EVENT_INTERVAL_S:
+            self._last_revision_event = (revision, now)
             self._events.append(NewerRevisionHeard(sender, revision))
 
-    def _adopt(self, update: MemberUpdate, now: float) -> None:
+    def _apply_and_spread(self, update: MemberUpdate, now: float) -> None:
         """Apply a statement made by this node and spread it if it changed the table."""
-        held = self.table.get(update.name)
+        known = self.table.get(update.name)
         if self.table.apply(update, now) is Merged.CHANGED:
-            self._after_change(update, held, now)
+            self._on_member_changed(update, known, now)
             self._outbox.announce(update)
 
-    def _after_change(self, update: MemberUpdate, held: Member | None, now: float) -> None:
+    def _on_member_changed(self, update: MemberUpdate, known: Member | None, now: float) -> None:
         """Update the state that depends on a member's status or incarnation."""
         member = self.table.get(update.name)
         if member is None:
@@ -338,11 +338,11 @@
             self._suspicions.start(member.name, member.incarnation, update.reporter, now, nodes)
         else:
             self._suspicions.drop(member.name)
-        if held is None or held.status is MemberStatus.DEAD:
+        if known is None or known.status is MemberStatus.DEAD:
             self._prober.order.add(member.name)
-        if held is None or not same_start(held.incarnation, member.incarnation):
+        if known is None or not same_start(known.incarnation, member.incarnation):
             self.revisions.reset(member.name, update.enforced_revision)
-        self._events.append(MemberChanged(member, held))
+        self._events.append(MemberChanged(member, known))
 
     def _on_probe_failed(self, name: str, now: float) -> None:
         """Suspect a member that did not answer; a leaving member is declared dead instead."""
@@ -353,45 +353,45 @@
         if member.status is MemberStatus.LEAVING:
             status = MemberStatus.DEAD
         suspicion = claim(member, status, self.own.name)
-        self._adopt(suspicion, now)
+        self._apply_and_spread(suspicion, now)
         self._outbox.send(member.address, Gossip(), (suspicion,))
 
-    def _doubt(self, sender: str, update: MemberUpdate, now: float) -> None:
+    def _suspect_locally(self, sender: str, update: MemberUpdate, now: float) -> None:
         """Suspect locally a member that another node's table holds dead, for example after a
         partition.
 
         Adopting the statement could declare a live member dead, so the member is only suspected by
         this node and is pinged.
         """
-        held = self.table.get(update.name)
-        if held is None or held.status not in (MemberStatus.ALIVE, MemberStatus.SUSPECT):
+        known = self.table.get(update.name)
+        if known is None or known.status not in (MemberStatus.ALIVE, MemberStatus.SUSPECT):
             return
-        if update.incarnation < held.incarnation:
+        if update.incarnation < known.incarnation:
             return
-        suspicion = claim(held, MemberStatus.SUSPECT, sender)
+        suspicion = claim(known, MemberStatus.SUSPECT, sender)
         if self.table.apply(suspicion, now) is Merged.CHANGED:
-            self._after_change(suspicion, held, now)
+            self._on_member_changed(suspicion, known, now)
         suspect = self.table.get(update.name)
         if suspect is not None:
             self._prober.ping(suspect)
 
-    def _correct(self, source: PeerAddress, held: Member) -> None:
+    def _send_correction(self, source: PeerAddress, known: Member) -> None:
         """Answer an outdated statement in an anti-entropy answer with the newer local state."""
-        if held.status is MemberStatus.DEAD:
-            update = claim(held, MemberStatus.DEAD)
+        if known.status is MemberStatus.DEAD:
+            update = claim(known, MemberStatus.DEAD)
         else:
-            update = full_update(held, self.revisions.get(held.name))
+            update = full_update(known, self.revisions.get(known.name))
         self._outbox.send(source, SyncAnswer(), (update,))
 
     def _leave_by_list(self, now: float) -> None:
         """Leave because the platform's list says so; unlike a planned stop, the list can reverse
         this."""
         if self.own.status is MemberStatus.ALIVE:
-            self._left_by_list = True
+            self._leaving_by_list = True
             self._change_own(MemberStatus.LEAVING, self.own.incarnation, now)
-            self._tell_directly(claim(self.own, MemberStatus.LEAVING))
+            self._send_directly(claim(self.own, MemberStatus.LEAVING))
 
-    def _tell_directly(self, update: MemberUpdate) -> None:
+    def _send_directly(self, update: MemberUpdate) -> None:
         """Send an update directly to most members; gossip reaches the others.
 
         Nodes that disagree on the coordinator block each other's slots; with gossip alone, that
@@ -410,19 +410,19 @@
 
     def _set_own(self, own: Member, now: float) -> None:
         """Change this node's own state and spread it."""
-        started_anew = not same_start(own.incarnation, self.own.incarnation)
+        is_new_start = not same_start(own.incarnation, self.own.incarnation)
         self._outbox.own = own
         update = full_update(own, self.revisions.get(own.name))
         self.table.apply(update, now)
-        if not started_anew:
+        if not is_new_start:
             update = replace(update, place=None)
         self._outbox.announce(update)
 
-    def _meet(self, source: PeerAddress, now: float) -> None:
+    def _sync_with_unknown(self, source: PeerAddress, now: float) -> None:
         """Compare tables with a node that was unknown or held dead."""
-        if now < self._next_meeting_at:
+        if now < self._next_unknown_sync_at:
             return
-        self._next_meeting_at = now + MEET_INTERVAL_S
+        self._next_unknown_sync_at = now + MEET_INTERVAL_S
         self._sync.ask(source)
 
     def _start_sync(self, now: float) -> None:
@@ -440,8 +440,8 @@
         candidates = self.listing.unanswered(self.own.address)
         count = CONTACTS_WHEN_ALONE if len(self.table.roster) == 1 else 1
         for address in self._random.sample(candidates, min(count, len(candidates))):
-            held = self.table.at_address(address)
-            updates = () if held is None else (claim(held, held.status, self.own.name),)
+            known = self.table.at_address(address)
+            updates = () if known is None else (claim(known, known.status, self.own.name),)
             self._outbox.send(address, Ping(0), updates)
 
     def _gossip(self, now: float) -> None:
--- a/tinrudder/cluster/membership_revisions.py
+++ b/tinrudder/cluster/membership_revisions.py
@@ -71,23 +71,23 @@
         bits = self._bits.to_bytes(size, "little")
         return Enforcement(self._bits_revision, self._table.roster_digest, bits)
 
-    def merge(self, heard: Enforcement) -> bool:
+    def merge(self, received: Enforcement) -> bool:
         """Merge another node's bits if its roster is the same; return whether any revision was
         new."""
         self._refresh()
-        if heard.roster_digest != self._table.roster_digest:
+        if received.roster_digest != self._table.roster_digest:
             return False
-        bits = int.from_bytes(heard.bits, "little")
-        if heard.revision == self._bits_revision:
+        bits = int.from_bytes(received.bits, "little")
+        if received.revision == self._bits_revision:
             bits &= ~self._bits
         if bits >> len(self._table.roster):
             return False
-        news = False
+        changed = False
         while bits:
             lowest = bits & -bits
-            news |= self.note(self._table.roster[lowest.bit_length() - 1], heard.revision)
+            changed |= self.note(self._table.roster[lowest.bit_length() - 1], received.revision)
             bits ^= lowest
-        return news
+        return changed
 
     def _refresh(self) -> None:
         """Rebuild the bits after a change of revisions or roster."""
--- a/tinrudder/cluster/membership_table.py
+++ b/tinrudder/cluster/membership_table.py
@@ -94,21 +94,21 @@
 
     def apply(self, update: MemberUpdate, now: float) -> Merged:
         """Merge one statement about a member."""
-        held = self.get(update.name)
-        if held is None:
+        known = self.get(update.name)
+        if known is None:
             if update.place is None or update.status is MemberStatus.DEAD:
                 return Merged.UNKNOWN_START
             self._store(_member_of(update, update.place), None, now)
             return Merged.CHANGED
-        if update.place is None and not same_start(update.incarnation, held.incarnation):
-            older = update.incarnation < held.incarnation
+        if update.place is None and not same_start(update.incarnation, known.incarnation):
+            older = update.incarnation < known.incarnation
             return Merged.STALE if older else Merged.UNKNOWN_START
         order = _order(update.incarnation, update.status)
-        held_order = _order(held.incarnation, held.status)
-        if order <= held_order:
-            return Merged.SAME if order == held_order else Merged.STALE
-        place = update.place or Place(held.zone, held.region, held.address)
-        self._store(_member_of(update, place), held, now)
+        known_order = _order(known.incarnation, known.status)
+        if order <= known_order:
+            return Merged.SAME if order == known_order else Merged.STALE
+        place = update.place or Place(known.zone, known.region, known.address)
+        self._store(_member_of(update, place), known, now)
         return Merged.CHANGED
 
     def forget(self, name: str) -> None:
@@ -131,31 +131,31 @@
         """Return the members of the roster that are in the given buckets."""
         return tuple(member for member in self.live() if bucket_of(member.name) in buckets)
 
-    def _store(self, member: Member, held: Member | None, now: float) -> None:
+    def _store(self, member: Member, known: Member | None, now: float) -> None:
         """Store a member; update roster and digests."""
-        if held is not None:
-            self._remove_digests(held)
-            if self._by_address.get(held.address) == held.name:
-                del self._by_address[held.address]
+        if known is not None:
+            self._remove_digests(known)
+            if self._by_address.get(known.address) == known.name:
+                del self._by_address[known.address]
         self._records[member.name] = MemberRecord(member, now)
         self._by_address[member.address] = member.name
         self._add_digests(member)
-        self._update_roster(member, held)
+        self._update_roster(member, known)
         self.version += 1
 
-    def _update_roster(self, member: Member, held: Member | None) -> None:
-        was_in = held is not None and held.status is not MemberStatus.DEAD
-        is_in = member.status is not MemberStatus.DEAD
+    def _update_roster(self, member: Member, known: Member | None) -> None:
+        was_live = known is not None and known.status is not MemberStatus.DEAD
+        is_live = member.status is not MemberStatus.DEAD
         if (
-            was_in == is_in
-            and held is not None
-            and same_start(held.incarnation, member.incarnation)
+            was_live == is_live
+            and known is not None
+            and same_start(known.incarnation, member.incarnation)
         ):
             return
         self.roster_version += 1
-        if is_in and not was_in:
+        if is_live and not was_live:
             bisect.insort(self.roster, member.name)
-        elif was_in and not is_in:
+        elif was_live and not is_live:
             del self.roster[bisect.bisect_left(self.roster, member.name)]
 
     def _add_digests(self, member: Member) -> None:
--- a/tinrudder/cluster/observations.py
+++ b/tinrudder/cluster/observations.py
@@ -80,25 +80,27 @@
         A repeated observation is not queued within ``REPEAT_AFTER_S``, and ``RECOVERED`` only if
         there is an observation to withdraw.
         """
-        held = self._entries.get(backend)
-        if kind is ObservationKind.RECOVERED and (held is None or held.expired(now)):
+        known = self._entries.get(backend)
+        if kind is ObservationKind.RECOVERED and (known is None or known.expired(now)):
             return False
-        if held is not None and held.kind is kind and now - held.observed_at < REPEAT_AFTER_S:
+        if known is not None and known.kind is kind and now - known.observed_at < REPEAT_AFTER_S:
             return False
         self._sequence += 1
         self._store(backend, _Entry(kind, self._own_name, self._sequence, now))
         return True
 
-    def merge(self, heard: Observation, now: float) -> bool:
+    def merge(self, received: Observation, now: float) -> bool:
         """Merge another node's observation; return whether it replaced the entry of the back
         end."""
-        if heard.origin == self._own_name or heard.age_s >= TIME_TO_LIVE_S[heard.kind]:
+        if received.origin == self._own_name or received.age_s >= TIME_TO_LIVE_S[received.kind]:
             return False
-        held = self._entries.get(heard.backend)
-        observed_at = now - heard.age_s
-        if held is not None and not _replaces(heard, observed_at, held):
+        known = self._entries.get(received.backend)
+        observed_at = now - received.age_s
+        if known is not None and not _replaces(received, observed_at, known):
             return False
-        self._store(heard.backend, _Entry(heard.kind, heard.origin, heard.sequence, observed_at))
+        self._store(
+            received.backend, _Entry(received.kind, received.origin, received.sequence, observed_at)
+        )
         return True
 
     def heard(self, now: float) -> tuple[Hint, ...]:
@@ -158,10 +160,10 @@
     return _ENTRY_OVERHEAD_BYTES + len(backend.encode()) + len(origin.encode())
 
 
-def _replaces(heard: Observation, observed_at: float, held: _Entry) -> bool:
+def _replaces(received: Observation, observed_at: float, known: _Entry) -> bool:
     """Tell whether a received observation replaces the entry of its back end."""
-    if heard.origin == held.origin:
-        return heard.sequence > held.sequence
-    if heard.kind is held.kind:
-        return observed_at - held.observed_at > REPEAT_AFTER_S
-    return observed_at > held.observed_at
+    if received.origin == known.origin:
+        return received.sequence > known.sequence
+    if received.kind is known.kind:
+        return observed_at - known.observed_at > REPEAT_AFTER_S
+    return observed_at > known.observed_at
--- a/tinrudder/cluster/pause_detector.py
+++ b/tinrudder/cluster/pause_detector.py
@@ -49,8 +49,8 @@
         self._timers = timers
         self._wall_clock = wall_clock
         self._threshold_s = threshold_s
-        self._monotonic = timers.time()
-        self._wall = wall_clock()
+        self._last_monotonic = timers.time()
+        self._last_wall = wall_clock()
         self._listeners: list[PauseListener] = []
         self._timer: TimerHandle | None = None
 
@@ -60,8 +60,8 @@
 
     def start(self) -> None:
         """Start periodic checks."""
-        self._monotonic = self._timers.time()
-        self._wall = self._wall_clock()
+        self._last_monotonic = self._timers.time()
+        self._last_wall = self._wall_clock()
         self._arm()
 
     def stop(self) -> None:
@@ -73,8 +73,8 @@
     def check(self) -> bool:
         """Tell whether the process was paused since the last check; call the listeners if so."""
         monotonic, wall = self._timers.time(), self._wall_clock()
-        gap = max(monotonic - self._monotonic, wall - self._wall)
-        self._monotonic, self._wall = monotonic, wall
+        gap = max(monotonic - self._last_monotonic, wall - self._last_wall)
+        self._last_monotonic, self._last_wall = monotonic, wall
         if gap <= self._threshold_s:
             return False
         for listener in self._listeners:
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -47,7 +47,7 @@
 ClientContext = Callable[[], ssl.SSLContext | None]
 
 
-class _PendingRequest(Struct, eq=False):
+class _Waiting(Struct, eq=False):
     """A request whose answer has not arrived.
 
     :param end: loop time at which the request times out.
@@ -78,7 +78,7 @@
     """
 
     writer: asyncio.StreamWriter
-    waiting: dict[int, _PendingRequest] = field(default_factory=dict)
+    waiting: dict[int, _Waiting] = field(default_factory=dict)
     last_request_id: int = 0
     reading: asyncio.Task[None] | None = None
     idle_timer: asyncio.TimerHandle | None = None
@@ -93,7 +93,7 @@
         """Tell whether the path may have failed without a reset: no frame arrived for too long."""
         return self.unheard_since is not None and now - self.unheard_since >= RETIRE_AFTER_SILENCE_S
 
-    def add(self, pending: _PendingRequest) -> int:
+    def add(self, pending: _Waiting) -> int:
         """Add a pending request and return its id."""
         self.last_request_id += 1
         self.waiting[self.last_request_id] = pending
@@ -145,7 +145,7 @@
         connection = await self._connection(destination, connect_s)
         if connection.writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             raise PeerNotSentError(f"{destination}: does not read what it is sent")
-        pending = _PendingRequest(loop.create_future(), deadline, confirms=not begin_at_once)
+        pending = _Waiting(loop.create_future(), deadline, confirms=not begin_at_once)
         request_id = connection.add(pending)
         kind = _request_type(acknowledged=acknowledged, begin_at_once=begin_at_once)
         _write(connection, Frame(kind, request_id, payload))
