--- a/tests/functional/common/test_peer_transport.py
+++ b/tests/functional/common/test_peer_transport.py
@@ -1,4 +1,4 @@
-"""Requests between nodes over loopback TCP: refusals, bad peers, cancellation and TLS."""
+"""Requests between nodes over loopback TCP: refusals, invalid input, cancellation and TLS."""
 
 from __future__ import annotations
 
@@ -32,14 +32,14 @@
 
 
 def free_port() -> int:
-    """Return a port that nobody listens at."""
+    """Return an unused port."""
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return int(probe.getsockname()[1])
 
 
 class Handler:
-    """Echoes; ``hold`` waits to be cancelled, ``fail`` raises."""
+    """Echoes the payload; ``hold`` waits until it is cancelled, ``fail`` raises."""
 
     def __init__(self) -> None:
         self.started: list[bytes] = []
@@ -178,14 +178,14 @@
 
 
 class Authority:
-    """A certificate authority that writes identities into a directory."""
+    """A certificate authority that writes its files into a directory."""
 
     def __init__(self, directory: Path) -> None:
         self.directory = directory
         self.renew()
 
     def renew(self) -> None:
-        """Start a new authority and issue a certificate, over the old files."""
+        """Create a new authority and certificate, replacing the old files."""
         authority = trustme.CA()
         certificate = authority.issue_cert(HOST)
         authority.cert_pem.write_to_path(str(self.directory / "ca.pem"))
@@ -262,7 +262,7 @@
 
 @contextlib.asynccontextmanager
 async def answering_with(*frames: Frame) -> AsyncIterator[PeerAddress]:
-    """A peer that reads, sends these frames for the first request, and then nothing more."""
+    """Run a peer that replies to the first request with these frames and then sends nothing."""
     ended = asyncio.Event()
 
     async def serve(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -294,7 +294,7 @@
 
 
 def test_a_server_begins_an_acknowledged_request_only_when_its_sender_confirms() -> None:
-    """A server that stood still may read one long after its sender has turned to another."""
+    """A server that was paused may read a request long after its sender has turned to another."""
 
     async def scenario() -> None:
         async with serving() as (address, handler, _):
@@ -365,7 +365,7 @@
 
 
 def test_a_peer_that_began_and_fell_silent_is_lost_not_silent() -> None:
-    """Its calls may be anywhere; a merely silent one was never confirmed, so it never begins."""
+    """It may have calls in flight; an unconfirmed request, by contrast, never starts."""
 
     async def scenario() -> None:
         async with answering_with(Frame(FrameType.ACCEPTED, 1)) as address:
@@ -394,15 +394,12 @@
 
 
 def test_no_request_goes_over_a_connection_that_fell_silent_without_a_reset() -> None:
-    """What users saw: changes that were confirmed came into force late, or not in time.
+    """A connection that fails without a reset must not be reused.
 
-    The order of events: the way between two gateways is gone for the connection that is open, and a
-    proxy on it goes on acknowledging bytes.  A gateway that is behind pulls over it, waits for a
-    second, and does so again with every word of that peer, for as long as it asks.
-
-    The cause: only the kernel gave such connections up, by bytes that nobody acknowledges.  The
-    evidence: the record's pulls that end after 1.0 s one after the other; over a link that falls
-    silent, the second request was lost as the first.
+    The path of an open connection fails while a proxy on it still acknowledges bytes. A gateway
+    that was behind kept pulling over this connection, and each pull ended after 1.0 s: the kernel
+    closed connections only when bytes stayed unacknowledged, so the second request was lost like
+    the first. Users saw confirmed changes take effect late or not in time.
     """
 
     async def scenario() -> tuple[bytes, int]:
--- a/tests/support/datagram_network.py
+++ b/tests/support/datagram_network.py
@@ -1,4 +1,4 @@
-"""Datagrams in memory on manual time: loss, delay, cuts and paused nodes."""
+"""In-memory datagram network in virtual time: loss, delay, partitions and paused nodes."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass
 class DatagramNetwork:
-    """Delivers after a random delay unless the datagram is lost or cut off."""
+    """Delivers a datagram after a random delay unless it is lost or crosses the partition."""
 
     timers: ManualTimers
     random: random.Random
@@ -43,7 +43,7 @@
 
 
 class Endpoint:
-    """One node's transport and timers; while paused, everything waits."""
+    """Transport and timers of one node; while it is paused, all its callbacks are queued."""
 
     def __init__(self, network: DatagramNetwork, address: PeerAddress) -> None:
         self.network = network
@@ -82,7 +82,7 @@
 
 @dataclass
 class Cluster:
-    """Nodes on one network, all listed by the platform."""
+    """Nodes on one network, all of them listed by the platform."""
 
     seed: int = 1
     loss: float = 0.0
@@ -131,13 +131,13 @@
         )
 
     def statuses(self, name: str) -> set[MemberStatus | None]:
-        """Return what the nodes other than ``name`` hold of it."""
+        """Return the statuses of ``name`` in the views of the other nodes."""
         views = [node.view() for other, node in self.nodes.items() if other != name]
         members = (view.by_name.get(name) for view in views)
         return {member.status if member is not None else None for member in members}
 
     def agreed(self) -> bool:
-        """Tell whether every node holds exactly the running nodes alive."""
+        """Tell whether every node's usable members are exactly the running nodes."""
         expected = sorted(self.nodes)
         return all(
             [member.name for member in node.view().usable()] == expected
--- a/tests/unit/cluster/test_datagrams.py
+++ b/tests/unit/cluster/test_datagrams.py
@@ -1,4 +1,4 @@
-"""What arrives from outside: sealed, decoded, or dropped."""
+"""Received datagrams: sealing, decoding, and rejection of invalid ones."""
 
 from __future__ import annotations
 
--- a/tests/unit/cluster/test_membership.py
+++ b/tests/unit/cluster/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership of whole clusters on manual time."""
+"""Membership of whole clusters in virtual time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def advance_until(cluster: Cluster, condition, limit_s: float) -> float:
-    """Advance in steps and return the seconds it took."""
+    """Advance time in steps until the condition holds; return the seconds that passed."""
     started = cluster.timers.now
     while not condition():
         assert cluster.timers.now - started < limit_s, f"not within {limit_s} s"
--- a/tests/unit/common/test_event_loop.py
+++ b/tests/unit/common/test_event_loop.py
@@ -1,4 +1,4 @@
-"""The clock of every process counts the time for which its machine was suspended."""
+"""The clock of every process includes the time for which its machine was suspended."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class Suspension:
-    """Stands in for the kernel: a suspension moves one clock and not the other."""
+    """Simulates a suspension: the boot-time clock advances, the monotonic clock does not."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.suspended_s = 0.0
@@ -90,7 +90,7 @@
 
 
 def test_nothing_that_serves_reads_the_steady_clock_past_the_loop() -> None:
-    """A command that waits for an answer at a terminal, and the pace of log lines, may."""
+    """Exempt: a command that waits for an answer at a terminal, and the rate limit of log lines."""
     allowed = {"cli/node_commands/apply.py", "gateway/observability/log_stream.py"}
     found: list[Any] = []
     for path in PRODUCT.rglob("*.py"):
