--- a/tests/functional/common/test_peer_transport.py
+++ b/tests/functional/common/test_peer_transport.py
@@ -420,7 +420,7 @@
     assert asyncio.run(scenario()) == (b"second", 2)
 
 
-def test_a_peer_that_is_only_slow_is_waited_for_over_the_connection_that_was_retired() -> None:
+def test_a_request_to_a_slow_peer_stays_pending_on_a_retired_connection() -> None:
     async def scenario() -> tuple[bytes, bool]:
         async with serving() as (address, handler, _):
             client = PeerClient(lambda: None)
--- a/tests/support/datagram_network.py
+++ b/tests/support/datagram_network.py
@@ -25,11 +25,11 @@
     random: random.Random
     loss: float = 0.0
     delay_s: float = 0.002
-    cut: frozenset[PeerAddress] = frozenset()
+    partition: frozenset[PeerAddress] = frozenset()
     endpoints: dict[PeerAddress, Endpoint] = field(default_factory=dict)
 
     def deliver(self, source: PeerAddress, destination: PeerAddress, payload: bytes) -> None:
-        if (source in self.cut) != (destination in self.cut):
+        if (source in self.partition) != (destination in self.partition):
             return
         if self.random.random() < self.loss:
             return
--- a/tests/unit/cluster/test_membership.py
+++ b/tests/unit/cluster/test_membership.py
@@ -84,30 +84,32 @@
     advance_until(cluster, cluster.agreed, 3)
 
 
-def test_a_paused_node_does_not_bury_the_others():
+def test_a_resumed_node_does_not_declare_the_others_dead():
     cluster = Cluster().start(10)
     cluster.kill("n009")
     cluster.timers.advance(2.5)
-    sleeper = cluster.nodes["n003"]
-    buried = []
-    sleeper.on_member_changed(lambda change: buried.append(change.member.status is DEAD))
+    resumed_node = cluster.nodes["n003"]
+    declared_dead = []
+    resumed_node.on_member_changed(
+        lambda change: declared_dead.append(change.member.status is DEAD)
+    )
     cluster.endpoints["n003"].paused = True
     cluster.timers.advance(40)
     cluster.endpoints["n003"].waiting.clear()
     cluster.endpoints["n003"].paused = False
-    sleeper.pause_detector.check()
-    assert not any(buried)
+    resumed_node.pause_detector.check()
+    assert not any(declared_dead)
 
 
 def test_both_sides_of_a_cut_go_on_and_converge_when_it_heals():
     cluster = Cluster(loss=0.02).start(20)
     names = sorted(cluster.nodes)
     near, far = names[:6], names[6:]
-    cluster.network.cut = frozenset(cluster.address(name) for name in near)
+    cluster.network.partition = frozenset(cluster.address(name) for name in near)
     cluster.timers.advance(40)
     usable = [member.name for member in cluster.nodes[near[0]].view().usable()]
     assert usable == near
-    cluster.network.cut = frozenset()
+    cluster.network.partition = frozenset()
     advance_until(cluster, cluster.agreed, 15)
     assert cluster.nodes[far[0]].view().by_name[near[0]].status is ALIVE
 
@@ -216,7 +218,7 @@
     cluster.nodes[to].offer_list(2, tuple(listed))
 
 
-def test_who_is_leaving_by_one_node_s_list_is_leaving_everywhere_at_once():
+def test_a_member_leaving_on_one_nodes_list_leaves_everywhere_at_once():
     cluster = Cluster(loss=0.05).start(20)
     offer_leaving(cluster, "n000", "n001")
     advance_until(cluster, lambda: cluster.statuses("n001") == {LEAVING}, 1.5)
@@ -227,7 +229,7 @@
     advance_until(cluster, cluster.agreed, 5)
 
 
-def test_a_platform_that_changes_its_mind_has_the_node_back():
+def test_a_node_returns_when_the_list_no_longer_marks_it_leaving():
     cluster = Cluster(loss=0.05).start(20)
     offer_leaving(cluster, "n000", "n001")
     cluster.timers.advance(2)
--- a/tests/unit/common/test_event_loop.py
+++ b/tests/unit/common/test_event_loop.py
@@ -60,7 +60,7 @@
         event_loop.run(main())
 
 
-def test_a_platform_without_that_clock_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_platform_without_that_clock_raises_an_error(monkeypatch: pytest.MonkeyPatch) -> None:
     async def main() -> None:
         raise AssertionError("must not run")
 
@@ -77,7 +77,7 @@
     assert issubclass(ElapsedTimeLoop, asyncio.SelectorEventLoop)
 
 
-def uses_of_steady_clock(path: Path) -> list[str]:
+def uses_of_monotonic_clock(path: Path) -> list[str]:
     tree = ast.parse(path.read_text())
     return [
         f"{path.relative_to(PRODUCT)}:{node.lineno}"
@@ -89,11 +89,11 @@
     ]
 
 
-def test_nothing_that_serves_reads_the_steady_clock_past_the_loop() -> None:
+def test_serving_code_reads_the_clock_only_through_the_loop() -> None:
     """Exempt: a command that waits for an answer at a terminal, and the rate limit of log lines."""
     allowed = {"cli/node_commands/apply.py", "gateway/observability/log_stream.py"}
     found: list[Any] = []
     for path in PRODUCT.rglob("*.py"):
         if str(path.relative_to(PRODUCT)) not in allowed:
-            found += uses_of_steady_clock(path)
+            found += uses_of_monotonic_clock(path)
     assert found == []
