--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -51,7 +51,7 @@
     """A request whose answer has not arrived.
 
     :param end: loop time at which the request times out.
-    :param patience: time-out for the next progress report, set while the caller waits.
+    :param patience: timeout for the next progress report, set while the caller waits.
     :param begun: the peer has reported that it accepted the request.
     :param confirms: the peer starts only when this client confirms its report.
     """
@@ -63,7 +63,7 @@
     confirms: bool = True
 
     def record_progress(self, now: float) -> None:
-        """Extend the time-out: the peer reports that it is working on the request."""
+        """Extend the timeout: the peer reports that it is working on the request."""
         self.begun = True
         if self.patience is not None and not self.patience.expired():
             self.patience.reschedule(min(self.end, now + PROGRESS_TIMEOUT_S))
