--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -120,13 +120,13 @@
         destination: PeerAddress,
         payload: bytes,
         timeout_s: float,
-        accept_within_s: float | None = None,
+        accept_timeout_s: float | None = None,
         *,
         begin_at_once: bool = False,
     ) -> bytes:
         """Send a request and return its answer; see :class:`tinrudder.peers.PeerTransport`.
 
-        :param accept_within_s: time limit for the peer's first progress report, counted from now
+        :param accept_timeout_s: time limit for the peer's first progress report, counted from now
             and including the time for opening a connection. The peer must then report periodically
             while it works on the request.
         :param begin_at_once: the peer starts without waiting for a confirmation, so a request may
@@ -137,9 +137,9 @@
             raise PeerNotSentError(f"request: {len(payload)} bytes, at most {MAX_FRAME_BYTES}")
         loop = asyncio.get_running_loop()
         deadline = loop.time() + timeout_s
-        acknowledged = accept_within_s is not None
+        acknowledged = accept_timeout_s is not None
         accept_deadline = (
-            deadline if accept_within_s is None else min(deadline, loop.time() + accept_within_s)
+            deadline if accept_timeout_s is None else min(deadline, loop.time() + accept_timeout_s)
         )
         connect_s = min(timeout_s * CONNECT_TIMEOUT_SHARE, accept_deadline - loop.time())
         connection = await self._connection(destination, connect_s)
