--- a/tinrudder/common/latency_window.py
+++ b/tinrudder/common/latency_window.py
@@ -1,7 +1,8 @@
 """Quantiles of a service's recent call latencies, in bounded memory and without sorting.
 
-Two histograms with buckets of equal ratio: the current one fills, the former one still counts
-until the next rotation, so the window spans between one and two periods.
+Owns two histograms whose buckets grow by a constant ratio. New latencies go into the current
+histogram; the previous one still counts until the next rotation, so the window spans between one
+and two periods.
 """
 
 from __future__ import annotations
@@ -10,26 +11,24 @@
 import math
 from collections.abc import Sequence
 
-SMALLEST_S = 1e-4
-"""Latency up to which all count as one, seconds. Chosen, not measured: no call over a network is
-as short."""
+MIN_LATENCY_S = 1e-4
+"""Upper bound of the first bucket, seconds: no call over a network is as short as this."""
 BUCKET_RATIO = 1.07
-"""Upper end of a bucket over its lower one: a latency is told within 7% (arithmetic)."""
+"""Ratio of a bucket's upper bound to its lower bound: latencies are resolved to within 7%."""
 BUCKETS = 200
-"""How many buckets: with the two figures above they reach from 0.1 ms to about 75 s
-(arithmetic)."""
+"""Number of buckets: with the two constants above they cover 0.1 ms to about 75 s."""
 PERIOD_CALLS = 4000
-"""Calls after which the older half of the window is forgotten. Chosen, not measured: the window
-spans 4,000 to 8,000 calls, enough that 1 in 50 is counted some 80 times."""
+"""Calls after which the histograms rotate and the older one is dropped: the window spans 4,000 to
+8,000 calls, enough that an event of 1 in 50 is counted some 80 times."""
 REFRESH_CALLS = 64
-"""Calls for which a quantile is kept once it was worked out. Chosen, not measured: a walk over all
-buckets for 64 calls in place of one for each."""
+"""Calls for which a computed quantile stays cached: one pass over all buckets per 64 calls instead
+of one per call."""
 _LOG_RATIO = math.log(BUCKET_RATIO)
-_LOG_SMALLEST = math.log(SMALLEST_S)
+_LOG_MIN_LATENCY = math.log(MIN_LATENCY_S)
 
 
 class LatencyWindow:
-    """Counts latencies from 0.1 ms to about 75 s, each within 7%.
+    """Histogram of latencies from 0.1 ms to about 75 s, each resolved to within 7%.
 
     >>> window = LatencyWindow()
     >>> for latency_ms in range(1, 101):
@@ -50,15 +49,15 @@
         self._stale_after = 0
 
     def __len__(self) -> int:
-        """Return how many calls the window spans."""
+        """Return the number of calls in the window."""
         return self._total + self._former_total
 
     def observe(self, seconds: float) -> None:
-        """Count one call."""
-        if seconds <= SMALLEST_S:
+        """Record the latency of one call."""
+        if seconds <= MIN_LATENCY_S:
             bucket = 0
         else:
-            bucket = min(BUCKETS - 1, int((math.log(seconds) - _LOG_SMALLEST) / _LOG_RATIO))
+            bucket = min(BUCKETS - 1, int((math.log(seconds) - _LOG_MIN_LATENCY) / _LOG_RATIO))
         self._counts[bucket] += 1
         self._total += 1
         if self._total >= self._stale_after:
@@ -76,7 +75,7 @@
         return cached
 
     def shares_above(self, times: Sequence[float]) -> tuple[float, ...]:
-        """Return which share of the calls took longer than each of some times, seconds.
+        """Return, for each of ``times`` in seconds, the share of calls that took longer.
 
         >>> window = LatencyWindow()
         >>> for latency_ms in range(1, 101):
@@ -87,25 +86,27 @@
         total = len(self)
         if not total:
             return (0.0,) * len(times)
-        counts = (now + before for now, before in zip(self._counts, self._former, strict=True))
-        up_to = [0, *itertools.accumulate(counts)]
-        return tuple(1.0 - _counted(up_to, seconds) / total for seconds in times)
+        counts = (
+            current + previous for current, previous in zip(self._counts, self._former, strict=True)
+        )
+        cumulative = [0, *itertools.accumulate(counts)]
+        return tuple(1.0 - _count_up_to(cumulative, seconds) / total for seconds in times)
 
     def _compute_quantile(self, fraction: float) -> float:
-        """Walk the buckets up to the wanted rank."""
+        """Return the latency of the first bucket at which the cumulative count reaches the rank."""
         total = len(self)
         if not total:
             return 0.0
         rank = fraction * total
-        seen = 0
+        cumulative_count = 0
         for bucket in range(BUCKETS):
-            seen += self._counts[bucket] + self._former[bucket]
-            if seen >= rank:
-                return _latency_of(bucket)
-        return _latency_of(BUCKETS - 1)
+            cumulative_count += self._counts[bucket] + self._former[bucket]
+            if cumulative_count >= rank:
+                return _bucket_latency(bucket)
+        return _bucket_latency(BUCKETS - 1)
 
     def _rotate(self) -> None:
-        """Forget the oldest period."""
+        """Make the current histogram the previous one and start an empty one."""
         self._former = self._counts
         self._former_total = self._total
         self._counts = [0] * BUCKETS
@@ -113,17 +114,20 @@
         self._stale_after = REFRESH_CALLS
 
 
-def _counted(up_to: Sequence[int], seconds: float) -> float:
-    """Return how many calls took no longer, those of one bucket evenly spread within it."""
-    if seconds <= SMALLEST_S:
+def _count_up_to(cumulative: Sequence[int], seconds: float) -> float:
+    """Return the number of calls that took at most ``seconds``, interpolated linearly in a bucket.
+
+    :param cumulative: number of calls below each bucket's lower bound, by bucket.
+    """
+    if seconds <= MIN_LATENCY_S:
         return 0.0
-    place = (math.log(seconds) - _LOG_SMALLEST) / _LOG_RATIO
-    bucket = int(place)
+    position = (math.log(seconds) - _LOG_MIN_LATENCY) / _LOG_RATIO
+    bucket = int(position)
     if bucket >= BUCKETS:
-        return up_to[BUCKETS]
-    return up_to[bucket] + (place - bucket) * (up_to[bucket + 1] - up_to[bucket])
+        return cumulative[BUCKETS]
+    return cumulative[bucket] + (position - bucket) * (cumulative[bucket + 1] - cumulative[bucket])
 
 
-def _latency_of(bucket: int) -> float:
-    """Return the middle of a bucket, in the sense of ratios."""
-    return SMALLEST_S * math.exp((bucket + 0.5) * _LOG_RATIO)
+def _bucket_latency(bucket: int) -> float:
+    """Return the geometric mean of a bucket's bounds, seconds."""
+    return MIN_LATENCY_S * math.exp((bucket + 0.5) * _LOG_RATIO)
