--- a/tests/unit/node/decisions/test_admission.py
+++ b/tests/unit/node/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Early refusal: what the expected wait is made of, and that an idle tier refuses nothing."""
+"""Admission control: components of the expected wait; without waiting calls nothing is refused."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/decisions/test_backend_limit.py
+++ b/tests/unit/node/decisions/test_backend_limit.py
@@ -1,4 +1,4 @@
-"""Back-end limits against an oracle of a back end with a hidden number of slots."""
+"""Adaptive back-end limits: bounds against a model of the calls in flight, and convergence."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LimitAgainstOracle(RuleBasedStateMachine):
-    """The oracle counts the calls in flight itself."""
+    """The model is the list of the times at which the calls in flight were sent."""
 
     @initialize(slots=st.integers(1, 12))
     def start(self, slots: int) -> None:
@@ -64,14 +64,14 @@
 
 @dataclass
 class Rounds:
-    """Sends as much as allowed each round to a back end that sheds beyond its true slots."""
+    """Sends as many calls as allowed per round to a back end that sheds beyond its real slots."""
 
     backend: BackendRecord
     policy: AdaptiveLimit = field(default_factory=AdaptiveLimit)
     now: float = 0.0
 
     def play(self, slots: int, rounds: int) -> int:
-        """Return how many calls were shed."""
+        """Return the number of calls shed."""
         shed = 0
         for _ in range(rounds):
             sent_at, self.now = self.now, self.now + 1.0
--- a/tests/unit/node/decisions/test_coordinator_set.py
+++ b/tests/unit/node/decisions/test_coordinator_set.py
@@ -1,4 +1,4 @@
-"""Coordinator sets: agreement, spread, shares and churn."""
+"""Coordinator sets: same result on all nodes, spread over zones, shares, and churn."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The fair queue against an oracle: nothing lost or doubled, weights kept, no class starved."""
+"""The fair queue against a model: no call lost or duplicated, weights obeyed, no class starved."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class QueueAgainstOracle(RuleBasedStateMachine):
-    """The oracle is a plain list of the waiting calls in order of arrival."""
+    """The model is a list of the waiting calls in order of arrival."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tests/unit/node/decisions/test_routing_policies.py
+++ b/tests/unit/node/decisions/test_routing_policies.py
@@ -1,4 +1,4 @@
-"""Hedge delays and budgets, ejection, ramps and replica choice, each for itself."""
+"""Unit tests of hedge delays and budgets, ejection, warm-up ramps and replica choice."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 
 class Ejecting:
-    """An ejection policy over warm back ends."""
+    """An ejection policy with back ends that have answered before."""
 
     def __init__(self, count: int) -> None:
         self.policy = OutlierEjection()
@@ -163,7 +163,7 @@
     assert not service.policy.may_probe(bad, 1.0)
     due = 1.0 + FIRST_EJECTION_S
     assert service.policy.may_probe(bad, due)
-    assert not service.policy.may_probe(bad, due), "one probe a period"
+    assert not service.policy.may_probe(bad, due), "one probe per period"
     service.answer(bad, SLOW_S, due + SLOW_S)
     assert bad.health.ejected, "too slow to return"
     service.answer(bad, LATENCY_S, due + 1.0)
--- a/tests/unit/node/decisions/test_tenant_usage.py
+++ b/tests/unit/node/decisions/test_tenant_usage.py
@@ -1,4 +1,4 @@
-"""Tenants' caps: hard, and nothing leaks however queries end."""
+"""Tenant caps are never exceeded, and closed queries leave no usage behind."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class UsageAgainstOracle(RuleBasedStateMachine):
-    """The oracle remembers what every open query of either tenant holds."""
+    """The model records the bytes that every open query of both tenants holds."""
 
     def __init__(self) -> None:
         super().__init__()
--- a/tinrudder/node/decisions/__init__.py
+++ b/tinrudder/node/decisions/__init__.py
@@ -1,4 +1,4 @@
-"""Pure decisions of a node: which replica, when to hedge or retry, who coordinates.
+"""Pure decision logic of a node: replica choice, hedging, retries and coordinator selection.
 
-Reads no clock and no network: time, observations and randomness are arguments.
+Does no I/O and reads no clock of its own: time, observations and randomness are arguments.
 """
--- a/tinrudder/node/decisions/backend_health.py
+++ b/tinrudder/node/decisions/backend_health.py
@@ -1,6 +1,6 @@
-"""What one node knows of a back end's health: its own judgement first, others' words as hints.
+"""Health of a back end as seen from one node: own observations, and load reports as hints.
 
-State of ``ejection`` and of load reports, held in the back-end record.
+Owns the state that ``ejection`` and load reports keep in the back-end record.
 """
 
 from __future__ import annotations
@@ -11,21 +11,22 @@
 
 @dataclass(slots=True, eq=False)
 class BackendHealth:
-    """Mutable health of one back end; times are monotonic seconds of this node.
+    """Mutable health state of one back end; times are monotonic seconds of this node.
 
     Own observations:
 
-    :param answers: answers since the back end was last let in.
-    :param failures_in_row: calls broken or not sent since the last answer.
-    :param ejected: no call goes there that another replica can take.
-    :param ejections: ejection periods since it last was fully in use; doubles the next one.
-    :param probe_at: when an ejected back end may get its next probe.
-    :param ramp_limit: calls in flight allowed while it warms up; infinite when warm.
+    :param answers: answers since the back end was last readmitted.
+    :param failures_in_row: calls since the last answer that failed or could not be sent.
+    :param ejected: the back end gets only calls that no other replica can take.
+    :param ejections: ejection periods since the back end was last fully in use; each doubles the
+        next period.
+    :param probe_at: earliest time of the next probe of an ejected back end.
+    :param ramp_limit: calls in flight allowed during warm-up; infinite when warm.
 
-    Hints, which age and never outweigh own observations:
+    Hints, which expire and never outweigh own observations:
 
-    :param reported_others: calls of others in flight there, by the back end's own report.
-    :param reported_at: when that report came.
+    :param reported_others: calls of other nodes in flight, from the back end's load report.
+    :param reported_at: when that report arrived.
     """
 
     answers: int = 0
--- a/tinrudder/node/decisions/backend_record.py
+++ b/tinrudder/node/decisions/backend_record.py
@@ -1,7 +1,7 @@
-"""What this node has itself observed of each back end, and what it may send there.
+"""State that this node keeps for each back end: its own observations and its concurrency limit.
 
-Owns the counts, the latency and the limit of one back end; the policies for limits and ejection
-move them.
+Owns the call counts, the smoothed latency and the limit of one back end.  The limit policy and the
+ejection policy update them.
 """
 
 from __future__ import annotations
@@ -12,35 +12,35 @@
 from tinrudder.node.decisions.backend_health import BackendHealth
 
 LATENCY_SMOOTHING = 0.1
-"""Weight of one answer in the smoothed latency.  Chosen, not measured: a back end that turns slow
-is seen within ten calls."""
+"""Weight of one answer in the smoothed latency.  A back end that becomes slow is detected within
+ten calls."""
 DEFAULT_MAX_CONNECTIONS = 70
-"""Connections to a back end whose service states none: about what the users' smaller back ends
-take."""
+"""Connections to a back end whose service configures no maximum: about what the users' smaller
+back ends accept."""
 MAX_LATENCY_STEP = 3.0
-"""Most that one answer counts, in smoothed latencies.  Chosen, not measured: a single call out of
-the tail must not make a back end look slow, two or three in a row may."""
+"""Upper bound of one latency sample, in multiples of the smoothed latency.  A single call from the
+tail must not make a back end look slow; two or three in a row may."""
 
 
 @dataclass(slots=True, eq=False)
 class BackendRecord:
     """Mutable state of one back end as seen from one node.
 
-    :param slots: calls the back end runs at once, as configured: a hint.
-    :param limit: calls this node may have in flight there now; its whole part counts.
-    :param usual: calls that keep this node's share of the slots busy; ``limit`` never exceeds it.
-        0 takes ``limit``.
-    :param headroom: how many times ``limit`` a tenant well below its share may fill.
-    :param lowered_at: when ``limit`` was last lowered, monotonic seconds.
-    :param waiting: calls that wait in this node's queue and may go there.
-    :param latency_s: smoothed time of answered calls, seconds; 0 before the first.
-    :param leaving: no new work goes there.
-    :param configured_leaving: the configuration says that it is leaving.
-    :param drain_signed: it, or another node, said that it is leaving.
-    :param ordinary_sent_at: when the last call was sent that it answered without saying so.
-    :param paused: it asked for a pause with a refusal; no new work until that is over.
-    :param max_connections: this node's share of the connections the back end takes.
-    :param health: own judgement and hints of others.
+    :param slots: configured number of calls that the back end runs in parallel; a hint.
+    :param limit: calls that this node may have in flight there now, rounded down.
+    :param usual: upper bound of ``limit``: the calls that keep this node's share of the slots busy.
+        0 uses the initial ``limit``.  Exceeded only while slots are handed over.
+    :param headroom: factor on ``limit`` up to which a tenant well below its share may send.
+    :param lowered_at: when ``limit`` was last decreased, monotonic seconds.
+    :param waiting: calls in this node's queue that have this back end as a candidate.
+    :param latency_s: smoothed latency of answered calls, seconds; 0 before the first answer.
+    :param leaving: the back end is draining and gets no new calls.
+    :param configured_leaving: the configuration marks the back end as draining.
+    :param drain_signed: the back end itself or another node reported that it is draining.
+    :param ordinary_sent_at: when the latest call that was answered without a drain notice was sent.
+    :param paused: the back end refused a call and asked for a pause; no new calls until it ends.
+    :param max_connections: this node's share of the connections that the back end accepts.
+    :param health: ejection state and load reports.
     """
 
     name: str
@@ -65,11 +65,11 @@
     health: BackendHealth = field(default_factory=BackendHealth)
 
     def __post_init__(self) -> None:
-        """Begin at the limit given."""
+        """Default the upper bound to the initial limit."""
         self.usual = self.usual or self.limit
 
     def may_send(self) -> bool:
-        """Tell whether one more call fits under the limit, and under the ramp of a cold start."""
+        """Tell whether one more call fits under the limit and the warm-up ramp."""
         return (
             self.in_flight + 1 <= self.limit
             and not self.leaving
@@ -78,7 +78,7 @@
         )
 
     def may_exceed(self) -> bool:
-        """Tell whether one more call of a tenant well below its share fits."""
+        """Tell whether one more call of a tenant well below its share fits into the headroom."""
         return (
             self.in_flight + 1 <= self.limit * self.headroom
             and not self.leaving
@@ -87,10 +87,11 @@
         )
 
     def set_share(self, usual: float, headroom: float) -> None:
-        """Follow a changed share; a limit that stood at the old one moves along.
+        """Apply a changed share; a limit that was at the old maximum moves to the new one.
 
-        While calls wait a limit is not lowered here: those of a node that hands its slots over
-        would come too late under what is left to it (see :meth:`end_handover`).
+        While calls wait, the limit is not lowered here: on a node that hands its slots over to
+        another coordinator, waiting calls would miss their deadlines under the smaller share
+        (see :meth:`end_handover`).
         """
         follows = self.limit >= self.usual
         self.usual = usual
@@ -102,14 +103,14 @@
             self.limit = usual
 
     def end_handover(self) -> None:
-        """Lower the limit to the present share."""
+        """Lower the limit to the current share."""
         self.limit = min(self.limit, self.usual)
 
     def observe_latency(self, seconds: float) -> None:
-        """Fold one answered call into the smoothed latency.
+        """Update the smoothed latency with one answered call.
 
-        A single slow call counts as a bounded step, so that a heavy tail, which every back end
-        has, does not look like a slow back end; one that stays slow is seen within ten calls.
+        Every back end has a heavy tail.  The sample is bounded so that a single slow call does
+        not make the back end look slow; one that stays slow is detected within ten calls.
         """
         if self.latency_s == 0.0:
             self.latency_s = seconds
@@ -118,6 +119,6 @@
         self.latency_s += LATENCY_SMOOTHING * (bounded - self.latency_s)
 
     def observe_unanswered(self, seconds: float) -> None:
-        """Learn from a call given up after ``seconds``: it would have taken longer still."""
+        """Count a call cancelled after ``seconds`` with that lower bound of its latency."""
         if seconds > self.latency_s:
             self.observe_latency(seconds)
--- a/tinrudder/node/decisions/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -1,7 +1,7 @@
-"""All back ends this node knows, kept in step with the configuration.
+"""Table of all back ends of the configuration, with this node's share of each.
 
-Owns the records.  Relies on the configuration for which there are, and on the coordinator sets for
-the share of each.
+Owns the back-end records.  The configuration provides the list of back ends, and the coordinator
+sets provide the shares.
 """
 
 from __future__ import annotations
@@ -13,21 +13,22 @@
 from tinrudder.node.resources.model import BackendSpec, BackendState
 
 CALLS_PER_SLOT = 1.2
-"""Calls in flight for one slot that keep it busy while answers travel, see docs/LIMITS.md."""
+"""Calls in flight per slot that keep the slot busy while answers are on the network (see
+docs/LIMITS.md)."""
 
 SlotShare = Callable[[str, BackendSpec], float]
 ConnectionShare = Callable[[str, BackendSpec], int]
 
 
 def all_slots(_name: str, spec: BackendSpec) -> float:
-    """Give this node every slot: right only where no other node sends."""
+    """Give this node every slot; correct only if no other node sends to the back end."""
     return spec.slots
 
 
 class BackendTable:
-    """Records by name; a record outlives configuration changes, so observations are kept.
+    """Records by name; a record survives configuration changes, so its observations are kept.
 
-    :ivar generation: raised by every update; what was looked up before may be stale.
+    :ivar generation: incremented by every update; earlier look-ups may then be stale.
     """
 
     def __init__(self) -> None:
@@ -43,10 +44,11 @@
         share: SlotShare = all_slots,
         headroom: float = 1.0,
     ) -> None:
-        """Follow the configuration and the coordinator sets.
+        """Apply a changed configuration or changed coordinator sets.
 
-        :param share: how many calls this node may ever have in flight at a back end.
-        :param headroom: that number over the slots it stands for.
+        :param share: most calls that this node may have in flight at a back end, headroom
+            included.
+        :param headroom: ratio of that number to this node's share of the slots.
         """
         self.generation += 1
         self._by_service = {}
@@ -72,19 +74,19 @@
             self.on_update()
 
     def end_drain_sign(self, name: str) -> None:
-        """Forget that a back end was said to be leaving; the configuration still counts."""
+        """Clear a reported drain of a back end; a drain in the configuration still applies."""
         record = self._records.get(name)
         if record is not None and record.drain_signed:
             record.drain_signed = False
             record.leaving = record.configured_leaving
 
     def share_connections(self, specs: Mapping[str, BackendSpec], share: ConnectionShare) -> None:
-        """Set how many connections to each back end this node may hold."""
+        """Set how many connections this node may open to each back end."""
         for name, spec in specs.items():
             self._records[name].max_connections = share(name, spec)
 
     def get(self, name: str) -> BackendRecord | None:
-        """Return a back end's record."""
+        """Return a back end's record, ``None`` if there is none."""
         return self._records.get(name)
 
     def all_records(self) -> tuple[BackendRecord, ...]:
@@ -96,6 +98,6 @@
         return tuple(self._by_service.get(service, ()))
 
     def records(self, names: tuple[str, ...]) -> tuple[BackendRecord, ...]:
-        """Return the records of ``names`` that are known, leaving ones included."""
+        """Return the existing records of ``names``, including back ends that are draining."""
         found = (self._records.get(name) for name in names)
         return tuple(record for record in found if record is not None)
--- a/tinrudder/node/decisions/coordinator_ranking.py
+++ b/tinrudder/node/decisions/coordinator_ranking.py
@@ -1,7 +1,6 @@
-"""In which order an entry asks the coordinators of a service.
+"""Order in which an entry node tries the coordinators of a service.
 
-Owns what this entry has seen of each coordinator; relies on ``query.coordinator_watch`` for
-probes.
+Owns this node's observations of each coordinator; ``query.coordinator_watch`` sends the probes.
 """
 
 from __future__ import annotations
@@ -14,26 +13,27 @@
 from tinrudder.timers import Timers
 
 CROSS_ZONE_COST = 4
-"""How many queries in flight a coordinator of another zone seems to have more.  Chosen, not
-measured: zones are 1 ms apart, a round trip that a few queries in front outweigh."""
+"""Queries in flight added to the cost of a coordinator in another zone.  Zones are 1 ms apart, a
+round trip that a few queries ahead in the queue outweigh."""
 FIRST_AVOIDANCE_S = 0.5
-"""Seconds that a coordinator is left alone after a failure, doubled with each in a row.  Chosen,
-not measured: about the time in which membership suspects a dead node."""
+"""Seconds of back-off after a coordinator's first failure, doubled with each consecutive one: about
+the time in which membership suspects a dead node."""
 LONGEST_AVOIDANCE_S = 8.0
-"""Seconds between probes of a coordinator that keeps failing: how late one that is back is
-noticed.  Chosen, not measured."""
+"""Maximum seconds between probes of a coordinator that keeps failing, and so the longest delay
+until its recovery is noticed."""
 MAX_COUNTED_FAILURES = 10
-"""Failures in a row that are counted; beyond it the exponent would only grow.  The longest
-avoidance is reached at the fifth."""
+"""Maximum of the counter of consecutive failures, so that the back-off exponent stays bounded.
+The longest back-off is reached at the fifth failure."""
 
 
 @dataclass(slots=True)
 class _Observed:
-    """What this entry has seen of one coordinator.
+    """Observations of one coordinator by this entry node.
 
-    :param tie_break: differs between entries, so equals do not all pick the same coordinator.
-    :param failures: failures in a row.
-    :param avoid_until: monotonic time until which nothing is sent there.
+    :param tie_break: differs between entry nodes, so that they do not all pick the same coordinator
+        among equal ones.
+    :param failures: consecutive failures.
+    :param avoid_until: monotonic time at which the back-off ends and the next probe is due.
     """
 
     incarnation: int
@@ -44,17 +44,18 @@
 
 
 class CoordinatorRanking:
-    """Own zone first, then the fewest of our queries in flight; none that just failed us.
+    """Ranks coordinators by zone and by this node's queries in flight; leaves out failed ones.
 
-    One query in another zone counts as ``CROSS_ZONE_COST`` in our own: a coordinator next door
-    keeps its advantage of one round trip until it has clearly more of our work than others.
+    A coordinator in another zone is ranked as if it had ``CROSS_ZONE_COST`` more queries in
+    flight: a coordinator in the own zone keeps its advantage of one round trip until it has
+    clearly more of this node's queries than others.
 
-    A coordinator that failed gets nothing before a probe has succeeded: behind a silent cut a
-    query sent to try it would wait out its whole deadline.
+    A failed coordinator gets no queries until a probe has succeeded: behind a network partition
+    that drops packets silently, a query sent as a trial would wait until its deadline.
     """
 
     def __init__(self, node_name: str, zone: str, timers: Timers) -> None:
-        """Rank as seen from ``node_name`` in ``zone``."""
+        """Rank for the entry node ``node_name`` in ``zone``."""
         self._node_name = node_name
         self._zone = zone
         self._timers = timers
@@ -63,15 +64,15 @@
         self.on_failed_changed: Callable[[], None] | None = None
 
     def failed_names(self) -> frozenset[str]:
-        """Return the members that failed and have not answered since."""
+        """Return the names of the members that failed and have not succeeded since."""
         return frozenset(self._failed)
 
     def order(self, members: Sequence[Member]) -> list[Member]:
-        """Return the members to ask, best first, without those to be left alone."""
+        """Return the members to try, best first, without the failed ones."""
         return sorted((m for m in members if m.name not in self._failed), key=self._cost)
 
     def due_for_probe(self) -> list[Member]:
-        """Return the members that failed and have been left alone long enough."""
+        """Return the failed members whose back-off has ended."""
         if not self._failed:
             return []
         now = self._timers.time()
@@ -83,12 +84,12 @@
         self._of(member).in_flight += 1
 
     def end(self, member: Member) -> None:
-        """Count a query as ended; a member forgotten meanwhile starts at none."""
+        """Count a query as ended; the counter of a member removed meanwhile stays at 0."""
         observed = self._of(member)
         observed.in_flight = max(0, observed.in_flight - 1)
 
     def succeed(self, member: Member) -> None:
-        """Forget earlier failures."""
+        """Clear the failures of ``member`` after a success."""
         observed = self._of(member)
         observed.failures = 0
         observed.avoid_until = 0.0
@@ -96,7 +97,7 @@
             self._tell()
 
     def fail(self, member: Member) -> None:
-        """Leave a member alone for a while, longer after every failure in a row."""
+        """Start a back-off for a member, longer after every consecutive failure."""
         observed = self._of(member)
         now = self._timers.time()
         if observed.avoid_until > now:
@@ -110,7 +111,7 @@
             self._tell()
 
     def keep_only(self, members: Mapping[str, Member]) -> None:
-        """Forget members that are gone or have started anew."""
+        """Drop the state of members that have left or restarted."""
         for name, observed in tuple(self._observed.items()):
             member = members.get(name)
             if member is None or member.incarnation != observed.incarnation:
@@ -122,7 +123,7 @@
             self.on_failed_changed()
 
     def _of(self, member: Member) -> _Observed:
-        """Return what is known; a restarted process starts afresh."""
+        """Return a member's state; a restarted process gets a new one."""
         observed = self._observed.get(member.name)
         if observed is None or observed.incarnation != member.incarnation:
             tie_break = rendezvous_score(self._node_name, member.name)
@@ -131,7 +132,7 @@
         return observed
 
     def _cost(self, member: Member) -> tuple[bool, int, int]:
-        """Return the sort key."""
+        """Return the sort key: suspected members last, then queries in flight plus zone cost."""
         observed = self._of(member)
         distance = 0 if member.zone == self._zone else CROSS_ZONE_COST
         is_suspect = member.status is MemberStatus.SUSPECT
--- a/tinrudder/node/decisions/coordinator_set.py
+++ b/tinrudder/node/decisions/coordinator_set.py
@@ -1,8 +1,9 @@
-"""Which nodes coordinate a service's queries, and how many calls each may have in flight.
+"""Selection of a service's coordinators, and each coordinator's share of the calls in flight.
 
-A service's coordinators are chosen by rendezvous hashing over the live members of its region,
-spread over zones.  Every node computes the same set from the same view, without talking.  When
-one node comes or goes, at most a few places of a set change hands (see docs/COORDINATORS.md).
+Owns no state.  Coordinators are selected by rendezvous hashing over the live members of the
+service's region, spread over zones.  Nodes with the same membership view compute the same set
+without communication.  When one node joins or leaves, at most a few members of a set change (see
+docs/COORDINATORS.md).
 """
 
 from __future__ import annotations
@@ -17,16 +18,17 @@
 from tinrudder.common.rendezvous import rendezvous_score
 
 MAX_SLOTS_HELD = 32
-"""Slots of all back ends together that one coordinator holds, so that one process can carry
-their calls (docs/COORDINATORS.md)."""
+"""Maximum number of slots, summed over a service's back ends, per coordinator, so that one process
+can carry their calls (docs/COORDINATORS.md)."""
 
 SLOT_HEADROOM = 2
-"""Calls in flight for one slot: while an answer travels, the next call is already waiting."""
+"""Calls in flight per slot: while an answer is on the network, the next call already waits at the
+back end."""
 
 FALLBACK_LIMIT = 1
 """Calls that any node may have in flight at a back end, coordinator or not, so that a query
-survives when no coordinator is reachable.  The least there is: all nodes of a region may use it at
-once."""
+succeeds when no coordinator is reachable.  The minimum, because all nodes of a region may use it
+at the same time."""
 _ELIGIBLE = (MemberStatus.ALIVE, MemberStatus.SUSPECT)
 
 
@@ -34,7 +36,7 @@
 class CoordinatorSet:
     """The coordinators of one service, best score first.
 
-    :param names: the same members by name, for a quick test of membership.
+    :param names: names of ``members``, for fast membership tests.
     """
 
     service: str
@@ -42,11 +44,11 @@
     names: frozenset[str] = field(default=frozenset())
 
     def share(self, node: str, backend: str, calls: int) -> int:
-        """Return how many of the calls that a back end may have in flight are ``node``'s.
+        """Return how many of a back end's ``calls`` in flight ``node`` may have.
 
-        Over all coordinators the shares add up to ``calls`` as long as there are no more
-        coordinators than that.  Every node, coordinator or not, may have ``FALLBACK_LIMIT``:
-        that is what keeps a query alive when no coordinator is reachable.
+        The shares of all coordinators add up to ``calls`` unless there are more coordinators
+        than ``calls``.  Every node, coordinator or not, gets at least ``FALLBACK_LIMIT``, so that
+        a query succeeds when no coordinator is reachable.
         """
         if node not in self.names:
             return FALLBACK_LIMIT
@@ -57,9 +59,9 @@
 def coordinator_count(slots: Sequence[int]) -> int:
     """Return how many coordinators a service has.
 
-    As few as possible: one coordinator sees every query and every slot, so it wastes none.
-    More only where one process could not carry the calls, and never so many that a coordinator
-    holds less than one slot of the smallest back end.
+    As few as possible: a single coordinator sees every query and every slot, so it wastes none.
+    There are more only if one process could not carry the calls, and never so many that a
+    coordinator has less than one slot of the smallest back end.
 
     >>> coordinator_count([5, 5])
     1
@@ -86,9 +88,9 @@
 def rank_members(service: str, members: Iterable[Member]) -> tuple[Member, ...]:
     """Return the members that may coordinate a service, best first.
 
-    The best of every zone come first, then the second of every zone, and so on.  A suspected
-    member keeps its place: taking its slots away before it is known to be dead would hand them
-    out twice.
+    The best member of every zone comes first, then the second of every zone, and so on.  A
+    suspected member stays eligible: reassigning its slots before it is declared dead would assign
+    them twice.
     """
     eligible = [member for member in members if member.status in _ELIGIBLE]
     scored = sorted(
@@ -109,22 +111,22 @@
 def take_coordinators(
     service: str, ranked: Sequence[Member], count: int, unreachable: frozenset[str] = frozenset()
 ) -> CoordinatorSet:
-    """Return the first ``count`` members, passing over those this node cannot reach."""
+    """Return the first ``count`` members that this node can reach; if it reaches none, of all."""
     reachable = [member for member in ranked if member.name not in unreachable]
     chosen = tuple((reachable or ranked)[:count])
     return CoordinatorSet(service, chosen, frozenset(member.name for member in chosen))
 
 
 def choose_coordinators(service: str, members: Iterable[Member], count: int) -> CoordinatorSet:
-    """Choose ``count`` coordinators among the members of the service's region."""
+    """Select ``count`` coordinators from the members of the service's region."""
     return take_coordinators(service, rank_members(service, members), count)
 
 
 def even_share(backend: str, calls: int, position: int, count: int) -> int:
-    """Return the calls to one back end that belong to the coordinator at ``position``.
+    """Return the share of a back end's ``calls`` of the coordinator at ``position``.
 
-    The remainder of an uneven division starts at another coordinator for every back end, so no
-    coordinator gets the larger share everywhere.
+    The remainder of an uneven division is assigned from a position that depends on the back end's
+    name, so that no coordinator gets the larger share of every back end.
 
     >>> sum(even_share("b1", 5, position, 3) for position in range(3))
     5
--- a/tinrudder/node/decisions/drain_signs.py
+++ b/tinrudder/node/decisions/drain_signs.py
@@ -1,8 +1,9 @@
-"""Which back ends have shown that they are leaving, by their own answers or another node's word.
+"""Drain notices: back ends that reported, directly or through another node, that they are draining.
 
-A sign holds for long: a back end that leaves does not come back as a rule, and asking it would
-be new work.  One that stays after all is found by a single call when the sign ends; the time is
-drawn at random for each node, so that the first to ask tells the others.
+Owns the notices and their expiry times.  A notice lasts long, because a draining back end usually
+does not return and a call to check it would be new work for it.  A back end that stays in service
+is found by a single call after the notice has expired.  The lifetime is random per node, so that
+the first node to check publishes the result to the others.
 """
 
 from __future__ import annotations
@@ -10,18 +11,17 @@
 import random
 
 SHORTEST_HOLD_S = 60.0
-"""Seconds for which a sign surely holds.  Chosen, not measured: longer than a back end's planned
-stop takes as a rule."""
+"""Minimum lifetime of a notice, in seconds: usually longer than a back end's planned stop."""
 LONGEST_HOLD_S = 120.0
-"""Seconds after which a back end that stayed is asked again at the latest.  Twice the shortest, so
-that the nodes do not all ask at once."""
+"""Maximum lifetime of a notice, in seconds, after which a back end is called again.  Twice the
+minimum, so that the nodes do not all call it at the same time."""
 OWN_MARGIN_S = 0.25
-"""Seconds after the sign from which on a call counts as sent after it: signs of other nodes come
-with their clocks and their way.  Chosen, not measured."""
+"""Seconds that a call must be sent after a notice to count as newer: the times of other nodes'
+notices include clock error and network delay."""
 
 
 class DrainSigns:
-    """Signs by back end; all times are monotonic seconds of this node.
+    """Drain notices by back end; all times are monotonic seconds of this node.
 
     >>> signs = DrainSigns(random.Random(1))
     >>> signs.add("b1", 10.0)
@@ -32,33 +32,34 @@
     """
 
     def __init__(self, source: random.Random) -> None:
-        """Draw hold times from ``source``."""
+        """Draw lifetimes from ``source``."""
         self._random = source
         self._signed_at: dict[str, float] = {}
         self._until: dict[str, float] = {}
 
     def __len__(self) -> int:
-        """Return how many back ends are held to be leaving."""
+        """Return the number of back ends with a notice."""
         return len(self._signed_at)
 
     def add(self, backend: str, signed_at: float) -> None:
-        """Take a sign made at ``signed_at``."""
+        """Record a notice of the time ``signed_at``, replacing an earlier one."""
         self._signed_at[backend] = signed_at
         self._until[backend] = signed_at + self._random.uniform(SHORTEST_HOLD_S, LONGEST_HOLD_S)
 
     def remove(self, backend: str) -> None:
-        """Drop a sign."""
+        """Remove a back end's notice, if there is one."""
         self._signed_at.pop(backend, None)
         self._until.pop(backend, None)
 
     def refutes(self, backend: str, sent_at: float) -> bool:
-        """Tell whether an ordinary answer to a call sent at ``sent_at`` is newer than the sign.
+        """Tell whether an answer without a drain notice, to a call sent at ``sent_at``, is newer.
 
-        Calls sent before it prove nothing: a leaving back end finishes what it has.
+        Answers to calls sent before the notice prove nothing: a draining back end finishes its
+        calls in flight.
         """
         signed_at = self._signed_at.get(backend)
         return signed_at is not None and sent_at > signed_at + OWN_MARGIN_S
 
     def due(self, now: float) -> tuple[str, ...]:
-        """Return the back ends that may be asked again."""
+        """Return the back ends whose notice has expired."""
         return tuple(backend for backend, until in self._until.items() if until <= now)
--- a/tinrudder/node/decisions/ejection.py
+++ b/tinrudder/node/decisions/ejection.py
@@ -1,7 +1,8 @@
-"""Taking bad replicas out of use for a while, and letting new or returned ones in slowly.
+"""Outlier ejection of back ends, and the warm-up ramp of new or readmitted ones.
 
-An ejected back end gets no call that another replica can take; where it is the last replica of
-a shard it is still used, because coverage goes before speed.
+Owns the median latency of a service; the ejection state is in the back-end records.  An ejected
+back end gets no call that another replica can take.  If it is the last replica of a shard it is
+still used, because coverage takes precedence over latency.
 """
 
 from __future__ import annotations
@@ -13,55 +14,52 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 
 FAILURES_TO_EJECT = 3
-"""Failures in a row that take a back end out.  Chosen, not measured: one or two are common in a
-restart."""
+"""Consecutive failures that eject a back end; one or two are common during a restart."""
 OUTLIER_RATIO = 3.0
-"""Latency, in medians of the service's back ends, that takes one out.  Chosen, not measured; well
-above the differences between healthy machines."""
+"""Latency, in multiples of the median of the service's back ends, that ejects one: well above the
+differences between healthy machines."""
 GOOD_RATIO = 2.0
-"""Latency of a probe, in medians, that brings a back end back.  Below OUTLIER_RATIO, so that one
-at the edge does not come and go."""
+"""Highest probe latency, in multiples of the median, that readmits a back end.  Below
+OUTLIER_RATIO, so that a back end near the threshold does not flap."""
 MINIMUM_ANSWERS = 5
-"""Answers before latency judges a back end: fewer are a matter of chance.  Chosen, not
-measured."""
+"""Answers required before a back end is judged by latency; fewer are a matter of chance."""
 MAX_EJECTED_SHARE = 0.34
-"""Part of a service that may be out at once; of two back ends one.  More would put the load of the
-whole service on what is left.  Chosen, not measured."""
+"""Fraction of a service's back ends that may be ejected at the same time; one of two.  More would
+put the load of the whole service on the rest."""
 FIRST_EJECTION_S = 0.5
-"""Seconds until the first probe, doubled with each that fails.  Chosen, not measured."""
+"""Seconds until the first probe, doubled after each one that fails."""
 MAX_EJECTION_S = 30.0
-"""Seconds between probes at most: how late a back end that is well again comes back.  Chosen, not
-measured."""
+"""Maximum seconds between probes, and so the longest delay until a recovered back end returns."""
 RAMP_START = 1.0
-"""Calls in flight that a cold back end begins with: the least there is."""
+"""Calls in flight that a cold back end starts with: the minimum."""
 RAMP_STEP = 0.5
-"""Calls in flight that a quick answer adds on the ramp.  In the lab's cold start 56.5 ms at the
-99th percentile with ejection and ramp, 63.3 ms without ejection (docs/ROUTING.md)."""
+"""Calls in flight that each fast answer adds during the ramp.  In the lab's cold start the 99th
+percentile is 56.5 ms with ejection and ramp, 63.3 ms without ejection (docs/ROUTING.md)."""
 RAMP_MAX_S = 10.0
-"""Seconds after which a ramp ends whatever was answered, so that a service with little traffic is
-not held back.  Chosen, not measured."""
+"""Seconds after which a ramp ends at the next answer, however slow, so that a service with little
+traffic is not throttled."""
 REFRESH_OBSERVATIONS = 32
-"""Observations for which a median is kept: sorting at each answer would cost more than it
-tells."""
+"""Answers after which the median is computed again: sorting at each answer would cost more than its
+accuracy is worth."""
 
 
 class EjectionPolicy(Protocol):
-    """Judges back ends by what this node has seen of them."""
+    """Ejects and readmits back ends by this node's observations."""
 
     def follow(self, records: Sequence[BackendRecord], now: float) -> None:
-        """Take the service's current back ends; those not seen before start cold."""
+        """Set the service's current back ends; new ones start cold."""
 
     def observe_answer(self, record: BackendRecord, latency_s: float, now: float) -> None:
-        """Learn of an answer; the record's own latency already includes it."""
+        """Count an answer; the latency in the record already includes it."""
 
     def observe_unanswered(self, record: BackendRecord, now: float) -> None:
-        """Learn of a call cancelled unanswered; the record's own latency already includes it."""
+        """Count a call cancelled without an answer; the record's latency already includes it."""
 
     def observe_failure(self, record: BackendRecord, now: float) -> None:
-        """Learn of a call that broke or could not be sent."""
+        """Count a call that failed or could not be sent."""
 
     def may_probe(self, record: BackendRecord, now: float) -> bool:
-        """Tell whether an ejected back end is due for one call that decides on its return."""
+        """Tell whether an ejected back end may get one probe call, which decides on readmission."""
 
 
 class NeverEject:
@@ -80,17 +78,17 @@
         """Take no notice."""
 
     def may_probe(self, record: BackendRecord, now: float) -> bool:
-        """Return ``False``: none is ejected."""
+        """Return ``False``: no back end is ejected."""
         return False
 
 
 class OutlierEjection:
-    """Ejects back ends that fail in a row or are far slower than the median of their service.
+    """Ejects back ends after consecutive failures or with a latency far above the service's median.
 
-    When to use: always.  Default: 3 failures in a row or 3 times the median latency, at most a
+    When to use: always.  Default: 3 consecutive failures or 3 times the median latency, at most a
     third of the service (one of two), 0.5 s at first and twice as long each time up to 30 s.
-    A probe decides on the return; a returned or new back end may have one call in flight and
-    half a call more for each answer as quick as its peers'.  Cost: one comparison an answer.
+    A probe decides on readmission.  A readmitted or new back end may have one call in flight, and
+    half a call more for each answer about as fast as its peers'.  Cost: one comparison per answer.
     """
 
     def __init__(self) -> None:
@@ -100,10 +98,10 @@
         self._until_refresh = 0
 
     def follow(self, records: Sequence[BackendRecord], now: float) -> None:
-        """Take the service's current back ends.
+        """Set the service's current back ends.
 
-        A service whose every back end is new starts without a ramp: there is no warm replica
-        that could carry the load meanwhile.
+        If all back ends are new, they start without a ramp: there is no warm replica that could
+        carry the load meanwhile.
         """
         known = set(self._records)
         if any(record.latency_s for record in records):
@@ -113,7 +111,7 @@
         self._records = tuple(records)
 
     def observe_answer(self, record: BackendRecord, latency_s: float, now: float) -> None:
-        """Judge a back end by its latency."""
+        """Eject, readmit or ramp up a back end by its latency."""
         record.health.failures_in_row = 0
         record.health.answers += 1
         self._until_refresh -= 1
@@ -127,13 +125,13 @@
             self._advance_ramp(record, latency_s, now)
 
     def observe_unanswered(self, record: BackendRecord, now: float) -> None:
-        """Judge a back end by how long it left calls unanswered."""
+        """Eject a back end whose unanswered calls make it an outlier."""
         record.health.answers += 1
         if not record.health.ejected and self._is_outlier(record):
             self._eject(record, now)
 
     def observe_failure(self, record: BackendRecord, now: float) -> None:
-        """Judge a back end by its failures in a row."""
+        """Eject a back end after ``FAILURES_TO_EJECT`` consecutive failures."""
         record.health.failures_in_row += 1
         if record.health.ejected:
             _postpone_probe(record, now)
@@ -141,22 +139,22 @@
             self._eject(record, now)
 
     def may_probe(self, record: BackendRecord, now: float) -> bool:
-        """Allow one probe an ejection period; its result moves the time of the next."""
+        """Allow one probe per ejection period and schedule the next one."""
         if now < record.health.probe_at:
             return False
         _postpone_probe(record, now)
         return True
 
     def _is_outlier(self, record: BackendRecord) -> bool:
-        """Tell whether a back end is far slower than its peers."""
+        """Tell whether a back end's latency is above ``OUTLIER_RATIO`` medians."""
         if not self._median_s or record.health.answers < MINIMUM_ANSWERS:
             return False
         return record.latency_s > OUTLIER_RATIO * self._median_s
 
     def _judge_probe(self, record: BackendRecord, latency_s: float, now: float) -> None:
-        """Readmit a back end whose answer is as quick as its peers'.
+        """Readmit a back end whose answer is about as fast as its peers'.
 
-        Answers to calls sent before the ejection decide nothing.
+        Answers to calls sent before the ejection are ignored.
         """
         if now - latency_s < record.health.ejected_at:
             return
@@ -168,7 +166,7 @@
         _start_ramp(record, now)
 
     def _advance_ramp(self, record: BackendRecord, latency_s: float, now: float) -> None:
-        """Give a back end on its ramp more room after a quick answer."""
+        """Raise the ramp limit after a fast answer; end the ramp at the limit or ``RAMP_MAX_S``."""
         if now - record.health.ramp_started_at > RAMP_MAX_S:
             record.health.ramp_limit = math.inf
         elif not self._median_s or latency_s <= GOOD_RATIO * self._median_s:
@@ -178,7 +176,7 @@
                 record.health.ejections = 0
 
     def _eject(self, record: BackendRecord, now: float) -> None:
-        """Eject a back end unless too many are out already."""
+        """Eject a back end unless too many are ejected already."""
         ejected = sum(1 for other in self._records if other.health.ejected)
         count = len(self._records)
         ceiling = max(1, int(count * MAX_EJECTED_SHARE)) if count > 1 else 0
@@ -189,7 +187,7 @@
         _postpone_probe(record, now)
 
     def _refresh_median(self) -> None:
-        """Compute the lower median of the back ends in use that have answered."""
+        """Compute the lower median latency of the back ends in use that have answered."""
         self._until_refresh = REFRESH_OBSERVATIONS
         latencies = sorted(
             record.latency_s
@@ -201,13 +199,13 @@
 
 
 def _start_ramp(record: BackendRecord, now: float) -> None:
-    """Limit a cold back end to a first call in flight."""
+    """Limit a cold back end to one call in flight."""
     record.health.ramp_limit = RAMP_START
     record.health.ramp_started_at = now
 
 
 def _postpone_probe(record: BackendRecord, now: float) -> None:
-    """Set the next probe, each time twice as far away."""
+    """Schedule the next probe, doubling the delay each time."""
     wait = min(MAX_EJECTION_S, FIRST_EJECTION_S * 2.0**record.health.ejections)
     record.health.probe_at = now + wait
     record.health.ejections = min(record.health.ejections + 1, 16)
--- a/tinrudder/node/decisions/load/__init__.py
+++ b/tinrudder/node/decisions/load/__init__.py
@@ -1,1 +1,1 @@
-"""Pure decisions of a node under load: admission, back-end limits, queues, tenants' shares."""
+"""Pure decision logic under load: admission, back-end limits, fair queues, tenant caps."""
--- a/tinrudder/node/decisions/load/backend_limit.py
+++ b/tinrudder/node/decisions/load/backend_limit.py
@@ -1,7 +1,8 @@
-"""How many calls this node may have in flight at a back end (see docs/LIMITS.md).
+"""Adaptive concurrency limit: how many calls this node may have in flight at a back end.
 
-At most it is the node's share of the configured slots and a little more.  Below that the limit
-follows what the back end itself says by refusing calls.
+Owns no state; the limit is in the back-end record.  The maximum is slightly more than the node's
+share of the configured slots.  Below it the limit adapts to the back end's refusals (see
+docs/LIMITS.md).
 """
 
 from __future__ import annotations
@@ -11,41 +12,41 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 
 MINIMUM_LIMIT = 1.0
-"""Calls in flight that a limit never falls below: with none nothing would be learned."""
+"""Minimum limit, calls in flight: with none, the back end's state could not be observed."""
 DECREASE_FACTOR = 0.7
-"""What a refusal leaves of the limit.  A back end of 2 slots where 6 are configured, shedding
-early: 7% of the calls shed, 85% with a fixed limit (docs/LIMITS.md, bench.limits)."""
+"""Factor on the limit after a refusal.  A back end with 2 slots, 6 configured, that sheds early: 7%
+of the calls are shed, 85% with a fixed limit (docs/LIMITS.md, bench.limits)."""
 ANSWERS_PER_STEP = 8.0
 """Rounds of answers at the limit that add one call: growth is slower than decrease, so that
-refusals stay rare.  Measured together with DECREASE_FACTOR."""
+refusals stay rare.  The figures at DECREASE_FACTOR hold with this value."""
 
 
 class BackendLimitPolicy(Protocol):
-    """Moves a back end's limit between 1 and this node's share of its slots."""
+    """Adapts a back end's limit between 1 and the maximum of this node's share."""
 
     def on_answer(self, backend: BackendRecord) -> None:
-        """Learn of an answered call; the record still counts it as in flight."""
+        """Count an answered call; the record still includes it as in flight."""
 
     def on_shed(self, backend: BackendRecord, sent_at: float, now: float) -> None:
-        """Learn of a call refused for load."""
+        """Count a call that the back end refused because of load."""
 
 
 class AdaptiveLimit:
-    """Additive increase while the limit is used, multiplicative decrease on refusals.
+    """Additive increase while the limit is fully used, multiplicative decrease on refusals.
 
     When to use: always; the default.  Default: 0.7 times the limit after a refusal, at most once
     per round of calls; one more call after 8 rounds of answers at the limit.  Cost: one
-    comparison an answer.
+    comparison per answer.
     """
 
     def on_answer(self, backend: BackendRecord) -> None:
-        """Raise a limit that is in full use and below the share."""
+        """Raise a limit that is fully used and below its maximum."""
         limit = backend.limit
         if limit < backend.usual and backend.in_flight + 1 > limit:
             backend.limit = min(backend.usual, limit + 1.0 / (ANSWERS_PER_STEP * limit))
 
     def on_shed(self, backend: BackendRecord, sent_at: float, now: float) -> None:
-        """Lower the limit, unless the refused call was sent before it was last lowered."""
+        """Lower the limit, unless the refused call was sent before the last decrease."""
         if sent_at < backend.lowered_at:
             return
         backend.lowered_at = now
--- a/tinrudder/node/decisions/load/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -1,6 +1,6 @@
-"""Queues of calls that wait for room at a back end.
+"""Interface of the queue of calls that wait for a free place at a back end.
 
-The interface that the dispatcher relies on; ``fair_queue`` has the rule.
+Owns no state.  The dispatcher uses the interface; ``fair_queue`` implements it.
 """
 
 from __future__ import annotations
@@ -15,10 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Newcomer:
-    """Calls of one query that may be queued at one back end.
+    """Calls that an arriving query would add to the queue of one back end.
 
-    :param work: their cost.
-    :param seconds_per_work: the back end's pace by Little's law, latency / limit.
+    :param work: total cost of the calls.
+    :param seconds_per_work: time per unit of work at the back end; latency / limit by Little's law.
     """
 
     tenant: str
@@ -29,30 +29,30 @@
 
 
 class CallQueue(Protocol):
-    """Decides which waiting call a back end with room takes next.
+    """Decides which waiting call a back end takes next.
 
-    A call stands in the queue of each of its candidates; the first back end with room takes it.
+    A call is queued at each of its candidates; the first back end with a free place takes it.
     """
 
     def push(self, call: PendingCall) -> None:
         """Add a waiting call."""
 
     def pop(self, backend: BackendRecord) -> PendingCall | None:
-        """Take the next call that ``backend`` may serve."""
+        """Remove and return the next call for ``backend``, ``None`` if none waits."""
 
     def pop_lagging(self, backend: BackendRecord) -> PendingCall | None:
-        """Take the next call that may exceed the limit of ``backend``, if there is one."""
+        """Remove and return the next call that may exceed the limit of ``backend``, if any."""
 
     def discard(self, call: PendingCall) -> None:
-        """Drop a call that no longer waits; a no-op if it is not here."""
+        """Remove a call that no longer waits; no-op if it is not queued."""
 
     def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
-        """Charge a call that went to ``backend`` without waiting."""
+        """Charge the tenant for a call that was sent to ``backend`` without waiting."""
 
     def expected_wait_s(self, backend: BackendRecord, newcomer: Newcomer) -> float:
-        """Return in how many seconds ``backend`` has taken all of a newcomer's calls.
+        """Return the seconds until ``backend`` is expected to have taken all calls of a newcomer.
 
-        Calls with several candidates count in equal parts at each.
+        A call with several candidates counts in equal parts at each.
         """
 
     def __len__(self) -> int:
--- a/tinrudder/node/decisions/load/expected_wait_admission.py
+++ b/tinrudder/node/decisions/load/expected_wait_admission.py
@@ -1,6 +1,7 @@
-"""Refusing a query before anything of it is sent, when it would come too late anyway.
+"""Admission control: refuses a query that is expected to miss its deadline, before it sends a call.
 
-Owns nothing; relies on the call queue for the expected wait and on the records for latency.
+Owns no state; reads the expected wait from the call queue and the latency from the back-end
+records.
 """
 
 from __future__ import annotations
@@ -16,29 +17,26 @@
 from tinrudder.node.resources.model import Priority
 
 TAIL_LATENCIES = 2.0
-"""Latencies of the back end that the answer is allowed once its call leaves: most of the tail of a
-call.  Chosen, not measured."""
+"""Time allowed for an answer after its call is sent, in latencies of the back end: covers most of
+the tail."""
 SAFETY_FACTOR = 1.2
-"""Factor on the expected time.  Chosen, not measured: a query that is started and fails has cost
-its calls, one that is refused nothing."""
+"""Factor on the expected time: a query that is started and fails wastes its calls, a refused one
+costs nothing."""
 MINIMUM_RETRY_AFTER_S = 0.05
-"""Seconds after which a refused caller is asked back at the earliest: no busy loop of refusals.
-Chosen, not measured."""
+"""Minimum retry-after of a refusal, in seconds: prevents a busy loop of refusals."""
 MAXIMUM_RETRY_AFTER_S = 5.0
-"""Seconds after which it is asked back at the latest: an estimate over longer is a guess.  Chosen,
-not measured."""
+"""Maximum retry-after of a refusal, in seconds: an estimate over a longer time is a guess."""
 RETRY_JITTER = 0.5
-"""Part by which the time is spread, so that callers refused together do not return together.
-Chosen, not measured."""
+"""Jitter, as a fraction of retry-after, so that callers refused together do not retry together."""
 
 
 @dataclass(frozen=True, slots=True)
 class QueryDemand:
-    """What a query wants of the back ends.
+    """Calls that a query needs from the back ends, and by when.
 
     :param replicas: the back ends of each shard.
-    :param needed: how many shards must answer for the query to meet its rule, at least 1.
-    :param deadline: monotonic time by which they must.
+    :param needed: number of shards that must answer to satisfy the query's rule, at least 1.
+    :param deadline: monotonic time by which they must answer.
     """
 
     tenant: str
@@ -51,36 +49,36 @@
 
 @dataclass(frozen=True, slots=True)
 class Overload:
-    """The query would come too late; asking again is worth it after ``retry_after_s``."""
+    """Refusal: the query would miss its deadline; the caller may retry after ``retry_after_s``."""
 
     retry_after_s: float
 
 
 class AdmissionPolicy(Protocol):
-    """Decides at once, without waiting, whether a query is worth starting."""
+    """Decides immediately whether a query is started or refused."""
 
     def check(self, demand: QueryDemand, now: float) -> Overload | None:
-        """Return why the query is refused, ``None`` to start it."""
+        """Return the refusal, ``None`` to start the query."""
 
 
 class ExpectedWaitAdmission:
-    """Refuses a query whose last needed shard is expected after its deadline.
+    """Refuses a query whose last needed shard is expected to answer after the deadline.
 
-    The wait is the tenant's backlog over the pace at which its calls are taken, and after it
-    comes the answer itself, for which a tail is allowed.  Nothing is refused where nothing
-    waits, so a wrong estimate can't shut a service for good.
+    The expected time is the wait, which is the tenant's backlog divided by the rate at which its
+    calls are taken, plus the answer time with an allowance for the tail.  While no calls wait for
+    the query's back ends it is never refused, so a wrong estimate can't block a service for good.
 
     When to use: always; the default.  Cost: a fraction of a microsecond per shard, and only
-    where calls wait.
+    while calls wait.
     """
 
     def __init__(self, queue: CallQueue, source: random.Random) -> None:
-        """Estimate from ``queue``; spread the retries of refused callers by ``source``."""
+        """Estimate waits from ``queue``; draw the retry jitter from ``source``."""
         self._queue = queue
         self._random = source
 
     def check(self, demand: QueryDemand, now: float) -> Overload | None:
-        """Compare the expected time with what the deadline leaves."""
+        """Compare the expected time with the time left until the deadline."""
         if not _anything_waits(demand.replicas):
             return None
         added = _added_work(demand.replicas)
@@ -91,7 +89,7 @@
         return Overload(self._retry_after_s(expected_s - left_s))
 
     def _expected_s(self, demand: QueryDemand, added: dict[BackendRecord, float]) -> float:
-        """Return in how many seconds the last needed shard is expected."""
+        """Return the expected seconds until the last needed shard answers."""
         expected = {
             backend: self._backend_s(demand, backend, work) for backend, work in added.items()
         }
@@ -102,14 +100,14 @@
         return by_shard[demand.needed - 1]
 
     def _backend_s(self, demand: QueryDemand, backend: BackendRecord, added: float) -> float:
-        """Return in how many seconds a back end is done with a query's part."""
+        """Return the expected seconds until a back end has answered its part of a query."""
         seconds_per_work = backend.latency_s / backend.limit
         newcomer = Newcomer(demand.tenant, demand.weight, demand.priority, added, seconds_per_work)
         wait_s = self._queue.expected_wait_s(backend, newcomer)
         return wait_s + TAIL_LATENCIES * backend.latency_s
 
     def _retry_after_s(self, excess_s: float) -> float:
-        """Return when to ask again, spread so that refused callers don't return together."""
+        """Return the bounded retry-after, with jitter so that callers don't retry together."""
         bounded = min(MAXIMUM_RETRY_AFTER_S, max(MINIMUM_RETRY_AFTER_S, excess_s))
         return bounded * (1.0 + RETRY_JITTER * self._random.random())
 
@@ -124,7 +122,7 @@
 
 
 def _soonest(backends: tuple[BackendRecord, ...], expected: dict[BackendRecord, float]) -> float:
-    """Return when the first of a shard's back ends is expected to answer; 0 if none is usable."""
+    """Return the expected seconds until a shard's first back end answers; 0 if none is usable."""
     soonest = math.inf
     for backend in backends:
         seconds = expected.get(backend, math.inf)
@@ -134,7 +132,7 @@
 
 
 def _added_work(replicas: Sequence[tuple[BackendRecord, ...]]) -> dict[BackendRecord, float]:
-    """Return a query's work by back end, each shard in equal parts on its usable replicas."""
+    """Return a query's work by back end, each shard split equally over its usable replicas."""
     added: dict[BackendRecord, float] = {}
     for backends in replicas:
         usable = _usable(backends)
@@ -144,7 +142,7 @@
 
 
 def _usable(backends: tuple[BackendRecord, ...]) -> tuple[BackendRecord, ...]:
-    """Return the back ends that get calls; nearly always all, so nothing is built then."""
+    """Return the back ends that are not draining; avoids a copy in the usual case of all."""
     for backend in backends:
         if backend.leaving:
             return tuple(other for other in backends if not other.leaving)
--- a/tinrudder/node/decisions/load/fair_queue.py
+++ b/tinrudder/node/decisions/load/fair_queue.py
@@ -1,9 +1,10 @@
 """A weighted fair queue over tenants, with one lane per back end (see docs/FAIRNESS.md).
 
-Start-time fair queueing: every tenant has an account of virtual time at every back end, which
-advances by cost / weight with each call, and the tenant with the lowest account goes next.  A
-tenant that comes back from idleness may lag behind the lane's virtual time by a bounded burst,
-which is what keeps a light tenant's fan-out fast beside a noisy one.
+Owns the lanes and the start tags of the tenants.  Start-time fair queueing: every tenant has a
+start tag in virtual time at every back end, which advances by cost / weight with each call, and the
+tenant with the lowest start tag goes next.  After idleness a tenant's start tag may lag behind the
+lane's virtual time by a bounded burst, which keeps a light tenant's fan-out fast beside a noisy
+tenant.
 """
 
 from __future__ import annotations
@@ -18,18 +19,19 @@
 from tinrudder.node.decisions.load.pending_calls import PendingCall, TenantFlow
 
 DEFAULT_BURST = 64.0
-"""Work in calls by which a tenant may be served ahead of its share after idleness.  A light
-tenant's 99th percentile beside a noisy one is 1.04 times that without it at 64, 1.12 at 32, 2.26
-at none; a newcomer then waits up to 92 ms (docs/FAIRNESS.md, bench.fair_queue)."""
+"""Work, in calls, that a tenant may be served ahead of its share after idleness.  A light tenant's
+99th percentile beside a noisy tenant, relative to that without one, is 1.04 with a burst of 64,
+1.12 with 32 and 2.26 without a burst; with 64 a new tenant waits up to 92 ms (docs/FAIRNESS.md,
+bench.fair_queue)."""
 DEFAULT_LAG = 4.0
-"""Work by which a tenant must lag behind its share to use the headroom above the limit.  Chosen,
-not measured; at most half of the burst."""
+"""Work, in calls, by which a tenant must lag behind its share to use the headroom above the limit;
+at most half of the burst."""
 ALONE_AFTER_S = 1.0
-"""Seconds without a call of another tenant after which one counts as alone at a back end and may
-use the headroom.  Chosen, not measured."""
+"""Seconds without a call of another tenant after which a tenant counts as alone at a back end and
+may use the headroom."""
 SWEEP_SLACK = 64
-"""Flows beyond which idle ones are dropped: it bounds memory at a cost shared by the calls
-since."""
+"""Number of flows above which idle ones are dropped.  Bounds memory; the cost is amortized over the
+calls since the last sweep."""
 HeapEntry = tuple[float, int, TenantFlow]
 
 
@@ -37,13 +39,13 @@
 class BackendLane:
     """All tenants' calls that may go to one back end.
 
-    :param heap: flows with entries by account; an account charged since is read again at pop.
-    :param active_weight: the weights of the flows in which calls wait.
-    :param total_weight: the weights of all flows.
-    :param work: the cost of the waiting calls, each divided by its number of candidates.
-    :param virtual_time: the account at which the last call was taken.
-    :param last_served: whose call was taken last.
-    :param shared_at: when calls of different tenants last followed one another, seconds.
+    :param heap: flows with entries, by start tag; a tag that has advanced since is updated at pop.
+    :param active_weight: sum of the weights of the flows with waiting calls.
+    :param total_weight: sum of the weights of all flows.
+    :param work: total cost of the waiting calls, each divided by its number of candidates.
+    :param virtual_time: highest start tag of a call sent so far.
+    :param last_served: flow of the latest call.
+    :param shared_at: monotonic seconds of the latest call that followed another tenant's call.
     :param sweep_at: number of flows at which idle ones are dropped.
     """
 
@@ -59,11 +61,11 @@
 
     @property
     def mean_weight(self) -> float:
-        """Return the mean weight of the tenants known here, of which there is at least one."""
+        """Return the mean weight of the lane's flows; requires at least one."""
         return self.total_weight / len(self.flows)
 
     def charge(self, flow: TenantFlow, cost: float, now: float) -> None:
-        """Book a call that goes out now."""
+        """Charge a flow for a call that is sent now, and advance the virtual time."""
         if flow is not self.last_served:
             if self.last_served is not None:
                 self.shared_at = now
@@ -76,7 +78,7 @@
     """Start-time fair queueing over tenants, then priority classes.
 
     When to use: always; the default.  Default: a burst of 64 calls per tenant and back end.
-    Cost: a few microseconds per call, growing with the logarithm of the tenants that wait.
+    Cost: a few microseconds per call, growing with the logarithm of the number of waiting tenants.
     """
 
     def __init__(self, clock: Callable[[], float], burst: float = DEFAULT_BURST) -> None:
@@ -113,7 +115,7 @@
         call.places = tuple(places)
 
     def pop(self, backend: BackendRecord) -> PendingCall | None:
-        """Take the next call of the tenant with the lowest account."""
+        """Remove and return the next call of the tenant with the lowest start tag."""
         lane = self._lanes.get(backend)
         if lane is None:
             return None
@@ -137,7 +139,7 @@
         return None
 
     def pop_lagging(self, backend: BackendRecord) -> PendingCall | None:
-        """Take the next call, but only of a tenant well below its share or long alone."""
+        """Like :meth:`pop`, but only for a tenant well below its share or alone for long."""
         lane = self._lanes.get(backend)
         if lane is None or not lane.heap:
             return None
@@ -148,7 +150,7 @@
         return self.pop(backend)
 
     def _lowest_waiting(self, lane: BackendLane) -> float:
-        """Return the lowest account of a tenant that has calls waiting."""
+        """Return the lowest start tag among tenants with waiting calls."""
         heap = lane.heap
         while heap:
             account, _, flow = heap[0]
@@ -162,7 +164,7 @@
         return math.inf
 
     def discard(self, call: PendingCall) -> None:
-        """Drop a call; its entries are skipped when they are reached."""
+        """Remove a call; its entries in the flows are skipped when they are reached."""
         if not call.waiting:
             return
         call.waiting = False
@@ -179,18 +181,18 @@
         call.places = ()
 
     def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
-        """Charge a call that went to ``backend`` without waiting."""
+        """Charge the tenant for a call that was sent to ``backend`` without waiting."""
         lane = self._lane(backend)
         flow = self._flow(lane, backend, call)
         flow.account = max(flow.account, self._lowest_account(lane))
         lane.charge(flow, call.cost, self._clock())
 
     def expected_wait_s(self, backend: BackendRecord, newcomer: Newcomer) -> float:
-        """Return in how many seconds ``backend`` has taken all of a newcomer's calls.
+        """Return the seconds until ``backend`` is expected to have taken all calls of a newcomer.
 
-        A tenant that waited lately is expected to be served at the pace it was served then;
-        what waits of others tells little, since those served ahead of it may not wait at all.
-        Otherwise it is expected to get its share among those that wait now.
+        A tenant whose calls waited recently is expected to be served at the observed pace.  The
+        backlog of other tenants says little, because tenants served ahead of it may have none.
+        Without an observed pace, the tenant is expected to get its share among those that wait now.
         """
         lane = self._lanes.get(backend)
         if lane is None or not backend.waiting:
@@ -211,7 +213,7 @@
         return self._size
 
     def _lane(self, backend: BackendRecord) -> BackendLane:
-        """Return a back end's lane."""
+        """Return a back end's lane, creating it if necessary."""
         lane = self._lanes.get(backend)
         if lane is None:
             if len(self._lanes) >= self._sweep_lanes_at:
@@ -220,7 +222,7 @@
         return lane
 
     def _flow(self, lane: BackendLane, backend: BackendRecord, call: PendingCall) -> TenantFlow:
-        """Return a tenant's flow at a back end, under its present weight."""
+        """Return a tenant's flow with its current weight, creating it if necessary."""
         flow = lane.flows.get(call.tenant)
         if flow is None:
             if len(lane.flows) >= lane.sweep_at:
@@ -236,23 +238,23 @@
         return flow
 
     def _lowest_account(self, lane: BackendLane) -> float:
-        """Return how far back an account may lag.
+        """Return the lowest allowed start tag: the virtual time minus the burst, at least 0.
 
-        Relative to the mean weight, the burst is the same work whatever unit the weights have,
-        and tenants that come back together share as their weights say.  The account starts at 0:
-        nobody has anything to catch up with at a new lane.
+        Divided by the mean weight, the burst is the same work whatever the unit of the weights,
+        and tenants that return at the same time share by weight.  In a new lane the minimum is 0:
+        no tenant has a lag to catch up.
         """
         return max(0.0, lane.virtual_time - self._burst / lane.mean_weight)
 
     def _enter_heap(self, lane: BackendLane, flow: TenantFlow) -> None:
-        """Let a flow take part again."""
+        """Add a flow to the heap, with its start tag raised to the lowest allowed one."""
         flow.queued = True
         flow.account = max(flow.account, self._lowest_account(lane))
         self._sequence += 1
         heapq.heappush(lane.heap, (flow.account, self._sequence, flow))
 
     def _replace_first(self, heap: list[HeapEntry], flow: TenantFlow) -> None:
-        """Put the first flow back under its present account; equals take turns."""
+        """Move the first flow to its current start tag; flows with equal tags take turns."""
         self._sequence += 1
         heapq.heapreplace(heap, (flow.account, self._sequence, flow))
 
@@ -268,7 +270,7 @@
         lane.sweep_at = 2 * len(lane.flows) + SWEEP_SLACK
 
     def _sweep_lanes(self) -> None:
-        """Drop the lanes of back ends that are gone."""
+        """Drop the lanes of draining back ends without waiting calls."""
         self._lanes = {
             backend: lane
             for backend, lane in self._lanes.items()
--- a/tinrudder/node/decisions/load/pending_calls.py
+++ b/tinrudder/node/decisions/load/pending_calls.py
@@ -1,7 +1,7 @@
-"""Calls that wait for room at a back end: one call, and one tenant's calls at one back end.
+"""Calls that wait for a back end: a single call, and one tenant's flow of calls at one back end.
 
-Owns the order within a tenant: three priority classes, none passed over without end.  Relies on
-the queue (``fair_queue``) for the order among tenants and for taking a call out of every flow.
+Owns the order within a tenant: three priority classes without starvation.  The queue
+(``fair_queue``) decides the order among tenants and removes a call from all its flows.
 """
 
 from __future__ import annotations
@@ -21,27 +21,28 @@
     Priority.BATCH: 2,
 }
 MAX_PASSED_OVER = (0, 8, 32)
-"""How often a waiting class may be passed over by more urgent ones of its own tenant."""
+"""Number of times that a waiting class, by rank, may be passed over for more urgent classes of its
+tenant."""
 COMPACTION_SLACK = 64
-"""Entries, beyond twice the calls that wait, at which those that no longer wait are dropped: it
-bounds memory at a cost shared by the pushes since."""
+"""Number of entries, beyond twice the waiting calls, at which entries that no longer wait are
+dropped.  Bounds memory; the cost is amortized over the pushes since the last compaction."""
 
 
 def _ignore_shed() -> None:
-    """Do nothing: for callers that only watch their deadline."""
+    """Do nothing: for callers that rely on their deadline alone."""
 
 
 @dataclass(slots=True, eq=False)
 class PendingCall:
-    """A call that wants any one of its candidate back ends.
+    """A call that any one of its candidate back ends can serve.
 
     :param cost: estimated work, in shards.
-    :param deadline: monotonic time after which it is not worth sending.
-    :param choice: how a replica is chosen among the candidates with room.
-    :param on_dispatch: called with the chosen back end once there is room.
+    :param deadline: monotonic time after which the call is not worth sending.
+    :param choice: policy that picks a replica among the candidates with a free place.
+    :param on_dispatch: called with the back end once one has a free place.
     :param on_shed: called instead when the call can no longer be answered in time, or its
-        tenant has no queue place left; nothing of it was sent.
-    :param places: where it stands in the queue; owned by the queue.
+        tenant has no queue place left; the call was not sent.
+    :param places: flows in which the call is queued; owned by the queue.
     """
 
     tenant: str
@@ -61,15 +62,18 @@
 class TenantFlow:
     """One tenant's calls at one back end.
 
-    A call stands in the flow of each of its candidates.  Taken or withdrawn elsewhere, it stays
-    in ``classes`` with ``waiting`` false until it is reached or the flow is compacted.
+    A call is queued in the flow of each of its candidates.  After it was taken or cancelled through
+    another flow, it stays in ``classes`` with ``waiting`` false until it is reached or the flow is
+    compacted.
 
-    :param account: what the tenant has used here, in the unit of the queue.
-    :param waiting: calls that really wait.
-    :param work: their cost, each divided by its number of candidates, by class.
-    :param entries: calls in ``classes``, those that no longer wait included.
-    :param pace: how fast the tenant's calls are taken here.
+    :param account: virtual start time of the tenant's next call here, advanced by cost / weight.
+    :param waiting: number of calls that still wait.
+    :param work: cost of the waiting calls by class, each divided by its number of candidates.
+    :param classes: queued calls by class rank.
+    :param entries: number of calls in ``classes``, including those that no longer wait.
     :param passed_over: how often each class was passed over since it was last served.
+    :param queued: whether the flow is in the heap of its lane.
+    :param pace: how fast the tenant's calls are taken here.
     """
 
     tenant: str
@@ -85,7 +89,7 @@
     pace: ServicePace = field(default_factory=ServicePace)
 
     def add(self, call: PendingCall) -> None:
-        """Append a call to its class."""
+        """Append a call to the queue of its class."""
         rank = CLASS_RANK[call.priority]
         calls = self.classes[rank]
         if calls is None:
@@ -98,7 +102,7 @@
             self._compact()
 
     def remove(self, call: PendingCall) -> None:
-        """Account for a call that waits no longer."""
+        """Update the counts for a call that no longer waits."""
         self.waiting -= 1
         if self.waiting == 0:
             self._clear()
@@ -106,9 +110,9 @@
         self.work[CLASS_RANK[call.priority]] -= call.cost / len(call.candidates)
 
     def next_call(self) -> PendingCall | None:
-        """Return the call to serve next and leave its accounting to :meth:`remove`.
+        """Dequeue the call to serve next; :meth:`remove` must then update the counts.
 
-        The most urgent class goes first, but a class that waits is passed over at most
+        The most urgent class goes first, but a waiting class is passed over at most
         ``MAX_PASSED_OVER`` times in a row, so that no class starves.
         """
         chosen = -1
@@ -128,11 +132,11 @@
         return calls.popleft()
 
     def work_ahead(self, priority: Priority) -> float:
-        """Return the waiting work that a new call of ``priority`` finds ahead of it."""
+        """Return the waiting work that is ahead of a new call of ``priority``."""
         return sum(self.work[: CLASS_RANK[priority] + 1])
 
     def _has_waiting(self, rank: int) -> bool:
-        """Tell whether a class has a call that waits, dropping those before it that do not."""
+        """Tell whether a class has a waiting call; drops entries before it that no longer wait."""
         calls = self.classes[rank]
         while calls:
             if calls[0].waiting:
@@ -142,14 +146,14 @@
         return False
 
     def _compact(self) -> None:
-        """Drop calls that no longer wait; the cost is shared by the pushes since the last time."""
+        """Drop calls that no longer wait; the cost is amortized over the pushes since then."""
         for rank, calls in enumerate(self.classes):
             if calls:
                 self.classes[rank] = deque(call for call in calls if call.waiting)
         self.entries = sum(len(calls) for calls in self.classes if calls)
 
     def _clear(self) -> None:
-        """Free everything of a flow in which nothing waits."""
+        """Reset a flow without waiting calls and free its memory."""
         for rank in (0, 1, 2):
             self.classes[rank] = None
             self.work[rank] = 0.0
--- a/tinrudder/node/decisions/load/service_pace.py
+++ b/tinrudder/node/decisions/load/service_pace.py
@@ -1,6 +1,6 @@
-"""How fast the waiting calls of one tenant are taken at one back end, by observation.
+"""Observed pace at which one tenant's waiting calls are taken at one back end.
 
-Owns the smoothed pace; relies on the queue to tell it of each call taken.
+Owns the smoothed pace; the queue reports each call taken.
 """
 
 from __future__ import annotations
@@ -8,21 +8,21 @@
 from dataclasses import dataclass
 
 PACE_SMOOTHING = 0.05
-"""Weight of one observation in the pace once enough are known.  Chosen, not measured: it follows a
-change within some twenty calls."""
+"""Weight of one observation in the smoothed pace, after the first ones: the pace follows a change
+within about twenty calls."""
 PACE_MINIMUM_SAMPLES = 8
-"""Observations before the pace is used in place of the back end's latency over its limit.  Chosen,
-not measured."""
+"""Observations required before the pace replaces the estimate from the back end's latency over its
+limit."""
 NEVER = -1.0
-"""Stands for no time: monotonic seconds are not negative."""
+"""Sentinel for no time; monotonic seconds are not negative."""
 
 
 @dataclass(slots=True, eq=False)
 class ServicePace:
-    """How fast a tenant's waiting calls are taken, by observation.
+    """Smoothed time per unit of work of a tenant's waiting calls.
 
-    :param seconds_per_work: smoothed; times in which nothing waited do not count.
-    :param last_at: when a call was last taken while more waited, else ``NEVER``.
+    :param seconds_per_work: smoothed pace; excludes times in which no calls waited.
+    :param last_at: when the last call was taken if more calls waited then, else ``NEVER``.
     """
 
     seconds_per_work: float = 0.0
@@ -31,11 +31,11 @@
 
     @property
     def is_known(self) -> bool:
-        """Tell whether enough was observed."""
+        """Tell whether there are enough observations."""
         return self.samples >= PACE_MINIMUM_SAMPLES
 
     def observe(self, now: float, work: float, *, more: bool) -> None:
-        """Learn that a call was taken.
+        """Record that a call was taken.
 
         :param more: whether the tenant has more calls waiting.
         """
--- a/tinrudder/node/decisions/load/tenant_usage.py
+++ b/tinrudder/node/decisions/load/tenant_usage.py
@@ -1,7 +1,7 @@
-"""What each tenant uses of this node, and its caps.
+"""Resource usage of each tenant on this node, and its caps.
 
-Every unit taken is given back by the query that took it: a query's end, whatever ends it,
-closes its permit.
+Owns the usage counts.  A query releases everything that it acquired by closing its permit when it
+ends, for whatever reason.
 """
 
 from __future__ import annotations
@@ -11,7 +11,7 @@
 
 
 class Cap(enum.StrEnum):
-    """What a tenant has too much of."""
+    """Resource of which a tenant has reached its cap."""
 
     QUERIES = "concurrent queries"
     QUEUE_PLACES = "queue places"
@@ -29,11 +29,11 @@
 
 @dataclass(slots=True, eq=False)
 class TenantUsage:
-    """A tenant's present use; never above ``caps`` as they were when it was taken.
+    """A tenant's current usage; each unit was within the caps when it was acquired.
 
     :param queries: queries in progress.
-    :param queue_places: calls that wait.
-    :param buffered_bytes: encoded answers held by queries in progress.
+    :param queue_places: waiting calls.
+    :param buffered_bytes: bytes of encoded answers held by queries in progress.
     """
 
     caps: TenantCaps
@@ -42,18 +42,18 @@
     buffered_bytes: int = 0
 
     def take_place(self) -> bool:
-        """Take one queue place, if there is one."""
+        """Acquire one queue place; ``False`` if the cap is reached."""
         if self.queue_places >= self.caps.queue_places:
             return False
         self.queue_places += 1
         return True
 
     def return_place(self) -> None:
-        """Give one queue place back."""
+        """Release one queue place."""
         self.queue_places -= 1
 
     def cap_reached_by(self, calls: int) -> Cap | None:
-        """Return the cap that one more query with so many calls breaks."""
+        """Return the cap that one more query with so many calls would exceed, if any."""
         if self.queries >= self.caps.queries:
             return Cap.QUERIES
         if self.queue_places + calls > self.caps.queue_places:
@@ -64,12 +64,12 @@
 
 
 class QueryPermit:
-    """One query's part of its tenant's usage."""
+    """One query's part of its tenant's usage, released by :meth:`close`."""
 
     __slots__ = ("_bytes", "_closed", "_table", "_tenant", "usage")
 
     def __init__(self, table: TenantUsageTable, tenant: str, usage: TenantUsage) -> None:
-        """Count the query."""
+        """Count the query as in progress."""
         self._table = table
         self._tenant = tenant
         self._bytes = 0
@@ -78,7 +78,7 @@
         usage.queries += 1
 
     def hold_bytes(self, size: int) -> bool:
-        """Count an answer that the query keeps; ``False`` when it must be dropped instead."""
+        """Count an answer that the query buffers; ``False`` if the cap forbids to buffer it."""
         usage = self.usage
         if usage.buffered_bytes + size > usage.caps.buffered_bytes:
             return False
@@ -87,12 +87,12 @@
         return True
 
     def drop_bytes(self) -> None:
-        """Count out everything the query kept, as when it starts again on another version."""
+        """Release all buffered bytes, for example when the query restarts on another version."""
         self.usage.buffered_bytes -= self._bytes
         self._bytes = 0
 
     def close(self) -> None:
-        """Give everything back; a no-op the second time."""
+        """Release everything; no-op if already closed."""
         if self._closed:
             return
         self._closed = True
@@ -109,9 +109,9 @@
         self._tenants: dict[str, TenantUsage] = {}
 
     def begin(self, tenant: str, caps: TenantCaps, calls: int) -> QueryPermit | Cap:
-        """Take a query in, or name the cap that forbids it.
+        """Admit a query, or return the cap that forbids it.
 
-        :param calls: how many calls the query may have waiting at once.
+        :param calls: how many calls of the query may wait at the same time.
         """
         usage = self._tenants.get(tenant)
         if usage is None:
@@ -128,7 +128,7 @@
         return self._tenants.get(tenant)
 
     def forget_if_idle(self, tenant: str) -> None:
-        """Drop a tenant without queries."""
+        """Remove a tenant without queries in progress."""
         usage = self._tenants.get(tenant)
         if usage is not None and usage.queries == 0:
             del self._tenants[tenant]
--- a/tinrudder/node/decisions/registry.py
+++ b/tinrudder/node/decisions/registry.py
@@ -1,7 +1,8 @@
-"""Policies by role and name, as query rules name them in ``policies``.
+"""Registry of policies by role and name, as used in the ``policies`` field of query rules.
 
-An unknown role or name is a validation error of the rule (see
-``tinrudder.node.resources.validation``).  Stored rules may hold any of these names: none may go.
+Owns the policy names.  An unknown role or name is a validation error of the rule (see
+``tinrudder.node.resources.validation``).  Stored rules may contain any of these names, so none may
+be removed.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 
 class Role(enum.StrEnum):
-    """What a policy decides."""
+    """Kind of decision that a policy makes."""
 
     REPLICA_CHOICE = "replica_choice"
     HEDGE = "hedge"
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyContext:
-    """What factories may use: monotonic time in seconds and randomness."""
+    """Dependencies of policy factories: a monotonic clock in seconds and a source of randomness."""
 
     clock: Callable[[], float]
     random: random.Random
@@ -68,7 +69,7 @@
 
 
 def names_by_role() -> dict[str, frozenset[str]]:
-    """Return every role with the names a rule may choose from.
+    """Return the policy names that a rule may use for each role.
 
     >>> sorted(names_by_role()["hedge"])
     ['none', 'quantile']
@@ -82,5 +83,5 @@
 
 
 def policy_name(role: Role, policies: Mapping[str, str]) -> str:
-    """Return the name a rule gives for a role, or the role's default."""
+    """Return the policy name that a rule sets for a role, or the role's default."""
     return policies.get(role.value, DEFAULTS[role])
--- a/tinrudder/node/decisions/replica_choice.py
+++ b/tinrudder/node/decisions/replica_choice.py
@@ -1,6 +1,6 @@
-"""Which replica of a shard gets a call.
+"""Choice of the replica that gets a call for a shard.
 
-Owns nothing; relies on the back-end records and on a clock that ages load reports.
+Owns no state; reads the back-end records and a clock by which load reports expire.
 """
 
 from __future__ import annotations
@@ -12,29 +12,29 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 
 REPORT_LIFETIME_S = 0.5
-"""Seconds in which a load report loses its weight: reports lag, and a lying one must neither
-attract nor starve.  Chosen, not measured."""
+"""Seconds over which the weight of a load report falls to 0: reports are delayed, and a false one
+must neither attract calls to a back end nor starve it."""
 UNKNOWN_LATENCY_S = 1e-6
-"""Seconds added to each latency, so that back ends of which none is known still differ by their
+"""Seconds added to each latency, so that back ends without a known latency still differ by their
 calls in flight."""
 
 
 class ReplicaChoicePolicy(Protocol):
-    """Picks one back end among those that may be sent to."""
+    """Picks one back end from the candidates."""
 
     def choose(self, candidates: Sequence[BackendRecord]) -> BackendRecord | None:
-        """Return the chosen back end, ``None`` when none has room."""
+        """Return one back end, ``None`` if none can take a call."""
 
 
 class RandomReplica:
-    """Any replica with room: the baseline.  Costs nothing and learns nothing."""
+    """Picks a random replica that can take a call: the baseline.  Uses no observations."""
 
     def __init__(self, source: random.Random) -> None:
-        """Draw from ``source``."""
+        """Pick by ``source``."""
         self._random = source
 
     def choose(self, candidates: Sequence[BackendRecord]) -> BackendRecord | None:
-        """Return a random back end with room."""
+        """Return a random back end that can take a call."""
         open_candidates = [backend for backend in candidates if backend.may_send()]
         if not open_candidates:
             return None
@@ -42,19 +42,19 @@
 
 
 class LeastLoadedReplica:
-    """The replica whose next answer is expected soonest, by own observations.
+    """Picks the replica with the shortest expected answer time, by own observations.
 
-    When to use: always; the default.  Cost: one product a candidate.  Load reports only add to
-    what is in flight from here, lose their weight within half a second, and can at most double
-    a back end's score, so that a lying report neither attracts nor starves.
+    When to use: always; the default.  Cost: one product per candidate.  Load reports can only raise
+    the score of a back end, at most to double, and lose their weight within half a second, so that
+    a false report neither attracts calls to a back end nor starves it.
     """
 
     def __init__(self, clock: Callable[[], float] | None = None) -> None:
-        """Age load reports by ``clock``; without one they are not used."""
+        """Expire load reports by ``clock``; without a clock they are ignored."""
         self._clock = clock
 
     def choose(self, candidates: Sequence[BackendRecord]) -> BackendRecord | None:
-        """Return the back end with the lowest (in flight + 1) times latency."""
+        """Return the back end with the lowest score: (in flight + 1) times latency."""
         best: BackendRecord | None = None
         best_score = 0.0
         for backend in candidates:
@@ -72,7 +72,7 @@
 
 
 def _report_weight(backend: BackendRecord, now: float) -> float:
-    """Return what others' calls add to a score, 0 to 1; old reports count less."""
+    """Return how much the reported load of other nodes adds to a score, 0 to 1, by report age."""
     age = now - backend.health.reported_at
     if age >= REPORT_LIFETIME_S:
         return 0.0
--- a/tinrudder/node/decisions/service_routing.py
+++ b/tinrudder/node/decisions/service_routing.py
@@ -1,7 +1,6 @@
-"""One service's routing: its policies and everything learned of its calls on this node.
+"""Routing of one service on this node: its policies and the observations of its calls.
 
-Owns the latency window and the policies of each service, by name; relies on ``registry`` to make
-them.
+Owns the latency window of each service and its policies by name, created by ``registry``.
 """
 
 from __future__ import annotations
@@ -33,7 +32,7 @@
 
 @dataclass(slots=True, eq=False)
 class ServiceRouting:
-    """The policies a rule names, with the state they share among queries of one service."""
+    """The policies that a rule sets, with state shared by all queries of the service."""
 
     choice: ReplicaChoicePolicy
     hedge: HedgePolicy
@@ -42,7 +41,7 @@
     latency: LatencyWindow = field(default_factory=LatencyWindow)
 
     def earn(self, first_calls: int) -> None:
-        """Credit the budgets with a query's first calls."""
+        """Credit the retry and hedge budgets with a query's first calls."""
         self.hedge.earn(first_calls)
         self.retry.earn(first_calls)
 
@@ -54,9 +53,11 @@
         *,
         may_probe: bool,
     ) -> tuple[BackendRecord, ...]:
-        """Return the replicas that may get a call: healthy ones, else whatever is left.
+        """Return the replicas that may get a call: healthy ones, else ejected ones.
 
-        :param may_probe: whether the call may serve to try out an ejected back end.
+        :param tried: replicas that the call was sent to before.
+        :param may_probe: whether the call may probe an ejected back end, which is then the only
+            candidate.
         """
         if not tried:
             for backend in replicas:
@@ -73,17 +74,17 @@
         return tuple(b for b in left if not b.health.ejected) or left
 
     def hedge_delay_s(self, hedges: int) -> float | None:
-        """Return how old a shard's latest call must be for its next hedge; ``None`` for none."""
+        """Return the age of a shard's latest call at which it is hedged; ``None`` for no hedge."""
         return self.hedge.delay_s(self.latency, hedges)
 
     def choose_hedge(
         self, replicas: tuple[BackendRecord, ...], tried: tuple[BackendRecord, ...]
     ) -> BackendRecord | None:
-        """Return where a hedge goes now, ``None`` when no healthy replica has room.
+        """Return the replica for a hedge, ``None`` if no healthy replica can take it.
 
-        A replica not tried yet comes first; where there is none, the same one may answer a
-        second copy sooner, because most slow calls are slow by chance.  A back end that calls
-        wait for gets none: a hedge would take the place of a first call.
+        Untried replicas are preferred.  Without one the hedge goes to a tried replica, which may
+        answer the second copy sooner because most slow calls are slow by chance.  A back end for
+        which calls wait gets no hedge: the hedge would take the place of a first call.
         """
         healthy = [b for b in replicas if not b.leaving and not b.health.ejected and not b.waiting]
         untried = [backend for backend in healthy if backend not in tried]
@@ -92,9 +93,9 @@
     def observe_answer(
         self, backend: BackendRecord, latency_s: float, reported: int | None, now: float
     ) -> None:
-        """Learn from an answer.
+        """Record an answer.
 
-        :param reported: calls in flight by the back end's own report, if it sent one.
+        :param reported: calls in flight by the back end's load report, ``None`` without a report.
         """
         self.latency.observe(latency_s)
         self.ejection.observe_answer(backend, latency_s, now)
@@ -104,41 +105,41 @@
             health.reported_at = now
 
     def observe_loser(self, backend: BackendRecord, waited_s: float, now: float) -> None:
-        """Learn from a call that was cancelled because its hedge answered first.
+        """Record a call that was cancelled because its hedge was answered first.
 
-        It counts in the window at the age it had, beyond the hedge delay: left out, hedges
-        would hide the tail from the delay they are sent after.
+        Its age, which exceeds the hedge delay, counts in the latency window: without it, hedges
+        would remove the tail from the distribution that determines the hedge delay.
         """
         self.latency.observe(waited_s)
         self.observe_withdrawn(backend, waited_s, now)
 
     def observe_withdrawn(self, backend: BackendRecord, waited_s: float, now: float) -> None:
-        """Learn from a call that was cancelled before it was answered."""
+        """Record a call that was cancelled before it was answered."""
         backend.observe_unanswered(waited_s)
         self.ejection.observe_unanswered(backend, now)
 
     def observe_failure(self, backend: BackendRecord, now: float) -> None:
-        """Learn from a call that broke or could not be sent."""
+        """Record a call that failed or could not be sent."""
         self.ejection.observe_failure(backend, now)
 
 
 class _SharedPolicies(Generic[PolicyType]):
-    """The policies of one role, one for each service and name, made on first use."""
+    """Policies of one role, one per service and name, created on first use."""
 
     def __init__(
         self, role: Role, factories: Mapping[str, Factory[PolicyType]], context: PolicyContext
     ) -> None:
-        """Make policies by ``factories``."""
+        """Create policies with ``factories``."""
         self._role = role
         self._factories = factories
         self._context = context
         self._made: dict[tuple[str, str], PolicyType] = {}
 
     def get(self, service: str, policies: Mapping[str, str]) -> PolicyType:
-        """Return the policy that a rule of ``service`` names, or the default."""
+        """Return the policy that a rule of ``service`` sets, or the default."""
         name = policy_name(self._role, policies)
         if name not in self._factories:
-            # A newer release, running beside this one, has accepted a policy of its own.
+            # A newer release in the same cluster accepted a policy that this release lacks.
             name = DEFAULTS[self._role]
         made = self._made.get((service, name))
         if made is None:
@@ -148,10 +149,10 @@
 
 
 class RoutingTable:
-    """Finds a rule's routing; rules of one service that name a policy share its state."""
+    """Routing by service; rules of one service that set the same policy share its state."""
 
     def __init__(self, clock: Callable[[], float], source: random.Random) -> None:
-        """Give policies this clock and randomness."""
+        """Create policies with this clock and this source of randomness."""
         context = PolicyContext(clock, source)
         self._choices = _SharedPolicies(Role.REPLICA_CHOICE, REPLICA_CHOICE_POLICIES, context)
         self._hedges = _SharedPolicies(Role.HEDGE, HEDGE_POLICIES, context)
@@ -160,7 +161,7 @@
         self._windows: dict[str, LatencyWindow] = {}
 
     def routing_of(self, service: str, policies: Mapping[str, str]) -> ServiceRouting:
-        """Return the routing of a service under the policies a rule names."""
+        """Return the routing of a service with the policies that a rule sets."""
         return ServiceRouting(
             self._choices.get(service, policies),
             self._hedges.get(service, policies),
--- a/tinrudder/node/decisions/version_hints.py
+++ b/tinrudder/node/decisions/version_hints.py
@@ -1,6 +1,6 @@
-"""Which index versions back ends have lately said they do not serve.
+"""Cache of the index versions that back ends recently refused to serve.
 
-Owns the hints; relies on a clock to let them age.
+Owns the hints, which expire by an injected clock.
 """
 
 from __future__ import annotations
@@ -10,32 +10,31 @@
 from tinrudder.node.decisions.backend_record import BackendRecord
 
 HINT_LIFETIME_S = 2.0
-"""Seconds for which a refusal is remembered.  Chosen, not measured: a back end may be about to
-load the version it lacks."""
+"""Seconds after which a refusal expires: the back end may be about to load the version."""
 MAX_HINTS = 8192
-"""Hints kept at most, then all are forgotten: it bounds memory, and what is forgotten is met again
-at the cost of a refused call."""
+"""Maximum number of hints, which bounds memory.  Beyond it all are cleared; a cleared hint costs a
+refused call."""
 
 
 class VersionHints:
-    """Remembers refusals for a while, so that not every query has to meet them again.
+    """Caches refusals for a short time, so that not every query runs into them again.
 
-    A hint ages because a back end may be about to load the version it lacks.
+    A hint expires because the back end may be about to load the version.
     """
 
     def __init__(self, clock: Callable[[], float]) -> None:
-        """Age hints by ``clock``."""
+        """Expire hints by ``clock``, monotonic seconds."""
         self._clock = clock
         self._gone_until: dict[tuple[str, str, int], float] = {}
 
     def note_gone(self, backend: BackendRecord, index: str, version: int) -> None:
-        """Remember that a back end does not serve a version."""
+        """Record that a back end does not serve a version."""
         if len(self._gone_until) >= MAX_HINTS:
             self._gone_until.clear()
         self._gone_until[(backend.name, index, version)] = self._clock() + HINT_LIFETIME_S
 
     def may_serve(self, backend: BackendRecord, index: str, version: int) -> bool:
-        """Tell whether nothing speaks against sending a call for a version there."""
+        """Return ``False`` while a hint says that the back end does not serve a version."""
         if not self._gone_until:
             return True
         until = self._gone_until.get((backend.name, index, version))
@@ -44,7 +43,10 @@
     def reachable_share(
         self, replicas: Sequence[tuple[BackendRecord, ...]], index: str, version: int
     ) -> float:
-        """Return the share of shards, given as their replicas, that have a usable replica."""
+        """Return the fraction of shards with a usable replica.
+
+        :param replicas: the replicas of each shard.
+        """
         usable = sum(1 for records in replicas if self._any_usable(records, index, version))
         return usable / len(replicas) if replicas else 0.0
 
