--- a/tests/unit/node/decisions/test_backend_limit.py
+++ b/tests/unit/node/decisions/test_backend_limit.py
@@ -63,14 +63,14 @@
 
 
 @dataclass
-class Rounds:
+class RoundSimulation:
     """Sends as many calls as allowed per round to a back end that sheds beyond its real slots."""
 
     backend: BackendRecord
     policy: AdaptiveLimit = field(default_factory=AdaptiveLimit)
     now: float = 0.0
 
-    def play(self, slots: int, rounds: int) -> int:
+    def run(self, slots: int, rounds: int) -> int:
         """Return the number of calls shed."""
         shed = 0
         for _ in range(rounds):
@@ -88,12 +88,12 @@
 
 
 def test_limit_finds_fewer_slots_than_configured_and_comes_back() -> None:
-    rounds = Rounds(record_of(8))
-    rounds.play(slots=4, rounds=100)
-    shed = rounds.play(slots=4, rounds=100)
+    rounds = RoundSimulation(record_of(8))
+    rounds.run(slots=4, rounds=100)
+    shed = rounds.run(slots=4, rounds=100)
     assert 2.0 <= rounds.backend.limit <= 5.0
     assert shed <= 10
-    rounds.play(slots=8, rounds=300)
+    rounds.run(slots=8, rounds=300)
     assert rounds.backend.limit == 8
 
 
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.call_queue import Newcomer
+from tinrudder.node.decisions.load.call_queue import IncomingCalls
 from tinrudder.node.decisions.load.fair_queue import SWEEP_SLACK, StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_calls import (
     COMPACTION_SLACK,
@@ -90,7 +90,7 @@
             here = [call for call in self.waiting if backend in call.candidates]
             assert backend.waiting == len(here)
             work = sum(call.cost / len(call.candidates) for call in here)
-            nobody = Newcomer("nobody", 1, Priority.BATCH, 10_000.0, 2.0)
+            nobody = IncomingCalls("nobody", 1, Priority.BATCH, 10_000.0, 2.0)
             expected = self.queue.expected_wait_s(backend, nobody)
             assert expected == pytest.approx(2.0 * (work + 10_000.0))
 
@@ -172,5 +172,5 @@
         now += 0.1
         queue.pop(backend)
         queue.record_direct(call_of("favoured", backend), backend)
-    newcomer = Newcomer("slow", 1, Priority.INTERACTIVE, 1.0, 0.001)
-    assert queue.expected_wait_s(backend, newcomer) == pytest.approx(101 * 0.1)
+    incoming = IncomingCalls("slow", 1, Priority.INTERACTIVE, 1.0, 0.001)
+    assert queue.expected_wait_s(backend, incoming) == pytest.approx(101 * 0.1)
--- a/tests/unit/node/decisions/test_routing_policies.py
+++ b/tests/unit/node/decisions/test_routing_policies.py
@@ -44,7 +44,7 @@
     return window
 
 
-class Ejecting:
+class EjectionHarness:
     """An ejection policy with back ends that have answered before."""
 
     def __init__(self, count: int) -> None:
@@ -127,7 +127,7 @@
 
 
 def test_failures_in_a_row_eject_up_to_the_ceiling() -> None:
-    service = Ejecting(6)
+    service = EjectionHarness(6)
     for record in service.records:
         for _ in range(FAILURES_TO_EJECT):
             service.policy.observe_failure(record, 1.0)
@@ -135,7 +135,7 @@
 
 
 def test_one_slow_call_in_a_hundred_ejects_nobody_but_a_slow_replica_is_seen_soon() -> None:
-    service = Ejecting(2)
+    service = EjectionHarness(2)
     source = random.Random(1)
     for _ in range(3000):
         slow = source.random() < 0.01
@@ -148,7 +148,7 @@
 
 
 def test_silent_replica_is_ejected_by_what_it_left_unanswered() -> None:
-    service = Ejecting(3)
+    service = EjectionHarness(3)
     for _ in range(3 * MINIMUM_ANSWERS):
         service.records[2].observe_unanswered(SLOW_S)
         service.policy.observe_unanswered(service.records[2], 1.0)
@@ -156,7 +156,7 @@
 
 
 def test_probe_decides_on_the_return_and_a_ramp_follows() -> None:
-    service = Ejecting(2)
+    service = EjectionHarness(2)
     bad = service.records[0]
     for _ in range(FAILURES_TO_EJECT):
         service.policy.observe_failure(bad, 1.0)
@@ -177,7 +177,7 @@
 
 
 def test_new_back_end_of_a_warm_service_starts_cold_but_a_new_service_does_not() -> None:
-    service = Ejecting(2)
+    service = EjectionHarness(2)
     assert all(record.health.ramp_limit == math.inf for record in service.records)
     newcomer = backend("new", latency_s=0.0)
     service.policy.follow([*service.records, newcomer], 1.0)
--- a/tinrudder/node/decisions/backend_record.py
+++ b/tinrudder/node/decisions/backend_record.py
@@ -93,13 +93,13 @@
         another coordinator, waiting calls would miss their deadlines under the smaller share
         (see :meth:`end_handover`).
         """
-        follows = self.limit >= self.usual
+        was_at_maximum = self.limit >= self.usual
         self.usual = usual
         self.headroom = headroom
         if self.limit > usual:
             if not self.waiting:
                 self.end_handover()
-        elif follows:
+        elif was_at_maximum:
             self.limit = usual
 
     def end_handover(self) -> None:
--- a/tinrudder/node/decisions/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -55,8 +55,8 @@
         for name in self._records.keys() - specs.keys():
             self._records.pop(name).leaving = True
         for name, spec in specs.items():
-            most = max(1.0, share(name, spec))
-            usual = float(min(most, math.ceil(most / headroom * CALLS_PER_SLOT)))
+            max_calls = max(1.0, share(name, spec))
+            usual = float(min(max_calls, math.ceil(max_calls / headroom * CALLS_PER_SLOT)))
             record = self._records.get(name)
             if record is None or (record.host, record.port) != (spec.host, spec.port):
                 if record is not None:
@@ -66,7 +66,7 @@
                 )
                 self._records[name] = record
             record.slots = spec.slots
-            record.set_share(usual, most / usual)
+            record.set_share(usual, max_calls / usual)
             record.configured_leaving = spec.state is BackendState.DRAINING
             record.leaving = record.configured_leaving or record.drain_signed
             self._by_service.setdefault(spec.service, []).append(record)
--- a/tinrudder/node/decisions/coordinator_ranking.py
+++ b/tinrudder/node/decisions/coordinator_ranking.py
@@ -15,10 +15,10 @@
 CROSS_ZONE_COST = 4
 """Queries in flight added to the cost of a coordinator in another zone.  Zones are 1 ms apart, a
 round trip that a few queries ahead in the queue outweigh."""
-FIRST_AVOIDANCE_S = 0.5
+INITIAL_BACKOFF_S = 0.5
 """Seconds of back-off after a coordinator's first failure, doubled with each consecutive one: about
 the time in which membership suspects a dead node."""
-LONGEST_AVOIDANCE_S = 8.0
+MAX_BACKOFF_S = 8.0
 """Maximum seconds between probes of a coordinator that keeps failing, and so the longest delay
 until its recovery is noticed."""
 MAX_COUNTED_FAILURES = 10
@@ -27,20 +27,20 @@
 
 
 @dataclass(slots=True)
-class _Observed:
+class _CoordinatorState:
     """Observations of one coordinator by this entry node.
 
     :param tie_break: differs between entry nodes, so that they do not all pick the same coordinator
         among equal ones.
     :param failures: consecutive failures.
-    :param avoid_until: monotonic time at which the back-off ends and the next probe is due.
+    :param backoff_until: monotonic time at which the back-off ends and the next probe is due.
     """
 
     incarnation: int
     tie_break: int
     in_flight: int = 0
     failures: int = 0
-    avoid_until: float = 0.0
+    backoff_until: float = 0.0
 
 
 class CoordinatorRanking:
@@ -59,7 +59,7 @@
         self._node_name = node_name
         self._zone = zone
         self._timers = timers
-        self._observed: dict[str, _Observed] = {}
+        self._states: dict[str, _CoordinatorState] = {}
         self._failed: dict[str, Member] = {}
         self.on_failed_changed: Callable[[], None] | None = None
 
@@ -77,63 +77,63 @@
             return []
         now = self._timers.time()
         failed = self._failed.values()
-        return [member for member in failed if now >= self._of(member).avoid_until]
+        return [member for member in failed if now >= self._state_of(member).backoff_until]
 
     def begin(self, member: Member) -> None:
         """Count a query sent to ``member``."""
-        self._of(member).in_flight += 1
+        self._state_of(member).in_flight += 1
 
     def end(self, member: Member) -> None:
         """Count a query as ended; the counter of a member removed meanwhile stays at 0."""
-        observed = self._of(member)
-        observed.in_flight = max(0, observed.in_flight - 1)
+        state = self._state_of(member)
+        state.in_flight = max(0, state.in_flight - 1)
 
     def succeed(self, member: Member) -> None:
         """Clear the failures of ``member`` after a success."""
-        observed = self._of(member)
-        observed.failures = 0
-        observed.avoid_until = 0.0
+        state = self._state_of(member)
+        state.failures = 0
+        state.backoff_until = 0.0
         if self._failed.pop(member.name, None) is not None:
-            self._tell()
+            self._notify_failed_changed()
 
     def fail(self, member: Member) -> None:
         """Start a back-off for a member, longer after every consecutive failure."""
-        observed = self._of(member)
+        state = self._state_of(member)
         now = self._timers.time()
-        if observed.avoid_until > now:
+        if state.backoff_until > now:
             return
-        avoidance_s = min(LONGEST_AVOIDANCE_S, FIRST_AVOIDANCE_S * 2**observed.failures)
-        observed.failures = min(observed.failures + 1, MAX_COUNTED_FAILURES)
-        observed.avoid_until = now + avoidance_s
-        known = self._failed.get(member.name)
+        backoff_s = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2**state.failures)
+        state.failures = min(state.failures + 1, MAX_COUNTED_FAILURES)
+        state.backoff_until = now + backoff_s
+        previous = self._failed.get(member.name)
         self._failed[member.name] = member
-        if known is None:
-            self._tell()
+        if previous is None:
+            self._notify_failed_changed()
 
     def keep_only(self, members: Mapping[str, Member]) -> None:
         """Drop the state of members that have left or restarted."""
-        for name, observed in tuple(self._observed.items()):
+        for name, state in tuple(self._states.items()):
             member = members.get(name)
-            if member is None or member.incarnation != observed.incarnation:
-                del self._observed[name]
+            if member is None or member.incarnation != state.incarnation:
+                del self._states[name]
                 self._failed.pop(name, None)
 
-    def _tell(self) -> None:
+    def _notify_failed_changed(self) -> None:
         if self.on_failed_changed is not None:
             self.on_failed_changed()
 
-    def _of(self, member: Member) -> _Observed:
+    def _state_of(self, member: Member) -> _CoordinatorState:
         """Return a member's state; a restarted process gets a new one."""
-        observed = self._observed.get(member.name)
-        if observed is None or observed.incarnation != member.incarnation:
+        state = self._states.get(member.name)
+        if state is None or state.incarnation != member.incarnation:
             tie_break = rendezvous_score(self._node_name, member.name)
-            observed = _Observed(member.incarnation, tie_break)
-            self._observed[member.name] = observed
-        return observed
+            state = _CoordinatorState(member.incarnation, tie_break)
+            self._states[member.name] = state
+        return state
 
     def _cost(self, member: Member) -> tuple[bool, int, int]:
         """Return the sort key: suspected members last, then queries in flight plus zone cost."""
-        observed = self._of(member)
+        state = self._state_of(member)
         distance = 0 if member.zone == self._zone else CROSS_ZONE_COST
         is_suspect = member.status is MemberStatus.SUSPECT
-        return is_suspect, observed.in_flight + distance, observed.tie_break
+        return is_suspect, state.in_flight + distance, state.tie_break
--- a/tinrudder/node/decisions/coordinator_set.py
+++ b/tinrudder/node/decisions/coordinator_set.py
@@ -17,7 +17,7 @@
 from tinrudder.cluster.view import Member, MemberStatus
 from tinrudder.common.rendezvous import rendezvous_score
 
-MAX_SLOTS_HELD = 32
+MAX_SLOTS_PER_COORDINATOR = 32
 """Maximum number of slots, summed over a service's back ends, per coordinator, so that one process
 can carry their calls (docs/COORDINATORS.md)."""
 
@@ -70,7 +70,7 @@
     >>> coordinator_count([2] * 130)
     2
     """
-    needed = math.ceil(sum(slots) / MAX_SLOTS_HELD)
+    needed = math.ceil(sum(slots) / MAX_SLOTS_PER_COORDINATOR)
     return max(1, min(needed, min(slots, default=1)))
 
 
@@ -132,8 +132,8 @@
     5
     """
     base, remainder = divmod(calls, count)
-    first = xxhash.xxh64_intdigest(backend.encode()) % count
-    return base + (1 if (position - first) % count < remainder else 0)
+    first_position = xxhash.xxh64_intdigest(backend.encode()) % count
+    return base + (1 if (position - first_position) % count < remainder else 0)
 
 
 def members_of_region(members: Sequence[Member], region: str) -> tuple[Member, ...]:
--- a/tinrudder/node/decisions/drain_signs.py
+++ b/tinrudder/node/decisions/drain_signs.py
@@ -34,22 +34,24 @@
     def __init__(self, source: random.Random) -> None:
         """Draw lifetimes from ``source``."""
         self._random = source
-        self._signed_at: dict[str, float] = {}
-        self._until: dict[str, float] = {}
+        self._reported_at: dict[str, float] = {}
+        self._expires_at: dict[str, float] = {}
 
     def __len__(self) -> int:
         """Return the number of back ends with a notice."""
-        return len(self._signed_at)
+        return len(self._reported_at)
 
-    def add(self, backend: str, signed_at: float) -> None:
-        """Record a notice of the time ``signed_at``, replacing an earlier one."""
-        self._signed_at[backend] = signed_at
-        self._until[backend] = signed_at + self._random.uniform(SHORTEST_HOLD_S, LONGEST_HOLD_S)
+    def add(self, backend: str, reported_at: float) -> None:
+        """Record a notice of the time ``reported_at``, replacing an earlier one."""
+        self._reported_at[backend] = reported_at
+        self._expires_at[backend] = reported_at + self._random.uniform(
+            SHORTEST_HOLD_S, LONGEST_HOLD_S
+        )
 
     def remove(self, backend: str) -> None:
         """Remove a back end's notice, if there is one."""
-        self._signed_at.pop(backend, None)
-        self._until.pop(backend, None)
+        self._reported_at.pop(backend, None)
+        self._expires_at.pop(backend, None)
 
     def refutes(self, backend: str, sent_at: float) -> bool:
         """Tell whether an answer without a drain notice, to a call sent at ``sent_at``, is newer.
@@ -57,9 +59,11 @@
         Answers to calls sent before the notice prove nothing: a draining back end finishes its
         calls in flight.
         """
-        signed_at = self._signed_at.get(backend)
-        return signed_at is not None and sent_at > signed_at + OWN_MARGIN_S
+        reported_at = self._reported_at.get(backend)
+        return reported_at is not None and sent_at > reported_at + OWN_MARGIN_S
 
     def due(self, now: float) -> tuple[str, ...]:
         """Return the back ends whose notice has expired."""
-        return tuple(backend for backend, until in self._until.items() if until <= now)
+        return tuple(
+            backend for backend, expires_at in self._expires_at.items() if expires_at <= now
+        )
--- a/tinrudder/node/decisions/ejection.py
+++ b/tinrudder/node/decisions/ejection.py
@@ -18,7 +18,7 @@
 OUTLIER_RATIO = 3.0
 """Latency, in multiples of the median of the service's back ends, that ejects one: well above the
 differences between healthy machines."""
-GOOD_RATIO = 2.0
+READMISSION_RATIO = 2.0
 """Highest probe latency, in multiples of the median, that readmits a back end.  Below
 OUTLIER_RATIO, so that a back end near the threshold does not flap."""
 MINIMUM_ANSWERS = 5
@@ -95,7 +95,7 @@
         """Start without back ends."""
         self._records: tuple[BackendRecord, ...] = ()
         self._median_s = 0.0
-        self._until_refresh = 0
+        self._answers_until_refresh = 0
 
     def follow(self, records: Sequence[BackendRecord], now: float) -> None:
         """Set the service's current back ends.
@@ -114,8 +114,8 @@
         """Eject, readmit or ramp up a back end by its latency."""
         record.health.failures_in_row = 0
         record.health.answers += 1
-        self._until_refresh -= 1
-        if self._until_refresh <= 0:
+        self._answers_until_refresh -= 1
+        if self._answers_until_refresh <= 0:
             self._refresh_median()
         if record.health.ejected:
             self._judge_probe(record, latency_s, now)
@@ -158,7 +158,7 @@
         """
         if now - latency_s < record.health.ejected_at:
             return
-        if self._median_s and latency_s > GOOD_RATIO * self._median_s:
+        if self._median_s and latency_s > READMISSION_RATIO * self._median_s:
             return
         record.health.ejected = False
         record.latency_s = latency_s
@@ -169,7 +169,7 @@
         """Raise the ramp limit after a fast answer; end the ramp at the limit or ``RAMP_MAX_S``."""
         if now - record.health.ramp_started_at > RAMP_MAX_S:
             record.health.ramp_limit = math.inf
-        elif not self._median_s or latency_s <= GOOD_RATIO * self._median_s:
+        elif not self._median_s or latency_s <= READMISSION_RATIO * self._median_s:
             record.health.ramp_limit += RAMP_STEP
             if record.health.ramp_limit >= record.limit:
                 record.health.ramp_limit = math.inf
@@ -188,7 +188,7 @@
 
     def _refresh_median(self) -> None:
         """Compute the lower median latency of the back ends in use that have answered."""
-        self._until_refresh = REFRESH_OBSERVATIONS
+        self._answers_until_refresh = REFRESH_OBSERVATIONS
         latencies = sorted(
             record.latency_s
             for record in self._records
--- a/tinrudder/node/decisions/hedge_by_quantile.py
+++ b/tinrudder/node/decisions/hedge_by_quantile.py
@@ -25,7 +25,7 @@
 """Quantile of recent latencies after which a call is hedged while the budget is full.  With this
 quantile at every budget level and 2.6% of extra calls, the 99th percentile is 72 to 87 ms, because
 the budget is empty when the slowest calls need it (docs/ROUTING.md)."""
-HEDGE_QUANTILE_IN_NEED = 0.987
+HEDGE_QUANTILE_LOW_BUDGET = 0.987
 """Quantile after which a call is hedged while the budget is nearly empty, so that the remaining
 hedges go to the slowest calls."""
 QUANTILE_STEPS = 4
@@ -40,7 +40,7 @@
 """Minimum hedge delay in seconds: about one round trip to the back end."""
 MAX_HEDGES_PER_SHARD = 2
 """Maximum number of hedges per shard of a query."""
-WIDESPREAD_SHARE = 0.2
+SLOW_FLEET_SHARE = 0.2
 """Fraction of the shards that may be overdue.  Above it the whole fleet counts as slow and nothing
 is hedged."""
 ONE_BACKEND_SHARE = 0.6
@@ -107,8 +107,8 @@
 
         With a fixed quantile the budget would be empty when the slowest calls need a hedge.
         """
-        empty = 1.0 - round(self._budget.fill * QUANTILE_STEPS) / QUANTILE_STEPS
-        return HEDGE_QUANTILE + empty * (HEDGE_QUANTILE_IN_NEED - HEDGE_QUANTILE)
+        spent_fraction = 1.0 - round(self._budget.fill * QUANTILE_STEPS) / QUANTILE_STEPS
+        return HEDGE_QUANTILE + spent_fraction * (HEDGE_QUANTILE_LOW_BUDGET - HEDGE_QUANTILE)
 
     def may_hedge(self, *, urgent: bool) -> bool:
         """Take one token from the budget."""
@@ -129,7 +129,7 @@
     >>> is_widespread(["b1", "b2"], 130)
     False
     """
-    if len(overdue_backends) <= max(1.0, WIDESPREAD_SHARE * shard_count):
+    if len(overdue_backends) <= max(1.0, SLOW_FLEET_SHARE * shard_count):
         return False
     most_common = Counter(overdue_backends).most_common(1)[0][1]
     return most_common < ONE_BACKEND_SHARE * len(overdue_backends)
--- a/tinrudder/node/decisions/load/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -14,7 +14,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Newcomer:
+class IncomingCalls:
     """Calls that an arriving query would add to the queue of one back end.
 
     :param work: total cost of the calls.
@@ -49,8 +49,8 @@
     def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
         """Charge the tenant for a call that was sent to ``backend`` without waiting."""
 
-    def expected_wait_s(self, backend: BackendRecord, newcomer: Newcomer) -> float:
-        """Return the seconds until ``backend`` is expected to have taken all calls of a newcomer.
+    def expected_wait_s(self, backend: BackendRecord, incoming: IncomingCalls) -> float:
+        """Return the seconds until ``backend`` is expected to have taken all ``incoming`` calls.
 
         A call with several candidates counts in equal parts at each.
         """
--- a/tinrudder/node/decisions/load/expected_wait_admission.py
+++ b/tinrudder/node/decisions/load/expected_wait_admission.py
@@ -13,7 +13,7 @@
 from typing import Protocol
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.call_queue import CallQueue, Newcomer
+from tinrudder.node.decisions.load.call_queue import CallQueue, IncomingCalls
 from tinrudder.node.resources.model import Priority
 
 TAIL_LATENCIES = 2.0
@@ -79,31 +79,34 @@
 
     def check(self, demand: QueryDemand, now: float) -> Overload | None:
         """Compare the expected time with the time left until the deadline."""
-        if not _anything_waits(demand.replicas):
+        if not _any_calls_wait(demand.replicas):
             return None
         added = _added_work(demand.replicas)
         expected_s = self._expected_s(demand, added) * SAFETY_FACTOR
-        left_s = demand.deadline - now
-        if expected_s <= left_s:
+        remaining_s = demand.deadline - now
+        if expected_s <= remaining_s:
             return None
-        return Overload(self._retry_after_s(expected_s - left_s))
+        return Overload(self._retry_after_s(expected_s - remaining_s))
 
     def _expected_s(self, demand: QueryDemand, added: dict[BackendRecord, float]) -> float:
         """Return the expected seconds until the last needed shard answers."""
         expected = {
-            backend: self._backend_s(demand, backend, work) for backend, work in added.items()
+            backend: self._backend_answer_s(demand, backend, work)
+            for backend, work in added.items()
         }
-        by_shard = [_soonest(replicas, expected) for replicas in demand.replicas]
+        by_shard = [_earliest_answer_s(replicas, expected) for replicas in demand.replicas]
         if demand.needed == len(by_shard):
             return max(by_shard)
         by_shard.sort()
         return by_shard[demand.needed - 1]
 
-    def _backend_s(self, demand: QueryDemand, backend: BackendRecord, added: float) -> float:
+    def _backend_answer_s(self, demand: QueryDemand, backend: BackendRecord, added: float) -> float:
         """Return the expected seconds until a back end has answered its part of a query."""
         seconds_per_work = backend.latency_s / backend.limit
-        newcomer = Newcomer(demand.tenant, demand.weight, demand.priority, added, seconds_per_work)
-        wait_s = self._queue.expected_wait_s(backend, newcomer)
+        incoming = IncomingCalls(
+            demand.tenant, demand.weight, demand.priority, added, seconds_per_work
+        )
+        wait_s = self._queue.expected_wait_s(backend, incoming)
         return wait_s + TAIL_LATENCIES * backend.latency_s
 
     def _retry_after_s(self, excess_s: float) -> float:
@@ -112,7 +115,7 @@
         return bounded * (1.0 + RETRY_JITTER * self._random.random())
 
 
-def _anything_waits(replicas: Sequence[tuple[BackendRecord, ...]]) -> bool:
+def _any_calls_wait(replicas: Sequence[tuple[BackendRecord, ...]]) -> bool:
     """Tell whether calls wait for any of a query's back ends."""
     for backends in replicas:
         for backend in backends:
@@ -121,14 +124,16 @@
     return False
 
 
-def _soonest(backends: tuple[BackendRecord, ...], expected: dict[BackendRecord, float]) -> float:
+def _earliest_answer_s(
+    backends: tuple[BackendRecord, ...], expected: dict[BackendRecord, float]
+) -> float:
     """Return the expected seconds until a shard's first back end answers; 0 if none is usable."""
-    soonest = math.inf
+    earliest_s = math.inf
     for backend in backends:
         seconds = expected.get(backend, math.inf)
-        if seconds < soonest:
-            soonest = seconds
-    return soonest if soonest != math.inf else 0.0
+        if seconds < earliest_s:
+            earliest_s = seconds
+    return earliest_s if earliest_s != math.inf else 0.0
 
 
 def _added_work(replicas: Sequence[tuple[BackendRecord, ...]]) -> dict[BackendRecord, float]:
--- a/tinrudder/node/decisions/load/fair_queue.py
+++ b/tinrudder/node/decisions/load/fair_queue.py
@@ -15,7 +15,7 @@
 from dataclasses import dataclass, field
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.call_queue import Newcomer
+from tinrudder.node.decisions.load.call_queue import IncomingCalls
 from tinrudder.node.decisions.load.pending_calls import PendingCall, TenantFlow
 
 DEFAULT_BURST = 64.0
@@ -23,10 +23,10 @@
 99th percentile beside a noisy tenant, relative to that without one, is 1.04 with a burst of 64,
 1.12 with 32 and 2.26 without a burst; with 64 a new tenant waits up to 92 ms (docs/FAIRNESS.md,
 bench.fair_queue)."""
-DEFAULT_LAG = 4.0
+HEADROOM_LAG = 4.0
 """Work, in calls, by which a tenant must lag behind its share to use the headroom above the limit;
 at most half of the burst."""
-ALONE_AFTER_S = 1.0
+SOLE_TENANT_AFTER_S = 1.0
 """Seconds without a call of another tenant after which a tenant counts as alone at a back end and
 may use the headroom."""
 SWEEP_SLACK = 64
@@ -45,7 +45,7 @@
     :param work: total cost of the waiting calls, each divided by its number of candidates.
     :param virtual_time: highest start tag of a call sent so far.
     :param last_served: flow of the latest call.
-    :param shared_at: monotonic seconds of the latest call that followed another tenant's call.
+    :param tenant_changed_at: monotonic seconds of the latest call after another tenant's call.
     :param sweep_at: number of flows at which idle ones are dropped.
     """
 
@@ -56,7 +56,7 @@
     work: float = 0.0
     virtual_time: float = 0.0
     last_served: TenantFlow | None = None
-    shared_at: float = -math.inf
+    tenant_changed_at: float = -math.inf
     sweep_at: int = SWEEP_SLACK
 
     @property
@@ -68,10 +68,10 @@
         """Charge a flow for a call that is sent now, and advance the virtual time."""
         if flow is not self.last_served:
             if self.last_served is not None:
-                self.shared_at = now
+                self.tenant_changed_at = now
             self.last_served = flow
-        self.virtual_time = max(self.virtual_time, flow.account)
-        flow.account += cost / flow.weight
+        self.virtual_time = max(self.virtual_time, flow.start_tag)
+        flow.start_tag += cost / flow.weight
 
 
 class StartTimeFairQueue:
@@ -89,7 +89,7 @@
         """
         self._clock = clock
         self._burst = burst
-        self._lag = min(DEFAULT_LAG, burst / 2)
+        self._headroom_lag = min(HEADROOM_LAG, burst / 2)
         self._lanes: dict[BackendRecord, BackendLane] = {}
         self._sweep_lanes_at = SWEEP_SLACK
         self._size = 0
@@ -100,7 +100,7 @@
         call.waiting = True
         self._size += 1
         part = call.cost / len(call.candidates)
-        places = []
+        flows = []
         for backend in call.candidates:
             lane = self._lane(backend)
             flow = self._flow(lane, backend, call)
@@ -109,10 +109,10 @@
             flow.add(call)
             lane.work += part
             backend.waiting += 1
-            places.append(flow)
-            if not flow.queued:
+            flows.append(flow)
+            if not flow.in_heap:
                 self._enter_heap(lane, flow)
-        call.places = tuple(places)
+        call.flows = tuple(flows)
 
     def pop(self, backend: BackendRecord) -> PendingCall | None:
         """Remove and return the next call of the tenant with the lowest start tag."""
@@ -121,18 +121,18 @@
             return None
         heap = lane.heap
         while heap:
-            account, _, flow = heap[0]
-            if account != flow.account:
+            start_tag, _, flow = heap[0]
+            if start_tag != flow.start_tag:
                 self._replace_first(heap, flow)
                 continue
             call = flow.next_call()
             if call is None:
                 heapq.heappop(heap)
-                flow.queued = False
+                flow.in_heap = False
                 continue
             now = self._clock()
             lane.charge(flow, call.cost, now)
-            flow.pace.observe(now, call.cost, more=flow.waiting > 1)
+            flow.pace.observe(now, call.cost, more_waiting=flow.waiting > 1)
             self._replace_first(heap, flow)
             self.discard(call)
             return call
@@ -143,24 +143,24 @@
         lane = self._lanes.get(backend)
         if lane is None or not lane.heap:
             return None
-        if self._clock() - lane.shared_at <= ALONE_AFTER_S:
-            bound = lane.virtual_time - self._lag / lane.mean_weight
-            if self._lowest_waiting(lane) >= bound:
+        if self._clock() - lane.tenant_changed_at <= SOLE_TENANT_AFTER_S:
+            bound = lane.virtual_time - self._headroom_lag / lane.mean_weight
+            if self._lowest_waiting_start_tag(lane) >= bound:
                 return None
         return self.pop(backend)
 
-    def _lowest_waiting(self, lane: BackendLane) -> float:
+    def _lowest_waiting_start_tag(self, lane: BackendLane) -> float:
         """Return the lowest start tag among tenants with waiting calls."""
         heap = lane.heap
         while heap:
-            account, _, flow = heap[0]
+            start_tag, _, flow = heap[0]
             if flow.waiting == 0:
                 heapq.heappop(heap)
-                flow.queued = False
-            elif account != flow.account:
+                flow.in_heap = False
+            elif start_tag != flow.start_tag:
                 self._replace_first(heap, flow)
             else:
-                return account
+                return start_tag
         return math.inf
 
     def discard(self, call: PendingCall) -> None:
@@ -170,7 +170,7 @@
         call.waiting = False
         self._size -= 1
         part = call.cost / len(call.candidates)
-        for flow in call.places:
+        for flow in call.flows:
             flow.remove(call)
             backend = flow.backend
             backend.waiting -= 1
@@ -178,17 +178,17 @@
             lane.work = lane.work - part if backend.waiting else 0.0
             if flow.waiting == 0:
                 lane.active_weight -= flow.weight
-        call.places = ()
+        call.flows = ()
 
     def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
         """Charge the tenant for a call that was sent to ``backend`` without waiting."""
         lane = self._lane(backend)
         flow = self._flow(lane, backend, call)
-        flow.account = max(flow.account, self._lowest_account(lane))
+        flow.start_tag = max(flow.start_tag, self._lowest_start_tag(lane))
         lane.charge(flow, call.cost, self._clock())
 
-    def expected_wait_s(self, backend: BackendRecord, newcomer: Newcomer) -> float:
-        """Return the seconds until ``backend`` is expected to have taken all calls of a newcomer.
+    def expected_wait_s(self, backend: BackendRecord, incoming: IncomingCalls) -> float:
+        """Return the seconds until ``backend`` is expected to have taken all ``incoming`` calls.
 
         A tenant whose calls waited recently is expected to be served at the observed pace.  The
         backlog of other tenants says little, because tenants served ahead of it may have none.
@@ -196,17 +196,17 @@
         """
         lane = self._lanes.get(backend)
         if lane is None or not backend.waiting:
-            return newcomer.work * newcomer.seconds_per_work
-        own = newcomer.work
-        others = lane.active_weight
-        flow = lane.flows.get(newcomer.tenant)
+            return incoming.work * incoming.seconds_per_work
+        own_work = incoming.work
+        other_weight = lane.active_weight
+        flow = lane.flows.get(incoming.tenant)
         if flow is not None and flow.waiting:
-            own += flow.work_ahead(newcomer.priority)
-            others -= flow.weight
+            own_work += flow.work_ahead(incoming.priority)
+            other_weight -= flow.weight
         if flow is not None and flow.pace.is_known:
-            return own * flow.pace.seconds_per_work
-        share = newcomer.weight / (others + newcomer.weight)
-        return min(lane.work + newcomer.work, own / share) * newcomer.seconds_per_work
+            return own_work * flow.pace.seconds_per_work
+        share = incoming.weight / (other_weight + incoming.weight)
+        return min(lane.work + incoming.work, own_work / share) * incoming.seconds_per_work
 
     def __len__(self) -> int:
         """Return the number of waiting calls."""
@@ -229,7 +229,7 @@
                 self._sweep_flows(lane)
             flow = lane.flows[call.tenant] = TenantFlow(call.tenant, backend, call.weight)
             lane.total_weight += call.weight
-            flow.account = self._lowest_account(lane)
+            flow.start_tag = self._lowest_start_tag(lane)
         if flow.weight != call.weight:
             lane.total_weight += call.weight - flow.weight
             if flow.waiting:
@@ -237,7 +237,7 @@
             flow.weight = call.weight
         return flow
 
-    def _lowest_account(self, lane: BackendLane) -> float:
+    def _lowest_start_tag(self, lane: BackendLane) -> float:
         """Return the lowest allowed start tag: the virtual time minus the burst, at least 0.
 
         Divided by the mean weight, the burst is the same work whatever the unit of the weights,
@@ -248,23 +248,23 @@
 
     def _enter_heap(self, lane: BackendLane, flow: TenantFlow) -> None:
         """Add a flow to the heap, with its start tag raised to the lowest allowed one."""
-        flow.queued = True
-        flow.account = max(flow.account, self._lowest_account(lane))
+        flow.in_heap = True
+        flow.start_tag = max(flow.start_tag, self._lowest_start_tag(lane))
         self._sequence += 1
-        heapq.heappush(lane.heap, (flow.account, self._sequence, flow))
+        heapq.heappush(lane.heap, (flow.start_tag, self._sequence, flow))
 
     def _replace_first(self, heap: list[HeapEntry], flow: TenantFlow) -> None:
         """Move the first flow to its current start tag; flows with equal tags take turns."""
         self._sequence += 1
-        heapq.heapreplace(heap, (flow.account, self._sequence, flow))
+        heapq.heapreplace(heap, (flow.start_tag, self._sequence, flow))
 
     def _sweep_flows(self, lane: BackendLane) -> None:
         """Drop idle flows that a new one would equal, so that memory follows active tenants."""
-        lowest = self._lowest_account(lane)
+        lowest = self._lowest_start_tag(lane)
         lane.flows = {
             tenant: flow
             for tenant, flow in lane.flows.items()
-            if flow.queued or flow.account > lowest
+            if flow.in_heap or flow.start_tag > lowest
         }
         lane.total_weight = sum(flow.weight for flow in lane.flows.values())
         lane.sweep_at = 2 * len(lane.flows) + SWEEP_SLACK
--- a/tinrudder/node/decisions/load/pending_calls.py
+++ b/tinrudder/node/decisions/load/pending_calls.py
@@ -42,7 +42,7 @@
     :param on_dispatch: called with the back end once one has a free place.
     :param on_shed: called instead when the call can no longer be answered in time, or its
         tenant has no queue place left; the call was not sent.
-    :param places: flows in which the call is queued; owned by the queue.
+    :param flows: flows in which the call is queued; owned by the queue.
     """
 
     tenant: str
@@ -55,7 +55,7 @@
     on_shed: Callable[[], None] = _ignore_shed
     choice: ReplicaChoicePolicy | None = None
     waiting: bool = False
-    places: tuple[TenantFlow, ...] = ()
+    flows: tuple[TenantFlow, ...] = ()
 
 
 @dataclass(slots=True, eq=False)
@@ -66,26 +66,26 @@
     another flow, it stays in ``classes`` with ``waiting`` false until it is reached or the flow is
     compacted.
 
-    :param account: virtual start time of the tenant's next call here, advanced by cost / weight.
+    :param start_tag: virtual start time of the tenant's next call here, advanced by cost / weight.
     :param waiting: number of calls that still wait.
     :param work: cost of the waiting calls by class, each divided by its number of candidates.
     :param classes: queued calls by class rank.
     :param entries: number of calls in ``classes``, including those that no longer wait.
     :param passed_over: how often each class was passed over since it was last served.
-    :param queued: whether the flow is in the heap of its lane.
+    :param in_heap: whether the flow is in the heap of its lane.
     :param pace: how fast the tenant's calls are taken here.
     """
 
     tenant: str
     backend: BackendRecord
     weight: int = 1
-    account: float = 0.0
+    start_tag: float = 0.0
     waiting: int = 0
     work: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
     classes: list[deque[PendingCall] | None] = field(default_factory=lambda: [None, None, None])
     entries: int = 0
     passed_over: list[int] = field(default_factory=lambda: [0, 0, 0])
-    queued: bool = False
+    in_heap: bool = False
     pace: ServicePace = field(default_factory=ServicePace)
 
     def add(self, call: PendingCall) -> None:
@@ -159,4 +159,4 @@
             self.work[rank] = 0.0
             self.passed_over[rank] = 0
         self.entries = 0
-        self.pace.last_at = NEVER
+        self.pace.last_taken_at = NEVER
--- a/tinrudder/node/decisions/load/service_pace.py
+++ b/tinrudder/node/decisions/load/service_pace.py
@@ -22,26 +22,26 @@
     """Smoothed time per unit of work of a tenant's waiting calls.
 
     :param seconds_per_work: smoothed pace; excludes times in which no calls waited.
-    :param last_at: when the last call was taken if more calls waited then, else ``NEVER``.
+    :param last_taken_at: when the last call was taken if more calls waited then, else ``NEVER``.
     """
 
     seconds_per_work: float = 0.0
     samples: int = 0
-    last_at: float = NEVER
+    last_taken_at: float = NEVER
 
     @property
     def is_known(self) -> bool:
         """Tell whether there are enough observations."""
         return self.samples >= PACE_MINIMUM_SAMPLES
 
-    def observe(self, now: float, work: float, *, more: bool) -> None:
+    def observe(self, now: float, work: float, *, more_waiting: bool) -> None:
         """Record that a call was taken.
 
-        :param more: whether the tenant has more calls waiting.
+        :param more_waiting: whether the tenant has more calls waiting.
         """
-        if self.last_at != NEVER:
-            sample = (now - self.last_at) / work
+        if self.last_taken_at != NEVER:
+            sample = (now - self.last_taken_at) / work
             self.samples += 1
             weight = max(PACE_SMOOTHING, 1.0 / self.samples)
             self.seconds_per_work += weight * (sample - self.seconds_per_work)
-        self.last_at = now if more else NEVER
+        self.last_taken_at = now if more_waiting else NEVER
--- a/tinrudder/node/decisions/load/tenant_usage.py
+++ b/tinrudder/node/decisions/load/tenant_usage.py
@@ -52,7 +52,7 @@
         """Release one queue place."""
         self.queue_places -= 1
 
-    def cap_reached_by(self, calls: int) -> Cap | None:
+    def exceeded_cap(self, calls: int) -> Cap | None:
         """Return the cap that one more query with so many calls would exceed, if any."""
         if self.queries >= self.caps.queries:
             return Cap.QUERIES
@@ -98,7 +98,7 @@
         self._closed = True
         self.drop_bytes()
         self.usage.queries -= 1
-        self._table.forget_if_idle(self._tenant)
+        self._table.remove_if_idle(self._tenant)
 
 
 class TenantUsageTable:
@@ -117,9 +117,9 @@
         if usage is None:
             usage = TenantUsage(caps)
         usage.caps = caps
-        reached = usage.cap_reached_by(calls)
-        if reached is not None:
-            return reached
+        exceeded = usage.exceeded_cap(calls)
+        if exceeded is not None:
+            return exceeded
         self._tenants[tenant] = usage
         return QueryPermit(self, tenant, usage)
 
@@ -127,7 +127,7 @@
         """Return a tenant's usage, ``None`` when it has no query in progress."""
         return self._tenants.get(tenant)
 
-    def forget_if_idle(self, tenant: str) -> None:
+    def remove_if_idle(self, tenant: str) -> None:
         """Remove a tenant without queries in progress."""
         usage = self._tenants.get(tenant)
         if usage is not None and usage.queries == 0:
--- a/tinrudder/node/decisions/service_routing.py
+++ b/tinrudder/node/decisions/service_routing.py
@@ -65,13 +65,13 @@
                     break
             else:
                 return replicas
-        left = tuple(b for b in replicas if not b.leaving and b not in tried)
-        for backend in left:
+        remaining = tuple(b for b in replicas if not b.leaving and b not in tried)
+        for backend in remaining:
             if not may_probe or not backend.health.ejected or not backend.may_send():
                 continue
             if self.ejection.may_probe(backend, now):
                 return (backend,)
-        return tuple(b for b in left if not b.health.ejected) or left
+        return tuple(b for b in remaining if not b.health.ejected) or remaining
 
     def hedge_delay_s(self, hedges: int) -> float | None:
         """Return the age of a shard's latest call at which it is hedged; ``None`` for no hedge."""
@@ -133,7 +133,7 @@
         self._role = role
         self._factories = factories
         self._context = context
-        self._made: dict[tuple[str, str], PolicyType] = {}
+        self._policies: dict[tuple[str, str], PolicyType] = {}
 
     def get(self, service: str, policies: Mapping[str, str]) -> PolicyType:
         """Return the policy that a rule of ``service`` sets, or the default."""
@@ -141,11 +141,11 @@
         if name not in self._factories:
             # A newer release in the same cluster accepted a policy that this release lacks.
             name = DEFAULTS[self._role]
-        made = self._made.get((service, name))
-        if made is None:
-            made = self._factories[name](self._context)
-            self._made[(service, name)] = made
-        return made
+        policy = self._policies.get((service, name))
+        if policy is None:
+            policy = self._factories[name](self._context)
+            self._policies[(service, name)] = policy
+        return policy
 
 
 class RoutingTable:
--- a/tinrudder/node/decisions/version_hints.py
+++ b/tinrudder/node/decisions/version_hints.py
@@ -25,19 +25,19 @@
     def __init__(self, clock: Callable[[], float]) -> None:
         """Expire hints by ``clock``, monotonic seconds."""
         self._clock = clock
-        self._gone_until: dict[tuple[str, str, int], float] = {}
+        self._refused_until: dict[tuple[str, str, int], float] = {}
 
     def note_gone(self, backend: BackendRecord, index: str, version: int) -> None:
         """Record that a back end does not serve a version."""
-        if len(self._gone_until) >= MAX_HINTS:
-            self._gone_until.clear()
-        self._gone_until[(backend.name, index, version)] = self._clock() + HINT_LIFETIME_S
+        if len(self._refused_until) >= MAX_HINTS:
+            self._refused_until.clear()
+        self._refused_until[(backend.name, index, version)] = self._clock() + HINT_LIFETIME_S
 
     def may_serve(self, backend: BackendRecord, index: str, version: int) -> bool:
         """Return ``False`` while a hint says that the back end does not serve a version."""
-        if not self._gone_until:
+        if not self._refused_until:
             return True
-        until = self._gone_until.get((backend.name, index, version))
+        until = self._refused_until.get((backend.name, index, version))
         return until is None or until <= self._clock()
 
     def reachable_share(
