--- a/tests/unit/node/decisions/test_coordinator_set.py
+++ b/tests/unit/node/decisions/test_coordinator_set.py
@@ -44,12 +44,12 @@
     nodes: int, count: int, data: st.DataObject
 ) -> None:
     members = [member(number) for number in range(nodes)]
-    gone = data.draw(st.sampled_from(members))
+    departed = data.draw(st.sampled_from(members))
     before = choose_coordinators("service", members, count)
-    after = choose_coordinators("service", [m for m in members if m is not gone], count)
+    after = choose_coordinators("service", [m for m in members if m is not departed], count)
     joined = after.names - before.names
     assert len(joined) <= 2
-    if gone.name not in before.names:
+    if departed.name not in before.names:
         assert not joined
 
 
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -67,12 +67,12 @@
     def take(self, place: int) -> None:
         backend = self.backends[place]
         call = self.queue.pop(backend)
-        possible = [waiting for waiting in self.waiting if backend in waiting.candidates]
+        eligible = [waiting for waiting in self.waiting if backend in waiting.candidates]
         if call is None:
-            assert not possible
+            assert not eligible
             return
-        alike = [w for w in possible if (w.tenant, w.priority) == (call.tenant, call.priority)]
-        assert call is alike[0]
+        same_class = [w for w in eligible if (w.tenant, w.priority) == (call.tenant, call.priority)]
+        assert call is same_class[0]
         self.waiting.remove(call)
 
     @precondition(lambda self: self.waiting)
--- a/tinrudder/node/decisions/call_retry_budget.py
+++ b/tinrudder/node/decisions/call_retry_budget.py
@@ -32,20 +32,20 @@
     (True, True, False)
     """
 
-    __slots__ = ("_capacity", "_fraction", "_urgent_reserve", "tokens")
+    __slots__ = ("_capacity", "_fraction", "_kept_for_urgent", "tokens")
 
     def __init__(self, *, fraction: float, initial: float, capacity: float) -> None:
         """Allow ``fraction`` extra calls per first call and save at most ``capacity`` tokens."""
         self._fraction = fraction
         self._capacity = capacity
-        self._urgent_reserve = capacity * URGENT_SHARE
+        self._kept_for_urgent = capacity * URGENT_SHARE
         self.tokens = initial
 
     @property
     def fill(self) -> float:
         """Return the fill level of the unreserved part, 0 to 1."""
-        spendable = self._capacity - self._urgent_reserve
-        return max(0.0, (self.tokens - self._urgent_reserve) / spendable)
+        spendable = self._capacity - self._kept_for_urgent
+        return max(0.0, (self.tokens - self._kept_for_urgent) / spendable)
 
     def earn(self, first_calls: int) -> None:
         """Add the tokens for a query's first calls."""
@@ -53,7 +53,7 @@
 
     def try_spend(self, *, urgent: bool) -> bool:
         """Take one token if one is available."""
-        needed = 1.0 if urgent else 1.0 + self._urgent_reserve
+        needed = 1.0 if urgent else 1.0 + self._kept_for_urgent
         if self.tokens < needed:
             return False
         self.tokens -= 1.0
