--- a/tests/unit/node/decisions/test_routing_policies.py
+++ b/tests/unit/node/decisions/test_routing_policies.py
@@ -163,7 +163,7 @@
     assert not service.policy.may_probe(bad, 1.0)
     due = 1.0 + FIRST_EJECTION_S
     assert service.policy.may_probe(bad, due)
-    assert not service.policy.may_probe(bad, due), "one probe per period"
+    assert not service.policy.may_probe(bad, due), "one probe a period"
     service.answer(bad, SLOW_S, due + SLOW_S)
     assert bad.health.ejected, "too slow to return"
     service.answer(bad, LATENCY_S, due + 1.0)
--- a/tinrudder/node/decisions/drain_signs.py
+++ b/tinrudder/node/decisions/drain_signs.py
@@ -3,7 +3,7 @@
 Owns the notices and their expiry times.  A notice lasts long, because a draining back end usually
 does not return and a call to check it would be new work for it.  A back end that stays in service
 is found by a single call after the notice has expired.  The lifetime is random per node, so that
-the first node to check publishes the result to the others.
+one node checks first and publishes the result to the others.
 """
 
 from __future__ import annotations
--- a/tinrudder/node/decisions/load/expected_wait_admission.py
+++ b/tinrudder/node/decisions/load/expected_wait_admission.py
@@ -147,7 +147,7 @@
 
 
 def _usable(backends: tuple[BackendRecord, ...]) -> tuple[BackendRecord, ...]:
-    """Return the back ends that are not draining; avoids a copy in the usual case of all."""
+    """Return the back ends that are not draining; makes no copy if none is."""
     for backend in backends:
         if backend.leaving:
             return tuple(other for other in backends if not other.leaving)
--- a/tinrudder/node/decisions/load/tenant_usage.py
+++ b/tinrudder/node/decisions/load/tenant_usage.py
@@ -78,7 +78,7 @@
         usage.queries += 1
 
     def hold_bytes(self, size: int) -> bool:
-        """Count an answer that the query buffers; ``False`` if the cap forbids to buffer it."""
+        """Count an answer that the query buffers; ``False`` if it would exceed the cap."""
         usage = self.usage
         if usage.buffered_bytes + size > usage.caps.buffered_bytes:
             return False
