--- a/tests/unit/node/decisions/test_backend_limit.py
+++ b/tests/unit/node/decisions/test_backend_limit.py
@@ -1,4 +1,4 @@
-"""Back-end limits against an oracle of a back end with a hidden number of slots."""
+"""Adaptive back-end limits: bounds against a model of the calls in flight, and convergence."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class LimitAgainstOracle(RuleBasedStateMachine):
-    """The oracle counts the calls in flight itself."""
+    """The model is the list of the times at which the calls in flight were sent."""
 
     @initialize(slots=st.integers(1, 12))
     def start(self, slots: int) -> None:
@@ -63,15 +63,15 @@
 
 
 @dataclass
-class Rounds:
-    """Sends as much as allowed each round to a back end that sheds beyond its true slots."""
+class RoundSimulation:
+    """Sends as many calls as allowed per round to a back end that sheds beyond its real slots."""
 
     backend: BackendRecord
     policy: AdaptiveLimit = field(default_factory=AdaptiveLimit)
     now: float = 0.0
 
-    def play(self, slots: int, rounds: int) -> int:
-        """Return how many calls were shed."""
+    def run(self, slots: int, rounds: int) -> int:
+        """Return the number of calls shed."""
         shed = 0
         for _ in range(rounds):
             sent_at, self.now = self.now, self.now + 1.0
@@ -88,12 +88,12 @@
 
 
 def test_limit_finds_fewer_slots_than_configured_and_comes_back() -> None:
-    rounds = Rounds(record_of(8))
-    rounds.play(slots=4, rounds=100)
-    shed = rounds.play(slots=4, rounds=100)
+    rounds = RoundSimulation(record_of(8))
+    rounds.run(slots=4, rounds=100)
+    shed = rounds.run(slots=4, rounds=100)
     assert 2.0 <= rounds.backend.limit <= 5.0
     assert shed <= 10
-    rounds.play(slots=8, rounds=300)
+    rounds.run(slots=8, rounds=300)
     assert rounds.backend.limit == 8
 
 
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -1,4 +1,4 @@
-"""The fair queue against an oracle: nothing lost or doubled, weights kept, no class starved."""
+"""The fair queue against a model: no call lost or duplicated, weights obeyed, no class starved."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from hypothesis.stateful import RuleBasedStateMachine, invariant, precondition, rule
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.load.call_queue import Newcomer
+from tinrudder.node.decisions.load.call_queue import IncomingCalls
 from tinrudder.node.decisions.load.fair_queue import SWEEP_SLACK, StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_calls import (
     COMPACTION_SLACK,
@@ -37,7 +37,7 @@
 
 
 class QueueAgainstOracle(RuleBasedStateMachine):
-    """The oracle is a plain list of the waiting calls in order of arrival."""
+    """The model is a list of the waiting calls in order of arrival."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -67,12 +67,12 @@
     def take(self, place: int) -> None:
         backend = self.backends[place]
         call = self.queue.pop(backend)
-        possible = [waiting for waiting in self.waiting if backend in waiting.candidates]
+        eligible = [waiting for waiting in self.waiting if backend in waiting.candidates]
         if call is None:
-            assert not possible
+            assert not eligible
             return
-        alike = [w for w in possible if (w.tenant, w.priority) == (call.tenant, call.priority)]
-        assert call is alike[0]
+        same_class = [w for w in eligible if (w.tenant, w.priority) == (call.tenant, call.priority)]
+        assert call is same_class[0]
         self.waiting.remove(call)
 
     @precondition(lambda self: self.waiting)
@@ -90,7 +90,7 @@
             here = [call for call in self.waiting if backend in call.candidates]
             assert backend.waiting == len(here)
             work = sum(call.cost / len(call.candidates) for call in here)
-            nobody = Newcomer("nobody", 1, Priority.BATCH, 10_000.0, 2.0)
+            nobody = IncomingCalls("nobody", 1, Priority.BATCH, 10_000.0, 2.0)
             expected = self.queue.expected_wait_s(backend, nobody)
             assert expected == pytest.approx(2.0 * (work + 10_000.0))
 
@@ -172,5 +172,5 @@
         now += 0.1
         queue.pop(backend)
         queue.record_direct(call_of("favoured", backend), backend)
-    newcomer = Newcomer("slow", 1, Priority.INTERACTIVE, 1.0, 0.001)
-    assert queue.expected_wait_s(backend, newcomer) == pytest.approx(101 * 0.1)
+    incoming = IncomingCalls("slow", 1, Priority.INTERACTIVE, 1.0, 0.001)
+    assert queue.expected_wait_s(backend, incoming) == pytest.approx(101 * 0.1)
