--- a/tests/unit/node/test_at_most_once.py
+++ b/tests/unit/node/test_at_most_once.py
@@ -74,17 +74,17 @@
 
 @virtual
 async def test_a_claim_is_not_honoured_after_a_sleep(cluster):
-    sleeper = cluster.nodes[0]
-    claim = sleeper.claims.claim
+    paused = cluster.nodes[0]
+    claim = paused.claims.claim
 
-    async def claim_then_sleep(*arguments):
+    async def claim_then_pause(*arguments):
         won = await claim(*arguments)
         assert won.won
-        sleeper.clock.sleep(30.0)
+        paused.clock.sleep(30.0)
         return won
 
-    sleeper.claims.claim = claim_then_sleep
-    outcome = await sleeper.operate()
+    paused.claims.claim = claim_then_pause
+    outcome = await paused.operate()
     assert isinstance(outcome, NotRun) and outcome.reason is NotRunReason.DEADLINE
     assert not cluster.ledger.ran
     await asyncio.sleep(0.1)
@@ -205,21 +205,21 @@
     run_virtual(run())
 
 
-class Disturbance:
+class FaultInjector:
     """Submissions of few keys through random nodes, while links, voters and clocks fail."""
 
     def __init__(self, cluster, source):
         self.cluster = cluster
         self.source = source
-        self.told = {}
+        self.reported = {}
 
     async def submit(self, order):
         await asyncio.sleep(self.source.uniform(0.0, 3.0))
         node = self.source.choice(self.cluster.nodes)
         outcome = await node.operate(order)
-        self.told.setdefault(order, []).append(outcome)
+        self.reported.setdefault(order, []).append(outcome)
 
-    async def disturb(self):
+    async def inject_faults(self):
         nodes = self.cluster.nodes
         for _ in range(25):
             await asyncio.sleep(self.source.uniform(0.0, 0.25))
@@ -234,7 +234,7 @@
                     self.source.choice(nodes).clock.sleep(self.source.choice((0.5, 5.0)))
 
     def check(self):
-        for order, outcomes in self.told.items():
+        for order, outcomes in self.reported.items():
             runs = self.cluster.ledger.ran[order]
             assert runs <= 1
             if all(isinstance(outcome, NotRun) for outcome in outcomes):
@@ -248,10 +248,10 @@
     async def run():
         cluster = await OperationCluster(nodes=7, seed=seed).start()
         cluster.ledger.connect_s = 0.02
-        disturbance = Disturbance(cluster, random.Random(seed))
-        submissions = (disturbance.submit(f"o-{number % 8}") for number in range(40))
-        await asyncio.gather(disturbance.disturb(), *submissions)
-        disturbance.check()
+        fault_injector = FaultInjector(cluster, random.Random(seed))
+        submissions = (fault_injector.submit(f"o-{number % 8}") for number in range(40))
+        await asyncio.gather(fault_injector.inject_faults(), *submissions)
+        fault_injector.check()
 
     run_virtual(run())
 
--- a/tests/unit/node/test_entry.py
+++ b/tests/unit/node/test_entry.py
@@ -54,7 +54,7 @@
     local: Outcome = LOCAL
     step_s: float = 0.0
     delay_s: float = 0.0
-    deaf: bool = False
+    probes_time_out: bool = False
     timers: ManualTimers = field(default_factory=ManualTimers)
     asked: list[str] = field(default_factory=list)
     probed: list[str] = field(default_factory=list)
@@ -138,7 +138,7 @@
         reaction = self.harness.reactions[coordinator.host]
         if isinstance(reaction, Exception):
             raise reaction
-        if self.harness.deaf:
+        if self.harness.probes_time_out:
             raise SILENT
 
 
@@ -235,10 +235,10 @@
 def test_slow_coordinator_is_waited_for_before_not_run_is_said(
     late: Outcome, expected: Outcome
 ) -> None:
-    harness = Harness({"a": late}, local=REFUSED, delay_s=0.9, deaf=True)
+    harness = Harness({"a": late}, local=REFUSED, delay_s=0.9, probes_time_out=True)
     assert harness.run() == expected
     assert harness.local_runs == 1
-    harness = Harness({"a": late}, delay_s=0.9, deaf=True)
+    harness = Harness({"a": late}, delay_s=0.9, probes_time_out=True)
     assert harness.run() == LOCAL
     assert harness.cancelled == ["a"]
 
--- a/tests/unit/node/test_explain.py
+++ b/tests/unit/node/test_explain.py
@@ -56,12 +56,12 @@
     members = CoordinatorSet("service", (Member("coordinator", 1, "z", "r", COORDINATOR),))
     remote, local = LinkedChannel(), LinkedChannel()
     local.peer = remote if reachable else None
-    ran, taken = ExplanationRing(), ExplanationRing()
+    ran, received = ExplanationRing(), ExplanationRing()
     ran.add(explanation("coordinator"))
-    taken.add(explanation("entry"))
+    received.add(explanation("entry"))
     empty = ExplanationRing()
     ExplainLookup("coordinator", remote, ran, empty, lambda _: members)
-    return ExplainLookup("entry", local, empty, taken, lambda _: members)
+    return ExplainLookup("entry", local, empty, received, lambda _: members)
 
 
 def find(lookup: ExplainLookup, tenant: str | None, query_id: str = "q") -> str | None:
@@ -82,7 +82,7 @@
 
 def test_a_coordinator_does_not_tell_one_tenant_of_anothers_query() -> None:
     lookup = lookups()
-    lookup._taken.add(explanation("entry", "rival"))
+    lookup._received.add(explanation("entry", "rival"))
     assert find(lookup, "rival") == "entry"
 
 
--- a/tests/unit/node/test_fan_out.py
+++ b/tests/unit/node/test_fan_out.py
@@ -196,7 +196,7 @@
     assert len(harness.transport.cancelled) == 2
 
 
-def lost_under_a_query(replies: list[object]) -> tuple[int, Outcome]:
+def reply_in_sequence(replies: list[object]) -> tuple[int, Outcome]:
     """Reply to call after call; return how many calls were sent, and the outcome."""
     harness = Harness(names="abc")
     done = 0
@@ -207,6 +207,6 @@
 
 
 def test_a_query_that_breaks_every_call_is_sent_to_no_further_replica() -> None:
-    sent, outcome = lost_under_a_query([Broken()])
+    sent, outcome = reply_in_sequence([Broken()])
     assert sent == 4
     assert isinstance(outcome, Failed | MayHaveRun)
--- a/tests/unit/node/test_fan_out_machine.py
+++ b/tests/unit/node/test_fan_out_machine.py
@@ -74,7 +74,7 @@
         self.ended: dict[int, bool] = {}
         self.delivered: set[tuple[int, str]] = set()
         self.may_have_run: set[str] = set()
-        self.left: set[str] = set()
+        self.draining_backends: set[str] = set()
         self.checked = 0
         self.abandoned = False
         self.may_replan = may_replan
@@ -155,7 +155,7 @@
         call = self.open_calls()[pick % len(self.open_calls())]
         self.end(call, may_have_run=False)
         if isinstance(refusal, Draining):
-            self.left.add(call.backend)
+            self.draining_backends.add(call.backend)
         self.transport.reply(call, refusal)
 
     @precondition(lambda self: self.open_calls())
--- a/tests/unit/node/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -209,7 +209,7 @@
     async def scenario() -> None:
         harness = Harness()
         task = await harness.ask()
-        harness.backends.on_update = lambda: harness.dispatcher.fill(harness.record)
+        harness.backends.on_update = lambda: harness.dispatcher.dispatch_waiting(harness.record)
         harness.backends.update(harness.configuration.backends, lambda name, spec: 2)
         for call in harness.transport.calls:
             harness.transport.answer(call, 1.0)
--- a/tinrudder/node/query/admission_gate.py
+++ b/tinrudder/node/query/admission_gate.py
@@ -26,7 +26,7 @@
 TENANT_RETRY_AFTER_S = 0.1
 """Seconds after which a tenant at its cap is asked back, spread up to twice that.  Chosen, not
 measured: about as long as a query takes."""
-ROUNDING_SLACK = 1e-9
+ROUNDING_TOLERANCE = 1e-9
 """Keeps a coverage of exactly so many shards from being rounded up to one more."""
 
 
@@ -73,7 +73,7 @@
 def _demand_of(plan: QueryPlan) -> QueryDemand:
     """Describe a plan to the admission policy."""
     shards = plan.shards
-    needed = math.ceil(plan.rule.minimum_coverage * len(shards) - ROUNDING_SLACK)
+    needed = math.ceil(plan.rule.minimum_coverage * len(shards) - ROUNDING_TOLERANCE)
     return QueryDemand(
         plan.request.tenant,
         plan.weight,
--- a/tinrudder/node/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -72,13 +72,13 @@
         if progress.first_sent_at is None:
             progress.first_sent_at = sent.sent_at
 
-    def cancel_losers(self, progress: ShardProgress, now: float) -> None:
+    def cancel_superseded(self, progress: ShardProgress, now: float) -> None:
         """Stop the copies that a quicker answer has overtaken."""
-        losers = tuple(progress.calls)
+        superseded = tuple(progress.calls)
         progress.calls.clear()
-        for loser in losers:
-            self._dispatcher.cancel(loser)
-            self._routing.observe_loser(loser.backend, now - loser.sent_at, now)
+        for call in superseded:
+            self._dispatcher.cancel(call)
+            self._routing.observe_loser(call.backend, now - call.sent_at, now)
 
     def withdraw_waiting(self, progress: Sequence[ShardProgress]) -> None:
         """Take back every call that waits for room."""
--- a/tinrudder/node/query/coordinator_sets.py
+++ b/tinrudder/node/query/coordinator_sets.py
@@ -49,11 +49,11 @@
 
     def of(self, service: str) -> CoordinatorSet:
         """Return a service's coordinators; empty for an unknown service or without members."""
-        known = self._sets.get(service)
-        if known is None:
-            known = self._choose(service)
-            self._sets[service] = known
-        return known
+        cached = self._sets.get(service)
+        if cached is None:
+            cached = self._compute(service)
+            self._sets[service] = cached
+        return cached
 
     def share(self, backend: str, spec: BackendSpec) -> float:
         """Return how many calls this node may have in flight at a back end."""
@@ -68,10 +68,10 @@
         service = self._configuration.services.get(spec.service)
         if service is None:
             return FALLBACK_LIMIT
-        chosen = self.of(spec.service)
-        return chosen.share(self._node_name, backend, service.max_connections_per_backend)
+        coordinator_set = self.of(spec.service)
+        return coordinator_set.share(self._node_name, backend, service.max_connections_per_backend)
 
-    def _choose(self, service: str) -> CoordinatorSet:
+    def _compute(self, service: str) -> CoordinatorSet:
         """Compute a service's set."""
         spec = self._configuration.services.get(service)
         if spec is None:
--- a/tinrudder/node/query/coordinator_watch.py
+++ b/tinrudder/node/query/coordinator_watch.py
@@ -14,13 +14,13 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
 from tinrudder.timers import Timers
 
-LONGEST_PROBE_S = 0.25
-"""Seconds that a coordinator has to answer a probe.  With LONGEST_SILENCE_S of the entry it bounds
+MAX_PROBE_TIMEOUT_S = 0.25
+"""Seconds that a coordinator has to answer a probe.  With MAX_PROBE_DELAY_S of the entry it bounds
 what a silent cut costs a query, 0.1 to 0.35 s (docs/COORDINATORS.md)."""
-SHORT_PROBE_S = 0.05
+FORWARD_PROBE_TIMEOUT_S = 0.05
 """The same where a query of another node waits for it.  Chosen, not measured: fifty times the way
 between zones."""
-ANSWER_VALID_S = 0.5
+PROBE_RESULT_TTL_S = 0.5
 """Seconds for which an answer stands for the next question.  Chosen, not measured."""
 
 
@@ -43,38 +43,40 @@
     ) -> None:
         """Ask nothing yet."""
         self._timers = timers
-        self._answered_at: dict[str, float] = {}
+        self._last_answer_at: dict[str, float] = {}
         self._probe = probe
         self._ranking = ranking
-        self._running: dict[str, asyncio.Task[bool]] = {}
+        self._running_probes: dict[str, asyncio.Task[bool]] = {}
 
     def probe_due(self) -> None:
         """Probe, in the background, those that failed and were left alone long enough."""
         for member in self._ranking.due_for_probe():
-            self.ask(member, LONGEST_PROBE_S)
+            self.start_probe(member, MAX_PROBE_TIMEOUT_S)
 
-    async def answers(self, member: Member) -> bool:
+    async def is_reachable(self, member: Member) -> bool:
         """Tell whether a member that another node cannot reach answers us."""
-        answered_at = self._answered_at.get(member.name)
-        if answered_at is not None and self._timers.time() - answered_at < ANSWER_VALID_S:
+        answered_at = self._last_answer_at.get(member.name)
+        if answered_at is not None and self._timers.time() - answered_at < PROBE_RESULT_TTL_S:
             return True
-        return await asyncio.shield(self.ask(member, SHORT_PROBE_S))
+        return await asyncio.shield(self.start_probe(member, FORWARD_PROBE_TIMEOUT_S))
 
-    def ask(self, member: Member, timeout_s: float) -> asyncio.Task[bool]:
+    def start_probe(self, member: Member, timeout_s: float) -> asyncio.Task[bool]:
         """Return the task that tells whether ``member`` answers; it may already run."""
-        running = self._running.get(member.name)
+        running = self._running_probes.get(member.name)
         if running is None:
-            running = asyncio.create_task(self._ask(member, min(timeout_s, LONGEST_PROBE_S)))
-            self._running[member.name] = running
-            running.add_done_callback(lambda _: self._running.pop(member.name, None))
+            running = asyncio.create_task(
+                self._probe_member(member, min(timeout_s, MAX_PROBE_TIMEOUT_S))
+            )
+            self._running_probes[member.name] = running
+            running.add_done_callback(lambda _: self._running_probes.pop(member.name, None))
         return running
 
-    async def _ask(self, member: Member, timeout_s: float) -> bool:
+    async def _probe_member(self, member: Member, timeout_s: float) -> bool:
         try:
             await self._probe.probe(member.address, timeout_s)
         except (PeerNotSentError, PeerLostError):
             self._ranking.fail(member)
             return False
-        self._answered_at[member.name] = self._timers.time()
+        self._last_answer_at[member.name] = self._timers.time()
         self._ranking.succeed(member)
         return True
--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -30,13 +30,13 @@
 from tinrudder.node.environment import BackendTransport
 from tinrudder.timers import Timers
 
-MAXIMUM_PAUSE_S = 1.0
+MAX_RETRY_AFTER_PAUSE_S = 1.0
 """Seconds of a back end's Retry-After that are honoured at most: a wrong one must not take it out
 of use.  Chosen, not measured."""
 MAXIMUM_HANDOVER_S = 1.0
 """Seconds for which a coordinator whose share shrank keeps its former limit while calls wait.
 Without it one of 378 queries of the rolling stop failed (docs/LIMITS.md)."""
-QUICK_ANSWER_SHARE = 0.5
+MIN_REMAINING_LATENCY_SHARE = 0.5
 """Part of a back end's usual latency that a waiting call must have left, else it is dropped
 unsent.  Chosen, not measured: hardly any answer is quicker."""
 
@@ -96,8 +96,8 @@
         self._replica_choice = replica_choice
         self._limit = limit if limit is not None else AdaptiveLimit()
         self._usage = usage if usage is not None else TenantUsageTable()
-        self._to_fill: list[BackendRecord] = []
-        self._filling = False
+        self._backends_with_room: list[BackendRecord] = []
+        self._dispatching_waiting = False
         self._in_flight: dict[int, SentCall] = {}
         self._last_call_id = 0
         self.sent_calls = 0
@@ -121,18 +121,18 @@
             pending.on_shed()
             return
         self._queue.push(pending)
-        self._fill_candidates(pending)
+        self._dispatch_waiting_to_candidates(pending)
 
-    def _fill_candidates(self, pending: PendingCall) -> None:
+    def _dispatch_waiting_to_candidates(self, pending: PendingCall) -> None:
         """Serve those who already wait where there is room, and then the call itself."""
         for candidate in pending.candidates:
-            self.fill(candidate)
+            self.dispatch_waiting(candidate)
 
     def withdraw(self, pending: PendingCall) -> None:
         """Take a waiting call back; a no-op if it was dispatched."""
         if pending.waiting:
             self._queue.discard(pending)
-            self._return_place(pending)
+            self._release_queue_slot(pending)
 
     def next_call_id(self) -> int:
         """Return an id that no other call of this node has."""
@@ -203,7 +203,7 @@
         elif isinstance(reply, Shed):
             self._limit.on_shed(backend, sent.sent_at, now)
             if reply.retry_after_s is not None and backend.limit <= MINIMUM_LIMIT:
-                self._pause(backend, now + min(reply.retry_after_s, MAXIMUM_PAUSE_S))
+                self._pause(backend, now + min(reply.retry_after_s, MAX_RETRY_AFTER_PAUSE_S))
         elif isinstance(reply, Draining):
             self.drain_listener.on_draining(backend)
 
@@ -216,13 +216,13 @@
     def _resume(self, backend: BackendRecord) -> None:
         """End a pause."""
         backend.paused = False
-        self.fill(backend)
+        self.dispatch_waiting(backend)
 
     def _release(self, backend: BackendRecord) -> None:
         """Free one place and let waiting calls take it."""
         backend.in_flight -= 1
         if backend.waiting:
-            self.fill(backend)
+            self.dispatch_waiting(backend)
         elif backend.limit > backend.usual:
             backend.end_handover()
 
@@ -231,26 +231,26 @@
         if backend.limit > backend.usual:
             when = self._timers.time() + MAXIMUM_HANDOVER_S
             self._timers.call_at(when, backend.end_handover)
-        self.fill(backend)
+        self.dispatch_waiting(backend)
 
-    def fill(self, backend: BackendRecord) -> None:
+    def dispatch_waiting(self, backend: BackendRecord) -> None:
         """Let waiting calls take the room there is, e.g. after a limit was raised.
 
         A call taken may end its query, which frees places at other back ends.  Those are filled
         one after the other and not from within each other: when many queries are late at once,
         as after a pause of the process, the stack would not hold them.
         """
-        self._to_fill.append(backend)
-        if self._filling:
+        self._backends_with_room.append(backend)
+        if self._dispatching_waiting:
             return
-        self._filling = True
+        self._dispatching_waiting = True
         try:
-            while self._to_fill:
-                self._fill_one(self._to_fill.pop())
+            while self._backends_with_room:
+                self._dispatch_waiting_to(self._backends_with_room.pop())
         finally:
-            self._filling = False
+            self._dispatching_waiting = False
 
-    def _fill_one(self, backend: BackendRecord) -> None:
+    def _dispatch_waiting_to(self, backend: BackendRecord) -> None:
         """Dispatch to one back end until it has no room or nothing waits for it."""
         while backend.waiting:
             if backend.may_send():
@@ -261,7 +261,7 @@
                 return
             if pending is None:
                 return
-            self._return_place(pending)
+            self._release_queue_slot(pending)
             if self._is_too_late(pending, backend):
                 pending.on_shed()
             else:
@@ -269,10 +269,10 @@
 
     def _is_too_late(self, pending: PendingCall, backend: BackendRecord) -> bool:
         """Tell whether even a quick answer would come after the deadline."""
-        quick_s = QUICK_ANSWER_SHARE * backend.latency_s
-        return self._timers.time() + quick_s > pending.deadline
+        min_latency_s = MIN_REMAINING_LATENCY_SHARE * backend.latency_s
+        return self._timers.time() + min_latency_s > pending.deadline
 
-    def _return_place(self, pending: PendingCall) -> None:
+    def _release_queue_slot(self, pending: PendingCall) -> None:
         """Give a queue place back to the tenant."""
         usage = self._usage.of(pending.tenant)
         if usage is not None:
--- a/tinrudder/node/query/entry.py
+++ b/tinrudder/node/query/entry.py
@@ -1,7 +1,7 @@
 """The entry: takes a caller's query to a coordinator of its service.
 
 The entry never retries shard calls: that is the coordinator's work.  It may ask a second
-coordinator, and at most ``MAX_SENT_ATTEMPTS`` coordinators ever receive one query.
+coordinator, and at most ``MAX_RELAYS_SENT`` coordinators ever receive one query.
 """
 
 from __future__ import annotations
@@ -23,23 +23,23 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError
 from tinrudder.timers import Timers
 
-MAX_SENT_ATTEMPTS = 2
+MAX_RELAYS_SENT = 2
 """Coordinators that may ever have received one query: it bounds extra load when relays are
 lost."""
-MAX_ASKED = 4
+MAX_COORDINATORS_TRIED = 4
 """Coordinators asked for one query, those included that cannot be connected to.  Chosen, not
 measured."""
-SHORTEST_WATCHED_S = 0.15
+MIN_PROBED_QUERY_S = 0.15
 """Seconds that a query must have left for its coordinator to be watched: with less there is no
 time to ask another (docs/COORDINATORS.md)."""
-LONGEST_SILENCE_S = 0.1
+MAX_PROBE_DELAY_S = 0.1
 """Seconds without an outcome after which the coordinator is probed, at the latest.  Probes took
 the queries that ended as may_have_run in the zone cut from 13 and 8 to 1 and 2 (two seeds,
 docs/COORDINATORS.md)."""
-SILENCE_SHARE = 0.4
+PROBE_DELAY_SHARE = 0.4
 """The same as a part of the time that the query has: the rest must do for a probe and another
 coordinator."""
-PROBE_SHARE = 0.2
+PROBE_TIMEOUT_SHARE = 0.2
 """Part of the time that the query has for which the probe may take."""
 
 
@@ -90,7 +90,7 @@
     async def run(self, request: QueryRequest) -> Outcome:
         """Return the query's outcome; cancelling the task frees its work everywhere."""
         service = self._service_of(request)
-        if service is None or self._is_ours(self._coordinators(service)):
+        if service is None or self._is_local(self._coordinators(service)):
             self.counters.local += 1
             return await self._coordinator.run(request)
         return await self._relay_to_one_of(service, request)
@@ -109,24 +109,24 @@
             return await self._coordinator.run(request)
         attempts = RelayAttempts()
         try:
-            outcome = await self._ask(member, request, attempts, forwarded=True)
-            if outcome is None and self._may_ask_again(request, attempts):
+            outcome = await self._relay_once(member, request, attempts, forwarded=True)
+            if outcome is None and self._may_run_again(request, attempts):
                 outcome = await self._coordinator.run(request)
             return await attempts.conclude(outcome)
         finally:
-            attempts.cancel_silent()
+            attempts.cancel_unanswered()
 
     async def _reachable_coordinator(self, service: str) -> Member | None:
         """Return a coordinator other than us that answers, ``None`` if the service is ours."""
-        for _ in range(MAX_ASKED):
-            member = self._next(service, set())
-            if member is None or await self._watch.answers(member):
+        for _ in range(MAX_COORDINATORS_TRIED):
+            member = self._next_coordinator(service, set())
+            if member is None or await self._watch.is_reachable(member):
                 return member
         return None
 
-    def _is_ours(self, chosen: CoordinatorSet) -> bool:
+    def _is_local(self, coordinator_set: CoordinatorSet) -> bool:
         """Tell whether this node coordinates, or there is nobody who does."""
-        return not chosen.members or self._node_name in chosen.names
+        return not coordinator_set.members or self._node_name in coordinator_set.names
 
     def _service_of(self, request: QueryRequest) -> str | None:
         """Return the service a query is for, ``None`` if its index is unknown."""
@@ -137,40 +137,40 @@
         """Ask one coordinator after the other until one answers, then help ourselves."""
         attempts = RelayAttempts()
         try:
-            return await attempts.conclude(await self._attempt(service, request, attempts))
+            return await attempts.conclude(await self._try_coordinators(service, request, attempts))
         finally:
-            attempts.cancel_silent()
+            attempts.cancel_unanswered()
 
-    async def _attempt(
+    async def _try_coordinators(
         self, service: str, request: QueryRequest, attempts: RelayAttempts
     ) -> Outcome | None:
         """Return the first outcome that anybody has, ``None`` when nobody more may be asked."""
         self._watch.probe_due()
-        asked: set[str] = set()
-        while len(asked) < MAX_ASKED and self._timers.time() < request.deadline:
-            if not self._may_ask_again(request, attempts):
+        tried: set[str] = set()
+        while len(tried) < MAX_COORDINATORS_TRIED and self._timers.time() < request.deadline:
+            if not self._may_run_again(request, attempts):
                 return None
-            member = self._next(service, asked)
+            member = self._next_coordinator(service, tried)
             if member is None:
                 break
-            asked.add(member.name)
-            outcome = await self._ask(member, request, attempts)
+            tried.add(member.name)
+            outcome = await self._relay_once(member, request, attempts)
             if outcome is not None:
                 return outcome
-        if not self._may_ask_again(request, attempts):
+        if not self._may_run_again(request, attempts):
             return None
         self.counters.fallback += 1
         return await self._coordinator.run(request)
 
-    def _next(self, service: str, asked: set[str]) -> Member | None:
+    def _next_coordinator(self, service: str, tried: set[str]) -> Member | None:
         """Return the coordinator to ask, by the set as it is now: failures change it."""
-        chosen = self._coordinators(service)
-        if self._is_ours(chosen):
+        coordinator_set = self._coordinators(service)
+        if self._is_local(coordinator_set):
             return None
-        ordered = self._ranking.order(chosen.members)
-        return next((member for member in ordered if member.name not in asked), None)
+        ordered = self._ranking.order(coordinator_set.members)
+        return next((member for member in ordered if member.name not in tried), None)
 
-    async def _ask(
+    async def _relay_once(
         self,
         member: Member,
         request: QueryRequest,
@@ -182,7 +182,7 @@
         self.counters.relayed += 1
         self._ranking.begin(member)
         try:
-            outcome = await self._run_watched(member, request, attempts, forwarded)
+            outcome = await self._relay_with_probes(member, request, attempts, forwarded)
         except PeerNotSentError as error:
             self._ranking.fail(member)
             attempts.details.append(str(error))
@@ -201,7 +201,7 @@
         self._ranking.succeed(member)
         return outcome
 
-    async def _run_watched(
+    async def _relay_with_probes(
         self, member: Member, request: QueryRequest, attempts: RelayAttempts, forwarded: bool
     ) -> Outcome:
         """Relay a query, and stop relying on its coordinator if that is no longer there.
@@ -210,25 +210,25 @@
 
         :raises PeerLostError: also when it does not answer a probe; the relay then goes on.
         """
-        allowed_s = request.deadline - self._timers.time()
-        if allowed_s < SHORTEST_WATCHED_S or not self._is_repeatable(request):
+        remaining_s = request.deadline - self._timers.time()
+        if remaining_s < MIN_PROBED_QUERY_S or not self._is_repeatable(request):
             return await self._relay.run(member.address, request, forwarded=forwarded)
-        patience_s = min(LONGEST_SILENCE_S, allowed_s * SILENCE_SHARE)
+        probe_delay_s = min(MAX_PROBE_DELAY_S, remaining_s * PROBE_DELAY_SHARE)
         relayed = asyncio.ensure_future(
             self._relay.run(member.address, request, forwarded=forwarded)
         )
         try:
             while True:
-                await asyncio.wait((relayed,), timeout=patience_s)
+                await asyncio.wait((relayed,), timeout=probe_delay_s)
                 if relayed.done():
                     return relayed.result()
-                probed = self._watch.ask(member, allowed_s * PROBE_SHARE)
+                probed = self._watch.start_probe(member, remaining_s * PROBE_TIMEOUT_SHARE)
                 await asyncio.wait((relayed, probed), return_when=asyncio.FIRST_COMPLETED)
                 if not relayed.done() and probed.done() and not probed.result():
-                    attempts.silent.append(relayed)
+                    attempts.unanswered.append(relayed)
                     raise PeerLostError(f"{member.address}: does not answer a probe")
         finally:
-            if relayed not in attempts.silent:
+            if relayed not in attempts.unanswered:
                 relayed.cancel()
 
     def _is_repeatable(self, request: QueryRequest) -> bool:
@@ -236,11 +236,11 @@
         rule = self._configuration().rules.get(request.rule)
         return rule is not None and rule.repeatable
 
-    def _may_ask_again(self, request: QueryRequest, attempts: RelayAttempts) -> bool:
+    def _may_run_again(self, request: QueryRequest, attempts: RelayAttempts) -> bool:
         """Tell whether a query may be sent once more, should a relay have been lost."""
         if not attempts.lost:
             return True
         if not self._is_repeatable(request):
             return False
         has_time = self._timers.time() < request.deadline
-        return has_time and attempts.lost < MAX_SENT_ATTEMPTS
+        return has_time and attempts.lost < MAX_RELAYS_SENT
--- a/tinrudder/node/query/explanations/explain.py
+++ b/tinrudder/node/query/explanations/explain.py
@@ -55,11 +55,11 @@
     shards: tuple[CallExplanation, ...]
 
     def explain(self) -> QueryExplanation:
-        """Return itself; see :class:`RememberedQuery`."""
+        """Return itself; see :class:`RecordedQuery`."""
         return self
 
 
-class RememberedQuery(Protocol):
+class RecordedQuery(Protocol):
     """What a ring keeps of one finished query."""
 
     @property
@@ -95,9 +95,9 @@
         """Start empty."""
         self._queries_per_tenant = queries_per_tenant
         self._max_tenants = max_tenants
-        self._rings: OrderedDict[str, deque[RememberedQuery]] = OrderedDict()
+        self._rings: OrderedDict[str, deque[RecordedQuery]] = OrderedDict()
 
-    def add(self, query: RememberedQuery) -> None:
+    def add(self, query: RecordedQuery) -> None:
         """Keep one query, at the expense of its tenant's oldest."""
         ring = self._rings.get(query.tenant)
         if ring is None:
--- a/tinrudder/node/query/explanations/explain_lookup.py
+++ b/tinrudder/node/query/explanations/explain_lookup.py
@@ -22,7 +22,7 @@
 )
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 
-ASK_TIMEOUT_S = 1.0
+LOOKUP_TIMEOUT_S = 1.0
 """Seconds for another node to answer; an operator waits for it.  Chosen, not measured."""
 
 
@@ -34,17 +34,17 @@
         node_name: str,
         channel: PeerTransport,
         coordinated: ExplanationRing,
-        taken: ExplanationRing,
+        received: ExplanationRing,
         coordinators: Callable[[str], CoordinatorSet],
     ) -> None:
         """Search two rings.
 
-        :param coordinated: queries that this node ran; :param taken: those callers gave to it.
+        :param coordinated: queries that this node ran; :param received: those callers gave to it.
         """
         self._node_name = node_name
         self._channel = channel
         self._coordinated = coordinated
-        self._taken = taken
+        self._received = received
         self._coordinators = coordinators
         channel.listen(_ignore_datagram, self._on_request)
 
@@ -56,22 +56,22 @@
         found = self._coordinated.find(query_id, tenant)
         if found is not None:
             return msgspec.json.encode(found)
-        taken = self._taken.find(query_id, tenant)
-        if taken is None:
+        received = self._received.find(query_id, tenant)
+        if received is None:
             return None
         question = ExplainQuestion(query_id, tenant)
-        for member in self._coordinators(taken.service).members:
+        for member in self._coordinators(received.service).members:
             if member.name == self._node_name:
                 continue
-            explanation = await self._ask(member.address, question)
+            explanation = await self._ask_coordinator(member.address, question)
             if explanation is not None:
                 return explanation
-        return msgspec.json.encode(taken)
+        return msgspec.json.encode(received)
 
-    async def _ask(self, peer: PeerAddress, question: ExplainQuestion) -> bytes | None:
+    async def _ask_coordinator(self, peer: PeerAddress, question: ExplainQuestion) -> bytes | None:
         """Ask one coordinator; one that is lost knows nothing."""
         try:
-            answer = await self._channel.request(peer, encode_question(question), ASK_TIMEOUT_S)
+            answer = await self._channel.request(peer, encode_question(question), LOOKUP_TIMEOUT_S)
             return decode_explanation(answer)
         except (PeerNotSentError, PeerLostError, ExplainCodecError):
             return None
--- a/tinrudder/node/query/explanations/explain_recorder.py
+++ b/tinrudder/node/query/explanations/explain_recorder.py
@@ -37,7 +37,7 @@
 }
 
 
-class RememberedFanOut:
+class RecordedFanOut:
     """One finished fan-out: references to what it used, none to the rows of its answer."""
 
     __slots__ = (
@@ -134,7 +134,7 @@
 
         :param started: monotonic time of its start, seconds; :param ended: and of its end.
         """
-        self._ring.add(RememberedFanOut(self._node_name, plan, shards, outcome, started, ended))
+        self._ring.add(RecordedFanOut(self._node_name, plan, shards, outcome, started, ended))
 
 
 def coverage_of(outcome: Outcome) -> Coverage:
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -25,7 +25,7 @@
 from tinrudder.node.query.call_sender import CallSender
 from tinrudder.node.query.dispatcher import Dispatcher, SentCall
 from tinrudder.node.query.hedger import Hedger, owners_included
-from tinrudder.node.query.judgement import judge
+from tinrudder.node.query.judgement import decide_outcome
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.node.query.reply_reading import reason_of, rows_of
 from tinrudder.node.query.shard_progress import ShardProgress
@@ -37,7 +37,7 @@
 asked, one of them twice."""
 MAX_REPLANS = 1
 """Times that a query starts again on another version: it bounds its calls to twice as many."""
-REFUSAL_PATIENCE_S = 0.02
+REFUSAL_WAIT_S = 0.02
 """Seconds that a query which cannot reach its coverage waits for refusals of what is in flight,
 where no hedge delay is known.  Chosen, not measured."""
 OutcomeListener = Callable[[Outcome], None]
@@ -75,10 +75,10 @@
         self._on_outcome = on_outcome
         self._replanner = replanner
         self._finished = False
-        self._touched_before = False
-        self._hopeless = False
+        self._started_before = False
+        self._coverage_unreachable = False
         self._replans = 0
-        self._lost = 0
+        self._broken_calls = 0
         self._timer: TimerHandle | None = None
         self._adopt(plan)
 
@@ -91,7 +91,7 @@
         self._hedger = Hedger(plan, self._progress, self._sender.send)
         self._unsettled = len(self._progress)
         self._answered = 0
-        self._may_miss = int((1.0 - plan.rule.minimum_coverage) * self._unsettled + 1e-9)
+        self._max_missing = int((1.0 - plan.rule.minimum_coverage) * self._unsettled + 1e-9)
 
     @property
     def plan(self) -> QueryPlan:
@@ -113,7 +113,7 @@
             self._soft_deadline = now + rule.soft_deadline_ms / 1000
         self._submit_all(now)
         if not self._finished:
-            self._arm(now)
+            self._schedule_timer(now)
 
     def abandon(self) -> None:
         """End the query for a caller that went away; nobody is told an outcome."""
@@ -131,7 +131,7 @@
                 self._sender.submit(progress, candidates)
             else:
                 self._settle(progress, MissingReason.NO_REPLICA)
-            if self._finished or self._hopeless or self._plan is not plan:
+            if self._finished or self._coverage_unreachable or self._plan is not plan:
                 return
 
     def _candidates(self, progress: ShardProgress, now: float) -> tuple[BackendRecord, ...]:
@@ -169,7 +169,7 @@
             return
         if type(reply) is Broken:
             progress.touched = True
-            self._lost += 1
+            self._broken_calls += 1
         elif type(reply) is VersionGone:
             self._replanner.note_version_gone(self._plan, sent.backend)
         progress.last_reason = reason_of(reply)
@@ -180,7 +180,7 @@
         answer = reply.answer
         if self._permit is not None and not self._permit.hold_bytes(reply.size_bytes):
             progress.touched = True
-            self._sender.cancel_losers(progress, now)
+            self._sender.cancel_superseded(progress, now)
             self._settle(progress, MissingReason.TENANT_LIMIT)
             return
         rows = rows_of(answer.shards, progress.planned.spec.shard)
@@ -192,10 +192,10 @@
         progress.rows = rows
         self._answered += 1
         if progress.calls:
-            self._sender.cancel_losers(progress, now)
+            self._sender.cancel_superseded(progress, now)
         self._unsettled -= 1
-        enough = now >= self._soft_deadline and self._suffices()
-        if self._unsettled == 0 or self._hopeless or enough:
+        enough = now >= self._soft_deadline and self._meets_minimum_coverage()
+        if self._unsettled == 0 or self._coverage_unreachable or enough:
             self._finish(at_deadline=False)
 
     def _retry_or_settle(
@@ -207,7 +207,9 @@
         """
         if progress.calls:
             return
-        may_repeat = not self._hopeless and (self._plan.repeatable or progress.untouched)
+        may_repeat = not self._coverage_unreachable and (
+            self._plan.repeatable or progress.not_started
+        )
         may_repeat &= not self._may_be_poison
         if may_repeat and progress.attempts < MAX_ATTEMPTS_PER_SHARD:
             if type(reply) is Shed and len(progress.tried) >= len(progress.planned.candidates):
@@ -227,7 +229,7 @@
         missing = len(self._progress) - self._answered - self._unsettled
         if self._unsettled == 0:
             self._finish(at_deadline=False)
-        elif missing > self._may_miss:
+        elif missing > self._max_missing:
             self._give_up()
 
     def _give_up(self) -> None:
@@ -236,15 +238,15 @@
         While nothing was started yet, refusals of what is in flight may still make it a true
         "not run"; they are awaited for about as long as a slow answer takes.
         """
-        if not self._hopeless:
-            self._hopeless = True
+        if not self._coverage_unreachable:
+            self._coverage_unreachable = True
             self._sender.withdraw_waiting(self._progress)
             now = self._timers.time()
-            patience = self._routing.hedge_delay_s(0) or REFUSAL_PATIENCE_S
-            self._hard_deadline = min(self._hard_deadline, now + patience)
-            self._arm(now)
+            wait_s = self._routing.hedge_delay_s(0) or REFUSAL_WAIT_S
+            self._hard_deadline = min(self._hard_deadline, now + wait_s)
+            self._schedule_timer(now)
         in_flight = any(progress.calls for progress in self._progress)
-        may_be_not_run = not self._touched_before and not any(
+        may_be_not_run = not self._started_before and not any(
             progress.touched or progress.rows is not None for progress in self._progress
         )
         if not in_flight or not may_be_not_run:
@@ -252,14 +254,14 @@
 
     def _try_replan(self) -> bool:
         """Start again on a version that reaches more shards; no row of the old one is kept."""
-        if self._hopeless or self._replans >= MAX_REPLANS:
+        if self._coverage_unreachable or self._replans >= MAX_REPLANS:
             return False
         plan = self._replanner.replan(self._plan)
         if plan is None:
             return False
         self._replans += 1
-        if not all(progress.untouched for progress in self._progress):
-            self._touched_before = True
+        if not all(progress.not_started for progress in self._progress):
+            self._started_before = True
         self._sender.release(self._progress)
         if self._permit is not None:
             self._permit.drop_bytes()
@@ -267,7 +269,7 @@
         now = self._timers.time()
         self._submit_all(now)
         if not self._finished:
-            self._arm(now)
+            self._schedule_timer(now)
         return True
 
     @property
@@ -277,7 +279,7 @@
         It may crash whatever runs it, so it is sent to no further replica: two shards lost six
         back ends under such a query, four with this bound (a scripted run).
         """
-        return self._answered == 0 and self._lost >= ENOUGH_CRASHES
+        return self._answered == 0 and self._broken_calls >= ENOUGH_CRASHES
 
     def _may_spend_retry(self, progress: ShardProgress) -> bool:
         """Draw on the budget; a coverage-first answer without this owner has precedence."""
@@ -287,15 +289,15 @@
         )
         return self._routing.retry.may_retry(urgent=urgent)
 
-    def _arm(self, now: float) -> None:
+    def _schedule_timer(self, now: float) -> None:
         """Set the one timer to whatever comes first: a deadline or a look for overdue calls."""
         when = self._hard_deadline
         if now < self._soft_deadline < when:
             when = self._soft_deadline
-        if not self._hopeless:
-            look = self._hedger.next_look(now)
-            if look is not None and look < when:
-                when = look
+        if not self._coverage_unreachable:
+            hedge_check = self._hedger.next_check(now)
+            if hedge_check is not None and hedge_check < when:
+                when = hedge_check
         if self._timer is not None:
             self._timer.cancel()
         self._timer = self._timers.call_at(when, self._on_timer, when)
@@ -310,36 +312,36 @@
             return
         now = max(when, self._timers.time())
         if now >= self._hard_deadline:
-            self._finish(at_deadline=not self._hopeless)
+            self._finish(at_deadline=not self._coverage_unreachable)
             return
-        if now >= self._soft_deadline and self._suffices():
+        if now >= self._soft_deadline and self._meets_minimum_coverage():
             self._finish(at_deadline=False)
             return
-        if not self._hopeless and not self._may_be_poison:
+        if not self._coverage_unreachable and not self._may_be_poison:
             self._hedger.hedge_overdue(now)
-        self._arm(now)
+        self._schedule_timer(now)
 
-    def _suffices(self) -> bool:
+    def _meets_minimum_coverage(self) -> bool:
         """Tell whether the coverage meets the rule."""
-        return len(self._progress) - self._answered <= self._may_miss
+        return len(self._progress) - self._answered <= self._max_missing
 
     def _finish(self, *, at_deadline: bool) -> None:
         """Report once, after freeing every place the query still holds."""
         if self._finished:
             return
         self._finished = True
-        if self._hopeless:
-            self._give_up_rest()
-        outcome = judge(
+        if self._coverage_unreachable:
+            self._mark_rest_given_up()
+        outcome = decide_outcome(
             self._plan,
             self._progress,
-            touched_before=self._touched_before,
+            started_before=self._started_before,
             at_deadline=at_deadline,
         )
         self._stop()
         self._on_outcome(outcome)
 
-    def _give_up_rest(self) -> None:
+    def _mark_rest_given_up(self) -> None:
         """State that the query did not wait for what is still open."""
         for progress in self._progress:
             if not progress.settled and progress.calls:
--- a/tinrudder/node/query/hedger.py
+++ b/tinrudder/node/query/hedger.py
@@ -14,9 +14,9 @@
 from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.node.resources.model import Preference
 
-LOOK_WITHOUT_DELAY_S = 0.02
+CHECK_INTERVAL_WITHOUT_DELAY_S = 0.02
 """Seconds between looks while too few latencies are known for a delay.  Chosen, not measured."""
-LOOK_AGAIN_SHARE = 0.25
+RECHECK_DELAY_SHARE = 0.25
 """Part of the delay after which an overdue call that found no room or budget is looked at again.
 Chosen, not measured."""
 SendHedge = Callable[[ShardProgress, BackendRecord], None]
@@ -35,7 +35,7 @@
         self._progress = progress
         self._send = send
 
-    def next_look(self, now: float) -> float | None:
+    def next_check(self, now: float) -> float | None:
         """Return when to look next; ``None`` while nothing is hedged.
 
         That is when the next call becomes overdue, at the latest one hedge delay from now: calls
@@ -46,7 +46,7 @@
             return None
         delays = self._delays()
         if delays[0] is None:
-            return now + LOOK_WITHOUT_DELAY_S
+            return now + CHECK_INTERVAL_WITHOUT_DELAY_S
         soonest = now + delays[0]
         for shard in self._progress:
             if not shard.calls or shard.hedges >= MAX_HEDGES_PER_SHARD:
@@ -56,7 +56,7 @@
                 continue
             due = shard.calls[-1].sent_at + delay
             if due <= now:
-                due = now + delay * LOOK_AGAIN_SHARE
+                due = now + delay * RECHECK_DELAY_SHARE
             soonest = min(soonest, due)
         return soonest
 
@@ -70,7 +70,7 @@
             return
         included = owners_included(self._progress)
         coverage_first = self._plan.rule.preference is Preference.COVERAGE
-        for shard in order_by_need(overdue, included, self._plan.rule.preference):
+        for shard in order_by_urgency(overdue, included, self._plan.rule.preference):
             backend = self._routing.choose_hedge(shard.planned.candidates, shard.tried)
             if backend is None:
                 continue
@@ -104,7 +104,7 @@
     return frozenset(shard.planned.spec.owner for shard in progress if shard.rows is not None)
 
 
-def order_by_need(
+def order_by_urgency(
     overdue: Sequence[ShardProgress], included: frozenset[str], preference: Preference
 ) -> list[ShardProgress]:
     """Return overdue shards in the order in which they may spend the budget.
--- a/tinrudder/node/query/judgement.py
+++ b/tinrudder/node/query/judgement.py
@@ -32,18 +32,20 @@
 """Reasons of shards that no back end could serve: a query refused for these alone says so."""
 
 
-def judge(
-    plan: QueryPlan, progress: Sequence[ShardProgress], *, touched_before: bool, at_deadline: bool
+def decide_outcome(
+    plan: QueryPlan, progress: Sequence[ShardProgress], *, started_before: bool, at_deadline: bool
 ) -> Outcome:
     """Return the outcome of a query that ends now.
 
-    :param touched_before: an earlier plan of the same query reached a back end.
+    :param started_before: an earlier plan of the same query reached a back end.
     :param at_deadline: it ends because its time is over.
     """
     coverage = coverage_of(progress)
     if not coverage.included:
-        untouched = not touched_before and all(shard.untouched for shard in progress)
-        return _empty_outcome(plan, coverage, untouched=untouched, at_deadline=at_deadline)
+        not_started = not started_before and all(shard.not_started for shard in progress)
+        return _outcome_without_answers(
+            plan, coverage, not_started=not_started, at_deadline=at_deadline
+        )
     if coverage.ratio < plan.rule.minimum_coverage:
         return Failed(FailedReason.COVERAGE_TOO_LOW, f"coverage {coverage.ratio:.3f}", coverage)
     request = plan.request
@@ -71,15 +73,15 @@
     return Coverage(tuple(included), tuple(missing))
 
 
-def _empty_outcome(
-    plan: QueryPlan, coverage: Coverage, *, untouched: bool, at_deadline: bool
+def _outcome_without_answers(
+    plan: QueryPlan, coverage: Coverage, *, not_started: bool, at_deadline: bool
 ) -> Outcome:
     """Judge a query without a single answered shard."""
     reasons = {shard.reason for shard in coverage.missing}
     if reasons == {MissingReason.VERSION_GONE} and plan.repeatable:
         detail = f"version: {plan.version} is no longer served"
         return Failed(FailedReason.VERSION_GONE, detail, coverage)
-    if untouched:
+    if not_started:
         return NotRun(_not_run_reason(reasons, at_deadline), "no back end started any part")
     if not plan.repeatable:
         return MayHaveRun(MayHaveRunReason.NO_ANSWER)
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -47,7 +47,7 @@
 """Field by which a back end sorts the rows of its answer; callers of operations name none."""
 RETRY_AFTER_S = 1.0
 """Seconds after which a submission without a majority may be made again.  Chosen, not measured."""
-LOST = NotRun(
+CLAIM_LOST = NotRun(
     NotRunReason.NO_QUORUM,
     "other submissions of this key were made at the same time, and none got a majority",
     RETRY_AFTER_S,
@@ -121,12 +121,12 @@
             return NotRun(NotRunReason.STOPPING, "this node is stopping")
         if self._timers.time() >= request.deadline:
             return NotRun(NotRunReason.DEADLINE, "deadline: has passed")
-        left_s = request.valid_until - self._wall_clock()
-        if left_s <= 0:
+        remaining_s = request.valid_until - self._wall_clock()
+        if remaining_s <= 0:
             return NotRun(NotRunReason.INVALID_REQUEST, "valid_until: has passed")
         window_s = self._claims.limits.window_s
-        if left_s > window_s:
-            detail = f"valid_until: at most {window_s:g} s ahead, got {left_s:.3f}"
+        if remaining_s > window_s:
+            detail = f"valid_until: at most {window_s:g} s ahead, got {remaining_s:.3f}"
             return NotRun(NotRunReason.INVALID_REQUEST, detail)
         return None
 
@@ -165,18 +165,18 @@
         if held is None:
             detail = "the cap on operations in one window is reached"
             return NotRun(NotRunReason.TENANT_LIMIT, detail, self._claims.limits.window_s)
-        told: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        task = asyncio.create_task(self._attempt(request, plan, held, told))
+        reported: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+        task = asyncio.create_task(self._attempt(request, plan, held, reported))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
-        return await asyncio.shield(told)
+        return await asyncio.shield(reported)
 
     async def _attempt(
         self,
         request: OperationRequest,
         plan: QueryPlan,
         held: HeldOperation,
-        told: asyncio.Future[Outcome],
+        reported: asyncio.Future[Outcome],
     ) -> None:
         """Take one attempt to its final outcome."""
         outcome: Outcome = MayHaveRun(MayHaveRunReason.NO_ANSWER, "the attempt ended early")
@@ -186,18 +186,18 @@
                 outcome = permit
                 return
             claim = await self._claim(request, plan, held)
-            if not claim.won and await self._may_try_again(request, claim, held):
+            if not claim.won and await self._may_claim_again(request, claim, held):
                 claim = await self._claim(request, plan, held)
             if claim.won:
-                outcome = await self._send(request, plan, claim, told)
+                outcome = await self._send(request, plan, claim, reported)
             else:
-                outcome = await self._lost(request, claim, held)
+                outcome = await self._resolve_lost_claim(request, claim, held)
         finally:
             if not isinstance(permit, NotRun):
                 permit.close()
             self._outcomes.finish(held, outcome)
-            if not told.done():
-                told.set_result(outcome)
+            if not reported.done():
+                reported.set_result(outcome)
 
     async def _claim(
         self, request: OperationRequest, plan: QueryPlan, held: HeldOperation
@@ -214,7 +214,7 @@
             request.valid_until,
             window,
             remaining_s * CLAIM_TIME_SHARE,
-            lambda proposer: self._outcomes.name(held, proposer),
+            lambda proposer: self._outcomes.register_proposer(held, proposer),
         )
 
     async def _send(
@@ -222,21 +222,21 @@
         request: OperationRequest,
         plan: QueryPlan,
         claim: Claim,
-        told: asyncio.Future[Outcome],
+        reported: asyncio.Future[Outcome],
     ) -> Outcome:
         """Send once; give the votes back if nothing was started."""
         self.needed_calls += 1
         call = OperationCall(request, plan, claim, self._dispatcher, self._timers)
         call.start()
-        early = await call.told
+        interim = await call.reported
         if not call.final.done():
-            told.set_result(early)
+            reported.set_result(interim)
         outcome = await call.final
         if isinstance(outcome, NotRun):
             claim.give_up()
         return outcome
 
-    async def _may_try_again(
+    async def _may_claim_again(
         self, request: OperationRequest, claim: Claim, held: HeldOperation
     ) -> bool:
         """Tell whether duplicates took the votes from each other and it is ours to try again.
@@ -258,13 +258,15 @@
         timeout_s = max(0.0, request.deadline - self._timers.time())
         return await self._claims.ask_holder(held.key, holder, held.content, timeout_s)
 
-    async def _lost(self, request: OperationRequest, claim: Claim, held: HeldOperation) -> Outcome:
+    async def _resolve_lost_claim(
+        self, request: OperationRequest, claim: Claim, held: HeldOperation
+    ) -> Outcome:
         """Answer a submission that did not get the key.
 
         Duplicates that took the votes from each other must not wait for each other: this one is
         known to be over before it asks what became of the others.
         """
-        self._outcomes.settle(held, LOST)
+        self._outcomes.settle(held, CLAIM_LOST)
         if not claim.holders:
             detail = "no majority of voters on this key could be reached"
             return NotRun(NotRunReason.NO_QUORUM, detail, RETRY_AFTER_S)
@@ -272,7 +274,7 @@
             answer = await self._ask_holder(request, holder, held)
             if answer.status is not AnswerStatus.NOT_RUN:
                 return _outcome_of(answer)
-        return LOST
+        return CLAIM_LOST
 
     async def _join(self, held: HeldOperation, request: OperationRequest) -> Outcome:
         """Wait for the outcome of an attempt that this node has begun."""
@@ -289,7 +291,7 @@
 
 def _shard_of(request: OperationRequest, index: IndexSpec) -> tuple[int, tuple[str, ...]]:
     """Return the newest version, and the one shard of it that the request's key falls on."""
-    newest = max(index.versions, key=lambda one: one.version)
+    newest = max(index.versions, key=lambda spec: spec.version)
     names = sorted(shard.shard for shard in newest.shards)
     chosen = xxhash.xxh3_64_intdigest(request.request_key.encode()) % len(names)
     return newest.version, (names[chosen],)
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -47,7 +47,7 @@
 class OperationCall:
     """One dispatch of one claim.
 
-    ``told`` is the caller's outcome, known by the deadline; ``final`` may come later and know
+    ``reported`` is the caller's outcome, known by the deadline; ``final`` may come later and know
     more, namely when the answer arrives after a caller was told that the request may have run.
     """
 
@@ -61,7 +61,7 @@
     ) -> None:
         """Prepare; nothing is sent before :meth:`start`."""
         loop = asyncio.get_running_loop()
-        self.told: asyncio.Future[Outcome] = loop.create_future()
+        self.reported: asyncio.Future[Outcome] = loop.create_future()
         self.final: asyncio.Future[Outcome] = loop.create_future()
         self._request = request
         self._plan = plan
@@ -140,21 +140,21 @@
             return
         match reply:
             case Answered(answer):
-                self._end(self._judge(answer))
+                self._end(self._outcome_of_answer(answer))
             case Shed() | Draining() | NotSent() | VersionGone():
                 self._claim.dispatch_did_not_start()
-                self._try_next()
+                self._retry_elsewhere()
             case Broken(detail):
                 self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
 
-    def _try_next(self) -> None:
+    def _retry_elsewhere(self) -> None:
         """Go to another replica; none has started the operation so far."""
-        if self.told.done():
+        if self.reported.done():
             self._end(NotRun(NotRunReason.OVERLOADED, "the back end did not start it"))
             return
         self.start()
 
-    def _judge(self, answer: SearchAnswer) -> Outcome:
+    def _outcome_of_answer(self, answer: SearchAnswer) -> Outcome:
         """Turn an answer into an outcome; whatever it holds, the operation ran."""
         shard = self._plan.shards[0].spec.shard
         rows = next((rows for rows in answer.shards if rows.shard == shard), None)
@@ -177,9 +177,9 @@
         """Tell the caller what is known; a sent call is neither cancelled nor repeated."""
         if self._sent is None or not self._sent.call.may_have_left:
             self._end(NotRun(NotRunReason.DEADLINE, "the deadline passed before it was sent"))
-        elif not self.told.done():
+        elif not self.reported.done():
             detail = "sent, and not answered by the deadline"
-            self.told.set_result(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
+            self.reported.set_result(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
 
     def _on_linger_end(self) -> None:
         """Stop waiting for an answer."""
@@ -200,5 +200,5 @@
                 self._claim.dispatch_did_not_start()
             self._sent = None
         self.final.set_result(outcome)
-        if not self.told.done():
-            self.told.set_result(outcome)
+        if not self.reported.done():
+            self.reported.set_result(outcome)
--- a/tinrudder/node/query/operations/operation_outcomes.py
+++ b/tinrudder/node/query/operations/operation_outcomes.py
@@ -60,14 +60,14 @@
         self._wall_clock = wall_clock
         self._by_key: dict[ClaimKey, HeldOperation] = {}
         self._by_proposer: dict[ProposerId, HeldOperation] = {}
-        self._in_order: deque[HeldOperation] = deque()
-        self._with_bytes: deque[HeldOperation] = deque()
-        self._of_tenant: dict[str, int] = {}
+        self._by_age: deque[HeldOperation] = deque()
+        self._with_outcome: deque[HeldOperation] = deque()
+        self._count_by_tenant: dict[str, int] = {}
         self._bytes = 0
 
     def __len__(self) -> int:
         """Return how many operations are held."""
-        return len(self._in_order)
+        return len(self._by_age)
 
     def find(self, key: ClaimKey) -> HeldOperation | None:
         """Return the latest attempt for a key."""
@@ -78,20 +78,20 @@
         self, key: ClaimKey, tenant: str, content: bytes, forget_at: float
     ) -> HeldOperation | None:
         """Hold a new attempt; ``None`` if the tenant, or this node, holds too many already."""
-        if self._of_tenant.get(tenant, 0) >= MAX_OPERATIONS_PER_TENANT:
+        if self._count_by_tenant.get(tenant, 0) >= MAX_OPERATIONS_PER_TENANT:
             return None
-        if len(self._in_order) >= MAX_OPERATIONS:
+        if len(self._by_age) >= MAX_OPERATIONS:
             return None
         loop = asyncio.get_running_loop()
         held = HeldOperation(
             key, tenant, content, forget_at, loop.create_future(), loop.create_future()
         )
         self._by_key[key] = held
-        self._in_order.append(held)
-        self._of_tenant[tenant] = self._of_tenant.get(tenant, 0) + 1
+        self._by_age.append(held)
+        self._count_by_tenant[tenant] = self._count_by_tenant.get(tenant, 0) + 1
         return held
 
-    def name(self, held: HeldOperation, proposer: ProposerId) -> None:
+    def register_proposer(self, held: HeldOperation, proposer: ProposerId) -> None:
         """Let other nodes ask for an attempt by its proposer."""
         held.proposers.append(proposer)
         self._by_proposer[proposer] = held
@@ -132,10 +132,10 @@
         if len(encoded) > MAX_OUTCOME_BYTES:
             return
         held.encoded = encoded
-        self._with_bytes.append(held)
+        self._with_outcome.append(held)
         self._bytes += len(encoded)
         while self._bytes > MAX_TOTAL_BYTES:
-            self._drop_bytes(self._with_bytes.popleft())
+            self._drop_bytes(self._with_outcome.popleft())
 
     def _drop_bytes(self, held: HeldOperation) -> None:
         self._bytes -= len(held.encoded)
@@ -144,15 +144,15 @@
     def _forget_expired(self) -> None:
         """Forget attempts whose window has passed, oldest first."""
         now = self._wall_clock()
-        while self._in_order and self._in_order[0].forget_at <= now:
-            held = self._in_order.popleft()
-            self._of_tenant[held.tenant] -= 1
-            if not self._of_tenant[held.tenant]:
-                del self._of_tenant[held.tenant]
+        while self._by_age and self._by_age[0].forget_at <= now:
+            held = self._by_age.popleft()
+            self._count_by_tenant[held.tenant] -= 1
+            if not self._count_by_tenant[held.tenant]:
+                del self._count_by_tenant[held.tenant]
             if self._by_key.get(held.key) is held:
                 del self._by_key[held.key]
             for proposer in held.proposers:
                 del self._by_proposer[proposer]
             self._drop_bytes(held)
-        while self._with_bytes and not self._with_bytes[0].encoded:
-            self._with_bytes.popleft()
+        while self._with_outcome and not self._with_outcome[0].encoded:
+            self._with_outcome.popleft()
--- a/tinrudder/node/query/plan.py
+++ b/tinrudder/node/query/plan.py
@@ -57,10 +57,10 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Template:
+class _PlanTemplate:
     """What queries of one rule and index have in common under one configuration.
 
-    :param chosen_until: monotonic time until which ``chosen`` need not be weighed again.
+    :param best_version_until: monotonic time at which ``best_version`` expires.
     """
 
     rule: QueryRuleSpec
@@ -68,8 +68,8 @@
     tenants: frozenset[str]
     versions: dict[int, tuple[PlannedShard, ...]]
     routing: ServiceRouting
-    chosen: int = 0
-    chosen_until: float = field(default=-1.0)
+    best_version: int = 0
+    best_version_until: float = field(default=-1.0)
 
 
 class Planner:
@@ -87,7 +87,7 @@
         self._configuration = configuration
         self._backends = backends
         self._routing = routing
-        self._templates: dict[tuple[str, str], _Template] = {}
+        self._templates: dict[tuple[str, str], _PlanTemplate] = {}
         self._hints = VersionHints(timers.time)
         self._built_from: Configuration | None = None
         self._built_at_generation = -1
@@ -101,9 +101,9 @@
         template = self._template(configuration, request)
         tenant = configuration.tenants.get(request.tenant)
         if template is None or tenant is None or request.tenant not in template.tenants:
-            return _unknown(request)
+            return _unknown_resource(request)
         version = request.version or self._choose_version(template, request.index)
-        return self._make(request, template, tenant.weight, version)
+        return self._build_plan(request, template, tenant.weight, version)
 
     def replan(self, plan: QueryPlan) -> QueryPlan | None:
         """Plan a query again on another version that now reaches more shards.
@@ -117,19 +117,19 @@
         template = self._template(self._configuration(), request)
         if template is None:
             return None
-        template.chosen_until = -1.0
+        template.best_version_until = -1.0
         version = self._choose_version(template, request.index)
         if version == plan.version:
             return None
-        planned = self._make(request, template, plan.weight, version)
+        planned = self._build_plan(request, template, plan.weight, version)
         return planned if isinstance(planned, QueryPlan) else None
 
     def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         """Remember that a back end does not serve the plan's version."""
         self._hints.note_gone(backend, plan.request.index, plan.version)
 
-    def _make(
-        self, request: QueryRequest, template: _Template, weight: int, version: int
+    def _build_plan(
+        self, request: QueryRequest, template: _PlanTemplate, weight: int, version: int
     ) -> QueryPlan | Refusal:
         """Build the plan for a version."""
         shards = template.versions.get(version)
@@ -140,13 +140,15 @@
             shards = tuple(shard for shard in shards if shard.spec.shard in wanted)
         if request.operation is not None and len(shards) != 1:
             return NotRun(NotRunReason.INVALID_REQUEST, "shards: an operation names exactly one")
-        if not any(_has_usable(shard) for shard in shards):
+        if not any(_has_usable_backend(shard) for shard in shards):
             return NotRun(NotRunReason.NO_BACKEND, "no back end is left for any shard")
         return QueryPlan(
             request, template.rule, weight, template.service, version, shards, template.routing
         )
 
-    def _template(self, configuration: Configuration, request: QueryRequest) -> _Template | None:
+    def _template(
+        self, configuration: Configuration, request: QueryRequest
+    ) -> _PlanTemplate | None:
         """Return what queries of this rule and index have in common."""
         changed = configuration is not self._built_from
         if changed or self._backends.generation != self._built_at_generation:
@@ -163,7 +165,7 @@
 
     def _build_template(
         self, configuration: Configuration, request: QueryRequest
-    ) -> _Template | None:
+    ) -> _PlanTemplate | None:
         """Join rule, index and service; ``None`` when they do not belong together."""
         rule = configuration.rules.get(request.rule)
         index = configuration.indexes.get(request.index)
@@ -177,7 +179,7 @@
         routing.ejection.follow(records, self._timers.time())
         versions = {spec.version: self._planned_shards(spec) for spec in index.versions}
         tenants = frozenset(service.tenants)
-        return _Template(rule, index.service, tenants, versions, routing)
+        return _PlanTemplate(rule, index.service, tenants, versions, routing)
 
     def _planned_shards(self, spec: IndexVersionSpec) -> tuple[PlannedShard, ...]:
         """Bind a version's shards to the records of their back ends."""
@@ -185,18 +187,20 @@
             PlannedShard(shard, self._backends.records(shard.backends)) for shard in spec.shards
         )
 
-    def _choose_version(self, template: _Template, index: str) -> int:
+    def _choose_version(self, template: _PlanTemplate, index: str) -> int:
         """Return the version with the best reachable coverage, the newest on a tie."""
         versions = template.versions
         if len(versions) == 1:
             return next(iter(versions))
         now = self._timers.time()
-        if now >= template.chosen_until:
-            template.chosen = max(versions, key=lambda v: (self._reachable(versions, v, index), v))
-            template.chosen_until = now + VERSION_CHOICE_LIFETIME_S
-        return template.chosen
-
-    def _reachable(
+        if now >= template.best_version_until:
+            template.best_version = max(
+                versions, key=lambda v: (self._reachable_share(versions, v, index), v)
+            )
+            template.best_version_until = now + VERSION_CHOICE_LIFETIME_S
+        return template.best_version
+
+    def _reachable_share(
         self, versions: dict[int, tuple[PlannedShard, ...]], version: int, index: str
     ) -> float:
         """Return the share of a version's shards that have a usable replica."""
@@ -204,12 +208,12 @@
         return self._hints.reachable_share(replicas, index, version)
 
 
-def _has_usable(shard: PlannedShard) -> bool:
+def _has_usable_backend(shard: PlannedShard) -> bool:
     """Tell whether one of a shard's back ends may get new work."""
     return any(not backend.leaving for backend in shard.candidates)
 
 
-def _unknown(request: QueryRequest) -> NotRun:
+def _unknown_resource(request: QueryRequest) -> NotRun:
     """Answer alike for what is absent and for what the tenant may not see."""
     detail = f"index or rule: no {request.index!r} with rule {request.rule!r} for this tenant"
     return NotRun(NotRunReason.UNKNOWN_RESOURCE, detail)
--- a/tinrudder/node/query/relay.py
+++ b/tinrudder/node/query/relay.py
@@ -22,11 +22,11 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerTransport
 from tinrudder.timers import Timers, WallClock
 
-RETURN_ALLOWANCE_S = 0.005
+RETURN_MARGIN_S = 0.005
 """Seconds that the coordinator must end before the entry, for the way of its outcome: five times
 the way between zones.  At load 20 to 35 on 12 cores 0 to 2 of some 4,500 queries came too late all
 the same (docs/COORDINATORS.md)."""
-RETURN_ALLOWANCE_SHARE = 0.1
+RETURN_MARGIN_SHARE = 0.1
 """The same as a part of the time left, for queries with little of it."""
 MAX_CLOCK_SKEW_S = 1.0
 """Seconds by which the wall clocks of two nodes may differ before a relayed query is taken for one
@@ -60,8 +60,8 @@
         :raises PeerLostError: it may have run the query; no readable outcome came in time.
         """
         remaining_s = request.deadline - self._timers.time()
-        allowance_s = min(RETURN_ALLOWANCE_S, remaining_s * RETURN_ALLOWANCE_SHARE)
-        query = RelayedQuery(request, remaining_s - allowance_s, self._wall_clock(), forwarded)
+        margin_s = min(RETURN_MARGIN_S, remaining_s * RETURN_MARGIN_SHARE)
+        query = RelayedQuery(request, remaining_s - margin_s, self._wall_clock(), forwarded)
         try:
             payload = encode_query(query)
         except RelayCodecError as error:
--- a/tinrudder/node/query/relay_attempts.py
+++ b/tinrudder/node/query/relay_attempts.py
@@ -17,12 +17,12 @@
     """The relays of one query that gave no outcome.
 
     :param lost: coordinators that may have run it without telling.
-    :param silent: those among them whose answer may still come, until the deadline.
+    :param unanswered: those among them whose answer may still come, until the deadline.
     """
 
     lost: int = 0
     details: list[str] = field(default_factory=list)
-    silent: list[asyncio.Task[Outcome]] = field(default_factory=list)
+    unanswered: list[asyncio.Task[Outcome]] = field(default_factory=list)
 
     async def conclude(self, outcome: Outcome | None) -> Outcome:
         """Return what to report, given the last attempt's outcome if it has one.
@@ -35,7 +35,7 @@
         if outcome is not None and not isinstance(outcome, NotRun):
             return outcome
         known_not_run = 0
-        for finished in asyncio.as_completed(self.silent):
+        for finished in asyncio.as_completed(self.unanswered):
             try:
                 late = await finished
             except (PeerLostError, PeerNotSentError):
@@ -48,9 +48,9 @@
             return outcome
         return MayHaveRun(MayHaveRunReason.RELAY_LOST, "; ".join(self.details))
 
-    def cancel_silent(self) -> None:
+    def cancel_unanswered(self) -> None:
         """Free the work of coordinators that nobody waits for any more."""
-        for relayed in self.silent:
+        for relayed in self.unanswered:
             if not relayed.cancel() and not relayed.cancelled():
                 # Reading the error tells asyncio that nobody misses it.
                 relayed.exception()
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -72,7 +72,7 @@
         self.tried: tuple[BackendRecord, ...] = ()
 
     @property
-    def untouched(self) -> bool:
+    def not_started(self) -> bool:
         """Tell whether no back end can have started this shard's call so far."""
         if self.touched or self.rows is not None:
             return False
