--- a/tests/unit/node/test_at_most_once.py
+++ b/tests/unit/node/test_at_most_once.py
@@ -1,4 +1,8 @@
-"""Operations over real claims, in virtual time: each key runs at most once, and outcomes hold."""
+"""Operations with real claims in virtual time: each key runs at most once, with a true outcome.
+
+A key could run twice after split votes, a network partition, a restarted voter, a paused process or
+a retry of a call that may have been sent.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 def virtual(scenario):
-    """Run a test's coroutine, given a started cluster, in virtual time."""
+    """Run a test coroutine in virtual time, with a started cluster as its argument."""
 
     async def run():
         await scenario(await OperationCluster().start())
@@ -206,7 +210,7 @@
 
 
 class FaultInjector:
-    """Submissions of few keys through random nodes, while links, voters and clocks fail."""
+    """Submits a few keys through random nodes while injecting partitions, restarts and pauses."""
 
     def __init__(self, cluster, source):
         self.cluster = cluster
--- a/tests/unit/node/test_entry.py
+++ b/tests/unit/node/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry: where a query goes, and what is said when relays are lost."""
+"""The entry: which coordinator gets a query, and the outcome when relays are lost."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 @dataclass
 class Harness:
-    """An entry in zone ``near`` before coordinators that react as scripted."""
+    """An entry in zone ``near`` whose coordinators react as scripted."""
 
     reactions: dict[str, Reaction] = field(default_factory=dict)
     repeatable: bool = True
@@ -206,7 +206,7 @@
     harness = Harness({"a": NOT_SENT, "b": NOT_SENT}, repeatable=False)
     assert harness.run() == LOCAL
     assert harness.run() == LOCAL
-    assert len(harness.asked) == 2, "failed coordinators are left alone for a while"
+    assert len(harness.asked) == 2, "a failed coordinator got another query within its back-off"
 
 
 def test_failed_coordinator_gets_no_query_before_a_probe_has_succeeded() -> None:
--- a/tests/unit/node/test_explain.py
+++ b/tests/unit/node/test_explain.py
@@ -1,4 +1,4 @@
-"""Explanations: what is recorded, and who finds it from where."""
+"""Explanations: what is recorded, and which tenants and nodes can look it up."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass
 class LinkedChannel:
-    """Hands requests straight to one peer's handler."""
+    """Passes requests directly to the handler of one peer."""
 
     peer: LinkedChannel | None = None
     handler: RequestHandler | None = None
@@ -52,7 +52,7 @@
 
 
 def lookups(reachable: bool = True) -> ExplainLookup:
-    """Return the entry's lookup; the coordinator ran query ``q`` of acme."""
+    """Return the entry's lookup, after the coordinator ran query ``q`` of tenant ``acme``."""
     members = CoordinatorSet("service", (Member("coordinator", 1, "z", "r", COORDINATOR),))
     remote, local = LinkedChannel(), LinkedChannel()
     local.peer = remote if reachable else None
@@ -102,7 +102,7 @@
     assert sorted(retried.backends) == ["a", "b"]
     assert (retried.missing, answered.missing) == ("timed_out", "")
     assert retried.waited_ms == 0.0
-    assert found.choice == "least-loaded", "the default is named, too"
+    assert found.choice == "least-loaded", "the default policy must be named as well"
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/node/test_fan_out.py
+++ b/tests/unit/node/test_fan_out.py
@@ -1,4 +1,4 @@
-"""Fan-out: outcomes under late, doubled, broken and refused calls."""
+"""Fan-out: outcomes with late, duplicate, broken and refused calls."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class NoOtherVersion:
-    """Keeps every query on its version."""
+    """A replanner that keeps every query on its version."""
 
     def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         pass
@@ -58,7 +58,7 @@
 
 @dataclass
 class Harness:
-    """One fan-out over two shards, each on the same back ends."""
+    """One fan-out over two shards that are served by the same back ends."""
 
     rule: QueryRuleSpec = field(default_factory=lambda: QueryRuleSpec(service="service"))
     slots: int = 5
@@ -197,7 +197,7 @@
 
 
 def reply_in_sequence(replies: list[object]) -> tuple[int, Outcome]:
-    """Reply to call after call; return how many calls were sent, and the outcome."""
+    """Reply to each call in turn; return the number of calls sent and the outcome."""
     harness = Harness(names="abc")
     done = 0
     while done < len(harness.transport.calls):
--- a/tests/unit/node/test_fan_out_machine.py
+++ b/tests/unit/node/test_fan_out_machine.py
@@ -1,4 +1,4 @@
-"""One fan-out under any order of late, doubled, broken, refused and wrong replies."""
+"""One fan-out under any order of late, duplicate, broken, refused and wrong replies."""
 
 from __future__ import annotations
 
@@ -47,7 +47,7 @@
 
 
 class FanOutMachine(RuleBasedStateMachine):
-    """Drives one fan-out; a few sets of calls are the oracle."""
+    """Drives one fan-out and checks it against sets of ended, delivered and started calls."""
 
     @initialize(
         shards=st.integers(1, 5),
@@ -168,7 +168,7 @@
     @precondition(lambda self: self.transport.calls)
     @rule(pick=st.integers(0, 99))
     def repeat_late(self, pick: int) -> None:
-        """Answer again, or for the first time after the call was cancelled."""
+        """Answer a call that has already ended or was cancelled."""
         call = self.transport.calls[pick % len(self.transport.calls)]
         if call not in self.open_calls():
             self.transport.reply(call, answer_to(call, call.request.version, "late"))
@@ -253,7 +253,7 @@
 
 
 def answer_to(call: BackendCall, version: int, shard: str) -> Answered:
-    """Return one row whose id names its version and shard."""
+    """Return an answer with one row whose id contains its version and shard."""
     row = RowMessage(1.0, f"{version}/{shard}", msgspec.Raw(b"{}"))
     return Answered(SearchAnswer(call.call_id, version, (ShardRows(shard, (row,)),)))
 
--- a/tests/unit/node/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -1,4 +1,4 @@
-"""Caps and early refusal on the query path: refused means unsent, and nothing leaks."""
+"""Caps and early refusal: no call of a refused query is sent, and all slots are released."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Harness:
-    """A coordinator over one back end of one slot; every query has two shards."""
+    """A coordinator with one back end that has one slot; each query has two shards."""
 
     def __init__(self, **tenant: int) -> None:
         self.timers = ManualTimers()
--- a/tests/unit/node/test_query_decisions.py
+++ b/tests/unit/node/test_query_decisions.py
@@ -1,4 +1,4 @@
-"""What one query decides: hedges, precedence of owners, replanning, operations, giving up."""
+"""Decisions of one query: hedges, owner precedence, replanning, operations and early ending."""
 
 from __future__ import annotations
 
@@ -44,7 +44,7 @@
 
 
 class OneService:
-    """A service of two back ends with two index versions and its planner."""
+    """A service with two back ends, two index versions and a planner."""
 
     def __init__(self, shards: int = 8, *, warm: bool = True, **rule: object) -> None:
         self.timers = ManualTimers()
@@ -147,7 +147,7 @@
     budget.tokens = 1.0
     service.timers.advance(0.0061)
     hedged = [call.request.shards[0] for call in service.transport.calls[8:]]
-    assert hedged == ["s3"], "owner3 has s3 and s7, none of which has answered; owner1 has s5"
+    assert hedged == ["s3"], "owner3 lacks both s3 and s7, while owner1 still has s5"
 
 
 def test_latency_first_returns_as_soon_as_coverage_suffices_after_the_soft_deadline() -> None:
--- a/tinrudder/node/query/__init__.py
+++ b/tinrudder/node/query/__init__.py
@@ -1,5 +1,5 @@
-"""The way of a query: entry, relay, coordinator, plan, fan-out, merge and coverage.
+"""The query path: entry, relay, coordinator, plan, fan-out, merge and coverage.
 
-Owns a query from its arrival to its one outcome; the decisions on the way are in
+Owns a query from its arrival to its single outcome; the policies it applies are in
 :mod:`tinrudder.node.decisions`.
 """
--- a/tinrudder/node/query/admission_gate.py
+++ b/tinrudder/node/query/admission_gate.py
@@ -1,6 +1,6 @@
-"""Where a planned query is let in or refused, before anything of it is sent.
+"""Admits or refuses a planned query before any of its calls is sent.
 
-Owns nothing; relies on ``tenant_usage`` for a tenant's caps and on the admission policy for the
+Owns no state: ``tenant_usage`` counts what each tenant uses, and the admission policy estimates the
 wait.
 """
 
@@ -24,14 +24,15 @@
 from tinrudder.timers import Timers
 
 TENANT_RETRY_AFTER_S = 0.1
-"""Seconds after which a tenant at its cap is asked back, spread up to twice that.  Chosen, not
-measured: about as long as a query takes."""
+"""Lower bound in seconds of the ``Retry-After`` for a tenant at its cap: about the duration of one
+query.  Jitter raises it to at most twice this value."""
 ROUNDING_TOLERANCE = 1e-9
-"""Keeps a coverage of exactly so many shards from being rounded up to one more."""
+"""Tolerance, in shards, for floating-point error: without it a minimum coverage that equals a whole
+number of shards could be rounded up by one."""
 
 
 class AdmissionGate:
-    """Applies tenants' caps, then the admission policy; answers at once in either case."""
+    """Applies the tenant's caps, then the admission policy.  Never waits."""
 
     def __init__(
         self,
@@ -41,7 +42,7 @@
         configuration: Callable[[], Configuration],
         source: random.Random,
     ) -> None:
-        """Read the tenants' caps through ``configuration`` at every query."""
+        """Create a gate that reads the tenant's caps from ``configuration()`` for every query."""
         self._timers = timers
         self._admission = admission
         self._usage = usage
@@ -49,7 +50,7 @@
         self._random = source
 
     def enter(self, plan: QueryPlan) -> QueryPermit | NotRun:
-        """Return the query's permit, to be closed when the query ends, or why it is refused."""
+        """Return a permit, which the caller closes when the query ends, or the refusal."""
         tenant = plan.request.tenant
         spec = self._configuration().tenants.get(tenant, TenantSpec())
         permit = self._usage.begin(tenant, caps_of(spec), len(plan.shards))
@@ -66,12 +67,12 @@
 
 
 def caps_of(spec: TenantSpec) -> TenantCaps:
-    """Return a tenant's caps as its resource states them."""
+    """Return the caps configured in a tenant's resource."""
     return TenantCaps(spec.max_concurrent_queries, spec.max_queued_calls, spec.max_buffered_bytes)
 
 
 def _demand_of(plan: QueryPlan) -> QueryDemand:
-    """Describe a plan to the admission policy."""
+    """Convert a plan to the admission policy's input."""
     shards = plan.shards
     needed = math.ceil(plan.rule.minimum_coverage * len(shards) - ROUNDING_TOLERANCE)
     return QueryDemand(
--- a/tinrudder/node/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -1,7 +1,7 @@
-"""Puts the calls of one query on their way and takes them back.
+"""Submits, sends and cancels the calls of one query.
 
-Owns no state beyond its plan; relies on the dispatcher for room, and on the routing of the service
-for what a call teaches.
+Owns no state beyond its plan.  The dispatcher queues calls until a back end has a free slot, and
+the service's routing records the latency of cancelled calls.
 """
 
 from __future__ import annotations
@@ -17,21 +17,21 @@
 from tinrudder.timers import Timers
 
 SHARD_COST = 1.0
-"""Work of one call, in shards: a call asks for one."""
+"""Cost of one call in the queue, in shards: each call queries one shard."""
 
 
 class CallSender:
-    """Sends one plan's calls through the node's dispatcher."""
+    """Sends the calls of one plan through the node's dispatcher."""
 
     def __init__(self, plan: QueryPlan, dispatcher: Dispatcher, timers: Timers) -> None:
-        """Send calls of ``plan``."""
+        """Create a sender for ``plan``."""
         self._plan = plan
         self._routing = plan.routing
         self._dispatcher = dispatcher
         self._timers = timers
 
     def submit(self, progress: ShardProgress, candidates: tuple[BackendRecord, ...]) -> None:
-        """Hand in a call for any of ``candidates``; it goes out once one of them has room."""
+        """Submit a call that is sent as soon as one of ``candidates`` has a free slot."""
         plan = self._plan
         request = plan.request
         pending = PendingCall(
@@ -49,7 +49,7 @@
         self._dispatcher.submit(pending)
 
     def send(self, progress: ShardProgress, backend: BackendRecord) -> None:
-        """Send a shard's call to a back end that has room."""
+        """Send a shard's call to ``backend``, which has a free slot."""
         progress.tried += (backend,)
         request = self._plan.request
         remaining_ms = max(1, int((request.deadline - self._timers.time()) * 1000))
@@ -73,7 +73,7 @@
             progress.first_sent_at = sent.sent_at
 
     def cancel_superseded(self, progress: ShardProgress, now: float) -> None:
-        """Stop the copies that a quicker answer has overtaken."""
+        """Cancel a shard's remaining copies after one of them was answered."""
         superseded = tuple(progress.calls)
         progress.calls.clear()
         for call in superseded:
@@ -81,16 +81,16 @@
             self._routing.observe_loser(call.backend, now - call.sent_at, now)
 
     def withdraw_waiting(self, progress: Sequence[ShardProgress]) -> None:
-        """Take back every call that waits for room."""
+        """Withdraw every queued call."""
         for shard in progress:
             if shard.pending is not None:
                 self._dispatcher.withdraw(shard.pending)
                 shard.pending = None
 
     def release(self, progress: Sequence[ShardProgress]) -> None:
-        """Take back what waits, then cancel what is in flight.
+        """Withdraw the queued calls, then cancel those in flight.
 
-        In this order, because a cancelled call's place goes to whatever waits for it.
+        The order matters: cancelling a call frees its slot, which goes to the next queued call.
         """
         self.withdraw_waiting(progress)
         now = self._timers.time()
--- a/tinrudder/node/query/coordinator.py
+++ b/tinrudder/node/query/coordinator.py
@@ -1,7 +1,7 @@
-"""Runs queries on this node: plans, fans out, and waits for the outcome.
+"""Runs queries on this node: plans, admits, fans out, and waits for the outcome.
 
-Owns the queries in progress and their counters.  Relies on the planner, the admission gate and
-``fan_out``, which does the work in callbacks.
+Owns the queries in progress and their counters.  The fan-out itself runs in callbacks; see
+``fan_out``.
 """
 
 from __future__ import annotations
@@ -25,19 +25,20 @@
 
 
 class QueryRunner(Protocol):
-    """Whatever can take a query to its outcome, here or on another node."""
+    """Runs a query, on this node or on another."""
 
     async def run(self, request: QueryRequest) -> Outcome:
-        """Return the outcome; cancelling the task frees the query's work."""
+        """Return the outcome.  Cancelling the task cancels the query's calls."""
 
 
 @dataclass(slots=True)
 class CoordinatorCounters:
-    """What the fan-outs of this node took, since start.
+    """Totals over this node's fan-outs since it started.
 
-    :param needed_shards: calls that one per needed shard would have taken.
-    :param retries: calls sent after one for the same shard had failed.
-    :param hedges: calls sent while one for the same shard was in flight.
+    :param needed_shards: number of shards planned, which is the number of calls without retries
+        and hedges.
+    :param retries: calls sent after an earlier call for the same shard had failed.
+    :param hedges: calls sent while another call for the same shard was in flight.
     """
 
     needed_shards: int = 0
@@ -45,7 +46,7 @@
     hedges: int = 0
 
     def add(self, shards: Sequence[ShardProgress]) -> None:
-        """Count an ended fan-out, also one whose caller went away."""
+        """Count a finished or cancelled fan-out."""
         attempts = sum([shard.attempts for shard in shards])
         asked = sum([1 for shard in shards if shard.attempts])
         self.needed_shards += len(shards)
@@ -54,12 +55,12 @@
 
 
 class Coordinator:
-    """Owns fan-outs on this node and counts those in progress."""
+    """Runs this node's fan-outs and counts those in progress."""
 
     def __init__(
         self, timers: Timers, dispatcher: Dispatcher, planner: Planner, gate: AdmissionGate
     ) -> None:
-        """Plan by ``planner``, admit by ``gate`` and send through ``dispatcher``."""
+        """Plan with ``planner``, admit with ``gate`` and send through ``dispatcher``."""
         self._gate = gate
         self._timers = timers
         self._dispatcher = dispatcher
@@ -69,7 +70,7 @@
         self.recorder: FanOutObserver | None = None
 
     async def run(self, request: QueryRequest) -> Outcome:
-        """Run one query."""
+        """Run one query and return its outcome."""
         if self._timers.time() >= request.deadline:
             return NotRun(NotRunReason.DEADLINE, "deadline: has passed")
         plan = self._planner.plan(request)
@@ -100,10 +101,10 @@
 
 
 def _settle(future: asyncio.Future[Outcome], outcome: Outcome) -> None:
-    """Tell the waiting task.
+    """Set the result that the query's task awaits.
 
-    An outcome can come between the caller's going away, which cancels the future at once, and
-    the task's turn to abandon the query.
+    The future may already be cancelled: an outcome can arrive after the task was cancelled and
+    before the task runs again and abandons the fan-out.
     """
     if not future.done():
         future.set_result(outcome)
--- a/tinrudder/node/query/coordinator_sets.py
+++ b/tinrudder/node/query/coordinator_sets.py
@@ -1,7 +1,7 @@
-"""The coordinator sets of every service, kept in step with members and configuration.
+"""Computes each service's coordinator set from the members and the configuration.
 
-Owns the sets until members or configuration change; relies on ``decisions.coordinator_set`` for
-the rule.
+Owns the cached sets, which are dropped when members or configuration change.  The selection rule
+is in ``decisions.coordinator_set``.
 """
 
 from __future__ import annotations
@@ -21,10 +21,10 @@
 
 
 class CoordinatorSets:
-    """Computes a service's set when it is first asked for and keeps it until something changes."""
+    """Computes a service's set on first use and caches it until its inputs change."""
 
     def __init__(self, node_name: str) -> None:
-        """Start without members."""
+        """Start without members and without configuration."""
         self._node_name = node_name
         self._view = MemberView()
         self._configuration = Configuration()
@@ -34,7 +34,7 @@
         self._sets: dict[str, CoordinatorSet] = {}
 
     def update(self, view: MemberView, configuration: Configuration) -> None:
-        """Take what is known now; sets are computed again on demand."""
+        """Replace members and configuration, and drop the cached sets."""
         if configuration is not self._configuration:
             self._slots = _slots_by_service(configuration)
         self._view = view
@@ -43,12 +43,12 @@
         self._sets = {}
 
     def pass_over(self, unreachable: frozenset[str]) -> None:
-        """Let the next in rank take the places of members this node cannot reach."""
+        """Replace the members that this node cannot reach by the next in rank."""
         self._unreachable = unreachable
         self._sets = {}
 
     def of(self, service: str) -> CoordinatorSet:
-        """Return a service's coordinators; empty for an unknown service or without members."""
+        """Return a service's coordinators; empty if the service or its members are unknown."""
         cached = self._sets.get(service)
         if cached is None:
             cached = self._compute(service)
@@ -56,7 +56,7 @@
         return cached
 
     def share(self, backend: str, spec: BackendSpec) -> float:
-        """Return how many calls this node may have in flight at a back end."""
+        """Return the number of calls that this node may have in flight at a back end."""
         service = self._configuration.services.get(spec.service)
         if service is None:
             return FALLBACK_LIMIT
@@ -64,7 +64,7 @@
         return self.of(spec.service).share(self._node_name, backend, calls)
 
     def connections(self, backend: str, spec: BackendSpec) -> int:
-        """Return how many connections to a back end this node may hold."""
+        """Return the number of connections that this node may hold to a back end."""
         service = self._configuration.services.get(spec.service)
         if service is None:
             return FALLBACK_LIMIT
@@ -83,14 +83,14 @@
         return take_coordinators(service, ranked, self._count(service, spec), self._unreachable)
 
     def _count(self, service: str, spec: ServiceSpec) -> int:
-        """Return how many coordinators the service has."""
+        """Return the service's number of coordinators: configured, or derived from its slots."""
         if spec.coordinators is not None:
             return spec.coordinators
         return coordinator_count(self._slots.get(service, []))
 
 
 def _slots_by_service(configuration: Configuration) -> dict[str, list[int]]:
-    """Group the back ends' slots by service."""
+    """Return the slot counts of each service's back ends."""
     slots: dict[str, list[int]] = {}
     for spec in configuration.backends.values():
         slots.setdefault(spec.service, []).append(spec.slots)
--- a/tinrudder/node/query/coordinator_watch.py
+++ b/tinrudder/node/query/coordinator_watch.py
@@ -1,7 +1,7 @@
-"""Asks coordinators whether they are still there: a cut or a dead machine answers nothing.
+"""Probes coordinators to detect those that a network partition or a crash has made unreachable.
 
-Waiting out a deadline is the only other way to notice, and it costs every query in flight.
-One question at a time goes to each coordinator, whoever wants to know.
+Without a probe the failure would show only when a query's deadline passes, for every query in
+flight.  Owns the running probes: concurrent requests to probe one coordinator share one probe.
 """
 
 from __future__ import annotations
@@ -15,33 +15,33 @@
 from tinrudder.timers import Timers
 
 MAX_PROBE_TIMEOUT_S = 0.25
-"""Seconds that a coordinator has to answer a probe.  With MAX_PROBE_DELAY_S of the entry it bounds
-what a silent cut costs a query, 0.1 to 0.35 s (docs/COORDINATORS.md)."""
+"""Upper bound of a probe's timeout, seconds.  Together with ``MAX_PROBE_DELAY_S`` of the entry it
+bounds the delay that a network partition adds to a query: 0.1 to 0.35 s (docs/COORDINATORS.md)."""
 FORWARD_PROBE_TIMEOUT_S = 0.05
-"""The same where a query of another node waits for it.  Chosen, not measured: fifty times the way
-between zones."""
+"""Probe timeout in seconds while a query relayed by another node waits for the result: fifty times
+the network latency between zones."""
 PROBE_RESULT_TTL_S = 0.5
-"""Seconds for which an answer stands for the next question.  Chosen, not measured."""
+"""Seconds for which the answer to a probe is reused instead of probing again."""
 
 
 class CoordinatorProbe(Protocol):
-    """Asks one coordinator; see :class:`tinrudder.node.query.relay.RelayClient`."""
+    """Sends one probe; implemented by :class:`tinrudder.node.query.relay.RelayClient`."""
 
     async def probe(self, coordinator: PeerAddress, timeout_s: float) -> None:
         """Return when the coordinator has answered.
 
-        :raises PeerNotSentError: it cannot be reached.
-        :raises PeerLostError: it did not answer in time.
+        :raises PeerNotSentError: the probe could not be sent.
+        :raises PeerLostError: the coordinator did not answer within ``timeout_s``.
         """
 
 
 class CoordinatorWatch:
-    """Probes coordinators and tells the ranking what came of it."""
+    """Probes coordinators and reports the results to the ranking."""
 
     def __init__(
         self, probe: CoordinatorProbe, ranking: CoordinatorRanking, timers: Timers
     ) -> None:
-        """Ask nothing yet."""
+        """Start without running probes."""
         self._timers = timers
         self._last_answer_at: dict[str, float] = {}
         self._probe = probe
@@ -49,19 +49,19 @@
         self._running_probes: dict[str, asyncio.Task[bool]] = {}
 
     def probe_due(self) -> None:
-        """Probe, in the background, those that failed and were left alone long enough."""
+        """Probe, in the background, the failed coordinators whose next probe is due."""
         for member in self._ranking.due_for_probe():
             self.start_probe(member, MAX_PROBE_TIMEOUT_S)
 
     async def is_reachable(self, member: Member) -> bool:
-        """Tell whether a member that another node cannot reach answers us."""
+        """Return whether this node can reach a member that another node cannot."""
         answered_at = self._last_answer_at.get(member.name)
         if answered_at is not None and self._timers.time() - answered_at < PROBE_RESULT_TTL_S:
             return True
         return await asyncio.shield(self.start_probe(member, FORWARD_PROBE_TIMEOUT_S))
 
     def start_probe(self, member: Member, timeout_s: float) -> asyncio.Task[bool]:
-        """Return the task that tells whether ``member`` answers; it may already run."""
+        """Return the task that probes ``member``; joins a probe that is already running."""
         running = self._running_probes.get(member.name)
         if running is None:
             running = asyncio.create_task(
--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -1,6 +1,7 @@
-"""Sends shard calls: one dispatcher a node, shared by all its queries.
+"""Sends shard calls: one dispatcher per node, shared by all its queries.
 
-A call goes out at once when a candidate has room, else it waits in the queue until one has.
+Owns the calls in flight.  A call is sent at once when a candidate has a free slot; otherwise it
+waits in the queue until one has.
 """
 
 from __future__ import annotations
@@ -31,21 +32,21 @@
 from tinrudder.timers import Timers
 
 MAX_RETRY_AFTER_PAUSE_S = 1.0
-"""Seconds of a back end's Retry-After that are honoured at most: a wrong one must not take it out
-of use.  Chosen, not measured."""
+"""Maximum pause in seconds that a back end's ``Retry-After`` can cause: an excessive value must not
+take the back end out of service."""
 MAXIMUM_HANDOVER_S = 1.0
-"""Seconds for which a coordinator whose share shrank keeps its former limit while calls wait.
-Without it one of 378 queries of the rolling stop failed (docs/LIMITS.md)."""
+"""Seconds for which a coordinator whose share of a back end shrank keeps its former limit while
+calls are queued.  Without this, one of 378 queries of a rolling stop failed (docs/LIMITS.md)."""
 MIN_REMAINING_LATENCY_SHARE = 0.5
-"""Part of a back end's usual latency that a waiting call must have left, else it is dropped
-unsent.  Chosen, not measured: hardly any answer is quicker."""
+"""Fraction of a back end's smoothed latency that a queued call must have left before its deadline;
+otherwise it is dropped unsent.  Hardly any answer is faster than this."""
 
 SentCallListener = Callable[["SentCall", BackendReply], None]
 
 
 @dataclass(slots=True, eq=False)
 class SentCall:
-    """A call in flight: the back end it went to and when."""
+    """A call in flight, with its back end and the monotonic time at which it was sent."""
 
     backend: BackendRecord
     call: BackendCall
@@ -54,28 +55,28 @@
 
 
 class DrainListener(Protocol):
-    """Who is told when back ends leave."""
+    """Receives the drain state that back ends report in their replies."""
 
     def on_draining(self, backend: BackendRecord) -> None:
-        """The back end said that it is leaving."""
+        """Handle a reply in which ``backend`` reports that it is draining."""
 
     def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
-        """A back end held to be leaving answered as if it were not."""
+        """Handle an answer without a drain signal from a back end that was marked as draining."""
 
 
 class LocalDrainListener:
-    """Keeps what one node sees to itself."""
+    """Applies a drain signal to this node only, without informing other nodes."""
 
     def on_draining(self, backend: BackendRecord) -> None:
-        """Send nothing there any more."""
+        """Stop sending new calls to ``backend``."""
         backend.leaving = True
 
     def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
-        """Change nothing: the call may have been sent before."""
+        """Do nothing: the call may have been sent before the back end began to drain."""
 
 
 class Dispatcher:
-    """Binds queue, limits and replica choice to a transport."""
+    """Combines the call queue, the concurrency limits and the replica choice with a transport."""
 
     def __init__(
         self,
@@ -86,9 +87,9 @@
         limit: BackendLimitPolicy | None = None,
         usage: TenantUsageTable | None = None,
     ) -> None:
-        """Use the given policies; all times come from ``timers``.
+        """Create a dispatcher with the given policies.
 
-        :param usage: where tenants' queue places are counted.
+        :param usage: counts the queue slots that each tenant uses.
         """
         self._timers = timers
         self._transport = transport
@@ -105,11 +106,11 @@
 
     @property
     def queue_length(self) -> int:
-        """Return how many calls wait for room."""
+        """Return the number of queued calls."""
         return len(self._queue)
 
     def submit(self, pending: PendingCall) -> None:
-        """Dispatch now if a candidate has room and nobody waits for it, else wait."""
+        """Dispatch at once if the chosen candidate has a free slot and no queue, else enqueue."""
         choice = pending.choice or self._replica_choice
         backend = choice.choose(pending.candidates)
         if backend is not None and not backend.waiting:
@@ -124,18 +125,18 @@
         self._dispatch_waiting_to_candidates(pending)
 
     def _dispatch_waiting_to_candidates(self, pending: PendingCall) -> None:
-        """Serve those who already wait where there is room, and then the call itself."""
+        """Use free slots of the candidates, for earlier queued calls before this one."""
         for candidate in pending.candidates:
             self.dispatch_waiting(candidate)
 
     def withdraw(self, pending: PendingCall) -> None:
-        """Take a waiting call back; a no-op if it was dispatched."""
+        """Remove a call from the queue; a no-op if it was already dispatched."""
         if pending.waiting:
             self._queue.discard(pending)
             self._release_queue_slot(pending)
 
     def next_call_id(self) -> int:
-        """Return an id that no other call of this node has."""
+        """Return a call id that is unique on this node."""
         self._last_call_id += 1
         return self._last_call_id
 
@@ -149,8 +150,8 @@
     ) -> SentCall:
         """Send one call and count it against the back end's limit until it ends.
 
-        :param request: its call id comes from :meth:`next_call_id`.
-        :param may_leave: asked again immediately before bytes leave, e.g. after a connect.
+        :param request: its call id must come from :meth:`next_call_id`.
+        :param may_leave: checked again immediately before bytes are written, e.g. after connecting.
         """
         call_id = request.call_id
         call = BackendCall(
@@ -172,14 +173,14 @@
         return sent
 
     def cancel(self, sent: SentCall) -> None:
-        """Stop a call; its listener is not called any more."""
+        """Cancel a call; its listener is not called afterwards."""
         if self._in_flight.pop(sent.call.call_id, None) is None:
             return
         self._transport.cancel(sent.call)
         self._release(sent.backend)
 
     def _on_reply(self, call: BackendCall, reply: BackendReply) -> None:
-        """Account for a reply and hand it to its query; late and doubled replies end here."""
+        """Process a reply and pass it to its query; ignores late and duplicate replies."""
         sent = self._in_flight.pop(call.call_id, None)
         if sent is None:
             return
@@ -188,7 +189,7 @@
         self._release(sent.backend)
 
     def _observe(self, sent: SentCall, reply: BackendReply) -> None:
-        """Learn from a reply."""
+        """Update the back end's latency, limit, pause and drain state from a reply."""
         now = self._timers.time()
         backend = sent.backend
         if isinstance(reply, Answered):
@@ -208,18 +209,18 @@
             self.drain_listener.on_draining(backend)
 
     def _pause(self, backend: BackendRecord, until: float) -> None:
-        """Honour the wait a back end asks for, where the limit can go no lower."""
+        """Pause a back end that asked for a delay while its limit is already at the minimum."""
         if not backend.paused:
             backend.paused = True
             self._timers.call_at(until, self._resume, backend)
 
     def _resume(self, backend: BackendRecord) -> None:
-        """End a pause."""
+        """End a back end's pause."""
         backend.paused = False
         self.dispatch_waiting(backend)
 
     def _release(self, backend: BackendRecord) -> None:
-        """Free one place and let waiting calls take it."""
+        """Free one slot and dispatch queued calls to it."""
         backend.in_flight -= 1
         if backend.waiting:
             self.dispatch_waiting(backend)
@@ -227,18 +228,22 @@
             backend.end_handover()
 
     def follow_share(self, backend: BackendRecord) -> None:
-        """Use a share that grew; give one that shrank up when nothing waits, soon at the latest."""
+        """Apply a changed share: use a larger one at once, and hand over a smaller one later.
+
+        The former limit ends after ``MAXIMUM_HANDOVER_S``, or as soon as a call ends with no other
+        call queued for the back end.
+        """
         if backend.limit > backend.usual:
             when = self._timers.time() + MAXIMUM_HANDOVER_S
             self._timers.call_at(when, backend.end_handover)
         self.dispatch_waiting(backend)
 
     def dispatch_waiting(self, backend: BackendRecord) -> None:
-        """Let waiting calls take the room there is, e.g. after a limit was raised.
+        """Dispatch queued calls to a back end's free slots, e.g. after its limit was raised.
 
-        A call taken may end its query, which frees places at other back ends.  Those are filled
-        one after the other and not from within each other: when many queries are late at once,
-        as after a pause of the process, the stack would not hold them.
+        Dispatching a call may end its query, which frees slots at other back ends.  These are
+        processed in a loop instead of recursively: when many queries are late at once, e.g. after
+        the process was paused, recursion would overflow the stack.
         """
         self._backends_with_room.append(backend)
         if self._dispatching_waiting:
@@ -251,7 +256,7 @@
             self._dispatching_waiting = False
 
     def _dispatch_waiting_to(self, backend: BackendRecord) -> None:
-        """Dispatch to one back end until it has no room or nothing waits for it."""
+        """Dispatch to one back end until it has no free slot or no queued call."""
         while backend.waiting:
             if backend.may_send():
                 pending = self._queue.pop(backend)
@@ -268,12 +273,12 @@
                 pending.on_dispatch(backend)
 
     def _is_too_late(self, pending: PendingCall, backend: BackendRecord) -> bool:
-        """Tell whether even a quick answer would come after the deadline."""
+        """Return whether even a fast answer would miss the deadline."""
         min_latency_s = MIN_REMAINING_LATENCY_SHARE * backend.latency_s
         return self._timers.time() + min_latency_s > pending.deadline
 
     def _release_queue_slot(self, pending: PendingCall) -> None:
-        """Give a queue place back to the tenant."""
+        """Release the tenant's queue slot."""
         usage = self._usage.of(pending.tenant)
         if usage is not None:
             usage.return_place()
--- a/tinrudder/node/query/entry.py
+++ b/tinrudder/node/query/entry.py
@@ -1,7 +1,7 @@
-"""The entry: takes a caller's query to a coordinator of its service.
+"""The entry: runs a caller's query here or relays it to a coordinator of its service.
 
-The entry never retries shard calls: that is the coordinator's work.  It may ask a second
-coordinator, and at most ``MAX_RELAYS_SENT`` coordinators ever receive one query.
+Owns the relays of a query, including the choice of another coordinator after a failure.  At most
+``MAX_RELAYS_SENT`` coordinators receive one query.  Shard calls are retried by the coordinator.
 """
 
 from __future__ import annotations
@@ -24,27 +24,26 @@
 from tinrudder.timers import Timers
 
 MAX_RELAYS_SENT = 2
-"""Coordinators that may ever have received one query: it bounds extra load when relays are
-lost."""
+"""Maximum number of coordinators that may have received one query.  Bounds the extra load when
+relays are lost."""
 MAX_COORDINATORS_TRIED = 4
-"""Coordinators asked for one query, those included that cannot be connected to.  Chosen, not
-measured."""
+"""Maximum number of coordinators tried for one query, including those that refuse a connection."""
 MIN_PROBED_QUERY_S = 0.15
-"""Seconds that a query must have left for its coordinator to be watched: with less there is no
-time to ask another (docs/COORDINATORS.md)."""
+"""Seconds that a query must have left for its coordinator to be probed: with less there is no time
+to try another one (docs/COORDINATORS.md)."""
 MAX_PROBE_DELAY_S = 0.1
-"""Seconds without an outcome after which the coordinator is probed, at the latest.  Probes took
-the queries that ended as may_have_run in the zone cut from 13 and 8 to 1 and 2 (two seeds,
+"""Maximum time in seconds without an outcome before the coordinator is probed.  When a zone is cut
+off, probes reduce the queries that end as ``may_have_run`` from 13 and 8 to 1 and 2 (two seeds,
 docs/COORDINATORS.md)."""
 PROBE_DELAY_SHARE = 0.4
-"""The same as a part of the time that the query has: the rest must do for a probe and another
-coordinator."""
+"""The same limit as a fraction of the query's remaining time: the rest must suffice for a probe and
+another coordinator."""
 PROBE_TIMEOUT_SHARE = 0.2
-"""Part of the time that the query has for which the probe may take."""
+"""Timeout of a probe, as a fraction of the query's remaining time."""
 
 
 class QueryRelay(Protocol):
-    """Takes a query to another node; see :class:`tinrudder.node.query.relay.RelayClient`."""
+    """Relays a query to another node; see :class:`tinrudder.node.query.relay.RelayClient`."""
 
     async def run(
         self, coordinator: PeerAddress, request: QueryRequest, *, forwarded: bool = False
@@ -54,7 +53,14 @@
 
 @dataclass(slots=True)
 class EntryCounters:
-    """How queries went through this entry, since start."""
+    """Totals over this entry's queries and relays since it started.
+
+    :param local: callers' queries run here without a relay: this node coordinates the service,
+        the coordinator set is empty, or the index is unknown.
+    :param relayed: relays attempted.
+    :param lost: relays that may have run and returned no outcome.
+    :param fallback: callers' queries run here after no coordinator returned an outcome.
+    """
 
     local: int = 0
     relayed: int = 0
@@ -63,7 +69,7 @@
 
 
 class Entry:
-    """Runs a query here if this node coordinates its service, else relays it."""
+    """Runs a query on this node if it coordinates the service, else relays it."""
 
     def __init__(
         self,
@@ -76,7 +82,7 @@
         coordinators: Callable[[str], CoordinatorSet],
         configuration: Callable[[], Configuration],
     ) -> None:
-        """Read sets and configuration through the callables at every query."""
+        """Create an entry that reads coordinator sets and configuration for every query."""
         self._node_name = node_name
         self._timers = timers
         self._coordinator = coordinator
@@ -88,7 +94,7 @@
         self.counters = EntryCounters()
 
     async def run(self, request: QueryRequest) -> Outcome:
-        """Return the query's outcome; cancelling the task frees its work everywhere."""
+        """Return the query's outcome.  Cancelling the task also cancels its work on other nodes."""
         service = self._service_of(request)
         if service is None or self._is_local(self._coordinators(service)):
             self.counters.local += 1
@@ -98,8 +104,9 @@
     async def run_relayed(self, request: QueryRequest, forwarded: bool) -> Outcome:
         """Run a query that another node relayed to this one.
 
-        One that another node coordinates came here because its sender cannot reach that node.
-        If we can, it is forwarded, once; if not, that node's place in the set becomes ours.
+        If another node coordinates the service, the sender could not reach it.  The query is then
+        forwarded, once, if this node can reach that coordinator; otherwise this node replaces it
+        and runs the query.
         """
         service = self._service_of(request)
         if service is None or forwarded:
@@ -117,7 +124,7 @@
             attempts.cancel_unanswered()
 
     async def _reachable_coordinator(self, service: str) -> Member | None:
-        """Return a coordinator other than us that answers, ``None`` if the service is ours."""
+        """Return another node that coordinates and answers, ``None`` if there is no such node."""
         for _ in range(MAX_COORDINATORS_TRIED):
             member = self._next_coordinator(service, set())
             if member is None or await self._watch.is_reachable(member):
@@ -125,16 +132,16 @@
         return None
 
     def _is_local(self, coordinator_set: CoordinatorSet) -> bool:
-        """Tell whether this node coordinates, or there is nobody who does."""
+        """Return whether this node is a coordinator, or the set is empty."""
         return not coordinator_set.members or self._node_name in coordinator_set.names
 
     def _service_of(self, request: QueryRequest) -> str | None:
-        """Return the service a query is for, ``None`` if its index is unknown."""
+        """Return the service of the query's index, ``None`` if the index is unknown."""
         index = self._configuration().indexes.get(request.index)
         return index.service if index is not None else None
 
     async def _relay_to_one_of(self, service: str, request: QueryRequest) -> Outcome:
-        """Ask one coordinator after the other until one answers, then help ourselves."""
+        """Try the coordinators in turn, then this node, until one returns an outcome."""
         attempts = RelayAttempts()
         try:
             return await attempts.conclude(await self._try_coordinators(service, request, attempts))
@@ -144,7 +151,7 @@
     async def _try_coordinators(
         self, service: str, request: QueryRequest, attempts: RelayAttempts
     ) -> Outcome | None:
-        """Return the first outcome that anybody has, ``None`` when nobody more may be asked."""
+        """Return the first outcome, ``None`` if the query must not be sent again."""
         self._watch.probe_due()
         tried: set[str] = set()
         while len(tried) < MAX_COORDINATORS_TRIED and self._timers.time() < request.deadline:
@@ -163,7 +170,10 @@
         return await self._coordinator.run(request)
 
     def _next_coordinator(self, service: str, tried: set[str]) -> Member | None:
-        """Return the coordinator to ask, by the set as it is now: failures change it."""
+        """Return the next coordinator to try, ``None`` if none is left or this node is one.
+
+        The set is read again for each attempt because failures change it.
+        """
         coordinator_set = self._coordinators(service)
         if self._is_local(coordinator_set):
             return None
@@ -178,7 +188,7 @@
         *,
         forwarded: bool = False,
     ) -> Outcome | None:
-        """Relay once; ``None`` means that another coordinator may be asked."""
+        """Relay once and return the outcome, ``None`` if the relay failed or was refused."""
         self.counters.relayed += 1
         self._ranking.begin(member)
         try:
@@ -204,11 +214,12 @@
     async def _relay_with_probes(
         self, member: Member, request: QueryRequest, attempts: RelayAttempts, forwarded: bool
     ) -> Outcome:
-        """Relay a query, and stop relying on its coordinator if that is no longer there.
+        """Relay a query, probing the coordinator while no outcome arrives.
 
-        Only where that leaves time to ask another, and the query may run twice.
+        Probes only if the query is repeatable and has enough time left for another coordinator.
 
-        :raises PeerLostError: also when it does not answer a probe; the relay then goes on.
+        :raises PeerLostError: the relay was lost, or the coordinator did not answer a probe; in
+            the latter case the relay continues in ``attempts.unanswered``.
         """
         remaining_s = request.deadline - self._timers.time()
         if remaining_s < MIN_PROBED_QUERY_S or not self._is_repeatable(request):
@@ -232,12 +243,12 @@
                 relayed.cancel()
 
     def _is_repeatable(self, request: QueryRequest) -> bool:
-        """Tell whether running the query twice does no harm."""
+        """Return whether the query's rule allows running it more than once."""
         rule = self._configuration().rules.get(request.rule)
         return rule is not None and rule.repeatable
 
     def _may_run_again(self, request: QueryRequest, attempts: RelayAttempts) -> bool:
-        """Tell whether a query may be sent once more, should a relay have been lost."""
+        """Return whether the query may still be run, given the relays that were lost."""
         if not attempts.lost:
             return True
         if not self._is_repeatable(request):
--- a/tinrudder/node/query/explanations/explain.py
+++ b/tinrudder/node/query/explanations/explain.py
@@ -1,7 +1,7 @@
-"""Why a finished query went as it did, kept in a bounded ring per tenant.
+"""Explanations of finished queries, kept in a bounded ring per tenant.
 
-Nothing is recorded while a query runs.  When it ends, what the fan-out knows anyway is kept as it
-is, and only put into words when somebody asks.  A tenant sees its own queries only.
+Owns the rings.  Nothing is recorded while a query runs.  When it ends, the state of its fan-out is
+kept, and is converted to an explanation only on request.  A tenant sees its own queries only.
 """
 
 from __future__ import annotations
@@ -12,18 +12,19 @@
 import msgspec
 
 QUERIES_PER_TENANT = 16
-"""Explanations kept for a tenant, the latest; bounds memory."""
+"""Number of queries kept per tenant, the latest ones.  Bounds memory."""
 MAX_TENANTS = 128
-"""Tenants whose explanations are kept, those that asked last; bounds memory."""
+"""Number of tenants whose queries are kept, the most recently active ones.  Bounds memory."""
 
 
 class CallExplanation(msgspec.Struct, frozen=True):
-    """One shard of a query.
+    """The calls for one shard of a query.
 
-    :param backends: back ends its calls were sent to, in order; several after a retry or hedge.
-    :param hedges: how many of the calls were hedges.
-    :param waited_ms: from the start of the query until its first call was sent, if it was.
-    :param missing: why the shard is not in the answer, empty if it is.
+    :param backends: back ends that were sent a call, in order; several after a retry or hedge.
+    :param hedges: number of calls that were hedges.
+    :param waited_ms: time from the start of the query until the shard's first call was sent,
+        ``None`` if none was sent.
+    :param missing: why the shard is missing from the answer, empty if it is included.
     """
 
     shard: str
@@ -36,9 +37,9 @@
 
 
 class QueryExplanation(msgspec.Struct, frozen=True):
-    """One finished query, as its coordinator saw it.
+    """One finished query from the point of view of its coordinator.
 
-    :param choice: the policy that chose among the replicas.
+    :param choice: name of the replica choice policy.
     """
 
     query_id: str
@@ -55,12 +56,12 @@
     shards: tuple[CallExplanation, ...]
 
     def explain(self) -> QueryExplanation:
-        """Return itself; see :class:`RecordedQuery`."""
+        """Return itself, as :class:`RecordedQuery` requires."""
         return self
 
 
 class RecordedQuery(Protocol):
-    """What a ring keeps of one finished query."""
+    """The record that a ring keeps of one finished query."""
 
     @property
     def query_id(self) -> str:
@@ -68,14 +69,14 @@
 
     @property
     def tenant(self) -> str:
-        """Return whose query it was."""
+        """Return the tenant of the query."""
 
     def explain(self) -> QueryExplanation:
-        """Put it into words."""
+        """Convert the record to an explanation."""
 
 
 class ExplanationRing:
-    """The last queries of each tenant; the tenant that was quiet the longest goes first.
+    """The latest queries of each tenant; evicts the least recently active tenant.
 
     >>> ring = ExplanationRing(queries_per_tenant=1)
     >>> def explained(query_id, tenant):
@@ -92,13 +93,13 @@
     def __init__(
         self, queries_per_tenant: int = QUERIES_PER_TENANT, max_tenants: int = MAX_TENANTS
     ) -> None:
-        """Start empty."""
+        """Create an empty ring."""
         self._queries_per_tenant = queries_per_tenant
         self._max_tenants = max_tenants
         self._rings: OrderedDict[str, deque[RecordedQuery]] = OrderedDict()
 
     def add(self, query: RecordedQuery) -> None:
-        """Keep one query, at the expense of its tenant's oldest."""
+        """Add one query, evicting the tenant's oldest one if the ring is full."""
         ring = self._rings.get(query.tenant)
         if ring is None:
             ring = deque(maxlen=self._queries_per_tenant)
@@ -109,7 +110,7 @@
         self._rings.move_to_end(query.tenant)
 
     def find(self, query_id: str, tenant: str | None) -> QueryExplanation | None:
-        """Return a query of a tenant, or of any tenant for an operator (``None``)."""
+        """Return a query of ``tenant``; ``None`` searches all tenants, for an operator."""
         rings = self._rings.values() if tenant is None else [self._rings.get(tenant, deque())]
         for ring in rings:
             for query in ring:
--- a/tinrudder/node/query/explanations/explain_lookup.py
+++ b/tinrudder/node/query/explanations/explain_lookup.py
@@ -1,7 +1,8 @@
-"""Finds the explanation of a query: here, or at a coordinator of its service.
+"""Looks up the explanation of a query on this node, or on a coordinator of its service.
 
-The node that took a query remembers its outcome and service; the coordinator that ran it remembers
-each call.  Ask the node that took it.
+The node that received a query records its outcome and service; the coordinator that ran it records
+each call.  A lookup must be sent to the node that received the query.  Owns no state: the rings
+belong to the node.
 """
 
 from __future__ import annotations
@@ -23,11 +24,11 @@
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 
 LOOKUP_TIMEOUT_S = 1.0
-"""Seconds for another node to answer; an operator waits for it.  Chosen, not measured."""
+"""Timeout in seconds for a lookup on another node; the requesting operator waits for it."""
 
 
 class ExplainLookup:
-    """Both ends: asks coordinators, and answers other nodes."""
+    """Client and server of lookups: queries coordinators and answers other nodes."""
 
     def __init__(
         self,
@@ -37,9 +38,10 @@
         received: ExplanationRing,
         coordinators: Callable[[str], CoordinatorSet],
     ) -> None:
-        """Search two rings.
+        """Create a lookup over two rings.
 
-        :param coordinated: queries that this node ran; :param received: those callers gave to it.
+        :param coordinated: queries that this node ran.
+        :param received: queries that this node received from callers.
         """
         self._node_name = node_name
         self._channel = channel
@@ -49,9 +51,9 @@
         channel.listen(_ignore_datagram, self._on_request)
 
     async def find(self, query_id: str, tenant: str | None) -> bytes | None:
-        """Return the best explanation there is, as JSON.
+        """Return the most detailed explanation found, as JSON; ``None`` if there is none.
 
-        :param tenant: whose query it must be, ``None`` for an operator.
+        :param tenant: the tenant that the query must belong to, ``None`` for an operator.
         """
         found = self._coordinated.find(query_id, tenant)
         if found is not None:
@@ -69,7 +71,7 @@
         return msgspec.json.encode(received)
 
     async def _ask_coordinator(self, peer: PeerAddress, question: ExplainQuestion) -> bytes | None:
-        """Ask one coordinator; one that is lost knows nothing."""
+        """Request the explanation from one coordinator; ``None`` if it has none or fails."""
         try:
             answer = await self._channel.request(peer, encode_question(question), LOOKUP_TIMEOUT_S)
             return decode_explanation(answer)
@@ -77,7 +79,7 @@
             return None
 
     async def _on_request(self, _source: PeerAddress, payload: bytes) -> bytes:
-        """Answer another node; an unreadable question is about nothing."""
+        """Answer another node; a malformed request gets an empty answer."""
         try:
             question = decode_question(payload)
         except ExplainCodecError:
@@ -87,4 +89,4 @@
 
 
 def _ignore_datagram(_source: PeerAddress, _payload: bytes) -> None:
-    """Questions travel as requests only."""
+    """Ignore a datagram: lookups are sent as requests only."""
--- a/tinrudder/node/query/explanations/explain_recorder.py
+++ b/tinrudder/node/query/explanations/explain_recorder.py
@@ -1,6 +1,6 @@
-"""Condenses finished fan-outs and finished callers' queries into explanations.
+"""Records finished fan-outs and converts them to explanations.
 
-Owns nothing; relies on the ring of ``explain`` to keep them.
+Owns no state: the records are kept in the ring of ``explain``.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 from tinrudder.node.query.shard_progress import ShardProgress
 
 MILLISECONDS = 1000.0
-"""In a second."""
+"""Milliseconds per second."""
 OUTCOME_NAMES: dict[type[Outcome], str] = {
     Complete: "complete",
     Partial: "partial",
@@ -38,7 +38,7 @@
 
 
 class RecordedFanOut:
-    """One finished fan-out: references to what it used, none to the rows of its answer."""
+    """One finished fan-out.  Refers to its plan, but not to the rows of its answer."""
 
     __slots__ = (
         "_coverage",
@@ -64,7 +64,7 @@
         started: float,
         ended: float,
     ) -> None:
-        """Keep what :meth:`explain` needs."""
+        """Store the state that :meth:`explain` needs."""
         self.query_id = plan.request.query_id
         self.tenant = plan.request.tenant
         self._node_name = node_name
@@ -79,7 +79,7 @@
         self._elapsed_s = ended - started
 
     def explain(self) -> QueryExplanation:
-        """Put it into words."""
+        """Convert the record to an explanation."""
         request = self._plan.request
         return QueryExplanation(
             self.query_id,
@@ -115,7 +115,7 @@
 
 
 class FanOutRecorder:
-    """Remembers the fan-outs of a coordinator."""
+    """Records the fan-outs of a coordinator."""
 
     def __init__(self, node_name: str, ring: ExplanationRing) -> None:
         """Record into ``ring``."""
@@ -132,13 +132,14 @@
     ) -> None:
         """Record one fan-out.
 
-        :param started: monotonic time of its start, seconds; :param ended: and of its end.
+        :param started: monotonic time of its start, seconds.
+        :param ended: monotonic time of its end, seconds.
         """
         self._ring.add(RecordedFanOut(self._node_name, plan, shards, outcome, started, ended))
 
 
 def coverage_of(outcome: Outcome) -> Coverage:
-    """Return what an outcome covers, nothing for one without an answer."""
+    """Return the coverage of an outcome, empty if the outcome has none."""
     if isinstance(outcome, Complete | Partial):
         return outcome.answer.coverage
     if isinstance(outcome, Failed):
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -1,8 +1,8 @@
 """One query's fan-out: a call per shard, retries, hedges, deadlines, and the final outcome.
 
-Everything runs in callbacks of the event loop: no task and no closure is made per call, and one
-timer serves the whole query, which keeps the call path near the cost of the transport (see
-docs/CALL_COST.md).  docs/ROUTING.md says why each decision is taken as it is.
+Owns the progress of a running query.  Everything runs in event-loop callbacks, without a task or a
+closure per call, and one timer serves the whole query; this keeps the cost of a call close to that
+of the transport (docs/CALL_COST.md).  docs/ROUTING.md gives the reasons for the routing decisions.
 """
 
 from __future__ import annotations
@@ -33,28 +33,29 @@
 from tinrudder.timers import TimerHandle, Timers
 
 MAX_ATTEMPTS_PER_SHARD = 3
-"""Calls of one shard, hedges apart, in one plan.  Chosen, not measured: with two replicas each is
-asked, one of them twice."""
+"""Maximum number of calls for one shard in one plan, without hedges: with two replicas, both are
+tried and one of them twice."""
 MAX_REPLANS = 1
-"""Times that a query starts again on another version: it bounds its calls to twice as many."""
+"""Maximum number of times that a query restarts on another index version.  One restart at most
+doubles the number of its calls."""
 REFUSAL_WAIT_S = 0.02
-"""Seconds that a query which cannot reach its coverage waits for refusals of what is in flight,
-where no hedge delay is known.  Chosen, not measured."""
+"""Seconds for which a query that can no longer reach its minimum coverage waits for its calls in
+flight to be refused, while no hedge delay is known."""
 OutcomeListener = Callable[[Outcome], None]
 
 
 class Replanner(Protocol):
-    """Moves a query to another index version when its own is going away."""
+    """Moves a query to another index version when back ends no longer serve its own."""
 
     def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
-        """Remember that a back end does not serve the plan's version."""
+        """Record that a back end does not serve the plan's version."""
 
     def replan(self, plan: QueryPlan) -> QueryPlan | None:
-        """Return the query's plan on a version that reaches more, ``None`` to stay."""
+        """Return a plan on a version that reaches more shards, ``None`` to keep the current one."""
 
 
 class FanOut:
-    """Runs one plan to its outcome, which is reported exactly once."""
+    """Runs one query to its outcome and reports it exactly once, unless the query is abandoned."""
 
     def __init__(
         self,
@@ -65,9 +66,9 @@
         replanner: Replanner,
         permit: QueryPermit | None = None,
     ) -> None:
-        """Prepare; nothing is sent before :meth:`start`.
+        """Create a fan-out; no call is sent before :meth:`start`.
 
-        :param permit: counts the answers that the query holds; its owner closes it.
+        :param permit: counts the bytes of the answers that the query buffers; closed by its owner.
         """
         self._permit = permit
         self._dispatcher = dispatcher
@@ -83,7 +84,7 @@
         self._adopt(plan)
 
     def _adopt(self, plan: QueryPlan) -> None:
-        """Begin a plan with nothing of an earlier one but the knowledge that it ran."""
+        """Reset the state for a plan; only ``_started_before`` outlives an earlier plan."""
         self._plan = plan
         self._routing = plan.routing
         self._progress = [ShardProgress(shard, self) for shard in plan.shards]
@@ -95,12 +96,12 @@
 
     @property
     def plan(self) -> QueryPlan:
-        """Return the plan."""
+        """Return the current plan."""
         return self._plan
 
     @property
     def shards(self) -> Sequence[ShardProgress]:
-        """Return how far each shard has come."""
+        """Return the progress of each shard of the current plan."""
         return self._progress
 
     def start(self) -> None:
@@ -116,7 +117,7 @@
             self._schedule_timer(now)
 
     def abandon(self) -> None:
-        """End the query for a caller that went away; nobody is told an outcome."""
+        """End the query without reporting an outcome, because its caller has gone."""
         if not self._finished:
             self._finished = True
             self._stop()
@@ -135,25 +136,25 @@
                 return
 
     def _candidates(self, progress: ShardProgress, now: float) -> tuple[BackendRecord, ...]:
-        """Return the back ends that may get a shard's next call."""
+        """Return the back ends that may receive a shard's next call."""
         return self._plan.routing.candidates(
             progress.planned.candidates, progress.tried, now, may_probe=self._plan.repeatable
         )
 
     def on_shed(self, progress: ShardProgress) -> None:
-        """Give up a shard whose waiting call will not be sent any more."""
+        """Settle a shard without rows after its queued call was dropped."""
         progress.pending = None
         if not self._finished and not progress.settled:
             self._settle(progress, progress.last_reason or MissingReason.NOT_ASKED)
 
     def on_dispatch(self, progress: ShardProgress, backend: BackendRecord) -> None:
-        """Send a shard's waiting call to the chosen back end."""
+        """Send a shard's submitted call to the chosen back end."""
         progress.pending = None
         progress.attempts += 1
         self._sender.send(progress, backend)
 
     def on_reply(self, progress: ShardProgress, sent: SentCall, reply: BackendReply) -> None:
-        """Take one reply; a second answer for a settled shard changes nothing."""
+        """Process one reply; the routing observes it even if the shard is already settled."""
         progress.calls.remove(sent)
         now = self._timers.time()
         if type(reply) is Answered:
@@ -176,7 +177,7 @@
         self._retry_or_settle(progress, reply, now)
 
     def _on_answer(self, progress: ShardProgress, reply: Answered, now: float) -> None:
-        """Take rows, but only of the pinned version and of the shard that was asked."""
+        """Accept rows only if they are of the pinned version and of the requested shard."""
         answer = reply.answer
         if self._permit is not None and not self._permit.hold_bytes(reply.size_bytes):
             progress.touched = True
@@ -201,9 +202,9 @@
     def _retry_or_settle(
         self, progress: ShardProgress, reply: BackendReply | None, now: float
     ) -> None:
-        """Ask another replica if the rule and the budget allow it, else give the shard up.
+        """Retry on another replica if rule and retry budget allow it, else settle the shard.
 
-        A call that was not sent put no load on any back end, so sending it elsewhere is free.
+        A call that was not sent put no load on a back end, so its retry costs no budget.
         """
         if progress.calls:
             return
@@ -221,7 +222,7 @@
         self._settle(progress, progress.last_reason or MissingReason.NO_REPLICA)
 
     def _settle(self, progress: ShardProgress, reason: MissingReason) -> None:
-        """Give a shard up; the whole query too when it can no longer meet its rule."""
+        """Settle a shard without rows; end the query if its minimum coverage is out of reach."""
         progress.problem = reason
         self._unsettled -= 1
         if reason is MissingReason.VERSION_GONE and self._try_replan():
@@ -233,10 +234,11 @@
             self._give_up()
 
     def _give_up(self) -> None:
-        """End a query that can no longer meet its rule, without waiting for its deadline.
+        """End a query that cannot reach its minimum coverage, without waiting for its deadline.
 
-        While nothing was started yet, refusals of what is in flight may still make it a true
-        "not run"; they are awaited for about as long as a slow answer takes.
+        If no back end has started it so far, the outcome is still ``NotRun`` when all calls in
+        flight are refused.  Refusals are awaited for the hedge delay, i.e. about as long as a slow
+        answer takes.
         """
         if not self._coverage_unreachable:
             self._coverage_unreachable = True
@@ -253,7 +255,7 @@
             self._finish(at_deadline=False)
 
     def _try_replan(self) -> bool:
-        """Start again on a version that reaches more shards; no row of the old one is kept."""
+        """Restart on a version that reaches more shards, discarding all rows received so far."""
         if self._coverage_unreachable or self._replans >= MAX_REPLANS:
             return False
         plan = self._replanner.replan(self._plan)
@@ -274,15 +276,16 @@
 
     @property
     def _may_be_poison(self) -> bool:
-        """Tell whether back ends were lost under the query and none has answered it.
+        """Return whether ``ENOUGH_CRASHES`` calls broke while no shard was answered.
 
-        It may crash whatever runs it, so it is sent to no further replica: two shards lost six
-        back ends under such a query, four with this bound (a scripted run).
+        Such a query may crash every back end that runs it, so it is sent to no further replica.
+        In a scripted run with two shards, such a query crashed six back ends without this bound
+        and four with it.
         """
         return self._answered == 0 and self._broken_calls >= ENOUGH_CRASHES
 
     def _may_spend_retry(self, progress: ShardProgress) -> bool:
-        """Draw on the budget; a coverage-first answer without this owner has precedence."""
+        """Take a retry from the budget; a coverage-first query that lacks the owner is urgent."""
         urgent = (
             self._plan.rule.preference is Preference.COVERAGE
             and progress.planned.spec.owner not in owners_included(self._progress)
@@ -290,7 +293,7 @@
         return self._routing.retry.may_retry(urgent=urgent)
 
     def _schedule_timer(self, now: float) -> None:
-        """Set the one timer to whatever comes first: a deadline or a look for overdue calls."""
+        """Set the timer to the next deadline or the next check for overdue calls."""
         when = self._hard_deadline
         if now < self._soft_deadline < when:
             when = self._soft_deadline
@@ -303,10 +306,11 @@
         self._timer = self._timers.call_at(when, self._on_timer, when)
 
     def _on_timer(self, when: float) -> None:
-        """Return at a deadline, hedge what is overdue, and set the timer again.
+        """Finish at a deadline, otherwise hedge overdue calls and set the timer again.
 
-        :param when: the time it was set to; an event loop may call a little early, by the
-            resolution of its clock, and must not be asked again for the same moment.
+        :param when: the time for which the timer was set.  The event loop may call up to its
+            clock's resolution early; taking ``when`` as the current time prevents setting the
+            timer for the same time again.
         """
         if self._finished:
             return
@@ -322,11 +326,11 @@
         self._schedule_timer(now)
 
     def _meets_minimum_coverage(self) -> bool:
-        """Tell whether the coverage meets the rule."""
+        """Return whether the coverage so far meets the rule."""
         return len(self._progress) - self._answered <= self._max_missing
 
     def _finish(self, *, at_deadline: bool) -> None:
-        """Report once, after freeing every place the query still holds."""
+        """Report the outcome once, after releasing the query's calls."""
         if self._finished:
             return
         self._finished = True
@@ -342,13 +346,13 @@
         self._on_outcome(outcome)
 
     def _mark_rest_given_up(self) -> None:
-        """State that the query did not wait for what is still open."""
+        """Mark the shards whose calls are still in flight as given up."""
         for progress in self._progress:
             if not progress.settled and progress.calls:
                 progress.problem = MissingReason.GIVEN_UP
 
     def _stop(self) -> None:
-        """Stop the timer and free every place."""
+        """Cancel the timer and release all calls."""
         if self._timer is not None:
             self._timer.cancel()
         self._sender.release(self._progress)
--- a/tinrudder/node/query/hedger.py
+++ b/tinrudder/node/query/hedger.py
@@ -1,7 +1,6 @@
-"""Which calls of a running query are overdue, and which of them are hedged first.
+"""Finds the overdue calls of a running query and hedges them in order of urgency.
 
-Owns nothing; relies on the hedge policy for delay and budget and on ``shard_progress`` for the
-calls.
+Owns no state: the hedge policy keeps delay and budget, and ``shard_progress`` the calls.
 """
 
 from __future__ import annotations
@@ -15,32 +14,33 @@
 from tinrudder.node.resources.model import Preference
 
 CHECK_INTERVAL_WITHOUT_DELAY_S = 0.02
-"""Seconds between looks while too few latencies are known for a delay.  Chosen, not measured."""
+"""Seconds between checks while too few latencies were observed to derive a hedge delay."""
 RECHECK_DELAY_SHARE = 0.25
-"""Part of the delay after which an overdue call that found no room or budget is looked at again.
-Chosen, not measured."""
+"""Fraction of the hedge delay after which an overdue call is checked again if no back end had a
+free slot or the budget was empty."""
 SendHedge = Callable[[ShardProgress, BackendRecord], None]
 
 
 class Hedger:
-    """Looks through one query's calls whenever its timer says so.
+    """Checks one query's calls for hedging each time the query's timer fires.
 
     A query that must not be repeated is never hedged.
     """
 
     def __init__(self, plan: QueryPlan, progress: Sequence[ShardProgress], send: SendHedge) -> None:
-        """Watch the calls of ``progress``; send second copies through ``send``."""
+        """Check the calls of ``progress`` and send hedges through ``send``."""
         self._plan = plan
         self._routing = plan.routing
         self._progress = progress
         self._send = send
 
     def next_check(self, now: float) -> float | None:
-        """Return when to look next; ``None`` while nothing is hedged.
+        """Return the time of the next check, ``None`` if the query must not be hedged.
 
-        That is when the next call becomes overdue, at the latest one hedge delay from now: calls
-        may be sent in between.  A call that is overdue already, for want of room or budget, is
-        looked at again sooner; while the delay is unknown, for want of observations, too.
+        This is when the next call becomes overdue, but at most one hedge delay from now because
+        further calls may be sent meanwhile.  A call that is overdue already, because no slot or
+        budget was free, is checked again after ``RECHECK_DELAY_SHARE`` of the delay.  While the
+        delay is unknown, checks are ``CHECK_INTERVAL_WITHOUT_DELAY_S`` apart.
         """
         if not self._plan.repeatable:
             return None
@@ -61,7 +61,7 @@
         return soonest
 
     def hedge_overdue(self, now: float) -> None:
-        """Hedge what is overdue, unless the whole fleet is slow."""
+        """Hedge the overdue calls, unless the slowness is widespread among the back ends."""
         overdue = self._find_overdue(now)
         if not overdue:
             return
@@ -95,22 +95,23 @@
         return overdue
 
     def _delays(self) -> list[float | None]:
-        """Return the delay before a shard's first hedge, its second, and so on."""
+        """Return the delays before a shard's first, second and later hedges."""
         return [self._routing.hedge_delay_s(hedges) for hedges in range(MAX_HEDGES_PER_SHARD)]
 
 
 def owners_included(progress: Sequence[ShardProgress]) -> frozenset[str]:
-    """Return the owners with at least one shard answered."""
+    """Return the owners with at least one answered shard."""
     return frozenset(shard.planned.spec.owner for shard in progress if shard.rows is not None)
 
 
 def order_by_urgency(
     overdue: Sequence[ShardProgress], included: frozenset[str], preference: Preference
 ) -> list[ShardProgress]:
-    """Return overdue shards in the order in which they may spend the budget.
+    """Return overdue shards in the order in which they may use the hedge budget.
 
-    Coverage-first: owners that the answer lacks entirely come first, because leaving one out is
-    unfair to that owner.  Then, and for latency-first, whatever has waited longest.
+    Coverage-first queries put owners without any answered shard first, because leaving an owner
+    out entirely is unfair to it.  Within these groups, and for latency-first queries, the oldest
+    call comes first.
     """
     if preference is Preference.LATENCY:
         return sorted(overdue, key=lambda shard: shard.calls[0].sent_at)
--- a/tinrudder/node/query/judgement.py
+++ b/tinrudder/node/query/judgement.py
@@ -1,6 +1,6 @@
-"""The outcome of a query, judged from its shards as they stand at one moment.
+"""Derives a query's outcome from the current progress of its shards.
 
-Pure: reads the progress of the shards and changes nothing.
+Owns no state: pure functions.
 """
 
 from __future__ import annotations
@@ -29,7 +29,8 @@
 UNREACHABLE_REASONS = frozenset(
     {MissingReason.NO_REPLICA, MissingReason.BROKEN, MissingReason.VERSION_GONE}
 )
-"""Reasons of shards that no back end could serve: a query refused for these alone says so."""
+"""Reasons that mean that no back end could serve a shard.  A query that did not run for these
+reasons alone ends with ``NO_BACKEND``."""
 
 
 def decide_outcome(
@@ -37,8 +38,8 @@
 ) -> Outcome:
     """Return the outcome of a query that ends now.
 
-    :param started_before: an earlier plan of the same query reached a back end.
-    :param at_deadline: it ends because its time is over.
+    :param started_before: an earlier plan of the same query may have been started by a back end.
+    :param at_deadline: the query ends because its deadline has passed.
     """
     coverage = coverage_of(progress)
     if not coverage.included:
@@ -61,7 +62,7 @@
 
 
 def coverage_of(progress: Sequence[ShardProgress]) -> Coverage:
-    """State which shards are in and why the others are not."""
+    """Return which shards are included and why the others are missing."""
     included: list[str] = []
     missing: list[MissingShard] = []
     for shard in progress:
@@ -76,7 +77,7 @@
 def _outcome_without_answers(
     plan: QueryPlan, coverage: Coverage, *, not_started: bool, at_deadline: bool
 ) -> Outcome:
-    """Judge a query without a single answered shard."""
+    """Return the outcome of a query without any answered shard."""
     reasons = {shard.reason for shard in coverage.missing}
     if reasons == {MissingReason.VERSION_GONE} and plan.repeatable:
         detail = f"version: {plan.version} is no longer served"
@@ -89,7 +90,7 @@
 
 
 def _not_run_reason(reasons: set[MissingReason], at_deadline: bool) -> NotRunReason:
-    """Name what kept the query from running."""
+    """Return why the query did not run."""
     causes = reasons - {MissingReason.NOT_ASKED, MissingReason.GIVEN_UP}
     if causes and causes <= UNREACHABLE_REASONS:
         return NotRunReason.NO_BACKEND
--- a/tinrudder/node/query/merge.py
+++ b/tinrudder/node/query/merge.py
@@ -1,6 +1,6 @@
-"""Merging sorted rows of many shards into one sorted page.
+"""Merges the sorted rows of many shards into one sorted page.
 
-Pure; relies on each shard to have sorted its rows as asked.
+Owns no state; requires that each shard has sorted its rows in the requested order.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MergedPage:
-    """One page and where the next one starts."""
+    """One page of rows, and the position after which the next page starts if there is one."""
 
     rows: tuple[Row, ...]
     next_after: tuple[float, str] | None
@@ -25,9 +25,9 @@
 def merge_rows(
     shards: Iterable[Sequence[RowMessage]], *, descending: bool, limit: int, more: bool
 ) -> MergedPage:
-    """Merge sorted shard rows and cut them at ``limit``.
+    """Merge sorted shard rows and truncate them to ``limit``.
 
-    :param more: whether some shard itself has rows beyond those it sent.
+    :param more: whether at least one shard has rows beyond those it returned.
     """
     key = attrgetter("order", "row_id")
     merged = heapq.merge(*shards, key=key, reverse=descending)
--- a/tinrudder/node/query/operations/__init__.py
+++ b/tinrudder/node/query/operations/__init__.py
@@ -1,1 +1,4 @@
-"""Operations that must run at most once: claimed by a key before they are sent."""
+"""Operations that must run at most once: each claims its key before it is sent.
+
+Owns the operations that this node has received.
+"""
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -1,6 +1,7 @@
-"""Runs operations that must not be repeated: claim the key, send once, tell the truth.
+"""Runs operations at most once: claims the key, sends the call once, and reports what is known.
 
-docs/CLAIMS.md has the argument; docs/API.md tells callers what to do after each outcome.
+Owns the running attempts.  docs/CLAIMS.md explains why this is safe; docs/API.md explains what a
+caller should do after each outcome.
 """
 
 from __future__ import annotations
@@ -41,12 +42,12 @@
 from tinrudder.timers import Timers, WallClock
 
 CLAIM_TIME_SHARE = 0.5
-"""Part of the remaining time that asking for votes may take; the rest is for the back end."""
+"""Fraction of the remaining time that collecting votes may take; the rest is for the back end."""
 
 ORDER_BY = "time"
-"""Field by which a back end sorts the rows of its answer; callers of operations name none."""
+"""Field by which a back end sorts its rows; the body of an operation does not specify one."""
 RETRY_AFTER_S = 1.0
-"""Seconds after which a submission without a majority may be made again.  Chosen, not measured."""
+"""``Retry-After`` in seconds for a submission that did not get a majority of votes."""
 CLAIM_LOST = NotRun(
     NotRunReason.NO_QUORUM,
     "other submissions of this key were made at the same time, and none got a majority",
@@ -55,7 +56,7 @@
 
 
 class OperationRunner:
-    """Runs operations on the node that received them."""
+    """Runs the operations that this node receives."""
 
     def __init__(
         self,
@@ -69,7 +70,7 @@
         configuration: Callable[[], Configuration],
         accepts_work: Callable[[], bool],
     ) -> None:
-        """Read the configuration in force through ``configuration`` at every operation."""
+        """Create a runner that reads ``configuration()`` for every operation."""
         self._timers = timers
         self._wall_clock = wall_clock
         self._claims = claims
@@ -84,14 +85,14 @@
 
     @property
     def in_progress(self) -> int:
-        """Return how many operations have no final outcome yet."""
+        """Return the number of operations without a final outcome."""
         return len(self._running)
 
     async def run(self, request: OperationRequest) -> Outcome:
         """Return the outcome of one submission.
 
-        ``NotRun`` is about this submission.  One that is marked as a resubmission is told
-        ``NotRun`` only where no earlier submission can have run either.
+        ``NotRun`` applies to this submission only.  For one marked as a resubmission it becomes
+        ``MayHaveRun``, because an earlier submission may have run.
         """
         outcome = await self._run(request)
         if request.resubmission and isinstance(outcome, NotRun):
@@ -102,7 +103,7 @@
         return outcome
 
     async def _run(self, request: OperationRequest) -> Outcome:
-        """Give a duplicate the outcome of the attempt that this node holds, else begin one."""
+        """Join the attempt that this node holds for the key, or begin one."""
         refusal = self._refusal(request)
         if refusal is not None:
             return refusal
@@ -116,7 +117,10 @@
         return await self._begin(request, key, plan)
 
     def _refusal(self, request: OperationRequest) -> NotRun | None:
-        """Check the times; nothing of a refused submission is ever sent."""
+        """Return why a submission is refused before planning, ``None`` if it is not.
+
+        Checks that the node is not stopping, the deadline and ``valid_until``.
+        """
         if not self._accepts_work():
             return NotRun(NotRunReason.STOPPING, "this node is stopping")
         if self._timers.time() >= request.deadline:
@@ -131,7 +135,7 @@
         return None
 
     def _plan(self, request: OperationRequest) -> QueryPlan | NotRun:
-        """Plan one call to one shard of the newest version."""
+        """Plan one call to one shard of the newest index version."""
         configuration = self._configuration()
         rule = configuration.rules.get(request.rule)
         index = configuration.indexes.get(request.index)
@@ -159,7 +163,7 @@
         return plan
 
     async def _begin(self, request: OperationRequest, key: ClaimKey, plan: QueryPlan) -> Outcome:
-        """Run an attempt in a task of its own: its outcome matters to duplicates, too."""
+        """Run an attempt in its own task, because duplicates may also wait for its outcome."""
         forget_at = request.valid_until + self._claims.limits.clock_skew_s + LINGER_S
         held = self._outcomes.begin(key, request.tenant, request.content(), forget_at)
         if held is None:
@@ -178,7 +182,10 @@
         held: HeldOperation,
         reported: asyncio.Future[Outcome],
     ) -> None:
-        """Take one attempt to its final outcome."""
+        """Run one attempt to its final outcome.
+
+        :param reported: receives the caller's outcome, possibly before the final one is known.
+        """
         outcome: Outcome = MayHaveRun(MayHaveRunReason.NO_ANSWER, "the attempt ended early")
         permit = self._gate.enter(plan)
         try:
@@ -202,7 +209,7 @@
     async def _claim(
         self, request: OperationRequest, plan: QueryPlan, held: HeldOperation
     ) -> Claim:
-        """Ask for the key; the clocks are read before the first vote is asked for."""
+        """Claim the key; both clocks are read before the first vote is requested."""
         now = self._timers.time()
         remaining_s = request.deadline - now
         wall_until = min(request.valid_until, self._wall_clock() + remaining_s)
@@ -224,7 +231,7 @@
         claim: Claim,
         reported: asyncio.Future[Outcome],
     ) -> Outcome:
-        """Send once; give the votes back if nothing was started."""
+        """Send the call once; release the claim if no back end started it."""
         self.needed_calls += 1
         call = OperationCall(request, plan, claim, self._dispatcher, self._timers)
         call.start()
@@ -239,10 +246,10 @@
     async def _may_claim_again(
         self, request: OperationRequest, claim: Claim, held: HeldOperation
     ) -> bool:
-        """Tell whether duplicates took the votes from each other and it is ours to try again.
+        """Return whether duplicates split the votes and this submission may claim once more.
 
-        Of those that met, the one with the lowest name waits for the others to give up; they
-        give up before they wait for it, so nobody waits in a circle.
+        Only the proposer with the lowest name waits for the others to give up.  They give up
+        before they wait for it, so there is no deadlock.
         """
         if not claim.holders or min(claim.holders) < claim.proposer.proposer:
             return False
@@ -261,10 +268,10 @@
     async def _resolve_lost_claim(
         self, request: OperationRequest, claim: Claim, held: HeldOperation
     ) -> Outcome:
-        """Answer a submission that did not get the key.
+        """Return the outcome of a submission that did not get the key.
 
-        Duplicates that took the votes from each other must not wait for each other: this one is
-        known to be over before it asks what became of the others.
+        Settles this attempt before asking the other holders for their outcome: duplicates that
+        split the votes would otherwise wait for each other.
         """
         self._outcomes.settle(held, CLAIM_LOST)
         if not claim.holders:
@@ -277,7 +284,7 @@
         return CLAIM_LOST
 
     async def _join(self, held: HeldOperation, request: OperationRequest) -> Outcome:
-        """Wait for the outcome of an attempt that this node has begun."""
+        """Wait for the outcome of an attempt that this node is running or has run."""
         if held.content != request.content():
             return _outcome_of(StoredAnswer(AnswerStatus.OTHER_REQUEST))
         remaining_s = request.deadline - self._timers.time()
@@ -290,7 +297,7 @@
 
 
 def _shard_of(request: OperationRequest, index: IndexSpec) -> tuple[int, tuple[str, ...]]:
-    """Return the newest version, and the one shard of it that the request's key falls on."""
+    """Return the newest version and its shard selected by a hash of the request key."""
     newest = max(index.versions, key=lambda spec: spec.version)
     names = sorted(shard.shard for shard in newest.shards)
     chosen = xxhash.xxh3_64_intdigest(request.request_key.encode()) % len(names)
@@ -298,7 +305,7 @@
 
 
 def _outcome_of(answer: StoredAnswer) -> Outcome:
-    """Turn the word of a key's holder into the duplicate's outcome."""
+    """Convert the answer of a key's holder to the duplicate's outcome."""
     match answer.status:
         case AnswerStatus.OTHER_REQUEST:
             detail = "the key belongs to another request"
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -1,6 +1,7 @@
-"""Sends one claimed operation to one back end, and never again once bytes may have left.
+"""Sends one claimed operation, and never again once bytes of the call may have been sent.
 
-Owns the one call; relies on the claim for the permission to send, and on the dispatcher for room.
+Owns the call.  The claim permits sending; the dispatcher queues the call until a back end has a
+free slot.
 """
 
 from __future__ import annotations
@@ -40,15 +41,15 @@
 from tinrudder.timers import Timers
 
 LINGER_S = 5.0
-"""How long after the caller's deadline a sent call's answer is still waited for: a duplicate can
-then be given it."""
+"""Seconds after the caller's deadline for which the answer to a sent call is still awaited, so that
+duplicates can receive it."""
 
 
 class OperationCall:
-    """One dispatch of one claim.
+    """The dispatch of one claimed operation.
 
-    ``reported`` is the caller's outcome, known by the deadline; ``final`` may come later and know
-    more, namely when the answer arrives after a caller was told that the request may have run.
+    ``reported`` is the caller's outcome and is set by the deadline.  ``final`` may be set later
+    and be more precise: the answer may arrive after ``MayHaveRun`` was reported to the caller.
     """
 
     def __init__(
@@ -59,7 +60,7 @@
         dispatcher: Dispatcher,
         timers: Timers,
     ) -> None:
-        """Prepare; nothing is sent before :meth:`start`."""
+        """Create a call; nothing is sent before :meth:`start`."""
         loop = asyncio.get_running_loop()
         self.reported: asyncio.Future[Outcome] = loop.create_future()
         self.final: asyncio.Future[Outcome] = loop.create_future()
@@ -75,7 +76,7 @@
         self._linger_timer = timers.call_at(request.deadline + LINGER_S, self._on_linger_end)
 
     def start(self) -> None:
-        """Offer the call to the back ends that have not refused it."""
+        """Submit the call to the back ends that are not draining and have not refused it."""
         planned = self._plan.shards[0]
         candidates = tuple(
             backend
@@ -99,7 +100,7 @@
         self._dispatcher.submit(self._pending)
 
     def _send(self, backend: BackendRecord) -> None:
-        """Send, if the claim still allows it at this very moment."""
+        """Send the call if the claim still permits it."""
         self._pending = None
         if self.final.done():
             return
@@ -134,7 +135,7 @@
         )
 
     def _on_reply(self, _sent: SentCall, reply: BackendReply) -> None:
-        """Take the one reply of the call that was sent."""
+        """Process the reply to the sent call."""
         self._sent = None
         if self.final.done():
             return
@@ -148,14 +149,14 @@
                 self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
 
     def _retry_elsewhere(self) -> None:
-        """Go to another replica; none has started the operation so far."""
+        """Try another replica; no back end has started the operation so far."""
         if self.reported.done():
             self._end(NotRun(NotRunReason.OVERLOADED, "the back end did not start it"))
             return
         self.start()
 
     def _outcome_of_answer(self, answer: SearchAnswer) -> Outcome:
-        """Turn an answer into an outcome; whatever it holds, the operation ran."""
+        """Convert an answer to an outcome; any answer means that the operation ran."""
         shard = self._plan.shards[0].spec.shard
         rows = next((rows for rows in answer.shards if rows.shard == shard), None)
         if rows is None or answer.version != self._plan.version:
@@ -169,12 +170,12 @@
         return Complete(Answer(answer.version, page.rows, Coverage((shard,)), None))
 
     def _on_queue_refusal(self) -> None:
-        """End a call that left the queue unsent."""
+        """End a call that was dropped from the queue."""
         self._pending = None
         self._end(NotRun(NotRunReason.OVERLOADED, "no back end had room in time"))
 
     def _on_deadline(self) -> None:
-        """Tell the caller what is known; a sent call is neither cancelled nor repeated."""
+        """Report the caller's outcome; a sent call is neither cancelled nor repeated."""
         if self._sent is None or not self._sent.call.may_have_left:
             self._end(NotRun(NotRunReason.DEADLINE, "the deadline passed before it was sent"))
         elif not self.reported.done():
@@ -182,11 +183,11 @@
             self.reported.set_result(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
 
     def _on_linger_end(self) -> None:
-        """Stop waiting for an answer."""
+        """Stop waiting for the answer."""
         self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, "sent, and never answered"))
 
     def _end(self, outcome: Outcome) -> None:
-        """Settle both outcomes once, and free what the call holds."""
+        """Set both outcomes, once, and release timers, queue slot and call."""
         if self.final.done():
             return
         self._deadline_timer.cancel()
--- a/tinrudder/node/query/operations/operation_outcomes.py
+++ b/tinrudder/node/query/operations/operation_outcomes.py
@@ -1,6 +1,7 @@
 """Outcomes of operations that this node ran or is running, kept for duplicates.
 
-Bounded by the claims' window, by a number per tenant, and by bytes.
+Owns these outcomes.  They are bounded by the claim window, by number per tenant and in total, and
+by size.
 """
 
 from __future__ import annotations
@@ -21,25 +22,26 @@
 from tinrudder.node.wire.relay_codec import RelayCodecError, encode_outcome
 
 MAX_OPERATIONS_PER_TENANT = 5_000
-"""Operations of one tenant held in one window; further ones are not run.  Bounds memory, and keeps
-one tenant from taking what all have."""
+"""Maximum number of operations of one tenant held in one window; further ones are refused.  Bounds
+memory and prevents one tenant from using up the total."""
 MAX_OPERATIONS = 20_000
-"""Operations held in all."""
+"""Maximum number of operations held for all tenants."""
 MAX_OUTCOME_BYTES = 64 * 1024
-"""Largest outcome that is kept for duplicates; a larger one is told once."""
+"""Maximum size in bytes of an outcome kept for duplicates on other nodes."""
 MAX_TOTAL_BYTES = 16 * 1024 * 1024
-"""Bytes of outcomes kept in all; the oldest are dropped."""
+"""Maximum total size in bytes of the outcomes kept; the oldest are dropped first."""
 
 
 @dataclass(slots=True, eq=False)
 class HeldOperation:
-    """One attempt of this node.
-
-    :param content: digest of what was asked; a different request gets no answer of this one.
-    :param forget_at: wall-clock seconds.
-    :param settled: what became of this very attempt.
-    :param finished: what its submission is told, which may be another attempt's outcome.
-    :param proposers: under which names votes were asked for.
+    """One attempt of this node to run an operation.
+
+    :param content: digest of the request; a different request does not get this outcome.
+    :param forget_at: wall-clock time in seconds at which the attempt is dropped.
+    :param settled: the outcome of this attempt.
+    :param finished: the outcome of its submission, which may be that of another attempt.
+    :param proposers: proposer ids under which votes were requested.
+    :param encoded: the encoded outcome, empty if it is unknown, too large or dropped.
     """
 
     key: ClaimKey
@@ -56,7 +58,7 @@
     """This node's operations by key and by proposer."""
 
     def __init__(self, wall_clock: Callable[[], float]) -> None:
-        """Forget by ``wall_clock``."""
+        """Create an empty table that expires attempts by ``wall_clock``."""
         self._wall_clock = wall_clock
         self._by_key: dict[ClaimKey, HeldOperation] = {}
         self._by_proposer: dict[ProposerId, HeldOperation] = {}
@@ -66,18 +68,18 @@
         self._bytes = 0
 
     def __len__(self) -> int:
-        """Return how many operations are held."""
+        """Return the number of operations held."""
         return len(self._by_age)
 
     def find(self, key: ClaimKey) -> HeldOperation | None:
-        """Return the latest attempt for a key."""
+        """Return the latest attempt for a key, ``None`` if there is none."""
         self._forget_expired()
         return self._by_key.get(key)
 
     def begin(
         self, key: ClaimKey, tenant: str, content: bytes, forget_at: float
     ) -> HeldOperation | None:
-        """Hold a new attempt; ``None`` if the tenant, or this node, holds too many already."""
+        """Add a new attempt; ``None`` if the tenant or this node has reached its limit."""
         if self._count_by_tenant.get(tenant, 0) >= MAX_OPERATIONS_PER_TENANT:
             return None
         if len(self._by_age) >= MAX_OPERATIONS:
@@ -92,18 +94,18 @@
         return held
 
     def register_proposer(self, held: HeldOperation, proposer: ProposerId) -> None:
-        """Let other nodes ask for an attempt by its proposer."""
+        """Register a proposer id under which other nodes can look up the attempt."""
         held.proposers.append(proposer)
         self._by_proposer[proposer] = held
 
     def settle(self, held: HeldOperation, outcome: Outcome) -> None:
-        """Note what became of an attempt, for duplicates that ask."""
+        """Set the outcome of an attempt, for duplicates on other nodes."""
         if not held.settled.done():
             held.settled.set_result(outcome)
             self._encode(held, outcome)
 
     def finish(self, held: HeldOperation, outcome: Outcome) -> None:
-        """Keep an outcome; one that did not run leaves the key free for another attempt."""
+        """Set the outcome of a submission; ``NotRun`` frees the key for another attempt."""
         if held.finished.done():
             return
         self.settle(held, outcome)
@@ -112,7 +114,7 @@
             del self._by_key[held.key]
 
     async def answer(self, question: AnswerQuestion) -> StoredAnswer:
-        """Tell another node what became of an attempt, as soon as it is known."""
+        """Return the outcome of an attempt to another node, waiting until it is known."""
         held = self._by_proposer.get(question.proposer)
         if held is None or held.key != question.key:
             return StoredAnswer(AnswerStatus.UNKNOWN)
@@ -124,7 +126,7 @@
         return StoredAnswer(AnswerStatus.RAN, held.encoded)
 
     def _encode(self, held: HeldOperation, outcome: Outcome) -> None:
-        """Keep the encoded outcome; the oldest ones are dropped when there are too many bytes."""
+        """Store the encoded outcome; drop the oldest ones above the total size limit."""
         try:
             encoded = encode_outcome(outcome)
         except RelayCodecError:
@@ -142,7 +144,7 @@
         held.encoded = b""
 
     def _forget_expired(self) -> None:
-        """Forget attempts whose window has passed, oldest first."""
+        """Drop the attempts whose window has passed, oldest first."""
         now = self._wall_clock()
         while self._by_age and self._by_age[0].forget_at <= now:
             held = self._by_age.popleft()
--- a/tinrudder/node/query/plan.py
+++ b/tinrudder/node/query/plan.py
@@ -1,7 +1,7 @@
-"""Planning: check the request against the configuration and pin one index version.
+"""Plans a query: checks the request against the configuration and pins one index version.
 
-Owns what is joined once for each configuration, and the latest choice among versions.  Relies on
-the configuration in force and on the back-end table.
+Owns the plan templates cached for the current configuration and back-end table, and the latest
+version choice of each.
 """
 
 from __future__ import annotations
@@ -20,13 +20,13 @@
 from tinrudder.timers import Timers
 
 VERSION_CHOICE_LIFETIME_S = 0.05
-"""Seconds for which a choice among several versions stands: choosing looks at every replica of
-every shard.  Chosen, not measured."""
+"""Seconds for which a choice among several versions is cached: choosing scans every replica of
+every shard."""
 
 
 @dataclass(frozen=True, slots=True)
 class PlannedShard:
-    """A shard and the back ends that hold it at the pinned version."""
+    """A shard and the back ends that serve it at the pinned version."""
 
     spec: ShardSpec
     candidates: tuple[BackendRecord, ...]
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class QueryPlan:
-    """Everything decided before the first call: one version, its shards, its rule.
+    """What is decided before the first call: index version, shards, rule and routing.
 
     :param repeatable: whether a call that may have run may be sent again.
     """
@@ -49,7 +49,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Tell whether a call that may have run may be sent again."""
+        """Return whether a call that may have run may be sent again."""
         return self.rule.repeatable and self.request.operation is None
 
 
@@ -58,7 +58,7 @@
 
 @dataclass(slots=True, eq=False)
 class _PlanTemplate:
-    """What queries of one rule and index have in common under one configuration.
+    """The parts of a plan shared by all queries of one rule and index under one configuration.
 
     :param best_version_until: monotonic time at which ``best_version`` expires.
     """
@@ -73,7 +73,7 @@
 
 
 class Planner:
-    """Plans queries; what does not depend on the request is kept until something changes."""
+    """Plans queries; caches what does not depend on the request until its inputs change."""
 
     def __init__(
         self,
@@ -82,7 +82,7 @@
         backends: BackendTable,
         routing: RoutingTable,
     ) -> None:
-        """Read the configuration in force through ``configuration`` at every query."""
+        """Create a planner that reads ``configuration()`` for every query."""
         self._timers = timers
         self._configuration = configuration
         self._backends = backends
@@ -93,9 +93,9 @@
         self._built_at_generation = -1
 
     def plan(self, request: QueryRequest) -> QueryPlan | Refusal:
-        """Plan a request, or say why it cannot run.
+        """Return a plan for a request, or the reason why it cannot run.
 
-        A tenant that may not use a service gets the same answer as for one that does not exist.
+        A service that the tenant may not use is reported like one that does not exist.
         """
         configuration = self._configuration()
         template = self._template(configuration, request)
@@ -108,8 +108,8 @@
     def replan(self, plan: QueryPlan) -> QueryPlan | None:
         """Plan a query again on another version that now reaches more shards.
 
-        :returns: ``None`` for later pages, which stay on their version, for what must not be
-            repeated, and where no other version reaches more.
+        :returns: ``None`` for later pages, which keep their version, for queries that must not be
+            repeated, and if no other version reaches more shards.
         """
         request = plan.request
         if request.version is not None or not plan.repeatable:
@@ -125,13 +125,13 @@
         return planned if isinstance(planned, QueryPlan) else None
 
     def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
-        """Remember that a back end does not serve the plan's version."""
+        """Record that a back end does not serve the plan's version."""
         self._hints.note_gone(backend, plan.request.index, plan.version)
 
     def _build_plan(
         self, request: QueryRequest, template: _PlanTemplate, weight: int, version: int
     ) -> QueryPlan | Refusal:
-        """Build the plan for a version."""
+        """Build the plan for one version, or return why the request cannot run on it."""
         shards = template.versions.get(version)
         if shards is None:
             return Failed(FailedReason.VERSION_GONE, f"version: {version} is no longer served")
@@ -149,7 +149,7 @@
     def _template(
         self, configuration: Configuration, request: QueryRequest
     ) -> _PlanTemplate | None:
-        """Return what queries of this rule and index have in common."""
+        """Return the cached template of this rule and index, building it if necessary."""
         changed = configuration is not self._built_from
         if changed or self._backends.generation != self._built_at_generation:
             self._templates.clear()
@@ -166,7 +166,7 @@
     def _build_template(
         self, configuration: Configuration, request: QueryRequest
     ) -> _PlanTemplate | None:
-        """Join rule, index and service; ``None`` when they do not belong together."""
+        """Join rule, index and service; ``None`` if one is missing or the services differ."""
         rule = configuration.rules.get(request.rule)
         index = configuration.indexes.get(request.index)
         if rule is None or index is None or index.service != rule.service:
@@ -182,13 +182,13 @@
         return _PlanTemplate(rule, index.service, tenants, versions, routing)
 
     def _planned_shards(self, spec: IndexVersionSpec) -> tuple[PlannedShard, ...]:
-        """Bind a version's shards to the records of their back ends."""
+        """Resolve a version's shards to the records of their back ends."""
         return tuple(
             PlannedShard(shard, self._backends.records(shard.backends)) for shard in spec.shards
         )
 
     def _choose_version(self, template: _PlanTemplate, index: str) -> int:
-        """Return the version with the best reachable coverage, the newest on a tie."""
+        """Return the version with the largest reachable share, the newest one on a tie."""
         versions = template.versions
         if len(versions) == 1:
             return next(iter(versions))
@@ -203,17 +203,17 @@
     def _reachable_share(
         self, versions: dict[int, tuple[PlannedShard, ...]], version: int, index: str
     ) -> float:
-        """Return the share of a version's shards that have a usable replica."""
+        """Return the fraction of a version's shards that have a usable replica."""
         replicas = [shard.candidates for shard in versions[version]]
         return self._hints.reachable_share(replicas, index, version)
 
 
 def _has_usable_backend(shard: PlannedShard) -> bool:
-    """Tell whether one of a shard's back ends may get new work."""
+    """Return whether at least one of a shard's back ends accepts new calls."""
     return any(not backend.leaving for backend in shard.candidates)
 
 
 def _unknown_resource(request: QueryRequest) -> NotRun:
-    """Answer alike for what is absent and for what the tenant may not see."""
+    """Return the same refusal for a missing resource and for one hidden from the tenant."""
     detail = f"index or rule: no {request.index!r} with rule {request.rule!r} for this tenant"
     return NotRun(NotRunReason.UNKNOWN_RESOURCE, detail)
--- a/tinrudder/node/query/relay.py
+++ b/tinrudder/node/query/relay.py
@@ -1,7 +1,8 @@
-"""One relayed query between two nodes: the sending and the receiving end.
+"""Relays a query between two nodes: client and server side.
 
-A relayed query goes on to another node at most once, marked as forwarded, so there are no loops.
-Cancelling the sender's task cancels the receiver's, through the peer transport.
+Owns the count of relayed queries in progress on this node.  A relayed query is forwarded at most
+once and marked as such, which prevents loops.  Cancelling the client's task cancels the server's
+through the peer transport.
 """
 
 from __future__ import annotations
@@ -23,27 +24,28 @@
 from tinrudder.timers import Timers, WallClock
 
 RETURN_MARGIN_S = 0.005
-"""Seconds that the coordinator must end before the entry, for the way of its outcome: five times
-the way between zones.  At load 20 to 35 on 12 cores 0 to 2 of some 4,500 queries came too late all
-the same (docs/COORDINATORS.md)."""
+"""Seconds by which the coordinator's deadline is earlier than the entry's, so that its outcome can
+still be transmitted: five times the network latency between zones.  At load 20 to 35 on 12 cores,
+0 to 2 of about 4,500 queries were still late (docs/COORDINATORS.md)."""
 RETURN_MARGIN_SHARE = 0.1
-"""The same as a part of the time left, for queries with little of it."""
+"""Upper bound of the margin as a fraction of the remaining time: applies close to the deadline."""
 MAX_CLOCK_SKEW_S = 1.0
-"""Seconds by which the wall clocks of two nodes may differ before a relayed query is taken for one
-that waited in a paused process."""
+"""Tolerated difference in seconds between the wall clocks of two nodes.  A relayed query that is
+older than its remaining time by more than this is refused as expired."""
 
 RelayedRunner = Callable[[QueryRequest, bool], Awaitable[Outcome]]
-"""Runs a relayed query; the flag tells that it was forwarded and must not go further."""
+"""Runs a relayed query.  The flag is true if the query was already forwarded; it must then run on
+this node."""
 
 PROBE = b""
-"""Asks only for an answer, which is as empty; no query is that short."""
+"""Payload of a probe and of its answer.  It is empty, which no encoded query is."""
 
 
 class RelayClient:
-    """Sends queries to coordinators."""
+    """Relays queries to coordinators and probes them."""
 
     def __init__(self, channel: PeerTransport, timers: Timers, wall_clock: WallClock) -> None:
-        """Send over ``channel``."""
+        """Create a client that sends over ``channel``."""
         self._channel = channel
         self._timers = timers
         self._wall_clock = wall_clock
@@ -53,11 +55,12 @@
     ) -> Outcome:
         """Return the outcome that the coordinator reports.
 
-        The coordinator gets a little less time than is left, so that what it has at its
-        deadline still arrives before ours.
+        The coordinator gets slightly less than the remaining time, so that its outcome arrives
+        before this node's deadline.
 
         :raises PeerNotSentError: the coordinator cannot have received the query.
-        :raises PeerLostError: it may have run the query; no readable outcome came in time.
+        :raises PeerLostError: the coordinator may have run the query, but no readable outcome
+            arrived in time.
         """
         remaining_s = request.deadline - self._timers.time()
         margin_s = min(RETURN_MARGIN_S, remaining_s * RETURN_MARGIN_SHARE)
@@ -73,12 +76,12 @@
             raise PeerLostError(f"{coordinator}: {error}") from error
 
     async def probe(self, coordinator: PeerAddress, timeout_s: float) -> None:
-        """Return when the coordinator has answered; raises as :meth:`run` does."""
+        """Return when the coordinator has answered; raises the same errors as :meth:`run`."""
         await self._channel.request(coordinator, PROBE, timeout_s)
 
 
 class RelayServer:
-    """Runs queries that other nodes relay to this one."""
+    """Runs the queries that other nodes relay to this node."""
 
     def __init__(
         self,
@@ -88,7 +91,7 @@
         run: RelayedRunner,
         accepts_work: Callable[[], bool],
     ) -> None:
-        """Listen on ``channel``; refuse new work once ``accepts_work`` returns ``False``."""
+        """Listen on ``channel``; refuse queries once ``accepts_work`` returns ``False``."""
         self._timers = timers
         self._wall_clock = wall_clock
         self._run_query = run
@@ -111,7 +114,7 @@
             return encode_outcome(Failed(FailedReason.BACKEND_ERROR, str(error)))
 
     async def _run(self, payload: bytes) -> Outcome:
-        """Decode, check that the query is still wanted, and run it."""
+        """Decode and run a query, unless this node is stopping or the query has expired."""
         if not self._accepts_work():
             return NotRun(NotRunReason.STOPPING, "this node is stopping")
         try:
@@ -124,14 +127,14 @@
         return await self._run_query(replace(query.request, deadline=deadline), query.forwarded)
 
     def _arrived_too_late(self, query: RelayedQuery) -> bool:
-        """Tell whether the query waited, unread, past its deadline.
+        """Return whether the query's deadline had passed before it was read.
 
-        A process that was paused reads old messages when it wakes; ``remaining_s`` alone would
-        make them look fresh.
+        A process that resumes after a pause reads old messages.  ``remaining_s`` is relative and
+        does not show their age, so the age is computed from the wall clocks.
         """
         age_s = self._wall_clock() - query.sent_at
         return age_s > query.remaining_s + MAX_CLOCK_SKEW_S
 
 
 def _ignore_datagram(_source: PeerAddress, _payload: bytes) -> None:
-    """Queries travel as requests only."""
+    """Ignore a datagram: queries are sent as requests only."""
--- a/tinrudder/node/query/relay_attempts.py
+++ b/tinrudder/node/query/relay_attempts.py
@@ -1,6 +1,6 @@
-"""What became of one query's relays, and what may truthfully be said of them.
+"""Tracks one query's relays and derives an outcome that is true for all of them.
 
-Owns the relays that are still silent, until the query ends.
+Owns the relays that have not answered yet, until the query ends.
 """
 
 from __future__ import annotations
@@ -14,10 +14,11 @@
 
 @dataclass(slots=True)
 class RelayAttempts:
-    """The relays of one query that gave no outcome.
+    """The relays of one query that returned no outcome.
 
-    :param lost: coordinators that may have run it without telling.
-    :param unanswered: those among them whose answer may still come, until the deadline.
+    :param lost: number of coordinators that may have run the query and returned no outcome.
+    :param details: an error message of each failed relay.
+    :param unanswered: relays among the lost ones that may still be answered before the deadline.
     """
 
     lost: int = 0
@@ -25,10 +26,10 @@
     unanswered: list[asyncio.Task[Outcome]] = field(default_factory=list)
 
     async def conclude(self, outcome: Outcome | None) -> Outcome:
-        """Return what to report, given the last attempt's outcome if it has one.
+        """Return the outcome to report, given that of the last attempt if it has one.
 
-        "Not run" is false while an earlier attempt may have run, so a coordinator that went
-        silent is waited for.  It may only have been slow, and its answer is as good as any.
+        ``NotRun`` would be false while an earlier attempt may have run.  Unanswered relays are
+        therefore awaited first; their coordinators may only be slow, and their answer is valid.
         """
         if not self.lost and outcome is not None:
             return outcome
@@ -49,8 +50,8 @@
         return MayHaveRun(MayHaveRunReason.RELAY_LOST, "; ".join(self.details))
 
     def cancel_unanswered(self) -> None:
-        """Free the work of coordinators that nobody waits for any more."""
+        """Cancel the unanswered relays, and with them the work of their coordinators."""
         for relayed in self.unanswered:
             if not relayed.cancel() and not relayed.cancelled():
-                # Reading the error tells asyncio that nobody misses it.
+                # Marks the exception as retrieved, so that asyncio does not log it.
                 relayed.exception()
--- a/tinrudder/node/query/reply_reading.py
+++ b/tinrudder/node/query/reply_reading.py
@@ -1,6 +1,6 @@
-"""What a back end's reply means for the shard that was asked.
+"""Interprets a back end's reply for the requested shard.
 
-Pure; the one table from replies to reasons in a coverage.
+Owns the mapping from replies to the reasons in a coverage; pure functions.
 """
 
 from __future__ import annotations
@@ -12,7 +12,7 @@
 
 
 def rows_of(shards: Sequence[ShardRows], wanted: str) -> ShardRows | None:
-    """Return the rows of the shard that was asked."""
+    """Return the rows of the shard ``wanted``, ``None`` if the reply does not contain it."""
     for rows in shards:
         if rows.shard == wanted:
             return rows
@@ -20,7 +20,7 @@
 
 
 def reason_of(reply: BackendReply) -> MissingReason:
-    """Turn a failed call into the reason stated in the coverage."""
+    """Return the reason that the coverage gives for a failed call."""
     if isinstance(reply, VersionGone):
         return MissingReason.VERSION_GONE
     if isinstance(reply, NotSent | Broken):
--- a/tinrudder/node/query/request.py
+++ b/tinrudder/node/query/request.py
@@ -1,6 +1,6 @@
-"""A query as the core sees it: already authenticated, its tenant taken from the credential.
+"""A query after authentication, with the tenant taken from the credential.
 
-Immutable; made by the API from a body, and by ``relay`` from another node.
+Values only.  Created by the API from a request body, and by ``relay`` for another node's query.
 """
 
 from __future__ import annotations
@@ -12,13 +12,14 @@
 class QueryRequest:
     """One query of one tenant.
 
-    :param tenant: the authenticated tenant, never a field of the caller's body.
-    :param deadline: monotonic time of this node by which the outcome must be known.
-    :param version: the pinned index version of a later page, ``None`` on the first.
-    :param after: where the page starts.
-    :param operation: a non-repeatable operation's name, ``None`` for a search.
+    :param tenant: the authenticated tenant, never a field of the request body.
+    :param deadline: this node's monotonic time by which the outcome must be known.
+    :param version: the pinned index version of a later page, ``None`` for the first page.
+    :param after: sort key and id of the row after which the page starts, ``None`` for the first.
+    :param operation: name of a non-repeatable operation, ``None`` for a search.
     :param request_key: the caller's key for a request that must run at most once.
-    :param valid_until: wall-clock seconds until which ``request_key`` is honoured.
+    :param valid_until: wall-clock time in seconds at which ``request_key`` expires.
+    :param shards: the only shards to query, empty for all.
     """
 
     query_id: str
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -1,6 +1,6 @@
-"""How far each shard of a running query has come.
+"""The progress of one shard of a running query.
 
-Owns the calls of one shard; relies on its listener, the fan-out, to act on what happens to them.
+Owns the calls of the shard; its listener, the fan-out, handles their events.
 """
 
 from __future__ import annotations
@@ -16,29 +16,31 @@
 
 
 class ProgressListener(Protocol):
-    """The query a shard belongs to."""
+    """Handles the events of a shard's calls; implemented by the query's fan-out."""
 
     def on_dispatch(self, progress: ShardProgress, backend: BackendRecord) -> None:
-        """Send the shard's waiting call to ``backend``, which has room."""
+        """Send the shard's submitted call to ``backend``, which has a free slot."""
 
     def on_shed(self, progress: ShardProgress) -> None:
-        """Take back the shard's waiting call, which will not be sent."""
+        """Handle the dropping of the shard's submitted call, which will not be sent."""
 
     def on_reply(self, progress: ShardProgress, sent: SentCall, reply: BackendReply) -> None:
-        """Take the reply to one of the shard's calls."""
+        """Handle the reply to one of the shard's calls."""
 
 
 class ShardProgress:
     """One shard of one running query.
 
-    :ivar rows: its rows once it has answered.
-    :ivar problem: why it was given up, if it was.
-    :ivar last_reason: how its latest ended call failed.
-    :ivar touched: some ended call may have been started by its back end.
-    :ivar pending: its call that waits for room, if any.
-    :ivar calls: its calls in flight, oldest first.
-    :ivar first_sent_at: monotonic time of its first call, seconds.
-    :ivar tried: back ends it was sent to.
+    :ivar rows: the shard's rows, ``None`` before it is answered.
+    :ivar problem: why the shard was settled without rows, ``None`` if it was not.
+    :ivar last_reason: why the latest failed call failed.
+    :ivar touched: a back end may have started a call that has ended.
+    :ivar pending: the submitted call that waits for a free slot, if any.
+    :ivar calls: the calls in flight, oldest first.
+    :ivar first_sent_at: monotonic time in seconds at which the first call was sent.
+    :ivar attempts: calls sent, without hedges.
+    :ivar hedges: hedges sent.
+    :ivar tried: back ends that were sent a call; cleared when all were tried and the last one shed.
     """
 
     __slots__ = (
@@ -57,7 +59,7 @@
     )
 
     def __init__(self, planned: PlannedShard, listener: ProgressListener) -> None:
-        """Start without a call."""
+        """Create the progress of a shard without calls."""
         self._listener = listener
         self.planned = planned
         self.rows: ShardRows | None = None
@@ -73,30 +75,30 @@
 
     @property
     def not_started(self) -> bool:
-        """Tell whether no back end can have started this shard's call so far."""
+        """Return whether no back end can have started a call of this shard."""
         if self.touched or self.rows is not None:
             return False
         return not any(sent.call.may_have_left for sent in self.calls)
 
     @property
     def settled(self) -> bool:
-        """Tell whether this shard is done, with or without rows."""
+        """Return whether the shard is done, with rows or without."""
         return self.rows is not None or self.problem is not None
 
     def dispatch(self, backend: BackendRecord) -> None:
-        """Pass on that ``backend`` has room for the waiting call."""
+        """Notify the listener that ``backend`` has a free slot for the submitted call."""
         self._listener.on_dispatch(self, backend)
 
     def shed(self) -> None:
-        """Pass on that the waiting call will not be sent."""
+        """Notify the listener that the submitted call will not be sent."""
         self._listener.on_shed(self)
 
     def take_reply(self, sent: SentCall, reply: BackendReply) -> None:
-        """Pass on a reply."""
+        """Pass a reply to the listener."""
         self._listener.on_reply(self, sent, reply)
 
     def missing_reason(self) -> MissingReason:
-        """Say truthfully why the shard is not in an answer given now."""
+        """Return why the shard would be missing from an answer given now."""
         if self.problem is not None:
             return self.problem
         if self.calls:
