--- a/tests/unit/node/test_at_most_once.py
+++ b/tests/unit/node/test_at_most_once.py
@@ -97,7 +97,7 @@
 
 
 @virtual
-async def test_a_sleep_while_connecting_keeps_the_bytes_back(cluster):
+async def test_pause_while_connecting_prevents_sending(cluster):
     cluster.ledger.connect_s = 0.2
     running = asyncio.create_task(cluster.nodes[0].operate())
     await asyncio.sleep(0.1)
@@ -157,7 +157,7 @@
     assert unknown.reason is NotRunReason.INVALID_REQUEST
 
 
-def test_while_lists_differ_the_old_voters_are_asked_too():
+def test_old_voters_are_asked_too_while_voter_lists_differ():
     async def run():
         cluster = OperationCluster()
         await cluster.start(listed=cluster.nodes[:3])
@@ -175,7 +175,7 @@
     run_virtual(run())
 
 
-def test_without_any_operation_a_superseded_list_loses_its_say():
+def test_superseded_voter_list_expires_without_any_operation():
     async def run():
         cluster = OperationCluster()
         await cluster.start(listed=cluster.nodes[:3])
@@ -196,7 +196,7 @@
     run_virtual(run())
 
 
-def test_two_lists_of_one_revision_are_not_taken_for_one():
+def test_voter_lists_with_equal_revisions_are_distinguished():
     async def run():
         cluster = OperationCluster()
         cluster.learn(1, cluster.nodes[2:], only=cluster.nodes[4:])
--- a/tests/unit/node/test_entry.py
+++ b/tests/unit/node/test_entry.py
@@ -188,7 +188,7 @@
     assert harness.local_runs == 0
 
 
-def test_not_run_is_never_said_after_a_lost_relay() -> None:
+def test_not_run_is_never_reported_after_a_lost_relay() -> None:
     harness = Harness({"a": LOST, "b": REFUSED})
     harness.members = (member("a", "near"), member("b"))
     assert isinstance(harness.run(), MayHaveRun)
@@ -232,7 +232,7 @@
 
 
 @pytest.mark.parametrize(("late", "expected"), [(REMOTE, REMOTE), (REFUSED, REFUSED)])
-def test_slow_coordinator_is_waited_for_before_not_run_is_said(
+def test_slow_coordinator_is_awaited_before_not_run_is_reported(
     late: Outcome, expected: Outcome
 ) -> None:
     harness = Harness({"a": late}, local=REFUSED, delay_s=0.9, probes_time_out=True)
--- a/tests/unit/node/test_explain.py
+++ b/tests/unit/node/test_explain.py
@@ -76,7 +76,7 @@
     assert find(lookup, "acme", "other") is None
 
 
-def test_without_the_coordinator_the_entry_tells_what_it_knows_itself() -> None:
+def test_entry_uses_its_own_record_when_the_coordinator_is_unreachable() -> None:
     assert find(lookups(reachable=False), "acme") == "entry"
 
 
--- a/tests/unit/node/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -120,7 +120,7 @@
     asyncio.run(scenario())
 
 
-def test_what_would_come_too_late_is_refused_unsent() -> None:
+def test_query_that_would_miss_its_deadline_is_refused_unsent() -> None:
     async def scenario() -> None:
         harness = Harness()
         running = []
@@ -182,7 +182,7 @@
             harness.transport.reply(call, Answered(answer, size))
         outcome = await outcome_of(task)
         assert isinstance(outcome, Partial)
-        assert [gap.reason for gap in outcome.answer.coverage.missing] == [
+        assert [missing_shard.reason for missing_shard in outcome.answer.coverage.missing] == [
             MissingReason.TENANT_LIMIT
         ]
         harness.assert_nothing_held()
--- a/tests/unit/node/test_query_decisions.py
+++ b/tests/unit/node/test_query_decisions.py
@@ -235,7 +235,10 @@
         call = next(c for c in service.transport.calls[::-1] if c.request.shards == shard)
         service.transport.reply(call, Broken())
     assert service.timers.now == 0.0
-    missing = {gap.shard: gap.reason for gap in service.outcome.coverage.missing}
+    missing = {
+        missing_shard.shard: missing_shard.reason
+        for missing_shard in service.outcome.coverage.missing
+    }
     assert missing[shard[0]] is MissingReason.BROKEN
     assert MissingReason.GIVEN_UP in missing.values()
     assert all(record.in_flight == 0 for record in service.backends.all_records())
--- a/tinrudder/node/query/explanations/explain_recorder.py
+++ b/tinrudder/node/query/explanations/explain_recorder.py
@@ -97,7 +97,10 @@
         )
 
     def _explain_shards(self) -> tuple[CallExplanation, ...]:
-        missing = {gap.shard: gap.reason.value for gap in self._coverage.missing}
+        missing = {
+            missing_shard.shard: missing_shard.reason.value
+            for missing_shard in self._coverage.missing
+        }
         return tuple(
             CallExplanation(
                 planned.spec.shard,
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -164,8 +164,8 @@
 
     async def _begin(self, request: OperationRequest, key: ClaimKey, plan: QueryPlan) -> Outcome:
         """Run an attempt in its own task, because duplicates may also wait for its outcome."""
-        forget_at = request.valid_until + self._claims.limits.clock_skew_s + LINGER_S
-        held = self._outcomes.begin(key, request.tenant, request.content(), forget_at)
+        expires_at = request.valid_until + self._claims.limits.clock_skew_s + LINGER_S
+        held = self._outcomes.begin(key, request.tenant, request.content(), expires_at)
         if held is None:
             detail = "the cap on operations in one window is reached"
             return NotRun(NotRunReason.TENANT_LIMIT, detail, self._claims.limits.window_s)
--- a/tinrudder/node/query/operations/operation_outcomes.py
+++ b/tinrudder/node/query/operations/operation_outcomes.py
@@ -37,7 +37,7 @@
     """One attempt of this node to run an operation.
 
     :param content: digest of the request; a different request does not get this outcome.
-    :param forget_at: wall-clock time in seconds at which the attempt is dropped.
+    :param expires_at: wall-clock time in seconds at which the attempt is dropped.
     :param settled: the outcome of this attempt.
     :param finished: the outcome of its submission, which may be that of another attempt.
     :param proposers: proposer ids under which votes were requested.
@@ -47,7 +47,7 @@
     key: ClaimKey
     tenant: str
     content: bytes
-    forget_at: float
+    expires_at: float
     settled: asyncio.Future[Outcome]
     finished: asyncio.Future[Outcome]
     proposers: list[ProposerId] = field(default_factory=list)
@@ -73,11 +73,11 @@
 
     def find(self, key: ClaimKey) -> HeldOperation | None:
         """Return the latest attempt for a key, ``None`` if there is none."""
-        self._forget_expired()
+        self._drop_expired()
         return self._by_key.get(key)
 
     def begin(
-        self, key: ClaimKey, tenant: str, content: bytes, forget_at: float
+        self, key: ClaimKey, tenant: str, content: bytes, expires_at: float
     ) -> HeldOperation | None:
         """Add a new attempt; ``None`` if the tenant or this node has reached its limit."""
         if self._count_by_tenant.get(tenant, 0) >= MAX_OPERATIONS_PER_TENANT:
@@ -86,7 +86,7 @@
             return None
         loop = asyncio.get_running_loop()
         held = HeldOperation(
-            key, tenant, content, forget_at, loop.create_future(), loop.create_future()
+            key, tenant, content, expires_at, loop.create_future(), loop.create_future()
         )
         self._by_key[key] = held
         self._by_age.append(held)
@@ -143,10 +143,10 @@
         self._bytes -= len(held.encoded)
         held.encoded = b""
 
-    def _forget_expired(self) -> None:
+    def _drop_expired(self) -> None:
         """Drop the attempts whose window has passed, oldest first."""
         now = self._wall_clock()
-        while self._by_age and self._by_age[0].forget_at <= now:
+        while self._by_age and self._by_age[0].expires_at <= now:
             held = self._by_age.popleft()
             self._count_by_tenant[held.tenant] -= 1
             if not self._count_by_tenant[held.tenant]:
