--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -220,7 +220,7 @@
         self.dispatch_waiting(backend)
 
     def _release(self, backend: BackendRecord) -> None:
-        """Free one slot and dispatch queued calls to it."""
+        """Free one slot; dispatch queued calls, or end a handover if none is queued."""
         backend.in_flight -= 1
         if backend.waiting:
             self.dispatch_waiting(backend)
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -84,7 +84,7 @@
         self._adopt(plan)
 
     def _adopt(self, plan: QueryPlan) -> None:
-        """Reset the state for a plan; only ``_started_before`` outlives an earlier plan."""
+        """Start a plan with empty progress, discarding the progress of an earlier plan."""
         self._plan = plan
         self._routing = plan.routing
         self._progress = [ShardProgress(shard, self) for shard in plan.shards]
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -1,7 +1,8 @@
-"""Runs operations at most once: claims the key, sends the call once, and reports what is known.
+"""Runs operations at most once: claims the key, sends the call, and reports what is known.
 
-Owns the running attempts.  docs/CLAIMS.md explains why this is safe; docs/API.md explains what a
-caller should do after each outcome.
+Owns the running attempts.  A call is never repeated once a back end may have started it.
+docs/CLAIMS.md explains why this is safe; docs/API.md explains what a caller should do after each
+outcome.
 """
 
 from __future__ import annotations
@@ -231,7 +232,7 @@
         claim: Claim,
         reported: asyncio.Future[Outcome],
     ) -> Outcome:
-        """Send the call once; release the claim if no back end started it."""
+        """Send the operation's call; release the claim if no back end started it."""
         self.needed_calls += 1
         call = OperationCall(request, plan, claim, self._dispatcher, self._timers)
         call.start()
