--- a/tests/unit/node/test_at_most_once.py
+++ b/tests/unit/node/test_at_most_once.py
@@ -1,4 +1,8 @@
-"""Operations over real claims, in virtual time: each key runs at most once, and outcomes hold."""
+"""Operations with real claims in virtual time: each key runs at most once, with a true outcome.
+
+A key could run twice after split votes, a network partition, a restarted voter, a paused process or
+a retry of a call that may have been sent.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +22,7 @@
 
 
 def virtual(scenario):
-    """Run a test's coroutine, given a started cluster, in virtual time."""
+    """Run a test coroutine in virtual time, with a started cluster as its argument."""
 
     async def run():
         await scenario(await OperationCluster().start())
@@ -74,17 +78,17 @@
 
 @virtual
 async def test_a_claim_is_not_honoured_after_a_sleep(cluster):
-    sleeper = cluster.nodes[0]
-    claim = sleeper.claims.claim
+    paused = cluster.nodes[0]
+    claim = paused.claims.claim
 
-    async def claim_then_sleep(*arguments):
+    async def claim_then_pause(*arguments):
         won = await claim(*arguments)
         assert won.won
-        sleeper.clock.sleep(30.0)
+        paused.clock.sleep(30.0)
         return won
 
-    sleeper.claims.claim = claim_then_sleep
-    outcome = await sleeper.operate()
+    paused.claims.claim = claim_then_pause
+    outcome = await paused.operate()
     assert isinstance(outcome, NotRun) and outcome.reason is NotRunReason.DEADLINE
     assert not cluster.ledger.ran
     await asyncio.sleep(0.1)
@@ -93,7 +97,7 @@
 
 
 @virtual
-async def test_a_sleep_while_connecting_keeps_the_bytes_back(cluster):
+async def test_pause_while_connecting_prevents_sending(cluster):
     cluster.ledger.connect_s = 0.2
     running = asyncio.create_task(cluster.nodes[0].operate())
     await asyncio.sleep(0.1)
@@ -153,7 +157,7 @@
     assert unknown.reason is NotRunReason.INVALID_REQUEST
 
 
-def test_while_lists_differ_the_old_voters_are_asked_too():
+def test_old_voters_are_asked_too_while_voter_lists_differ():
     async def run():
         cluster = OperationCluster()
         await cluster.start(listed=cluster.nodes[:3])
@@ -171,7 +175,7 @@
     run_virtual(run())
 
 
-def test_without_any_operation_a_superseded_list_loses_its_say():
+def test_superseded_voter_list_expires_without_any_operation():
     async def run():
         cluster = OperationCluster()
         await cluster.start(listed=cluster.nodes[:3])
@@ -192,7 +196,7 @@
     run_virtual(run())
 
 
-def test_two_lists_of_one_revision_are_not_taken_for_one():
+def test_voter_lists_with_equal_revisions_are_distinguished():
     async def run():
         cluster = OperationCluster()
         cluster.learn(1, cluster.nodes[2:], only=cluster.nodes[4:])
@@ -205,21 +209,21 @@
     run_virtual(run())
 
 
-class Disturbance:
-    """Submissions of few keys through random nodes, while links, voters and clocks fail."""
+class FaultInjector:
+    """Submits a few keys through random nodes while injecting partitions, restarts and pauses."""
 
     def __init__(self, cluster, source):
         self.cluster = cluster
         self.source = source
-        self.told = {}
+        self.reported = {}
 
     async def submit(self, order):
         await asyncio.sleep(self.source.uniform(0.0, 3.0))
         node = self.source.choice(self.cluster.nodes)
         outcome = await node.operate(order)
-        self.told.setdefault(order, []).append(outcome)
+        self.reported.setdefault(order, []).append(outcome)
 
-    async def disturb(self):
+    async def inject_faults(self):
         nodes = self.cluster.nodes
         for _ in range(25):
             await asyncio.sleep(self.source.uniform(0.0, 0.25))
@@ -234,7 +238,7 @@
                     self.source.choice(nodes).clock.sleep(self.source.choice((0.5, 5.0)))
 
     def check(self):
-        for order, outcomes in self.told.items():
+        for order, outcomes in self.reported.items():
             runs = self.cluster.ledger.ran[order]
             assert runs <= 1
             if all(isinstance(outcome, NotRun) for outcome in outcomes):
@@ -248,10 +252,10 @@
     async def run():
         cluster = await OperationCluster(nodes=7, seed=seed).start()
         cluster.ledger.connect_s = 0.02
-        disturbance = Disturbance(cluster, random.Random(seed))
-        submissions = (disturbance.submit(f"o-{number % 8}") for number in range(40))
-        await asyncio.gather(disturbance.disturb(), *submissions)
-        disturbance.check()
+        fault_injector = FaultInjector(cluster, random.Random(seed))
+        submissions = (fault_injector.submit(f"o-{number % 8}") for number in range(40))
+        await asyncio.gather(fault_injector.inject_faults(), *submissions)
+        fault_injector.check()
 
     run_virtual(run())
 
--- a/tests/unit/node/test_entry.py
+++ b/tests/unit/node/test_entry.py
@@ -1,4 +1,4 @@
-"""The entry: where a query goes, and what is said when relays are lost."""
+"""The entry: which coordinator gets a query, and the outcome when relays are lost."""
 
 from __future__ import annotations
 
@@ -47,14 +47,14 @@
 
 @dataclass
 class Harness:
-    """An entry in zone ``near`` before coordinators that react as scripted."""
+    """An entry in zone ``near`` whose coordinators react as scripted."""
 
     reactions: dict[str, Reaction] = field(default_factory=dict)
     repeatable: bool = True
     local: Outcome = LOCAL
     step_s: float = 0.0
     delay_s: float = 0.0
-    deaf: bool = False
+    probes_time_out: bool = False
     timers: ManualTimers = field(default_factory=ManualTimers)
     asked: list[str] = field(default_factory=list)
     probed: list[str] = field(default_factory=list)
@@ -138,7 +138,7 @@
         reaction = self.harness.reactions[coordinator.host]
         if isinstance(reaction, Exception):
             raise reaction
-        if self.harness.deaf:
+        if self.harness.probes_time_out:
             raise SILENT
 
 
@@ -188,7 +188,7 @@
     assert harness.local_runs == 0
 
 
-def test_not_run_is_never_said_after_a_lost_relay() -> None:
+def test_not_run_is_never_reported_after_a_lost_relay() -> None:
     harness = Harness({"a": LOST, "b": REFUSED})
     harness.members = (member("a", "near"), member("b"))
     assert isinstance(harness.run(), MayHaveRun)
@@ -206,7 +206,7 @@
     harness = Harness({"a": NOT_SENT, "b": NOT_SENT}, repeatable=False)
     assert harness.run() == LOCAL
     assert harness.run() == LOCAL
-    assert len(harness.asked) == 2, "failed coordinators are left alone for a while"
+    assert len(harness.asked) == 2, "a failed coordinator got another query within its back-off"
 
 
 def test_failed_coordinator_gets_no_query_before_a_probe_has_succeeded() -> None:
@@ -232,13 +232,13 @@
 
 
 @pytest.mark.parametrize(("late", "expected"), [(REMOTE, REMOTE), (REFUSED, REFUSED)])
-def test_slow_coordinator_is_waited_for_before_not_run_is_said(
+def test_slow_coordinator_is_awaited_before_not_run_is_reported(
     late: Outcome, expected: Outcome
 ) -> None:
-    harness = Harness({"a": late}, local=REFUSED, delay_s=0.9, deaf=True)
+    harness = Harness({"a": late}, local=REFUSED, delay_s=0.9, probes_time_out=True)
     assert harness.run() == expected
     assert harness.local_runs == 1
-    harness = Harness({"a": late}, delay_s=0.9, deaf=True)
+    harness = Harness({"a": late}, delay_s=0.9, probes_time_out=True)
     assert harness.run() == LOCAL
     assert harness.cancelled == ["a"]
 
--- a/tests/unit/node/test_explain.py
+++ b/tests/unit/node/test_explain.py
@@ -1,4 +1,4 @@
-"""Explanations: what is recorded, and who finds it from where."""
+"""Explanations: what is recorded, and which tenants and nodes can look it up."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 @dataclass
 class LinkedChannel:
-    """Hands requests straight to one peer's handler."""
+    """Passes requests directly to the handler of one peer."""
 
     peer: LinkedChannel | None = None
     handler: RequestHandler | None = None
@@ -52,16 +52,16 @@
 
 
 def lookups(reachable: bool = True) -> ExplainLookup:
-    """Return the entry's lookup; the coordinator ran query ``q`` of acme."""
+    """Return the entry's lookup, after the coordinator ran query ``q`` of tenant ``acme``."""
     members = CoordinatorSet("service", (Member("coordinator", 1, "z", "r", COORDINATOR),))
     remote, local = LinkedChannel(), LinkedChannel()
     local.peer = remote if reachable else None
-    ran, taken = ExplanationRing(), ExplanationRing()
+    ran, received = ExplanationRing(), ExplanationRing()
     ran.add(explanation("coordinator"))
-    taken.add(explanation("entry"))
+    received.add(explanation("entry"))
     empty = ExplanationRing()
     ExplainLookup("coordinator", remote, ran, empty, lambda _: members)
-    return ExplainLookup("entry", local, empty, taken, lambda _: members)
+    return ExplainLookup("entry", local, empty, received, lambda _: members)
 
 
 def find(lookup: ExplainLookup, tenant: str | None, query_id: str = "q") -> str | None:
@@ -76,13 +76,13 @@
     assert find(lookup, "acme", "other") is None
 
 
-def test_without_the_coordinator_the_entry_tells_what_it_knows_itself() -> None:
+def test_entry_uses_its_own_record_when_the_coordinator_is_unreachable() -> None:
     assert find(lookups(reachable=False), "acme") == "entry"
 
 
 def test_a_coordinator_does_not_tell_one_tenant_of_anothers_query() -> None:
     lookup = lookups()
-    lookup._taken.add(explanation("entry", "rival"))
+    lookup._received.add(explanation("entry", "rival"))
     assert find(lookup, "rival") == "entry"
 
 
@@ -102,7 +102,7 @@
     assert sorted(retried.backends) == ["a", "b"]
     assert (retried.missing, answered.missing) == ("timed_out", "")
     assert retried.waited_ms == 0.0
-    assert found.choice == "least-loaded", "the default is named, too"
+    assert found.choice == "least-loaded", "the default policy must be named as well"
 
 
 @pytest.mark.parametrize(
--- a/tests/unit/node/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -1,4 +1,4 @@
-"""Caps and early refusal on the query path: refused means unsent, and nothing leaks."""
+"""Caps and early refusal: no call of a refused query is sent, and all slots are released."""
 
 from __future__ import annotations
 
@@ -37,7 +37,7 @@
 
 
 class Harness:
-    """A coordinator over one back end of one slot; every query has two shards."""
+    """A coordinator with one back end that has one slot; each query has two shards."""
 
     def __init__(self, **tenant: int) -> None:
         self.timers = ManualTimers()
@@ -120,7 +120,7 @@
     asyncio.run(scenario())
 
 
-def test_what_would_come_too_late_is_refused_unsent() -> None:
+def test_query_that_would_miss_its_deadline_is_refused_unsent() -> None:
     async def scenario() -> None:
         harness = Harness()
         running = []
@@ -182,7 +182,7 @@
             harness.transport.reply(call, Answered(answer, size))
         outcome = await outcome_of(task)
         assert isinstance(outcome, Partial)
-        assert [gap.reason for gap in outcome.answer.coverage.missing] == [
+        assert [missing_shard.reason for missing_shard in outcome.answer.coverage.missing] == [
             MissingReason.TENANT_LIMIT
         ]
         harness.assert_nothing_held()
@@ -209,7 +209,7 @@
     async def scenario() -> None:
         harness = Harness()
         task = await harness.ask()
-        harness.backends.on_update = lambda: harness.dispatcher.fill(harness.record)
+        harness.backends.on_update = lambda: harness.dispatcher.dispatch_waiting(harness.record)
         harness.backends.update(harness.configuration.backends, lambda name, spec: 2)
         for call in harness.transport.calls:
             harness.transport.answer(call, 1.0)
--- a/tinrudder/node/query/explanations/explain_lookup.py
+++ b/tinrudder/node/query/explanations/explain_lookup.py
@@ -1,7 +1,8 @@
-"""Finds the explanation of a query: here, or at a coordinator of its service.
+"""Looks up the explanation of a query on this node, or on a coordinator of its service.
 
-The node that took a query remembers its outcome and service; the coordinator that ran it remembers
-each call.  Ask the node that took it.
+The node that received a query records its outcome and service; the coordinator that ran it records
+each call.  A lookup must be sent to the node that received the query.  Owns no state: the rings
+belong to the node.
 """
 
 from __future__ import annotations
@@ -22,62 +23,63 @@
 )
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 
-ASK_TIMEOUT_S = 1.0
-"""Seconds for another node to answer; an operator waits for it.  Chosen, not measured."""
+LOOKUP_TIMEOUT_S = 1.0
+"""Timeout in seconds for a lookup on another node; the requesting operator waits for it."""
 
 
 class ExplainLookup:
-    """Both ends: asks coordinators, and answers other nodes."""
+    """Client and server of lookups: queries coordinators and answers other nodes."""
 
     def __init__(
         self,
         node_name: str,
         channel: PeerTransport,
         coordinated: ExplanationRing,
-        taken: ExplanationRing,
+        received: ExplanationRing,
         coordinators: Callable[[str], CoordinatorSet],
     ) -> None:
-        """Search two rings.
+        """Create a lookup over two rings.
 
-        :param coordinated: queries that this node ran; :param taken: those callers gave to it.
+        :param coordinated: queries that this node ran.
+        :param received: queries that this node received from callers.
         """
         self._node_name = node_name
         self._channel = channel
         self._coordinated = coordinated
-        self._taken = taken
+        self._received = received
         self._coordinators = coordinators
         channel.listen(_ignore_datagram, self._on_request)
 
     async def find(self, query_id: str, tenant: str | None) -> bytes | None:
-        """Return the best explanation there is, as JSON.
+        """Return the most detailed explanation found, as JSON; ``None`` if there is none.
 
-        :param tenant: whose query it must be, ``None`` for an operator.
+        :param tenant: the tenant that the query must belong to, ``None`` for an operator.
         """
         found = self._coordinated.find(query_id, tenant)
         if found is not None:
             return msgspec.json.encode(found)
-        taken = self._taken.find(query_id, tenant)
-        if taken is None:
+        received = self._received.find(query_id, tenant)
+        if received is None:
             return None
         question = ExplainQuestion(query_id, tenant)
-        for member in self._coordinators(taken.service).members:
+        for member in self._coordinators(received.service).members:
             if member.name == self._node_name:
                 continue
-            explanation = await self._ask(member.address, question)
+            explanation = await self._ask_coordinator(member.address, question)
             if explanation is not None:
                 return explanation
-        return msgspec.json.encode(taken)
+        return msgspec.json.encode(received)
 
-    async def _ask(self, peer: PeerAddress, question: ExplainQuestion) -> bytes | None:
-        """Ask one coordinator; one that is lost knows nothing."""
+    async def _ask_coordinator(self, peer: PeerAddress, question: ExplainQuestion) -> bytes | None:
+        """Request the explanation from one coordinator; ``None`` if it has none or fails."""
         try:
-            answer = await self._channel.request(peer, encode_question(question), ASK_TIMEOUT_S)
+            answer = await self._channel.request(peer, encode_question(question), LOOKUP_TIMEOUT_S)
             return decode_explanation(answer)
         except (PeerNotSentError, PeerLostError, ExplainCodecError):
             return None
 
     async def _on_request(self, _source: PeerAddress, payload: bytes) -> bytes:
-        """Answer another node; an unreadable question is about nothing."""
+        """Answer another node; a malformed request gets an empty answer."""
         try:
             question = decode_question(payload)
         except ExplainCodecError:
@@ -87,4 +89,4 @@
 
 
 def _ignore_datagram(_source: PeerAddress, _payload: bytes) -> None:
-    """Questions travel as requests only."""
+    """Ignore a datagram: lookups are sent as requests only."""
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -1,6 +1,8 @@
-"""Runs operations that must not be repeated: claim the key, send once, tell the truth.
+"""Runs operations at most once: claims the key, sends the call, and reports what is known.
 
-docs/CLAIMS.md has the argument; docs/API.md tells callers what to do after each outcome.
+Owns the running attempts.  A call is never repeated once a back end may have started it.
+docs/CLAIMS.md explains why this is safe; docs/API.md explains what a caller should do after each
+outcome.
 """
 
 from __future__ import annotations
@@ -41,13 +43,13 @@
 from tinrudder.timers import Timers, WallClock
 
 CLAIM_TIME_SHARE = 0.5
-"""Part of the remaining time that asking for votes may take; the rest is for the back end."""
+"""Fraction of the remaining time that collecting votes may take; the rest is for the back end."""
 
 ORDER_BY = "time"
-"""Field by which a back end sorts the rows of its answer; callers of operations name none."""
+"""Field by which a back end sorts its rows; the body of an operation does not specify one."""
 RETRY_AFTER_S = 1.0
-"""Seconds after which a submission without a majority may be made again.  Chosen, not measured."""
-LOST = NotRun(
+"""``Retry-After`` in seconds for a submission that did not get a majority of votes."""
+CLAIM_LOST = NotRun(
     NotRunReason.NO_QUORUM,
     "other submissions of this key were made at the same time, and none got a majority",
     RETRY_AFTER_S,
@@ -55,7 +57,7 @@
 
 
 class OperationRunner:
-    """Runs operations on the node that received them."""
+    """Runs the operations that this node receives."""
 
     def __init__(
         self,
@@ -69,7 +71,7 @@
         configuration: Callable[[], Configuration],
         accepts_work: Callable[[], bool],
     ) -> None:
-        """Read the configuration in force through ``configuration`` at every operation."""
+        """Create a runner that reads ``configuration()`` for every operation."""
         self._timers = timers
         self._wall_clock = wall_clock
         self._claims = claims
@@ -84,14 +86,14 @@
 
     @property
     def in_progress(self) -> int:
-        """Return how many operations have no final outcome yet."""
+        """Return the number of operations without a final outcome."""
         return len(self._running)
 
     async def run(self, request: OperationRequest) -> Outcome:
         """Return the outcome of one submission.
 
-        ``NotRun`` is about this submission.  One that is marked as a resubmission is told
-        ``NotRun`` only where no earlier submission can have run either.
+        ``NotRun`` applies to this submission only.  For one marked as a resubmission it becomes
+        ``MayHaveRun``, because an earlier submission may have run.
         """
         outcome = await self._run(request)
         if request.resubmission and isinstance(outcome, NotRun):
@@ -102,7 +104,7 @@
         return outcome
 
     async def _run(self, request: OperationRequest) -> Outcome:
-        """Give a duplicate the outcome of the attempt that this node holds, else begin one."""
+        """Join the attempt that this node holds for the key, or begin one."""
         refusal = self._refusal(request)
         if refusal is not None:
             return refusal
@@ -116,22 +118,25 @@
         return await self._begin(request, key, plan)
 
     def _refusal(self, request: OperationRequest) -> NotRun | None:
-        """Check the times; nothing of a refused submission is ever sent."""
+        """Return why a submission is refused before planning, ``None`` if it is not.
+
+        Checks that the node is not stopping, the deadline and ``valid_until``.
+        """
         if not self._accepts_work():
             return NotRun(NotRunReason.STOPPING, "this node is stopping")
         if self._timers.time() >= request.deadline:
             return NotRun(NotRunReason.DEADLINE, "deadline: has passed")
-        left_s = request.valid_until - self._wall_clock()
-        if left_s <= 0:
+        remaining_s = request.valid_until - self._wall_clock()
+        if remaining_s <= 0:
             return NotRun(NotRunReason.INVALID_REQUEST, "valid_until: has passed")
         window_s = self._claims.limits.window_s
-        if left_s > window_s:
-            detail = f"valid_until: at most {window_s:g} s ahead, got {left_s:.3f}"
+        if remaining_s > window_s:
+            detail = f"valid_until: at most {window_s:g} s ahead, got {remaining_s:.3f}"
             return NotRun(NotRunReason.INVALID_REQUEST, detail)
         return None
 
     def _plan(self, request: OperationRequest) -> QueryPlan | NotRun:
-        """Plan one call to one shard of the newest version."""
+        """Plan one call to one shard of the newest index version."""
         configuration = self._configuration()
         rule = configuration.rules.get(request.rule)
         index = configuration.indexes.get(request.index)
@@ -159,26 +164,29 @@
         return plan
 
     async def _begin(self, request: OperationRequest, key: ClaimKey, plan: QueryPlan) -> Outcome:
-        """Run an attempt in a task of its own: its outcome matters to duplicates, too."""
-        forget_at = request.valid_until + self._claims.limits.clock_skew_s + LINGER_S
-        held = self._outcomes.begin(key, request.tenant, request.content(), forget_at)
+        """Run an attempt in its own task, because duplicates may also wait for its outcome."""
+        expires_at = request.valid_until + self._claims.limits.clock_skew_s + LINGER_S
+        held = self._outcomes.begin(key, request.tenant, request.content(), expires_at)
         if held is None:
             detail = "the cap on operations in one window is reached"
             return NotRun(NotRunReason.TENANT_LIMIT, detail, self._claims.limits.window_s)
-        told: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        task = asyncio.create_task(self._attempt(request, plan, held, told))
+        reported: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
+        task = asyncio.create_task(self._attempt(request, plan, held, reported))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
-        return await asyncio.shield(told)
+        return await asyncio.shield(reported)
 
     async def _attempt(
         self,
         request: OperationRequest,
         plan: QueryPlan,
         held: HeldOperation,
-        told: asyncio.Future[Outcome],
+        reported: asyncio.Future[Outcome],
     ) -> None:
-        """Take one attempt to its final outcome."""
+        """Run one attempt to its final outcome.
+
+        :param reported: receives the caller's outcome, possibly before the final one is known.
+        """
         outcome: Outcome = MayHaveRun(MayHaveRunReason.NO_ANSWER, "the attempt ended early")
         permit = self._gate.enter(plan)
         try:
@@ -186,23 +194,23 @@
                 outcome = permit
                 return
             claim = await self._claim(request, plan, held)
-            if not claim.won and await self._may_try_again(request, claim, held):
+            if not claim.won and await self._may_claim_again(request, claim, held):
                 claim = await self._claim(request, plan, held)
             if claim.won:
-                outcome = await self._send(request, plan, claim, told)
+                outcome = await self._send(request, plan, claim, reported)
             else:
-                outcome = await self._lost(request, claim, held)
+                outcome = await self._resolve_lost_claim(request, claim, held)
         finally:
             if not isinstance(permit, NotRun):
                 permit.close()
             self._outcomes.finish(held, outcome)
-            if not told.done():
-                told.set_result(outcome)
+            if not reported.done():
+                reported.set_result(outcome)
 
     async def _claim(
         self, request: OperationRequest, plan: QueryPlan, held: HeldOperation
     ) -> Claim:
-        """Ask for the key; the clocks are read before the first vote is asked for."""
+        """Claim the key; both clocks are read before the first vote is requested."""
         now = self._timers.time()
         remaining_s = request.deadline - now
         wall_until = min(request.valid_until, self._wall_clock() + remaining_s)
@@ -214,7 +222,7 @@
             request.valid_until,
             window,
             remaining_s * CLAIM_TIME_SHARE,
-            lambda proposer: self._outcomes.name(held, proposer),
+            lambda proposer: self._outcomes.register_proposer(held, proposer),
         )
 
     async def _send(
@@ -222,27 +230,27 @@
         request: OperationRequest,
         plan: QueryPlan,
         claim: Claim,
-        told: asyncio.Future[Outcome],
+        reported: asyncio.Future[Outcome],
     ) -> Outcome:
-        """Send once; give the votes back if nothing was started."""
+        """Send the operation's call; release the claim if no back end started it."""
         self.needed_calls += 1
         call = OperationCall(request, plan, claim, self._dispatcher, self._timers)
         call.start()
-        early = await call.told
+        interim = await call.reported
         if not call.final.done():
-            told.set_result(early)
+            reported.set_result(interim)
         outcome = await call.final
         if isinstance(outcome, NotRun):
             claim.give_up()
         return outcome
 
-    async def _may_try_again(
+    async def _may_claim_again(
         self, request: OperationRequest, claim: Claim, held: HeldOperation
     ) -> bool:
-        """Tell whether duplicates took the votes from each other and it is ours to try again.
+        """Return whether duplicates split the votes and this submission may claim once more.
 
-        Of those that met, the one with the lowest name waits for the others to give up; they
-        give up before they wait for it, so nobody waits in a circle.
+        Only the proposer with the lowest name waits for the others to give up.  They give up
+        before they wait for it, so there is no deadlock.
         """
         if not claim.holders or min(claim.holders) < claim.proposer.proposer:
             return False
@@ -258,13 +266,15 @@
         timeout_s = max(0.0, request.deadline - self._timers.time())
         return await self._claims.ask_holder(held.key, holder, held.content, timeout_s)
 
-    async def _lost(self, request: OperationRequest, claim: Claim, held: HeldOperation) -> Outcome:
-        """Answer a submission that did not get the key.
+    async def _resolve_lost_claim(
+        self, request: OperationRequest, claim: Claim, held: HeldOperation
+    ) -> Outcome:
+        """Return the outcome of a submission that did not get the key.
 
-        Duplicates that took the votes from each other must not wait for each other: this one is
-        known to be over before it asks what became of the others.
+        Settles this attempt before asking the other holders for their outcome: duplicates that
+        split the votes would otherwise wait for each other.
         """
-        self._outcomes.settle(held, LOST)
+        self._outcomes.settle(held, CLAIM_LOST)
         if not claim.holders:
             detail = "no majority of voters on this key could be reached"
             return NotRun(NotRunReason.NO_QUORUM, detail, RETRY_AFTER_S)
@@ -272,10 +282,10 @@
             answer = await self._ask_holder(request, holder, held)
             if answer.status is not AnswerStatus.NOT_RUN:
                 return _outcome_of(answer)
-        return LOST
+        return CLAIM_LOST
 
     async def _join(self, held: HeldOperation, request: OperationRequest) -> Outcome:
-        """Wait for the outcome of an attempt that this node has begun."""
+        """Wait for the outcome of an attempt that this node is running or has run."""
         if held.content != request.content():
             return _outcome_of(StoredAnswer(AnswerStatus.OTHER_REQUEST))
         remaining_s = request.deadline - self._timers.time()
@@ -288,15 +298,15 @@
 
 
 def _shard_of(request: OperationRequest, index: IndexSpec) -> tuple[int, tuple[str, ...]]:
-    """Return the newest version, and the one shard of it that the request's key falls on."""
-    newest = max(index.versions, key=lambda one: one.version)
+    """Return the newest version and its shard selected by a hash of the request key."""
+    newest = max(index.versions, key=lambda spec: spec.version)
     names = sorted(shard.shard for shard in newest.shards)
     chosen = xxhash.xxh3_64_intdigest(request.request_key.encode()) % len(names)
     return newest.version, (names[chosen],)
 
 
 def _outcome_of(answer: StoredAnswer) -> Outcome:
-    """Turn the word of a key's holder into the duplicate's outcome."""
+    """Convert the answer of a key's holder to the duplicate's outcome."""
     match answer.status:
         case AnswerStatus.OTHER_REQUEST:
             detail = "the key belongs to another request"
