--- a/tinrudder/node/api/__init__.py
+++ b/tinrudder/node/api/__init__.py
@@ -1,4 +1,5 @@
-"""HTTP applications for callers, operations, metrics and health of a node.
+"""HTTP applications of a node: queries, operations, resources, metrics and health.
 
-Translates requests into queries and outcomes into answers; decides nothing about back ends.
+They translate requests into queries and outcomes into responses.  The query core selects
+back ends.
 """
--- a/tinrudder/node/api/authentication.py
+++ b/tinrudder/node/api/authentication.py
@@ -1,4 +1,4 @@
-"""Who a caller is: the tenant comes from the credential and from nowhere else."""
+"""Owns the authentication of callers: the tenant is derived from the credential alone."""
 
 from __future__ import annotations
 
@@ -14,7 +14,8 @@
 def authenticate(authorization: str | None, configuration: Configuration) -> str | None:
     """Return the tenant of a ``Bearer KEY_ID.SECRET`` header, ``None`` if it is not valid.
 
-    The secret's hash is compared in constant time, also for an unknown key id.
+    Hashes are compared in constant time, and also for an unknown key id, so that response times
+    don't reveal which key ids exist.
     """
     if authorization is None or not authorization.startswith(BEARER):
         return None
--- a/tinrudder/node/api/caller_app.py
+++ b/tinrudder/node/api/caller_app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP application: one query in, one truthful outcome out; see docs/API.md."""
+"""Owns the callers' HTTP application, which runs queries and returns outcomes; see docs/API.md."""
 
 from __future__ import annotations
 
@@ -52,19 +52,24 @@
 from tinrudder.timers import Timers
 
 QUERY_ID_BYTES = 16
+"""Random bytes in a query id."""
 UNKNOWN_RESOURCE = NotRun(NotRunReason.UNKNOWN_RESOURCE, "index or rule: unknown to this tenant")
 
 _encoder = msgspec.json.Encoder()
 
 
 def new_query_id() -> str:
-    """Return an id that no caller can guess."""
+    """Return an unguessable id."""
     return secrets.token_hex(QUERY_ID_BYTES)
 
 
 @dataclass(slots=True)
 class CallerQuery:
-    """One query on its way through the application."""
+    """State of one query while the application handles it.
+
+    :param started: clock time at which the body had been read, in seconds.
+    :param rule: ``None`` if index or rule is unknown to the tenant.
+    """
 
     query_id: str
     tenant: str
@@ -75,7 +80,7 @@
 
 
 class CallerApplication:
-    """Authenticates, checks and runs callers' queries."""
+    """Authenticates callers, and validates and runs their queries."""
 
     def __init__(
         self,
@@ -85,7 +90,7 @@
         cursors: CursorCodec,
         observers: Sequence[QueryObserver] = (),
     ) -> None:
-        """Run queries through ``runner``; tell ``observers`` of each that ended."""
+        """Run queries through ``runner`` and pass each finished query to ``observers``."""
         self._timers = timers
         self._runner = runner
         self._configuration = configuration
@@ -144,9 +149,9 @@
         return QueryStream(query_id, query.position, run_page, cursor_of, on_end)
 
     async def _read(self, request: Request, query_id: str) -> CallerQuery:
-        """Authenticate the caller, then read and check its body.
+        """Authenticate the caller, then read and validate the request's body.
 
-        :raises RequestProblemError: naming the field and the rule it breaks.
+        :raises RequestProblemError: naming the field and the rule that it breaks.
         """
         configuration = self._configuration()
         tenant = authenticate(request.headers.get("authorization"), configuration)
@@ -163,7 +168,7 @@
         return query
 
     async def _run(self, request: Request, query: CallerQuery, rule: QueryRuleSpec) -> Outcome:
-        """Run one page; a caller that goes away frees its work."""
+        """Run one page; cancel it if the caller disconnects."""
         core = make_request(
             query.query_id, query.tenant, query.body, rule, query.position, query.started
         )
@@ -173,7 +178,7 @@
             return MayHaveRun(MayHaveRunReason.CANCELLED, "the caller went away")
 
     def _finished(self, query: CallerQuery, outcome: Outcome) -> None:
-        """Tell the observers of an ended query."""
+        """Pass a finished query to the observers."""
         finished = FinishedQuery(
             query.query_id,
             query.tenant,
@@ -188,7 +193,7 @@
             observer(finished)
 
     def _respond(self, query: CallerQuery, outcome: Outcome) -> Response:
-        """Encode an outcome."""
+        """Return the HTTP response for an outcome, with a cursor if there is a next page."""
         cursor = None
         if isinstance(outcome, Complete | Partial) and outcome.answer.next_after is not None:
             position = PagePosition(outcome.answer.version, outcome.answer.next_after)
--- a/tinrudder/node/api/cursor.py
+++ b/tinrudder/node/api/cursor.py
@@ -1,7 +1,8 @@
-"""Page cursors: an index version and a position, sealed to one tenant and one query.
+"""Owns page cursors: an index version and a position, authenticated for one tenant and query.
 
-The seal is an HMAC under a key derived from the cluster key, which all nodes share: any node can
-continue any page, and no caller can move a cursor to another tenant, index or version.
+The authentication code is an HMAC with a key derived from the cluster key, which all nodes share:
+any node can serve the next page, and callers can't use a cursor for another tenant, index or
+version.
 """
 
 from __future__ import annotations
@@ -16,29 +17,31 @@
 import msgspec
 
 SEAL_BYTES = 16
+"""Length in bytes of the truncated HMAC-SHA-256."""
 KEY_PURPOSE = b"tinrudder page cursor"
+"""Separates the derived key from other uses of the cluster key."""
 
 
 class CursorError(Exception):
-    """The cursor is not one that this tier gave to this tenant for this query."""
+    """The cursor was not issued to this tenant for this query, or was modified."""
 
     RULE = "not one given to this tenant for this query"
 
     def __init__(self) -> None:
-        """Say which rule is broken, never why."""
+        """Use the same message for every cause."""
         super().__init__(f"cursor: {self.RULE}")
 
 
 @dataclass(frozen=True, slots=True)
 class PagePosition:
-    """Where a page starts, on which index version."""
+    """The index version of a page, and the order value and id of the row that precedes it."""
 
     version: int
     after: tuple[float, str]
 
 
 class CursorScope(msgspec.Struct, frozen=True, array_like=True):
-    """What a cursor is bound to: pages of another query would not fit together."""
+    """The tenant and query to which a cursor is bound: pages of different queries don't combine."""
 
     tenant: str
     index: str
@@ -56,7 +59,7 @@
 
 
 class CursorCodec:
-    """Seals and opens cursors; the first key seals, all of them open.
+    """Encodes and decodes cursors; the first key signs, and all keys verify.
 
     >>> codec = CursorCodec([b"key"])
     >>> text = codec.encode(PagePosition(7, (1.5, "r")), CursorScope("acme", "stock"))
@@ -68,20 +71,20 @@
     """
 
     def __init__(self, cluster_keys: Sequence[bytes]) -> None:
-        """Derive the cursor keys from the cluster's."""
+        """Derive the cursor keys from the cluster keys."""
         self._keys = tuple(
             hmac.new(key, KEY_PURPOSE, hashlib.sha256).digest() for key in cluster_keys
         )
 
     def encode(self, position: PagePosition, scope: CursorScope) -> str:
-        """Return the cursor of a position."""
+        """Return the cursor for a position."""
         body = msgspec.msgpack.encode(_Sealed(position.version, position.after))
         return base64.urlsafe_b64encode(_seal(self._keys[0], body, scope) + body).decode()
 
     def decode(self, text: str, scope: CursorScope) -> PagePosition:
-        """Return the position.
+        """Return the position of a cursor.
 
-        :raises CursorError: it was not given for this scope, or was changed.
+        :raises CursorError: if it was issued for another scope or was modified.
         """
         try:
             raw = base64.b64decode(text.encode(), altchars=b"-_", validate=True)
--- a/tinrudder/node/api/disconnect.py
+++ b/tinrudder/node/api/disconnect.py
@@ -1,4 +1,4 @@
-"""Noticing that a caller went away while its query runs."""
+"""Owns the cancellation of work whose caller disconnects while it runs."""
 
 from __future__ import annotations
 
@@ -12,14 +12,14 @@
 
 
 class CallerGoneError(Exception):
-    """The caller closed its connection; the work for it has been cancelled."""
+    """The caller closed its connection, and its work was cancelled."""
 
 
 async def run_unless_disconnected(receive: Receive, work: Coroutine[Any, Any, Result]) -> Result:
-    """Return the result of ``work``, whose task is cancelled as soon as the caller goes away.
+    """Return the result of ``work``; cancel it as soon as the caller disconnects.
 
-    :param receive: the request's ASGI receive, after the whole body was read from it.
-    :raises CallerGoneError: the caller went away first.
+    :param receive: the request's ASGI receive function, once the whole body has been read.
+    :raises CallerGoneError: if the caller disconnects before ``work`` ends.
     """
     running = asyncio.ensure_future(work)
     gone = asyncio.ensure_future(_wait_for_disconnect(receive))
--- a/tinrudder/node/api/explain_app.py
+++ b/tinrudder/node/api/explain_app.py
@@ -1,4 +1,4 @@
-"""``GET /v1/explain/{query_id}``: why a finished query went as it did."""
+"""Owns the route ``GET /v1/explain/{query_id}``, which explains how a finished query was run."""
 
 from __future__ import annotations
 
@@ -13,6 +13,7 @@
 from tinrudder.node.resources.configuration import Configuration
 
 MAX_QUERY_ID_LENGTH = 64
+"""Characters.  Longer ids are answered as unknown without a lookup."""
 
 FindExplanation = Callable[[str, str | None], Awaitable[bytes | None]]
 
@@ -22,10 +23,10 @@
     operators: Mapping[str, str],
     configuration: Callable[[], Configuration],
 ) -> Route:
-    """Return the route.
+    """Return the explain route.
 
-    :param find: looks for a query id among a tenant's queries, or all for an operator; returns
-        the explanation as JSON.
+    :param find: called with a query id and a tenant, ``None`` for an operator, who may read the
+        queries of all tenants; returns the explanation as JSON, ``None`` if there is none.
     """
 
     async def show(request: Request) -> Response:
--- a/tinrudder/node/api/finished_query.py
+++ b/tinrudder/node/api/finished_query.py
@@ -1,4 +1,4 @@
-"""What is known of a caller's query once it has ended, for logs, metrics and explain."""
+"""Owns the record of a finished query, which feeds logs, metrics and explain, and the query log."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FinishedQuery:
-    """One ended query of one caller.
+    """A finished query or operation of a caller.
 
-    :param service: the service it went to, empty when index or rule is unknown to the tenant.
-    :param elapsed_s: from the read body to the outcome.
+    :param service: service of the query, empty if index or rule is unknown to the tenant.
+    :param elapsed_s: seconds from reading the body to the outcome.
     """
 
     query_id: str
@@ -31,7 +31,7 @@
 
 
 class QueryLog:
-    """Logs one JSON line per query: all that are not complete, and a share of the others.
+    """Logs a JSON line for each query that is not complete and for a share of the complete ones.
 
     >>> log = QueryLog(0.5)
     >>> [log.takes_next() for _ in range(4)]
@@ -39,12 +39,12 @@
     """
 
     def __init__(self, share: float) -> None:
-        """Log every complete query for ``share`` 1.0, none for 0.0."""
+        """Log this share of complete queries: 1.0 for all, 0.0 for none."""
         self._share = share
         self._due = 0.0
 
     def __call__(self, query: FinishedQuery) -> None:
-        """Log a query if its turn has come or it did not go well."""
+        """Log a query if it is not complete or is selected as a sample."""
         if isinstance(query.outcome, Complete) and not self.takes_next():
             return
         fields: dict[str, LogValue] = {
@@ -60,7 +60,7 @@
         log_event("query", fields)
 
     def takes_next(self) -> bool:
-        """Tell whether the next complete query is logged."""
+        """Count one complete query; return whether to log it."""
         self._due += self._share
         if self._due < 1.0:
             return False
--- a/tinrudder/node/api/health.py
+++ b/tinrudder/node/api/health.py
@@ -1,7 +1,7 @@
-"""Liveness, readiness, and telling callers to move on during a planned stop.
+"""Owns the liveness and readiness routes, and the closing of connections during a planned stop.
 
-``/healthz`` says that the process works and should not be restarted; ``/readyz`` says that it
-should be chosen for new queries.  A node that leaves is alive but not ready.
+``/healthz`` states that the process works and needs no restart; ``/readyz`` states that it should
+receive new queries.  A node that is leaving the cluster is alive but not ready.
 """
 
 from __future__ import annotations
@@ -23,9 +23,9 @@
 
 
 class HealthBody(msgspec.Struct, frozen=True):
-    """Body of both answers.
+    """JSON body of both routes.
 
-    :param revision: the configuration in force, 0 before the first.
+    :param revision: revision of the configuration in force, 0 before the first one.
     """
 
     state: str
@@ -35,7 +35,7 @@
 def health_routes(
     lifecycle: NodeLifecycle, configuration: Callable[[], Configuration]
 ) -> list[Route]:
-    """Return the routes ``/healthz`` and ``/readyz``."""
+    """Return the ``/healthz`` and ``/readyz`` routes."""
 
     def body() -> bytes:
         return msgspec.json.encode(HealthBody(lifecycle.state, configuration().revision))
@@ -51,10 +51,10 @@
 
 
 class CloseWhenStopping:
-    """Adds ``Connection: close`` to every answer once a stop has begun.
+    """ASGI middleware that adds ``Connection: close`` to every response once a stop has begun.
 
-    Callers then open their next connection to another node, so none is left to cut off when
-    this one stops listening.
+    Callers then open their next connection to another node, so no connection is cut off when
+    this node stops listening.
     """
 
     def __init__(self, app: ASGIApp, lifecycle: NodeLifecycle) -> None:
@@ -63,7 +63,7 @@
         self._lifecycle = lifecycle
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Serve one request."""
+        """Serve one request through the wrapped application."""
         if scope["type"] != "http":
             await self._app(scope, receive, send)
             return
--- a/tinrudder/node/api/metrics_app.py
+++ b/tinrudder/node/api/metrics_app.py
@@ -1,4 +1,4 @@
-"""``/metrics`` for operators and for scrapers on the same machine."""
+"""Owns the ``/metrics`` route, open to operators and to scrapers on the same machine."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 def metrics_route(metrics: NodeMetrics, operators: Mapping[str, str]) -> Route:
-    """Return the route ``/metrics``.
+    """Return the ``/metrics`` route.
 
-    :param operators: SHA-256 of every operator's secret, by key id.
+    :param operators: SHA-256 of each operator's secret, by key id.
     """
 
     async def show(request: Request) -> Response:
@@ -37,7 +37,7 @@
 
 
 def _is_local(request: Request) -> bool:
-    """Tell whether the connection comes from a loopback address."""
+    """Return whether the connection comes from a loopback address."""
     if request.client is None:
         return False
     try:
--- a/tinrudder/node/api/operation_app.py
+++ b/tinrudder/node/api/operation_app.py
@@ -1,4 +1,4 @@
-"""``POST /v1/operations``: requests that must run at most once; see docs/API.md."""
+"""Owns ``POST /v1/operations``, for requests that must run at most once; see docs/API.md."""
 
 from __future__ import annotations
 
@@ -32,14 +32,15 @@
 from tinrudder.timers import Timers
 
 QUERY_ID_BYTES = 16
+"""Random bytes in a query id."""
 
 
 class OperationBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a caller sends.
+    """JSON body of an operation request.
 
-    :param key: chosen by the caller; every submission of one request repeats it.
-    :param valid_until: seconds since 1970; every submission repeats it, too.
-    :param resubmission: this key was sent before, and its outcome is not known.
+    :param key: idempotency key set by the caller, the same in all submissions of one request.
+    :param valid_until: expiry in seconds since 1970, the same in all submissions of one request.
+    :param resubmission: whether the key was submitted before with an unknown outcome.
     """
 
     index: ShortText
@@ -52,10 +53,10 @@
 
 
 class OperationService(Protocol):
-    """Whatever runs operations; see :mod:`tinrudder.node.query.operations.at_most_once`."""
+    """Runs operations; implemented in :mod:`tinrudder.node.query.operations.at_most_once`."""
 
     async def run(self, request: OperationRequest) -> Outcome:
-        """Return the outcome of one submission."""
+        """Run one submission and return its outcome."""
 
 
 _decoder = msgspec.json.Decoder(OperationBody)
@@ -68,7 +69,7 @@
     configuration: Callable[[], Configuration],
     observers: Sequence[QueryObserver] = (),
 ) -> Route:
-    """Return the route; ``observers`` are told of every operation that got an outcome."""
+    """Return the route; each finished operation is passed to ``observers``."""
 
     async def operate(request: Request) -> Response:
         query_id = secrets.token_hex(QUERY_ID_BYTES)
@@ -103,10 +104,10 @@
 async def _read(
     request: Request, configuration: Callable[[], Configuration]
 ) -> tuple[str, OperationBody]:
-    """Authenticate the caller, then read and check its body.
+    """Authenticate the caller, then read and validate the request's body.
 
     :returns: the tenant and the body.
-    :raises RequestProblemError: naming the field and the rule it breaks.
+    :raises RequestProblemError: naming the field and the rule that it breaks.
     """
     tenant = authenticate(request.headers.get("authorization"), configuration())
     if tenant is None:
@@ -122,7 +123,7 @@
 def _visible_rule(
     body: OperationBody, tenant: str, configuration: Configuration
 ) -> QueryRuleSpec | None:
-    """Return the rule of an operation if the tenant may use it."""
+    """Return the rule of an operation, ``None`` if the tenant may not use it."""
     rule = configuration.rules.get(body.rule)
     index = configuration.indexes.get(body.index)
     if rule is None or index is None or rule.service != index.service:
@@ -151,7 +152,7 @@
 async def _run(
     request: Request, operations: OperationService, operation: OperationRequest
 ) -> Outcome:
-    """Run one submission; what was begun goes on for a caller that comes back."""
+    """Run one submission; a started operation outlives a disconnect, for a resubmission."""
     try:
         return await run_unless_disconnected(request.receive, operations.run(operation))
     except CallerGoneError:
--- a/tinrudder/node/api/operators/__init__.py
+++ b/tinrudder/node/api/operators/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP application for operators: resources, their status, and a stream of their changes."""
+"""HTTP application for operators and tenants: resources, their status and a watch of changes."""
--- a/tinrudder/node/api/operators/operator_authentication.py
+++ b/tinrudder/node/api/operators/operator_authentication.py
@@ -1,4 +1,4 @@
-"""Who asks for resources: an operator, by a credential of the settings, or a tenant."""
+"""Owns the authentication of viewers: operators by the node's settings, tenants by their keys."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Viewer:
-    """Who looks at resources.
+    """An authenticated client of the resource, explain or metrics API.
 
-    :param tenant: the tenant, ``None`` for an operator, who sees everything.
+    :param name: an operator's key id, or the tenant's name.
+    :param tenant: the tenant, ``None`` for an operator, who sees all resources.
     """
 
     name: str
@@ -25,14 +26,15 @@
 
     @property
     def is_operator(self) -> bool:
-        """Tell whether everything may be seen."""
+        """Whether the viewer is an operator and sees all resources."""
         return self.tenant is None
 
 
 def authenticate_operator(authorization: str | None, credentials: Mapping[str, str]) -> str | None:
     """Return the key id of an operator's ``Bearer KEY_ID.SECRET`` header, ``None`` if invalid.
 
-    The secret's hash is compared in constant time, also for an unknown key id.
+    Hashes are compared in constant time, and also for an unknown key id, so that response times
+    don't reveal which key ids exist.
     """
     if authorization is None or not authorization.startswith(BEARER):
         return None
@@ -46,7 +48,7 @@
 def authenticate_viewer(
     authorization: str | None, operators: Mapping[str, str], configuration: Configuration
 ) -> Viewer | None:
-    """Return who asks, ``None`` if the credential is neither an operator's nor a tenant's."""
+    """Return the viewer, ``None`` if the credential is neither an operator's nor a tenant's."""
     operator = authenticate_operator(authorization, operators)
     if operator is not None:
         return Viewer(operator)
--- a/tinrudder/node/api/operators/resource_app.py
+++ b/tinrudder/node/api/operators/resource_app.py
@@ -1,4 +1,7 @@
-"""The resource API: read, watch and validate on every node; writes go to the platform."""
+"""Owns the resource API: every node serves reads, watches and validation.
+
+Writes go to the platform.
+"""
 
 from __future__ import annotations
 
@@ -41,7 +44,9 @@
 CONTENT_TOO_LARGE = 413
 TOO_MANY_REQUESTS = 429
 MAX_VALIDATE_BYTES = 4 * 1024 * 1024
+"""Bytes of a validation request's body."""
 RESOURCES_PER_PART = 100
+"""Resources encoded before the listing yields to the event loop."""
 ALL_METHODS = ["GET", "PUT", "POST", "PATCH", "DELETE"]
 
 _batch_decoder = msgspec.json.Decoder(ResourceBatch)
@@ -49,10 +54,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ResourceApiSettings:
-    """What the API needs of the node's settings.
+    """The node settings that the resource API uses.
 
-    :param operators: SHA-256 of every operator's secret, by key id.
-    :param write_url: where operators write, empty if not known.
+    :param node: name of this node.
+    :param operators: SHA-256 of each operator's secret, by key id.
+    :param write_url: URL at which operators write resources, empty if not configured.
     """
 
     node: str
@@ -61,7 +67,7 @@
 
 
 class ResourceApplication:
-    """Answers ``/v1/resources``."""
+    """Serves the paths under ``/v1/resources``."""
 
     def __init__(
         self,
@@ -70,14 +76,14 @@
         reporter: StatusReporter,
         is_stopping: Callable[[], bool],
     ) -> None:
-        """Show what is in force in ``store``."""
+        """Serve the configuration in force in ``store``."""
         self._settings = settings
         self._store = store
         self._reporter = reporter
         self._watch = ResourceWatch(store, reporter, is_stopping)
 
     def routes(self) -> list[Route]:
-        """Return the routes, the fixed paths before those with names."""
+        """Return the routes; fixed paths precede the parameterized path, which matches them too."""
         return [
             Route("/v1/resources", self._guarded(self._list), methods=ALL_METHODS),
             Route("/v1/resources/watch", self._guarded(self._watch_lines), methods=ALL_METHODS),
@@ -87,7 +93,7 @@
         ]
 
     async def validate(self, request: Request) -> Response:
-        """Judge proposed writes together with what is in force; operators only."""
+        """Validate proposed writes against the configuration in force; operators only."""
         viewer = self._viewer(request)
         if viewer is None:
             return _unauthorized()
@@ -104,7 +110,7 @@
         return _json(ValidationBody(not bodies, bodies))
 
     def _guarded(self, handler: Callable[[Request, Viewer], Response]) -> Callable[..., object]:
-        """Return an endpoint that knows its viewer and refuses writes."""
+        """Return an endpoint that authenticates the viewer and refuses writes."""
 
         async def endpoint(request: Request) -> Response:
             viewer = self._viewer(request)
@@ -121,7 +127,7 @@
         return authenticate_viewer(authorization, self._settings.operators, self._store.current)
 
     def _read_only(self, viewer: Viewer) -> Response:
-        """Say where to write instead."""
+        """Refuse a write; tell an operator the URL to write to."""
         detail = "resources are read-only here: write them to the platform"
         write_url = self._settings.write_url if viewer.is_operator else ""
         body = ErrorBody("read_only", detail, write_url)
@@ -133,7 +139,7 @@
         return StreamingResponse(self._list_parts(viewer, kind), media_type=JSON)
 
     async def _list_parts(self, viewer: Viewer, kind: str) -> AsyncIterator[bytes]:
-        """Yield a ``ResourceListBody`` in parts; queries run in between."""
+        """Yield an encoded ``ResourceListBody`` in parts, so that queries can run between them."""
         snapshot = self._snapshot()
         keys = [key for key in visible_keys(viewer, snapshot) if not kind or key.kind == kind]
         renderer = ResourceRenderer(viewer, self._store, self._reporter)
@@ -180,7 +186,7 @@
         return _json(body)
 
     def _new_problems(self, batch: ResourceBatch) -> list[Problem]:
-        """Return problems of what a batch writes, and those it causes elsewhere."""
+        """Return problems in the resources of a batch, and new ones that it causes in others."""
         written = {(one.kind, one.name) for one in batch.resources}
         problems = self._problems_with(batch)
         if all(problem.key in written for problem in problems):
@@ -193,7 +199,7 @@
         return problems_of(document, self._store.policies, self._store.state)
 
     def _document_with(self, batch: ResourceBatch) -> ResourceDocument:
-        """Return what is in force, after a batch."""
+        """Return the configuration in force with a batch applied."""
         replaced = {(one.kind, one.name) for one in batch.resources}
         replaced |= {(one.kind, one.name) for one in batch.delete}
         kept = tuple(
@@ -209,7 +215,7 @@
 
 
 async def _read_body(request: Request) -> bytes | None:
-    """Return the body, ``None`` when it is longer than allowed."""
+    """Return the body, ``None`` if it exceeds ``MAX_VALIDATE_BYTES``."""
     body = bytearray()
     async for part in request.stream():
         body += part
--- a/tinrudder/node/api/operators/resource_bodies.py
+++ b/tinrudder/node/api/operators/resource_bodies.py
@@ -1,4 +1,4 @@
-"""JSON bodies of the resource API, and what of a resource each viewer may see."""
+"""Owns the JSON bodies of the resource API, and which fields of a resource a viewer may see."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class ConditionBody(msgspec.Struct, frozen=True):
-    """A condition; ``status`` is ``True`` in the healthy state."""
+    """A condition; ``status`` is ``True`` if healthy."""
 
     type: str
     status: bool
@@ -28,7 +28,7 @@
 class ResourceBody(msgspec.Struct, frozen=True):
     """A resource: the spec in force and its status.
 
-    :param changed_at: revision at which this node saw it change last.
+    :param changed_at: revision of the last change that this node observed.
     """
 
     kind: str
@@ -41,14 +41,14 @@
 
 
 class ResourceListBody(msgspec.Struct, frozen=True):
-    """Resources at one revision."""
+    """The resources visible to a viewer at one revision."""
 
     revision: int
     resources: tuple[ResourceBody, ...]
 
 
 class NodeBody(msgspec.Struct, frozen=True):
-    """A member and what it enforces."""
+    """A member and the newest revision that it is known to enforce."""
 
     name: str
     zone: str
@@ -57,7 +57,7 @@
 
 
 class EnforcementBody(msgspec.Struct, frozen=True):
-    """How many nodes enforce a revision or a newer one."""
+    """How many nodes enforce a revision or a newer one, and names of those that don't."""
 
     revision: int
     enforcing: int
@@ -66,7 +66,7 @@
 
 
 class NodesBody(msgspec.Struct, frozen=True):
-    """All members, and how the answering node sees the platform."""
+    """All members, and the platform's conditions as observed by the node that answers."""
 
     answered_by: str
     revision: int
@@ -77,7 +77,7 @@
 
 
 class ProblemBody(msgspec.Struct, frozen=True):
-    """One broken rule."""
+    """A validation problem of one resource."""
 
     kind: str
     name: str
@@ -92,9 +92,9 @@
 
 
 class ErrorBody(msgspec.Struct, frozen=True, omit_defaults=True):
-    """Any error.
+    """An error response.
 
-    :param write_url: where to write instead, if known.
+    :param write_url: URL that accepts writes, if configured and the viewer is an operator.
     """
 
     error: str
@@ -117,17 +117,17 @@
 
 
 class ResourceRenderer:
-    """Renders resources for one viewer, counting nodes once for all of them."""
+    """Renders resources for one viewer; node revisions are read once and reused."""
 
     def __init__(self, viewer: Viewer, store: ConfigurationStore, reporter: StatusReporter) -> None:
-        """Render as things are now."""
+        """Read the nodes' current revisions."""
         self._viewer = viewer
         self._store = store
         self._reporter = reporter
         self._count = reporter.count()
 
     def body(self, resource: AcceptedResource) -> ResourceBody:
-        """Return what the viewer, who may see the resource, sees of it."""
+        """Return the fields visible to the viewer, who must be allowed to see the resource."""
         conditions = condition_bodies(self._reporter.conditions_of(resource, self._count))
         spec = msgspec.Raw(resource.raw_spec) if resource.raw_spec else NO_SPEC
         if self._viewer.tenant is not None:
@@ -146,7 +146,7 @@
 
 
 def _without_names(condition: ConditionBody) -> ConditionBody:
-    """Drop what may name other tenants or machines."""
+    """Remove message text that may name other tenants or machines."""
     message = condition.message.partition(";")[0]
     if condition.type == ConditionType.ACCEPTED and not condition.status:
         message = ASK_AN_OPERATOR
@@ -154,7 +154,7 @@
 
 
 def _spec_for_tenant(tenant: str, resource: AcceptedResource) -> msgspec.Raw:
-    """Return the spec without hashes of secrets and without other tenants."""
+    """Return the spec in force without hashes of secrets and without other tenants' names."""
     spec = resource.spec
     if spec is None:
         return NO_SPEC
--- a/tinrudder/node/api/operators/resource_routes.py
+++ b/tinrudder/node/api/operators/resource_routes.py
@@ -1,4 +1,4 @@
-"""The resource API of a running node."""
+"""Owns the wiring of the resource API to a running node."""
 
 from __future__ import annotations
 
--- a/tinrudder/node/api/operators/resource_visibility.py
+++ b/tinrudder/node/api/operators/resource_visibility.py
@@ -1,4 +1,4 @@
-"""What of the accepted state a viewer may know to exist."""
+"""Owns the rules for which resources of the accepted state a viewer may see."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Snapshot:
-    """The accepted state and its view at one moment."""
+    """The accepted state and the configuration built from it, at one moment."""
 
     state: AcceptedState
     configuration: Configuration
@@ -20,16 +20,17 @@
 
 @dataclass(frozen=True, slots=True)
 class VisibleChanges:
-    """What a viewer sees change between two snapshots, sorted."""
+    """Changes between two snapshots that a viewer may see, sorted by key."""
 
     changed: tuple[ResourceKey, ...]
     deleted: tuple[ResourceKey, ...]
 
 
 def may_see(viewer: Viewer, key: ResourceKey, configuration: Configuration) -> bool:
-    """Tell whether a viewer may know that a resource exists.
+    """Return whether a viewer may learn that a resource exists.
 
-    A tenant sees itself, the services it may use and their rules.
+    Operators see all resources.  A tenant sees itself, the services that it may use and their
+    query rules.
     """
     if viewer.tenant is None:
         return True
@@ -42,13 +43,13 @@
 
 
 def visible_keys(viewer: Viewer, snapshot: Snapshot) -> list[ResourceKey]:
-    """Return all a viewer may see, sorted."""
+    """Return the keys of all resources that a viewer may see, sorted."""
     keys = sorted(snapshot.state.resources)
     return [key for key in keys if may_see(viewer, key, snapshot.configuration)]
 
 
 def visible_changes(viewer: Viewer, before: Snapshot, after: Snapshot) -> VisibleChanges:
-    """Return what a viewer sees change; what it may no longer see counts as deleted."""
+    """Return the visible changes; a resource that is no longer visible counts as deleted."""
     changed: list[ResourceKey] = []
     deleted: list[ResourceKey] = []
     for key in _candidates(viewer, before, after):
@@ -64,9 +65,9 @@
 
 
 def _candidates(viewer: Viewer, before: Snapshot, after: Snapshot) -> list[ResourceKey]:
-    """Return the keys that can differ, sorted."""
+    """Return the keys of resources that may have changed for the viewer, sorted."""
     if viewer.tenant is not None:
-        # A change of one resource can show or hide others, so all that is visible counts.
+        # Changing a service shows or hides its rules, so all visible keys are compared.
         return sorted({*visible_keys(viewer, before), *visible_keys(viewer, after)})
     keys: set[ResourceKey] = set()
     digests = zip(before.state.bucket_digests, after.state.bucket_digests, strict=True)
--- a/tinrudder/node/api/operators/resource_watch.py
+++ b/tinrudder/node/api/operators/resource_watch.py
@@ -1,7 +1,7 @@
-"""Watching resources: newline-delimited JSON events, resumed by revision, memory bounded.
+"""Owns resource watches: newline-delimited JSON events that clients can resume by revision.
 
-A watcher holds the snapshot it was last told of and no queue of its own, so a slow one costs
-nothing and skips what came and went meanwhile.
+A watch keeps the last snapshot it sent and no event queue, so a slow client accumulates no
+events.  It skips states that were replaced before its next comparison.
 """
 
 from __future__ import annotations
@@ -25,17 +25,21 @@
 from tinrudder.node.resources.store import ConfigurationStore
 
 CHECK_INTERVAL_S = 0.5
+"""Seconds between two comparisons with the store."""
 CHECKS_PER_BOOKMARK = 20
+"""Comparisons per bookmark event: one event in 10 s."""
 MAX_WATCHERS = 64
+"""Open watches per node."""
 MAX_WATCHERS_PER_TENANT = 4
+"""Open watches per node for one tenant."""
 
 
 class WatchEvent(msgspec.Struct, frozen=True, omit_defaults=True):
     """One line of a watch.
 
-    :param type: ``reset`` (forget everything, all resources follow), ``changed``, ``deleted``,
-        ``enforcement`` or ``bookmark``.
-    :param revision: resume from here; an event may come twice.
+    :param type: ``reset`` (the client discards its copy; all resources follow), ``changed``,
+        ``deleted``, ``enforcement`` or ``bookmark``.
+    :param revision: pass it as ``from_revision`` to resume; events may be repeated.
     """
 
     type: str
@@ -48,7 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """What somebody watches: one kind, or all for an empty one, after a revision."""
+    """Parameters of a watch.
+
+    :param kind: kind of the resources to watch; empty for all.
+    :param from_revision: last revision that the client received, 0 for a new watch.
+    """
 
     viewer: Viewer
     kind: str = ""
@@ -56,7 +64,7 @@
 
 
 class ResourceWatch:
-    """Serves watchers of one node."""
+    """Serves the watches of one node and limits their number."""
 
     def __init__(
         self,
@@ -64,24 +72,24 @@
         reporter: StatusReporter,
         is_stopping: Callable[[], bool],
     ) -> None:
-        """End all watches soon after ``is_stopping`` holds."""
+        """Watch ``store``; watches end at their next check once ``is_stopping()`` is true."""
         self._store = store
         self._reporter = reporter
         self._is_stopping = is_stopping
         self._watchers: list[Viewer] = []
 
     def has_room(self, viewer: Viewer) -> bool:
-        """Tell whether one more watch of this viewer fits."""
+        """Return whether the viewer may open one more watch."""
         limit = MAX_WATCHERS if viewer.is_operator else MAX_WATCHERS_PER_TENANT
         return len(self._watchers) < MAX_WATCHERS and self._watchers.count(viewer) < limit
 
     async def lines(self, request: WatchRequest) -> AsyncIterator[bytes]:
-        """Yield events as lines until the node stops or the watcher goes away."""
+        """Yield events as lines until the node stops or the client disconnects."""
         self._watchers.append(request.viewer)
         try:
             async for event in self._events(request):
                 yield msgspec.json.encode(event) + b"\n"
-                # A reset is thousands of events: queries run in between.
+                # A reset can be thousands of events; let queries run between them.
                 await asyncio.sleep(0)
         finally:
             self._watchers.remove(request.viewer)
@@ -103,14 +111,17 @@
                     enforcement = newest
                     yield WatchEvent("enforcement", newest.revision, enforcement=newest)
             if checks % CHECKS_PER_BOOKMARK == 0:
-                # Never lower than where the watcher came from: its former node was ahead.
+                # Not below the client's revision: the node that it watched before may be ahead.
                 reached = max(now.configuration.revision, request.from_revision)
                 yield WatchEvent("bookmark", reached)
             checks += 1
             await asyncio.sleep(CHECK_INTERVAL_S)
 
     def _first_events(self, request: WatchRequest, now: Snapshot) -> Iterator[WatchEvent]:
-        """Yield what a watcher missed since its revision, or a reset and everything."""
+        """Yield the changes since the client's revision, or a reset and all visible resources.
+
+        Yields nothing if the client has the newest state or comes from a node that is ahead.
+        """
         revision = now.configuration.revision
         if request.from_revision > revision:
             return
@@ -121,7 +132,7 @@
         ):
             return
         if not reaches_back or not request.viewer.is_operator:
-            # What a tenant could see at an earlier revision is not kept, so it begins anew.
+            # Past visibility is not kept, so a tenant starts again with all its resources.
             yield WatchEvent("reset", revision)
             yield from self._changed(request, visible_keys(request.viewer, now), now)
             return
@@ -133,7 +144,7 @@
     def _events_between(
         self, request: WatchRequest, told: Snapshot, now: Snapshot
     ) -> Iterator[WatchEvent]:
-        """Yield what changed since a snapshot."""
+        """Yield the visible changes between two snapshots."""
         if told.state is now.state:
             return
         changes = visible_changes(request.viewer, told, now)
--- a/tinrudder/node/api/outcome_mapping.py
+++ b/tinrudder/node/api/outcome_mapping.py
@@ -1,4 +1,4 @@
-"""Outcomes as HTTP: the one table of status codes (docs/API.md quotes it)."""
+"""Owns the mapping of outcomes to HTTP status codes, headers and bodies; see docs/API.md."""
 
 from __future__ import annotations
 
@@ -43,20 +43,20 @@
 
 
 class MissingShardBody(msgspec.Struct, frozen=True):
-    """A missing shard as callers see it."""
+    """A missing shard in a caller's response."""
 
     shard: str
     reason: str
 
 
 class OwnerCoverageBody(msgspec.Struct, frozen=True):
-    """Coverage of one owner's shards."""
+    """The missing shards of one owner."""
 
     missing: tuple[MissingShardBody, ...]
 
 
 class CoverageBody(msgspec.Struct, frozen=True):
-    """Coverage as callers see it."""
+    """Coverage in a caller's response."""
 
     ratio: float
     included: tuple[str, ...]
@@ -66,7 +66,8 @@
 class OutcomeBody(msgspec.Struct, frozen=True, omit_defaults=True):
     """The JSON body of every outcome.
 
-    :param retry_after_ms: when asking again is worth it; the Retry-After header rounds it up.
+    :param retry_after_ms: delay before a retry can succeed; the Retry-After header rounds it up to
+        whole seconds.
     :param outcome: ``complete``, ``partial``, ``not_run``, ``may_have_run`` or ``failed``.
     """
 
@@ -82,7 +83,7 @@
 
 
 def coverage_body(coverage: Coverage) -> CoverageBody:
-    """Group what is missing by owner."""
+    """Return the coverage with its missing shards grouped by owner."""
     by_owner: dict[str, list[MissingShardBody]] = {}
     for shard in coverage.missing:
         body = MissingShardBody(shard.shard, shard.reason.value)
@@ -107,14 +108,14 @@
 
 
 def headers_of(outcome: Outcome) -> dict[str, str]:
-    """Return the headers of an outcome: Retry-After in whole seconds, rounded up, where known."""
+    """Return ``Retry-After`` in whole seconds, rounded up, if the outcome has a retry delay."""
     if isinstance(outcome, NotRun) and outcome.retry_after_s is not None:
         return {"Retry-After": str(max(1, math.ceil(outcome.retry_after_s)))}
     return {}
 
 
 def body_of(query_id: str, outcome: Outcome, cursor: str | None) -> OutcomeBody:
-    """Return the JSON body of an outcome; a cut stream's has a cursor, too."""
+    """Return the JSON body of an outcome; ``cursor`` points to the next page, if any."""
     match outcome:
         case Complete(answer):
             return _answer_body(query_id, "complete", answer, cursor)
--- a/tinrudder/node/api/problems.py
+++ b/tinrudder/node/api/problems.py
@@ -1,6 +1,7 @@
-"""Requests that are refused before the query core: a typed JSON error each.
+"""Owns the typed JSON errors of requests that are refused before they reach the query core.
 
-Every error names the field and the rule it breaks.  None depends on what other tenants own.
+Every error names the field and the rule that it breaks.  Errors don't depend on resources of other
+tenants, so they reveal nothing about them.
 """
 
 from __future__ import annotations
@@ -54,11 +55,14 @@
         ProblemReason.UNSUPPORTED_CONTENT,
     }
 )
-"""After these the body may be unread, so the connection cannot carry another request."""
+"""The body may be unread after these, so the connection can't carry another request."""
 
 
 class ProblemBody(msgspec.Struct, frozen=True):
-    """Body of an error; but for ``internal_error`` the query did not run."""
+    """Body of an error response.
+
+    :param outcome: ``not_run``, but ``may_have_run`` for ``internal_error``.
+    """
 
     query_id: str
     reason: str
@@ -71,12 +75,12 @@
 class RequestProblemError(Exception):
     """A request that breaks a rule.
 
-    :param field: what is wrong: a body field, a header, ``body``, ``method`` or ``path``.
-    :param rule: the rule it breaks.
+    :param field: the invalid part: a body field, a header, ``body``, ``method`` or ``path``.
+    :param rule: the rule that it breaks.
     """
 
     def __init__(self, reason: ProblemReason, field: str, rule: str) -> None:
-        """Name reason, field and rule."""
+        """Build the message from field and rule."""
         super().__init__(f"{field}: {rule}")
         self.reason = reason
         self.field = field
@@ -84,7 +88,7 @@
 
 
 def problem_response(query_id: str, problem: RequestProblemError) -> Response:
-    """Return the answer to a refused request."""
+    """Return the HTTP response to a refused request."""
     headers = {}
     if problem.reason in CLOSING_PROBLEMS:
         headers["Connection"] = "close"
@@ -98,7 +102,7 @@
 
 
 def invalid_body(error: msgspec.MsgspecError | UnicodeDecodeError) -> RequestProblemError:
-    """Turn a decoder's error into one that names field and rule.
+    """Convert a decoder's error into one that names field and rule.
 
     >>> problem = invalid_body(msgspec.ValidationError("Expected `int` >= 1 - at `$.limit`"))
     >>> problem.field, problem.rule
@@ -117,9 +121,9 @@
 
 
 async def on_internal_error(_: Request, error: Exception) -> Response:
-    """Answer a fault of this node without its details; starlette passes the error on to the log.
+    """Answer an unexpected exception without details; starlette re-raises it for the log.
 
-    How far the request had come is unknown, so it may have run.
+    The exception may come from any stage of the request, so the outcome is ``may_have_run``.
     """
     reason = ProblemReason.INTERNAL_ERROR
     body = ProblemBody("", reason.value, "", "", outcome="may_have_run", detail="internal error")
@@ -127,7 +131,7 @@
 
 
 async def on_http_exception(request: Request, error: Exception) -> Response:
-    """Answer paths and methods that do not exist; for starlette's exception handlers."""
+    """Answer unknown paths and methods, as a starlette exception handler."""
     status = error.status_code if isinstance(error, HTTPException) else NOT_FOUND
     if status == METHOD_NOT_ALLOWED:
         rule = f"not {request.method} on this path"
--- a/tinrudder/node/api/query_body.py
+++ b/tinrudder/node/api/query_body.py
@@ -1,4 +1,4 @@
-"""What a caller sends, checked and turned into a query of the core."""
+"""Owns the validation of a caller's query and its conversion to a query of the core."""
 
 from __future__ import annotations
 
@@ -14,19 +14,21 @@
 from tinrudder.node.resources.model import QueryRuleSpec
 
 MAX_MATCH_FIELDS = 32
+"""Fields in one ``match``."""
 DEFAULT_LIMIT = 100
+"""Rows per page if the caller states no limit."""
 
 ShortText = Annotated[str, Meta(min_length=1, max_length=100)]
 MatchValue = Annotated[str, Meta(max_length=1000)]
 
 
 class QueryBody(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What a caller sends.
+    """JSON body of a query request.
 
-    :param match: field values that rows must have.
-    :param limit: rows per page; the rule's ``max_rows`` bounds it.
+    :param match: required field values of returned rows.
+    :param limit: rows per page, capped by the rule's ``max_rows``.
     :param deadline_ms: shortens the rule's hard deadline, never lengthens it.
-    :param cursor: where a former page ended; pins its index version.
+    :param cursor: end of the previous page; pins its index version.
     """
 
     index: ShortText
@@ -43,15 +45,17 @@
 
 
 class UnknownResourceError(Exception):
-    """Index or rule does not exist for this tenant; why is not told, not even in the timing
-    of a relay: the same answer goes out for what is absent and for what is another tenant's.
+    """The index or rule does not exist or belongs to another tenant.
+
+    Callers get the same response for both, without the delay of a relay, so that neither the text
+    nor the timing reveals what other tenants have.
     """
 
 
 def decode_query_body(body: bytes) -> QueryBody:
-    """Return the checked body.
+    """Return the decoded and validated body.
 
-    :raises RequestProblemError: naming the field and the rule it breaks.
+    :raises RequestProblemError: naming the field and the rule that it breaks.
     """
     try:
         return _decoder.decode(body)
@@ -62,7 +66,7 @@
 def find_rule(body: QueryBody, tenant: str, configuration: Configuration) -> QueryRuleSpec:
     """Return the rule of a query.
 
-    :raises UnknownResourceError: no such index with this rule for this tenant.
+    :raises UnknownResourceError: if the tenant has no such index with this rule.
     """
     rule = configuration.rules.get(body.rule)
     index = configuration.indexes.get(body.index)
@@ -75,14 +79,14 @@
 
 
 def scope_of(body: QueryBody, tenant: str) -> CursorScope:
-    """Return what a query's cursors are bound to."""
+    """Return the scope to which a query's cursors are bound."""
     return CursorScope(tenant, body.index, body.order_by, body.descending, body.match)
 
 
 def open_cursor(body: QueryBody, tenant: str, cursors: CursorCodec) -> PagePosition | None:
-    """Return where the asked page starts, ``None`` for the first.
+    """Return the start of the requested page, ``None`` for the first one.
 
-    :raises RequestProblemError: the cursor was not given to this tenant for this query.
+    :raises RequestProblemError: if the cursor was not issued to this tenant for this query.
     """
     if body.cursor is None:
         return None
@@ -102,7 +106,7 @@
     position: PagePosition | None,
     now: float,
 ) -> QueryRequest:
-    """Return the query of one page, its deadline counted from ``now``."""
+    """Return the query for one page; its deadline is relative to ``now``."""
     allowed_ms = rule.hard_deadline_ms
     if body.deadline_ms is not None:
         allowed_ms = min(allowed_ms, body.deadline_ms)
--- a/tinrudder/node/api/request_body.py
+++ b/tinrudder/node/api/request_body.py
@@ -1,4 +1,4 @@
-"""Reading a caller's body within a size and a time."""
+"""Owns reading a caller's body within a size limit and a timeout."""
 
 from __future__ import annotations
 
@@ -10,12 +10,13 @@
 
 MAX_BODY_BYTES = 64 * 1024
 BODY_TIMEOUT_S = 5.0
+"""Seconds to receive the whole body."""
 
 
 async def read_json_body(request: Request) -> bytes:
-    """Return the body, not yet decoded.
+    """Return the undecoded body.
 
-    :raises RequestProblemError: not JSON by its type, too long, too slow, or cut off.
+    :raises RequestProblemError: if its type is not JSON, or it is too large, too slow or truncated.
     """
     _check_content_type(request.headers.get("content-type"))
     _check_announced_length(request.headers.get("content-length"))
@@ -42,7 +43,7 @@
 
 
 def _check_content_type(content_type: str | None) -> None:
-    """Refuse what says that it is not JSON; a missing type is taken as JSON."""
+    """Refuse a type other than JSON; a missing type is treated as JSON."""
     if content_type is None or content_type.split(";", 1)[0].strip().lower() == JSON:
         return
     rule = f"must be {JSON}"
@@ -50,7 +51,7 @@
 
 
 def _check_announced_length(length: str | None) -> None:
-    """Refuse a body that is too long before reading any of it."""
+    """Refuse a body by its ``Content-Length``, before any of it is read."""
     if length is not None and length.isdecimal() and int(length) > MAX_BODY_BYTES:
         raise _too_large()
 
--- a/tinrudder/node/api/stream.py
+++ b/tinrudder/node/api/stream.py
@@ -1,8 +1,8 @@
-"""Streaming of long histories: pages of one index version as newline-delimited JSON.
+"""Owns streamed queries: pages of one index version sent as newline-delimited JSON.
 
-Pages are pulled one at a time, the next only once the transport has taken the one before, so a
-stream holds one page of memory however long the history is and however slow the caller reads.
-The last line states the outcome of the whole stream; a stream without one was cut off.
+Backpressure: the next page is queried only after the transport has accepted the previous one, so
+a stream holds one page in memory, whatever its length and however slowly the caller reads.
+The last line states the outcome of the whole stream; if it is missing, the stream was truncated.
 """
 
 from __future__ import annotations
@@ -35,6 +35,7 @@
 
 NDJSON = "application/x-ndjson"
 WRITE_TIMEOUT_S = 30.0
+"""Seconds that one write may wait for a caller that doesn't read."""
 HEADERS = [(b"content-type", NDJSON.encode()), (b"cache-control", b"no-store")]
 
 RunPage = Callable[[PagePosition | None], Awaitable[Outcome]]
@@ -45,13 +46,13 @@
 
 
 class RowLine(msgspec.Struct, frozen=True):
-    """One row."""
+    """A line with one row."""
 
     row: msgspec.Raw
 
 
 class EndLine(msgspec.Struct, frozen=True):
-    """The last line: what the whole stream covers and how it ended."""
+    """The last line: outcome, coverage and size of the whole stream."""
 
     end: OutcomeBody
     rows: int
@@ -66,20 +67,20 @@
     missing: dict[str, MissingShard] = field(default_factory=dict)
 
     def add(self, coverage: Coverage) -> None:
-        """Fold in one page; the first reason of a missing shard stays."""
+        """Add one page; a shard missing from several pages keeps its first reason."""
         self.shards.update(dict.fromkeys(coverage.included))
         for gap in coverage.missing:
             self.shards.setdefault(gap.shard)
             self.missing.setdefault(gap.shard, gap)
 
     def total(self) -> Coverage:
-        """Return the coverage so far."""
+        """Return the coverage of all pages added so far."""
         included = tuple(shard for shard in self.shards if shard not in self.missing)
         return Coverage(included, tuple(self.missing.values()))
 
 
 class QueryStream(Response):
-    """The answer to one streamed query."""
+    """The HTTP response to one streamed query."""
 
     media_type = NDJSON
 
@@ -91,7 +92,7 @@
         cursor_of: CursorOf,
         on_end: OutcomeObserver,
     ) -> None:
-        """Start at ``position``; ``on_end`` is told the outcome of the whole stream once."""
+        """Start at ``position``; call ``on_end`` once with the outcome of the whole stream."""
         super().__init__()
         self._query_id = query_id
         self._position = position
@@ -103,7 +104,7 @@
         self._pages = 0
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Send pages until the history ends, a page fails, or the caller goes away."""
+        """Send pages until one is the last or fails, or the caller disconnects or stops reading."""
         try:
             outcome = await run_unless_disconnected(receive, self._pump(send))
         except TimeoutError:
@@ -113,7 +114,7 @@
         self._on_end(outcome)
 
     async def _pump(self, send: Send) -> Outcome:
-        """Send everything; return the outcome of the whole stream."""
+        """Send all pages and the last line; return the outcome of the whole stream."""
         outcome = await self._run_page(self._position)
         if not isinstance(outcome, Complete | Partial):
             await self._refuse(send, outcome)
@@ -131,7 +132,7 @@
         return total
 
     async def _refuse(self, send: Send, outcome: Outcome) -> None:
-        """Answer a first page without rows as a plain query's."""
+        """Answer like a plain query if the first page failed."""
         content = _encoder.encode(body_of(self._query_id, outcome, None))
         response = Response(content, status_of(outcome), headers_of(outcome), JSON)
         start = {"status": response.status_code, "headers": response.raw_headers}
@@ -148,9 +149,10 @@
             await _write(send, lines, more=True)
 
     def _whole(self, last: Outcome) -> Outcome:
-        """Return the outcome of all pages together.
+        """Return the outcome of the whole stream.
 
-        A page that did not run leaves a stream that did: its rows so far were sent.
+        A later page that fails makes the stream ``Failed``, even if that page did not run: rows
+        of the pages before were sent.
         """
         coverage = self._coverage.total()
         match last:
@@ -168,7 +170,7 @@
                 return Failed(FailedReason.STREAM_CUT, text, coverage)
 
     def _end_line(self, outcome: Outcome) -> bytes:
-        """Encode the last line; a cut stream names the cursor to go on from."""
+        """Encode the last line; a failed stream includes a cursor to resume from, if it has one."""
         cursor = None
         if isinstance(outcome, Failed) and self._position is not None:
             cursor = self._cursor_of(self._position)
@@ -177,9 +179,9 @@
 
 
 async def _write(send: Send, content: bytes, *, more: bool) -> None:
-    """Hand bytes to the transport and wait until it has room again.
+    """Write to the transport and wait while its buffer is full.
 
-    :raises TimeoutError: the caller has not read for long.
+    :raises TimeoutError: if the wait exceeds ``WRITE_TIMEOUT_S``.
     """
     async with asyncio.timeout(WRITE_TIMEOUT_S):
         await send({"type": "http.response.body", "body": content, "more_body": more})
--- a/tinrudder/node/resources/__init__.py
+++ b/tinrudder/node/resources/__init__.py
@@ -1,1 +1,1 @@
-"""Typed resources, their validation, and the configuration that a node has accepted."""
+"""Typed resources, their validation, and the configuration that a node accepted."""
--- a/tinrudder/node/resources/accepted.py
+++ b/tinrudder/node/resources/accepted.py
@@ -1,15 +1,15 @@
-"""The accepted state: what is in force, in a form that any two nodes can join.
+"""Owns the accepted state: the resources in force, as a state that nodes can merge.
 
-The state is a function of the *set* of documents that any node has seen, whatever their order:
+The state depends only on the *set* of documents that were seen, not on their order:
 
-- Which resources exist, their newest generation and whether it is valid come from the document
-  with the highest :class:`DocumentVersion`.
-- A resource whose newest generation is refused keeps its last good specification: the one of
-  the highest-versioned document in which it was valid, unless it was absent from a document
-  with a higher version than that.
+- The document with the highest :class:`DocumentVersion` determines which resources exist, their
+  newest generation and whether it is valid.
+- A resource whose newest generation is refused keeps its last good specification, that of the
+  highest-versioned document in which it was valid, unless a document of a higher version than
+  that did not contain the resource.
 
-Joining two states is therefore commutative, associative and idempotent, and a node that skipped
-documents reaches the same state as one that saw them all.
+The join of two states is therefore commutative, associative and idempotent, and a node that
+missed documents converges to the same state as one that received all of them.
 """
 
 from __future__ import annotations
@@ -25,12 +25,14 @@
 from tinrudder.node.resources.model import SPEC_TYPES, AnySpec
 
 DIGEST_BYTES = 16
+"""Length of a BLAKE2b digest in bytes."""
 BUCKET_COUNT = 256
+"""One bucket per value of a digest's first byte."""
 
 
 @dataclass(frozen=True, slots=True, order=True)
 class DocumentVersion:
-    """Total order of documents: by revision, by digest where a revision was used twice.
+    """Total order of documents: by revision, then by digest if a revision was reused.
 
     >>> DocumentVersion(2, b"a") < DocumentVersion(2, b"b") < DocumentVersion(3, b"a")
     True
@@ -44,9 +46,10 @@
 
 
 class ResourceKey(NamedTuple):
-    """Kind and name of a resource; a kind this release does not know stays a plain string.
+    """Kind and name of a resource; ``kind`` may be one that this release doesn't know.
 
-    A named tuple, for its hash and order run in C: every change hashes every key several times.
+    A named tuple, because its hash and comparison run in C: each change hashes every key several
+    times.
     """
 
     kind: str
@@ -55,14 +58,14 @@
 
 @dataclass(frozen=True)
 class AcceptedResource:
-    """A resource as it is in force.
+    """A resource: the specification in force and the status of the newest generation.
 
     :param observed_generation: the newest generation seen, accepted or not.
-    :param accepted_generation: the generation whose spec is in force, 0 if none is.
-    :param raw_spec: the specification in force as JSON, empty if none is.
-    :param problem: field and rule of a refused newer generation, else empty.
-    :param decided_in: only for a refused generation: the newest document in which the resource
-        was valid or absent, which is where the part in force comes from.
+    :param accepted_generation: the generation of the specification in force, 0 if there is none.
+    :param raw_spec: the specification in force as JSON, empty if there is none.
+    :param problem: field and broken rule of a refused newer generation, else empty.
+    :param decided_in: only set if the newest generation is refused: version of the newest document
+        in which the resource was valid or absent, which determines the specification in force.
     """
 
     key: ResourceKey
@@ -74,7 +77,7 @@
 
     @functools.cached_property
     def spec(self) -> AnySpec | None:
-        """The specification in force; ``None`` if there is none or this release can't read it."""
+        """The specification in force; ``None`` if there is none or this release can't decode it."""
         spec_type = SPEC_TYPES.get(self.key.kind)  # type: ignore[call-overload]
         if not self.raw_spec or spec_type is None:
             return None
@@ -86,12 +89,12 @@
 
     @functools.cached_property
     def bucket(self) -> int:
-        """The bucket this resource is in, the same on every node."""
+        """Number of the resource's bucket, the same on every node."""
         return digest_of(f"{self.key.kind}/{self.key.name}".encode())[0]
 
     @functools.cached_property
     def digest(self) -> bytes:
-        """Digest over every field."""
+        """Digest of all fields."""
         parts = (
             self.key.kind.encode(),
             self.key.name.encode(),
@@ -107,14 +110,14 @@
 
 @dataclass(frozen=True)
 class AcceptedState:
-    """Every resource in force, at the version of the newest document."""
+    """All resources in the newest document, and that document's version."""
 
     version: DocumentVersion
     resources: Mapping[ResourceKey, AcceptedResource]
 
     @functools.cached_property
     def buckets(self) -> tuple[tuple[AcceptedResource, ...], ...]:
-        """Resources spread over ``BUCKET_COUNT`` buckets by their key, sorted within each."""
+        """Resources partitioned by key into ``BUCKET_COUNT`` buckets, sorted within each."""
         buckets: list[list[AcceptedResource]] = [[] for _ in range(BUCKET_COUNT)]
         for key in sorted(self.resources):
             resource = self.resources[key]
@@ -123,12 +126,12 @@
 
     @functools.cached_property
     def bucket_digests(self) -> tuple[bytes, ...]:
-        """One digest per bucket; equal digests mean equal content."""
+        """A digest per bucket; equal digests mean equal content."""
         return tuple(map(_bucket_digest, self.buckets))
 
     @functools.cached_property
     def digest(self) -> bytes:
-        """Digest over the version and all resources."""
+        """Digest of the version and all resources."""
         revision = self.version.revision.to_bytes(8, "big")
         return digest_of(revision + self.version.digest + b"".join(self.bucket_digests))
 
@@ -137,7 +140,7 @@
 
 
 def digest_of(content: bytes) -> bytes:
-    """Return the digest of some content."""
+    """Return the BLAKE2b digest of ``content``."""
     return hashlib.blake2b(content, digest_size=DIGEST_BYTES).digest()
 
 
@@ -146,7 +149,7 @@
 
 
 def make_state(version: DocumentVersion, resources: Iterable[AcceptedResource]) -> AcceptedState:
-    """Return a state of resources with distinct keys."""
+    """Return a state; the keys of ``resources`` must be distinct."""
     return AcceptedState(version, {resource.key: resource for resource in resources})
 
 
@@ -156,9 +159,10 @@
     numbers: frozenset[int],
     resources: Iterable[AcceptedResource],
 ) -> AcceptedState:
-    """Return a state that holds ``resources`` in some buckets and is like ``former`` elsewhere.
+    """Return ``former`` with the content of the numbered buckets replaced by ``resources``.
 
-    Costs the buckets that change, not the whole state; each resource must be in one of them.
+    Each resource must belong to one of these buckets.  Digests and order of the other buckets are
+    reused.
     """
     replaced: dict[int, dict[ResourceKey, AcceptedResource]] = {number: {} for number in numbers}
     for resource in resources:
@@ -173,15 +177,15 @@
         buckets[number] = tuple(replaced[number][key] for key in sorted(replaced[number]))
         digests[number] = _bucket_digest(buckets[number])
     state = AcceptedState(version, joined)
-    # Fills what the cached properties would work out anew from all resources.
+    # Presets the cached properties, which would otherwise process all resources.
     state.__dict__.update(buckets=tuple(buckets), bucket_digests=tuple(digests))
     return state
 
 
 def join_states(first: AcceptedState, second: AcceptedState) -> AcceptedState:
-    """Return what a node accepts that has seen what either state has seen.
+    """Return the state of a node that has seen the documents of both states.
 
-    Returns the very same object when the other one adds nothing to it.
+    Returns one of the arguments itself if the other adds nothing to it.
     """
     if first.version == second.version:
         return _join_equal_versions(first, second)
@@ -193,7 +197,7 @@
 
 
 def _join_equal_versions(first: AcceptedState, second: AcceptedState) -> AcceptedState:
-    """Join two states of the same document that know different last good specifications."""
+    """Join two states of the same document with different last good specifications."""
     if first is second or first.digest == second.digest:
         return first
     keys = first.resources.keys() | second.resources.keys()
@@ -205,16 +209,16 @@
 
 
 def _precedence(resource: AcceptedResource) -> tuple[bool, DocumentVersion, bytes]:
-    """Order entries of one resource at one version; the digest settles what else is equal.
+    """Sort key for entries of one resource at one document version; the digest breaks ties.
 
-    Two releases of the tier may judge one document differently while they run side by side:
-    then the entry of the release that accepts the newest generation is kept.
+    During a rolling upgrade, two releases may validate the same document differently: the entry
+    of the release that accepts the newest generation wins.
     """
     return (not resource.problem, resource.decided_in, resource.digest)
 
 
 def _keep_last_good(newer: AcceptedResource, older_state: AcceptedState) -> AcceptedResource:
-    """Give a refused resource the last good part of an older state, if that is more recent."""
+    """Give a refused resource the last good specification of an older state, if more recent."""
     if not newer.problem:
         return newer
     older = older_state.resources.get(newer.key)
--- a/tinrudder/node/resources/change_log.py
+++ b/tinrudder/node/resources/change_log.py
@@ -1,4 +1,4 @@
-"""A bounded log of what changed in the accepted state, for those who watch it."""
+"""Owns the bounded log of changes to the accepted state, which serves resource watches."""
 
 from __future__ import annotations
 
@@ -10,13 +10,15 @@
 from tinrudder.node.resources.accepted import AcceptedState, ResourceKey
 
 MAX_CHANGES = 1024
+"""Changes kept; older ones are dropped."""
 
 
 @dataclass(frozen=True, slots=True)
 class Change:
-    """One step of the accepted state.
+    """The difference between two successive accepted states.
 
-    :param base_revision: in force before; :param revision: in force after, possibly the same.
+    :param base_revision: revision in force before.
+    :param revision: revision in force after, possibly the same.
     """
 
     base_revision: int
@@ -26,23 +28,23 @@
 
 
 class ChangeLog:
-    """The latest changes and, for every resource, the revision at which it last changed.
+    """The latest changes and, for every resource, the revision of its last change.
 
-    Both are what this node has seen: one that has just started saw everything change at once.
+    Both cover only what this node observed: after a cold start, all resources change at once.
     """
 
     def __init__(self) -> None:
-        """Start before the first change."""
+        """Start with an empty log."""
         self._changes: deque[Change] = deque(maxlen=MAX_CHANGES)
         self._since: dict[ResourceKey, int] = {}
 
     @property
     def since(self) -> Mapping[ResourceKey, int]:
-        """The revision at which each resource last changed, as far as this node has seen."""
+        """Revision of the last change to each resource that this node observed."""
         return MappingProxyType(self._since)
 
     def note(self, former: AcceptedState, state: AcceptedState) -> None:
-        """Add the step from one state to the next."""
+        """Append the difference between two successive states."""
         changed: list[ResourceKey] = []
         deleted: list[ResourceKey] = []
         for number, digest in enumerate(state.bucket_digests):
@@ -62,9 +64,9 @@
         self._changes.append(Change(former.version.revision, revision, *step))
 
     def after_revision(self, revision: int) -> tuple[Change, ...] | None:
-        """Return what changed after a revision, ``None`` if the log no longer reaches back.
+        """Return the changes since a revision, ``None`` if the log no longer covers it.
 
-        Steps that ended at that very revision are included: whoever asks may have missed them.
+        Changes that resulted in the same revision are included: the client may have missed them.
         """
         if not self._changes or revision < self._changes[0].base_revision:
             return None
--- a/tinrudder/node/resources/configuration.py
+++ b/tinrudder/node/resources/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration in force as queries read it: one immutable view of the accepted state."""
+"""Owns the immutable view of the accepted state that queries read."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(frozen=True, slots=True)
 class CredentialOwner:
-    """A credential and the tenant it belongs to."""
+    """A credential and the tenant to which it belongs."""
 
     tenant: str
     credential: Credential
@@ -29,9 +29,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One immutable view of everything in force at a revision.
+    """An immutable view of all resources in force at a revision.
 
-    A reference may name something that is not in force; readers treat it as absent.
+    References may name resources that are not in force; readers treat these as absent.
     """
 
     revision: int = 0
@@ -47,7 +47,7 @@
 def build_configuration(
     revision: int, resources: Mapping[ResourceKey, AcceptedResource]
 ) -> Configuration:
-    """Index accepted resources by kind and name."""
+    """Return a view of accepted resources, indexed by kind and name."""
     by_kind: dict[str, dict[str, AnySpec]] = {kind.value: {} for kind in Kind}
     for key in sorted(resources):
         spec = resources[key].spec
@@ -66,11 +66,11 @@
 
 
 def _credentials(resources: Iterable[AcceptedResource]) -> dict[str, CredentialOwner]:
-    """Return who owns each key id.
+    """Return the owner of each key id.
 
-    Validation lets no document give one key id to two tenants, but a tenant whose newest
-    generation was refused may still hold, by its last good one, a key id that another tenant
-    has since been given: the more recent decision wins.
+    Validation refuses a key id that one document gives to two tenants.  But a tenant whose newest
+    generation was refused may keep a key id through its last good generation after another tenant
+    was given the same key id: the more recent decision wins.
     """
     owners: dict[str, CredentialOwner] = {}
     tenants = [resource for resource in resources if resource.key.kind == Kind.TENANT]
--- a/tinrudder/node/resources/exchange.py
+++ b/tinrudder/node/resources/exchange.py
@@ -1,4 +1,4 @@
-"""The accepted state as the exchange between nodes sees it."""
+"""Owns the encoding and merging of the accepted state for replication between nodes."""
 
 from __future__ import annotations
 
@@ -30,23 +30,23 @@
 
 
 class ReplicatedConfiguration:
-    """A :class:`tinrudder.cluster.replication.replicated_state.ReplicatedState` over a store."""
+    """Adapts a store to :class:`tinrudder.cluster.replication.replicated_state.ReplicatedState`."""
 
     def __init__(self, store: ConfigurationStore) -> None:
-        """Read and join the state of ``store``."""
+        """Read from ``store`` and merge peers' updates into it."""
         self._store = store
 
     def header(self) -> StateHeader:
-        """Return what is in force now."""
+        """Return the revision and the digests of the accepted state."""
         state = self._store.state
         return StateHeader(state.version.revision, state.version.digest, state.digest)
 
     def bucket_digests(self) -> Sequence[bytes]:
-        """Return one digest per bucket."""
+        """Return a digest per bucket."""
         return self._store.state.bucket_digests
 
     def encode_buckets(self, buckets: Sequence[int]) -> list[bytes]:
-        """Return all entries of some buckets."""
+        """Return the encoded resources of the given buckets; unknown bucket numbers are ignored."""
         held = self._store.state.buckets
         return [
             _encode(resource)
@@ -56,7 +56,12 @@
         ]
 
     def merge(self, update: StateUpdate) -> bool:
-        """Rebuild the peer's state from ours and what differs, check its digest, and join it."""
+        """Merge a peer's state, rebuilt from the local one and the buckets that differ.
+
+        :returns: whether the accepted state changed.
+        :raises MalformedUpdateError: if the update breaks a limit, contains resources of other
+            buckets than it lists, or yields another digest than it states.
+        """
         if len(update.entries) > MAX_RESOURCES or update.header.revision > MAX_REVISION:
             raise MalformedUpdateError("update: too many entries, or revision out of range")
         version = DocumentVersion(update.header.revision, update.header.document_digest)
@@ -64,10 +69,12 @@
         if any(number >= BUCKET_COUNT for number in update.buckets) or any(
             resource.bucket not in update.buckets for resource in theirs
         ):
-            raise MalformedUpdateError("update: holds other buckets than it states")
+            raise MalformedUpdateError(
+                "update: contains resources of buckets that it does not list, or an unknown bucket"
+            )
         state = replace_buckets(self._store.state, version, update.buckets, theirs)
         if state.digest != update.header.state_digest:
-            raise MalformedUpdateError("update: does not have the digest it states")
+            raise MalformedUpdateError("update: resulting state does not match the stated digest")
         return self._store.merge(state)
 
 
@@ -85,9 +92,9 @@
 
 
 def _decode(entry: bytes) -> AcceptedResource:
-    """Return a peer's entry.
+    """Decode a resource from a peer.
 
-    :raises MalformedUpdateError: it breaks a limit.
+    :raises MalformedUpdateError: if it can't be decoded or breaks a limit.
     """
     message = configuration_pb2.ResourceEntry()
     try:
--- a/tinrudder/node/resources/model.py
+++ b/tinrudder/node/resources/model.py
@@ -1,7 +1,7 @@
-"""The resources operators declare, as typed and frozen structures.
+"""Owns the typed, immutable specifications of the resources that operators declare.
 
-Field limits stand in the types, so one validation pass names the field and the rule it broke.
-Durations are milliseconds where the name ends in ``_ms``.
+Field limits are part of the types, so decoding reports the field and the rule that it breaks.
+Names ending in ``_ms`` are durations in milliseconds.
 """
 
 from __future__ import annotations
@@ -17,6 +17,7 @@
 MAX_REPLICAS_PER_SHARD = 16
 MAX_VERSIONS_PER_INDEX = 8
 MAX_NAME_LENGTH = 100
+"""Characters."""
 NAME_PATTERN = r"^[a-z0-9]([a-z0-9.-]*[a-z0-9])?$"
 
 Name = Annotated[str, Meta(pattern=NAME_PATTERN, max_length=MAX_NAME_LENGTH)]
@@ -26,7 +27,7 @@
 
 
 class Spec(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Base of every specification: immutable, unknown fields refused."""
+    """Base of every specification: immutable; unknown fields are refused."""
 
 
 class Credential(Spec, frozen=True, kw_only=True):
@@ -37,9 +38,9 @@
 
 
 class TenantSpec(Spec, frozen=True, kw_only=True):
-    """A tenant: who it is and how much of the tier it may use.
+    """A tenant: its credentials and its limits.
 
-    :param weight: its share of contended back ends, relative to other tenants.
+    :param weight: relative share of contended back ends.
     """
 
     weight: Annotated[int, Meta(ge=1, le=1000)] = 1
@@ -52,8 +53,8 @@
 class ServiceSpec(Spec, frozen=True, kw_only=True):
     """A service: a group of back ends and the tenants that may query it.
 
-    :param coordinators: how many nodes hold its back ends' slots; ``None`` lets the tier choose
-        (see docs/COORDINATORS.md).
+    :param coordinators: number of nodes that hold its back ends' slots; ``None`` for automatic
+        selection (see docs/COORDINATORS.md).
     """
 
     region: Name
@@ -63,14 +64,14 @@
 
 
 class BackendState(enum.StrEnum):
-    """Whether a back end may receive new work."""
+    """Administrative state of a back end; one that drains receives no new work."""
 
     ACTIVE = "active"
     DRAINING = "draining"
 
 
 class BackendSpec(Spec, frozen=True, kw_only=True):
-    """One back end: where it listens and how many calls it runs at once."""
+    """A back end: its address and the number of calls that it runs concurrently."""
 
     service: Name
     host: Annotated[str, Meta(min_length=2, max_length=45)]
@@ -82,7 +83,7 @@
 
 
 class ShardSpec(Spec, frozen=True, kw_only=True):
-    """One shard of one index version and the back ends that hold it."""
+    """A shard of an index version and the back ends that hold a replica of it."""
 
     shard: Name
     owner: Name
@@ -90,14 +91,14 @@
 
 
 class IndexVersionSpec(Spec, frozen=True, kw_only=True):
-    """One snapshot of an index: its number and its whole shard map."""
+    """A snapshot of an index: its version number and complete shard map."""
 
     version: Annotated[int, Meta(ge=1)]
     shards: Annotated[tuple[ShardSpec, ...], Meta(min_length=1, max_length=MAX_SHARDS_PER_VERSION)]
 
 
 class IndexSpec(Spec, frozen=True, kw_only=True):
-    """An index of a service; several versions may be served at once."""
+    """An index of a service; several versions may be served concurrently."""
 
     service: Name
     versions: Annotated[
@@ -106,7 +107,7 @@
 
 
 class Preference(enum.StrEnum):
-    """What a rule weighs first when both cannot be had."""
+    """Whether a rule gives priority to latency or to coverage if it can't have both."""
 
     LATENCY = "latency"
     COVERAGE = "coverage"
@@ -123,10 +124,10 @@
 class QueryRuleSpec(Spec, frozen=True, kw_only=True):
     """How queries to one service are run.
 
-    :param soft_deadline_ms: a latency-first query returns here once coverage suffices.
-    :param hard_deadline_ms: every query has its outcome by here.
+    :param soft_deadline_ms: time after which a latency-first query returns once coverage suffices.
+    :param hard_deadline_ms: time by which every query has its outcome.
     :param repeatable: ``False`` for operations that must run at most once.
-    :param policies: policy names by role, see ``tinrudder.node.decisions.registry``.
+    :param policies: policy names by role; see ``tinrudder.node.decisions.registry``.
     """
 
     service: Name
@@ -151,7 +152,7 @@
 
 
 def is_valid_name(name: str) -> bool:
-    """Tell whether a resource may have this name.
+    """Return whether a name is valid for a resource.
 
     >>> is_valid_name("gate-1.seats"), is_valid_name("Gate"), is_valid_name("gate\\n")
     (True, False, False)
--- a/tinrudder/node/resources/rules.py
+++ b/tinrudder/node/resources/rules.py
@@ -1,4 +1,4 @@
-"""Rules between the fields of one specification, beyond what its type already checks."""
+"""Owns validation rules across the fields of one specification, which its type can't express."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyNames:
-    """Policy names a query rule may choose from, by role; an empty table accepts any."""
+    """Policy names that a query rule may use, by role; an empty table accepts any name."""
 
     by_role: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
 
 def own_problems(spec: AnySpec) -> Iterator[str]:
-    """Yield the rules between fields of one specification that it breaks."""
+    """Yield the broken rules of one specification, without regard to other resources."""
     if isinstance(spec, BackendSpec):
         try:
             ipaddress.ip_address(spec.host)
@@ -53,7 +53,7 @@
 
 
 def policy_problems(spec: QueryRuleSpec, policies: PolicyNames) -> Iterator[str]:
-    """Yield policies that this release does not have."""
+    """Yield problems for policies that this release doesn't have."""
     if not policies.by_role:
         return
     for role, name in sorted(spec.policies.items()):
--- a/tinrudder/node/resources/status.py
+++ b/tinrudder/node/resources/status.py
@@ -1,4 +1,4 @@
-"""Status of resources and nodes: what was asked for, what is accepted, and where it is in force."""
+"""Owns the conditions of resources (accepted, enforced by the nodes) and of the platform."""
 
 from __future__ import annotations
 
@@ -10,10 +10,11 @@
 from tinrudder.node.resources.store import ConfigurationStore
 
 MAX_LAGGING_NAMED = 50
+"""Lagging nodes listed by name."""
 
 
 class ConditionType(enum.StrEnum):
-    """What a condition is about; docs/CONFIGURATION.md tells operators what to do."""
+    """Types of conditions; docs/CONFIGURATION.md describes what operators do about each."""
 
     ACCEPTED = "Accepted"
     ENFORCED = "Enforced"
@@ -25,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Condition:
-    """One statement; every type is worded so that ``True`` is the healthy state."""
+    """One condition; for every type, ``holds`` is ``True`` in the healthy state."""
 
     type: ConditionType
     holds: bool
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeRevision:
-    """A member and the newest revision it is known to enforce, 0 for none."""
+    """A member and the newest revision that it is known to enforce, 0 if none."""
 
     name: str
     zone: str
@@ -50,7 +51,7 @@
 class Enforcement:
     """How many nodes enforce a revision or a newer one.
 
-    :param lagging: names of the others, at most ``MAX_LAGGING_NAMED`` of them.
+    :param lagging: names of the other nodes, at most ``MAX_LAGGING_NAMED``.
     """
 
     revision: int
@@ -60,20 +61,20 @@
 
     @property
     def complete(self) -> bool:
-        """Tell whether every node enforces it."""
+        """Whether all nodes enforce the revision or a newer one."""
         return self.enforcing == self.nodes
 
 
 class EnforcementCount:
-    """Counts nodes by the revision they enforce, at one moment; each revision is counted once."""
+    """Counts nodes by enforced revision at one moment; results are cached by revision."""
 
     def __init__(self, nodes: Sequence[NodeRevision]) -> None:
-        """Count ``nodes``."""
+        """Take the nodes to count."""
         self.nodes = tuple(sorted(nodes, key=lambda node: node.name))
         self._counted: dict[int, Enforcement] = {}
 
     def of(self, revision: int) -> Enforcement:
-        """Return how many nodes enforce a revision."""
+        """Return how many nodes enforce a revision or a newer one."""
         known = self._counted.get(revision)
         if known is None:
             lagging = tuple(node.name for node in self.nodes if node.revision < revision)
@@ -85,26 +86,26 @@
 
 
 class StatusReporter:
-    """Derives conditions from the store and from what members say they enforce."""
+    """Derives conditions from the store and from the revisions that members report."""
 
     def __init__(self, store: ConfigurationStore, nodes: NodeRevisions) -> None:
-        """Report on ``store``; ``nodes`` includes this node."""
+        """Report on ``store``; ``nodes`` returns all members, including this node."""
         self._store = store
         self._nodes = nodes
 
     def count(self) -> EnforcementCount:
-        """Return who enforces what now; one count serves a whole answer."""
+        """Return a count at this moment, to be reused for one whole response."""
         return EnforcementCount(self._nodes())
 
     def conditions_of(
         self, resource: AcceptedResource, count: EnforcementCount
     ) -> tuple[Condition, ...]:
-        """Return a resource's conditions."""
+        """Return the conditions of a resource."""
         since = self._store.changes.since.get(resource.key, self._store.current.revision)
         return (_accepted(resource), enforced_condition(count.of(since)))
 
     def platform_conditions(self) -> tuple[Condition, ...]:
-        """Return what this node, by itself, last saw of the platform."""
+        """Return the platform's conditions as this node last observed them."""
         seen = self._store.platform
         in_force = self._store.current.revision
         behind = f"platform has revision {seen.revision}, {in_force} is in force"
@@ -123,7 +124,7 @@
 
 
 def enforced_condition(enforcement: Enforcement) -> Condition:
-    """Return the condition that states an enforcement."""
+    """Return the condition for an enforcement count."""
     counts = f"{enforcement.enforcing} of {enforcement.nodes} nodes"
     if enforcement.complete:
         return Condition(ConditionType.ENFORCED, True, "Everywhere", counts)
--- a/tinrudder/node/resources/store.py
+++ b/tinrudder/node/resources/store.py
@@ -1,7 +1,7 @@
-"""The store of the configuration in force: it only ever moves forward.
+"""Owns the accepted state of a node and the configuration in force, in memory only.
 
-Whatever arrives, from the platform or from a peer and in any order, is joined with what is held.
-The revision is therefore never lowered; nothing is kept on disk.
+Documents of the platform and states of peers may arrive in any order; each is joined with the
+current state, so the revision never decreases.
 """
 
 from __future__ import annotations
@@ -21,12 +21,12 @@
 
 @dataclass(frozen=True, slots=True)
 class PlatformObservation:
-    """What this node last saw of the platform's configuration.
+    """Result of this node's last read of the platform's configuration.
 
-    :param revision: of the last document read, 0 before the first.
-    :param behind: that revision is lower than the one in force.
-    :param reused: it has the revision in force with other content.
-    :param refused: why the document as a whole was refused, else empty.
+    :param revision: revision of the last document read, 0 before the first.
+    :param behind: whether that revision is lower than the one in force.
+    :param reused: whether the document has the revision in force with different content.
+    :param refused: why the whole document was refused, else empty.
     :param unavailable: why the last read failed, else empty.
     """
 
@@ -38,10 +38,10 @@
 
 
 class ConfigurationStore:
-    """Holds the accepted state and its view; the highest revision wins."""
+    """Holds the accepted state and the configuration built from it; the highest revision wins."""
 
     def __init__(self, policies: PolicyNames | None = None) -> None:
-        """Start with nothing in force, at revision 0."""
+        """Start with no resources, at revision 0."""
         self.current = Configuration()
         self.state = EMPTY_STATE
         self.platform = PlatformObservation()
@@ -54,10 +54,10 @@
         self._listeners.append(listener)
 
     def offer(self, document: ResourceDocument) -> bool:
-        """Take a document of the platform.
+        """Validate a document of the platform and merge it into the accepted state.
 
-        A stale or restored platform changes nothing of what is in force, except that it may
-        supply the last good specification of a resource whose newer one is refused.
+        An older document, from a stale or restored platform, changes nothing in force, except
+        that it may supply the last good specification of a resource whose newer one is refused.
 
         :returns: whether the accepted state changed.
         """
@@ -75,17 +75,17 @@
         return self.merge(offered)
 
     def note_platform_unavailable(self, reason: str) -> None:
-        """Remember that the platform could not be read; what is in force stays."""
+        """Record that reading the platform failed; the configuration in force stays."""
         self.platform = PlatformObservation(self.platform.revision, unavailable=reason)
 
     def note_platform_unchanged(self) -> None:
-        """Remember that the platform answered that it has the revision in force."""
+        """Record that the platform still has the revision in force."""
         self.platform = PlatformObservation(
             self.state.version.revision, reused=self.platform.reused
         )
 
     def merge(self, other: AcceptedState) -> bool:
-        """Join another node's accepted state; return whether this changed ours."""
+        """Join another accepted state with this node's; return whether this node's changed."""
         joined = join_states(self.state, other)
         if joined is self.state or joined.digest == self.state.digest:
             return False
--- a/tinrudder/node/resources/validation.py
+++ b/tinrudder/node/resources/validation.py
@@ -1,8 +1,8 @@
-"""Validation of a document: deterministic, and of the document alone.
+"""Owns the validation of documents, a deterministic function of the document alone.
 
-Nothing here depends on what was accepted before, on time or on the node: every node that sees
-the same document judges it alike.  References are checked against the names present in the same
-document, whether or not the resource referred to is itself valid.
+The result doesn't depend on the accepted state, the time or the node: all nodes validate the same
+document alike.  References are checked against the names in the same document, whether or not
+the referenced resource is itself valid.
 """
 
 from __future__ import annotations
@@ -39,30 +39,32 @@
 MAX_SPEC_BYTES = 1024 * 1024
 MAX_DOCUMENT_BYTES = 32 * 1024 * 1024
 MAX_KEY_LENGTH = 253
+"""Characters of a kind or a name."""
 MAX_PROBLEM_LENGTH = 300
+"""Characters of a problem's text; the rest is cut off."""
 MAX_REVISION = 2**63 - 1
 
 
 class DocumentRefusedError(Exception):
-    """A whole document breaks a rule; what is in force stays."""
+    """A document is refused as a whole; the configuration in force stays."""
 
 
 @dataclass(frozen=True, slots=True)
 class Problem:
-    """What is wrong with one resource: the field and the rule it breaks."""
+    """A validation error of one resource: the field and the rule that it breaks."""
 
     key: ResourceKey
     generation: int
     text: str
 
     def __str__(self) -> str:
-        """Return resource, field and rule in one line."""
+        """Return resource, field and rule as one line."""
         return f"{self.key.kind} {self.key.name}: {self.text}"
 
 
 @dataclass(slots=True)
 class _Judged:
-    """A resource on its way through validation."""
+    """A resource during validation."""
 
     raw: RawResource
     key: ResourceKey
@@ -71,9 +73,9 @@
 
 
 def check_document(document: ResourceDocument) -> None:
-    """Check what holds for a document as a whole.
+    """Check the limits of a document as a whole.
 
-    :raises DocumentRefusedError: naming the rule it breaks.
+    :raises DocumentRefusedError: naming the rule that it breaks.
     """
     count = len(document.resources)
     if not 1 <= document.revision <= MAX_REVISION:
@@ -94,7 +96,7 @@
 
 
 def version_of(document: ResourceDocument) -> DocumentVersion:
-    """Return a document's place in the total order of documents."""
+    """Return the version that orders a document among all documents."""
     lines = sorted((r.kind, r.name, r.generation, bytes(r.spec)) for r in document.resources)
     return DocumentVersion(document.revision, digest_of(msgspec.msgpack.encode(lines)))
 
@@ -104,10 +106,10 @@
     policies: PolicyNames | None = None,
     known: AcceptedState | None = None,
 ) -> AcceptedState:
-    """Return the state of a node that has seen this document and no other.
+    """Return the state of a node that has seen only this document.
 
-    :param known: a former state; resources that did not change are not decoded again.
-    :raises DocumentRefusedError: the document as a whole breaks a rule.
+    :param known: a previous state; unchanged resources are reused without decoding them again.
+    :raises DocumentRefusedError: if the document as a whole breaks a rule.
     """
     check_document(document)
     resources = []
@@ -126,10 +128,10 @@
     policies: PolicyNames | None = None,
     known: AcceptedState | None = None,
 ) -> list[Problem]:
-    """Return what is wrong with each resource of a document, sorted by kind and name.
+    """Return the problems of a document's resources, sorted by kind and name.
 
     :param known: see :func:`state_of_document`.
-    :raises DocumentRefusedError: the document as a whole breaks a rule.
+    :raises DocumentRefusedError: if the document as a whole breaks a rule.
     """
     state = state_of_document(document, policies, known)
     return [
@@ -140,7 +142,7 @@
 
 
 def _good(judged: _Judged, known: AcceptedState | None) -> AcceptedResource:
-    """Return an accepted resource, the former object if nothing changed."""
+    """Return the accepted resource; the previous object if nothing changed."""
     raw = judged.raw
     spec = bytes(raw.spec)
     former = known.resources.get(judged.key) if known else None
@@ -158,13 +160,13 @@
 def _judge(
     document: ResourceDocument, policies: PolicyNames, known: AcceptedState | None
 ) -> list[_Judged]:
-    """Judge each resource by itself, then its references."""
+    """Validate each resource separately, then its references."""
     counts = Counter((raw.kind, raw.name) for raw in document.resources)
     judged: dict[ResourceKey, _Judged] = {}
     for raw in document.resources:
         key = ResourceKey(raw.kind, raw.name)
         if counts[(raw.kind, raw.name)] > 1:
-            # Which of the two is meant is unknown, so the higher generation only names them.
+            # Which one is intended is unknown: refuse both, report the higher generation.
             if key not in judged or judged[key].raw.generation < raw.generation:
                 judged[key] = _Judged(raw, key, None, "name: listed more than once")
             continue
@@ -177,7 +179,7 @@
 
 
 def _judge_alone(raw: RawResource, key: ResourceKey, known: AcceptedState | None) -> _Judged:
-    """Check one resource without looking at others."""
+    """Validate one resource without its references."""
     spec_type = SPEC_TYPES.get(raw.kind)  # type: ignore[call-overload]
     if spec_type is None:
         kinds = ", ".join(kind.value for kind in Kind)
@@ -189,7 +191,7 @@
     former = known.resources.get(key) if known else None
     known_good = former is not None and not former.problem and former.spec is not None
     if former is not None and known_good and former.raw_spec == bytes(raw.spec):
-        # Accepted before, so it broke no rule of its own; references are checked again.
+        # Accepted before, so only its references are checked again.
         return _Judged(raw, key, former.spec)
     try:
         spec: AnySpec = msgspec.json.decode(raw.spec, type=spec_type)
@@ -200,7 +202,11 @@
 
 @dataclass(frozen=True, slots=True)
 class _PresentNames:
-    """What references may name."""
+    """Names in a document, for checking references.
+
+    :param backend_service: service of each back end whose specification was decoded.
+    :param key_id_counts: number of tenants that have each key id.
+    """
 
     by_kind: Mapping[str, frozenset[str]]
     backend_service: Mapping[str, str]
@@ -227,7 +233,7 @@
 def _reference_problems(
     judged: _Judged, names: _PresentNames, policies: PolicyNames
 ) -> Iterator[str]:
-    """Yield what a resource refers to that the document does not hold."""
+    """Yield a resource's own problem, then its broken references and policies."""
     spec = judged.spec
     if judged.problem:
         yield judged.problem
@@ -246,14 +252,14 @@
 
 
 def _credential_problems(spec: TenantSpec, names: _PresentNames) -> Iterator[str]:
-    """Yield key ids of several tenants: none gets them, the tier does not guess the owner."""
+    """Yield key ids shared by tenants; all of them are refused, as the owner is ambiguous."""
     for credential in spec.credentials:
         if names.key_id_counts[credential.key_id] > 1:
             yield f"spec.credentials.key_id: {credential.key_id!r} belongs to two tenants"
 
 
 def _shard_problems(spec: IndexSpec, names: _PresentNames) -> Iterator[str]:
-    """Yield shards whose replicas are absent or belong to another service."""
+    """Yield shards whose back ends are not in the document or belong to another service."""
     for version in spec.versions:
         for shard in version.shards:
             where = f"spec.versions[{version.version}].shards[{shard.shard}].backends"
