--- a/tests/unit/node/test_acceptance.py
+++ b/tests/unit/node/test_acceptance.py
@@ -153,6 +153,6 @@
 def test_former_objects_are_kept_where_nothing_changed(count: int) -> None:
     offered = document(count, tenant("a"), tenant("b", count, weight=count))
     state = state_of_document(document(9, tenant("a"), tenant("b")))
-    again = state_of_document(offered, known=state)
+    again = state_of_document(offered, previous_state=state)
     same = [again.resources[key] is state.resources[key] for key in sorted(state.resources)]
     assert same == [True, count == 1]
--- a/tinrudder/node/api/caller_app.py
+++ b/tinrudder/node/api/caller_app.py
@@ -29,11 +29,11 @@
 from tinrudder.node.api.query_body import (
     QueryBody,
     UnknownResourceError,
+    cursor_scope,
+    decode_cursor,
     decode_query_body,
     find_rule,
     make_request,
-    open_cursor,
-    scope_of,
 )
 from tinrudder.node.api.request_body import read_json_body
 from tinrudder.node.api.stream import NDJSON, QueryStream
@@ -113,25 +113,25 @@
             return await self.stream(request)
         query_id = new_query_id()
         try:
-            query = await self._read(request, query_id)
+            query = await self._read_query(request, query_id)
         except RequestProblemError as problem:
             return problem_response(query_id, problem)
         if query.rule is None:
             outcome: Outcome = UNKNOWN_RESOURCE
         else:
             outcome = await self._run(request, query, query.rule)
-        self._finished(query, outcome)
+        self._notify_observers(query, outcome)
         return self._respond(query, outcome)
 
     async def stream(self, request: Request) -> Response:
         """Answer ``POST /v1/stream``."""
         query_id = new_query_id()
         try:
-            query = await self._read(request, query_id)
+            query = await self._read_query(request, query_id)
         except RequestProblemError as problem:
             return problem_response(query_id, problem)
         if query.rule is None:
-            self._finished(query, UNKNOWN_RESOURCE)
+            self._notify_observers(query, UNKNOWN_RESOURCE)
             return self._respond(query, UNKNOWN_RESOURCE)
         rule = query.rule
 
@@ -141,14 +141,14 @@
             return await self._runner.run(page)
 
         def on_end(outcome: Outcome) -> None:
-            self._finished(query, outcome)
+            self._notify_observers(query, outcome)
 
-        def cursor_of(position: PagePosition) -> str:
-            return self._cursors.encode(position, scope_of(query.body, query.tenant))
+        def encode_cursor(position: PagePosition) -> str:
+            return self._cursors.encode(position, cursor_scope(query.body, query.tenant))
 
-        return QueryStream(query_id, query.position, run_page, cursor_of, on_end)
+        return QueryStream(query_id, query.position, run_page, encode_cursor, on_end)
 
-    async def _read(self, request: Request, query_id: str) -> CallerQuery:
+    async def _read_query(self, request: Request, query_id: str) -> CallerQuery:
         """Authenticate the caller, then read and validate the request's body.
 
         :raises RequestProblemError: naming the field and the rule that it breaks.
@@ -164,20 +164,20 @@
             query.rule = find_rule(body, tenant, self._configuration())
         except UnknownResourceError:
             return query
-        query.position = open_cursor(body, tenant, self._cursors)
+        query.position = decode_cursor(body, tenant, self._cursors)
         return query
 
     async def _run(self, request: Request, query: CallerQuery, rule: QueryRuleSpec) -> Outcome:
         """Run one page; cancel it if the caller disconnects."""
-        core = make_request(
+        query_request = make_request(
             query.query_id, query.tenant, query.body, rule, query.position, query.started
         )
         try:
-            return await run_unless_disconnected(request.receive, self._runner.run(core))
+            return await run_unless_disconnected(request.receive, self._runner.run(query_request))
         except CallerGoneError:
             return MayHaveRun(MayHaveRunReason.CANCELLED, "the caller went away")
 
-    def _finished(self, query: CallerQuery, outcome: Outcome) -> None:
+    def _notify_observers(self, query: CallerQuery, outcome: Outcome) -> None:
         """Pass a finished query to the observers."""
         finished = FinishedQuery(
             query.query_id,
@@ -197,6 +197,6 @@
         cursor = None
         if isinstance(outcome, Complete | Partial) and outcome.answer.next_after is not None:
             position = PagePosition(outcome.answer.version, outcome.answer.next_after)
-            cursor = self._cursors.encode(position, scope_of(query.body, query.tenant))
+            cursor = self._cursors.encode(position, cursor_scope(query.body, query.tenant))
         content = _encoder.encode(body_of(query.query_id, outcome, cursor))
         return Response(content, status_of(outcome), headers_of(outcome), JSON)
--- a/tinrudder/node/api/cursor.py
+++ b/tinrudder/node/api/cursor.py
@@ -16,7 +16,7 @@
 
 import msgspec
 
-SEAL_BYTES = 16
+MAC_BYTES = 16
 """Length in bytes of the truncated HMAC-SHA-256."""
 KEY_PURPOSE = b"tinrudder page cursor"
 """Separates the derived key from other uses of the cluster key."""
@@ -50,7 +50,7 @@
     match: dict[str, str] = {}
 
 
-class _Sealed(msgspec.Struct, frozen=True, array_like=True):
+class _SignedPosition(msgspec.Struct, frozen=True, array_like=True):
     version: int
     after: tuple[float, str]
 
@@ -78,8 +78,8 @@
 
     def encode(self, position: PagePosition, scope: CursorScope) -> str:
         """Return the cursor for a position."""
-        body = msgspec.msgpack.encode(_Sealed(position.version, position.after))
-        return base64.urlsafe_b64encode(_seal(self._keys[0], body, scope) + body).decode()
+        body = msgspec.msgpack.encode(_SignedPosition(position.version, position.after))
+        return base64.urlsafe_b64encode(_compute_mac(self._keys[0], body, scope) + body).decode()
 
     def decode(self, text: str, scope: CursorScope) -> PagePosition:
         """Return the position of a cursor.
@@ -88,15 +88,17 @@
         """
         try:
             raw = base64.b64decode(text.encode(), altchars=b"-_", validate=True)
-            seal, body = raw[:SEAL_BYTES], raw[SEAL_BYTES:]
-            if not any([hmac.compare_digest(seal, _seal(k, body, scope)) for k in self._keys]):
+            mac, body = raw[:MAC_BYTES], raw[MAC_BYTES:]
+            if not any(
+                [hmac.compare_digest(mac, _compute_mac(k, body, scope)) for k in self._keys]
+            ):
                 raise CursorError
-            sealed = msgspec.msgpack.decode(body, type=_Sealed)
+            signed_position = msgspec.msgpack.decode(body, type=_SignedPosition)
         except (binascii.Error, ValueError, msgspec.MsgspecError) as error:
             raise CursorError from error
-        return PagePosition(sealed.version, sealed.after)
+        return PagePosition(signed_position.version, signed_position.after)
 
 
-def _seal(key: bytes, body: bytes, scope: CursorScope) -> bytes:
+def _compute_mac(key: bytes, body: bytes, scope: CursorScope) -> bytes:
     message = _scope_encoder.encode((scope, body))
-    return hmac.new(key, message, hashlib.sha256).digest()[:SEAL_BYTES]
+    return hmac.new(key, message, hashlib.sha256).digest()[:MAC_BYTES]
--- a/tinrudder/node/api/disconnect.py
+++ b/tinrudder/node/api/disconnect.py
@@ -21,16 +21,16 @@
     :param receive: the request's ASGI receive function, once the whole body has been read.
     :raises CallerGoneError: if the caller disconnects before ``work`` ends.
     """
-    running = asyncio.ensure_future(work)
-    gone = asyncio.ensure_future(_wait_for_disconnect(receive))
+    work_task = asyncio.ensure_future(work)
+    disconnect_task = asyncio.ensure_future(_wait_for_disconnect(receive))
     try:
-        await asyncio.wait((running, gone), return_when=asyncio.FIRST_COMPLETED)
-        if not running.done():
+        await asyncio.wait((work_task, disconnect_task), return_when=asyncio.FIRST_COMPLETED)
+        if not work_task.done():
             raise CallerGoneError
-        return running.result()
+        return work_task.result()
     finally:
-        running.cancel()
-        gone.cancel()
+        work_task.cancel()
+        disconnect_task.cancel()
 
 
 async def _wait_for_disconnect(receive: Receive) -> None:
--- a/tinrudder/node/api/finished_query.py
+++ b/tinrudder/node/api/finished_query.py
@@ -34,18 +34,18 @@
     """Logs a JSON line for each query that is not complete and for a share of the complete ones.
 
     >>> log = QueryLog(0.5)
-    >>> [log.takes_next() for _ in range(4)]
+    >>> [log.should_log_next() for _ in range(4)]
     [False, True, False, True]
     """
 
     def __init__(self, share: float) -> None:
         """Log this share of complete queries: 1.0 for all, 0.0 for none."""
         self._share = share
-        self._due = 0.0
+        self._accumulated_share = 0.0
 
     def __call__(self, query: FinishedQuery) -> None:
         """Log a query if it is not complete or is selected as a sample."""
-        if isinstance(query.outcome, Complete) and not self.takes_next():
+        if isinstance(query.outcome, Complete) and not self.should_log_next():
             return
         fields: dict[str, LogValue] = {
             "query_id": query.query_id,
@@ -59,10 +59,10 @@
         }
         log_event("query", fields)
 
-    def takes_next(self) -> bool:
+    def should_log_next(self) -> bool:
         """Count one complete query; return whether to log it."""
-        self._due += self._share
-        if self._due < 1.0:
+        self._accumulated_share += self._share
+        if self._accumulated_share < 1.0:
             return False
-        self._due -= 1.0
+        self._accumulated_share -= 1.0
         return True
--- a/tinrudder/node/api/operation_app.py
+++ b/tinrudder/node/api/operation_app.py
@@ -81,7 +81,9 @@
         rule = _visible_rule(body, tenant, configuration())
         outcome: Outcome = NotRun(NotRunReason.UNKNOWN_RESOURCE, "unknown to this tenant")
         if rule is not None:
-            operation = _operation(query_id, tenant, body, started + rule.hard_deadline_ms / 1000)
+            operation = _make_operation_request(
+                query_id, tenant, body, started + rule.hard_deadline_ms / 1000
+            )
             outcome = await _run(request, operations, operation)
         finished = FinishedQuery(
             query_id,
@@ -132,7 +134,7 @@
     return rule if service is not None and tenant in service.tenants else None
 
 
-def _operation(
+def _make_operation_request(
     query_id: str, tenant: str, body: OperationBody, deadline: float
 ) -> OperationRequest:
     return OperationRequest(
--- a/tinrudder/node/api/operators/resource_app.py
+++ b/tinrudder/node/api/operators/resource_app.py
@@ -85,11 +85,15 @@
     def routes(self) -> list[Route]:
         """Return the routes; fixed paths precede the parameterized path, which matches them too."""
         return [
-            Route("/v1/resources", self._guarded(self._list), methods=ALL_METHODS),
-            Route("/v1/resources/watch", self._guarded(self._watch_lines), methods=ALL_METHODS),
-            Route("/v1/resources/nodes", self._guarded(self._nodes), methods=ALL_METHODS),
+            Route("/v1/resources", self._read_endpoint(self._list), methods=ALL_METHODS),
+            Route(
+                "/v1/resources/watch", self._read_endpoint(self._watch_lines), methods=ALL_METHODS
+            ),
+            Route("/v1/resources/nodes", self._read_endpoint(self._nodes), methods=ALL_METHODS),
             Route("/v1/resources/validate", self.validate, methods=["POST"]),
-            Route("/v1/resources/{kind}/{name}", self._guarded(self._get), methods=ALL_METHODS),
+            Route(
+                "/v1/resources/{kind}/{name}", self._read_endpoint(self._get), methods=ALL_METHODS
+            ),
         ]
 
     async def validate(self, request: Request) -> Response:
@@ -106,10 +110,14 @@
             problems = self._new_problems(_batch_decoder.decode(body))
         except (msgspec.MsgspecError, DocumentRefusedError) as error:
             return _error(BAD_REQUEST, "invalid", str(error))
-        bodies = tuple(ProblemBody(one.key.kind, one.key.name, one.text) for one in problems)
+        bodies = tuple(
+            ProblemBody(problem.key.kind, problem.key.name, problem.text) for problem in problems
+        )
         return _json(ValidationBody(not bodies, bodies))
 
-    def _guarded(self, handler: Callable[[Request, Viewer], Response]) -> Callable[..., object]:
+    def _read_endpoint(
+        self, handler: Callable[[Request, Viewer], Response]
+    ) -> Callable[..., object]:
         """Return an endpoint that authenticates the viewer and refuses writes."""
 
         async def endpoint(request: Request) -> Response:
@@ -162,7 +170,7 @@
         text = request.query_params.get("from_revision", "0")
         if not text.isdecimal():
             return _error(BAD_REQUEST, "invalid", "from_revision: must be a whole number")
-        if not self._watch.has_room(viewer):
+        if not self._watch.can_open(viewer):
             return _error(TOO_MANY_REQUESTS, "too_many_watches", "end another watch first")
         watch = WatchRequest(viewer, request.query_params.get("kind", ""), int(text))
         return StreamingResponse(self._watch.lines(watch), media_type=NEWLINE_DELIMITED_JSON)
@@ -174,7 +182,10 @@
         if not text.isdecimal():
             return _error(BAD_REQUEST, "invalid", "revision: must be a whole number")
         count = self._reporter.count()
-        nodes = tuple(NodeBody(one.name, one.zone, one.status, one.revision) for one in count.nodes)
+        nodes = tuple(
+            NodeBody(member.name, member.zone, member.status, member.revision)
+            for member in count.nodes
+        )
         body = NodesBody(
             self._settings.node,
             self._store.current.revision,
@@ -187,12 +198,16 @@
 
     def _new_problems(self, batch: ResourceBatch) -> list[Problem]:
         """Return problems in the resources of a batch, and new ones that it causes in others."""
-        written = {(one.kind, one.name) for one in batch.resources}
+        written = {(resource.kind, resource.name) for resource in batch.resources}
         problems = self._problems_with(batch)
         if all(problem.key in written for problem in problems):
             return problems
         before = self._problems_with(ResourceBatch())
-        return [one for one in problems if one.key in written or one not in before]
+        return [
+            candidate
+            for candidate in problems
+            if candidate.key in written or candidate not in before
+        ]
 
     def _problems_with(self, batch: ResourceBatch) -> list[Problem]:
         document = self._document_with(batch)
@@ -200,14 +215,19 @@
 
     def _document_with(self, batch: ResourceBatch) -> ResourceDocument:
         """Return the configuration in force with a batch applied."""
-        replaced = {(one.kind, one.name) for one in batch.resources}
-        replaced |= {(one.kind, one.name) for one in batch.delete}
+        replaced = {(resource.kind, resource.name) for resource in batch.resources}
+        replaced |= {(resource.kind, resource.name) for resource in batch.delete}
         kept = tuple(
-            RawResource(key.kind, key.name, held.accepted_generation, msgspec.Raw(held.raw_spec))
-            for key, held in self._store.state.resources.items()
-            if held.raw_spec and key not in replaced
+            RawResource(
+                key.kind, key.name, accepted.accepted_generation, msgspec.Raw(accepted.raw_spec)
+            )
+            for key, accepted in self._store.state.resources.items()
+            if accepted.raw_spec and key not in replaced
+        )
+        new = tuple(
+            RawResource(resource.kind, resource.name, 1, resource.spec)
+            for resource in batch.resources
         )
-        new = tuple(RawResource(one.kind, one.name, 1, one.spec) for one in batch.resources)
         return ResourceDocument(self._store.current.revision + 1, kept + new)
 
     def _snapshot(self) -> Snapshot:
--- a/tinrudder/node/api/operators/resource_bodies.py
+++ b/tinrudder/node/api/operators/resource_bodies.py
@@ -12,7 +12,7 @@
 from tinrudder.node.resources.status import Condition, ConditionType, Enforcement, StatusReporter
 from tinrudder.node.resources.store import ConfigurationStore
 
-ASK_AN_OPERATOR = "the newest generation was refused; operators see why"
+REFUSED_MESSAGE_FOR_TENANTS = "the newest generation was refused; operators see why"
 NO_SPEC = msgspec.Raw(b"null")
 
 
@@ -105,7 +105,8 @@
 def condition_bodies(conditions: Sequence[Condition]) -> tuple[ConditionBody, ...]:
     """Return conditions as JSON bodies."""
     return tuple(
-        ConditionBody(one.type.value, one.holds, one.reason, one.message) for one in conditions
+        ConditionBody(condition.type.value, condition.holds, condition.reason, condition.message)
+        for condition in conditions
     )
 
 
@@ -131,25 +132,25 @@
         conditions = condition_bodies(self._reporter.conditions_of(resource, self._count))
         spec = msgspec.Raw(resource.raw_spec) if resource.raw_spec else NO_SPEC
         if self._viewer.tenant is not None:
-            conditions = tuple(map(_without_names, conditions))
+            conditions = tuple(map(_without_other_names, conditions))
             spec = _spec_for_tenant(self._viewer.tenant, resource)
-        since = self._store.changes.since.get(resource.key, self._store.current.revision)
+        changed_at = self._store.changes.changed_at.get(resource.key, self._store.current.revision)
         return ResourceBody(
             resource.key.kind,
             resource.key.name,
             resource.observed_generation,
             resource.accepted_generation,
-            since,
+            changed_at,
             spec,
             conditions,
         )
 
 
-def _without_names(condition: ConditionBody) -> ConditionBody:
+def _without_other_names(condition: ConditionBody) -> ConditionBody:
     """Remove message text that may name other tenants or machines."""
     message = condition.message.partition(";")[0]
     if condition.type == ConditionType.ACCEPTED and not condition.status:
-        message = ASK_AN_OPERATOR
+        message = REFUSED_MESSAGE_FOR_TENANTS
     return msgspec.structs.replace(condition, message=message)
 
 
@@ -160,7 +161,7 @@
         return NO_SPEC
     fields = msgspec.to_builtins(spec)
     if isinstance(spec, TenantSpec):
-        fields["credentials"] = [{"key_id": one.key_id} for one in spec.credentials]
+        fields["credentials"] = [{"key_id": credential.key_id} for credential in spec.credentials]
     elif resource.key.kind == Kind.SERVICE:
         fields["tenants"] = [tenant]
     return msgspec.Raw(msgspec.json.encode(fields))
--- a/tinrudder/node/api/operators/resource_visibility.py
+++ b/tinrudder/node/api/operators/resource_visibility.py
@@ -38,8 +38,8 @@
         return key.name == viewer.tenant
     if key.kind == Kind.QUERY_RULE:
         rule = configuration.rules.get(key.name)
-        return rule is not None and _uses(viewer.tenant, rule.service, configuration)
-    return key.kind == Kind.SERVICE and _uses(viewer.tenant, key.name, configuration)
+        return rule is not None and _may_use(viewer.tenant, rule.service, configuration)
+    return key.kind == Kind.SERVICE and _may_use(viewer.tenant, key.name, configuration)
 
 
 def visible_keys(viewer: Viewer, snapshot: Snapshot) -> list[ResourceKey]:
@@ -52,7 +52,7 @@
     """Return the visible changes; a resource that is no longer visible counts as deleted."""
     changed: list[ResourceKey] = []
     deleted: list[ResourceKey] = []
-    for key in _candidates(viewer, before, after):
+    for key in _possibly_changed_keys(viewer, before, after):
         old = before.state.resources.get(key)
         new = after.state.resources.get(key)
         was_seen = old is not None and may_see(viewer, key, before.configuration)
@@ -64,7 +64,7 @@
     return VisibleChanges(tuple(changed), tuple(deleted))
 
 
-def _candidates(viewer: Viewer, before: Snapshot, after: Snapshot) -> list[ResourceKey]:
+def _possibly_changed_keys(viewer: Viewer, before: Snapshot, after: Snapshot) -> list[ResourceKey]:
     """Return the keys of resources that may have changed for the viewer, sorted."""
     if viewer.tenant is not None:
         # Changing a service shows or hides its rules, so all visible keys are compared.
@@ -78,6 +78,6 @@
     return sorted(keys)
 
 
-def _uses(tenant: str, service: str, configuration: Configuration) -> bool:
+def _may_use(tenant: str, service: str, configuration: Configuration) -> bool:
     spec = configuration.services.get(service)
     return spec is not None and tenant in spec.tenants
--- a/tinrudder/node/api/operators/resource_watch.py
+++ b/tinrudder/node/api/operators/resource_watch.py
@@ -78,7 +78,7 @@
         self._is_stopping = is_stopping
         self._watchers: list[Viewer] = []
 
-    def has_room(self, viewer: Viewer) -> bool:
+    def can_open(self, viewer: Viewer) -> bool:
         """Return whether the viewer may open one more watch."""
         limit = MAX_WATCHERS if viewer.is_operator else MAX_WATCHERS_PER_TENANT
         return len(self._watchers) < MAX_WATCHERS and self._watchers.count(viewer) < limit
@@ -95,70 +95,70 @@
             self._watchers.remove(request.viewer)
 
     async def _events(self, request: WatchRequest) -> AsyncIterator[WatchEvent]:
-        told = self._snapshot()
+        last_sent = self._snapshot()
         enforcement: EnforcementBody | None = None
-        for event in self._first_events(request, told):
+        for event in self._catch_up_events(request, last_sent):
             yield event
         checks = 0
         while not self._is_stopping():
-            now = self._snapshot()
-            for event in self._events_between(request, told, now):
+            current = self._snapshot()
+            for event in self._events_between(request, last_sent, current):
                 yield event
-            told = now
+            last_sent = current
             if request.viewer.is_operator:
-                newest = enforcement_body(self._reporter.count().of(now.configuration.revision))
+                newest = enforcement_body(self._reporter.count().of(current.configuration.revision))
                 if newest != enforcement:
                     enforcement = newest
                     yield WatchEvent("enforcement", newest.revision, enforcement=newest)
             if checks % CHECKS_PER_BOOKMARK == 0:
                 # Not below the client's revision: the node that it watched before may be ahead.
-                reached = max(now.configuration.revision, request.from_revision)
+                reached = max(current.configuration.revision, request.from_revision)
                 yield WatchEvent("bookmark", reached)
             checks += 1
             await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _first_events(self, request: WatchRequest, now: Snapshot) -> Iterator[WatchEvent]:
+    def _catch_up_events(self, request: WatchRequest, current: Snapshot) -> Iterator[WatchEvent]:
         """Yield the changes since the client's revision, or a reset and all visible resources.
 
         Yields nothing if the client has the newest state or comes from a node that is ahead.
         """
-        revision = now.configuration.revision
+        revision = current.configuration.revision
         if request.from_revision > revision:
             return
         missed = self._store.changes.after_revision(request.from_revision)
-        reaches_back = request.from_revision > 0 and missed is not None
-        if reaches_back and all(
+        log_covers_revision = request.from_revision > 0 and missed is not None
+        if log_covers_revision and all(
             change.revision <= request.from_revision for change in missed or ()
         ):
             return
-        if not reaches_back or not request.viewer.is_operator:
+        if not log_covers_revision or not request.viewer.is_operator:
             # Past visibility is not kept, so a tenant starts again with all its resources.
             yield WatchEvent("reset", revision)
-            yield from self._changed(request, visible_keys(request.viewer, now), now)
+            yield from self._changed(request, visible_keys(request.viewer, current), current)
             return
         changed = {key for change in missed or () for key in change.changed}
         deleted = {key for change in missed or () for key in change.deleted}
-        yield from _deleted(request, sorted(deleted - now.state.resources.keys()), revision)
-        yield from self._changed(request, sorted(changed & now.state.resources.keys()), now)
+        yield from _deleted(request, sorted(deleted - current.state.resources.keys()), revision)
+        yield from self._changed(request, sorted(changed & current.state.resources.keys()), current)
 
     def _events_between(
-        self, request: WatchRequest, told: Snapshot, now: Snapshot
+        self, request: WatchRequest, last_sent: Snapshot, current: Snapshot
     ) -> Iterator[WatchEvent]:
         """Yield the visible changes between two snapshots."""
-        if told.state is now.state:
+        if last_sent.state is current.state:
             return
-        changes = visible_changes(request.viewer, told, now)
-        yield from _deleted(request, changes.deleted, now.configuration.revision)
-        yield from self._changed(request, changes.changed, now)
+        changes = visible_changes(request.viewer, last_sent, current)
+        yield from _deleted(request, changes.deleted, current.configuration.revision)
+        yield from self._changed(request, changes.changed, current)
 
     def _changed(
-        self, request: WatchRequest, keys: Iterable[ResourceKey], now: Snapshot
+        self, request: WatchRequest, keys: Iterable[ResourceKey], current: Snapshot
     ) -> Iterator[WatchEvent]:
-        revision = now.configuration.revision
+        revision = current.configuration.revision
         renderer = ResourceRenderer(request.viewer, self._store, self._reporter)
         for key in keys:
             if not request.kind or key.kind == request.kind:
-                yield WatchEvent("changed", revision, renderer.body(now.state.resources[key]))
+                yield WatchEvent("changed", revision, renderer.body(current.state.resources[key]))
 
     def _snapshot(self) -> Snapshot:
         return Snapshot(self._store.state, self._store.current)
--- a/tinrudder/node/api/problems.py
+++ b/tinrudder/node/api/problems.py
@@ -18,8 +18,8 @@
 NOT_FOUND = 404
 METHOD_NOT_ALLOWED = 405
 UNAUTHORIZED = 401
-ERROR_PATH = re.compile(r"^(?P<rule>.*?)(?: - at `\$\.?(?P<path>.*)`)?$", re.DOTALL)
-NAMED_FIELD = re.compile(r"`(?P<field>[^`]*)`$")
+DECODER_MESSAGE_PATTERN = re.compile(r"^(?P<rule>.*?)(?: - at `\$\.?(?P<path>.*)`)?$", re.DOTALL)
+FIELD_NAME_PATTERN = re.compile(r"`(?P<field>[^`]*)`$")
 
 
 class ProblemReason(enum.StrEnum):
@@ -47,7 +47,7 @@
     ProblemReason.UNSUPPORTED_CONTENT: 415,
     ProblemReason.INTERNAL_ERROR: 500,
 }
-CLOSING_PROBLEMS = frozenset(
+CONNECTION_CLOSING_REASONS = frozenset(
     {
         ProblemReason.UNAUTHORIZED,
         ProblemReason.BODY_TOO_LARGE,
@@ -90,7 +90,7 @@
 def problem_response(query_id: str, problem: RequestProblemError) -> Response:
     """Return the HTTP response to a refused request."""
     headers = {}
-    if problem.reason in CLOSING_PROBLEMS:
+    if problem.reason in CONNECTION_CLOSING_REASONS:
         headers["Connection"] = "close"
     if problem.reason is ProblemReason.UNAUTHORIZED:
         headers["WWW-Authenticate"] = "Bearer"
@@ -112,11 +112,11 @@
     >>> invalid_body(msgspec.DecodeError("JSON is malformed")).field
     'body'
     """
-    match = ERROR_PATH.match(str(error))
+    match = DECODER_MESSAGE_PATTERN.match(str(error))
     rule, path = (match["rule"], match["path"]) if match else (str(error), None)
-    named = NAMED_FIELD.search(rule)
-    if not path and named and "field" in rule:
-        path = named["field"]
+    quoted_field = FIELD_NAME_PATTERN.search(rule)
+    if not path and quoted_field and "field" in rule:
+        path = quoted_field["field"]
     return RequestProblemError(ProblemReason.INVALID_REQUEST, path or "body", rule)
 
 
--- a/tinrudder/node/api/query_body.py
+++ b/tinrudder/node/api/query_body.py
@@ -78,12 +78,12 @@
     return rule
 
 
-def scope_of(body: QueryBody, tenant: str) -> CursorScope:
+def cursor_scope(body: QueryBody, tenant: str) -> CursorScope:
     """Return the scope to which a query's cursors are bound."""
     return CursorScope(tenant, body.index, body.order_by, body.descending, body.match)
 
 
-def open_cursor(body: QueryBody, tenant: str, cursors: CursorCodec) -> PagePosition | None:
+def decode_cursor(body: QueryBody, tenant: str, cursors: CursorCodec) -> PagePosition | None:
     """Return the start of the requested page, ``None`` for the first one.
 
     :raises RequestProblemError: if the cursor was not issued to this tenant for this query.
@@ -91,7 +91,7 @@
     if body.cursor is None:
         return None
     try:
-        return cursors.decode(body.cursor, scope_of(body, tenant))
+        return cursors.decode(body.cursor, cursor_scope(body, tenant))
     except CursorError as error:
         raise RequestProblemError(
             ProblemReason.INVALID_REQUEST, "cursor", CursorError.RULE
--- a/tinrudder/node/api/request_body.py
+++ b/tinrudder/node/api/request_body.py
@@ -19,7 +19,7 @@
     :raises RequestProblemError: if its type is not JSON, or it is too large, too slow or truncated.
     """
     _check_content_type(request.headers.get("content-type"))
-    _check_announced_length(request.headers.get("content-length"))
+    _check_content_length(request.headers.get("content-length"))
     try:
         async with asyncio.timeout(BODY_TIMEOUT_S):
             return await _read(request)
@@ -50,7 +50,7 @@
     raise RequestProblemError(ProblemReason.UNSUPPORTED_CONTENT, "content-type", rule)
 
 
-def _check_announced_length(length: str | None) -> None:
+def _check_content_length(length: str | None) -> None:
     """Refuse a body by its ``Content-Length``, before any of it is read."""
     if length is not None and length.isdecimal() and int(length) > MAX_BODY_BYTES:
         raise _too_large()
--- a/tinrudder/node/api/stream.py
+++ b/tinrudder/node/api/stream.py
@@ -39,7 +39,7 @@
 HEADERS = [(b"content-type", NDJSON.encode()), (b"cache-control", b"no-store")]
 
 RunPage = Callable[[PagePosition | None], Awaitable[Outcome]]
-CursorOf = Callable[[PagePosition], str]
+EncodeCursor = Callable[[PagePosition], str]
 OutcomeObserver = Callable[[Outcome], None]
 
 _encoder = msgspec.json.Encoder()
@@ -69,9 +69,9 @@
     def add(self, coverage: Coverage) -> None:
         """Add one page; a shard missing from several pages keeps its first reason."""
         self.shards.update(dict.fromkeys(coverage.included))
-        for gap in coverage.missing:
-            self.shards.setdefault(gap.shard)
-            self.missing.setdefault(gap.shard, gap)
+        for missing_shard in coverage.missing:
+            self.shards.setdefault(missing_shard.shard)
+            self.missing.setdefault(missing_shard.shard, missing_shard)
 
     def total(self) -> Coverage:
         """Return the coverage of all pages added so far."""
@@ -89,7 +89,7 @@
         query_id: str,
         position: PagePosition | None,
         run_page: RunPage,
-        cursor_of: CursorOf,
+        encode_cursor: EncodeCursor,
         on_end: OutcomeObserver,
     ) -> None:
         """Start at ``position``; call ``on_end`` once with the outcome of the whole stream."""
@@ -97,7 +97,7 @@
         self._query_id = query_id
         self._position = position
         self._run_page = run_page
-        self._cursor_of = cursor_of
+        self._encode_cursor = encode_cursor
         self._on_end = on_end
         self._coverage = StreamCoverage()
         self._rows = 0
@@ -106,18 +106,18 @@
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Send pages until one is the last or fails, or the caller disconnects or stops reading."""
         try:
-            outcome = await run_unless_disconnected(receive, self._pump(send))
+            outcome = await run_unless_disconnected(receive, self._send_all(send))
         except TimeoutError:
             outcome = MayHaveRun(MayHaveRunReason.CANCELLED, "the caller stopped reading")
         except (CallerGoneError, OSError):
             outcome = MayHaveRun(MayHaveRunReason.CANCELLED, "the caller went away")
         self._on_end(outcome)
 
-    async def _pump(self, send: Send) -> Outcome:
+    async def _send_all(self, send: Send) -> Outcome:
         """Send all pages and the last line; return the outcome of the whole stream."""
         outcome = await self._run_page(self._position)
         if not isinstance(outcome, Complete | Partial):
-            await self._refuse(send, outcome)
+            await self._send_plain_response(send, outcome)
             return outcome
         await send({"type": "http.response.start", "status": 200, "headers": HEADERS})
         while isinstance(outcome, Complete | Partial):
@@ -127,11 +127,11 @@
                 break
             self._position = PagePosition(answer.version, answer.next_after)
             outcome = await self._run_page(self._position)
-        total = self._whole(outcome)
+        total = self._stream_outcome(outcome)
         await _write(send, self._end_line(total), more=False)
         return total
 
-    async def _refuse(self, send: Send, outcome: Outcome) -> None:
+    async def _send_plain_response(self, send: Send, outcome: Outcome) -> None:
         """Answer like a plain query if the first page failed."""
         content = _encoder.encode(body_of(self._query_id, outcome, None))
         response = Response(content, status_of(outcome), headers_of(outcome), JSON)
@@ -148,7 +148,7 @@
         if lines:
             await _write(send, lines, more=True)
 
-    def _whole(self, last: Outcome) -> Outcome:
+    def _stream_outcome(self, last: Outcome) -> Outcome:
         """Return the outcome of the whole stream.
 
         A later page that fails makes the stream ``Failed``, even if that page did not run: rows
@@ -157,8 +157,8 @@
         coverage = self._coverage.total()
         match last:
             case Complete(answer) | Partial(answer):
-                whole = replace(answer, rows=(), coverage=coverage)
-                return Partial(whole) if coverage.missing else Complete(whole)
+                total_answer = replace(answer, rows=(), coverage=coverage)
+                return Partial(total_answer) if coverage.missing else Complete(total_answer)
             case NotRun(reason, detail):
                 text = f"page {self._pages + 1}: {reason.value}: {detail}"
                 return Failed(FailedReason.STREAM_CUT, text, coverage)
@@ -173,7 +173,7 @@
         """Encode the last line; a failed stream includes a cursor to resume from, if it has one."""
         cursor = None
         if isinstance(outcome, Failed) and self._position is not None:
-            cursor = self._cursor_of(self._position)
+            cursor = self._encode_cursor(self._position)
         body = body_of(self._query_id, outcome, cursor)
         return _encoder.encode(EndLine(body, self._rows, self._pages)) + b"\n"
 
--- a/tinrudder/node/resources/accepted.py
+++ b/tinrudder/node/resources/accepted.py
@@ -64,8 +64,9 @@
     :param accepted_generation: the generation of the specification in force, 0 if there is none.
     :param raw_spec: the specification in force as JSON, empty if there is none.
     :param problem: field and broken rule of a refused newer generation, else empty.
-    :param decided_in: only set if the newest generation is refused: version of the newest document
-        in which the resource was valid or absent, which determines the specification in force.
+    :param decided_version: only set if the newest generation is refused: version of the newest
+        document in which the resource was valid or absent, which determines the specification
+        in force.
     """
 
     key: ResourceKey
@@ -73,7 +74,7 @@
     accepted_generation: int
     raw_spec: bytes
     problem: str = ""
-    decided_in: DocumentVersion = NO_VERSION
+    decided_version: DocumentVersion = NO_VERSION
 
     @functools.cached_property
     def spec(self) -> AnySpec | None:
@@ -102,8 +103,8 @@
             self.accepted_generation,
             self.raw_spec,
             self.problem.encode(),
-            self.decided_in.revision,
-            self.decided_in.digest,
+            self.decided_version.revision,
+            self.decided_version.digest,
         )
         return digest_of(msgspec.msgpack.encode(parts))
 
@@ -154,12 +155,12 @@
 
 
 def replace_buckets(
-    former: AcceptedState,
+    previous: AcceptedState,
     version: DocumentVersion,
     numbers: frozenset[int],
     resources: Iterable[AcceptedResource],
 ) -> AcceptedState:
-    """Return ``former`` with the content of the numbered buckets replaced by ``resources``.
+    """Return ``previous`` with the content of the numbered buckets replaced by ``resources``.
 
     Each resource must belong to one of these buckets.  Digests and order of the other buckets are
     reused.
@@ -167,11 +168,11 @@
     replaced: dict[int, dict[ResourceKey, AcceptedResource]] = {number: {} for number in numbers}
     for resource in resources:
         replaced[resource.bucket][resource.key] = resource
-    joined = dict(former.resources)
-    buckets = list(former.buckets)
-    digests = list(former.bucket_digests)
+    joined = dict(previous.resources)
+    buckets = list(previous.buckets)
+    digests = list(previous.bucket_digests)
     for number in sorted(replaced):
-        for resource in former.buckets[number]:
+        for resource in previous.buckets[number]:
             del joined[resource.key]
         joined.update(replaced[number])
         buckets[number] = tuple(replaced[number][key] for key in sorted(replaced[number]))
@@ -203,8 +204,8 @@
     keys = first.resources.keys() | second.resources.keys()
     joined = {}
     for key in sorted(keys):
-        known = (first.resources.get(key), second.resources.get(key))
-        joined[key] = max((r for r in known if r is not None), key=_precedence)
+        entries = (first.resources.get(key), second.resources.get(key))
+        joined[key] = max((r for r in entries if r is not None), key=_precedence)
     return AcceptedState(first.version, joined)
 
 
@@ -214,7 +215,7 @@
     During a rolling upgrade, two releases may validate the same document differently: the entry
     of the release that accepts the newest generation wins.
     """
-    return (not resource.problem, resource.decided_in, resource.digest)
+    return (not resource.problem, resource.decided_version, resource.digest)
 
 
 def _keep_last_good(newer: AcceptedResource, older_state: AcceptedState) -> AcceptedResource:
@@ -222,8 +223,8 @@
     if not newer.problem:
         return newer
     older = older_state.resources.get(newer.key)
-    decided_in = older.decided_in if older and older.problem else older_state.version
-    if decided_in <= newer.decided_in:
+    decided_version = older.decided_version if older and older.problem else older_state.version
+    if decided_version <= newer.decided_version:
         return newer
     return AcceptedResource(
         newer.key,
@@ -231,5 +232,5 @@
         older.accepted_generation if older else 0,
         older.raw_spec if older else b"",
         newer.problem,
-        decided_in,
+        decided_version,
     )
--- a/tinrudder/node/resources/change_log.py
+++ b/tinrudder/node/resources/change_log.py
@@ -36,32 +36,32 @@
     def __init__(self) -> None:
         """Start with an empty log."""
         self._changes: deque[Change] = deque(maxlen=MAX_CHANGES)
-        self._since: dict[ResourceKey, int] = {}
+        self._changed_at: dict[ResourceKey, int] = {}
 
     @property
-    def since(self) -> Mapping[ResourceKey, int]:
+    def changed_at(self) -> Mapping[ResourceKey, int]:
         """Revision of the last change to each resource that this node observed."""
-        return MappingProxyType(self._since)
+        return MappingProxyType(self._changed_at)
 
-    def note(self, former: AcceptedState, state: AcceptedState) -> None:
+    def record(self, previous: AcceptedState, state: AcceptedState) -> None:
         """Append the difference between two successive states."""
         changed: list[ResourceKey] = []
         deleted: list[ResourceKey] = []
         for number, digest in enumerate(state.bucket_digests):
-            if digest == former.bucket_digests[number]:
+            if digest == previous.bucket_digests[number]:
                 continue
-            before = {resource.key: resource for resource in former.buckets[number]}
+            before = {resource.key: resource for resource in previous.buckets[number]}
             for resource in state.buckets[number]:
                 old = before.pop(resource.key, None)
                 if old is None or old.digest != resource.digest:
                     changed.append(resource.key)
             deleted.extend(before)
         revision = state.version.revision
-        self._since.update((key, revision) for key in changed)
+        self._changed_at.update((key, revision) for key in changed)
         for key in deleted:
-            del self._since[key]
-        step = (tuple(sorted(changed)), tuple(sorted(deleted)))
-        self._changes.append(Change(former.version.revision, revision, *step))
+            del self._changed_at[key]
+        keys = (tuple(sorted(changed)), tuple(sorted(deleted)))
+        self._changes.append(Change(previous.version.revision, revision, *keys))
 
     def after_revision(self, revision: int) -> tuple[Change, ...] | None:
         """Return the changes since a revision, ``None`` if the log no longer covers it.
--- a/tinrudder/node/resources/configuration.py
+++ b/tinrudder/node/resources/configuration.py
@@ -74,13 +74,18 @@
     """
     owners: dict[str, CredentialOwner] = {}
     tenants = [resource for resource in resources if resource.key.kind == Kind.TENANT]
-    for resource in sorted(tenants, key=_from_older_to_newer):
+    for resource in sorted(tenants, key=_decision_order):
         if isinstance(resource.spec, TenantSpec):
             for credential in resource.spec.credentials:
                 owners[credential.key_id] = CredentialOwner(resource.key.name, credential)
     return owners
 
 
-def _from_older_to_newer(resource: AcceptedResource) -> tuple[bool, int, bytes, str]:
-    decided_in = resource.decided_in
-    return (not resource.problem, decided_in.revision, decided_in.digest, resource.key.name)
+def _decision_order(resource: AcceptedResource) -> tuple[bool, int, bytes, str]:
+    decided_version = resource.decided_version
+    return (
+        not resource.problem,
+        decided_version.revision,
+        decided_version.digest,
+        resource.key.name,
+    )
--- a/tinrudder/node/resources/exchange.py
+++ b/tinrudder/node/resources/exchange.py
@@ -47,12 +47,12 @@
 
     def encode_buckets(self, buckets: Sequence[int]) -> list[bytes]:
         """Return the encoded resources of the given buckets; unknown bucket numbers are ignored."""
-        held = self._store.state.buckets
+        local_buckets = self._store.state.buckets
         return [
             _encode(resource)
             for bucket in buckets
             if bucket < BUCKET_COUNT
-            for resource in held[bucket]
+            for resource in local_buckets[bucket]
         ]
 
     def merge(self, update: StateUpdate) -> bool:
@@ -65,14 +65,14 @@
         if len(update.entries) > MAX_RESOURCES or update.header.revision > MAX_REVISION:
             raise MalformedUpdateError("update: too many entries, or revision out of range")
         version = DocumentVersion(update.header.revision, update.header.document_digest)
-        theirs = [_decode(entry) for entry in update.entries]
+        received = [_decode(entry) for entry in update.entries]
         if any(number >= BUCKET_COUNT for number in update.buckets) or any(
-            resource.bucket not in update.buckets for resource in theirs
+            resource.bucket not in update.buckets for resource in received
         ):
             raise MalformedUpdateError(
                 "update: contains resources of buckets that it does not list, or an unknown bucket"
             )
-        state = replace_buckets(self._store.state, version, update.buckets, theirs)
+        state = replace_buckets(self._store.state, version, update.buckets, received)
         if state.digest != update.header.state_digest:
             raise MalformedUpdateError("update: resulting state does not match the stated digest")
         return self._store.merge(state)
@@ -86,8 +86,8 @@
         accepted_generation=resource.accepted_generation,
         raw_spec=resource.raw_spec,
         problem=resource.problem,
-        decided_revision=resource.decided_in.revision,
-        decided_digest=resource.decided_in.digest,
+        decided_revision=resource.decided_version.revision,
+        decided_digest=resource.decided_version.digest,
     ).SerializeToString()
 
 
--- a/tinrudder/node/resources/rules.py
+++ b/tinrudder/node/resources/rules.py
@@ -24,7 +24,7 @@
     by_role: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
 
-def own_problems(spec: AnySpec) -> Iterator[str]:
+def specification_problems(spec: AnySpec) -> Iterator[str]:
     """Yield the broken rules of one specification, without regard to other resources."""
     if isinstance(spec, BackendSpec):
         try:
@@ -36,20 +36,20 @@
             yield "spec.soft_deadline_ms: must not exceed hard_deadline_ms"
     elif isinstance(spec, TenantSpec):
         key_ids = [credential.key_id for credential in spec.credentials]
-        yield from _repeated("spec.credentials.key_id", key_ids)
+        yield from _duplicates("spec.credentials.key_id", key_ids)
     elif isinstance(spec, ServiceSpec):
-        yield from _repeated("spec.tenants", list(spec.tenants))
+        yield from _duplicates("spec.tenants", list(spec.tenants))
     elif isinstance(spec, IndexSpec):
-        yield from _repeated("spec.versions.version", [str(v.version) for v in spec.versions])
+        yield from _duplicates("spec.versions.version", [str(v.version) for v in spec.versions])
         for version in spec.versions:
             field_name = f"spec.versions[{version.version}].shards.shard"
-            yield from _repeated(field_name, [shard.shard for shard in version.shards])
+            yield from _duplicates(field_name, [shard.shard for shard in version.shards])
 
 
-def _repeated(field_name: str, values: Sequence[str]) -> Iterator[str]:
+def _duplicates(field_name: str, values: Sequence[str]) -> Iterator[str]:
     if len(set(values)) != len(values):
-        repeated = min(value for value, count in Counter(values).items() if count > 1)
-        yield f"{field_name}: {repeated!r} is listed more than once"
+        duplicate = min(value for value, count in Counter(values).items() if count > 1)
+        yield f"{field_name}: {duplicate!r} is listed more than once"
 
 
 def policy_problems(spec: QueryRuleSpec, policies: PolicyNames) -> Iterator[str]:
--- a/tinrudder/node/resources/status.py
+++ b/tinrudder/node/resources/status.py
@@ -75,14 +75,14 @@
 
     def of(self, revision: int) -> Enforcement:
         """Return how many nodes enforce a revision or a newer one."""
-        known = self._counted.get(revision)
-        if known is None:
+        enforcement = self._counted.get(revision)
+        if enforcement is None:
             lagging = tuple(node.name for node in self.nodes if node.revision < revision)
             enforcing = len(self.nodes) - len(lagging)
-            named = lagging[:MAX_LAGGING_NAMED]
-            known = Enforcement(revision, enforcing, len(self.nodes), named)
-            self._counted[revision] = known
-        return known
+            listed = lagging[:MAX_LAGGING_NAMED]
+            enforcement = Enforcement(revision, enforcing, len(self.nodes), listed)
+            self._counted[revision] = enforcement
+        return enforcement
 
 
 class StatusReporter:
@@ -101,25 +101,30 @@
         self, resource: AcceptedResource, count: EnforcementCount
     ) -> tuple[Condition, ...]:
         """Return the conditions of a resource."""
-        since = self._store.changes.since.get(resource.key, self._store.current.revision)
-        return (_accepted(resource), enforced_condition(count.of(since)))
+        changed_at = self._store.changes.changed_at.get(resource.key, self._store.current.revision)
+        return (_accepted(resource), enforced_condition(count.of(changed_at)))
 
     def platform_conditions(self) -> tuple[Condition, ...]:
         """Return the platform's conditions as this node last observed them."""
-        seen = self._store.platform
+        observation = self._store.platform
         in_force = self._store.current.revision
-        behind = f"platform has revision {seen.revision}, {in_force} is in force"
-        reused = f"revision {seen.revision} came with other content than the one in force"
+        behind = f"platform has revision {observation.revision}, {in_force} is in force"
+        reused = f"revision {observation.revision} came with other content than the one in force"
         return (
-            _statement(
+            _condition(
                 ConditionType.PLATFORM_AVAILABLE,
-                not seen.unavailable,
+                not observation.unavailable,
                 "Unavailable",
-                seen.unavailable,
+                observation.unavailable,
+            ),
+            _condition(ConditionType.PLATFORM_CURRENT, not observation.behind, "Behind", behind),
+            _condition(ConditionType.REVISION_UNIQUE, not observation.reused, "Reused", reused),
+            _condition(
+                ConditionType.DOCUMENT_VALID,
+                not observation.refused,
+                "Refused",
+                observation.refused,
             ),
-            _statement(ConditionType.PLATFORM_CURRENT, not seen.behind, "Behind", behind),
-            _statement(ConditionType.REVISION_UNIQUE, not seen.reused, "Reused", reused),
-            _statement(ConditionType.DOCUMENT_VALID, not seen.refused, "Refused", seen.refused),
         )
 
 
@@ -128,8 +133,8 @@
     counts = f"{enforcement.enforcing} of {enforcement.nodes} nodes"
     if enforcement.complete:
         return Condition(ConditionType.ENFORCED, True, "Everywhere", counts)
-    unnamed = enforcement.nodes - enforcement.enforcing - len(enforcement.lagging)
-    names = ", ".join(enforcement.lagging) + (f" and {unnamed} more" if unnamed else "")
+    unlisted = enforcement.nodes - enforcement.enforcing - len(enforcement.lagging)
+    names = ", ".join(enforcement.lagging) + (f" and {unlisted} more" if unlisted else "")
     return Condition(ConditionType.ENFORCED, False, "Lagging", f"{counts}; lagging: {names}")
 
 
@@ -144,7 +149,7 @@
     return Condition(ConditionType.ACCEPTED, False, "LastGoodInForce", resource.problem)
 
 
-def _statement(condition_type: ConditionType, holds: bool, reason: str, message: str) -> Condition:
+def _condition(condition_type: ConditionType, holds: bool, reason: str, message: str) -> Condition:
     if holds:
         return Condition(condition_type, True, "AsExpected")
     return Condition(condition_type, False, reason, message)
--- a/tinrudder/node/resources/store.py
+++ b/tinrudder/node/resources/store.py
@@ -62,17 +62,18 @@
         :returns: whether the accepted state changed.
         """
         try:
-            offered = state_of_document(document, self.policies, self.state)
+            document_state = state_of_document(document, self.policies, self.state)
         except DocumentRefusedError as error:
             self.platform = PlatformObservation(document.revision, refused=str(error))
             return False
-        held = self.state.version
+        current_version = self.state.version
         self.platform = PlatformObservation(
             document.revision,
-            behind=document.revision < held.revision,
-            reused=document.revision == held.revision and offered.version != held,
+            behind=document.revision < current_version.revision,
+            reused=document.revision == current_version.revision
+            and document_state.version != current_version,
         )
-        return self.merge(offered)
+        return self.merge(document_state)
 
     def note_platform_unavailable(self, reason: str) -> None:
         """Record that reading the platform failed; the configuration in force stays."""
@@ -89,9 +90,9 @@
         joined = join_states(self.state, other)
         if joined is self.state or joined.digest == self.state.digest:
             return False
-        former = self.state
+        previous = self.state
         self.state = joined
-        self.changes.note(former, joined)
+        self.changes.record(previous, joined)
         self.current = build_configuration(joined.version.revision, joined.resources)
         for listener in tuple(self._listeners):
             listener(joined)
--- a/tinrudder/node/resources/validation.py
+++ b/tinrudder/node/resources/validation.py
@@ -33,7 +33,7 @@
     TenantSpec,
     is_valid_name,
 )
-from tinrudder.node.resources.rules import PolicyNames, own_problems, policy_problems
+from tinrudder.node.resources.rules import PolicyNames, policy_problems, specification_problems
 
 MAX_RESOURCES = 20_000
 MAX_SPEC_BYTES = 1024 * 1024
@@ -63,7 +63,7 @@
 
 
 @dataclass(slots=True)
-class _Judged:
+class _CheckedResource:
     """A resource during validation."""
 
     raw: RawResource
@@ -104,36 +104,36 @@
 def state_of_document(
     document: ResourceDocument,
     policies: PolicyNames | None = None,
-    known: AcceptedState | None = None,
+    previous_state: AcceptedState | None = None,
 ) -> AcceptedState:
     """Return the state of a node that has seen only this document.
 
-    :param known: a previous state; unchanged resources are reused without decoding them again.
+    :param previous_state: unchanged resources are reused from it without decoding them again.
     :raises DocumentRefusedError: if the document as a whole breaks a rule.
     """
     check_document(document)
     resources = []
-    for judged in _judge(document, policies or PolicyNames(), known):
-        raw = judged.raw
-        if judged.problem:
-            text = judged.problem[:MAX_PROBLEM_LENGTH]
-            resources.append(AcceptedResource(judged.key, raw.generation, 0, b"", text))
+    for checked in _check_resources(document, policies or PolicyNames(), previous_state):
+        raw = checked.raw
+        if checked.problem:
+            text = checked.problem[:MAX_PROBLEM_LENGTH]
+            resources.append(AcceptedResource(checked.key, raw.generation, 0, b"", text))
             continue
-        resources.append(_good(judged, known))
+        resources.append(_accepted_resource(checked, previous_state))
     return make_state(version_of(document), resources)
 
 
 def problems_of(
     document: ResourceDocument,
     policies: PolicyNames | None = None,
-    known: AcceptedState | None = None,
+    previous_state: AcceptedState | None = None,
 ) -> list[Problem]:
     """Return the problems of a document's resources, sorted by kind and name.
 
-    :param known: see :func:`state_of_document`.
+    :param previous_state: see :func:`state_of_document`.
     :raises DocumentRefusedError: if the document as a whole breaks a rule.
     """
-    state = state_of_document(document, policies, known)
+    state = state_of_document(document, policies, previous_state)
     return [
         Problem(key, state.resources[key].observed_generation, state.resources[key].problem)
         for key in sorted(state.resources)
@@ -141,67 +141,75 @@
     ]
 
 
-def _good(judged: _Judged, known: AcceptedState | None) -> AcceptedResource:
+def _accepted_resource(
+    checked: _CheckedResource, previous_state: AcceptedState | None
+) -> AcceptedResource:
     """Return the accepted resource; the previous object if nothing changed."""
-    raw = judged.raw
+    raw = checked.raw
     spec = bytes(raw.spec)
-    former = known.resources.get(judged.key) if known else None
+    previous = previous_state.resources.get(checked.key) if previous_state else None
     unchanged = (
-        former is not None
-        and not former.problem
-        and former.accepted_generation == raw.generation
-        and former.raw_spec == spec
+        previous is not None
+        and not previous.problem
+        and previous.accepted_generation == raw.generation
+        and previous.raw_spec == spec
     )
-    if unchanged and former is not None:
-        return former
-    return AcceptedResource(judged.key, raw.generation, raw.generation, spec)
+    if unchanged and previous is not None:
+        return previous
+    return AcceptedResource(checked.key, raw.generation, raw.generation, spec)
 
 
-def _judge(
-    document: ResourceDocument, policies: PolicyNames, known: AcceptedState | None
-) -> list[_Judged]:
+def _check_resources(
+    document: ResourceDocument, policies: PolicyNames, previous_state: AcceptedState | None
+) -> list[_CheckedResource]:
     """Validate each resource separately, then its references."""
     counts = Counter((raw.kind, raw.name) for raw in document.resources)
-    judged: dict[ResourceKey, _Judged] = {}
+    checked: dict[ResourceKey, _CheckedResource] = {}
     for raw in document.resources:
         key = ResourceKey(raw.kind, raw.name)
         if counts[(raw.kind, raw.name)] > 1:
             # Which one is intended is unknown: refuse both, report the higher generation.
-            if key not in judged or judged[key].raw.generation < raw.generation:
-                judged[key] = _Judged(raw, key, None, "name: listed more than once")
+            if key not in checked or checked[key].raw.generation < raw.generation:
+                checked[key] = _CheckedResource(raw, key, None, "name: listed more than once")
             continue
-        judged[key] = _judge_alone(raw, key, known)
-    names = _PresentNames.of(judged)
-    for one in judged.values():
-        if one.spec is not None:
-            one.problem = next(_reference_problems(one, names, policies), "")
-    return list(judged.values())
+        checked[key] = _check_alone(raw, key, previous_state)
+    names = _DocumentNames.of(checked)
+    for resource in checked.values():
+        if resource.spec is not None:
+            resource.problem = next(_reference_problems(resource, names, policies), "")
+    return list(checked.values())
 
 
-def _judge_alone(raw: RawResource, key: ResourceKey, known: AcceptedState | None) -> _Judged:
+def _check_alone(
+    raw: RawResource, key: ResourceKey, previous_state: AcceptedState | None
+) -> _CheckedResource:
     """Validate one resource without its references."""
     spec_type = SPEC_TYPES.get(raw.kind)  # type: ignore[call-overload]
     if spec_type is None:
         kinds = ", ".join(kind.value for kind in Kind)
-        return _Judged(raw, key, None, f"kind: must be one of {kinds}")
+        return _CheckedResource(raw, key, None, f"kind: must be one of {kinds}")
     if not is_valid_name(raw.name):
-        return _Judged(raw, key, None, "name: must be lower-case letters, digits, '.' and '-'")
+        return _CheckedResource(
+            raw, key, None, "name: must be lower-case letters, digits, '.' and '-'"
+        )
     if len(raw.spec) > MAX_SPEC_BYTES:
-        return _Judged(raw, key, None, f"spec: {len(raw.spec)} bytes, at most {MAX_SPEC_BYTES}")
-    former = known.resources.get(key) if known else None
-    known_good = former is not None and not former.problem and former.spec is not None
-    if former is not None and known_good and former.raw_spec == bytes(raw.spec):
+        return _CheckedResource(
+            raw, key, None, f"spec: {len(raw.spec)} bytes, at most {MAX_SPEC_BYTES}"
+        )
+    previous = previous_state.resources.get(key) if previous_state else None
+    was_accepted = previous is not None and not previous.problem and previous.spec is not None
+    if previous is not None and was_accepted and previous.raw_spec == bytes(raw.spec):
         # Accepted before, so only its references are checked again.
-        return _Judged(raw, key, former.spec)
+        return _CheckedResource(raw, key, previous.spec)
     try:
         spec: AnySpec = msgspec.json.decode(raw.spec, type=spec_type)
     except (msgspec.MsgspecError, UnicodeDecodeError, RecursionError) as error:
-        return _Judged(raw, key, None, f"spec: {error}")
-    return _Judged(raw, key, spec, next(own_problems(spec), ""))
+        return _CheckedResource(raw, key, None, f"spec: {error}")
+    return _CheckedResource(raw, key, spec, next(specification_problems(spec), ""))
 
 
 @dataclass(frozen=True, slots=True)
-class _PresentNames:
+class _DocumentNames:
     """Names in a document, for checking references.
 
     :param backend_service: service of each back end whose specification was decoded.
@@ -213,37 +221,37 @@
     key_id_counts: Mapping[str, int]
 
     @staticmethod
-    def of(judged: Mapping[ResourceKey, _Judged]) -> _PresentNames:
+    def of(checked: Mapping[ResourceKey, _CheckedResource]) -> _DocumentNames:
         by_kind: dict[str, set[str]] = {kind.value: set() for kind in Kind}
         backend_service: dict[str, str] = {}
         key_ids: Counter[str] = Counter()
-        for key, one in judged.items():
+        for key, resource in checked.items():
             by_kind.setdefault(key.kind, set()).add(key.name)
-            if isinstance(one.spec, BackendSpec):
-                backend_service[key.name] = one.spec.service
-            elif isinstance(one.spec, TenantSpec):
-                key_ids.update({credential.key_id for credential in one.spec.credentials})
+            if isinstance(resource.spec, BackendSpec):
+                backend_service[key.name] = resource.spec.service
+            elif isinstance(resource.spec, TenantSpec):
+                key_ids.update({credential.key_id for credential in resource.spec.credentials})
         frozen = {kind: frozenset(names) for kind, names in by_kind.items()}
-        return _PresentNames(frozen, backend_service, key_ids)
+        return _DocumentNames(frozen, backend_service, key_ids)
 
-    def missing(self, kind: Kind, name: str) -> bool:
+    def is_missing(self, kind: Kind, name: str) -> bool:
         return name not in self.by_kind[kind.value]
 
 
 def _reference_problems(
-    judged: _Judged, names: _PresentNames, policies: PolicyNames
+    checked: _CheckedResource, names: _DocumentNames, policies: PolicyNames
 ) -> Iterator[str]:
     """Yield a resource's own problem, then its broken references and policies."""
-    spec = judged.spec
-    if judged.problem:
-        yield judged.problem
+    spec = checked.spec
+    if checked.problem:
+        yield checked.problem
     if isinstance(spec, TenantSpec):
         yield from _credential_problems(spec, names)
     elif isinstance(spec, ServiceSpec):
         for tenant in spec.tenants:
-            if names.missing(Kind.TENANT, tenant):
+            if names.is_missing(Kind.TENANT, tenant):
                 yield f"spec.tenants: no Tenant {tenant!r}"
-    elif spec is not None and names.missing(Kind.SERVICE, spec.service):
+    elif spec is not None and names.is_missing(Kind.SERVICE, spec.service):
         yield f"spec.service: no Service {spec.service!r}"
     elif isinstance(spec, QueryRuleSpec):
         yield from policy_problems(spec, policies)
@@ -251,20 +259,20 @@
         yield from _shard_problems(spec, names)
 
 
-def _credential_problems(spec: TenantSpec, names: _PresentNames) -> Iterator[str]:
+def _credential_problems(spec: TenantSpec, names: _DocumentNames) -> Iterator[str]:
     """Yield key ids shared by tenants; all of them are refused, as the owner is ambiguous."""
     for credential in spec.credentials:
         if names.key_id_counts[credential.key_id] > 1:
             yield f"spec.credentials.key_id: {credential.key_id!r} belongs to two tenants"
 
 
-def _shard_problems(spec: IndexSpec, names: _PresentNames) -> Iterator[str]:
+def _shard_problems(spec: IndexSpec, names: _DocumentNames) -> Iterator[str]:
     """Yield shards whose back ends are not in the document or belong to another service."""
     for version in spec.versions:
         for shard in version.shards:
-            where = f"spec.versions[{version.version}].shards[{shard.shard}].backends"
+            field_path = f"spec.versions[{version.version}].shards[{shard.shard}].backends"
             for backend in shard.backends:
-                if names.missing(Kind.BACKEND, backend):
-                    yield f"{where}: no Backend {backend!r}"
+                if names.is_missing(Kind.BACKEND, backend):
+                    yield f"{field_path}: no Backend {backend!r}"
                 elif names.backend_service.get(backend, spec.service) != spec.service:
-                    yield f"{where}: {backend!r} belongs to another service"
+                    yield f"{field_path}: {backend!r} belongs to another service"
