--- a/tests/functional/node/test_caller_protocol.py
+++ b/tests/functional/node/test_caller_protocol.py
@@ -1,4 +1,4 @@
-"""Heads that never end, over real sockets: refused, and the server goes on."""
+"""Endless and slow request heads over real sockets: refused while the server keeps serving."""
 
 from __future__ import annotations
 
--- a/tests/functional/node/test_resource_api.py
+++ b/tests/functional/node/test_resource_api.py
@@ -1,4 +1,4 @@
-"""The resource API over ASGI: what each viewer sees, watches, validation, refused writes."""
+"""The resource API over ASGI: visibility by viewer, watches, validation and refused writes."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
 
 
 class Api:
-    """One node's API over a store that tests change."""
+    """A node's resource API over a store that the tests modify."""
 
     def __init__(self) -> None:
         self.store = ConfigurationStore()
@@ -50,7 +50,7 @@
         return [own, *self.others]
 
     def write(self, revision: int, *changed: object) -> None:
-        """Offer the small deployment with some resources changed."""
+        """Offer the small deployment with some resources replaced or added."""
         base = (with_key("acme"), with_key("rival"), *small_deployment()[2:])
         keys = {(raw.kind, raw.name) for raw in changed}
         kept = [raw for raw in base if (raw.kind, raw.name) not in keys]
--- a/tests/unit/node/test_acceptance.py
+++ b/tests/unit/node/test_acceptance.py
@@ -1,4 +1,8 @@
-"""Acceptance against an oracle: a state is a function of the set of documents seen."""
+"""Model-based test of the accepted state: it depends only on the set of documents seen.
+
+Guards against states that differ between nodes, or revert, when documents arrive out of order, are
+repeated or missed, or come from a platform restored to an older revision.
+"""
 
 from __future__ import annotations
 
@@ -22,14 +26,14 @@
 
 @dataclass
 class Observed:
-    """A store, and for the oracle every document that reached it, itself or through others."""
+    """A store and, for the oracle, all documents that it received directly or from other stores."""
 
     store: ConfigurationStore = field(default_factory=ConfigurationStore)
     seen: list[ResourceDocument] = field(default_factory=list)
 
 
 def in_force(seen: list[ResourceDocument]) -> dict[str, int]:
-    """The oracle: weights in force, found by walking back through all documents."""
+    """Oracle: the expected weights, found by searching all documents from newest to oldest."""
     ordered = sorted(seen, key=version_of, reverse=True)
     weights = {}
     for name in (raw.name for raw in ordered[0].resources) if ordered else ():
@@ -55,7 +59,7 @@
 
 
 class AcceptanceMachine(RuleBasedStateMachine):
-    """Stores that read a platform which repeats, restores and reuses revisions, and exchange."""
+    """Stores that exchange states and read a platform with repeated and reused revisions."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -96,7 +100,7 @@
             self.highest[number] = revision
 
     def teardown(self) -> None:
-        """Whatever happened, joining in two different orders gives one digest."""
+        """Joining all states in two different orders gives the same digest."""
         states = [observed.store.state for observed in self.observed]
         forward = join_states(join_states(states[0], states[1]), states[2])
         backward = join_states(states[2], join_states(states[1], states[0]))
--- a/tests/unit/node/test_caller_app.py
+++ b/tests/unit/node/test_caller_app.py
@@ -1,4 +1,4 @@
-"""The callers' application at ASGI level, under virtual time: bad input, paging, leaving."""
+"""The callers' ASGI application under virtual time: invalid input, paging, disconnects."""
 
 from __future__ import annotations
 
@@ -88,7 +88,7 @@
 
 @dataclass
 class ScriptedRunner:
-    """Answers queries from a list and keeps what was asked."""
+    """Returns outcomes from a list and records the requests."""
 
     outcomes: list[Outcome] = field(default_factory=lambda: [complete(1)])
     takes_s: float = 0.0
--- a/tests/unit/node/test_unknown_policy.py
+++ b/tests/unit/node/test_unknown_policy.py
@@ -1,4 +1,4 @@
-"""Rules accepted by a newer release, on a node of an older one."""
+"""Resources accepted by a newer release, on a node of an older one during a rolling upgrade."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/test_validation.py
+++ b/tests/unit/node/test_validation.py
@@ -1,4 +1,4 @@
-"""Validation: one clear error per broken rule, naming resource, field and rule."""
+"""Validation reports the first broken rule of each resource by resource, field and rule."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def replaced(*changed: RawResource) -> ResourceDocument:
-    """The small deployment with some resources replaced or added."""
+    """Return the small deployment with some resources replaced or added."""
     keys = {(raw.kind, raw.name) for raw in changed}
     kept = [raw for raw in small_deployment() if (raw.kind, raw.name) not in keys]
     return document(2, *kept, *changed)
