--- a/tests/functional/node/test_caller_protocol.py
+++ b/tests/functional/node/test_caller_protocol.py
@@ -16,10 +16,10 @@
 from tinrudder.node.api.caller_protocol import MAX_HEAD_BYTES, CallerProtocol
 
 HOST = "127.0.0.1"
-GOOD = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
+VALID_REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
 
 
-async def serve_and(scenario: Callable[[int], Awaitable[None]]) -> None:
+async def run_with_server(scenario: Callable[[int], Awaitable[None]]) -> None:
     async def hello(_: Request) -> PlainTextResponse:
         return PlainTextResponse("hello")
 
@@ -53,9 +53,9 @@
         header = b"X-Filler: " + b"a" * 1000 + b"\r\n"
         endless = await send(port, b"GET / HTTP/1.1\r\n", header * (MAX_HEAD_BYTES // 1000 + 1))
         assert endless.startswith(b"HTTP/1.1 431 ") and b'"field":"head"' in endless
-        assert b"200 OK" in await send(port, GOOD)
+        assert b"200 OK" in await send(port, VALID_REQUEST)
 
-    asyncio.run(serve_and(scenario))
+    asyncio.run(run_with_server(scenario))
 
 
 def test_a_slow_head_is_closed_but_a_kept_connection_is_not(
@@ -63,12 +63,12 @@
 ) -> None:
     async def scenario(port: int) -> None:
         reader, writer = await asyncio.open_connection(HOST, port)
-        writer.write(GOOD)
+        writer.write(VALID_REQUEST)
         await reader.readuntil(b"hello")
         monkeypatch.setattr(caller_protocol, "HEAD_TIMEOUT_S", 0.02)
         assert await send(port, b"GET / HT") == b""
-        writer.write(GOOD)
+        writer.write(VALID_REQUEST)
         await reader.readuntil(b"hello")
         writer.close()
 
-    asyncio.run(serve_and(scenario))
+    asyncio.run(run_with_server(scenario))
--- a/tests/functional/node/test_resource_api.py
+++ b/tests/functional/node/test_resource_api.py
@@ -27,7 +27,7 @@
     return hashlib.sha256(secret.encode()).hexdigest()
 
 
-def with_key(name: str, generation: int = 1, weight: int = 1) -> object:
+def tenant_with_key(name: str, generation: int = 1, weight: int = 1) -> object:
     credentials = [{"key_id": f"{name}-key", "secret_sha256": digest("s")}]
     return resource(Kind.TENANT, name, generation, weight=weight, credentials=credentials)
 
@@ -37,7 +37,7 @@
 
     def __init__(self) -> None:
         self.store = ConfigurationStore()
-        self.others = [NodeRevision("n2", "b", "alive", 1)]
+        self.other_nodes = [NodeRevision("n2", "b", "alive", 1)]
         self.stopping = False
         reporter = StatusReporter(self.store, self.nodes)
         settings = ResourceApiSettings("n1", {"ops": digest("secret")}, "http://platform/write")
@@ -47,11 +47,11 @@
 
     def nodes(self) -> list[NodeRevision]:
         own = NodeRevision("n1", "a", "alive", self.store.current.revision)
-        return [own, *self.others]
+        return [own, *self.other_nodes]
 
     def write(self, revision: int, *changed: object) -> None:
         """Offer the small deployment with some resources replaced or added."""
-        base = (with_key("acme"), with_key("rival"), *small_deployment()[2:])
+        base = (tenant_with_key("acme"), tenant_with_key("rival"), *small_deployment()[2:])
         keys = {(raw.kind, raw.name) for raw in changed}
         kept = [raw for raw in base if (raw.kind, raw.name) not in keys]
         self.store.offer(document(revision, *kept, *changed))
@@ -72,7 +72,7 @@
 
 
 def names(response: AsgiResponse) -> list[str]:
-    return [f"{one['kind']}/{one['name']}" for one in response.json()["resources"]]
+    return [f"{entry['kind']}/{entry['name']}" for entry in response.json()["resources"]]
 
 
 def test_an_operator_sees_spec_generations_and_conditions() -> None:
@@ -84,7 +84,7 @@
         assert (accepted["status"], accepted["reason"]) == (False, "LastGoodInForce")
         assert "weight" in accepted["message"]
         assert (enforced["status"], enforced["message"]) == (False, "1 of 2 nodes; lagging: n2")
-        api.others = [NodeRevision("n2", "b", "alive", 2)]
+        api.other_nodes = [NodeRevision("n2", "b", "alive", 2)]
         body = (await api.get("/v1/resources/Tenant/rival")).json()
         assert body["conditions"][1]["status"]
         assert len(names(await api.get("/v1/resources"))) == 6
@@ -112,7 +112,7 @@
     run(scenario)
 
 
-def test_a_tenant_cannot_tell_the_hidden_from_the_absent() -> None:
+def test_hidden_and_absent_resources_look_alike_to_a_tenant() -> None:
     async def scenario(api: Api) -> None:
         hidden = await api.get("/v1/resources/Tenant/rival", ACME)
         absent = await api.get("/v1/resources/Tenant/nobody", ACME)
@@ -165,31 +165,31 @@
     run(scenario)
 
 
-def test_nodes_names_who_lags_and_what_is_wrong_with_the_platform() -> None:
+def test_nodes_lists_lagging_nodes_and_platform_conditions() -> None:
     async def scenario(api: Api) -> None:
         api.write(5)
         api.write(3)
         body = (await api.get("/v1/resources/nodes")).json()
         assert body["enforcement"]["lagging"] == ["n2"]
-        platform = {one["type"]: one for one in body["platform"]}
+        platform = {entry["type"]: entry for entry in body["platform"]}
         assert not platform["PlatformCurrent"]["status"]
         assert "revision 3, 5 is in force" in platform["PlatformCurrent"]["message"]
 
     run(scenario)
 
 
-def test_watch_tells_changes_and_resumes_by_revision() -> None:
+def test_watch_sends_changes_and_resumes_by_revision() -> None:
     async def scenario(api: Api) -> None:
         watch = start(api.app, "GET", "/v1/resources/watch?kind=Tenant", OPERATOR)
         await asyncio.sleep(1)
-        api.write(2, with_key("rival", 2, weight=5))
+        api.write(2, tenant_with_key("rival", 2, weight=5))
         await asyncio.sleep(1)
-        api.store.offer(document(3, with_key("acme")))
+        api.store.offer(document(3, tenant_with_key("acme")))
         await asyncio.sleep(1)
         events = (await watch.disconnect()).lines()
-        told = [(e["type"], e.get("name", e.get("resource", {}).get("name"))) for e in events]
-        assert told[0] == ("reset", None)
-        assert [one for one in told if one[0] in ("changed", "deleted")] == [
+        received = [(e["type"], e.get("name", e.get("resource", {}).get("name"))) for e in events]
+        assert received[0] == ("reset", None)
+        assert [entry for entry in received if entry[0] in ("changed", "deleted")] == [
             ("changed", "acme"),
             ("changed", "rival"),
             ("changed", "rival"),
--- a/tests/unit/node/test_acceptance.py
+++ b/tests/unit/node/test_acceptance.py
@@ -20,19 +20,19 @@
 from tinrudder.node.resources.store import ConfigurationStore
 from tinrudder.node.resources.validation import state_of_document, version_of
 
-NAMES = ("a", "b", "c")
-STORES = 3
+TENANT_NAMES = ("a", "b", "c")
+STORE_COUNT = 3
 
 
 @dataclass
-class Observed:
+class TrackedStore:
     """A store and, for the oracle, all documents that it received directly or from other stores."""
 
     store: ConfigurationStore = field(default_factory=ConfigurationStore)
     seen: list[ResourceDocument] = field(default_factory=list)
 
 
-def in_force(seen: list[ResourceDocument]) -> dict[str, int]:
+def expected_weights(seen: list[ResourceDocument]) -> dict[str, int]:
     """Oracle: the expected weights, found by searching all documents from newest to oldest."""
     ordered = sorted(seen, key=version_of, reverse=True)
     weights = {}
@@ -53,9 +53,9 @@
         revision, *(tenant(name, weight=weight) for name, weight in weights.items())
     ),
     st.integers(1, 6),
-    st.dictionaries(st.sampled_from(NAMES), st.integers(0, 3)),
+    st.dictionaries(st.sampled_from(TENANT_NAMES), st.integers(0, 3)),
 )
-store_numbers = st.integers(0, STORES - 1)
+store_numbers = st.integers(0, STORE_COUNT - 1)
 
 
 class AcceptanceMachine(RuleBasedStateMachine):
@@ -63,45 +63,47 @@
 
     def __init__(self) -> None:
         super().__init__()
-        self.observed = [Observed() for _ in range(STORES)]
-        self.highest = [0] * STORES
+        self.tracked_stores = [TrackedStore() for _ in range(STORE_COUNT)]
+        self.highest_revisions = [0] * STORE_COUNT
 
     @rule(number=store_numbers, offered=documents)
     def read_platform(self, number: int, offered: ResourceDocument) -> None:
-        self.observed[number].store.offer(offered)
-        self.observed[number].seen.append(offered)
+        self.tracked_stores[number].store.offer(offered)
+        self.tracked_stores[number].seen.append(offered)
 
     @rule(number=store_numbers, offered=documents)
     def read_partial_document(self, number: int, offered: ResourceDocument) -> None:
         partial = document(offered.revision + 10, *offered.resources, count=99)
-        assert not self.observed[number].store.offer(partial)
+        assert not self.tracked_stores[number].store.offer(partial)
 
     @rule(source=store_numbers, destination=store_numbers)
     def exchange(self, source: int, destination: int) -> None:
-        self.observed[destination].store.merge(self.observed[source].store.state)
-        self.observed[destination].seen.extend(self.observed[source].seen)
+        self.tracked_stores[destination].store.merge(self.tracked_stores[source].store.state)
+        self.tracked_stores[destination].seen.extend(self.tracked_stores[source].seen)
 
     @rule(number=store_numbers)
     def restart(self, number: int) -> None:
-        self.observed[number] = Observed()
-        self.highest[number] = 0
+        self.tracked_stores[number] = TrackedStore()
+        self.highest_revisions[number] = 0
 
     @invariant()
     def matches_the_oracle(self) -> None:
-        for observed in self.observed:
-            specs = observed.store.current.tenants
-            assert {name: spec.weight for name, spec in specs.items()} == in_force(observed.seen)
+        for tracked in self.tracked_stores:
+            specs = tracked.store.current.tenants
+            assert {name: spec.weight for name, spec in specs.items()} == expected_weights(
+                tracked.seen
+            )
 
     @invariant()
     def revision_is_never_lowered(self) -> None:
-        for number, observed in enumerate(self.observed):
-            revision = observed.store.current.revision
-            assert revision >= self.highest[number]
-            self.highest[number] = revision
+        for number, tracked in enumerate(self.tracked_stores):
+            revision = tracked.store.current.revision
+            assert revision >= self.highest_revisions[number]
+            self.highest_revisions[number] = revision
 
     def teardown(self) -> None:
         """Joining all states in two different orders gives the same digest."""
-        states = [observed.store.state for observed in self.observed]
+        states = [tracked.store.state for tracked in self.tracked_stores]
         forward = join_states(join_states(states[0], states[1]), states[2])
         backward = join_states(states[2], join_states(states[1], states[0]))
         assert forward.digest == backward.digest
@@ -133,17 +135,17 @@
     assert stores[0].platform.reused or stores[1].platform.reused
 
 
-def test_deleted_tenant_does_not_come_back_with_a_bad_successor() -> None:
+def test_deleted_tenant_is_not_restored_by_a_refused_generation() -> None:
     store = ConfigurationStore()
     store.offer(document(1, tenant("a", weight=1)))
     store.offer(document(2))
     store.offer(document(3, tenant("a", 2, weight=0)))
-    sleeper = ConfigurationStore()
-    sleeper.offer(document(1, tenant("a", weight=1)))
-    sleeper.offer(document(3, tenant("a", 2, weight=0)))
-    sleeper.merge(store.state)
+    lagging_store = ConfigurationStore()
+    lagging_store.offer(document(1, tenant("a", weight=1)))
+    lagging_store.offer(document(3, tenant("a", 2, weight=0)))
+    lagging_store.merge(store.state)
     assert "a" not in store.current.tenants
-    assert "a" not in sleeper.current.tenants
+    assert "a" not in lagging_store.current.tenants
 
 
 def test_key_given_to_another_tenant_goes_with_the_more_recent_decision() -> None:
--- a/tests/unit/node/test_caller_app.py
+++ b/tests/unit/node/test_caller_app.py
@@ -50,7 +50,7 @@
     TenantSpec,
 )
 
-GOOD = b'{"index":"stock","rule":"stock-rule"}'
+VALID_BODY = b'{"index":"stock","rule":"stock-rule"}'
 
 
 def credential(secret: str) -> Credential:
@@ -91,14 +91,14 @@
     """Returns outcomes from a list and records the requests."""
 
     outcomes: list[Outcome] = field(default_factory=lambda: [complete(1)])
-    takes_s: float = 0.0
+    delay_s: float = 0.0
     requests: list[QueryRequest] = field(default_factory=list)
     cancelled_at: float | None = None
 
     async def run(self, request: QueryRequest) -> Outcome:
         self.requests.append(request)
         try:
-            await asyncio.sleep(self.takes_s)
+            await asyncio.sleep(self.delay_s)
         except asyncio.CancelledError:
             self.cancelled_at = asyncio.get_running_loop().time()
             raise
@@ -124,33 +124,33 @@
         return run_virtual(scenario())
 
 
-def ask(body: bytes = GOOD, **changes: object) -> FakeCaller:
+def make_caller(body: bytes = VALID_BODY, **changes: object) -> FakeCaller:
     return FakeCaller(parts=[body], **changes)
 
 
 @pytest.mark.parametrize(
     ("caller", "status", "named"),
     [
-        (ask(b'{"index":'), 400, "body"),
-        (ask(b"\xff\xfe"), 400, "body"),
-        (ask(b""), 400, "body"),
-        (ask(b"[" * 50_000), 400, "body"),
-        (ask(GOOD[:-1] + b',"limit":0}'), 400, "limit"),
-        (ask(GOOD[:-1] + b',"match":{"a":1}}'), 400, "match[...]"),
-        (ask(GOOD[:-1] + b',"tenant":"rival"}'), 400, "tenant"),
-        (ask(b'{"rule":"stock-rule"}'), 400, "index"),
-        (ask(GOOD[:-1] + b',"cursor":"AAAA"}'), 400, "cursor"),
-        (ask(GOOD + b" " * MAX_BODY_BYTES), 413, "body"),
-        (ask(headers={"content-length": "99999999999"}), 413, "body"),
-        (ask(headers={"content-type": "text/plain"}), 415, "content-type"),
-        (FakeCaller(parts=[GOOD[:5], GOOD[5:]], part_gap_s=4.0), 408, "body"),
-        (ask(GOOD[:9], cut_off=True), 400, "body"),
-        (ask(authorization=None), 401, "authorization"),
-        (ask(authorization="Bearer key.wrong"), 401, "authorization"),
-        (ask(authorization="Bearer nobody.secret"), 401, "authorization"),
-        (ask(authorization="Basic \u00ff"), 401, "authorization"),
-        (ask(method="GET"), 405, "method"),
-        (ask(path="/v1/other"), 404, "path"),
+        (make_caller(b'{"index":'), 400, "body"),
+        (make_caller(b"\xff\xfe"), 400, "body"),
+        (make_caller(b""), 400, "body"),
+        (make_caller(b"[" * 50_000), 400, "body"),
+        (make_caller(VALID_BODY[:-1] + b',"limit":0}'), 400, "limit"),
+        (make_caller(VALID_BODY[:-1] + b',"match":{"a":1}}'), 400, "match[...]"),
+        (make_caller(VALID_BODY[:-1] + b',"tenant":"rival"}'), 400, "tenant"),
+        (make_caller(b'{"rule":"stock-rule"}'), 400, "index"),
+        (make_caller(VALID_BODY[:-1] + b',"cursor":"AAAA"}'), 400, "cursor"),
+        (make_caller(VALID_BODY + b" " * MAX_BODY_BYTES), 413, "body"),
+        (make_caller(headers={"content-length": "99999999999"}), 413, "body"),
+        (make_caller(headers={"content-type": "text/plain"}), 415, "content-type"),
+        (FakeCaller(parts=[VALID_BODY[:5], VALID_BODY[5:]], part_gap_s=4.0), 408, "body"),
+        (make_caller(VALID_BODY[:9], cut_off=True), 400, "body"),
+        (make_caller(authorization=None), 401, "authorization"),
+        (make_caller(authorization="Bearer key.wrong"), 401, "authorization"),
+        (make_caller(authorization="Bearer nobody.secret"), 401, "authorization"),
+        (make_caller(authorization="Basic \u00ff"), 401, "authorization"),
+        (make_caller(method="GET"), 405, "method"),
+        (make_caller(path="/v1/other"), 404, "path"),
     ],
 )
 def test_bad_input_is_a_typed_error_that_names_field_and_rule(
@@ -168,7 +168,7 @@
     for index, rule in (("secret", "secret-rule"), ("absent", "absent"), ("stock", "secret-rule")):
         body = msgspec.json.encode({"index": index, "rule": rule, "cursor": "AAAA"})
         harness = Harness()
-        caller = harness.call(ask(body))
+        caller = harness.call(make_caller(body))
         answers.append((caller.status, {**caller.json, "query_id": ""}))
         assert harness.runner.requests == []
     assert answers == [answers[0]] * 3
@@ -176,8 +176,8 @@
 
 
 def test_a_caller_that_leaves_frees_its_work_within_50_ms() -> None:
-    harness = Harness(ScriptedRunner(takes_s=4.0))
-    harness.call(ask(leaves_at=1.0))
+    harness = Harness(ScriptedRunner(delay_s=4.0))
+    harness.call(make_caller(leaves_at=1.0))
     assert harness.runner.cancelled_at == pytest.approx(1.0, abs=0.05)
     assert isinstance(harness.finished[0].outcome, MayHaveRun)
 
@@ -187,7 +187,7 @@
         async def run(self, request: QueryRequest) -> Outcome:
             raise RuntimeError("secret-rule")
 
-    caller = ask()
+    caller = make_caller()
     with pytest.raises(RuntimeError):
         Harness(Faulty()).call(caller)
     assert (caller.status, caller.json["outcome"]) == (500, "may_have_run")
@@ -199,19 +199,19 @@
     seconds: float, header: str, exact: int
 ) -> None:
     refusal = NotRun(NotRunReason.OVERLOADED, "busy", seconds)
-    caller = Harness(ScriptedRunner([refusal])).call(ask())
+    caller = Harness(ScriptedRunner([refusal])).call(make_caller())
     assert caller.status == status_of(refusal) == 503
     assert (caller.answer_headers["retry-after"], caller.json["retry_after_ms"]) == (header, exact)
 
 
-def page_after(caller: FakeCaller, body: bytes = GOOD, **changes: object) -> FakeCaller:
+def page_after(caller: FakeCaller, body: bytes = VALID_BODY, **changes: object) -> FakeCaller:
     cursor = msgspec.json.encode(caller.json["cursor"])
-    return ask(body[:-1] + b',"cursor":%b}' % cursor, **changes)
+    return make_caller(body[:-1] + b',"cursor":%b}' % cursor, **changes)
 
 
 def test_a_later_page_is_pinned_to_the_first_ones_version() -> None:
     harness = Harness(ScriptedRunner([complete(1, 2, more=True), complete(3)]))
-    first = harness.call(ask())
+    first = harness.call(make_caller())
     second = harness.call(page_after(first))
     assert (second.status, second.json["rows"]) == (200, [{"n": 3}])
     assert harness.runner.requests[1].version == 7
@@ -221,25 +221,27 @@
 @pytest.mark.parametrize(
     "body",
     [
-        GOOD[:-1] + b',"descending":true}',
-        GOOD[:-1] + b',"match":{"a":"b"}}',
-        GOOD[:-1] + b',"order_by":"amount"}',
+        VALID_BODY[:-1] + b',"descending":true}',
+        VALID_BODY[:-1] + b',"match":{"a":"b"}}',
+        VALID_BODY[:-1] + b',"order_by":"amount"}',
     ],
 )
 def test_a_cursor_of_another_query_is_refused(body: bytes) -> None:
     harness = Harness(ScriptedRunner([complete(1, more=True)]))
-    first = harness.call(ask())
+    first = harness.call(make_caller())
     other = harness.call(page_after(first, body))
     assert (other.status, other.json["field"]) == (400, "cursor")
 
 
 def stream(**changes: object) -> FakeCaller:
-    return ask(path="/v1/stream", **changes)
+    return make_caller(path="/v1/stream", **changes)
 
 
 def test_a_stream_states_its_worst_coverage_per_shard_at_the_end() -> None:
-    gap = MissingShard("s2", "limmat", MissingReason.TIMED_OUT)
-    partial = Partial(replace(complete(2, more=True).answer, coverage=Coverage(("s1",), (gap,))))
+    missing_shard = MissingShard("s2", "limmat", MissingReason.TIMED_OUT)
+    partial = Partial(
+        replace(complete(2, more=True).answer, coverage=Coverage(("s1",), (missing_shard,)))
+    )
     harness = Harness(ScriptedRunner([complete(1, more=True), partial, complete(3)]))
     caller = harness.call(stream())
     assert [line.get("row") for line in caller.lines[:-1]] == [{"n": 1}, {"n": 2}, {"n": 3}]
@@ -258,12 +260,12 @@
         Failed(FailedReason.VERSION_GONE, "gone"),
     ],
 )
-def test_a_failure_mid_stream_is_stated_and_can_be_gone_on_from(failure: Outcome) -> None:
+def test_a_failure_mid_stream_is_reported_with_a_cursor_to_resume(failure: Outcome) -> None:
     harness = Harness(ScriptedRunner([complete(1, more=True), failure, complete(2)]))
     cut = harness.call(stream())
     end = cut.lines[-1]["end"]
     assert (cut.status, end["outcome"], end["reason"]) == (200, "failed", "stream_cut")
-    body = msgspec.json.encode({**msgspec.json.decode(GOOD), "cursor": end["cursor"]})
+    body = msgspec.json.encode({**msgspec.json.decode(VALID_BODY), "cursor": end["cursor"]})
     rest = harness.call(FakeCaller(path="/v1/stream", parts=[body]))
     assert [line.get("row") for line in rest.lines[:-1]] == [{"n": 2}]
     assert harness.runner.requests[2].after == (1.0, "r1")
@@ -276,17 +278,17 @@
     assert caller.answer_headers["retry-after"] == "1"
 
 
-def leaves_or_stalls(**changes: float) -> tuple[Harness, FakeCaller]:
-    harness = Harness(ScriptedRunner([complete(n, more=True) for n in range(500)], takes_s=0.1))
+def call_long_stream(**changes: float) -> tuple[Harness, FakeCaller]:
+    harness = Harness(ScriptedRunner([complete(n, more=True) for n in range(500)], delay_s=0.1))
     return harness, harness.call(stream(**changes))
 
 
 @pytest.mark.parametrize(
     ("run", "pages"),
     [
-        (lambda: leaves_or_stalls(leaves_at=1.05), 11),
-        (lambda: leaves_or_stalls(read_gap_s=3600.0), 1),
-        (lambda: leaves_or_stalls(read_gap_s=1.0, leaves_at=10.0), 10),
+        (lambda: call_long_stream(leaves_at=1.05), 11),
+        (lambda: call_long_stream(read_gap_s=3600.0), 1),
+        (lambda: call_long_stream(read_gap_s=1.0, leaves_at=10.0), 10),
     ],
 )
 def test_a_stream_pulls_no_page_ahead_of_its_reader(
@@ -325,9 +327,9 @@
 
 @settings(max_examples=300)
 @given(BODIES, st.text(st.characters(max_codepoint=255), max_size=30))
-def test_whatever_is_sent_is_answered_in_json_and_harms_nothing(body: bytes, token: str) -> None:
+def test_arbitrary_input_gets_a_typed_json_answer(body: bytes, token: str) -> None:
     harness = Harness()
-    caller = harness.call(ask(body))
+    caller = harness.call(make_caller(body))
     assert caller.status in (200, 400, 404) and caller.json["outcome"] in ("complete", "not_run")
     assert all(request.tenant == "acme" for request in harness.runner.requests)
-    assert harness.call(ask(authorization=f"Bearer {token}")).status == 401
+    assert harness.call(make_caller(authorization=f"Bearer {token}")).status == 401
