--- a/tinrudder/node/api/operation_app.py
+++ b/tinrudder/node/api/operation_app.py
@@ -39,7 +39,7 @@
     """JSON body of an operation request.
 
     :param key: idempotency key set by the caller, the same in all submissions of one request.
-    :param valid_until: expiry in seconds since 1970, the same in all submissions of one request.
+    :param valid_until: expiry in seconds since 1970; the same in all submissions of one request.
     :param resubmission: whether the key was submitted before with an unknown outcome.
     """
 
--- a/tinrudder/node/api/operators/operator_authentication.py
+++ b/tinrudder/node/api/operators/operator_authentication.py
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Viewer:
-    """An authenticated client of the resource, explain or metrics API.
+    """An authenticated client of the resource or explain API.
 
     :param name: an operator's key id, or the tenant's name.
     :param tenant: the tenant, ``None`` for an operator, who sees all resources.
--- a/tinrudder/node/api/operators/resource_bodies.py
+++ b/tinrudder/node/api/operators/resource_bodies.py
@@ -57,7 +57,7 @@
 
 
 class EnforcementBody(msgspec.Struct, frozen=True):
-    """How many nodes enforce a revision or a newer one, and names of those that don't."""
+    """How many nodes enforce a revision or a newer one, and names of lagging nodes."""
 
     revision: int
     enforcing: int
--- a/tinrudder/node/api/outcome_mapping.py
+++ b/tinrudder/node/api/outcome_mapping.py
@@ -115,7 +115,7 @@
 
 
 def body_of(query_id: str, outcome: Outcome, cursor: str | None) -> OutcomeBody:
-    """Return the JSON body of an outcome; ``cursor`` points to the next page, if any."""
+    """Return the JSON body of an outcome; ``cursor``, if any, is the position to continue from."""
     match outcome:
         case Complete(answer):
             return _answer_body(query_id, "complete", answer, cursor)
