--- a/tinrudder/node/api/caller_app.py
+++ b/tinrudder/node/api/caller_app.py
@@ -1,4 +1,4 @@
-"""The callers' HTTP application: one query in, one truthful outcome out; see docs/API.md."""
+"""Owns the callers' HTTP application, which runs queries and returns outcomes; see docs/API.md."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 from tinrudder.node.api.query_body import (
     QueryBody,
     UnknownResourceError,
+    cursor_scope,
+    decode_cursor,
     decode_query_body,
     find_rule,
     make_request,
-    open_cursor,
-    scope_of,
 )
 from tinrudder.node.api.request_body import read_json_body
 from tinrudder.node.api.stream import NDJSON, QueryStream
@@ -52,19 +52,24 @@
 from tinrudder.timers import Timers
 
 QUERY_ID_BYTES = 16
+"""Random bytes in a query id."""
 UNKNOWN_RESOURCE = NotRun(NotRunReason.UNKNOWN_RESOURCE, "index or rule: unknown to this tenant")
 
 _encoder = msgspec.json.Encoder()
 
 
 def new_query_id() -> str:
-    """Return an id that no caller can guess."""
+    """Return an unguessable id."""
     return secrets.token_hex(QUERY_ID_BYTES)
 
 
 @dataclass(slots=True)
 class CallerQuery:
-    """One query on its way through the application."""
+    """State of one query while the application handles it.
+
+    :param started: clock time at which the body had been read, in seconds.
+    :param rule: ``None`` if index or rule is unknown to the tenant.
+    """
 
     query_id: str
     tenant: str
@@ -75,7 +80,7 @@
 
 
 class CallerApplication:
-    """Authenticates, checks and runs callers' queries."""
+    """Authenticates callers, and validates and runs their queries."""
 
     def __init__(
         self,
@@ -85,7 +90,7 @@
         cursors: CursorCodec,
         observers: Sequence[QueryObserver] = (),
     ) -> None:
-        """Run queries through ``runner``; tell ``observers`` of each that ended."""
+        """Run queries through ``runner`` and pass each finished query to ``observers``."""
         self._timers = timers
         self._runner = runner
         self._configuration = configuration
@@ -108,25 +113,25 @@
             return await self.stream(request)
         query_id = new_query_id()
         try:
-            query = await self._read(request, query_id)
+            query = await self._read_query(request, query_id)
         except RequestProblemError as problem:
             return problem_response(query_id, problem)
         if query.rule is None:
             outcome: Outcome = UNKNOWN_RESOURCE
         else:
             outcome = await self._run(request, query, query.rule)
-        self._finished(query, outcome)
+        self._notify_observers(query, outcome)
         return self._respond(query, outcome)
 
     async def stream(self, request: Request) -> Response:
         """Answer ``POST /v1/stream``."""
         query_id = new_query_id()
         try:
-            query = await self._read(request, query_id)
+            query = await self._read_query(request, query_id)
         except RequestProblemError as problem:
             return problem_response(query_id, problem)
         if query.rule is None:
-            self._finished(query, UNKNOWN_RESOURCE)
+            self._notify_observers(query, UNKNOWN_RESOURCE)
             return self._respond(query, UNKNOWN_RESOURCE)
         rule = query.rule
 
@@ -136,17 +141,17 @@
             return await self._runner.run(page)
 
         def on_end(outcome: Outcome) -> None:
-            self._finished(query, outcome)
+            self._notify_observers(query, outcome)
 
-        def cursor_of(position: PagePosition) -> str:
-            return self._cursors.encode(position, scope_of(query.body, query.tenant))
+        def encode_cursor(position: PagePosition) -> str:
+            return self._cursors.encode(position, cursor_scope(query.body, query.tenant))
 
-        return QueryStream(query_id, query.position, run_page, cursor_of, on_end)
+        return QueryStream(query_id, query.position, run_page, encode_cursor, on_end)
 
-    async def _read(self, request: Request, query_id: str) -> CallerQuery:
-        """Authenticate the caller, then read and check its body.
+    async def _read_query(self, request: Request, query_id: str) -> CallerQuery:
+        """Authenticate the caller, then read and validate the request's body.
 
-        :raises RequestProblemError: naming the field and the rule it breaks.
+        :raises RequestProblemError: naming the field and the rule that it breaks.
         """
         configuration = self._configuration()
         tenant = authenticate(request.headers.get("authorization"), configuration)
@@ -159,21 +164,21 @@
             query.rule = find_rule(body, tenant, self._configuration())
         except UnknownResourceError:
             return query
-        query.position = open_cursor(body, tenant, self._cursors)
+        query.position = decode_cursor(body, tenant, self._cursors)
         return query
 
     async def _run(self, request: Request, query: CallerQuery, rule: QueryRuleSpec) -> Outcome:
-        """Run one page; a caller that goes away frees its work."""
-        core = make_request(
+        """Run one page; cancel it if the caller disconnects."""
+        query_request = make_request(
             query.query_id, query.tenant, query.body, rule, query.position, query.started
         )
         try:
-            return await run_unless_disconnected(request.receive, self._runner.run(core))
+            return await run_unless_disconnected(request.receive, self._runner.run(query_request))
         except CallerGoneError:
             return MayHaveRun(MayHaveRunReason.CANCELLED, "the caller went away")
 
-    def _finished(self, query: CallerQuery, outcome: Outcome) -> None:
-        """Tell the observers of an ended query."""
+    def _notify_observers(self, query: CallerQuery, outcome: Outcome) -> None:
+        """Pass a finished query to the observers."""
         finished = FinishedQuery(
             query.query_id,
             query.tenant,
@@ -188,10 +193,10 @@
             observer(finished)
 
     def _respond(self, query: CallerQuery, outcome: Outcome) -> Response:
-        """Encode an outcome."""
+        """Return the HTTP response for an outcome, with a cursor if there is a next page."""
         cursor = None
         if isinstance(outcome, Complete | Partial) and outcome.answer.next_after is not None:
             position = PagePosition(outcome.answer.version, outcome.answer.next_after)
-            cursor = self._cursors.encode(position, scope_of(query.body, query.tenant))
+            cursor = self._cursors.encode(position, cursor_scope(query.body, query.tenant))
         content = _encoder.encode(body_of(query.query_id, outcome, cursor))
         return Response(content, status_of(outcome), headers_of(outcome), JSON)
--- a/tinrudder/node/api/operators/resource_watch.py
+++ b/tinrudder/node/api/operators/resource_watch.py
@@ -1,7 +1,7 @@
-"""Watching resources: newline-delimited JSON events, resumed by revision, memory bounded.
+"""Owns resource watches: newline-delimited JSON events that clients can resume by revision.
 
-A watcher holds the snapshot it was last told of and no queue of its own, so a slow one costs
-nothing and skips what came and went meanwhile.
+A watch keeps the last snapshot it sent and no event queue, so a slow client accumulates no
+events.  It skips states that were replaced before its next comparison.
 """
 
 from __future__ import annotations
@@ -25,17 +25,21 @@
 from tinrudder.node.resources.store import ConfigurationStore
 
 CHECK_INTERVAL_S = 0.5
+"""Seconds between two comparisons with the store."""
 CHECKS_PER_BOOKMARK = 20
+"""Comparisons per bookmark event: one event in 10 s."""
 MAX_WATCHERS = 64
+"""Open watches per node."""
 MAX_WATCHERS_PER_TENANT = 4
+"""Open watches per node for one tenant."""
 
 
 class WatchEvent(msgspec.Struct, frozen=True, omit_defaults=True):
     """One line of a watch.
 
-    :param type: ``reset`` (forget everything, all resources follow), ``changed``, ``deleted``,
-        ``enforcement`` or ``bookmark``.
-    :param revision: resume from here; an event may come twice.
+    :param type: ``reset`` (the client discards its copy; all resources follow), ``changed``,
+        ``deleted``, ``enforcement`` or ``bookmark``.
+    :param revision: pass it as ``from_revision`` to resume; events may be repeated.
     """
 
     type: str
@@ -48,7 +52,11 @@
 
 @dataclass(frozen=True, slots=True)
 class WatchRequest:
-    """What somebody watches: one kind, or all for an empty one, after a revision."""
+    """Parameters of a watch.
+
+    :param kind: kind of the resources to watch; empty for all.
+    :param from_revision: last revision that the client received, 0 for a new watch.
+    """
 
     viewer: Viewer
     kind: str = ""
@@ -56,7 +64,7 @@
 
 
 class ResourceWatch:
-    """Serves watchers of one node."""
+    """Serves the watches of one node and limits their number."""
 
     def __init__(
         self,
@@ -64,90 +72,93 @@
         reporter: StatusReporter,
         is_stopping: Callable[[], bool],
     ) -> None:
-        """End all watches soon after ``is_stopping`` holds."""
+        """Watch ``store``; watches end at their next check once ``is_stopping()`` is true."""
         self._store = store
         self._reporter = reporter
         self._is_stopping = is_stopping
         self._watchers: list[Viewer] = []
 
-    def has_room(self, viewer: Viewer) -> bool:
-        """Tell whether one more watch of this viewer fits."""
+    def can_open(self, viewer: Viewer) -> bool:
+        """Return whether the viewer may open one more watch."""
         limit = MAX_WATCHERS if viewer.is_operator else MAX_WATCHERS_PER_TENANT
         return len(self._watchers) < MAX_WATCHERS and self._watchers.count(viewer) < limit
 
     async def lines(self, request: WatchRequest) -> AsyncIterator[bytes]:
-        """Yield events as lines until the node stops or the watcher goes away."""
+        """Yield events as lines until the node stops or the client disconnects."""
         self._watchers.append(request.viewer)
         try:
             async for event in self._events(request):
                 yield msgspec.json.encode(event) + b"\n"
-                # A reset is thousands of events: queries run in between.
+                # A reset can be thousands of events; let queries run between them.
                 await asyncio.sleep(0)
         finally:
             self._watchers.remove(request.viewer)
 
     async def _events(self, request: WatchRequest) -> AsyncIterator[WatchEvent]:
-        told = self._snapshot()
+        last_sent = self._snapshot()
         enforcement: EnforcementBody | None = None
-        for event in self._first_events(request, told):
+        for event in self._catch_up_events(request, last_sent):
             yield event
         checks = 0
         while not self._is_stopping():
-            now = self._snapshot()
-            for event in self._events_between(request, told, now):
+            current = self._snapshot()
+            for event in self._events_between(request, last_sent, current):
                 yield event
-            told = now
+            last_sent = current
             if request.viewer.is_operator:
-                newest = enforcement_body(self._reporter.count().of(now.configuration.revision))
+                newest = enforcement_body(self._reporter.count().of(current.configuration.revision))
                 if newest != enforcement:
                     enforcement = newest
                     yield WatchEvent("enforcement", newest.revision, enforcement=newest)
             if checks % CHECKS_PER_BOOKMARK == 0:
-                # Never lower than where the watcher came from: its former node was ahead.
-                reached = max(now.configuration.revision, request.from_revision)
+                # Not below the client's revision: the node that it watched before may be ahead.
+                reached = max(current.configuration.revision, request.from_revision)
                 yield WatchEvent("bookmark", reached)
             checks += 1
             await asyncio.sleep(CHECK_INTERVAL_S)
 
-    def _first_events(self, request: WatchRequest, now: Snapshot) -> Iterator[WatchEvent]:
-        """Yield what a watcher missed since its revision, or a reset and everything."""
-        revision = now.configuration.revision
+    def _catch_up_events(self, request: WatchRequest, current: Snapshot) -> Iterator[WatchEvent]:
+        """Yield the changes since the client's revision, or a reset and all visible resources.
+
+        Yields nothing if the client has the newest state or comes from a node that is ahead.
+        """
+        revision = current.configuration.revision
         if request.from_revision > revision:
             return
         missed = self._store.changes.after_revision(request.from_revision)
-        reaches_back = request.from_revision > 0 and missed is not None
-        if reaches_back and all(
+        log_covers_revision = request.from_revision > 0 and missed is not None
+        if log_covers_revision and all(
             change.revision <= request.from_revision for change in missed or ()
         ):
             return
-        if not reaches_back or not request.viewer.is_operator:
-            # What a tenant could see at an earlier revision is not kept, so it begins anew.
+        if not log_covers_revision or not request.viewer.is_operator:
+            # Past visibility is not kept, so a tenant starts again with all its resources.
             yield WatchEvent("reset", revision)
-            yield from self._changed(request, visible_keys(request.viewer, now), now)
+            yield from self._changed(request, visible_keys(request.viewer, current), current)
             return
         changed = {key for change in missed or () for key in change.changed}
         deleted = {key for change in missed or () for key in change.deleted}
-        yield from _deleted(request, sorted(deleted - now.state.resources.keys()), revision)
-        yield from self._changed(request, sorted(changed & now.state.resources.keys()), now)
+        yield from _deleted(request, sorted(deleted - current.state.resources.keys()), revision)
+        yield from self._changed(request, sorted(changed & current.state.resources.keys()), current)
 
     def _events_between(
-        self, request: WatchRequest, told: Snapshot, now: Snapshot
+        self, request: WatchRequest, last_sent: Snapshot, current: Snapshot
     ) -> Iterator[WatchEvent]:
-        """Yield what changed since a snapshot."""
-        if told.state is now.state:
+        """Yield the visible changes between two snapshots."""
+        if last_sent.state is current.state:
             return
-        changes = visible_changes(request.viewer, told, now)
-        yield from _deleted(request, changes.deleted, now.configuration.revision)
-        yield from self._changed(request, changes.changed, now)
+        changes = visible_changes(request.viewer, last_sent, current)
+        yield from _deleted(request, changes.deleted, current.configuration.revision)
+        yield from self._changed(request, changes.changed, current)
 
     def _changed(
-        self, request: WatchRequest, keys: Iterable[ResourceKey], now: Snapshot
+        self, request: WatchRequest, keys: Iterable[ResourceKey], current: Snapshot
     ) -> Iterator[WatchEvent]:
-        revision = now.configuration.revision
+        revision = current.configuration.revision
         renderer = ResourceRenderer(request.viewer, self._store, self._reporter)
         for key in keys:
             if not request.kind or key.kind == request.kind:
-                yield WatchEvent("changed", revision, renderer.body(now.state.resources[key]))
+                yield WatchEvent("changed", revision, renderer.body(current.state.resources[key]))
 
     def _snapshot(self) -> Snapshot:
         return Snapshot(self._store.state, self._store.current)
--- a/tinrudder/node/resources/rules.py
+++ b/tinrudder/node/resources/rules.py
@@ -1,4 +1,4 @@
-"""Rules between the fields of one specification, beyond what its type already checks."""
+"""Owns validation rules across the fields of one specification, which its type can't express."""
 
 from __future__ import annotations
 
@@ -19,13 +19,13 @@
 
 @dataclass(frozen=True, slots=True)
 class PolicyNames:
-    """Policy names a query rule may choose from, by role; an empty table accepts any."""
+    """Policy names that a query rule may use, by role; an empty table accepts any name."""
 
     by_role: Mapping[str, frozenset[str]] = field(default_factory=dict)
 
 
-def own_problems(spec: AnySpec) -> Iterator[str]:
-    """Yield the rules between fields of one specification that it breaks."""
+def specification_problems(spec: AnySpec) -> Iterator[str]:
+    """Yield the broken rules of one specification, without regard to other resources."""
     if isinstance(spec, BackendSpec):
         try:
             ipaddress.ip_address(spec.host)
@@ -36,24 +36,24 @@
             yield "spec.soft_deadline_ms: must not exceed hard_deadline_ms"
     elif isinstance(spec, TenantSpec):
         key_ids = [credential.key_id for credential in spec.credentials]
-        yield from _repeated("spec.credentials.key_id", key_ids)
+        yield from _duplicates("spec.credentials.key_id", key_ids)
     elif isinstance(spec, ServiceSpec):
-        yield from _repeated("spec.tenants", list(spec.tenants))
+        yield from _duplicates("spec.tenants", list(spec.tenants))
     elif isinstance(spec, IndexSpec):
-        yield from _repeated("spec.versions.version", [str(v.version) for v in spec.versions])
+        yield from _duplicates("spec.versions.version", [str(v.version) for v in spec.versions])
         for version in spec.versions:
             field_name = f"spec.versions[{version.version}].shards.shard"
-            yield from _repeated(field_name, [shard.shard for shard in version.shards])
+            yield from _duplicates(field_name, [shard.shard for shard in version.shards])
 
 
-def _repeated(field_name: str, values: Sequence[str]) -> Iterator[str]:
+def _duplicates(field_name: str, values: Sequence[str]) -> Iterator[str]:
     if len(set(values)) != len(values):
-        repeated = min(value for value, count in Counter(values).items() if count > 1)
-        yield f"{field_name}: {repeated!r} is listed more than once"
+        duplicate = min(value for value, count in Counter(values).items() if count > 1)
+        yield f"{field_name}: {duplicate!r} is listed more than once"
 
 
 def policy_problems(spec: QueryRuleSpec, policies: PolicyNames) -> Iterator[str]:
-    """Yield policies that this release does not have."""
+    """Yield problems for policies that this release doesn't have."""
     if not policies.by_role:
         return
     for role, name in sorted(spec.policies.items()):
