--- a/tinrudder/cli/node_commands/__init__.py
+++ b/tinrudder/cli/node_commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands that talk to a running node of the loopback program, one module each."""
+"""Operator commands for nodes run by ``tinrudder serve``, one module per command."""
--- a/tinrudder/cli/node_commands/apply.py
+++ b/tinrudder/cli/node_commands/apply.py
@@ -1,6 +1,7 @@
-"""``tinrudder apply FILE --wait``: write to the platform, then see it in force everywhere.
+"""``tinrudder apply FILE --wait``: write a file to the platform, then wait for every node.
 
-The tier itself only reads the platform; this command is the operator's hand on both.
+Owns the sequence of validation, write and wait.  Nodes only read the platform, so the command
+writes to the platform directly and polls a node for the result.
 """
 
 from __future__ import annotations
@@ -35,9 +36,9 @@
 
 
 class ApplyResult(msgspec.Struct, frozen=True):
-    """What became of an apply.
+    """Result of an apply.
 
-    :param refused: resources whose written generation was refused, with the reason.
+    :param refused: resources whose written generation was rejected, with the reason.
     """
 
     revision: int
@@ -47,10 +48,10 @@
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser("apply", help="write a file to the platform")
+    parser = subparsers.add_parser("apply", help="write a file of resources to the platform")
     parser.add_argument("file", type=Path, help="TOML or JSON file of resources")
-    parser.add_argument("--platform-url", required=True, help="the platform's write address")
-    parser.add_argument("--wait", action="store_true", help="until every node enforces it")
+    parser.add_argument("--platform-url", required=True, help="base URL for writes to the platform")
+    parser.add_argument("--wait", action="store_true", help="wait until every node enforces it")
     parser.add_argument("--timeout-s", type=float, default=DEFAULT_TIMEOUT_S)
     add_node_flags(parser)
     add_output_flag(parser)
@@ -58,12 +59,12 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Validate at the node, write, wait."""
+    """Validate the file at a node, write it and optionally wait for every node."""
     return run_with_node(arguments, _apply)
 
 
 def open_writer(arguments: argparse.Namespace) -> ResourceWriter:
-    """Return what takes the writes."""
+    """Return a writer for the platform's write address."""
     return PlatformWriter(arguments.platform_url)
 
 
@@ -92,7 +93,7 @@
 
 
 async def _wait(client: NodeClient, revision: int, timeout_s: float) -> EnforcementBody:
-    """Return how many nodes enforce the revision, as soon as all do or the time is up."""
+    """Wait until every node enforces the revision or the timeout ends; return the last status."""
     deadline = time.monotonic() + timeout_s
     while True:
         answer = await client.request("GET", f"/v1/resources/nodes?revision={revision}")
@@ -104,7 +105,10 @@
 
 
 async def _refused(client: NodeClient, file: ResourceFile) -> tuple[str, ...]:
-    """Return which resources were refused after all: others may have been written meanwhile."""
+    """Return the resources that were rejected after the write.
+
+    Valid resources can be rejected if others were written in the meantime.
+    """
     refused = []
     for resource in file.resources:
         path = f"/v1/resources/{resource.kind}/{resource.name}"
--- a/tinrudder/cli/node_commands/connection.py
+++ b/tinrudder/cli/node_commands/connection.py
@@ -1,4 +1,7 @@
-"""How commands talk to a node: flags, credential, typed errors."""
+"""The connection between commands and a node: flags, credential, typed errors.
+
+Owns the node client and the conversion of errors to exit codes.
+"""
 
 from __future__ import annotations
 
@@ -40,38 +43,41 @@
     def decode(self, message_type: type[Message]) -> Message:
         """Return the body of a successful answer.
 
-        :raises CommandError: the node answered an error, or something unreadable.
+        :raises CommandError: the node answered with an error, or the body cannot be decoded.
         """
         if self.status != OK:
             raise self.error()
         return self.decode_any(message_type)
 
     def decode_any(self, message_type: type[Message]) -> Message:
-        """Return the body whatever the status."""
+        """Return the body, whatever the status.
+
+        :raises CommandError: the body cannot be decoded.
+        """
         try:
             return msgspec.json.decode(self.body, type=message_type)
         except msgspec.MsgspecError as error:
             raise CommandError(ExitCode.UNREACHABLE, f"unreadable answer: {error}") from error
 
     def error(self) -> CommandError:
-        """Return the error that this answer states."""
+        """Return the answer as an error with its exit code."""
         try:
             stated = msgspec.json.decode(self.body, type=ErrorBody)
             text = f"{stated.error}: {stated.detail}"
         except msgspec.MsgspecError:
-            text = self.body.decode(errors="replace")[:300] or "no further word"
+            text = self.body.decode(errors="replace")[:300] or "empty response body"
         codes = {NOT_FOUND: ExitCode.NOT_FOUND}
         codes.update(dict.fromkeys(DENIED_STATUSES, ExitCode.DENIED))
         return CommandError(codes.get(self.status, ExitCode.USAGE), f"status {self.status}: {text}")
 
 
 class NodeClient(Protocol):
-    """What commands ask a node through."""
+    """Sends a command's requests to a node."""
 
     async def request(self, method: str, path: str, body: bytes = b"") -> NodeAnswer:
         """Return the answer to one request.
 
-        :raises CommandError: the node can't be reached.
+        :raises CommandError: the node cannot be reached.
         """
 
     def lines(self, path: str) -> AsyncIterator[bytes]:
@@ -82,10 +88,10 @@
 
 
 class HttpNodeClient:
-    """The real :class:`NodeClient`."""
+    """The :class:`NodeClient` over HTTP."""
 
     def __init__(self, url: str, credential: str, authority: str) -> None:
-        """Talk to ``url``; ``authority`` is a PEM file to check its certificate against."""
+        """Connect to ``url``; ``authority`` is a PEM file that verifies its certificate."""
         self._url = url.rstrip("/")
         self._headers = {"Content-Type": "application/json"}
         if credential:
@@ -140,24 +146,24 @@
 
 
 def add_node_flags(parser: argparse.ArgumentParser) -> None:
-    """Add how to reach a node."""
+    """Add the flags that select a node and authenticate to it."""
     parser.add_argument(
         "--node-url",
         default=os.environ.get(NODE_URL_VARIABLE, ""),
-        help=f"a node's address for callers, e.g. http://127.0.0.1:8080; else ${NODE_URL_VARIABLE}",
+        help=f"a node's URL for callers, e.g. http://127.0.0.1:8080; default: ${NODE_URL_VARIABLE}",
     )
     parser.add_argument(
         "--credential",
         default=os.environ.get(CREDENTIAL_VARIABLE, ""),
-        help=f"KEY_ID.SECRET of an operator or a tenant; better in ${CREDENTIAL_VARIABLE}",
+        help=f"KEY_ID.SECRET of an operator or a tenant; preferably in ${CREDENTIAL_VARIABLE}",
     )
-    parser.add_argument("--authority", default="", help="PEM file to check the node against")
+    parser.add_argument("--authority", default="", help="PEM file that verifies the node")
 
 
 def open_node_client(arguments: argparse.Namespace) -> NodeClient:
-    """Return a client for the node that the flags name.
+    """Return a client for the node selected by the flags.
 
-    :raises CommandError: they name none, or the authority can't be read.
+    :raises CommandError: no node is given, or the authority cannot be read.
     """
     if not arguments.node_url:
         text = f"--node-url: needed, as flag or as ${NODE_URL_VARIABLE}"
@@ -195,6 +201,6 @@
     except KeyboardInterrupt:
         return int(ExitCode.OK)
     except BrokenPipeError:
-        # Whoever read our output has seen enough; keep Python from flushing to it at exit.
+        # The reader closed the pipe; redirect stdout so that Python's flush at exit does not fail.
         os.dup2(os.open(os.devnull, os.O_WRONLY), sys.stdout.fileno())
         return int(ExitCode.OK)
--- a/tinrudder/cli/node_commands/diff.py
+++ b/tinrudder/cli/node_commands/diff.py
@@ -1,4 +1,7 @@
-"""``tinrudder diff FILE``: what a file would change of what is in force."""
+"""``tinrudder diff FILE``: show how a file differs from the configuration in force.
+
+Owns the comparison of resources, field by field.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 class Difference(msgspec.Struct, frozen=True):
-    """One field that differs; values are JSON, ``-`` where there is none."""
+    """One field that differs; values are JSON, ``-`` if absent."""
 
     kind: str
     name: str
@@ -30,7 +33,7 @@
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser("diff", help="compare a file with what is in force")
+    parser = subparsers.add_parser("diff", help="compare a file with the configuration in force")
     parser.add_argument("file", type=Path, help="TOML or JSON file of resources")
     add_node_flags(parser)
     add_output_flag(parser)
@@ -38,12 +41,12 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Compare."""
+    """Compare the file with the configuration in force."""
     return run_with_node(arguments, _diff)
 
 
 def find_differences(file: ResourceFile, in_force: ResourceListBody) -> list[Difference]:
-    """Return what differs; resources that the file does not name are left out."""
+    """Return the differences; resources that the file does not name are ignored."""
     held = {(one.kind, one.name): one for one in in_force.resources}
     found: list[Difference] = []
     for resource in file.resources:
@@ -80,7 +83,7 @@
 
 
 def _with_defaults(kind: str, spec: dict[str, object]) -> object:
-    """Return a spec with its defaults filled in, as it is where it does not fit its kind."""
+    """Return a spec with its defaults filled in, or unchanged if it is invalid for its kind."""
     try:
         typed = msgspec.convert(spec, SPEC_TYPES[Kind(kind)], strict=False)
     except (msgspec.MsgspecError, ValueError):
--- a/tinrudder/cli/node_commands/explain.py
+++ b/tinrudder/cli/node_commands/explain.py
@@ -1,4 +1,7 @@
-"""``tinrudder explain QUERY-ID``: why a finished query went as it did."""
+"""``tinrudder explain QUERY-ID``: show how a finished query was run.
+
+Owns the text of an explanation.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add the subcommand."""
-    parser = subparsers.add_parser("explain", help="say why a finished query went as it did")
+    parser = subparsers.add_parser("explain", help="explain how a finished query was run")
     parser.add_argument("query_id")
     add_node_flags(parser)
     add_output_flag(parser)
--- a/tinrudder/cli/node_commands/get.py
+++ b/tinrudder/cli/node_commands/get.py
@@ -1,4 +1,7 @@
-"""``tinrudder get [KIND [NAME]]``: resources with their status."""
+"""``tinrudder get [KIND [NAME]]``: show resources with their status.
+
+Owns the table row of a resource.
+"""
 
 from __future__ import annotations
 
@@ -25,12 +28,12 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Show one resource, one kind, or all."""
+    """Show one resource, all of one kind, or all."""
     return run_with_node(arguments, _get)
 
 
 def row_of(resource: ResourceBody) -> tuple[str, ...]:
-    """Return a resource as a line of a table."""
+    """Return a resource as a table row."""
     conditions = {condition.type: condition for condition in resource.conditions}
     accepted, enforced = conditions.get("Accepted"), conditions.get("Enforced")
     messages = [one.message for one in resource.conditions if not one.status and one.message]
--- a/tinrudder/cli/node_commands/nodes.py
+++ b/tinrudder/cli/node_commands/nodes.py
@@ -1,4 +1,7 @@
-"""``tinrudder nodes``: which node enforces which revision, and what is wrong with the platform."""
+"""``tinrudder nodes``: show the revision that each node enforces and any problems of the platform.
+
+Owns the text of this report.
+"""
 
 from __future__ import annotations
 
@@ -19,7 +22,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Show nodes."""
+    """Show nodes and the platform's problems."""
     return run_with_node(arguments, _nodes)
 
 
--- a/tinrudder/cli/node_commands/output.py
+++ b/tinrudder/cli/node_commands/output.py
@@ -1,4 +1,7 @@
-"""What commands print: tables for people, JSON for scripts."""
+"""Output of commands: tables for people, JSON for scripts.
+
+Owns the ``--output`` flag and both formats.
+"""
 
 from __future__ import annotations
 
@@ -16,12 +19,12 @@
 
 
 def wants_json(arguments: argparse.Namespace) -> bool:
-    """Tell whether ``--output json`` was given."""
+    """Return whether ``--output json`` was given."""
     return bool(arguments.output == "json")
 
 
 def print_json(content: object) -> None:
-    """Print one JSON value on one line."""
+    """Print a value as one line of JSON."""
     print(msgspec.json.encode(content).decode(), flush=True)
 
 
--- a/tinrudder/cli/node_commands/query.py
+++ b/tinrudder/cli/node_commands/query.py
@@ -1,4 +1,7 @@
-"""``tinrudder query``: run one query as a tenant."""
+"""``tinrudder query``: run one query as a tenant.
+
+Owns the mapping from outcomes to exit codes.
+"""
 
 from __future__ import annotations
 
@@ -36,7 +39,7 @@
     parser.add_argument("--descending", action="store_true")
     parser.add_argument("--limit", type=int, default=DEFAULT_LIMIT)
     parser.add_argument("--deadline-ms", type=int)
-    parser.add_argument("--cursor", help="continue after a former page")
+    parser.add_argument("--cursor", help="cursor from a previous page")
     add_node_flags(parser)
     add_output_flag(parser)
     parser.set_defaults(run=run)
@@ -48,9 +51,9 @@
 
 
 def query_body(arguments: argparse.Namespace) -> QueryBody:
-    """Return the query that the arguments state.
+    """Build the query from the arguments.
 
-    :raises CommandError: naming the argument that is wrong.
+    :raises CommandError: an argument is invalid; the message names it.
     """
     match = {}
     for entry in arguments.match:
--- a/tinrudder/cli/node_commands/resource_file.py
+++ b/tinrudder/cli/node_commands/resource_file.py
@@ -1,4 +1,7 @@
-"""Files of resources, as operators keep them: TOML with comments, or JSON."""
+"""Reads operators' resource files, in TOML or JSON.
+
+Owns the file format and its conversion to writes.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 
 
 class FileResource(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One resource of a file."""
+    """One resource in a file."""
 
     kind: str
     name: str
@@ -21,13 +24,13 @@
 
 
 class ResourceFile(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A file of resources to have, and of those to delete."""
+    """A file of resources to write and resources to delete."""
 
     resources: tuple[FileResource, ...] = ()
     delete: tuple[ResourceName, ...] = ()
 
     def batch(self) -> ResourceBatch:
-        """Return the file as writes."""
+        """Return the file as a batch of writes."""
         writes = (
             ResourceWrite(one.kind, one.name, msgspec.Raw(msgspec.json.encode(one.spec)))
             for one in self.resources
@@ -35,7 +38,7 @@
         return ResourceBatch(tuple(writes), self.delete)
 
     def document(self) -> ResourceDocument:
-        """Return the file as if it were everything the platform holds."""
+        """Return the file as a complete platform document, for validation without a node."""
         resources = (
             RawResource(write.kind, write.name, 1, write.spec) for write in self.batch().resources
         )
@@ -45,7 +48,8 @@
 def load_resource_file(path: Path) -> ResourceFile:
     """Read a file.
 
-    :raises CommandError: naming the field and the rule it breaks.
+    :raises CommandError: the file cannot be read or is invalid; the message names the field and the
+        rule.
     """
     try:
         content = path.read_bytes()
--- a/tinrudder/cli/node_commands/validate.py
+++ b/tinrudder/cli/node_commands/validate.py
@@ -1,4 +1,7 @@
-"""``tinrudder validate FILE``: judge resources, alone or together with what is in force."""
+"""``tinrudder validate FILE``: validate resources, alone or with the configuration in force.
+
+Owns the choice between validation at a node and in this process.
+"""
 
 from __future__ import annotations
 
@@ -22,7 +25,8 @@
 def add_parser(subparsers: argparse._SubParsersAction[argparse.ArgumentParser]) -> None:
     """Add the subcommand."""
     parser = subparsers.add_parser(
-        "validate", help="judge a file of resources; with a node, together with what is in force"
+        "validate",
+        help="validate a file of resources, with a node together with the configuration in force",
     )
     parser.add_argument("file", type=Path, help="TOML or JSON file of resources")
     add_node_flags(parser)
@@ -31,7 +35,7 @@
 
 
 def run(arguments: argparse.Namespace) -> int:
-    """Validate at a node if one is named, else the file alone."""
+    """Validate the file at a node if one is given, otherwise alone."""
 
     async def whole() -> ExitCode:
         file = load_resource_file(arguments.file)
@@ -47,7 +51,7 @@
 
 
 async def validate_at_node(client: NodeClient, batch: ResourceBatch) -> ValidationBody:
-    """Return a node's judgement of writes together with what is in force there."""
+    """Validate writes at a node, together with its configuration in force."""
     answer = await client.request("POST", "/v1/resources/validate", msgspec.json.encode(batch))
     return answer.decode(ValidationBody)
 
--- a/tinrudder/cli/node_commands/watch.py
+++ b/tinrudder/cli/node_commands/watch.py
@@ -1,4 +1,7 @@
-"""``tinrudder watch``: follow resources until the node ends the stream."""
+"""``tinrudder watch``: print changes of resources until the node ends the stream.
+
+Owns the text of an event.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
     """Add the subcommand."""
     parser = subparsers.add_parser("watch", help="follow resources as they change")
     parser.add_argument("kind", nargs="?", choices=[kind.value for kind in Kind])
-    parser.add_argument("--from-revision", type=int, default=0, help="resume after a revision")
+    parser.add_argument("--from-revision", type=int, default=0, help="resume after this revision")
     add_node_flags(parser)
     add_output_flag(parser)
     parser.set_defaults(run=run)
@@ -30,7 +33,7 @@
 
 
 def line_of(event: WatchEvent) -> str:
-    """Return an event as a line for people."""
+    """Format an event as one line of text."""
     if event.resource is not None:
         return f"{event.revision}  changed  " + "  ".join(row_of(event.resource))
     if event.enforcement is not None:
--- a/tinrudder/node/backends/connection.py
+++ b/tinrudder/node/backends/connection.py
@@ -1,7 +1,7 @@
 """One HTTP/1.1 connection to a back end, with at most one call at a time.
 
-The parser object and the read buffer live as long as the connection; reading into a buffer of our
-own spares asyncio a 256 KiB allocation per read (docs/CALL_COST.md has the figures).
+Owns the connection's parser and read buffer, which are reused for every call: reading into a
+preallocated buffer avoids asyncio's allocation of 256 KiB per read (docs/CALL_COST.md).
 """
 
 from __future__ import annotations
@@ -22,37 +22,36 @@
 from tinrudder.node.environment import ReplyListener
 
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
-"""Largest answer that is read; a larger one breaks the connection."""
+"""Bytes of the largest accepted answer; a larger one closes the connection."""
 READ_BUFFER_BYTES = 16 * 1024
-"""Bytes of a connection's read buffer, in place of asyncio's allocation of 256 KiB a read
+"""Bytes of a connection's read buffer, which replaces asyncio's allocation of 256 KiB per read
 (docs/CALL_COST.md)."""
 OK_ANSWER_START = b"HTTP/1.1 200"
-"""What an answer starts with whose bytes need not be kept: of others the headers may be wanted."""
+"""First bytes of a successful answer.  The raw bytes of all other answers are kept, since their
+headers may be needed."""
 REUSABLE_STATUSES = (STATUS_OK, *REFUSAL_STATUSES)
-"""Statuses after which the connection may take another call."""
+"""Statuses after which the connection may carry another call."""
 
 _encoder = msgspec.json.Encoder()
 
 
 class ConnectionOwner(Protocol):
-    """The pool, as its connections see it."""
+    """The part of the pool that its connections use."""
 
     request_head: bytes
 
     def connection_free(self, connection: BackendConnection) -> None:
-        """Take back a connection that may carry another call."""
+        """Return a connection to the pool that can carry another call."""
 
     def connection_closed(self, connection: BackendConnection) -> None:
-        """Forget a connection."""
+        """Remove a closed connection from the pool."""
 
 
 class BackendConnection(asyncio.BufferedProtocol):
-    """Sends a call, reads its answer, and tells a connection that may be used again from one
-    that must be closed.
-    """
+    """Sends one call, reads its answer, then returns to the pool or closes."""
 
     def __init__(self, owner: ConnectionOwner) -> None:
-        """Belong to ``owner``."""
+        """Create a connection of the pool ``owner``."""
         self.idle_since = 0.0
         self._owner = owner
         self._transport: asyncio.Transport | None = None
@@ -69,12 +68,12 @@
         self._excess = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def send(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Write one request; from here on its bytes may have left."""
+        """Write one request and mark it as possibly sent."""
         assert self._transport is not None
         self._call = call
         self._listener = listener
@@ -84,25 +83,25 @@
         self._transport.write(b"%b%d\r\n\r\n%b" % (self._owner.request_head, len(body), body))
 
     def abort(self) -> None:
-        """Drop the connection and whatever still arrives on it."""
+        """Close the connection at once and discard whatever still arrives on it."""
         self._call = None
         self._listener = None
         if self._transport is not None:
             self._transport.abort()
 
     def is_usable(self) -> bool:
-        """Tell whether another call may be sent."""
+        """Return whether another call may be sent."""
         return self._transport is not None and not self._transport.is_closing()
 
     def get_buffer(self, sizehint: int) -> bytearray:
-        """Give asyncio the buffer to read into."""
+        """Return the buffer for asyncio to read into."""
         return self._buffer
 
     def buffer_updated(self, nbytes: int) -> None:
-        """Parse what was read; the call ends only after the parser has returned.
+        """Parse the bytes read; end the call only after the parser has returned.
 
-        Otherwise the listener could send the next call from inside the parser, and bytes behind
-        this answer would be taken for that call's.
+        Otherwise the listener could send the next call from inside the parser, and bytes after this
+        answer would be parsed as the answer to that call.
         """
         if self._call is None:
             self.abort()
@@ -121,12 +120,12 @@
             self._end(Broken("answer larger than MAX_ANSWER_BYTES"), reusable=False)
 
     def _keep_refusal(self, nbytes: int) -> None:
-        """Keep the bytes of whatever is not plainly a 200: its headers may be wanted."""
+        """Keep the raw bytes of an answer that does not start as a 200, for its headers."""
         if self._refusal_bytes or not self._buffer.startswith(OK_ANSWER_START):
             self._refusal_bytes += bytes(self._view[:nbytes])
 
     def on_message_begin(self) -> None:
-        """Notice bytes behind a whole answer (called by the parser)."""
+        """Detect bytes after a complete answer (called by the parser)."""
         self._excess = self._complete
 
     def on_body(self, body: bytes) -> None:
@@ -134,19 +133,19 @@
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Note the end of the answer (called by the parser, which then forgets the headers)."""
+        """Record the end of the answer (called by the parser, which then drops the headers)."""
         self._complete = True
         self._keep_alive = self._parser.should_keep_alive()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Without its whole answer, a call that was sent may have run."""
+        """End a call without a complete answer as :class:`Broken`: it may have run."""
         self._transport = None
         if self._call is not None:
             self._end(Broken(f"connection lost: {exc}"), reusable=False)
         self._owner.connection_closed(self)
 
     def _end_complete(self) -> None:
-        """End the call with the answer that was read."""
+        """End the call with the complete answer."""
         assert self._call is not None
         status = self._parser.get_status_code()
         body = self._body[0] if len(self._body) == 1 else b"".join(self._body)
@@ -163,7 +162,7 @@
         self._end(reply, reusable=reusable)
 
     def _end(self, reply: BackendReply, *, reusable: bool) -> None:
-        """Free or close the connection, then report."""
+        """Return the connection to the pool or close it, then report the reply."""
         call, listener = self._call, self._listener
         assert call is not None and listener is not None
         call.carrier = None
--- a/tinrudder/node/backends/connection_pool.py
+++ b/tinrudder/node/backends/connection_pool.py
@@ -1,7 +1,7 @@
-"""Connections to one back end, never more than its share for this node.
+"""A pool of connections to one back end, limited to this node's share.
 
-A call takes an idle connection, or waits until one is free while another is opened.  Waiting
-calls have not been sent: no byte of theirs has left.
+Owns the open connections and the queue of waiting calls.  A call takes an idle connection, or waits
+until one is free while another is opened.  No byte of a waiting call has been sent.
 """
 
 from __future__ import annotations
@@ -18,11 +18,9 @@
 
 SEARCH_PATH = "/v1/search"
 CONNECT_TIMEOUT_S = 1.0
-"""Seconds for a connection to open, TLS included.  Chosen, not measured: a thousand times the way
-between zones."""
+"""Seconds for a connection to open, TLS included: a thousand times the latency between zones."""
 IDLE_TIMEOUT_S = 30.0
-"""Seconds after which an idle connection is closed: back ends count connections against a limit.
-Chosen, not measured."""
+"""Seconds after which an idle connection is closed, since back ends limit their connections."""
 CLOSED_DETAIL = "the transport is closed"
 PERMISSION_DETAIL = "the permission to send has ended"
 
@@ -31,7 +29,7 @@
 
 @dataclass(slots=True, eq=False)
 class WaitingCall:
-    """A call without a connection; cancelled ones are skipped when reached."""
+    """A call that waits for a connection; a cancelled one is skipped when it is dequeued."""
 
     call: BackendCall
     listener: ReplyListener
@@ -42,7 +40,7 @@
     """All connections to one address."""
 
     def __init__(self, host: str, port: int, context: ContextSource) -> None:
-        """Open connections to ``host:port``; ``context`` is asked anew for each of them."""
+        """Open connections to ``host:port``; ``context`` is called for each new connection."""
         self.request_head = (
             f"POST {SEARCH_PATH} HTTP/1.1\r\nHost: {host}:{port}\r\n"
             "Content-Type: application/json\r\nContent-Length: "
@@ -59,16 +57,16 @@
 
     @property
     def connections(self) -> int:
-        """Return the number of connections, those being opened included."""
+        """Return the number of connections, including those being opened."""
         return len(self._open) + len(self._connecting)
 
     @property
     def unused(self) -> bool:
-        """Tell whether nothing is left here."""
+        """Return whether the pool has no connection and no waiting call."""
         return not self._open and not self._connecting and not self._waiting
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Send a call over an idle connection, or let it wait for one."""
+        """Send a call over an idle connection, or queue it until one is available."""
         idle = self._idle
         while idle:
             connection = idle.pop()
@@ -83,9 +81,9 @@
         self._open_as_allowed()
 
     def cancel(self, call: BackendCall) -> None:
-        """Take back a waiting call; close the connection of one that was sent.
+        """Cancel a call: skip it if it is waiting, close its connection if it was sent.
 
-        Closing is how HTTP/1.1 cancels, and it keeps the answer away from any later call.
+        HTTP/1.1 has no other way to cancel, and closing ensures that no later call gets the answer.
         """
         carrier = call.carrier
         call.carrier = None
@@ -95,7 +93,7 @@
             carrier.abort()
 
     def connection_free(self, connection: BackendConnection) -> None:
-        """Give a free connection to the oldest waiting call, else keep it."""
+        """Give a free connection to the oldest waiting call, or keep it as idle."""
         waiting = self._next_waiting() if self._waiting else None
         if waiting is not None:
             connection.send(waiting.call, waiting.listener)
@@ -104,20 +102,20 @@
         self._idle.append(connection)
 
     def connection_closed(self, connection: BackendConnection) -> None:
-        """Forget a connection; waiting calls may open another in its place."""
+        """Remove a closed connection; open another if calls are waiting."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
         self._open_as_allowed()
 
     def trim(self) -> None:
-        """Close connections that were idle for long; the longest idle stand first."""
+        """Close connections idle for more than ``IDLE_TIMEOUT_S``; the longest idle come first."""
         horizon = self._loop.time() - IDLE_TIMEOUT_S
         while self._idle and self._idle[0].idle_since < horizon:
             self._idle.popleft().abort()
 
     def close(self) -> None:
-        """Close every connection; waiting calls are told that they were not sent."""
+        """Close every connection; report waiting calls as not sent."""
         for task in self._connecting:
             task.cancel()
         for connection in tuple(self._open):
@@ -126,7 +124,7 @@
             self._refuse(waiting, CLOSED_DETAIL)
 
     def _open_as_allowed(self) -> None:
-        """Open connections for waiting calls, as many as are missing and allowed."""
+        """Open connections for waiting calls, up to the limit."""
         missing = len(self._waiting) - len(self._connecting)
         allowed = self._max_connections - self.connections
         for _ in range(min(missing, allowed)):
@@ -135,7 +133,7 @@
             task.add_done_callback(self._connecting.discard)
 
     async def _connect(self) -> None:
-        """Open one connection; when that fails, the oldest waiting call was not sent."""
+        """Open one connection; if that fails, report the oldest waiting call as not sent."""
         try:
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 _, connection = await self._loop.create_connection(
@@ -151,7 +149,7 @@
             self.connection_free(connection)
 
     def _next_waiting(self) -> WaitingCall | None:
-        """Take the oldest waiting call that is still wanted."""
+        """Dequeue the oldest waiting call that may still be sent; report expired ones."""
         now = self._loop.time()
         while self._waiting:
             waiting = self._waiting.popleft()
@@ -167,7 +165,7 @@
         return None
 
     def _refuse(self, waiting: WaitingCall, detail: str) -> None:
-        """Report a call that no byte of was sent, in the next turn of the loop."""
+        """Report a call as not sent, in the next iteration of the event loop."""
         waiting.cancelled = True
         waiting.call.carrier = None
         self._loop.call_soon(waiting.listener, waiting.call, NotSent(detail))
--- a/tinrudder/node/backends/http_transport.py
+++ b/tinrudder/node/backends/http_transport.py
@@ -1,7 +1,7 @@
-"""HTTP/1.1 to back ends: one pooled connection a call, parsed by httptools.
+"""HTTP/1.1 transport to back ends, with one call at a time on each pooled connection.
 
-aiosonic costs several times a bare asyncio client per call (docs/CALL_COST.md), which the call
-path cannot pay; httptools is the parser that uvicorn uses.
+Owns one connection pool per address.  It uses asyncio and httptools, the parser of uvicorn:
+aiosonic costs several times as much per call (docs/CALL_COST.md), too much for this path.
 """
 
 from __future__ import annotations
@@ -15,40 +15,40 @@
 from tinrudder.node.environment import ReplyListener
 
 TRIM_INTERVAL_S = 5.0
-"""Seconds between looks for idle connections; it adds to how long one stays."""
+"""Seconds between checks for idle connections; this adds to the time that one stays open."""
 
 
 class TlsContextSource(Protocol):
-    """Gives the TLS context of the moment, so that keys rotate without a restart."""
+    """Provides the current TLS context, so that keys can be rotated without a restart."""
 
     def backend_context(self) -> ssl.SSLContext | None:
         """Return the context for new connections."""
 
 
 class HttpBackendTransport:
-    """The real :class:`tinrudder.node.environment.BackendTransport`."""
+    """The :class:`tinrudder.node.environment.BackendTransport` over HTTP."""
 
     def __init__(self, tls: TlsContextSource | None = None) -> None:
-        """Use ``tls`` for back ends that ask for it."""
+        """Use the contexts of ``tls`` for calls that require TLS."""
         self._tls = tls
         self._pools: dict[tuple[str, int, bool], ConnectionPool] = {}
         self._trim_timer: asyncio.TimerHandle | None = None
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Send a call; see the interface."""
+        """Send a call; see :meth:`BackendTransport.start`."""
         pool = self._pools.get((call.host, call.port, call.tls))
         if pool is None:
             pool = self._add_pool(call)
         pool.start(call, listener)
 
     def cancel(self, call: BackendCall) -> None:
-        """Cancel a call; see the interface."""
+        """Cancel a call; see :meth:`BackendTransport.cancel`."""
         pool = self._pools.get((call.host, call.port, call.tls))
         if pool is not None:
             pool.cancel(call)
 
     def connections(self, host: str, port: int) -> int:
-        """Return how many connections to one address are open or being opened."""
+        """Return the number of connections to one address that are open or being opened."""
         keys = ((host, port, tls) for tls in (False, True))
         return sum(self._pools[key].connections for key in keys if key in self._pools)
 
@@ -68,7 +68,7 @@
         return pool
 
     def _tls_context(self) -> ssl.SSLContext | None:
-        """Return the context of the moment; a back end behind TLS is never called in clear."""
+        """Return the current context, or a default one: TLS calls are never sent in plain text."""
         context = self._tls.backend_context() if self._tls is not None else None
         return context if context is not None else ssl.create_default_context()
 
@@ -77,7 +77,7 @@
         self._trim_timer = loop.call_later(TRIM_INTERVAL_S, self._trim)
 
     def _trim(self) -> None:
-        """Close long idle connections and forget pools of back ends that are gone."""
+        """Close connections that have been idle too long and drop unused pools."""
         for key, pool in tuple(self._pools.items()):
             pool.trim()
             if pool.unused:
@@ -86,4 +86,4 @@
 
 
 def _no_context() -> None:
-    """Return no TLS context: the back end speaks in clear."""
+    """Return ``None``: the back end uses plain HTTP."""
--- a/tinrudder/node/backends/messages.py
+++ b/tinrudder/node/backends/messages.py
@@ -1,7 +1,7 @@
-"""Calls to back ends and their tagged replies.
+"""Calls to back ends and the types of their replies.
 
-The HTTP form of each message is in ``docs/BACKENDS.md``; ``tinrudder.node.backends.http_transport``
-turns status codes into these tags, so that nothing above knows about HTTP.
+Values only.  ``docs/BACKENDS.md`` has the HTTP form of each message; ``tinrudder.node.backends``
+converts status codes to these types, so its users do not depend on HTTP.
 """
 
 from __future__ import annotations
@@ -15,12 +15,12 @@
 
 
 class SearchRequest(msgspec.Struct, frozen=True):
-    """One call's body: which rows of which shards, at one index version.
+    """Body of one call: a search or an operation on shards of one index version.
 
-    :param after: only rows behind this (order, row id) are wanted.
-    :param deadline_ms: how long the answer is useful to us, milliseconds from receipt.
-    :param operation: what to do, for a request that must not be repeated; ``None`` for a search.
-    :param request_key: ``TENANT/KEY`` of such a request, the same for all its submissions.
+    :param after: return only rows after this (order, row id).
+    :param deadline_ms: time until the answer is no longer useful, milliseconds from receipt.
+    :param operation: name of an at-most-once operation, ``None`` for a search.
+    :param request_key: ``TENANT/KEY`` of such an operation, the same for all its submissions.
     """
 
     call_id: int
@@ -39,7 +39,7 @@
 
 
 class RowMessage(msgspec.Struct, frozen=True, array_like=True):
-    """A row as sent by a back end: order value, row id, and the undecoded rest."""
+    """A row as sent by a back end: order value, row id, and the undecoded payload."""
 
     order: float
     row_id: str
@@ -47,7 +47,7 @@
 
 
 class ShardRows(msgspec.Struct, frozen=True):
-    """Rows of one shard, sorted as asked; ``more`` tells that the limit cut them."""
+    """Rows of one shard, sorted as requested; ``more`` is set if the limit truncated them."""
 
     shard: str
     rows: tuple[RowMessage, ...]
@@ -55,7 +55,7 @@
 
 
 class BackendLoad(msgspec.Struct, frozen=True):
-    """A back end's own report; it may lag or mislead."""
+    """Load as reported by the back end itself; it may be stale or wrong."""
 
     in_flight: int
     slots: int
@@ -76,13 +76,13 @@
     """One call to one back end.
 
     :param host: the back end's IP address; :param port: its TCP port.
-    :param deadline: monotonic time after which the answer is of no use.
-    :param max_connections: connections this node may hold to the back end.
-    :param may_have_left: bytes of the call may have left this process; only a transport that
-        knows better clears it.
-    :param may_leave: asked by the transport immediately before bytes leave; when it says no the
-        reply is :class:`NotSent`.
-    :param carrier: what carries the call now, for the transport's own use.
+    :param deadline: monotonic time after which the answer is no longer useful.
+    :param max_connections: number of connections that this node may hold to the back end.
+    :param may_have_left: bytes of the call may have left this process.  True by default; only a
+        transport that is certain that none have clears it.
+    :param may_leave: called by the transport immediately before it writes the call; if it returns
+        false, the reply is :class:`NotSent`.
+    :param carrier: private to the transport: the queue entry or connection that holds the call.
     """
 
     call_id: int
@@ -102,7 +102,7 @@
 class Answered:
     """The back end ran the call.
 
-    :param size_bytes: encoded size of the answer, which it keeps in memory while rows are held.
+    :param size_bytes: encoded size of the answer, which stays in memory while any row is held.
     """
 
     answer: SearchAnswer
@@ -111,19 +111,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Shed:
-    """The back end refused before starting, for load."""
+    """The back end refused the call before starting it because of load."""
 
     retry_after_s: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Draining:
-    """The back end refused before starting: it is leaving."""
+    """The back end refused the call before starting it because it is draining."""
 
 
 @dataclass(frozen=True, slots=True)
 class VersionGone:
-    """The back end does not serve this version; it did not start."""
+    """The back end did not start the call because it does not serve the requested version."""
 
     versions: tuple[int, ...] = ()
 
@@ -137,7 +137,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Broken:
-    """Bytes may have left and no usable answer came: the back end may have run the call."""
+    """The call may have been sent and has no usable answer: the back end may have run it."""
 
     detail: str = ""
 
--- a/tinrudder/node/backends/reply_decoding.py
+++ b/tinrudder/node/backends/reply_decoding.py
@@ -1,4 +1,7 @@
-"""From an HTTP answer's status and body to its tagged reply; see docs/BACKENDS.md."""
+"""Decodes the status, headers and body of an HTTP answer to a reply type.
+
+Owns the mapping from HTTP to :data:`BackendReply`, which docs/BACKENDS.md describes.
+"""
 
 from __future__ import annotations
 
@@ -23,11 +26,11 @@
 RETRY_AFTER_HEADER = b"retry-after"
 DRAINING_REASON = "draining"
 MAX_RETRY_AFTER_S = 3600.0
-"""Longest Retry-After, in seconds, that is taken for one; a longer or negative one is ignored."""
+"""Longest accepted Retry-After, in seconds; a longer or negative one is ignored."""
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Body of a 503 or 410: why the back end did not start the call."""
+    """Body of a 503 or 410: the reason why the back end did not start the call."""
 
     reason: str
     versions: tuple[int, ...] = ()
@@ -38,7 +41,7 @@
 
 
 def decode_answer(call: BackendCall, body: bytes) -> BackendReply:
-    """Return the reply of a 200."""
+    """Return the reply for an answer with status 200."""
     try:
         answer = _answer_decoder.decode(body)
     except (msgspec.MsgspecError, UnicodeDecodeError) as error:
@@ -49,9 +52,9 @@
 
 
 def decode_refusal(status: int, body: bytes, answer_head: bytes) -> BackendReply:
-    """Return the reply of any other status.
+    """Return the reply for an answer with any other status.
 
-    :param answer_head: the answer as it came, at least up to the end of its head.
+    :param answer_head: raw bytes of the answer, at least up to the end of its headers.
     """
     if status not in REFUSAL_STATUSES:
         return Broken(f"status {status}")
@@ -67,7 +70,7 @@
 
 
 class _HeaderReader:
-    """Picks one header out of a head."""
+    """Extracts the Retry-After header."""
 
     def __init__(self) -> None:
         self.retry_after: float | None = None
@@ -78,9 +81,10 @@
 
 
 def read_retry_after(answer_head: bytes) -> float | None:
-    """Return the seconds of a Retry-After header, ``None`` when there is no usable one.
+    """Return the seconds of a Retry-After header, ``None`` without a usable one.
 
-    Only refusals pay for reading headers: the parser of the call path has no header callback.
+    Headers are parsed for refusals only: the connection's parser has no header callback, which
+    saves its cost on every other answer.
 
     >>> read_retry_after(b"HTTP/1.1 503 X\\r\\nRetry-After: 0.05\\r\\nServer: b\\r\\n\\r\\n")
     0.05
@@ -94,7 +98,7 @@
 
 
 def _seconds(value: bytes) -> float | None:
-    """Read a number of seconds; a date or an absurd value counts as absent."""
+    """Parse a number of seconds; return ``None`` for a date or a value out of range."""
     try:
         seconds = float(value)
     except ValueError:
--- a/tinrudder/node/configuration_service/__init__.py
+++ b/tinrudder/node/configuration_service/__init__.py
@@ -1,1 +1,1 @@
-"""Adapter to the read-only configuration and member list of a node, in the stand-in's form."""
+"""Client for the platform's configuration and member list, in the format of the lab's server."""
--- a/tinrudder/node/configuration_service/client.py
+++ b/tinrudder/node/configuration_service/client.py
@@ -1,4 +1,8 @@
-"""Reads the platform over HTTP.  Calls are rare here, so aiosonic serves as it comes."""
+"""Reads configuration and members from the platform over HTTP.
+
+Owns the HTTP client and the last member list.  Reads are rare, so the cost of aiosonic per call
+does not matter here.
+"""
 
 from __future__ import annotations
 
@@ -17,9 +21,9 @@
 )
 
 REQUEST_TIMEOUT_S = 2.0
-"""Seconds for one read of the platform.  Chosen, not measured."""
+"""Seconds to connect and to wait for data; one whole read may take twice as long."""
 MAX_ANSWER_BYTES = 64 * 1024 * 1024
-"""Largest answer that is read: twice the largest document that is accepted."""
+"""Bytes of the largest accepted answer: twice the largest accepted document."""
 READ_HEADERS = {"Accept-Encoding": "gzip"}
 STATUS_OK = 200
 STATUS_NOT_MODIFIED = 304
@@ -28,7 +32,7 @@
 
 
 class PlatformClient:
-    """The real :class:`tinrudder.node.environment.PlatformSource`."""
+    """The :class:`tinrudder.node.environment.PlatformSource` over HTTP."""
 
     def __init__(self, base_url: str) -> None:
         """Read from ``base_url``, e.g. ``http://127.0.0.1:7000``."""
@@ -37,22 +41,22 @@
         self._members: MemberList | None = None
 
     async def fetch_resources(self, known_revision: int) -> ResourceDocument | None:
-        """Return the document, ``None`` when it equals ``known_revision``."""
+        """Return the document, ``None`` if its revision is ``known_revision``."""
         body = await self._get(f"/v1/resources?known_revision={known_revision}")
         return None if body is None else _decode(body, ResourceDocument)
 
     async def fetch_members(self) -> MemberList:
-        """Return the list of machines, the former one if the platform says it is unchanged."""
+        """Return the list of machines, from the cache if the platform reports it as unchanged."""
         known = self._members.revision if self._members is not None else 0
         body = await self._get(f"/v1/members?known_revision={known}")
         if body is not None:
             self._members = _decode(body, MemberList)
         if self._members is None:
-            raise PlatformUnavailableError("/v1/members: not modified, but never read")
+            raise PlatformUnavailableError("/v1/members: status 304, but no list is cached")
         return self._members
 
     async def _get(self, path: str) -> bytes | None:
-        """Return a body, ``None`` for not modified."""
+        """Return the body of an answer, ``None`` for a 304."""
         if self._client is None:
             self._client = aiosonic.HTTPClient()
         timeouts = Timeouts(
@@ -80,9 +84,9 @@
 
 
 async def _read_bounded(response: aiosonic.HttpResponse) -> bytes:
-    """Return a body, unpacked if it was compressed.
+    """Return the decompressed body of an answer.
 
-    :raises PlatformUnavailableError: it is larger than allowed.
+    :raises PlatformUnavailableError: it is larger than ``MAX_ANSWER_BYTES``.
     """
     body: bytes = await response.content()
     if len(body) > MAX_ANSWER_BYTES:
@@ -91,7 +95,10 @@
 
 
 def _decode(body: bytes, message_type: type[Message]) -> Message:
-    """Decode an answer of the platform."""
+    """Decode the body of an answer.
+
+    :raises PlatformUnavailableError: it cannot be decoded.
+    """
     try:
         return msgspec.json.decode(body, type=message_type)
     except msgspec.MsgspecError as error:
--- a/tinrudder/node/configuration_service/member_view.py
+++ b/tinrudder/node/configuration_service/member_view.py
@@ -1,4 +1,7 @@
-"""The platform's list of machines in the words of membership."""
+"""Converts the platform's list of machines to membership's types.
+
+Owns the mapping from platform states to membership's flags.
+"""
 
 from __future__ import annotations
 
@@ -8,7 +11,7 @@
 
 
 def listed_members(members: MemberList) -> tuple[ListedMember, ...]:
-    """Return whom the platform lists, without any observation of our own."""
+    """Return the machines on the platform's list, without this node's own observations."""
     return tuple(_listed(entry) for entry in members.members)
 
 
--- a/tinrudder/node/configuration_service/messages.py
+++ b/tinrudder/node/configuration_service/messages.py
@@ -1,4 +1,7 @@
-"""What the platform's configuration and membership service says."""
+"""Messages of the platform's configuration and membership service.
+
+Values only.
+"""
 
 from __future__ import annotations
 
@@ -8,13 +11,13 @@
 
 
 class PlatformUnavailableError(Exception):
-    """The platform did not answer, or answered something unreadable."""
+    """The platform did not answer, or its answer is unusable."""
 
 
 class RawResource(msgspec.Struct, frozen=True):
-    """One resource as the platform holds it; its spec is not validated yet.
+    """One resource as stored by the platform, with a spec that is not validated yet.
 
-    :param generation: raised by the platform with every change of this resource.
+    :param generation: incremented by the platform with every change of this resource.
     """
 
     kind: str
@@ -24,10 +27,12 @@
 
 
 class ResourceDocument(msgspec.Struct, frozen=True, omit_defaults=True):
-    """All resources at one revision; revisions only grow in an honest history.
+    """All resources at one revision.
+
+    Revisions increase with every change unless the platform is restored from an older state.
 
-    :param resource_count: how many resources the platform holds, where it says so; a document
-        with fewer is partial and refused.
+    :param resource_count: number of resources that the platform holds, if it states one; a document
+        with fewer is partial and rejected.
     """
 
     revision: int
@@ -36,7 +41,7 @@
 
 
 class MemberState(enum.StrEnum):
-    """What the platform believes of a machine."""
+    """State of a machine as reported by the platform."""
 
     LIVE = "live"
     LEAVING = "leaving"
@@ -45,7 +50,8 @@
 class PlatformMember(msgspec.Struct, frozen=True):
     """One machine of the system.
 
-    :param host: IP address; :param port: where it listens for other nodes.
+    :param host: IP address.
+    :param port: port on which it listens for other nodes.
     """
 
     name: str
@@ -57,7 +63,7 @@
 
 
 class MemberList(msgspec.Struct, frozen=True):
-    """The platform's list of machines; it lags behind the truth."""
+    """The platform's list of machines, which may be stale."""
 
     revision: int
     members: tuple[PlatformMember, ...]
--- a/tinrudder/node/configuration_service/poll_pace.py
+++ b/tinrudder/node/configuration_service/poll_pace.py
@@ -1,23 +1,26 @@
-"""How often one node reads the platform, so that the whole tier reads it at a steady rate."""
+"""The poll interval of one node, such that the whole tier polls the platform at a constant rate.
+
+Owns the tier's poll rate and its jitter.
+"""
 
 from __future__ import annotations
 
 import random
 
 TIER_POLLS_PER_S = 4.0
-"""Reads a second by all nodes together.  At 730 nodes a change is in force everywhere within 0.80
-to 1.05 s (bench.configuration_spread, docs/CAPACITY.md)."""
+"""Reads per second by all nodes together.  With 730 nodes a change is in force on all of them
+within 0.80 to 1.05 s (bench.configuration_spread, docs/CAPACITY.md)."""
 JITTER = 0.5
-"""Part of the mean by which a delay varies, so that nodes that started together do not read
-together."""
+"""Largest deviation of a delay from the mean, as a fraction of the mean, so that nodes that started
+together do not poll together."""
 
 
 def poll_delay_s(reachable_nodes: int, shortest_s: float, source: random.Random) -> float:
-    """Return seconds until this node's next read.
+    """Return the seconds until this node's next read.
 
-    All nodes that reach each other read ``TIER_POLLS_PER_S`` times a second together: one of
-    them notices a change soon, and tells the rest.  When fewer reach each other, each reads more
-    often.
+    The nodes that reach each other read ``TIER_POLLS_PER_S`` times per second in total: one of them
+    soon detects a change and propagates it to the rest.  The fewer nodes reach each other, the more
+    often each of them reads.
 
     >>> fixed = random.Random(1)
     >>> [round(poll_delay_s(nodes, 1.0, fixed)) for nodes in (1, 14, 730)]
--- a/tinrudder/node/configuration_service/writer.py
+++ b/tinrudder/node/configuration_service/writer.py
@@ -1,4 +1,7 @@
-"""Writes resources to the platform on an operator's behalf; only commands use it, never a node."""
+"""Writes resources to the platform on behalf of an operator.
+
+Owns the messages and the HTTP client of writes; only commands use it, never a node.
+"""
 
 from __future__ import annotations
 
@@ -13,11 +16,11 @@
 
 
 class PlatformWriteError(Exception):
-    """The platform did not take the write; after a lost answer it may have."""
+    """The platform rejected the write, or its answer was lost and the write may be in force."""
 
 
 class ResourceWrite(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One resource as it is to be."""
+    """A resource to create or replace."""
 
     kind: str
     name: str
@@ -32,7 +35,7 @@
 
 
 class ResourceBatch(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """Several writes that take effect together; repeating a batch changes nothing."""
+    """Writes that take effect atomically; repeating a batch changes nothing."""
 
     resources: tuple[ResourceWrite, ...] = ()
     delete: tuple[ResourceName, ...] = ()
@@ -45,10 +48,10 @@
 
 
 class ResourceWriter(Protocol):
-    """Whatever takes writes."""
+    """Accepts batches of writes."""
 
     async def write(self, batch: ResourceBatch) -> int:
-        """Write and return the revision that holds the batch."""
+        """Write a batch and return the revision that contains it."""
 
     async def close(self) -> None:
         """Close connections."""
@@ -63,9 +66,9 @@
         self._client: aiosonic.HTTPClient | None = None
 
     async def write(self, batch: ResourceBatch) -> int:
-        """Write and return the revision that holds the batch.
+        """Write a batch and return the revision that contains it.
 
-        :raises PlatformWriteError: it was refused, or no answer came.
+        :raises PlatformWriteError: the write was rejected, or no usable answer was received.
         """
         if self._client is None:
             self._client = aiosonic.HTTPClient()
--- a/tinrudder/node/environment.py
+++ b/tinrudder/node/environment.py
@@ -1,7 +1,7 @@
-"""What a node needs from outside, as typed interfaces.
+"""Interfaces between a node and its surroundings: clocks, transports and the platform.
 
-The same node code runs on real sockets and in the lab's virtual time: only the
-implementations passed in differ.
+Owns no implementation.  The same node code runs on real sockets and in the lab's virtual time with
+different implementations of these interfaces.
 """
 
 from __future__ import annotations
@@ -22,16 +22,17 @@
 
 
 class BackendTransport(Protocol):
-    """Carries one call to one back end."""
+    """Sends calls to back ends and reports their replies."""
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Send a call; ``listener`` is called exactly once, never from inside ``start``.
+        """Send a call.
 
-        A cancelled call's listener is not called.
+        ``listener`` is called exactly once and never from inside ``start``; after :meth:`cancel` it
+        is not called.
         """
 
     def cancel(self, call: BackendCall) -> None:
-        """Tell the back end to stop and drop whatever it still answers."""
+        """Tell the back end to stop the call and discard any later answer."""
 
     async def close(self) -> None:
         """Close every connection."""
@@ -41,17 +42,18 @@
     """Reads the platform's configuration and membership; raises ``PlatformUnavailableError``."""
 
     async def fetch_resources(self, known_revision: int) -> ResourceDocument | None:
-        """Return the platform's current document, ``None`` when it equals ``known_revision``."""
+        """Return the platform's document, ``None`` if its revision is ``known_revision``."""
 
     async def fetch_members(self) -> MemberList:
-        """Return the platform's current, possibly lagging, list of machines."""
+        """Return the platform's current list of machines, which may be stale."""
 
 
 @dataclass(frozen=True, slots=True)
 class Environment:
-    """Everything a node takes from outside.
+    """External dependencies of a node.
 
-    :param cluster_keys: authenticate datagrams between nodes; the first seals, all open.
+    :param cluster_keys: keys that authenticate datagrams between nodes: the first seals outgoing
+        datagrams, any of them opens incoming ones.
     """
 
     timers: Timers
--- a/tinrudder/node/metrics.py
+++ b/tinrudder/node/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics of one node, in a registry of its own, with bounded label sets.
+"""Prometheus metrics of one node, with bounded label sets.
 
-What parts of the node count anyway is read when somebody scrapes; only the latency histogram and
-the refusals cost anything per query.
+Owns the node's metric registry.  Values that other parts of the node already count are read at
+scrape time; only the latency histogram and the refusal counter are updated per query.
 """
 
 from __future__ import annotations
@@ -25,9 +25,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadMetric:
-    """A figure that some part of the node keeps.
+    """A metric whose value is read from another part of the node at scrape time.
 
-    :param is_counter: it only grows while the process lives.
+    :param is_counter: the value never decreases during the life of the process.
     """
 
     name: str
@@ -37,23 +37,23 @@
 
 
 class ReadCollector(Collector):
-    """Reads the figures at every scrape."""
+    """Reads the current values at every scrape."""
 
     def __init__(self) -> None:
         self.metrics: list[ReadMetric] = []
 
     def collect(self) -> Iterable[Metric]:
-        """Return every figure as it is now."""
+        """Return the current value of every metric."""
         for metric in self.metrics:
             family = CounterMetricFamily if metric.is_counter else GaugeMetricFamily
             yield family(metric.name, metric.help, value=metric.read())
 
 
 class NodeMetrics:
-    """Everything ``/metrics`` shows."""
+    """All metrics that ``/metrics`` exposes."""
 
     def __init__(self) -> None:
-        """Start with an empty registry of its own."""
+        """Create a registry with the per-query metrics."""
         self.registry = CollectorRegistry()
         self._read = ReadCollector()
         self.registry.register(self._read)
@@ -73,11 +73,11 @@
         self._services: set[str] = set()
 
     def add(self, *metrics: ReadMetric) -> None:
-        """Show further figures."""
+        """Expose more metrics."""
         self._read.metrics.extend(metrics)
 
     def __call__(self, query: FinishedQuery) -> None:
-        """Count one finished query; an observer of the callers' application."""
+        """Record one finished query; registered as an observer of the callers' application."""
         service = self._bounded(query.service)
         outcome = type(query.outcome).__name__
         self._latency.labels(service, outcome).observe(query.elapsed_s)
@@ -85,11 +85,11 @@
             self._refusals.labels(reason_of(query.outcome)).inc()
 
     def render(self) -> bytes:
-        """Return the text format."""
+        """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
     def _bounded(self, service: str) -> str:
-        """Return the service as a label; names beyond the maximum share one."""
+        """Return the label of a service; services beyond ``MAX_SERVICE_LABELS`` share one label."""
         if service in self._services:
             return service
         if len(self._services) >= MAX_SERVICE_LABELS:
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -1,4 +1,7 @@
-"""One node: wires the parts together and walks them through their lifecycle."""
+"""One node: wires its parts together and runs their lifecycle.
+
+Owns start, planned leave, drain and stop of a node.
+"""
 
 from __future__ import annotations
 
@@ -40,14 +43,14 @@
 from tinrudder.node.wire.channels import Channel, ChannelRouter
 
 DRAIN_CHECK_S = 0.02
-"""Seconds between looks at what is still in progress while a planned stop drains."""
+"""Seconds between checks for requests in progress while a planned stop drains."""
 REFUSAL_LINGER_S = 0.2
-"""Seconds for which a drained node still answers, so that refusals and last outcomes leave its
-sockets.  Chosen, not measured."""
+"""Seconds for which a drained node keeps its sockets open, so that refusals and the last outcomes
+are written out."""
 
 
 class Node:
-    """All parts of a node that do not listen for callers."""
+    """All parts of a node except the HTTP listener for callers."""
 
     def __init__(self, settings: NodeSettings, environment: Environment) -> None:
         """Build the parts; nothing runs before :meth:`start`."""
@@ -71,7 +74,7 @@
         self._tasks: list[asyncio.Task[None]] = []
 
     def _build_coordinator(self) -> None:
-        """Build queue, limits, admission and the coordinator on top of them."""
+        """Build the queue, limits, admission control and the coordinator that uses them."""
         timers = self._environment.timers
         queue = StartTimeFairQueue(timers.time)
         usage = TenantUsageTable()
@@ -87,7 +90,7 @@
         self.coordinator = Coordinator(timers, self.dispatcher, self._planner, self._gate)
 
     def _build_relay(self) -> None:
-        """Build both ends of the relay and the entry on top of them."""
+        """Build the relay's client and server and the entry that uses them."""
         timers = self._environment.timers
         channel = self.channels.channel(Channel.RELAY)
         self._ranking = CoordinatorRanking(self.settings.name, self.settings.zone, timers)
@@ -112,13 +115,14 @@
         )
 
     async def _run_relayed(self, request: QueryRequest, forwarded: bool) -> Outcome:
-        """Run a relayed query; a node that leaves finishes here what still comes to it."""
+        """Run a relayed query; a leaving node runs it locally instead of relaying it again."""
         return await self.entry.run_relayed(request, forwarded or self.lifecycle.is_stopping())
 
     def _accepts_relays(self) -> bool:
-        """Tell whether relayed queries are served.
+        """Return whether relayed queries are served.
 
-        The others see a node as soon as it joins, a moment before it is ready for callers.
+        Peers see a node as soon as it joins, shortly before it is ready for callers, so relays are
+        served from then on.
         """
         has_configuration = self.configuration().revision > 0
         return has_configuration and (
@@ -126,7 +130,7 @@
         )
 
     def _connect_membership(self) -> None:
-        """Let configuration and back-end observations use what members tell each other."""
+        """Connect membership events to the configuration exchange and back-end observations."""
         membership = self.members.membership
         timers = self._environment.timers
         self.dispatcher.drain_listener = NodeObservations(
@@ -143,11 +147,11 @@
         membership.pause_detector.subscribe(lambda _: self.node_configuration.refresh_soon())
 
     def node_revisions(self) -> tuple[NodeRevision, ...]:
-        """Return which revision every member is known to enforce."""
+        """Return the last known enforced revision of every member that is not dead."""
         return self.members.node_revisions()
 
     def _build_operations(self) -> None:
-        """Build claims and the runner of operations that must not be repeated."""
+        """Build the claims service and the runner of at-most-once operations."""
         self.claims = NodeClaims(self.settings, self._environment, self.channels)
         self.operations = OperationRunner(
             self._environment.timers,
@@ -166,17 +170,17 @@
         return self.configuration_store.current
 
     def view(self) -> MemberView:
-        """Return what this node believes of the members."""
+        """Return this node's view of the members."""
         return self._view
 
     @property
     def in_progress(self) -> int:
-        """Return how many requests this node has not finished, relayed queries included."""
+        """Return the number of unfinished requests on this node, including relayed queries."""
         queries = max(self.coordinator.in_progress, self.relay_server.in_progress)
         return queries + self.operations.in_progress
 
     async def start(self) -> None:
-        """Learn members and configuration from whoever answers, then keep following them."""
+        """Fetch members and configuration from the platform and peers, then poll the platform."""
         self.claims.service.start()
         await self._poll_members()
         await self.members.start()
@@ -186,14 +190,14 @@
         log_event("serving", {"revision": self.configuration().revision})
 
     async def leave(self) -> None:
-        """Announce the stop and go on serving until others have had time to notice."""
+        """Announce the stop and keep serving for the grace period so that peers can notice."""
         self.lifecycle.leave()  # type: ignore[attr-defined]
         self.members.leave()
         log_event("leaving", {"in_progress": self.in_progress})
         await asyncio.sleep(self.settings.stop_grace_s)
 
     async def stop(self) -> None:
-        """Refuse new work, finish what is in progress, then end."""
+        """Refuse new work, wait for requests in progress, then stop every part."""
         self.lifecycle.drain()  # type: ignore[attr-defined]
         log_event("draining", {"in_progress": self.in_progress})
         deadline = self._environment.timers.time() + self.settings.stop_timeout_s
@@ -219,14 +223,14 @@
         log_event("stopped", fields)
 
     def on_view_changed(self, view: MemberView) -> None:
-        """Take a new view of the members; coordinator sets and slot shares follow it."""
+        """Apply a new view of the members to the coordinator sets and slot shares."""
         is_stopping = self.lifecycle.is_stopping()
         self._view = self._with_ourselves(view, MemberStatus.LEAVING) if is_stopping else view
         self._ranking.keep_only(self._view.by_name)
         self._follow_members()
 
     def _with_ourselves(self, view: MemberView, status: MemberStatus) -> MemberView:
-        """Return the view with a status of our own choice for this node."""
+        """Return the view with ``status`` as the status of this node."""
         members = tuple(
             replace(member, status=status) if member.name == self.settings.name else member
             for member in view.members
@@ -234,12 +238,12 @@
         return build_view(members, view.list_revision)
 
     def _follow_shares(self) -> None:
-        """Let limits and waiting calls follow a new configuration or share."""
+        """Apply new back-end shares to the dispatcher's limits and waiting calls."""
         for backend in self.backends.all_records():
             self.dispatcher.follow_share(backend)
 
     def _follow_members(self) -> None:
-        """Bring coordinator sets and limits in step with members and configuration."""
+        """Recompute coordinator sets and limits from the current members and configuration."""
         configuration = self.configuration()
         self.coordinator_sets.update(self._view, configuration)
         still_here = self._with_ourselves(self._view, MemberStatus.ALIVE)
@@ -247,9 +251,9 @@
         self._update_shares()
 
     def _update_shares(self) -> None:
-        """Bring limits in step with the coordinators that this node can reach.
+        """Recompute limits from the coordinators that this node can reach.
 
-        A node that leaves keeps its shares for what it has and what still comes.
+        A leaving node keeps its shares for requests in progress and those that still arrive.
         """
         backends = self.configuration().backends
         for sets in (self.coordinator_sets, self._held_sets):
@@ -259,14 +263,14 @@
         self.backends.share_connections(backends, held.connections)
 
     async def _follow_platform(self) -> None:
-        """Poll the platform until the node ends."""
+        """Poll the platform until the node stops."""
         while True:
             await asyncio.sleep(self.node_configuration.poll_delay_s())
             await self._poll_members()
             await self.node_configuration.poll()
 
     async def _poll_members(self) -> None:
-        """Fetch the list of machines; an unavailable platform changes nothing."""
+        """Fetch the list of machines; keep the current one while the platform is unavailable."""
         try:
             members = await self._environment.platform.fetch_members()
         except PlatformUnavailableError as error:
--- a/tinrudder/node/node_claims.py
+++ b/tinrudder/node/node_claims.py
@@ -1,4 +1,7 @@
-"""A node's claims, bound to the node's settings, transport and the platform's member list."""
+"""Wires the claims service to the node's settings, transport and member list.
+
+Owns the node's vote, its claims and the outcomes of claimed operations.
+"""
 
 from __future__ import annotations
 
@@ -14,17 +17,17 @@
 from tinrudder.peers import PeerAddress
 
 LONGEST_PAUSE_S = 60.0
-"""Seconds that a machine off the list may still be paused and wake as a voter: a majority that is
-gone for good is replaced only after that (docs/CLAIMS.md).  Chosen, not measured."""
+"""Seconds for which a machine removed from the list may be paused and then resume as a voter.  A
+permanently lost majority is replaced only after this time (docs/CLAIMS.md)."""
 
 
 class NodeClaims:
-    """Votes, claims and the outcomes that duplicates ask for."""
+    """Votes, claims and the outcomes returned to duplicate submissions."""
 
     def __init__(
         self, settings: NodeSettings, environment: Environment, channels: ChannelRouter
     ) -> None:
-        """Vote on the claims channel once the service is started."""
+        """Build the service; it votes on the claims channel once it is started."""
         address = PeerAddress(settings.host, settings.peer_port)
         voter = Voter(settings.name, settings.zone, address)
         self.outcomes = OperationOutcomes(environment.wall_clock)
@@ -39,7 +42,7 @@
         )
 
     def offer_list(self, members: MemberList) -> None:
-        """Take the platform's list."""
+        """Pass the platform's list of machines to the claims service, grouped by region."""
         regions: dict[str, list[ListedVoter]] = {}
         for member in members.members:
             regions.setdefault(member.region, []).append(_listed(member))
@@ -47,7 +50,11 @@
 
 
 def limits_of(settings: NodeSettings) -> ClaimLimits:
-    """Return the claims' times; a machine off the list is waited for past its longest pause."""
+    """Return the time limits of claims.
+
+    The wait for a machine removed from the list covers the claim window, its longest pause and the
+    clock skew.
+    """
     window_s = settings.claim_window_s
     removed_wait_s = window_s + LONGEST_PAUSE_S + settings.clock_skew_s
     return ClaimLimits(window_s, settings.clock_skew_s, window_s, removed_wait_s)
--- a/tinrudder/node/node_configuration.py
+++ b/tinrudder/node/node_configuration.py
@@ -1,4 +1,7 @@
-"""The configuration of a node: read from the platform, exchanged with peers, put in force."""
+"""Reads a node's configuration from the platform, exchanges it with peers and puts it in force.
+
+Owns the node's configuration store and its exchange with peers.
+"""
 
 from __future__ import annotations
 
@@ -21,17 +24,17 @@
 from tinrudder.peers import PeerAddress
 
 LEARN_TIMEOUT_S = 3.0
-"""Seconds that a starting node waits for peers to state their configuration; it then begins with
-what the platform says.  Chosen, not measured."""
+"""Seconds that a starting node waits for its peers' configuration; after that it starts with the
+platform's document."""
 WHOLE_READ_S = 900.0
-"""Mean time between reads that do not say which revision is known.
+"""Mean seconds between full reads, which send no known revision.
 
-Only these show that a restored platform has used a revision again for other content.
+Only a full read shows that a restored platform has reused a revision for different content.
 """
 
 
 class NodeConfiguration:
-    """Keeps the store in step with the platform and with the other nodes."""
+    """Keeps the store synchronized with the platform and the other nodes."""
 
     def __init__(
         self,
@@ -41,7 +44,10 @@
         view: Callable[[], MemberView],
         on_change: Callable[[], None],
     ) -> None:
-        """Call ``on_change`` after every change; nothing runs before :meth:`start`."""
+        """Build the store and the exchange; nothing runs before :meth:`start`.
+
+        :param on_change: called after every change of the configuration in force.
+        """
         self.store = ConfigurationStore(PolicyNames(names_by_role()))
         self.exchange = StateExchange(
             ReplicatedConfiguration(self.store),
@@ -60,7 +66,7 @@
         self.store.subscribe(self._on_state)
 
     async def start(self) -> None:
-        """Read the platform and ask peers: either may be down, or behind the other."""
+        """Read the platform and ask peers, since either may be down or behind the other."""
         await self.poll()
         try:
             async with asyncio.timeout(LEARN_TIMEOUT_S):
@@ -70,18 +76,18 @@
         self.exchange.start()
 
     def stop(self) -> None:
-        """End the exchange."""
+        """Stop the exchange and any refresh in progress."""
         self.exchange.stop()
         if self._refreshing is not None:
             self._refreshing.cancel()
 
     def poll_delay_s(self) -> float:
-        """Return seconds until the platform is to be read again."""
+        """Return the seconds until the next read of the platform."""
         reachable = len(self._view().usable())
         return poll_delay_s(reachable, self._settings.platform_poll_s, self._environment.random)
 
     async def poll(self) -> None:
-        """Read the platform once; an unavailable one changes nothing."""
+        """Read the platform once; keep the configuration in force while it is unavailable."""
         known = self._known_revision()
         try:
             document = await self._environment.platform.fetch_resources(known)
@@ -96,7 +102,7 @@
         self._log_platform()
 
     def _known_revision(self) -> int:
-        """Return the revision in force, or now and then none, so as to read the whole document."""
+        """Return the revision in force, or 0 when a full read is due."""
         now = self._environment.timers.time()
         if now < self._next_whole_read:
             return self.store.current.revision
@@ -104,18 +110,19 @@
         return 0
 
     def refresh_soon(self) -> None:
-        """Compare with peers at once and read the platform, as after a pause.
+        """Start an exchange with peers and a read of the platform at once, e.g. after a pause.
 
-        What is held stays in force meanwhile: it is ordered by revision, so it can only be behind.
+        The current configuration stays in force meanwhile: revisions are ordered, so it can only be
+        behind.
         """
         self.exchange.refresh_now()
         self._refreshing = asyncio.ensure_future(self.poll())
 
     def _peers(self) -> list[PeerAddress]:
-        """Return whom to exchange with.
+        """Return the addresses of the peers to exchange with.
 
-        A node that holds everybody else for dead has more likely been cut off itself, so it goes
-        on asking them; without any list of members it asks the seeds.
+        A node that sees every other member as dead is more likely partitioned itself, so it keeps
+        asking them.  A node that knows no other member asks the seeds.
         """
         own = self._settings.name
         others = [member for member in self._view().members if member.name != own]
@@ -123,7 +130,7 @@
         return [member.address for member in living or others] or list(self._seeds)
 
     def _on_state(self, state: AcceptedState) -> None:
-        """Put a changed state in force and tell the others."""
+        """Log a changed state, apply it and announce it to peers."""
         problems = sum(1 for resource in state.resources.values() if resource.problem)
         fields = {"revision": state.version.revision, "refused_resources": problems}
         log_event("configuration in force", dict(fields))
@@ -131,7 +138,7 @@
         self.exchange.announce()
 
     def _log_platform(self) -> None:
-        """Log what is odd about the document just read."""
+        """Log any problem with the document just read."""
         seen = self.store.platform
         if seen.refused:
             log_problem("document refused", {"revision": seen.revision, "rule": seen.refused})
--- a/tinrudder/node/node_explain.py
+++ b/tinrudder/node/node_explain.py
@@ -1,4 +1,7 @@
-"""Wires explanations into a node: what is recorded, where it is looked for."""
+"""Wires query explanations into a node.
+
+Owns the node's two explanation rings: queries received from callers and queries coordinated here.
+"""
 
 from __future__ import annotations
 
@@ -16,10 +19,10 @@
 
 
 class NodeExplanations:
-    """One node's rings, their recorders and the search over them."""
+    """One node's explanation rings, their recorders and the lookup over them."""
 
     def __init__(self, node: Node) -> None:
-        """Record what ``node`` coordinates from now on."""
+        """Start recording the queries that ``node`` coordinates."""
         self._node_name = node.settings.name
         self._taken = ExplanationRing()
         coordinated = ExplanationRing()
@@ -33,7 +36,7 @@
         )
 
     def on_finished(self, query: FinishedQuery) -> None:
-        """Remember a caller's query; an observer of the callers' application."""
+        """Record a caller's query; registered as an observer of the callers' application."""
         outcome = query.outcome
         version = outcome.answer.version if isinstance(outcome, Complete | Partial) else 0
         self._taken.add(
--- a/tinrudder/node/node_membership.py
+++ b/tinrudder/node/node_membership.py
@@ -1,4 +1,7 @@
-"""A node's membership, bound to the node's settings, transport and platform."""
+"""Wires membership to the node's settings, transport and member list.
+
+Owns when a node joins and leaves, and when it is notified of a new view.
+"""
 
 from __future__ import annotations
 
@@ -21,19 +24,20 @@
 from tinrudder.peers import PeerAddress
 
 VIEW_DELAY_S = 0.02
-"""Changes come in bursts; the coordinator sets are computed once for each burst."""
+"""Seconds from a change to the notification: changes come in bursts, and the coordinator sets are
+computed once per burst."""
 
 JOIN_CHECK_S = 0.02
-"""Seconds between looks at who has answered while joining."""
+"""Seconds between checks of the live member count while joining."""
 JOIN_PATIENCE_S = 1.0
-"""Seconds that a starting node waits for others, so as not to act as if alone.  Chosen, not
-measured: two probe intervals of membership."""
+"""Seconds that a starting node waits for other members, so that it does not act as the only node:
+two probe intervals of membership."""
 
 ViewListener = Callable[[MemberView], None]
 
 
 class NodeMembership:
-    """Starts, feeds and ends a node's membership, and tells the node of new views."""
+    """Starts and stops a node's membership, feeds it the platform's list and reports new views."""
 
     def __init__(
         self,
@@ -42,7 +46,7 @@
         channels: ChannelRouter,
         on_view: ViewListener,
     ) -> None:
-        """Send nothing before :meth:`start`."""
+        """Build the membership; nothing is sent before :meth:`start`."""
         self._timers = environment.timers
         self._on_view = on_view
         self._view_due = False
@@ -58,7 +62,7 @@
         self.membership = Membership(
             environment.timers,
             environment.wall_clock,
-            # A stream of its own: what membership draws must not change what others draw.
+            # A separate generator, so that membership's draws do not change those of other parts.
             random.Random(environment.random.getrandbits(64)),
             channels.channel(Channel.MEMBERSHIP),
             own,
@@ -68,7 +72,7 @@
         self.membership.on_member_changed(self._on_member_changed)
 
     async def start(self) -> None:
-        """Begin, and wait a little for the others, so as not to act as if alone."""
+        """Join, and wait up to the join limit so that this node does not act as the only one."""
         self.membership.start(self._seeds)
         deadline = self._timers.time() + JOIN_PATIENCE_S
         while not self._has_joined() and self._timers.time() < deadline:
@@ -77,7 +81,7 @@
         self._tell()
 
     def offer_list(self, members: MemberList) -> None:
-        """Take the platform's list."""
+        """Pass the platform's list of machines to membership."""
         self._listed = len(members.members)
         before = self.membership.view()
         self.membership.offer_list(members.revision, listed_members(members))
@@ -85,7 +89,7 @@
             self._tell_soon()
 
     def node_revisions(self) -> tuple[NodeRevision, ...]:
-        """Return which revision every member that is not dead is known to enforce."""
+        """Return the last known enforced revision of every member that is not dead."""
         members = self.membership.view().by_name
         found = []
         for entry in self.membership.enforced_revisions():
@@ -95,16 +99,16 @@
         return tuple(found)
 
     def leave(self) -> None:
-        """Tell the other nodes that this one takes nothing new."""
+        """Announce to the other nodes that this node accepts no new work."""
         self.membership.announce_leaving()
         self._tell()
 
     def stop(self) -> None:
-        """Tell the other nodes that this one is gone."""
+        """Stop membership, which announces to the other nodes that this node has left."""
         self.membership.stop()
 
     def _has_joined(self) -> bool:
-        """Tell whether most of the listed machines have been heard of, leaving ones included."""
+        """Return whether more than half of the listed machines are live, counting leaving ones."""
         return self.membership.live_count() > self._listed // 2
 
     def _on_member_changed(self, change: MemberChanged) -> None:
--- a/tinrudder/node/node_metrics.py
+++ b/tinrudder/node/node_metrics.py
@@ -1,4 +1,7 @@
-"""Which figures of a node ``/metrics`` shows besides those of callers' queries."""
+"""The metrics of a node other than those of callers' queries.
+
+Owns the list of metrics that are read from the node's parts at scrape time.
+"""
 
 from __future__ import annotations
 
@@ -7,7 +10,7 @@
 
 
 def show_node(metrics: NodeMetrics, node: Node) -> None:
-    """Add a node's own figures; docs/NODE_OPERATIONS.md says what to make of each."""
+    """Add the node's metrics; docs/NODE_OPERATIONS.md explains each of them."""
     dispatcher = node.dispatcher
     counters = node.entry.counters
     calls = node.coordinator.counters
--- a/tinrudder/node/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -1,4 +1,7 @@
-"""Shares what a node sees of leaving back ends with the other nodes, and heeds what they say."""
+"""Exchanges observations of draining back ends with the other nodes.
+
+Owns the drain marks of a node's back-end records, set from own and received observations.
+"""
 
 from __future__ import annotations
 
@@ -13,7 +16,7 @@
 from tinrudder.timers import TimerHandle, Timers
 
 RECHECK_INTERVAL_S = 1.0
-"""Seconds between looks for drain signs that have ended; they last 60 to 120 s."""
+"""Seconds between checks for expired drain signs; they last 60 to 120 s."""
 
 
 class NodeObservations:
@@ -26,7 +29,7 @@
         backends: BackendTable,
         membership: Membership,
     ) -> None:
-        """Mark the records of ``backends``; speak and listen through ``membership``."""
+        """Mark the records of ``backends``; publish and receive through ``membership``."""
         self._timers = timers
         self._backends = backends
         self._membership = membership
@@ -35,18 +38,18 @@
         membership.on_observation(self._on_observation)
 
     def on_draining(self, backend: BackendRecord) -> None:
-        """A back end said that it is leaving."""
+        """Mark and publish a back end that answered that it is draining."""
         self._sign(backend, self._timers.time(), self._membership.own().name)
         self._membership.publish_observation(backend.name, ObservationKind.DRAINING)
 
     def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
-        """A back end held to be leaving answered as if it were not."""
+        """Clear the drain mark if a normal answer to a call sent at ``sent_at`` refutes it."""
         if self._signs.refutes(backend.name, sent_at):
             self._unsign(backend.name)
             self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
 
     def _on_observation(self, observation: Observation) -> None:
-        """Take another node's word, unless what we saw ourselves is newer."""
+        """Apply another node's observation unless an own observation is newer."""
         backend = self._backends.get(observation.backend)
         if backend is None:
             return
@@ -72,7 +75,7 @@
         self._backends.end_drain_sign(name)
 
     def _arm(self) -> None:
-        """Look now and then for signs that have ended, while there are any."""
+        """Schedule the next check for expired signs unless one is scheduled."""
         if self._timer is None:
             due = self._timers.time() + RECHECK_INTERVAL_S
             self._timer = self._timers.call_at(due, self._recheck)
--- a/tinrudder/node/outcomes.py
+++ b/tinrudder/node/outcomes.py
@@ -1,8 +1,9 @@
-"""Tagged outcomes of a query: one closed family from the back-end call up to the caller.
+"""The outcomes of a query, as one closed union of types.
 
-The families below the query have their own tags (see ``tinrudder.node.backends.messages``);
-``tinrudder.query`` turns those into these.  The distinction that matters most is between
-:class:`NotRun` and :class:`MayHaveRun`: a caller that reads "not run" may safely ask again.
+Owns the outcome and reason types used from the query coordinator up to the caller.  Back-end calls
+have reply types of their own (see ``tinrudder.node.backends.messages``), which
+``tinrudder.node.query`` converts to these.  The most important distinction is between
+:class:`NotRun` and :class:`MayHaveRun`: a request that was not run can be retried safely.
 """
 
 from __future__ import annotations
@@ -12,9 +13,9 @@
 
 
 class MissingReason(enum.StrEnum):
-    """Why a shard's rows are not part of an answer.
+    """Why a shard's rows are missing from an answer.
 
-    ``NOT_ASKED``: no call for the shard left this node.  ``GIVEN_UP``: its call was withdrawn
+    ``NOT_ASKED``: no call for the shard left this node.  ``GIVEN_UP``: the call was cancelled
     because the query could no longer meet its rule.
     """
 
@@ -53,7 +54,7 @@
 
 
 class FailedReason(enum.StrEnum):
-    """Why a request that did start has no usable answer."""
+    """Why a request that started has no usable answer."""
 
     COVERAGE_TOO_LOW = "coverage_too_low"
     BACKEND_ERROR = "backend_error"
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MissingShard:
-    """A shard that the answer does not include, its owner and the reason."""
+    """A shard that is missing from the answer, with its owner and the reason."""
 
     shard: str
     owner: str
@@ -72,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """Which shards an answer includes and which it does not.
+    """The shards that an answer includes and those that are missing.
 
     >>> missing = (MissingShard("s2", "acme", MissingReason.BROKEN),)
     >>> Coverage(included=("s1",), missing=missing).ratio
@@ -84,7 +85,7 @@
 
     @property
     def ratio(self) -> float:
-        """Included shards over all shards the query needed; 1.0 when it needed none."""
+        """Included shards divided by needed shards; 1.0 if the query needed none."""
         total = len(self.included) + len(self.missing)
         return len(self.included) / total if total else 1.0
 
@@ -93,9 +94,9 @@
 class Row:
     """One row of an answer.
 
-    :param order: the value rows are merged by.
-    :param row_id: breaks ties; unique within an index version.
-    :param payload: the row itself, as encoded JSON.
+    :param order: the value by which rows are merged.
+    :param row_id: unique within an index version; breaks ties in ``order``.
+    :param payload: the row as encoded JSON.
     """
 
     order: float
@@ -105,9 +106,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Rows of one index version, merged in order, with their coverage.
+    """Merged rows of one index version, with their coverage.
 
-    :param next_after: where the next page starts, ``None`` on the last page.
+    :param next_after: position (order, row id) after which the next page starts, ``None`` on the
+        last page.
     """
 
     version: int
@@ -118,23 +120,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Complete:
-    """Every needed shard is included."""
+    """The answer includes every needed shard."""
 
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class Partial:
-    """Enough shards for the rule are included; the coverage names those that are not."""
+    """The answer includes enough shards for the rule; its coverage lists the missing ones."""
 
     answer: Answer
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """No back end ran any part of the request; asking again is safe.
+    """No back end ran any part of the request, so a retry is safe.
 
-    :param retry_after_s: when asking again is worth it, seconds from now.
+    :param retry_after_s: suggested delay before a retry, seconds.
     """
 
     reason: NotRunReason
@@ -144,7 +146,7 @@
 
 @dataclass(frozen=True, slots=True)
 class MayHaveRun:
-    """Some back end may have run the request; it must not be repeated blindly."""
+    """A back end may have run the request, so a retry may run it twice."""
 
     reason: MayHaveRunReason
     detail: str = ""
@@ -152,7 +154,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Failed:
-    """The request ran, but its answer does not meet the rule."""
+    """The request ran but has no usable answer, e.g. its coverage is too low for the rule."""
 
     reason: FailedReason
     detail: str = ""
@@ -163,7 +165,7 @@
 
 
 def reason_of(outcome: Outcome) -> str:
-    """Return the reason of an outcome without an answer, else an empty text."""
+    """Return the reason of an outcome without an answer, otherwise an empty string."""
     if isinstance(outcome, NotRun | MayHaveRun | Failed):
         return outcome.reason.value
     return ""
--- a/tinrudder/node/settings.py
+++ b/tinrudder/node/settings.py
@@ -1,6 +1,7 @@
-"""A node's settings: a TOML file, every field of which is also a flag.
+"""A node's settings, read from a TOML file and command-line flags.
 
-Unknown fields and values that break a rule are refused with an error that names both.
+Owns the fields, their defaults and their validation; every field is also a flag.  Unknown fields
+and invalid values are rejected with an error that names the field and the rule.
 """
 
 from __future__ import annotations
@@ -26,35 +27,35 @@
 
 
 class SettingsError(Exception):
-    """The settings break a rule; the text names the field and the rule."""
+    """The settings are invalid; the message names the field and the rule."""
 
 
 class NodeSettings(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
     """Settings of one node daemon.
 
     :param name: unique among live nodes.
-    :param host: IP address this node listens on.
-    :param caller_port: TCP port for callers' and operators' HTTP; 0 picks one.
+    :param host: IP address on which this node listens.
+    :param caller_port: TCP port for HTTP of callers and operators; 0 lets the system pick one.
     :param peer_port: TCP and UDP port for other nodes.
-    :param probe_interval_s: how often this node probes another one.
-    :param cluster_key_file: keys shared by all nodes, one a line; the first seals, all open.
-        Empty: the development key, which keeps nobody out.
-    :param seed_peers: ``HOST:PORT`` of other nodes, separated by commas: asked for the
-        configuration while no list of machines is known.
+    :param probe_interval_s: seconds between membership probes.
+    :param cluster_key_file: file of the keys shared by all nodes, one per line: the first seals
+        datagrams, any of them opens.  Empty: the public development key, which gives no protection.
+    :param seed_peers: ``HOST:PORT`` of other nodes, separated by commas: the peers to contact
+        while no list of machines is known.
     :param operator_credentials: ``KEY_ID:SHA256`` of operators' secrets, separated by commas.
-    :param platform_write_url: where operators write resources; only told to them, never used.
-    :param query_log_share: part of the complete queries that are logged; others always are.
+    :param platform_write_url: URL at which operators write resources; the node only reports it.
+    :param query_log_share: fraction of complete queries that are logged; all others are logged.
     :param platform_url: base URL of the platform's read-only service.
-    :param peer_tls_certificate: PEM file shown to other nodes; with its key and authority, or
-        not at all.
-    :param caller_tls_certificate: PEM file shown to callers; with its key, or not at all.
-    :param backend_tls_authority: PEM file that back ends with ``tls`` are checked against.
-    :param tls_check_s: how often the files are looked at for changes, seconds.
-    :param claim_window_s: longest time a request that must not be repeated may be valid; the same
-        on all nodes.
-    :param clock_skew_s: largest difference between any two nodes' clocks; the same on all nodes.
-    :param stop_grace_s: how long a node that was told to stop goes on serving what arrives.
-    :param stop_timeout_s: how long it then waits for what is in progress.
+    :param peer_tls_certificate: PEM file presented to other nodes; requires its key and authority.
+    :param caller_tls_certificate: PEM file presented to callers; requires its key.
+    :param backend_tls_authority: PEM file that verifies back ends with ``tls``.
+    :param tls_check_s: seconds between checks of the TLS files for changes.
+    :param claim_window_s: longest validity of an at-most-once request, seconds; the same on all
+        nodes.
+    :param clock_skew_s: largest difference between any two nodes' clocks, seconds; the same on all
+        nodes.
+    :param stop_grace_s: seconds for which a stopping node still serves new requests.
+    :param stop_timeout_s: seconds after the grace period to wait for requests in progress.
     """
 
     name: Annotated[str, Meta(min_length=1, max_length=100)]
@@ -88,9 +89,9 @@
 
 
 def load_settings(path: Path | None, flags: dict[str, SettingValue]) -> NodeSettings:
-    """Read the file, lay the flags over it and check the result.
+    """Read the file, override it with the flags and validate the result.
 
-    :raises SettingsError: naming the field and the rule it breaks.
+    :raises SettingsError: a setting is invalid; the message names the field and the rule.
     """
     values: dict[str, object] = {}
     if path is not None:
@@ -108,9 +109,9 @@
 
 
 def read_cluster_keys(path: str) -> tuple[bytes, ...]:
-    """Return the keys in a file, one a line; none for an empty path.
+    """Return the keys in a file, one per line, or an empty tuple for an empty path.
 
-    :raises SettingsError: the file cannot be read or holds no key of sufficient length.
+    :raises SettingsError: the file cannot be read, has no key, or a key is too short.
     """
     if not path:
         return ()
@@ -148,7 +149,7 @@
 def parse_operator_credentials(text: str) -> dict[str, str]:
     """Return the SHA-256 of every operator's secret, by key id.
 
-    :raises SettingsError: an entry is not ``KEY_ID:SHA256``, or a key id stands twice.
+    :raises SettingsError: an entry is not ``KEY_ID:SHA256``, or a key id appears twice.
     """
     credentials: dict[str, str] = {}
     for entry in filter(None, (part.strip() for part in text.split(","))):
@@ -162,7 +163,7 @@
 
 
 def add_settings_flags(parser: argparse.ArgumentParser) -> None:
-    """Add one flag per settings field."""
+    """Add one flag for each settings field."""
     for field in msgspec.structs.fields(NodeSettings):
         value_type = _plain_type(field.type)
         flag = "--" + field.name.replace("_", "-")
@@ -193,7 +194,10 @@
 
 
 def _check_tls(settings: NodeSettings) -> None:
-    """Refuse an identity that is given in part."""
+    """Check that the certificate, key and authority of each TLS identity are set together.
+
+    :raises SettingsError: an identity is only partly set.
+    """
     groups = (
         ("peer_tls_certificate", "peer_tls_key", "peer_tls_authority"),
         ("caller_tls_certificate", "caller_tls_key"),
@@ -206,7 +210,7 @@
 
 
 def _plain_type(annotation: object) -> type:
-    """Return str, int or float for a field's annotation."""
+    """Return the plain type of an annotation: str, int or float."""
     if typing.get_origin(annotation) is Annotated:
         return _plain_type(typing.get_args(annotation)[0])
     return annotation if isinstance(annotation, type) else str
--- a/tinrudder/node/tls.py
+++ b/tinrudder/node/tls.py
@@ -1,8 +1,8 @@
-"""TLS at every edge, with certificates and keys replaced while the process runs.
+"""TLS contexts for peers, callers and back ends, reloaded without a restart.
 
-An :class:`Identity` is a certificate, its key and the authorities it trusts, read from files.
-Listening sockets keep one context for their whole life; it hands each new handshake to the
-context of the moment.  Connections that are already open finish under the one they began with.
+Owns the contexts of each :class:`Identity`: a certificate, its key and the trusted authorities,
+read from files.  A listening socket keeps one context for its whole life, which passes each new
+handshake to the current context.  Open connections keep the context of their handshake.
 """
 
 from __future__ import annotations
@@ -15,16 +15,17 @@
 
 
 class TlsError(Exception):
-    """Certificate, key or authority cannot be read, or do not fit together."""
+    """A certificate, key or authority file cannot be read, or a key does not match."""
 
 
 @dataclass(frozen=True, slots=True)
 class TlsFiles:
     """PEM files of one identity.
 
-    :param certificate: our certificate and its chain, ``None`` to show none.
-    :param key: its private key.
-    :param authority: who signs the other side's certificates, ``None`` to ask for none.
+    :param certificate: our certificate and its chain, ``None`` to present none.
+    :param key: private key of the certificate.
+    :param authority: authority that signs the remote certificates.  With ``None`` a server requests
+        no client certificate, and a client trusts the system's default authorities.
     """
 
     certificate: Path | None
@@ -38,12 +39,12 @@
 
 
 class Identity:
-    """The contexts of one edge, read again when the files change."""
+    """The TLS contexts of one identity, reloaded when its files change."""
 
     def __init__(self, files: TlsFiles) -> None:
         """Read the files.
 
-        :raises TlsError: they cannot be used.
+        :raises TlsError: a file cannot be used.
         """
         self._files = files
         self._signature = _signature(files)
@@ -54,23 +55,23 @@
             self._listening.sni_callback = self._use_current
 
     def client_context(self) -> ssl.SSLContext:
-        """Return the context for a new connection of ours."""
+        """Return the context for a new outgoing connection."""
         return self._client
 
     def listening_context(self) -> ssl.SSLContext:
         """Return the context for a listening socket, valid across reloads.
 
-        :raises TlsError: there is no certificate to show.
+        :raises TlsError: the identity has no certificate.
         """
         if self._listening is None:
-            raise TlsError("certificate: needed to listen")
+            raise TlsError("certificate: required for a listening socket")
         return self._listening
 
     def reload_if_changed(self) -> bool:
-        """Read the files again if they changed; return whether new ones are in force.
+        """Reload the files if they changed; return whether new contexts are in use.
 
-        :raises TlsError: the new files cannot be used; the old contexts stay in force, and the
-            files are tried again at the next call.
+        :raises TlsError: the new files cannot be used; the old contexts stay in use, and the next
+            call tries the files again.
         """
         signature = _signature(self._files)
         if signature == self._signature:
@@ -85,18 +86,18 @@
     def _use_current(
         self, connection: ssl.SSLObject, _server_name: str | None, _listening: ssl.SSLContext
     ) -> None:
-        """Move a handshake that begins to the context of the moment."""
+        """Switch a new handshake to the current server context."""
         if self._server is not None:
             connection.context = self._server
 
 
 @dataclass(frozen=True, slots=True)
 class TlsEdges:
-    """The identities of a node; ``None`` where an edge is plain.
+    """The TLS identities of a node; ``None`` where none is configured.
 
-    :param peers: mutual, between nodes; both sides show a certificate of the same authority.
-    :param callers: shown to callers, who authenticate by credential instead.
-    :param backends: used towards back ends whose resource says ``tls``.
+    :param peers: for mutual TLS between nodes; both sides present a certificate of one authority.
+    :param callers: presented to callers, which authenticate by credential instead.
+    :param backends: used for back ends whose resource sets ``tls``.
     """
 
     peers: Identity | None = None
@@ -108,13 +109,13 @@
         return self.backends.client_context() if self.backends is not None else None
 
     def identities(self) -> tuple[Identity, ...]:
-        """Return those that are set."""
+        """Return the identities that are set."""
         named = (self.peers, self.callers, self.backends)
         return tuple(identity for identity in named if identity is not None)
 
 
 def _server_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return a context that accepts connections."""
+    """Return a context for incoming connections."""
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_SERVER)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
     _load_certificate(context, files)
@@ -125,10 +126,10 @@
 
 
 def _client_context(files: TlsFiles) -> ssl.SSLContext:
-    """Return a context that opens connections.
+    """Return a context for outgoing connections.
 
-    Machines are known by IP number and replaced at any time, so a certificate proves that its
-    holder belongs to us (the authority), not which address it has.
+    Machines are known by IP address and can be replaced at any time, so host names are not checked:
+    a certificate proves only that our authority signed it.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
@@ -159,7 +160,7 @@
 
 
 def _signature(files: TlsFiles) -> Signature:
-    """Return what changes when a file is replaced.
+    """Return the inode, modification time and size of each file, which detect a replacement.
 
     :raises TlsError: a file cannot be read.
     """
--- a/tinrudder/node/wire/__init__.py
+++ b/tinrudder/node/wire/__init__.py
@@ -1,1 +1,1 @@
-"""Messages between nodes as protobuf bytes, and the channels and transport that carry them."""
+"""Protobuf codecs for messages between nodes, and the channels and transport that carry them."""
--- a/tinrudder/node/wire/channels.py
+++ b/tinrudder/node/wire/channels.py
@@ -1,6 +1,7 @@
-"""Several parts of a node share one peer transport, each on a channel of its own.
+"""Multiplexes one peer transport between the parts of a node.
 
-The first byte of every payload names the channel; what follows is that part's protobuf message.
+Owns the channel numbers.  The first byte of every payload is the channel; the rest is the message
+of the part that uses it.
 """
 
 from __future__ import annotations
@@ -11,7 +12,7 @@
 
 
 class Channel(enum.IntEnum):
-    """Who a message between nodes is for."""
+    """The part of a node that handles a message from a peer."""
 
     MEMBERSHIP = 1
     CONFIGURATION = 2
@@ -22,14 +23,14 @@
 
 
 class UnknownChannelError(Exception):
-    """A peer asked for a channel that this node does not serve."""
+    """A peer sent a request on a channel that this node does not serve."""
 
 
 class ChannelRouter:
     """Splits one :class:`PeerTransport` into channels."""
 
     def __init__(self, transport: PeerTransport) -> None:
-        """Take over ``transport``'s handlers."""
+        """Register as the handler of everything that ``transport`` receives."""
         self._transport = transport
         self._datagram_handlers: dict[int, DatagramHandler] = {}
         self._request_handlers: dict[int, RequestHandler] = {}
@@ -41,13 +42,13 @@
 
     @property
     def transport(self) -> PeerTransport:
-        """Return what carries the channels."""
+        """Return the transport that carries the channels."""
         return self._transport
 
     def set_handlers(
         self, channel: Channel, on_datagram: DatagramHandler, on_request: RequestHandler
     ) -> None:
-        """Set who handles what arrives on a channel."""
+        """Set the handlers of one channel."""
         self._datagram_handlers[channel] = on_datagram
         self._request_handlers[channel] = on_request
 
@@ -69,17 +70,17 @@
     """One channel; itself a :class:`tinrudder.peers.PeerTransport`."""
 
     def __init__(self, channel: Channel, router: ChannelRouter) -> None:
-        """Prefix everything with ``channel``."""
+        """Prefix every payload with ``channel``."""
         self._channel = channel
         self._prefix = bytes((channel,))
         self._router = router
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who handles what arrives on this channel."""
+        """Set the handlers of this channel."""
         self._router.set_handlers(self._channel, on_datagram, on_request)
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
-        """Send one datagram, one byte shorter than the transport allows."""
+        """Send one datagram; its payload limit is one byte below that of the transport."""
         self._router.transport.send_datagram(destination, self._prefix + payload)
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
@@ -87,4 +88,4 @@
         return await self._router.transport.request(destination, self._prefix + payload, timeout_s)
 
     async def close(self) -> None:
-        """Leave the shared transport open: its owner closes it."""
+        """Do nothing: the owner of the shared transport closes it."""
--- a/tinrudder/node/wire/explain_codec.py
+++ b/tinrudder/node/wire/explain_codec.py
@@ -1,4 +1,7 @@
-"""Requests for explanations and their replies as protobuf bytes."""
+"""Protobuf codec for explanation requests and replies.
+
+Owns the encoding and the size limit of replies.
+"""
 
 from __future__ import annotations
 
@@ -12,14 +15,14 @@
 
 
 class ExplainCodecError(Exception):
-    """The bytes are not a message of this kind."""
+    """The bytes are not a message of this kind, or exceed the size limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class ExplainQuestion:
-    """Which query is asked about.
+    """A request for the explanation of one query.
 
-    :param tenant: whose query it must be, ``None`` for an operator.
+    :param tenant: tenant that must own the query, ``None`` for an operator.
     """
 
     query_id: str
@@ -27,15 +30,15 @@
 
 
 def encode_question(question: ExplainQuestion) -> bytes:
-    """Return the bytes of a question."""
+    """Encode a request."""
     message = explain_pb2.ExplainRequest(query_id=question.query_id, tenant=question.tenant)
     return message.SerializeToString()
 
 
 def decode_question(payload: bytes) -> ExplainQuestion:
-    """Return the question.
+    """Decode a request.
 
-    :raises ExplainCodecError: not a question.
+    :raises ExplainCodecError: the payload is not a request.
     """
     message = explain_pb2.ExplainRequest()
     try:
@@ -46,14 +49,14 @@
 
 
 def encode_explanation(explanation: bytes | None) -> bytes:
-    """Return the bytes of a reply."""
+    """Encode a reply; ``None`` means that this node has no record of the query."""
     return explain_pb2.ExplainReply(explanation=explanation).SerializeToString()
 
 
 def decode_explanation(payload: bytes) -> bytes | None:
-    """Return the explanation, ``None`` if the peer does not remember the query.
+    """Decode a reply; return ``None`` if the peer has no record of the query.
 
-    :raises ExplainCodecError: not a reply, or larger than allowed.
+    :raises ExplainCodecError: the payload is not a reply, or exceeds ``MAX_REPLY_BYTES``.
     """
     if len(payload) > MAX_REPLY_BYTES:
         raise ExplainCodecError(f"reply: {len(payload)} bytes, at most {MAX_REPLY_BYTES}")
--- a/tinrudder/node/wire/peer_transport.py
+++ b/tinrudder/node/wire/peer_transport.py
@@ -1,8 +1,8 @@
-"""Messages between nodes over TCP (requests) and UDP (datagrams).
+"""Transport between nodes: requests over TCP, datagrams over UDP.
 
-Requests are framed as in :mod:`tinrudder.common.transport.frames`; with an identity, every
-connection is TLS and both sides show a certificate.  A closed connection fails the requests it
-carried as lost, for the peer may have received them.
+Owns the listening sockets and the peer client.  Requests are framed as in
+:mod:`tinrudder.common.transport.frames`.  With an identity, every TCP connection uses mutual TLS.
+When a connection closes, its pending requests fail as lost, since the peer may have received them.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 
 
 class TcpPeerTransport:
-    """The real :class:`tinrudder.peers.PeerTransport`."""
+    """The :class:`tinrudder.peers.PeerTransport` over TCP and UDP."""
 
     def __init__(self, host: str, port: int, identity: Identity | None = None) -> None:
         """Listen on ``host:port`` once :meth:`open` is called."""
@@ -34,12 +34,12 @@
         self._udp: asyncio.DatagramTransport | None = None
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who handles what arrives."""
+        """Set the handlers of incoming datagrams and requests."""
         self._on_datagram = on_datagram
         self._on_request = on_request
 
     async def open(self) -> PeerAddress:
-        """Start listening and return the address."""
+        """Start listening and return the bound address."""
         loop = asyncio.get_running_loop()
         context = self._identity.listening_context() if self._identity is not None else None
         handshake_timeout = HANDSHAKE_TIMEOUT_S if context is not None else None
@@ -64,11 +64,11 @@
             self._udp.sendto(payload, (destination.host, destination.port))
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
-        """Send a request and return its answer; see the interface."""
+        """Send a request and return its answer; see :class:`tinrudder.peers.PeerTransport`."""
         return await self._client.request(destination, payload, timeout_s)
 
     async def close(self) -> None:
-        """Stop listening and close every connection once what was written has left."""
+        """Stop listening and close every connection once pending writes are flushed."""
         if self._listening is not None:
             self._listening.close()
         if self._udp is not None:
@@ -77,7 +77,7 @@
         await self._client.close()
 
     def datagram_received(self, source: PeerAddress, payload: bytes) -> None:
-        """Hand a datagram on."""
+        """Pass a datagram to its handler."""
         if self._on_datagram is not None:
             self._on_datagram(source, payload)
 
--- a/tinrudder/node/wire/relay_codec.py
+++ b/tinrudder/node/wire/relay_codec.py
@@ -1,4 +1,7 @@
-"""Relayed queries and their outcomes as protobuf bytes, with size limits both ways."""
+"""Protobuf codec for relayed queries and their outcomes.
+
+Owns the encoding and the size limits, which apply to both encoding and decoding.
+"""
 
 from __future__ import annotations
 
@@ -34,17 +37,17 @@
 
 
 class RelayCodecError(Exception):
-    """The bytes are not a message of this kind, or break a limit."""
+    """The message cannot be encoded or decoded, or exceeds its size limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class RelayedQuery:
-    """A query on its way to a coordinator.
+    """A query relayed to a coordinator.
 
-    :param request: the query; its ``deadline`` has no meaning outside the sender.
-    :param remaining_s: time left when it was sent, seconds.
-    :param sent_at: the sender's calendar time when it was sent, seconds.
-    :param forwarded: it is run where it arrives, whatever the coordinator sets say.
+    :param request: the query; its ``deadline`` is valid on the sender only.
+    :param remaining_s: seconds until the deadline at the time of sending.
+    :param sent_at: the sender's wall-clock time of sending, seconds.
+    :param forwarded: the receiver runs the query itself, whatever its coordinator sets say.
     """
 
     request: QueryRequest
@@ -54,9 +57,9 @@
 
 
 def encode_query(query: RelayedQuery) -> bytes:
-    """Return the bytes of a relayed query.
+    """Encode a relayed query.
 
-    :raises RelayCodecError: it is larger than allowed, or a field is out of range.
+    :raises RelayCodecError: it exceeds ``MAX_REQUEST_BYTES``, or a field is out of range.
     """
     request = query.request
     try:
@@ -88,9 +91,9 @@
 
 
 def decode_query(payload: bytes) -> RelayedQuery:
-    """Return the relayed query; its ``deadline`` is 0 until the receiver sets its own.
+    """Decode a relayed query; its ``deadline`` is 0 until the receiver sets it.
 
-    :raises RelayCodecError: not a relayed query.
+    :raises RelayCodecError: the payload is not a relayed query, or exceeds ``MAX_REQUEST_BYTES``.
     """
     message = _parse(relay_pb2.RelayRequest, payload, MAX_REQUEST_BYTES)
     request = QueryRequest(
@@ -114,9 +117,9 @@
 
 
 def encode_outcome(outcome: Outcome) -> bytes:
-    """Return the bytes of an outcome.
+    """Encode an outcome.
 
-    :raises RelayCodecError: it is larger than allowed.
+    :raises RelayCodecError: it exceeds ``MAX_OUTCOME_BYTES``.
     """
     message = relay_pb2.RelayOutcome()
     match outcome:
@@ -142,9 +145,10 @@
 
 
 def decode_outcome(payload: bytes) -> Outcome:
-    """Return the outcome.
+    """Decode an outcome.
 
-    :raises RelayCodecError: not an outcome, or one with a reason this node does not know.
+    :raises RelayCodecError: the payload is not an outcome, has a reason unknown to this node, or
+        exceeds ``MAX_OUTCOME_BYTES``.
     """
     message = _parse(relay_pb2.RelayOutcome, payload, MAX_OUTCOME_BYTES)
     try:
@@ -154,7 +158,10 @@
 
 
 def _outcome(message: relay_pb2.RelayOutcome) -> Outcome:
-    """Turn a message into its tag; an unknown reason is a ``ValueError``."""
+    """Convert a message to its outcome type.
+
+    :raises ValueError: no outcome is set, or its reason is unknown.
+    """
     match message.WhichOneof("outcome"):
         case "complete":
             return Complete(_answer(message.complete))
