--- a/tests/unit/node/test_backend_connection.py
+++ b/tests/unit/node/test_backend_connection.py
@@ -59,10 +59,10 @@
         self.connection = BackendConnection(self)
         self.connection.connection_made(self.transport)
 
-    def connection_free(self, connection: BackendConnection) -> None:
+    def release_connection(self, connection: BackendConnection) -> None:
         self.free.append(connection)
 
-    def connection_closed(self, connection: BackendConnection) -> None:
+    def remove_connection(self, connection: BackendConnection) -> None:
         self.closed.append(connection)
 
     def send(self, call_id: int = 7) -> BackendCall:
--- a/tests/unit/node/test_metrics.py
+++ b/tests/unit/node/test_metrics.py
@@ -11,7 +11,7 @@
 from tinrudder.node import metrics as metrics_module
 from tinrudder.node.api.finished_query import FinishedQuery
 from tinrudder.node.api.metrics_app import metrics_route
-from tinrudder.node.metrics import NodeMetrics, ReadMetric
+from tinrudder.node.metrics import CallbackMetric, NodeMetrics
 from tinrudder.node.outcomes import NotRun, NotRunReason
 
 OPERATORS = {"ops": hashlib.sha256(b"secret").hexdigest()}
@@ -46,7 +46,7 @@
     host: str, authorization: str | None, status: int
 ) -> None:
     metrics = NodeMetrics()
-    metrics.add(ReadMetric("queue", "Waiting.", lambda: 3.0, is_counter=False))
+    metrics.add(CallbackMetric("queue", "Waiting.", lambda: 3.0, is_counter=False))
     app = Starlette(routes=[metrics_route(metrics, OPERATORS)])
     caller = FakeCaller(path="/metrics", method="GET", authorization=authorization, host=host)
     run_virtual(caller.call(app))
--- a/tinrudder/cli/node_commands/apply.py
+++ b/tinrudder/cli/node_commands/apply.py
@@ -77,8 +77,8 @@
     revision = await _write(arguments, file)
     if not arguments.wait:
         return _report(arguments, ApplyResult(revision))
-    enforcement = await _wait(client, revision, arguments.timeout_s)
-    refused = await _refused(client, file) if enforcement.enforcing else ()
+    enforcement = await _wait_until_enforced(client, revision, arguments.timeout_s)
+    refused = await _rejected_resources(client, file) if enforcement.enforcing else ()
     return _report(arguments, ApplyResult(revision, enforcement, refused))
 
 
@@ -92,7 +92,9 @@
         await writer.close()
 
 
-async def _wait(client: NodeClient, revision: int, timeout_s: float) -> EnforcementBody:
+async def _wait_until_enforced(
+    client: NodeClient, revision: int, timeout_s: float
+) -> EnforcementBody:
     """Wait until every node enforces the revision or the timeout ends; return the last status."""
     deadline = time.monotonic() + timeout_s
     while True:
@@ -104,7 +106,7 @@
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-async def _refused(client: NodeClient, file: ResourceFile) -> tuple[str, ...]:
+async def _rejected_resources(client: NodeClient, file: ResourceFile) -> tuple[str, ...]:
     """Return the resources that were rejected after the write.
 
     Valid resources can be rejected if others were written in the meantime.
--- a/tinrudder/cli/node_commands/connection.py
+++ b/tinrudder/cli/node_commands/connection.py
@@ -25,7 +25,7 @@
 NODE_URL_VARIABLE = "TINRUDDER_NODE_URL"
 CREDENTIAL_VARIABLE = "TINRUDDER_CREDENTIAL"
 REQUEST_TIMEOUT_S = 10.0
-WATCH_SILENCE_S = 60.0
+WATCH_READ_TIMEOUT_S = 60.0
 DENIED_STATUSES = (401, 403)
 NOT_FOUND = 404
 OK = 200
@@ -62,8 +62,8 @@
     def error(self) -> CommandError:
         """Return the answer as an error with its exit code."""
         try:
-            stated = msgspec.json.decode(self.body, type=ErrorBody)
-            text = f"{stated.error}: {stated.detail}"
+            error_body = msgspec.json.decode(self.body, type=ErrorBody)
+            text = f"{error_body.error}: {error_body.detail}"
         except msgspec.MsgspecError:
             text = self.body.decode(errors="replace")[:300] or "empty response body"
         codes = {NOT_FOUND: ExitCode.NOT_FOUND}
@@ -110,13 +110,13 @@
     async def lines(self, path: str) -> AsyncIterator[bytes]:
         """Yield the lines of a stream until it ends."""
         try:
-            response = await self._send("GET", path, b"", WATCH_SILENCE_S)
+            response = await self._send("GET", path, b"", WATCH_READ_TIMEOUT_S)
             if response.status_code != OK:
                 raise NodeAnswer(response.status_code, await response.content()).error()
-            rest = b""
+            partial_line = b""
             async for chunk in response.read_chunks():
-                *whole, rest = (rest + chunk).split(b"\n")
-                for line in whole:
+                *complete_lines, partial_line = (partial_line + chunk).split(b"\n")
+                for line in complete_lines:
                     yield line
         except (OSError, EOFError, AiosonicError) as error:
             raise self._unreachable(error) from error
@@ -126,9 +126,9 @@
         await self._client.aclose()
 
     async def _send(
-        self, method: str, path: str, body: bytes, silence_s: float
+        self, method: str, path: str, body: bytes, read_timeout_s: float
     ) -> aiosonic.HttpResponse:
-        timeouts = Timeouts(sock_read=silence_s, request_timeout=None)
+        timeouts = Timeouts(sock_read=read_timeout_s, request_timeout=None)
         return await self._client.request(
             self._url + path,
             method,
@@ -177,24 +177,24 @@
 def run_with_node(arguments: argparse.Namespace, command: NodeCommand) -> int:
     """Run a command against a node; print its error and return its exit code."""
 
-    async def whole() -> ExitCode:
+    async def run_command() -> ExitCode:
         client = open_node_client(arguments)
         try:
             return await command(arguments, client)
         finally:
             await client.close()
 
-    return run_reporting(arguments, whole)
+    return run_reporting(arguments, run_command)
 
 
 def run_reporting(arguments: argparse.Namespace, command: Callable[[], Awaitable[ExitCode]]) -> int:
     """Run a command; print its error and return its exit code."""
 
-    async def awaited() -> ExitCode:
+    async def run_awaitable() -> ExitCode:
         return await command()
 
     try:
-        return int(asyncio.run(awaited()))
+        return int(asyncio.run(run_awaitable()))
     except CommandError as error:
         print(f"tinrudder {arguments.command}: {error}", file=sys.stderr)
         return int(error.code)
--- a/tinrudder/cli/node_commands/diff.py
+++ b/tinrudder/cli/node_commands/diff.py
@@ -47,12 +47,12 @@
 
 def find_differences(file: ResourceFile, in_force: ResourceListBody) -> list[Difference]:
     """Return the differences; resources that the file does not name are ignored."""
-    held = {(one.kind, one.name): one for one in in_force.resources}
+    in_force_by_name = {(one.kind, one.name): one for one in in_force.resources}
     found: list[Difference] = []
     for resource in file.resources:
-        found.extend(_differences(resource, held.get((resource.kind, resource.name))))
+        found.extend(_differences(resource, in_force_by_name.get((resource.kind, resource.name))))
     for name in file.delete:
-        if (name.kind, name.name) in held:
+        if (name.kind, name.name) in in_force_by_name:
             found.append(Difference(name.kind, name.name, "", "present", ABSENT))
     return found
 
@@ -69,17 +69,17 @@
     return ExitCode.NEGATIVE if differences else ExitCode.OK
 
 
-def _differences(wanted: FileResource, held: ResourceBody | None) -> Iterator[Difference]:
-    if held is None:
-        yield Difference(wanted.kind, wanted.name, "", ABSENT, "present")
+def _differences(from_file: FileResource, in_force: ResourceBody | None) -> Iterator[Difference]:
+    if in_force is None:
+        yield Difference(from_file.kind, from_file.name, "", ABSENT, "present")
         return
-    spec = msgspec.json.decode(held.spec) or {}
-    before = dict(_leaves("", _with_defaults(wanted.kind, spec)))
-    after = dict(_leaves("", _with_defaults(wanted.kind, wanted.spec)))
+    spec = msgspec.json.decode(in_force.spec) or {}
+    before = dict(_leaves("", _with_defaults(from_file.kind, spec)))
+    after = dict(_leaves("", _with_defaults(from_file.kind, from_file.spec)))
     for path in sorted(before.keys() | after.keys()):
         old, new = before.get(path, ABSENT), after.get(path, ABSENT)
         if old != new:
-            yield Difference(wanted.kind, wanted.name, path, old, new)
+            yield Difference(from_file.kind, from_file.name, path, old, new)
 
 
 def _with_defaults(kind: str, spec: dict[str, object]) -> object:
--- a/tinrudder/cli/node_commands/get.py
+++ b/tinrudder/cli/node_commands/get.py
@@ -32,7 +32,7 @@
     return run_with_node(arguments, _get)
 
 
-def row_of(resource: ResourceBody) -> tuple[str, ...]:
+def table_row(resource: ResourceBody) -> tuple[str, ...]:
     """Return a resource as a table row."""
     conditions = {condition.type: condition for condition in resource.conditions}
     accepted, enforced = conditions.get("Accepted"), conditions.get("Enforced")
@@ -59,5 +59,5 @@
     if wants_json(arguments):
         print_json(resources[0] if arguments.name is not None else resources)
     else:
-        print_table(HEADINGS, [row_of(resource) for resource in resources])
+        print_table(HEADINGS, [table_row(resource) for resource in resources])
     return ExitCode.OK
--- a/tinrudder/cli/node_commands/query.py
+++ b/tinrudder/cli/node_commands/query.py
@@ -20,7 +20,7 @@
 from tinrudder.node.api.outcome_mapping import OutcomeBody
 from tinrudder.node.api.query_body import DEFAULT_LIMIT, QueryBody
 
-CODES = {
+EXIT_CODES = {
     "complete": ExitCode.OK,
     "partial": ExitCode.QUERY_PARTIAL,
     "not_run": ExitCode.QUERY_NOT_RUN,
@@ -83,7 +83,7 @@
         print(answer.body.decode(), flush=True)
     else:
         _print(body)
-    return CODES.get(body.outcome, ExitCode.QUERY_FAILED)
+    return EXIT_CODES.get(body.outcome, ExitCode.QUERY_FAILED)
 
 
 def _print(body: OutcomeBody) -> None:
--- a/tinrudder/cli/node_commands/validate.py
+++ b/tinrudder/cli/node_commands/validate.py
@@ -37,7 +37,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Validate the file at a node if one is given, otherwise alone."""
 
-    async def whole() -> ExitCode:
+    async def validate() -> ExitCode:
         file = load_resource_file(arguments.file)
         if not arguments.node_url:
             return _report(arguments, _validate_alone(file))
@@ -47,7 +47,7 @@
         finally:
             await client.close()
 
-    return run_reporting(arguments, whole)
+    return run_reporting(arguments, validate)
 
 
 async def validate_at_node(client: NodeClient, batch: ResourceBatch) -> ValidationBody:
--- a/tinrudder/cli/node_commands/watch.py
+++ b/tinrudder/cli/node_commands/watch.py
@@ -11,7 +11,7 @@
 
 from tinrudder.cli.exit_codes import CommandError, ExitCode
 from tinrudder.cli.node_commands.connection import NodeClient, add_node_flags, run_with_node
-from tinrudder.cli.node_commands.get import row_of
+from tinrudder.cli.node_commands.get import table_row
 from tinrudder.cli.node_commands.output import add_output_flag, wants_json
 from tinrudder.node.api.operators.resource_watch import WatchEvent
 from tinrudder.node.resources.model import Kind
@@ -32,10 +32,10 @@
     return run_with_node(arguments, _watch)
 
 
-def line_of(event: WatchEvent) -> str:
+def format_event(event: WatchEvent) -> str:
     """Format an event as one line of text."""
     if event.resource is not None:
-        return f"{event.revision}  changed  " + "  ".join(row_of(event.resource))
+        return f"{event.revision}  changed  " + "  ".join(table_row(event.resource))
     if event.enforcement is not None:
         lagging = ", ".join(event.enforcement.lagging)
         counts = f"{event.enforcement.enforcing} of {event.enforcement.nodes} nodes"
@@ -56,6 +56,6 @@
         if wants_json(arguments):
             print(line.decode(), flush=True)
         elif event.type != "bookmark":
-            print(line_of(event), flush=True)
+            print(format_event(event), flush=True)
     text = f"the node ended the watch; resume with --from-revision {revision} at another one"
     raise CommandError(ExitCode.UNREACHABLE, text)
--- a/tinrudder/node/backends/connection.py
+++ b/tinrudder/node/backends/connection.py
@@ -26,7 +26,7 @@
 READ_BUFFER_BYTES = 16 * 1024
 """Bytes of a connection's read buffer, which replaces asyncio's allocation of 256 KiB per read
 (docs/CALL_COST.md)."""
-OK_ANSWER_START = b"HTTP/1.1 200"
+OK_STATUS_LINE_START = b"HTTP/1.1 200"
 """First bytes of a successful answer.  The raw bytes of all other answers are kept, since their
 headers may be needed."""
 REUSABLE_STATUSES = (STATUS_OK, *REFUSAL_STATUSES)
@@ -40,10 +40,10 @@
 
     request_head: bytes
 
-    def connection_free(self, connection: BackendConnection) -> None:
+    def release_connection(self, connection: BackendConnection) -> None:
         """Return a connection to the pool that can carry another call."""
 
-    def connection_closed(self, connection: BackendConnection) -> None:
+    def remove_connection(self, connection: BackendConnection) -> None:
         """Remove a closed connection from the pool."""
 
 
@@ -61,11 +61,11 @@
         self._buffer = bytearray(READ_BUFFER_BYTES)
         self._view = memoryview(self._buffer)
         self._received_bytes = 0
-        self._refusal_bytes = b""
+        self._raw_bytes = b""
         self._body: list[bytes] = []
         self._complete = False
         self._keep_alive = False
-        self._excess = False
+        self._has_excess_bytes = False
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         """Store the transport."""
@@ -106,8 +106,8 @@
         if self._call is None:
             self.abort()
             return
-        if self._received_bytes == 0 or self._refusal_bytes:
-            self._keep_refusal(nbytes)
+        if self._received_bytes == 0 or self._raw_bytes:
+            self._keep_raw_bytes(nbytes)
         self._received_bytes += nbytes
         try:
             self._parser.feed_data(self._view[:nbytes])
@@ -119,14 +119,14 @@
         elif self._received_bytes > MAX_ANSWER_BYTES:
             self._end(Broken("answer larger than MAX_ANSWER_BYTES"), reusable=False)
 
-    def _keep_refusal(self, nbytes: int) -> None:
+    def _keep_raw_bytes(self, nbytes: int) -> None:
         """Keep the raw bytes of an answer that does not start as a 200, for its headers."""
-        if self._refusal_bytes or not self._buffer.startswith(OK_ANSWER_START):
-            self._refusal_bytes += bytes(self._view[:nbytes])
+        if self._raw_bytes or not self._buffer.startswith(OK_STATUS_LINE_START):
+            self._raw_bytes += bytes(self._view[:nbytes])
 
     def on_message_begin(self) -> None:
         """Detect bytes after a complete answer (called by the parser)."""
-        self._excess = self._complete
+        self._has_excess_bytes = self._complete
 
     def on_body(self, body: bytes) -> None:
         """Collect the body (called by the parser)."""
@@ -142,7 +142,7 @@
         self._transport = None
         if self._call is not None:
             self._end(Broken(f"connection lost: {exc}"), reusable=False)
-        self._owner.connection_closed(self)
+        self._owner.remove_connection(self)
 
     def _end_complete(self) -> None:
         """End the call with the complete answer."""
@@ -152,9 +152,9 @@
         if status == STATUS_OK:
             reply = decode_answer(self._call, body)
         else:
-            reply = decode_refusal(status, body, self._refusal_bytes)
+            reply = decode_refusal(status, body, self._raw_bytes)
         reusable = (
-            not self._excess
+            not self._has_excess_bytes
             and status in REUSABLE_STATUSES
             and not isinstance(reply, Broken)
             and self._keep_alive
@@ -170,10 +170,10 @@
             self._call = None
             self._listener = None
             self._received_bytes = 0
-            self._refusal_bytes = b""
+            self._raw_bytes = b""
             self._body.clear()
             self._complete = False
-            self._owner.connection_free(self)
+            self._owner.release_connection(self)
         else:
             self.abort()
         listener(call, reply)
--- a/tinrudder/node/backends/connection_pool.py
+++ b/tinrudder/node/backends/connection_pool.py
@@ -22,7 +22,7 @@
 IDLE_TIMEOUT_S = 30.0
 """Seconds after which an idle connection is closed, since back ends limit their connections."""
 CLOSED_DETAIL = "the transport is closed"
-PERMISSION_DETAIL = "the permission to send has ended"
+PERMISSION_ENDED_DETAIL = "the permission to send has ended"
 
 ContextSource = Callable[[], ssl.SSLContext | None]
 
@@ -61,7 +61,7 @@
         return len(self._open) + len(self._connecting)
 
     @property
-    def unused(self) -> bool:
+    def is_unused(self) -> bool:
         """Return whether the pool has no connection and no waiting call."""
         return not self._open and not self._connecting and not self._waiting
 
@@ -78,7 +78,7 @@
         call.carrier = waiting
         self._waiting.append(waiting)
         self._max_connections = call.max_connections
-        self._open_as_allowed()
+        self._open_missing()
 
     def cancel(self, call: BackendCall) -> None:
         """Cancel a call: skip it if it is waiting, close its connection if it was sent.
@@ -92,7 +92,7 @@
         elif isinstance(carrier, BackendConnection):
             carrier.abort()
 
-    def connection_free(self, connection: BackendConnection) -> None:
+    def release_connection(self, connection: BackendConnection) -> None:
         """Give a free connection to the oldest waiting call, or keep it as idle."""
         waiting = self._next_waiting() if self._waiting else None
         if waiting is not None:
@@ -101,17 +101,17 @@
         connection.idle_since = self._loop.time()
         self._idle.append(connection)
 
-    def connection_closed(self, connection: BackendConnection) -> None:
+    def remove_connection(self, connection: BackendConnection) -> None:
         """Remove a closed connection; open another if calls are waiting."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
-        self._open_as_allowed()
+        self._open_missing()
 
     def trim(self) -> None:
         """Close connections idle for more than ``IDLE_TIMEOUT_S``; the longest idle come first."""
-        horizon = self._loop.time() - IDLE_TIMEOUT_S
-        while self._idle and self._idle[0].idle_since < horizon:
+        oldest_allowed = self._loop.time() - IDLE_TIMEOUT_S
+        while self._idle and self._idle[0].idle_since < oldest_allowed:
             self._idle.popleft().abort()
 
     def close(self) -> None:
@@ -121,9 +121,9 @@
         for connection in tuple(self._open):
             connection.abort()
         while (waiting := self._next_waiting()) is not None:
-            self._refuse(waiting, CLOSED_DETAIL)
+            self._report_not_sent(waiting, CLOSED_DETAIL)
 
-    def _open_as_allowed(self) -> None:
+    def _open_missing(self) -> None:
         """Open connections for waiting calls, up to the limit."""
         missing = len(self._waiting) - len(self._connecting)
         allowed = self._max_connections - self.connections
@@ -142,11 +142,11 @@
         except (OSError, TimeoutError) as error:
             waiting = self._next_waiting()
             if waiting is not None:
-                self._refuse(waiting, f"connect: {error}")
+                self._report_not_sent(waiting, f"connect: {error}")
             return
         self._open.add(connection)
         if connection.is_usable():
-            self.connection_free(connection)
+            self.release_connection(connection)
 
     def _next_waiting(self) -> WaitingCall | None:
         """Dequeue the oldest waiting call that may still be sent; report expired ones."""
@@ -156,15 +156,15 @@
             if waiting.cancelled:
                 continue
             if waiting.call.deadline <= now:
-                self._refuse(waiting, "no connection before the deadline")
+                self._report_not_sent(waiting, "no connection before the deadline")
                 continue
             if waiting.call.may_leave is not None and not waiting.call.may_leave():
-                self._refuse(waiting, PERMISSION_DETAIL)
+                self._report_not_sent(waiting, PERMISSION_ENDED_DETAIL)
                 continue
             return waiting
         return None
 
-    def _refuse(self, waiting: WaitingCall, detail: str) -> None:
+    def _report_not_sent(self, waiting: WaitingCall, detail: str) -> None:
         """Report a call as not sent, in the next iteration of the event loop."""
         waiting.cancelled = True
         waiting.call.carrier = None
--- a/tinrudder/node/backends/http_transport.py
+++ b/tinrudder/node/backends/http_transport.py
@@ -80,7 +80,7 @@
         """Close connections that have been idle too long and drop unused pools."""
         for key, pool in tuple(self._pools.items()):
             pool.trim()
-            if pool.unused:
+            if pool.is_unused:
                 del self._pools[key]
         self._set_trim_timer()
 
--- a/tinrudder/node/backends/reply_decoding.py
+++ b/tinrudder/node/backends/reply_decoding.py
@@ -69,7 +69,7 @@
     return Shed(read_retry_after(answer_head))
 
 
-class _HeaderReader:
+class _RetryAfterReader:
     """Extracts the Retry-After header."""
 
     def __init__(self) -> None:
@@ -77,7 +77,7 @@
 
     def on_header(self, name: bytes, value: bytes) -> None:
         if name.lower() == RETRY_AFTER_HEADER:
-            self.retry_after = _seconds(value)
+            self.retry_after = _parse_seconds(value)
 
 
 def read_retry_after(answer_head: bytes) -> float | None:
@@ -89,7 +89,7 @@
     >>> read_retry_after(b"HTTP/1.1 503 X\\r\\nRetry-After: 0.05\\r\\nServer: b\\r\\n\\r\\n")
     0.05
     """
-    reader = _HeaderReader()
+    reader = _RetryAfterReader()
     try:
         httptools.HttpResponseParser(reader).feed_data(answer_head)
     except (httptools.HttpParserError, httptools.HttpParserUpgrade):
@@ -97,7 +97,7 @@
     return reader.retry_after
 
 
-def _seconds(value: bytes) -> float | None:
+def _parse_seconds(value: bytes) -> float | None:
     """Parse a number of seconds; return ``None`` for a date or a value out of range."""
     try:
         seconds = float(value)
--- a/tinrudder/node/configuration_service/client.py
+++ b/tinrudder/node/configuration_service/client.py
@@ -47,8 +47,8 @@
 
     async def fetch_members(self) -> MemberList:
         """Return the list of machines, from the cache if the platform reports it as unchanged."""
-        known = self._members.revision if self._members is not None else 0
-        body = await self._get(f"/v1/members?known_revision={known}")
+        known_revision = self._members.revision if self._members is not None else 0
+        body = await self._get(f"/v1/members?known_revision={known_revision}")
         if body is not None:
             self._members = _decode(body, MemberList)
         if self._members is None:
--- a/tinrudder/node/configuration_service/poll_pace.py
+++ b/tinrudder/node/configuration_service/poll_pace.py
@@ -15,7 +15,7 @@
 together do not poll together."""
 
 
-def poll_delay_s(reachable_nodes: int, shortest_s: float, source: random.Random) -> float:
+def poll_delay_s(reachable_nodes: int, min_interval_s: float, generator: random.Random) -> float:
     """Return the seconds until this node's next read.
 
     The nodes that reach each other read ``TIER_POLLS_PER_S`` times per second in total: one of them
@@ -26,5 +26,5 @@
     >>> [round(poll_delay_s(nodes, 1.0, fixed)) for nodes in (1, 14, 730)]
     [1, 5, 231]
     """
-    mean = max(shortest_s, reachable_nodes / TIER_POLLS_PER_S)
-    return mean * source.uniform(1.0 - JITTER, 1.0 + JITTER)
+    mean = max(min_interval_s, reachable_nodes / TIER_POLLS_PER_S)
+    return mean * generator.uniform(1.0 - JITTER, 1.0 + JITTER)
--- a/tinrudder/node/metrics.py
+++ b/tinrudder/node/metrics.py
@@ -20,11 +20,11 @@
 MAX_SERVICE_LABELS = 1000
 OTHER_SERVICES = "other"
 
-Reading = Callable[[], float]
+ValueCallback = Callable[[], float]
 
 
 @dataclass(frozen=True, slots=True)
-class ReadMetric:
+class CallbackMetric:
     """A metric whose value is read from another part of the node at scrape time.
 
     :param is_counter: the value never decreases during the life of the process.
@@ -32,15 +32,15 @@
 
     name: str
     help: str
-    read: Reading
+    read: ValueCallback
     is_counter: bool = True
 
 
-class ReadCollector(Collector):
+class CallbackCollector(Collector):
     """Reads the current values at every scrape."""
 
     def __init__(self) -> None:
-        self.metrics: list[ReadMetric] = []
+        self.metrics: list[CallbackMetric] = []
 
     def collect(self) -> Iterable[Metric]:
         """Return the current value of every metric."""
@@ -55,8 +55,8 @@
     def __init__(self) -> None:
         """Create a registry with the per-query metrics."""
         self.registry = CollectorRegistry()
-        self._read = ReadCollector()
-        self.registry.register(self._read)
+        self._callbacks = CallbackCollector()
+        self.registry.register(self._callbacks)
         self._latency = Histogram(
             "tinrudder_query_seconds",
             "Time from a caller's whole body to its outcome.",
@@ -72,13 +72,13 @@
         )
         self._services: set[str] = set()
 
-    def add(self, *metrics: ReadMetric) -> None:
+    def add(self, *metrics: CallbackMetric) -> None:
         """Expose more metrics."""
-        self._read.metrics.extend(metrics)
+        self._callbacks.metrics.extend(metrics)
 
     def __call__(self, query: FinishedQuery) -> None:
         """Record one finished query; registered as an observer of the callers' application."""
-        service = self._bounded(query.service)
+        service = self._service_label(query.service)
         outcome = type(query.outcome).__name__
         self._latency.labels(service, outcome).observe(query.elapsed_s)
         if isinstance(query.outcome, NotRun):
@@ -88,7 +88,7 @@
         """Return all metrics in the Prometheus text format."""
         return generate_latest(self.registry)
 
-    def _bounded(self, service: str) -> str:
+    def _service_label(self, service: str) -> str:
         """Return the label of a service; services beyond ``MAX_SERVICE_LABELS`` share one label."""
         if service in self._services:
             return service
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -42,7 +42,7 @@
 from tinrudder.node.settings import NodeSettings
 from tinrudder.node.wire.channels import Channel, ChannelRouter
 
-DRAIN_CHECK_S = 0.02
+DRAIN_POLL_INTERVAL_S = 0.02
 """Seconds between checks for requests in progress while a planned stop drains."""
 REFUSAL_LINGER_S = 0.2
 """Seconds for which a drained node keeps its sockets open, so that refusals and the last outcomes
@@ -59,18 +59,18 @@
         self.backends = BackendTable()
         self.channels = ChannelRouter(environment.peers)
         self.coordinator_sets = CoordinatorSets(settings.name)
-        self._held_sets = CoordinatorSets(settings.name)
+        self._sets_as_alive = CoordinatorSets(settings.name)
         self._environment = environment
         self.members = NodeMembership(settings, environment, self.channels, self.on_view_changed)
         self._view = self.members.membership.view()
         self.node_configuration = NodeConfiguration(
-            settings, environment, self.channels, self.view, self._follow_members
+            settings, environment, self.channels, self.view, self._update_coordinators
         )
         self.configuration_store = self.node_configuration.store
         self._build_coordinator()
         self._build_relay()
         self._build_operations()
-        self._connect_membership()
+        self._subscribe_to_membership()
         self._tasks: list[asyncio.Task[None]] = []
 
     def _build_coordinator(self) -> None:
@@ -81,7 +81,7 @@
         self.dispatcher = Dispatcher(
             timers, self._environment.backends, queue, LeastLoadedReplica(), AdaptiveLimit(), usage
         )
-        self.backends.on_update = self._follow_shares
+        self.backends.on_update = self._apply_shares
         source = self._environment.random
         admission = ExpectedWaitAdmission(queue, source)
         self._gate = AdmissionGate(timers, admission, usage, self.configuration, source)
@@ -129,7 +129,7 @@
             self.lifecycle.is_before_ready() or self.lifecycle.accepts_work()
         )
 
-    def _connect_membership(self) -> None:
+    def _subscribe_to_membership(self) -> None:
         """Connect membership events to the configuration exchange and back-end observations."""
         membership = self.members.membership
         timers = self._environment.timers
@@ -185,7 +185,7 @@
         await self._poll_members()
         await self.members.start()
         await self.node_configuration.start()
-        self._tasks.append(asyncio.create_task(self._follow_platform()))
+        self._tasks.append(asyncio.create_task(self._poll_platform()))
         self.lifecycle.serve()  # type: ignore[attr-defined]
         log_event("serving", {"revision": self.configuration().revision})
 
@@ -202,7 +202,7 @@
         log_event("draining", {"in_progress": self.in_progress})
         deadline = self._environment.timers.time() + self.settings.stop_timeout_s
         while self.in_progress and self._environment.timers.time() < deadline:
-            await asyncio.sleep(DRAIN_CHECK_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await asyncio.sleep(REFUSAL_LINGER_S)
         self.node_configuration.stop()
         for task in self._tasks:
@@ -225,11 +225,11 @@
     def on_view_changed(self, view: MemberView) -> None:
         """Apply a new view of the members to the coordinator sets and slot shares."""
         is_stopping = self.lifecycle.is_stopping()
-        self._view = self._with_ourselves(view, MemberStatus.LEAVING) if is_stopping else view
+        self._view = self._with_own_status(view, MemberStatus.LEAVING) if is_stopping else view
         self._ranking.keep_only(self._view.by_name)
-        self._follow_members()
+        self._update_coordinators()
 
-    def _with_ourselves(self, view: MemberView, status: MemberStatus) -> MemberView:
+    def _with_own_status(self, view: MemberView, status: MemberStatus) -> MemberView:
         """Return the view with ``status`` as the status of this node."""
         members = tuple(
             replace(member, status=status) if member.name == self.settings.name else member
@@ -237,17 +237,17 @@
         )
         return build_view(members, view.list_revision)
 
-    def _follow_shares(self) -> None:
+    def _apply_shares(self) -> None:
         """Apply new back-end shares to the dispatcher's limits and waiting calls."""
         for backend in self.backends.all_records():
             self.dispatcher.follow_share(backend)
 
-    def _follow_members(self) -> None:
+    def _update_coordinators(self) -> None:
         """Recompute coordinator sets and limits from the current members and configuration."""
         configuration = self.configuration()
         self.coordinator_sets.update(self._view, configuration)
-        still_here = self._with_ourselves(self._view, MemberStatus.ALIVE)
-        self._held_sets.update(still_here, configuration)
+        view_as_alive = self._with_own_status(self._view, MemberStatus.ALIVE)
+        self._sets_as_alive.update(view_as_alive, configuration)
         self._update_shares()
 
     def _update_shares(self) -> None:
@@ -256,13 +256,13 @@
         A leaving node keeps its shares for requests in progress and those that still arrive.
         """
         backends = self.configuration().backends
-        for sets in (self.coordinator_sets, self._held_sets):
+        for sets in (self.coordinator_sets, self._sets_as_alive):
             sets.pass_over(self._ranking.failed_names())
-        held = self._held_sets if self.lifecycle.is_stopping() else self.coordinator_sets
-        self.backends.update(backends, held.share, SLOT_HEADROOM)
-        self.backends.share_connections(backends, held.connections)
+        sets_in_use = self._sets_as_alive if self.lifecycle.is_stopping() else self.coordinator_sets
+        self.backends.update(backends, sets_in_use.share, SLOT_HEADROOM)
+        self.backends.share_connections(backends, sets_in_use.connections)
 
-    async def _follow_platform(self) -> None:
+    async def _poll_platform(self) -> None:
         """Poll the platform until the node stops."""
         while True:
             await asyncio.sleep(self.node_configuration.poll_delay_s())
--- a/tinrudder/node/node_claims.py
+++ b/tinrudder/node/node_claims.py
@@ -37,7 +37,7 @@
             environment.random,
             channels.channel(Channel.CLAIMS),
             ClaimNode(voter, settings.region),
-            limits_of(settings),
+            claim_limits(settings),
             self.outcomes.answer,
         )
 
@@ -45,11 +45,11 @@
         """Pass the platform's list of machines to the claims service, grouped by region."""
         regions: dict[str, list[ListedVoter]] = {}
         for member in members.members:
-            regions.setdefault(member.region, []).append(_listed(member))
+            regions.setdefault(member.region, []).append(_listed_voter(member))
         self.service.learn_list(members.revision, regions)
 
 
-def limits_of(settings: NodeSettings) -> ClaimLimits:
+def claim_limits(settings: NodeSettings) -> ClaimLimits:
     """Return the time limits of claims.
 
     The wait for a machine removed from the list covers the claim window, its longest pause and the
@@ -60,7 +60,7 @@
     return ClaimLimits(window_s, settings.clock_skew_s, window_s, removed_wait_s)
 
 
-def _listed(member: PlatformMember) -> ListedVoter:
+def _listed_voter(member: PlatformMember) -> ListedVoter:
     address = PeerAddress(member.host, member.port)
     voter = Voter(member.name, member.zone, address)
     return ListedVoter(voter, member.state is MemberState.LEAVING)
--- a/tinrudder/node/node_configuration.py
+++ b/tinrudder/node/node_configuration.py
@@ -23,10 +23,10 @@
 from tinrudder.node.wire.channels import Channel, ChannelRouter
 from tinrudder.peers import PeerAddress
 
-LEARN_TIMEOUT_S = 3.0
+PEER_LEARN_TIMEOUT_S = 3.0
 """Seconds that a starting node waits for its peers' configuration; after that it starts with the
 platform's document."""
-WHOLE_READ_S = 900.0
+FULL_READ_INTERVAL_S = 900.0
 """Mean seconds between full reads, which send no known revision.
 
 Only a full read shows that a restored platform has reused a revision for different content.
@@ -60,16 +60,16 @@
         self._environment = environment
         self._view = view
         self._on_change = on_change
-        self._refreshing: asyncio.Task[None] | None = None
+        self._refresh_task: asyncio.Task[None] | None = None
         self._seeds = parse_seed_peers(settings.seed_peers)
-        self._next_whole_read = 0.0
-        self.store.subscribe(self._on_state)
+        self._next_full_read = 0.0
+        self.store.subscribe(self._on_state_changed)
 
     async def start(self) -> None:
         """Read the platform and ask peers, since either may be down or behind the other."""
         await self.poll()
         try:
-            async with asyncio.timeout(LEARN_TIMEOUT_S):
+            async with asyncio.timeout(PEER_LEARN_TIMEOUT_S):
                 await self.exchange.learn_from_peers()
         except TimeoutError:
             log_problem("no peer stated its configuration in time")
@@ -78,8 +78,8 @@
     def stop(self) -> None:
         """Stop the exchange and any refresh in progress."""
         self.exchange.stop()
-        if self._refreshing is not None:
-            self._refreshing.cancel()
+        if self._refresh_task is not None:
+            self._refresh_task.cancel()
 
     def poll_delay_s(self) -> float:
         """Return the seconds until the next read of the platform."""
@@ -104,9 +104,11 @@
     def _known_revision(self) -> int:
         """Return the revision in force, or 0 when a full read is due."""
         now = self._environment.timers.time()
-        if now < self._next_whole_read:
+        if now < self._next_full_read:
             return self.store.current.revision
-        self._next_whole_read = now + WHOLE_READ_S * self._environment.random.uniform(0.5, 1.5)
+        self._next_full_read = now + FULL_READ_INTERVAL_S * self._environment.random.uniform(
+            0.5, 1.5
+        )
         return 0
 
     def refresh_soon(self) -> None:
@@ -116,7 +118,7 @@
         behind.
         """
         self.exchange.refresh_now()
-        self._refreshing = asyncio.ensure_future(self.poll())
+        self._refresh_task = asyncio.ensure_future(self.poll())
 
     def _peers(self) -> list[PeerAddress]:
         """Return the addresses of the peers to exchange with.
@@ -126,10 +128,10 @@
         """
         own = self._settings.name
         others = [member for member in self._view().members if member.name != own]
-        living = [member for member in others if member.status is not MemberStatus.DEAD]
-        return [member.address for member in living or others] or list(self._seeds)
+        not_dead = [member for member in others if member.status is not MemberStatus.DEAD]
+        return [member.address for member in not_dead or others] or list(self._seeds)
 
-    def _on_state(self, state: AcceptedState) -> None:
+    def _on_state_changed(self, state: AcceptedState) -> None:
         """Log a changed state, apply it and announce it to peers."""
         problems = sum(1 for resource in state.resources.values() if resource.problem)
         fields = {"revision": state.version.revision, "refused_resources": problems}
--- a/tinrudder/node/node_explain.py
+++ b/tinrudder/node/node_explain.py
@@ -24,14 +24,14 @@
     def __init__(self, node: Node) -> None:
         """Start recording the queries that ``node`` coordinates."""
         self._node_name = node.settings.name
-        self._taken = ExplanationRing()
+        self._received = ExplanationRing()
         coordinated = ExplanationRing()
         node.coordinator.recorder = FanOutRecorder(self._node_name, coordinated)
         self.lookup = ExplainLookup(
             self._node_name,
             node.channels.channel(Channel.EXPLAIN),
             coordinated,
-            self._taken,
+            self._received,
             node.coordinator_sets.of,
         )
 
@@ -39,7 +39,7 @@
         """Record a caller's query; registered as an observer of the callers' application."""
         outcome = query.outcome
         version = outcome.answer.version if isinstance(outcome, Complete | Partial) else 0
-        self._taken.add(
+        self._received.add(
             QueryExplanation(
                 query.query_id,
                 query.tenant,
--- a/tinrudder/node/node_membership.py
+++ b/tinrudder/node/node_membership.py
@@ -23,13 +23,13 @@
 from tinrudder.node.wire.channels import Channel, ChannelRouter
 from tinrudder.peers import PeerAddress
 
-VIEW_DELAY_S = 0.02
+VIEW_NOTIFY_DELAY_S = 0.02
 """Seconds from a change to the notification: changes come in bursts, and the coordinator sets are
 computed once per burst."""
 
-JOIN_CHECK_S = 0.02
+JOIN_POLL_INTERVAL_S = 0.02
 """Seconds between checks of the live member count while joining."""
-JOIN_PATIENCE_S = 1.0
+JOIN_TIMEOUT_S = 1.0
 """Seconds that a starting node waits for other members, so that it does not act as the only node:
 two probe intervals of membership."""
 
@@ -44,13 +44,13 @@
         settings: NodeSettings,
         environment: Environment,
         channels: ChannelRouter,
-        on_view: ViewListener,
+        view_listener: ViewListener,
     ) -> None:
         """Build the membership; nothing is sent before :meth:`start`."""
         self._timers = environment.timers
-        self._on_view = on_view
-        self._view_due = False
-        self._listed = 0
+        self._view_listener = view_listener
+        self._notify_scheduled = False
+        self._listed_count = 0
         self._seeds = parse_seed_peers(settings.seed_peers)
         own = Member(
             settings.name,
@@ -74,19 +74,19 @@
     async def start(self) -> None:
         """Join, and wait up to the join limit so that this node does not act as the only one."""
         self.membership.start(self._seeds)
-        deadline = self._timers.time() + JOIN_PATIENCE_S
+        deadline = self._timers.time() + JOIN_TIMEOUT_S
         while not self._has_joined() and self._timers.time() < deadline:
-            await asyncio.sleep(JOIN_CHECK_S)
+            await asyncio.sleep(JOIN_POLL_INTERVAL_S)
         self.membership.announce_joined()
-        self._tell()
+        self._notify_view()
 
     def offer_list(self, members: MemberList) -> None:
         """Pass the platform's list of machines to membership."""
-        self._listed = len(members.members)
+        self._listed_count = len(members.members)
         before = self.membership.view()
         self.membership.offer_list(members.revision, listed_members(members))
         if self.membership.view() is not before:
-            self._tell_soon()
+            self._schedule_notify()
 
     def node_revisions(self) -> tuple[NodeRevision, ...]:
         """Return the last known enforced revision of every member that is not dead."""
@@ -101,7 +101,7 @@
     def leave(self) -> None:
         """Announce to the other nodes that this node accepts no new work."""
         self.membership.announce_leaving()
-        self._tell()
+        self._notify_view()
 
     def stop(self) -> None:
         """Stop membership, which announces to the other nodes that this node has left."""
@@ -109,7 +109,7 @@
 
     def _has_joined(self) -> bool:
         """Return whether more than half of the listed machines are live, counting leaving ones."""
-        return self.membership.live_count() > self._listed // 2
+        return self.membership.live_count() > self._listed_count // 2
 
     def _on_member_changed(self, change: MemberChanged) -> None:
         member = change.member
@@ -117,13 +117,13 @@
         if not known or member.status in (MemberStatus.DEAD, MemberStatus.LEAVING):
             fields = {"member": member.name, "zone": member.zone, "status": member.status.value}
             log_event("member changed", fields)
-        self._tell_soon()
+        self._schedule_notify()
 
-    def _tell_soon(self) -> None:
-        if not self._view_due:
-            self._view_due = True
-            self._timers.call_at(self._timers.time() + VIEW_DELAY_S, self._tell)
+    def _schedule_notify(self) -> None:
+        if not self._notify_scheduled:
+            self._notify_scheduled = True
+            self._timers.call_at(self._timers.time() + VIEW_NOTIFY_DELAY_S, self._notify_view)
 
-    def _tell(self) -> None:
-        self._view_due = False
-        self._on_view(self.membership.view())
+    def _notify_view(self) -> None:
+        self._notify_scheduled = False
+        self._view_listener(self.membership.view())
--- a/tinrudder/node/node_metrics.py
+++ b/tinrudder/node/node_metrics.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from tinrudder.node.metrics import NodeMetrics, Reading, ReadMetric
+from tinrudder.node.metrics import CallbackMetric, NodeMetrics, ValueCallback
 from tinrudder.node.node import Node
 
 
@@ -16,20 +16,22 @@
     calls = node.coordinator.counters
     claims = node.claims.service
     metrics.add(
-        ReadMetric("tinrudder_backend_calls", "Calls sent.", lambda: dispatcher.sent_calls),
-        ReadMetric(
+        CallbackMetric("tinrudder_backend_calls", "Calls sent.", lambda: dispatcher.sent_calls),
+        CallbackMetric(
             "tinrudder_needed_shards",
             "Calls that one per needed shard would take; extra load is calls sent over these.",
             lambda: calls.needed_shards + node.operations.needed_calls,
         ),
-        ReadMetric("tinrudder_retries", "Sent again elsewhere.", lambda: calls.retries),
-        ReadMetric("tinrudder_hedges", "Sent beside a slow one.", lambda: calls.hedges),
-        ReadMetric("tinrudder_queries_local", "Coordinated here.", lambda: counters.local),
-        ReadMetric("tinrudder_queries_relayed", "Relayed.", lambda: counters.relayed),
-        ReadMetric("tinrudder_relays_lost", "Relays without reply.", lambda: counters.lost),
-        ReadMetric("tinrudder_queries_fallback", "Without coordinator.", lambda: counters.fallback),
-        ReadMetric("tinrudder_claims", "Keys asked for.", lambda: claims.counters.claims),
-        ReadMetric("tinrudder_claims_won", "Keys claimed.", lambda: claims.counters.won),
+        CallbackMetric("tinrudder_retries", "Sent again elsewhere.", lambda: calls.retries),
+        CallbackMetric("tinrudder_hedges", "Sent beside a slow one.", lambda: calls.hedges),
+        CallbackMetric("tinrudder_queries_local", "Coordinated here.", lambda: counters.local),
+        CallbackMetric("tinrudder_queries_relayed", "Relayed.", lambda: counters.relayed),
+        CallbackMetric("tinrudder_relays_lost", "Relays without reply.", lambda: counters.lost),
+        CallbackMetric(
+            "tinrudder_queries_fallback", "Without coordinator.", lambda: counters.fallback
+        ),
+        CallbackMetric("tinrudder_claims", "Keys asked for.", lambda: claims.counters.claims),
+        CallbackMetric("tinrudder_claims_won", "Keys claimed.", lambda: claims.counters.won),
         _gauge("tinrudder_held_votes", "Votes given and remembered.", lambda: claims.held),
         _gauge("tinrudder_queued_calls", "Waiting for room.", lambda: dispatcher.queue_length),
         _gauge("tinrudder_queries_in_progress", "Not finished.", lambda: node.in_progress),
@@ -40,5 +42,5 @@
     )
 
 
-def _gauge(name: str, text: str, read: Reading) -> ReadMetric:
-    return ReadMetric(name, text, read, is_counter=False)
+def _gauge(name: str, text: str, read: ValueCallback) -> CallbackMetric:
+    return CallbackMetric(name, text, read, is_counter=False)
--- a/tinrudder/node/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -33,19 +33,19 @@
         self._timers = timers
         self._backends = backends
         self._membership = membership
-        self._signs = DrainSigns(source)
+        self._drain_signs = DrainSigns(source)
         self._timer: TimerHandle | None = None
         membership.on_observation(self._on_observation)
 
     def on_draining(self, backend: BackendRecord) -> None:
         """Mark and publish a back end that answered that it is draining."""
-        self._sign(backend, self._timers.time(), self._membership.own().name)
+        self._mark_draining(backend, self._timers.time(), self._membership.own().name)
         self._membership.publish_observation(backend.name, ObservationKind.DRAINING)
 
     def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
         """Clear the drain mark if a normal answer to a call sent at ``sent_at`` refutes it."""
-        if self._signs.refutes(backend.name, sent_at):
-            self._unsign(backend.name)
+        if self._drain_signs.refutes(backend.name, sent_at):
+            self._clear_draining(backend.name)
             self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
 
     def _on_observation(self, observation: Observation) -> None:
@@ -55,26 +55,26 @@
             return
         observed_at = self._timers.time() - observation.age_s
         if observation.kind is ObservationKind.RECOVERED:
-            self._unsign(backend.name)
+            self._clear_draining(backend.name)
         elif observation.kind is ObservationKind.DRAINING:
             if backend.ordinary_sent_at > observed_at + OWN_MARGIN_S:
                 self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
                 return
-            self._sign(backend, observed_at, observation.origin)
+            self._mark_draining(backend, observed_at, observation.origin)
 
-    def _sign(self, backend: BackendRecord, signed_at: float, origin: str) -> None:
+    def _mark_draining(self, backend: BackendRecord, signed_at: float, origin: str) -> None:
         if not backend.drain_signed:
             log_event("back end leaving", {"backend": backend.name, "seen_by": origin})
-        self._signs.add(backend.name, signed_at)
+        self._drain_signs.add(backend.name, signed_at)
         backend.drain_signed = True
         backend.leaving = True
-        self._arm()
+        self._schedule_recheck()
 
-    def _unsign(self, name: str) -> None:
-        self._signs.remove(name)
+    def _clear_draining(self, name: str) -> None:
+        self._drain_signs.remove(name)
         self._backends.end_drain_sign(name)
 
-    def _arm(self) -> None:
+    def _schedule_recheck(self) -> None:
         """Schedule the next check for expired signs unless one is scheduled."""
         if self._timer is None:
             due = self._timers.time() + RECHECK_INTERVAL_S
@@ -82,7 +82,7 @@
 
     def _recheck(self) -> None:
         self._timer = None
-        for name in self._signs.due(self._timers.time()):
-            self._unsign(name)
-        if self._signs:
-            self._arm()
+        for name in self._drain_signs.due(self._timers.time()):
+            self._clear_draining(name)
+        if self._drain_signs:
+            self._schedule_recheck()
--- a/tinrudder/node/tls.py
+++ b/tinrudder/node/tls.py
@@ -11,7 +11,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-Signature = tuple[tuple[int, int, int], ...]
+FileStamps = tuple[tuple[int, int, int], ...]
 
 
 class TlsError(Exception):
@@ -47,12 +47,12 @@
         :raises TlsError: a file cannot be used.
         """
         self._files = files
-        self._signature = _signature(files)
+        self._loaded_stamps = _file_stamps(files)
         self._server = _server_context(files) if files.certificate is not None else None
         self._client = _client_context(files)
-        self._listening = _server_context(files) if files.certificate is not None else None
-        if self._listening is not None:
-            self._listening.sni_callback = self._use_current
+        self._listening_context = _server_context(files) if files.certificate is not None else None
+        if self._listening_context is not None:
+            self._listening_context.sni_callback = self._switch_to_current
 
     def client_context(self) -> ssl.SSLContext:
         """Return the context for a new outgoing connection."""
@@ -63,9 +63,9 @@
 
         :raises TlsError: the identity has no certificate.
         """
-        if self._listening is None:
+        if self._listening_context is None:
             raise TlsError("certificate: required for a listening socket")
-        return self._listening
+        return self._listening_context
 
     def reload_if_changed(self) -> bool:
         """Reload the files if they changed; return whether new contexts are in use.
@@ -73,18 +73,21 @@
         :raises TlsError: the new files cannot be used; the old contexts stay in use, and the next
             call tries the files again.
         """
-        signature = _signature(self._files)
-        if signature == self._signature:
+        stamps = _file_stamps(self._files)
+        if stamps == self._loaded_stamps:
             return False
         server = _server_context(self._files) if self._files.certificate is not None else None
         client = _client_context(self._files)
         self._server = server
         self._client = client
-        self._signature = signature
+        self._loaded_stamps = stamps
         return True
 
-    def _use_current(
-        self, connection: ssl.SSLObject, _server_name: str | None, _listening: ssl.SSLContext
+    def _switch_to_current(
+        self,
+        connection: ssl.SSLObject,
+        _server_name: str | None,
+        _listening_context: ssl.SSLContext,
     ) -> None:
         """Switch a new handshake to the current server context."""
         if self._server is not None:
@@ -159,7 +162,7 @@
         raise TlsError(f"{authority}: {error}") from error
 
 
-def _signature(files: TlsFiles) -> Signature:
+def _file_stamps(files: TlsFiles) -> FileStamps:
     """Return the inode, modification time and size of each file, which detect a replacement.
 
     :raises TlsError: a file cannot be read.
--- a/tinrudder/node/wire/relay_codec.py
+++ b/tinrudder/node/wire/relay_codec.py
@@ -203,13 +203,16 @@
 def _fill_coverage(message: relay_pb2.CoverageMessage, coverage: Coverage) -> None:
     message.included.extend(coverage.included)
     message.SetInParent()
-    for gap in coverage.missing:
-        message.missing.add(shard=gap.shard, owner=gap.owner, reason=gap.reason)
+    for missing_shard in coverage.missing:
+        message.missing.add(
+            shard=missing_shard.shard, owner=missing_shard.owner, reason=missing_shard.reason
+        )
 
 
 def _coverage(message: relay_pb2.CoverageMessage) -> Coverage:
     missing = tuple(
-        MissingShard(gap.shard, gap.owner, MissingReason(gap.reason)) for gap in message.missing
+        MissingShard(missing_shard.shard, missing_shard.owner, MissingReason(missing_shard.reason))
+        for missing_shard in message.missing
     )
     return Coverage(tuple(message.included), missing)
 
