--- a/tests/functional/node/test_backend_http.py
+++ b/tests/functional/node/test_backend_http.py
@@ -1,4 +1,4 @@
-"""The HTTP transport against the stand-in back end, over loopback."""
+"""The HTTP transport with the lab's back end over loopback: reply types and cancellation."""
 
 from __future__ import annotations
 
--- a/tests/functional/node/test_commands.py
+++ b/tests/functional/node/test_commands.py
@@ -38,7 +38,7 @@
 
 
 class NodeStandIn:
-    """A node's API in this process; also the client and the platform's write address."""
+    """A node's API in this process; also acts as the node client and the platform's writer."""
 
     def __init__(self) -> None:
         self.store = ConfigurationStore()
--- a/tests/functional/node/test_configuration_exchange.py
+++ b/tests/functional/node/test_configuration_exchange.py
@@ -1,4 +1,7 @@
-"""The exchange between nodes in virtual time: loss, cuts, starts without a platform."""
+"""The configuration exchange between nodes in virtual time.
+
+Covers packet loss, partitions, starts without a platform, and malformed or wrong updates.
+"""
 
 from __future__ import annotations
 
@@ -33,7 +36,7 @@
 
 
 class ExchangingNode:
-    """A store, its exchange and its end of the network."""
+    """A configuration store with its exchange and its transport."""
 
     def __init__(self, network: PeerNetwork, port: int) -> None:
         self.store = ConfigurationStore()
--- a/tests/functional/node/test_connection_pool.py
+++ b/tests/functional/node/test_connection_pool.py
@@ -1,4 +1,7 @@
-"""The pool over loopback: its maximum, waiting calls, and connections closed at reuse."""
+"""The connection pool over loopback: limit, waiting calls, idle connections, closes and TLS.
+
+Guards against calls that are reported as not sent after bytes have left, or repeated after a close.
+"""
 
 from __future__ import annotations
 
@@ -136,7 +139,7 @@
 
 
 class TrustedContexts:
-    """Trusts one authority."""
+    """Provides a TLS context that trusts one authority."""
 
     def __init__(self, authority: trustme.CA) -> None:
         self.context = ssl.create_default_context()
--- a/tests/functional/node/test_node_configuration.py
+++ b/tests/functional/node/test_node_configuration.py
@@ -1,4 +1,8 @@
-"""A node's configuration with the platform up, down or restored, over a real membership."""
+"""A node's configuration with the platform up, down or restored, with real membership.
+
+Guards against a node that stays behind while peers are ahead, and against a platform restored to an
+older revision that reverts the tier.
+"""
 
 from __future__ import annotations
 
@@ -25,7 +29,7 @@
 
 @dataclass
 class FakePlatform:
-    """A platform that may be down for some nodes; nodes come from one list."""
+    """A platform that can be down for some nodes."""
 
     current: ResourceDocument
     members: tuple[PlatformMember, ...] = ()
@@ -35,7 +39,7 @@
 
 @dataclass
 class PlatformOf:
-    """The platform as one node reaches it."""
+    """The platform as seen by one node."""
 
     platform: FakePlatform
     node: str
@@ -56,7 +60,7 @@
 
 
 class Tier:
-    """Nodes on one network, with one platform."""
+    """Nodes on one network with one platform."""
 
     def __init__(self, size: int) -> None:
         self.network = PeerNetwork()
--- a/tests/functional/node/test_platform_client.py
+++ b/tests/functional/node/test_platform_client.py
@@ -1,4 +1,4 @@
-"""The platform's adapter against the stand-in over a real socket."""
+"""The platform's client and writer with the lab's platform over a real socket."""
 
 from __future__ import annotations
 
--- a/tests/functional/node/test_serve.py
+++ b/tests/functional/node/test_serve.py
@@ -1,4 +1,4 @@
-"""Two node processes over TLS: a relayed query, rotation of keys and a planned stop."""
+"""Two node processes over TLS: relayed queries, planned stop, operations, key rotation."""
 
 from __future__ import annotations
 
@@ -41,14 +41,14 @@
 SERVICE = "finance"
 SERVICE_S = 0.03
 HELD_FACTOR = 10.0
-"""Back ends hold calls this much longer than usual, 0.3 s, so that no query ends before three are
-relayed, also where six handshakes take their time on a busy machine."""
+"""Factor on the service time of back ends, which makes it 0.3 s: no query may end before three are
+relayed, even if six handshakes are slow on a busy machine."""
 TIMEOUT_S = 20.0
 PORTS = (11_000, 21_000)
 
 
 def free_port() -> int:
-    """A port that no outgoing connection is given between this look and its use."""
+    """Return a free port outside the range of outgoing connections, so none takes it before use."""
     source = random.SystemRandom()
     while True:
         port = source.randrange(*PORTS)
@@ -115,7 +115,7 @@
     async def request(
         self, node: str, method: str, path: str, body: bytes = b"", head: str = ""
     ) -> Reply:
-        """Send one request over a connection of its own."""
+        """Send one request over a new connection."""
         context = ssl.create_default_context(cadata=self.authority.cert_pem.bytes().decode())
         reader, writer = await asyncio.open_connection(LOOPBACK, self.ports[node], ssl=context)
         lines = f"{method} {path} HTTP/1.1\r\nHost: n\r\nContent-Length: {len(body)}\r\n{head}\r\n"
@@ -148,7 +148,7 @@
         return await self.request(node, "POST", "/v1/operations", body, head)
 
     async def wait_for_members(self) -> None:
-        """Wait until every node's log says that it counts the other: only then does it relay."""
+        """Wait until every node has logged the other as alive, since it relays only then."""
         async with asyncio.timeout(TIMEOUT_S):
             while not all(self._knows_the_other(node) for node in self.processes):
                 await asyncio.sleep(0.02)
@@ -158,12 +158,12 @@
         return any(b'"member changed"' in line and b'"alive"' in line for line in text.splitlines())
 
     def slow_down(self, factor: float) -> None:
-        """Let back ends take longer over what comes from now on."""
+        """Set the slowdown of back ends for calls that arrive from now on."""
         for model in self.models:
             model.behaviour.slowdown = factor
 
     async def wait_for_relayed(self, queries: int) -> None:
-        """Wait until the nodes have read and relayed so many queries."""
+        """Wait until the nodes have relayed at least this number of queries."""
         async with asyncio.timeout(TIMEOUT_S):
             while sum([await self.relayed(node) for node in self.processes]) < queries:
                 await asyncio.sleep(0.005)
@@ -188,7 +188,7 @@
 
 @asynccontextmanager
 async def running_cluster(directory: Path):
-    """Start everything and end it again."""
+    """Start the platform, back ends and nodes, and stop them at the end."""
     loop = asyncio.get_running_loop()
     deployment = build_deployment(1024, services_per_shape=1)
     cluster = Cluster(directory, deployment, trustme.CA())
--- a/tests/unit/node/test_backend_connection.py
+++ b/tests/unit/node/test_backend_connection.py
@@ -1,4 +1,8 @@
-"""One back-end connection under split, cut, garbled, oversized and foreign answers."""
+"""A back-end connection that receives split, truncated, garbled, oversized or mismatched answers.
+
+Guards against an answer that is delivered twice or to the wrong call, and against reuse of a
+connection with unread bytes.
+"""
 
 from __future__ import annotations
 
@@ -73,7 +77,7 @@
         return call
 
     def receive(self, data: bytes) -> None:
-        """Deliver as asyncio does: nothing more once the transport is closed."""
+        """Deliver data like asyncio: in parts of the buffer's size, none after a close."""
         for start in range(0, len(data), READ_BUFFER_BYTES):
             part = data[start : start + READ_BUFFER_BYTES]
             if self.transport.closed:
--- a/tests/unit/node/test_metrics.py
+++ b/tests/unit/node/test_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics: bounded labels, and who may read them."""
+"""Metrics: bounded label sets, and access for operators and local scrapers only."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/test_node_observations.py
+++ b/tests/unit/node/test_node_observations.py
@@ -1,4 +1,8 @@
-"""What one node sees of a leaving back end counts on all of them, the platform down or not."""
+"""One node's observation of a draining back end reaches all nodes, without the platform.
+
+Guards against nodes that keep sending to a draining back end, and against drain marks that stay
+after the back end has recovered.
+"""
 
 from __future__ import annotations
 
--- a/tests/unit/node/test_relay_codec.py
+++ b/tests/unit/node/test_relay_codec.py
@@ -1,4 +1,4 @@
-"""The relay's messages: what goes in comes out, and bad bytes are a typed error."""
+"""The relay codec: messages survive a round trip, and malformed or oversized ones are rejected."""
 
 from __future__ import annotations
 
--- a/tests/unit/node/test_settings.py
+++ b/tests/unit/node/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings: files, flags and errors that name field and rule."""
+"""Settings from files and flags, and errors that name the field and the rule."""
 
 from __future__ import annotations
 
