--- a/tests/functional/node/test_backend_http.py
+++ b/tests/functional/node/test_backend_http.py
@@ -69,7 +69,7 @@
         server, port, model = await with_backend(BackendBehaviour(service_median_s=0.02))
         transport = HttpBackendTransport()
         cancelled = call_to(port, 1)
-        transport.start(cancelled, lambda *_: pytest_fail())
+        transport.start(cancelled, lambda *_: fail_on_answer())
         while not model.running:
             await asyncio.sleep(0)
         transport.cancel(cancelled)
@@ -82,5 +82,5 @@
     asyncio.run(scenario())
 
 
-def pytest_fail() -> None:
+def fail_on_answer() -> None:
     raise AssertionError("a cancelled call was answered")
--- a/tests/functional/node/test_commands.py
+++ b/tests/functional/node/test_commands.py
@@ -37,7 +37,7 @@
 """
 
 
-class NodeStandIn:
+class FakeNode:
     """A node's API in this process; also acts as the node client and the platform's writer."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         own = NodeRevision("n1", "a", "alive", self.store.current.revision)
         return [own, *self.others]
 
-    def open(self, arguments: argparse.Namespace) -> NodeStandIn:
+    def open(self, arguments: argparse.Namespace) -> FakeNode:
         if not arguments.node_url:
             raise CommandError(ExitCode.USAGE, "--node-url: needed")
         self.credential = f"Bearer {arguments.credential}"
@@ -93,14 +93,14 @@
 
 
 @pytest.fixture
-def node(monkeypatch: pytest.MonkeyPatch) -> NodeStandIn:
-    stand_in = NodeStandIn()
-    monkeypatch.setattr(connection, "open_node_client", stand_in.open)
-    monkeypatch.setattr(apply, "open_writer", lambda _: stand_in)
+def node(monkeypatch: pytest.MonkeyPatch) -> FakeNode:
+    fake = FakeNode()
+    monkeypatch.setattr(connection, "open_node_client", fake.open)
+    monkeypatch.setattr(apply, "open_writer", lambda _: fake)
     monkeypatch.setattr(apply, "POLL_INTERVAL_S", 0.001)
     monkeypatch.setenv(connection.NODE_URL_VARIABLE, "http://node")
     monkeypatch.setenv(connection.CREDENTIAL_VARIABLE, "ops.secret")
-    return stand_in
+    return fake
 
 
 @pytest.fixture
@@ -124,7 +124,7 @@
 
 
 def test_validate_with_and_without_a_node(
-    node: NodeStandIn,
+    node: FakeNode,
     rule_file: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -133,8 +133,8 @@
     assert "spec.service: no Service 'search'" in capsys.readouterr().out
 
 
-def test_validate_sees_what_a_deletion_breaks(
-    node: NodeStandIn, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+def test_validate_reports_references_to_a_deleted_resource(
+    node: FakeNode, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = tmp_path / "gone.json"
     path.write_text('{"delete": [{"kind": "Service", "name": "search"}]}')
@@ -148,7 +148,7 @@
     [("[[resources]]\nkind = 1\n", "kind"), ("nonsense", "rule.toml"), ("colour = 1", "colour")],
 )
 def test_bad_files_name_field_and_rule(
-    node: NodeStandIn,
+    node: FakeNode,
     tmp_path: Path,
     capsys: pytest.CaptureFixture[str],
     content: str,
@@ -160,8 +160,8 @@
     assert expected in capsys.readouterr().err
 
 
-def test_diff_names_only_fields_that_differ(
-    node: NodeStandIn,
+def test_diff_lists_only_fields_that_differ(
+    node: FakeNode,
     rule_file: Path,
     capsys: pytest.CaptureFixture[str],
 ) -> None:
@@ -174,7 +174,7 @@
 
 
 def test_apply_waits_until_every_node_enforces(
-    node: NodeStandIn, rule_file: Path, capsys: pytest.CaptureFixture[str]
+    node: FakeNode, rule_file: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     arguments = ["apply", str(rule_file), "--platform-url", "http://p", "--wait"]
     assert main(arguments) == ExitCode.OK
@@ -186,7 +186,7 @@
 
 
 def test_apply_writes_nothing_that_is_not_valid(
-    node: NodeStandIn, tmp_path: Path, capsys: pytest.CaptureFixture[str]
+    node: FakeNode, tmp_path: Path, capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = write_rule(tmp_path, "gone", 7)
     assert main(["apply", str(path), "--platform-url", "http://p"]) == ExitCode.NEGATIVE
@@ -194,14 +194,14 @@
     assert node.store.current.revision == 1
 
 
-def test_apply_reports_a_platform_that_does_not_answer(node: NodeStandIn, rule_file: Path) -> None:
+def test_apply_reports_a_platform_that_does_not_answer(node: FakeNode, rule_file: Path) -> None:
     node.write_error = "connection refused"
     arguments = ["apply", str(rule_file), "--platform-url", "http://p"]
     assert main(arguments) == ExitCode.UNREACHABLE
 
 
 def test_get_and_nodes_show_what_is_wrong(
-    node: NodeStandIn, capsys: pytest.CaptureFixture[str]
+    node: FakeNode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     bad = resource(Kind.TENANT, "rival", 2, weight=0)
     node.store.offer(document(2, *small_deployment()[:1], *small_deployment()[2:], bad))
@@ -218,7 +218,7 @@
 
 
 def test_watch_prints_events_and_how_to_resume(
-    node: NodeStandIn, capsys: pytest.CaptureFixture[str]
+    node: FakeNode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     assert main(["watch", "Tenant"]) == ExitCode.UNREACHABLE
     captured = capsys.readouterr()
@@ -236,19 +236,17 @@
         ("failed", ExitCode.QUERY_FAILED),
     ],
 )
-def test_query_tells_the_outcome_by_its_exit_code(
-    node: NodeStandIn, outcome: str, code: ExitCode
-) -> None:
+def test_query_exit_code_shows_the_outcome(node: FakeNode, outcome: str, code: ExitCode) -> None:
     node.outcome = json.dumps({"query_id": "q", "outcome": outcome}).encode()
     assert main(["query", "search.rows", "search", "--match", "a=b"]) == code
     assert main(["query", "search.rows", "search", "--match", "a"]) == ExitCode.USAGE
 
 
 @pytest.mark.parametrize("shell", ["bash", "zsh"])
-def test_completion_knows_every_subcommand(shell: str, capsys: pytest.CaptureFixture[str]) -> None:
+def test_completion_includes_subcommands(shell: str, capsys: pytest.CaptureFixture[str]) -> None:
     assert main(["completion", shell]) == ExitCode.OK
     assert "check-settings" in capsys.readouterr().out
 
 
-def test_a_node_that_is_not_there_is_unreachable(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_unreachable_node_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
     assert main(["get", "--node-url", "http://127.0.0.1:1"]) == ExitCode.UNREACHABLE
--- a/tests/functional/node/test_configuration_exchange.py
+++ b/tests/functional/node/test_configuration_exchange.py
@@ -107,7 +107,9 @@
     run(scenario)
 
 
-def test_sides_of_a_cut_converge_when_joined(run: Callable[[Scenario], None]) -> None:
+def test_partitioned_nodes_converge_after_the_partition_heals(
+    run: Callable[[Scenario], None],
+) -> None:
     async def scenario() -> None:
         tier = Tier(size=8)
         ports = range(1, 9)
@@ -146,7 +148,7 @@
     run(scenario)
 
 
-def test_a_starting_node_gets_past_peers_that_it_cannot_reach(
+def test_a_starting_node_skips_unreachable_peers(
     run: Callable[[Scenario], None],
 ) -> None:
     async def scenario() -> None:
@@ -181,14 +183,14 @@
     run(scenario)
 
 
-def test_an_update_without_its_digest_changes_nothing(
+def test_an_update_with_a_wrong_header_changes_nothing(
     run: Callable[[Scenario], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def scenario() -> None:
         tier = Tier(size=2)
         tier.nodes[0].store.offer(document(1, tenant("a")))
-        lying = StateHeader(9, b"x", b"y")
-        monkeypatch.setattr(tier.nodes[0].replica, "header", lambda: lying)
+        false_header = StateHeader(9, b"x", b"y")
+        monkeypatch.setattr(tier.nodes[0].replica, "header", lambda: false_header)
         await asyncio.sleep(5)
         assert tier.nodes[1].store.current.revision == 0
         tier.stop()
@@ -197,7 +199,7 @@
 
 
 @given(st.binary(max_size=200))
-def test_decoders_refuse_what_is_no_message(payload: bytes) -> None:
+def test_decoders_reject_malformed_messages(payload: bytes) -> None:
     for decode in (decode_notice, decode_request, decode_answer):
         try:
             decode(payload)
@@ -210,7 +212,7 @@
     st.frozensets(st.integers(0, 300), max_size=4),
     st.integers(0, 2**64 - 1),
 )
-def test_a_false_update_is_refused_as_a_whole(
+def test_an_update_with_a_wrong_digest_is_rejected_whole(
     entries: list[bytes], buckets: frozenset[int], revision: int
 ) -> None:
     store = ConfigurationStore()
--- a/tests/functional/node/test_connection_pool.py
+++ b/tests/functional/node/test_connection_pool.py
@@ -37,7 +37,7 @@
     asyncio.run(run())
 
 
-def test_no_more_connections_than_the_maximum_and_waiting_is_not_sent() -> None:
+def test_connections_stay_within_the_maximum_and_waiting_calls_are_unsent() -> None:
     async def scenario(transport: HttpBackendTransport, port: int, model: BackendModel) -> None:
         replies: list[BackendReply] = []
         calls = [call_to(port, number) for number in range(12)]
@@ -60,16 +60,16 @@
 
 def test_a_waiting_call_takes_the_place_of_a_cancelled_one() -> None:
     async def scenario(transport: HttpBackendTransport, port: int, model: BackendModel) -> None:
-        stuck, waiting = call_to(port, 1), call_to(port, 2)
-        stuck.max_connections = waiting.max_connections = 1
-        transport.start(stuck, lambda *_: pytest.fail("a cancelled call was answered"))
+        unanswered, waiting = call_to(port, 1), call_to(port, 2)
+        unanswered.max_connections = waiting.max_connections = 1
+        transport.start(unanswered, lambda *_: pytest.fail("a cancelled call was answered"))
         while not model.running:
             await asyncio.sleep(0)
         model.behaviour.service_median_s = 0.0
         reply = asyncio.ensure_future(exchange(transport, waiting))
         await asyncio.sleep(0)
         assert not waiting.may_have_left
-        transport.cancel(stuck)
+        transport.cancel(unanswered)
         assert isinstance(await reply, Answered)
 
     run_against(BackendBehaviour(service_median_s=3600.0), scenario)
@@ -127,7 +127,7 @@
     asyncio.run(scenario())
 
 
-def test_calls_of_a_closing_node_are_told_that_they_were_not_sent() -> None:
+def test_waiting_calls_of_a_closed_transport_are_reported_as_not_sent() -> None:
     async def scenario(transport: HttpBackendTransport, port: int, model: BackendModel) -> None:
         reply = asyncio.ensure_future(exchange(transport, call_to(port)))
         await asyncio.sleep(0)
@@ -149,7 +149,7 @@
         return self.context
 
 
-def test_answers_larger_than_the_buffer_arrive_whole_in_clear_and_over_tls(
+def test_answers_larger_than_the_buffer_arrive_whole_with_and_without_tls(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     authority = trustme.CA()
--- a/tests/functional/node/test_node_configuration.py
+++ b/tests/functional/node/test_node_configuration.py
@@ -38,7 +38,7 @@
 
 
 @dataclass
-class PlatformOf:
+class PlatformOfNode:
     """The platform as seen by one node."""
 
     platform: FakePlatform
@@ -71,18 +71,18 @@
         )
         self.platform = FakePlatform(document(4, tenant("a")), members)
         self.nodes: dict[str, Node] = {}
-        self.slept_s = 0.0
+        self.paused_s = 0.0
 
     async def start(self, name: str, **more: str) -> Node:
         loop = asyncio.get_running_loop()
         port = self.ports[name]
         environment = Environment(
             timers=loop,
-            wall_clock=lambda: 1e9 + loop.time() + self.slept_s,
+            wall_clock=lambda: 1e9 + loop.time() + self.paused_s,
             random=random.Random(port),
             backends=RecordingTransport(),
             peers=self.network.transport(port),
-            platform=PlatformOf(self.platform, name),
+            platform=PlatformOfNode(self.platform, name),
         )
         settings = NodeSettings(
             name=name,
@@ -108,14 +108,14 @@
 
 
 def run(scenario: Scenario, size: int = 3) -> None:
-    async def whole() -> None:
+    async def run_scenario() -> None:
         tier = Tier(size)
         await scenario(tier)
         await tier.stop()
 
     loop = async_solipsism.EventLoop()
     try:
-        loop.run_until_complete(whole())
+        loop.run_until_complete(run_scenario())
     finally:
         loop.close()
 
@@ -124,7 +124,7 @@
     return {name: node.configuration().revision for name, node in tier.nodes.items()}
 
 
-def test_every_node_says_what_each_enforces() -> None:
+def test_every_node_knows_the_enforced_revision_of_each() -> None:
     async def scenario(tier: Tier) -> None:
         await asyncio.gather(*(tier.start(name) for name in tier.ports))
         tier.platform.down_for = {"n1", "n2"}
@@ -132,8 +132,8 @@
         await asyncio.sleep(5)
         assert revisions(tier) == {"n0": 5, "n1": 5, "n2": 5}
         for node in tier.nodes.values():
-            heard = {one.name: one.revision for one in node.node_revisions()}
-            assert heard == {"n0": 5, "n1": 5, "n2": 5}
+            known = {one.name: one.revision for one in node.node_revisions()}
+            assert known == {"n0": 5, "n1": 5, "n2": 5}
 
     run(scenario)
 
@@ -149,7 +149,7 @@
     run(scenario)
 
 
-def test_a_restored_platform_reverts_nobody_and_shows_as_behind() -> None:
+def test_a_restored_platform_reverts_no_node_and_is_reported_as_behind() -> None:
     async def scenario(tier: Tier) -> None:
         await asyncio.gather(tier.start("n0"), tier.start("n1"))
         tier.platform.current = document(2, tenant("a", 1, weight=9))
@@ -161,7 +161,7 @@
     run(scenario)
 
 
-def test_a_reused_revision_is_noticed_settled_alike_and_shown() -> None:
+def test_a_reused_revision_is_detected_reported_and_resolved_alike() -> None:
     async def scenario(tier: Tier) -> None:
         await asyncio.gather(*(tier.start(name) for name in tier.ports))
         tier.platform.current = document(4, tenant("a", 1, weight=9))
@@ -176,16 +176,16 @@
 def test_a_paused_node_catches_up_at_once() -> None:
     async def scenario(tier: Tier) -> None:
         await asyncio.gather(*(tier.start(name) for name in tier.ports))
-        sleeper = tier.nodes["n2"]
+        paused_node = tier.nodes["n2"]
         own = tier.ports["n2"]
         tier.network.cut = {frozenset((own, port)) for port in tier.ports.values() if port != own}
         tier.platform.down_for = {"n2"}
         tier.platform.current = document(6, tenant("a", 2))
         await asyncio.sleep(30)
-        assert sleeper.configuration().revision == 4
+        assert paused_node.configuration().revision == 4
         tier.network.cut.clear()
-        tier.slept_s += 30.0
+        tier.paused_s += 30.0
         await asyncio.sleep(0.5)
-        assert sleeper.configuration().revision == 6
+        assert paused_node.configuration().revision == 6
 
     run(scenario)
--- a/tests/functional/node/test_platform_client.py
+++ b/tests/functional/node/test_platform_client.py
@@ -30,7 +30,7 @@
 
 
 def run(scenario: Scenario) -> None:
-    async def whole() -> None:
+    async def run_scenario() -> None:
         member = PlatformMember("n1", "z", "r", "127.0.0.1", 1)
         state = PlatformState(
             document(3, *(tenant(f"t{n}") for n in range(50))), MemberList(1, (member,))
@@ -47,7 +47,7 @@
             server.should_exit = True
             await serving
 
-    asyncio.run(whole())
+    asyncio.run(run_scenario())
 
 
 def test_unchanged_resources_and_members_are_not_sent_again() -> None:
@@ -77,7 +77,7 @@
     run(scenario)
 
 
-def test_a_batch_is_one_revision_and_a_repeated_one_is_none() -> None:
+def test_a_batch_is_one_revision_and_a_repeated_batch_adds_none() -> None:
     async def scenario(url: str, state: PlatformState) -> None:
         writer = PlatformWriter(url)
         write = ResourceWrite("Tenant", "new", msgspec.Raw(b'{"weight":2}'))
--- a/tests/functional/node/test_serve.py
+++ b/tests/functional/node/test_serve.py
@@ -39,8 +39,8 @@
 from tinrudder_lab.platform_server import PlatformState, build_app
 
 SERVICE = "finance"
-SERVICE_S = 0.03
-HELD_FACTOR = 10.0
+SERVICE_TIME_S = 0.03
+SLOWDOWN = 10.0
 """Factor on the service time of back ends, which makes it 0.3 s: no query may end before three are
 relayed, even if six handshakes are slow on a busy machine."""
 TIMEOUT_S = 20.0
@@ -157,7 +157,7 @@
         text = (self.directory / f"{node}.log").read_bytes()
         return any(b'"member changed"' in line and b'"alive"' in line for line in text.splitlines())
 
-    def slow_down(self, factor: float) -> None:
+    def set_slowdown(self, factor: float) -> None:
         """Set the slowdown of back ends for calls that arrive from now on."""
         for model in self.models:
             model.behaviour.slowdown = factor
@@ -198,7 +198,7 @@
     for raw in deployment.resources:
         spec = deployment.backends.get(raw.name) if raw.kind == Kind.BACKEND.value else None
         if spec is not None and spec.service == SERVICE:
-            behaviour = BackendBehaviour(slots=spec.slots, service_median_s=SERVICE_S)
+            behaviour = BackendBehaviour(slots=spec.slots, service_median_s=SERVICE_TIME_S)
             model = BackendModel(raw.name, loop, random.Random(1), ShardStore(), behaviour)
             cluster.models.append(model)
             servers.append(await serve_model(model, LOOPBACK, 0))
@@ -236,14 +236,14 @@
 
 
 @pytest.mark.parametrize("signals", [1, 2])
-def test_planned_stop_of_every_node_cuts_off_nothing(tmp_path: Path, signals: int) -> None:
+def test_planned_stop_of_every_node_interrupts_no_query(tmp_path: Path, signals: int) -> None:
     async def scenario() -> None:
         async with running_cluster(tmp_path) as cluster:
-            cluster.slow_down(HELD_FACTOR)
+            cluster.set_slowdown(SLOWDOWN)
             queries = [asyncio.create_task(cluster.query(node)) for node in ("a", "b") * 3]
             await cluster.wait_for_relayed(3)
             assert not any(query.done() for query in queries)
-            cluster.slow_down(1.0)
+            cluster.set_slowdown(1.0)
             for _ in range(signals):
                 for process in cluster.processes.values():
                     process.send_signal(signal.SIGTERM)
--- a/tests/unit/node/test_backend_connection.py
+++ b/tests/unit/node/test_backend_connection.py
@@ -117,7 +117,7 @@
 
 
 @given(st.integers(0, len(ok()) - 1))
-def test_a_cut_answer_is_broken(length: int) -> None:
+def test_a_truncated_answer_is_broken(length: int) -> None:
     harness = Harness()
     harness.send()
     harness.receive(ok()[:length])
@@ -204,7 +204,7 @@
     assert harness.transport.closed and not harness.free
 
 
-def test_a_back_end_that_never_ends_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endless_answer_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_module, "MAX_ANSWER_BYTES", 10_000)
     for endless in (b"HTTP/1.1 200 X\r\n" + b"A: b\r\n" * 5000, http(200, b" " * 20_000)[:-1]):
         harness = Harness()
--- a/tests/unit/node/test_node_observations.py
+++ b/tests/unit/node/test_node_observations.py
@@ -30,7 +30,7 @@
         node, endpoint = self.cluster.nodes[name], self.cluster.endpoints[name]
         return NodeObservations(endpoint, random.Random(name), self.tables[name], node)
 
-    def leaving(self) -> set[bool]:
+    def leaving_states(self) -> set[bool]:
         return {table.get("b1").leaving for table in self.tables.values()}
 
     def see_draining(self, name: str) -> None:
@@ -47,10 +47,10 @@
     return Fleet()
 
 
-def test_no_node_sends_there_after_three_seconds(fleet):
+def test_all_nodes_mark_a_draining_back_end_within_three_seconds(fleet):
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(3)
-    assert fleet.leaving() == {True}
+    assert fleet.leaving_states() == {True}
 
 
 def test_a_new_configuration_does_not_make_it_usable_again(fleet):
@@ -58,49 +58,49 @@
     fleet.cluster.timers.advance(3)
     for table in fleet.tables.values():
         table.update(SPECS)
-    assert fleet.leaving() == {True}
+    assert fleet.leaving_states() == {True}
 
 
-def test_a_node_that_joins_later_is_told(fleet):
+def test_a_node_that_joins_later_learns_of_a_draining_back_end(fleet):
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(20)
     fleet.cluster.add("late").start([fleet.cluster.address("n001")])
     fleet.tables["late"] = BackendTable()
     fleet.observers["late"] = fleet.observe("late")
     fleet.cluster.timers.advance(3)
-    assert fleet.leaving() == {True}
+    assert fleet.leaving_states() == {True}
 
 
-def test_an_answer_to_an_earlier_call_proves_nothing(fleet):
+def test_an_answer_to_an_earlier_call_keeps_the_mark(fleet):
     fleet.see_draining("n003")
     fleet.see_ordinary_answer("n003", fleet.cluster.timers.now - 0.01)
     fleet.cluster.timers.advance(3)
-    assert fleet.leaving() == {True}
+    assert fleet.leaving_states() == {True}
 
 
-def test_an_answer_to_a_later_call_takes_the_sign_back_everywhere(fleet):
+def test_an_answer_to_a_later_call_clears_the_mark_on_all_nodes(fleet):
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(3)
     fleet.see_ordinary_answer("n011", fleet.cluster.timers.now - 1)
     fleet.cluster.timers.advance(3)
-    assert fleet.leaving() == {False}
+    assert fleet.leaving_states() == {False}
 
 
-def test_own_newer_observation_outweighs_what_is_heard():
+def test_own_newer_observation_overrides_a_received_one():
     fleet = Fleet(4, loss=0.0)
     fleet.tables["n000"].get("b1").ordinary_sent_at = fleet.cluster.timers.now + 1
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(3)
-    assert fleet.leaving() == {False}
+    assert fleet.leaving_states() == {False}
 
 
-def test_a_sign_ends_when_nobody_repeats_it(fleet):
+def test_a_drain_sign_expires_unless_renewed(fleet):
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(LONGEST_HOLD_S + 2)
-    assert fleet.leaving() == {False}
+    assert fleet.leaving_states() == {False}
 
 
-def test_the_configuration_s_word_outlasts_a_sign(fleet):
+def test_a_configured_draining_state_outlasts_a_drain_sign(fleet):
     fleet.see_draining("n003")
     spec = BackendSpec(
         service="s", host="10.0.0.2", port=1, zone="z", slots=2, state=BackendState.DRAINING
@@ -108,4 +108,4 @@
     for table in fleet.tables.values():
         table.update({"b1": spec})
     fleet.cluster.timers.advance(LONGEST_HOLD_S + 2)
-    assert fleet.leaving() == {True}
+    assert fleet.leaving_states() == {True}
--- a/tests/unit/node/test_relay_codec.py
+++ b/tests/unit/node/test_relay_codec.py
@@ -38,12 +38,12 @@
 
 
 @given(st.builds(RelayedQuery, REQUESTS, FLOAT, FLOAT, st.booleans()))
-def test_query_survives(query: RelayedQuery) -> None:
+def test_query_round_trip(query: RelayedQuery) -> None:
     assert decode_query(encode_query(query)) == query
 
 
 @given(st.from_type(Outcome))
-def test_outcome_survives(outcome: Outcome) -> None:
+def test_outcome_round_trip(outcome: Outcome) -> None:
     assert decode_outcome(encode_outcome(outcome)) == outcome
 
 
@@ -73,9 +73,9 @@
 
 @given(REQUESTS)
 def test_oversized_query_is_refused(request: QueryRequest) -> None:
-    long = replace(request, match={"field": "x" * MAX_REQUEST_BYTES})
+    oversized = replace(request, match={"field": "x" * MAX_REQUEST_BYTES})
     with pytest.raises(RelayCodecError, match="at most"):
-        encode_query(RelayedQuery(long, 1.0, 0.0))
+        encode_query(RelayedQuery(oversized, 1.0, 0.0))
 
 
 def test_oversized_outcome_is_refused_both_ways() -> None:
--- a/tests/unit/node/test_settings.py
+++ b/tests/unit/node/test_settings.py
@@ -22,7 +22,7 @@
     return path
 
 
-def test_flags_go_before_the_file(tmp_path: Path) -> None:
+def test_flags_override_the_file(tmp_path: Path) -> None:
     settings = load_settings(write(tmp_path, GOOD), {"zone": "b"})
     assert (settings.name, settings.zone) == ("n1", "b")
 
