--- a/tinrudder/node/backends/connection.py
+++ b/tinrudder/node/backends/connection.py
@@ -77,7 +77,7 @@
         assert self._transport is not None
         self._call = call
         self._listener = listener
-        call.carrier = self
+        call.transport_state = self
         call.may_have_left = True
         body = _encoder.encode(call.request)
         self._transport.write(b"%b%d\r\n\r\n%b" % (self._owner.request_head, len(body), body))
@@ -165,7 +165,7 @@
         """Return the connection to the pool or close it, then report the reply."""
         call, listener = self._call, self._listener
         assert call is not None and listener is not None
-        call.carrier = None
+        call.transport_state = None
         if reusable:
             self._call = None
             self._listener = None
--- a/tinrudder/node/backends/connection_pool.py
+++ b/tinrudder/node/backends/connection_pool.py
@@ -75,7 +75,7 @@
                 return
         call.may_have_left = False
         waiting = WaitingCall(call, listener)
-        call.carrier = waiting
+        call.transport_state = waiting
         self._waiting.append(waiting)
         self._max_connections = call.max_connections
         self._open_missing()
@@ -85,12 +85,12 @@
 
         HTTP/1.1 has no other way to cancel, and closing ensures that no later call gets the answer.
         """
-        carrier = call.carrier
-        call.carrier = None
-        if isinstance(carrier, WaitingCall):
-            carrier.cancelled = True
-        elif isinstance(carrier, BackendConnection):
-            carrier.abort()
+        transport_state = call.transport_state
+        call.transport_state = None
+        if isinstance(transport_state, WaitingCall):
+            transport_state.cancelled = True
+        elif isinstance(transport_state, BackendConnection):
+            transport_state.abort()
 
     def release_connection(self, connection: BackendConnection) -> None:
         """Give a free connection to the oldest waiting call, or keep it as idle."""
@@ -167,5 +167,5 @@
     def _report_not_sent(self, waiting: WaitingCall, detail: str) -> None:
         """Report a call as not sent, in the next iteration of the event loop."""
         waiting.cancelled = True
-        waiting.call.carrier = None
+        waiting.call.transport_state = None
         self._loop.call_soon(waiting.listener, waiting.call, NotSent(detail))
--- a/tinrudder/node/backends/messages.py
+++ b/tinrudder/node/backends/messages.py
@@ -82,7 +82,7 @@
         transport that is certain that none have clears it.
     :param may_leave: called by the transport immediately before it writes the call; if it returns
         false, the reply is :class:`NotSent`.
-    :param carrier: private to the transport: the queue entry or connection that holds the call.
+    :param transport_state: private to the transport: the queue entry or connection of the call.
     """
 
     call_id: int
@@ -95,7 +95,7 @@
     max_connections: int = DEFAULT_MAX_CONNECTIONS
     may_have_left: bool = True
     may_leave: Callable[[], bool] | None = None
-    carrier: object = None
+    transport_state: object = None
 
 
 @dataclass(frozen=True, slots=True)
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -82,10 +82,10 @@
             timers, self._environment.backends, queue, LeastLoadedReplica(), AdaptiveLimit(), usage
         )
         self.backends.on_update = self._apply_shares
-        source = self._environment.random
-        admission = ExpectedWaitAdmission(queue, source)
-        self._gate = AdmissionGate(timers, admission, usage, self.configuration, source)
-        self.routing = RoutingTable(timers.time, source)
+        generator = self._environment.random
+        admission = ExpectedWaitAdmission(queue, generator)
+        self._gate = AdmissionGate(timers, admission, usage, self.configuration, generator)
+        self.routing = RoutingTable(timers.time, generator)
         self._planner = Planner(timers, self.configuration, self.backends, self.routing)
         self.coordinator = Coordinator(timers, self.dispatcher, self._planner, self._gate)
 
--- a/tinrudder/node/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -15,7 +15,7 @@
 from tinrudder.node.decisions.drain_signs import OWN_MARGIN_S, DrainSigns
 from tinrudder.timers import TimerHandle, Timers
 
-RECHECK_INTERVAL_S = 1.0
+SIGN_CHECK_INTERVAL_S = 1.0
 """Seconds between checks for expired drain signs; they last 60 to 120 s."""
 
 
@@ -25,7 +25,7 @@
     def __init__(
         self,
         timers: Timers,
-        source: random.Random,
+        generator: random.Random,
         backends: BackendTable,
         membership: Membership,
     ) -> None:
@@ -33,7 +33,7 @@
         self._timers = timers
         self._backends = backends
         self._membership = membership
-        self._drain_signs = DrainSigns(source)
+        self._drain_signs = DrainSigns(generator)
         self._timer: TimerHandle | None = None
         membership.on_observation(self._on_observation)
 
@@ -62,27 +62,27 @@
                 return
             self._mark_draining(backend, observed_at, observation.origin)
 
-    def _mark_draining(self, backend: BackendRecord, signed_at: float, origin: str) -> None:
+    def _mark_draining(self, backend: BackendRecord, observed_at: float, origin: str) -> None:
         if not backend.drain_signed:
             log_event("back end leaving", {"backend": backend.name, "seen_by": origin})
-        self._drain_signs.add(backend.name, signed_at)
+        self._drain_signs.add(backend.name, observed_at)
         backend.drain_signed = True
         backend.leaving = True
-        self._schedule_recheck()
+        self._schedule_sign_check()
 
     def _clear_draining(self, name: str) -> None:
         self._drain_signs.remove(name)
         self._backends.end_drain_sign(name)
 
-    def _schedule_recheck(self) -> None:
+    def _schedule_sign_check(self) -> None:
         """Schedule the next check for expired signs unless one is scheduled."""
         if self._timer is None:
-            due = self._timers.time() + RECHECK_INTERVAL_S
-            self._timer = self._timers.call_at(due, self._recheck)
+            due = self._timers.time() + SIGN_CHECK_INTERVAL_S
+            self._timer = self._timers.call_at(due, self._clear_expired_signs)
 
-    def _recheck(self) -> None:
+    def _clear_expired_signs(self) -> None:
         self._timer = None
         for name in self._drain_signs.due(self._timers.time()):
             self._clear_draining(name)
         if self._drain_signs:
-            self._schedule_recheck()
+            self._schedule_sign_check()
