--- a/tests/unit/node/test_backend_connection.py
+++ b/tests/unit/node/test_backend_connection.py
@@ -1,4 +1,8 @@
-"""One back-end connection under split, cut, garbled, oversized and foreign answers."""
+"""A back-end connection that receives split, truncated, garbled, oversized or mismatched answers.
+
+Guards against an answer that is delivered twice or to the wrong call, and against reuse of a
+connection with unread bytes.
+"""
 
 from __future__ import annotations
 
@@ -59,10 +63,10 @@
         self.connection = BackendConnection(self)
         self.connection.connection_made(self.transport)
 
-    def connection_free(self, connection: BackendConnection) -> None:
+    def release_connection(self, connection: BackendConnection) -> None:
         self.free.append(connection)
 
-    def connection_closed(self, connection: BackendConnection) -> None:
+    def remove_connection(self, connection: BackendConnection) -> None:
         self.closed.append(connection)
 
     def send(self, call_id: int = 7) -> BackendCall:
@@ -73,7 +77,7 @@
         return call
 
     def receive(self, data: bytes) -> None:
-        """Deliver as asyncio does: nothing more once the transport is closed."""
+        """Deliver data like asyncio: in parts of the buffer's size, none after a close."""
         for start in range(0, len(data), READ_BUFFER_BYTES):
             part = data[start : start + READ_BUFFER_BYTES]
             if self.transport.closed:
@@ -113,7 +117,7 @@
 
 
 @given(st.integers(0, len(ok()) - 1))
-def test_a_cut_answer_is_broken(length: int) -> None:
+def test_a_truncated_answer_is_broken(length: int) -> None:
     harness = Harness()
     harness.send()
     harness.receive(ok()[:length])
@@ -200,7 +204,7 @@
     assert harness.transport.closed and not harness.free
 
 
-def test_a_back_end_that_never_ends_is_cut_off(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_endless_answer_closes_the_connection(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection_module, "MAX_ANSWER_BYTES", 10_000)
     for endless in (b"HTTP/1.1 200 X\r\n" + b"A: b\r\n" * 5000, http(200, b" " * 20_000)[:-1]):
         harness = Harness()
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -1,4 +1,7 @@
-"""One node: wires the parts together and walks them through their lifecycle."""
+"""One node: wires its parts together and runs their lifecycle.
+
+Owns start, planned leave, drain and stop of a node.
+"""
 
 from __future__ import annotations
 
@@ -39,15 +42,15 @@
 from tinrudder.node.settings import NodeSettings
 from tinrudder.node.wire.channels import Channel, ChannelRouter
 
-DRAIN_CHECK_S = 0.02
-"""Seconds between looks at what is still in progress while a planned stop drains."""
+DRAIN_POLL_INTERVAL_S = 0.02
+"""Seconds between checks for requests in progress while a planned stop drains."""
 REFUSAL_LINGER_S = 0.2
-"""Seconds for which a drained node still answers, so that refusals and last outcomes leave its
-sockets.  Chosen, not measured."""
+"""Seconds for which a drained node keeps its sockets open, so that refusals and the last outcomes
+are written out."""
 
 
 class Node:
-    """All parts of a node that do not listen for callers."""
+    """All parts of a node except the HTTP listener for callers."""
 
     def __init__(self, settings: NodeSettings, environment: Environment) -> None:
         """Build the parts; nothing runs before :meth:`start`."""
@@ -56,38 +59,38 @@
         self.backends = BackendTable()
         self.channels = ChannelRouter(environment.peers)
         self.coordinator_sets = CoordinatorSets(settings.name)
-        self._held_sets = CoordinatorSets(settings.name)
+        self._sets_as_alive = CoordinatorSets(settings.name)
         self._environment = environment
         self.members = NodeMembership(settings, environment, self.channels, self.on_view_changed)
         self._view = self.members.membership.view()
         self.node_configuration = NodeConfiguration(
-            settings, environment, self.channels, self.view, self._follow_members
+            settings, environment, self.channels, self.view, self._update_coordinators
         )
         self.configuration_store = self.node_configuration.store
         self._build_coordinator()
         self._build_relay()
         self._build_operations()
-        self._connect_membership()
+        self._subscribe_to_membership()
         self._tasks: list[asyncio.Task[None]] = []
 
     def _build_coordinator(self) -> None:
-        """Build queue, limits, admission and the coordinator on top of them."""
+        """Build the queue, limits, admission control and the coordinator that uses them."""
         timers = self._environment.timers
         queue = StartTimeFairQueue(timers.time)
         usage = TenantUsageTable()
         self.dispatcher = Dispatcher(
             timers, self._environment.backends, queue, LeastLoadedReplica(), AdaptiveLimit(), usage
         )
-        self.backends.on_update = self._follow_shares
-        source = self._environment.random
-        admission = ExpectedWaitAdmission(queue, source)
-        self._gate = AdmissionGate(timers, admission, usage, self.configuration, source)
-        self.routing = RoutingTable(timers.time, source)
+        self.backends.on_update = self._apply_shares
+        generator = self._environment.random
+        admission = ExpectedWaitAdmission(queue, generator)
+        self._gate = AdmissionGate(timers, admission, usage, self.configuration, generator)
+        self.routing = RoutingTable(timers.time, generator)
         self._planner = Planner(timers, self.configuration, self.backends, self.routing)
         self.coordinator = Coordinator(timers, self.dispatcher, self._planner, self._gate)
 
     def _build_relay(self) -> None:
-        """Build both ends of the relay and the entry on top of them."""
+        """Build the relay's client and server and the entry that uses them."""
         timers = self._environment.timers
         channel = self.channels.channel(Channel.RELAY)
         self._ranking = CoordinatorRanking(self.settings.name, self.settings.zone, timers)
@@ -112,21 +115,22 @@
         )
 
     async def _run_relayed(self, request: QueryRequest, forwarded: bool) -> Outcome:
-        """Run a relayed query; a node that leaves finishes here what still comes to it."""
+        """Run a relayed query; a leaving node runs it locally instead of relaying it again."""
         return await self.entry.run_relayed(request, forwarded or self.lifecycle.is_stopping())
 
     def _accepts_relays(self) -> bool:
-        """Tell whether relayed queries are served.
+        """Return whether relayed queries are served.
 
-        The others see a node as soon as it joins, a moment before it is ready for callers.
+        Peers see a node as soon as it joins, shortly before it is ready for callers, so relays are
+        served from then on.
         """
         has_configuration = self.configuration().revision > 0
         return has_configuration and (
             self.lifecycle.is_before_ready() or self.lifecycle.accepts_work()
         )
 
-    def _connect_membership(self) -> None:
-        """Let configuration and back-end observations use what members tell each other."""
+    def _subscribe_to_membership(self) -> None:
+        """Connect membership events to the configuration exchange and back-end observations."""
         membership = self.members.membership
         timers = self._environment.timers
         self.dispatcher.drain_listener = NodeObservations(
@@ -143,11 +147,11 @@
         membership.pause_detector.subscribe(lambda _: self.node_configuration.refresh_soon())
 
     def node_revisions(self) -> tuple[NodeRevision, ...]:
-        """Return which revision every member is known to enforce."""
+        """Return the last known enforced revision of every member that is not dead."""
         return self.members.node_revisions()
 
     def _build_operations(self) -> None:
-        """Build claims and the runner of operations that must not be repeated."""
+        """Build the claims service and the runner of at-most-once operations."""
         self.claims = NodeClaims(self.settings, self._environment, self.channels)
         self.operations = OperationRunner(
             self._environment.timers,
@@ -166,39 +170,39 @@
         return self.configuration_store.current
 
     def view(self) -> MemberView:
-        """Return what this node believes of the members."""
+        """Return this node's view of the members."""
         return self._view
 
     @property
     def in_progress(self) -> int:
-        """Return how many requests this node has not finished, relayed queries included."""
+        """Return the number of unfinished requests on this node, including relayed queries."""
         queries = max(self.coordinator.in_progress, self.relay_server.in_progress)
         return queries + self.operations.in_progress
 
     async def start(self) -> None:
-        """Learn members and configuration from whoever answers, then keep following them."""
+        """Fetch members and configuration from the platform and peers, then poll the platform."""
         self.claims.service.start()
         await self._poll_members()
         await self.members.start()
         await self.node_configuration.start()
-        self._tasks.append(asyncio.create_task(self._follow_platform()))
+        self._tasks.append(asyncio.create_task(self._poll_platform()))
         self.lifecycle.serve()  # type: ignore[attr-defined]
         log_event("serving", {"revision": self.configuration().revision})
 
     async def leave(self) -> None:
-        """Announce the stop and go on serving until others have had time to notice."""
+        """Announce the stop and keep serving for the grace period so that peers can notice."""
         self.lifecycle.leave()  # type: ignore[attr-defined]
         self.members.leave()
         log_event("leaving", {"in_progress": self.in_progress})
         await asyncio.sleep(self.settings.stop_grace_s)
 
     async def stop(self) -> None:
-        """Refuse new work, finish what is in progress, then end."""
+        """Refuse new work, wait for requests in progress, then stop every part."""
         self.lifecycle.drain()  # type: ignore[attr-defined]
         log_event("draining", {"in_progress": self.in_progress})
         deadline = self._environment.timers.time() + self.settings.stop_timeout_s
         while self.in_progress and self._environment.timers.time() < deadline:
-            await asyncio.sleep(DRAIN_CHECK_S)
+            await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
         await asyncio.sleep(REFUSAL_LINGER_S)
         self.node_configuration.stop()
         for task in self._tasks:
@@ -219,54 +223,54 @@
         log_event("stopped", fields)
 
     def on_view_changed(self, view: MemberView) -> None:
-        """Take a new view of the members; coordinator sets and slot shares follow it."""
+        """Apply a new view of the members to the coordinator sets and slot shares."""
         is_stopping = self.lifecycle.is_stopping()
-        self._view = self._with_ourselves(view, MemberStatus.LEAVING) if is_stopping else view
+        self._view = self._with_own_status(view, MemberStatus.LEAVING) if is_stopping else view
         self._ranking.keep_only(self._view.by_name)
-        self._follow_members()
+        self._update_coordinators()
 
-    def _with_ourselves(self, view: MemberView, status: MemberStatus) -> MemberView:
-        """Return the view with a status of our own choice for this node."""
+    def _with_own_status(self, view: MemberView, status: MemberStatus) -> MemberView:
+        """Return the view with ``status`` as the status of this node."""
         members = tuple(
             replace(member, status=status) if member.name == self.settings.name else member
             for member in view.members
         )
         return build_view(members, view.list_revision)
 
-    def _follow_shares(self) -> None:
-        """Let limits and waiting calls follow a new configuration or share."""
+    def _apply_shares(self) -> None:
+        """Apply new back-end shares to the dispatcher's limits and waiting calls."""
         for backend in self.backends.all_records():
             self.dispatcher.follow_share(backend)
 
-    def _follow_members(self) -> None:
-        """Bring coordinator sets and limits in step with members and configuration."""
+    def _update_coordinators(self) -> None:
+        """Recompute coordinator sets and limits from the current members and configuration."""
         configuration = self.configuration()
         self.coordinator_sets.update(self._view, configuration)
-        still_here = self._with_ourselves(self._view, MemberStatus.ALIVE)
-        self._held_sets.update(still_here, configuration)
+        view_as_alive = self._with_own_status(self._view, MemberStatus.ALIVE)
+        self._sets_as_alive.update(view_as_alive, configuration)
         self._update_shares()
 
     def _update_shares(self) -> None:
-        """Bring limits in step with the coordinators that this node can reach.
+        """Recompute limits from the coordinators that this node can reach.
 
-        A node that leaves keeps its shares for what it has and what still comes.
+        A leaving node keeps its shares for requests in progress and those that still arrive.
         """
         backends = self.configuration().backends
-        for sets in (self.coordinator_sets, self._held_sets):
+        for sets in (self.coordinator_sets, self._sets_as_alive):
             sets.pass_over(self._ranking.failed_names())
-        held = self._held_sets if self.lifecycle.is_stopping() else self.coordinator_sets
-        self.backends.update(backends, held.share, SLOT_HEADROOM)
-        self.backends.share_connections(backends, held.connections)
+        sets_in_use = self._sets_as_alive if self.lifecycle.is_stopping() else self.coordinator_sets
+        self.backends.update(backends, sets_in_use.share, SLOT_HEADROOM)
+        self.backends.share_connections(backends, sets_in_use.connections)
 
-    async def _follow_platform(self) -> None:
-        """Poll the platform until the node ends."""
+    async def _poll_platform(self) -> None:
+        """Poll the platform until the node stops."""
         while True:
             await asyncio.sleep(self.node_configuration.poll_delay_s())
             await self._poll_members()
             await self.node_configuration.poll()
 
     async def _poll_members(self) -> None:
-        """Fetch the list of machines; an unavailable platform changes nothing."""
+        """Fetch the list of machines; keep the current one while the platform is unavailable."""
         try:
             members = await self._environment.platform.fetch_members()
         except PlatformUnavailableError as error:
--- a/tinrudder/node/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -1,4 +1,7 @@
-"""Shares what a node sees of leaving back ends with the other nodes, and heeds what they say."""
+"""Exchanges observations of draining back ends with the other nodes.
+
+Owns the drain marks of a node's back-end records, set from own and received observations.
+"""
 
 from __future__ import annotations
 
@@ -12,8 +15,8 @@
 from tinrudder.node.decisions.drain_signs import OWN_MARGIN_S, DrainSigns
 from tinrudder.timers import TimerHandle, Timers
 
-RECHECK_INTERVAL_S = 1.0
-"""Seconds between looks for drain signs that have ended; they last 60 to 120 s."""
+SIGN_CHECK_INTERVAL_S = 1.0
+"""Seconds between checks for expired drain signs; they last 60 to 120 s."""
 
 
 class NodeObservations:
@@ -22,64 +25,64 @@
     def __init__(
         self,
         timers: Timers,
-        source: random.Random,
+        generator: random.Random,
         backends: BackendTable,
         membership: Membership,
     ) -> None:
-        """Mark the records of ``backends``; speak and listen through ``membership``."""
+        """Mark the records of ``backends``; publish and receive through ``membership``."""
         self._timers = timers
         self._backends = backends
         self._membership = membership
-        self._signs = DrainSigns(source)
+        self._drain_signs = DrainSigns(generator)
         self._timer: TimerHandle | None = None
         membership.on_observation(self._on_observation)
 
     def on_draining(self, backend: BackendRecord) -> None:
-        """A back end said that it is leaving."""
-        self._sign(backend, self._timers.time(), self._membership.own().name)
+        """Mark and publish a back end that answered that it is draining."""
+        self._mark_draining(backend, self._timers.time(), self._membership.own().name)
         self._membership.publish_observation(backend.name, ObservationKind.DRAINING)
 
     def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
-        """A back end held to be leaving answered as if it were not."""
-        if self._signs.refutes(backend.name, sent_at):
-            self._unsign(backend.name)
+        """Clear the drain mark if a normal answer to a call sent at ``sent_at`` refutes it."""
+        if self._drain_signs.refutes(backend.name, sent_at):
+            self._clear_draining(backend.name)
             self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
 
     def _on_observation(self, observation: Observation) -> None:
-        """Take another node's word, unless what we saw ourselves is newer."""
+        """Apply another node's observation unless an own observation is newer."""
         backend = self._backends.get(observation.backend)
         if backend is None:
             return
         observed_at = self._timers.time() - observation.age_s
         if observation.kind is ObservationKind.RECOVERED:
-            self._unsign(backend.name)
+            self._clear_draining(backend.name)
         elif observation.kind is ObservationKind.DRAINING:
             if backend.ordinary_sent_at > observed_at + OWN_MARGIN_S:
                 self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
                 return
-            self._sign(backend, observed_at, observation.origin)
+            self._mark_draining(backend, observed_at, observation.origin)
 
-    def _sign(self, backend: BackendRecord, signed_at: float, origin: str) -> None:
+    def _mark_draining(self, backend: BackendRecord, observed_at: float, origin: str) -> None:
         if not backend.drain_signed:
             log_event("back end leaving", {"backend": backend.name, "seen_by": origin})
-        self._signs.add(backend.name, signed_at)
+        self._drain_signs.add(backend.name, observed_at)
         backend.drain_signed = True
         backend.leaving = True
-        self._arm()
+        self._schedule_sign_check()
 
-    def _unsign(self, name: str) -> None:
-        self._signs.remove(name)
+    def _clear_draining(self, name: str) -> None:
+        self._drain_signs.remove(name)
         self._backends.end_drain_sign(name)
 
-    def _arm(self) -> None:
-        """Look now and then for signs that have ended, while there are any."""
+    def _schedule_sign_check(self) -> None:
+        """Schedule the next check for expired signs unless one is scheduled."""
         if self._timer is None:
-            due = self._timers.time() + RECHECK_INTERVAL_S
-            self._timer = self._timers.call_at(due, self._recheck)
+            due = self._timers.time() + SIGN_CHECK_INTERVAL_S
+            self._timer = self._timers.call_at(due, self._clear_expired_signs)
 
-    def _recheck(self) -> None:
+    def _clear_expired_signs(self) -> None:
         self._timer = None
-        for name in self._signs.due(self._timers.time()):
-            self._unsign(name)
-        if self._signs:
-            self._arm()
+        for name in self._drain_signs.due(self._timers.time()):
+            self._clear_draining(name)
+        if self._drain_signs:
+            self._schedule_sign_check()
