--- a/tests/functional/lab/test_soak.py
+++ b/tests/functional/lab/test_soak.py
@@ -1,6 +1,6 @@
-"""The soak, short and seeded: real gateways, faults from outside, what clients and back ends see.
+"""A short soak with a fixed seed: real gateways under injected faults break no promise.
 
-The long runs, of many seeds, are started by hand (docs/LAB.md).
+Long runs with many seeds are started by hand (docs/LAB.md).
 """
 
 from __future__ import annotations
--- a/tests/unit/lab/test_emulator_ledger.py
+++ b/tests/unit/lab/test_emulator_ledger.py
@@ -1,4 +1,4 @@
-"""The checks that the emulator and the soak make of what back ends saw."""
+"""The ledger's checks accept allowed arrivals at back ends and report violations."""
 
 from __future__ import annotations
 
@@ -59,7 +59,7 @@
 def test_a_gateway_that_was_disturbed_lately_is_left_out(
     host: str, since: float, until: float, broken: bool
 ) -> None:
-    """One that has just started cannot know since when a back end leaves (soak seed 311)."""
+    """A gateway that has just started cannot know since when a back end drains (soak seed 311)."""
     ledger = ledger_with(13.1, [])
     ledger.sent["r"] = SentRequest("", 13.0, "gateway")
     ledger.disturbances.append(Disturbance(host, since, until))
@@ -67,7 +67,7 @@
 
 
 def poison_ledger(tries_after: int, host: str = "") -> Ledger:
-    """Three ends in the first second, then tries from 4 s after the third on."""
+    """Three crashes in the first second, then attempts from 4 s after the third on."""
     ledger = Ledger(zones={"b": "z"})
     ledger.ended = [EndedBackend(0.1 * n, f"b{n}", "r", "/poison") for n in range(3)]
     for number in range(tries_after):
--- a/tests/unit/lab/test_lab_checkers.py
+++ b/tests/unit/lab/test_lab_checkers.py
@@ -1,4 +1,4 @@
-"""Each checker on a small history: silent on a true one, loud on a broken one."""
+"""Each checker accepts a correct small history and reports one that breaks its promise."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 def _answered() -> History:
-    """Return a true history of one complete query."""
+    """Return a correct history of one complete query."""
     history = History(finished_at=100.0)
     history.versions.append(VersionPublished(0.0, INDEX, 1, SHARDS, ("gate",)))
     history.sent[1] = QuerySent(1.0, 1, "gate", INDEX, "gate", "n0", LIMIT, session=1)
--- a/tests/unit/lab/test_mixed_builds.py
+++ b/tests/unit/lab/test_mixed_builds.py
@@ -1,4 +1,4 @@
-"""Two builds beside each other: which process runs from where, and which log lines are shown."""
+"""Two builds together: which checkout each process runs from, and which log lines are reported."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @pytest.fixture
 def started(monkeypatch: pytest.MonkeyPatch) -> list[tuple[str, Any]]:
-    """Record each program and its working directory in place of starting it."""
+    """Record each program and its working directory instead of starting it."""
     calls: list[tuple[str, Any]] = []
 
     async def record(program: str, *arguments: str, **options: Any) -> None:
--- a/tinrudder_lab/checkers/__init__.py
+++ b/tinrudder_lab/checkers/__init__.py
@@ -1,1 +1,1 @@
-"""History checkers: one module per promise; each takes a history and returns violations."""
+"""History checkers: one module for each promise, which returns the violations in a history."""
--- a/tinrudder_lab/checkers/all.py
+++ b/tinrudder_lab/checkers/all.py
@@ -1,4 +1,4 @@
-"""Every checker, run over one history."""
+"""Runs every checker on one history."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 def check_history(history: History) -> tuple[Violation, ...]:
-    """Return the violations found in a history, at most ``MAX_SHOWN`` of each promise."""
+    """Return the violations found in a history, at most ``MAX_SHOWN`` for each promise."""
     index = HistoryIndex(history)
     found = (
         snapshot.check(history, index),
--- a/tinrudder_lab/checkers/configuration.py
+++ b/tinrudder_lab/checkers/configuration.py
@@ -1,7 +1,7 @@
-"""Promise: an accepted configuration is in force everywhere within seconds and never reverts.
+"""Promise: an accepted configuration is in force on all nodes within seconds and never reverts.
 
-A revision counts as accepted once a node that is there to tell others enforces it.  Nodes that
-were paused, cut off or started meanwhile get the same time from then on.
+A revision is accepted once a node enforces it that stays available for long enough to propagate it.
+Nodes that were paused, isolated or down at any time in between are not checked.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def check(history: History) -> Iterator[Violation]:
-    """Find revisions that were lowered, or came into force too late."""
+    """Find nodes that reverted to an older revision or enforced a revision too late."""
     yield from _check_lowered(history)
     yield from _check_late(history)
 
@@ -42,7 +42,7 @@
 
 
 def accepted_revisions(history: History) -> dict[int, RevisionSeen]:
-    """Return who first enforced each revision and could tell others."""
+    """Return the first enforcement of each revision by a node that could propagate it."""
     accepted: dict[int, RevisionSeen] = {}
     for seen in history.revisions:
         if seen.revision in accepted or seen.revision == 0:
@@ -55,7 +55,10 @@
 def _seconds_to_force(
     history: History, node: str, revision: int, accepted: RevisionSeen
 ) -> float | None:
-    """Return how long a node took, ``None`` when it was away meanwhile or the run ended."""
+    """Return the time from acceptance until a node enforced a revision.
+
+    If it never did, the time until the end of the run; ``None`` if it was unavailable meanwhile.
+    """
     for seen in history.revisions:
         if seen.node == node and seen.revision >= revision:
             at = max(seen.at, accepted.at)
@@ -68,7 +71,7 @@
 
 
 def seconds_in_force(history: History) -> float | None:
-    """Return the longest time from acceptance to force, of revisions after the first."""
+    """Return the longest time until a node enforced an accepted revision after the first one."""
     times = [
         seconds
         for revision, accepted in accepted_revisions(history).items()
--- a/tinrudder_lab/checkers/coverage.py
+++ b/tinrudder_lab/checkers/coverage.py
@@ -1,8 +1,8 @@
 """Promise: the stated coverage is true.
 
-Included and missing shards together are the version's shards, for an operation just its one; each
-included shard's call was completed by a back end before the answer, and all its rows of the page
-are there; no row comes from a shard that is not included.
+Included and missing shards together are all shards of the index version; this is not checked for
+operations, which call one shard.  A back end completed the call of each included shard before the
+answer.  The page has all matching rows of the included shards and none of other shards.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def check(history: History, index: HistoryIndex) -> Iterator[Violation]:
-    """Find answers that state a coverage they do not have."""
+    """Find answers whose stated coverage is false."""
     for ended in history.ended.values():
         if ended.version is None:
             continue
@@ -64,7 +64,7 @@
 
 
 def shard_of(row_id: str) -> str:
-    """Return the shard in a row id.
+    """Return the shard that a row id names.
 
     >>> shard_of("s012-0007")
     's012'
--- a/tinrudder_lab/checkers/draining.py
+++ b/tinrudder_lab/checkers/draining.py
@@ -1,7 +1,7 @@
-"""Promise: a back end that is leaving receives no new work after a few seconds.
+"""Promise: a draining back end receives no new calls after a few seconds.
 
-A call is excused when its node was paused or cut off within the grace before it: that node
-could not know.
+A call does not count if its node was paused, isolated or down within the grace period before it, as
+that node could not learn of the drain.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 
 
 def check(history: History) -> Iterator[Violation]:
-    """Find calls that reached a leaving back end too late."""
+    """Find calls that reached a draining back end after the grace period."""
     for drain in history.drains:
         late = [
             call
@@ -30,7 +30,7 @@
 
 
 def calls_after(history: History, drain: DrainSigned) -> list[CallSeen]:
-    """Return the calls that reached a back end after it began to leave."""
+    """Return the calls that reached a back end after it began to drain."""
     return [
         call
         for call in history.calls
@@ -41,7 +41,7 @@
 
 
 def drain_seconds(history: History) -> float | None:
-    """Return the longest time from a first sign to the last call, ``None`` without drains."""
+    """Return the longest time from a drain's start to its last call, ``None`` without drains."""
     if not history.drains:
         return None
     last = [
--- a/tinrudder_lab/checkers/excuses.py
+++ b/tinrudder_lab/checkers/excuses.py
@@ -1,4 +1,4 @@
-"""When a node could not have known: it was paused, cut off or had just started."""
+"""Spans in which a node could not receive updates: paused, isolated or not running."""
 
 from __future__ import annotations
 
@@ -17,20 +17,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A stretch of time, seconds."""
+    """An interval of time, seconds."""
 
     start: float
     end: float
 
     def touches(self, start: float, end: float) -> bool:
-        """Tell whether the two stretches overlap."""
+        """Return whether the two intervals overlap."""
         return self.start <= end and start <= self.end
 
 
 def excused_spans(history: History, node: str, gone: frozenset[NodeStage] = _GONE) -> list[Span]:
-    """Return when a node was paused, isolated or not there.
+    """Return the spans in which a node was paused, isolated or not running.
 
-    :param gone: what ended its process.
+    :param gone: stages that count as the end of its process.
     """
     spans: list[Span] = []
     open_since: dict[NodeStage, float] = {}
@@ -55,12 +55,12 @@
 
 
 def is_excused(history: History, node: str, start: float, end: float) -> bool:
-    """Tell whether a node was away at any time between ``start`` and ``end``."""
+    """Return whether a node was unavailable at any time between ``start`` and ``end``."""
     return any(span.touches(start, end) for span in excused_spans(history, node))
 
 
 def is_disturbed(history: History, start: float, end: float) -> bool:
-    """Tell whether any node had crashed, slept or was cut off between ``start`` and ``end``."""
+    """Return whether any node was crashed, paused or isolated between ``start`` and ``end``."""
     nodes = sorted({event.node for event in history.nodes})
     spans = (span for node in nodes for span in excused_spans(history, node, _CRASHED))
     return any(span.touches(start, end) for span in spans)
--- a/tinrudder_lab/checkers/index.py
+++ b/tinrudder_lab/checkers/index.py
@@ -1,4 +1,4 @@
-"""Look-ups that several checkers share."""
+"""Indexes of a history that several checkers share."""
 
 from __future__ import annotations
 
@@ -21,11 +21,11 @@
         self._tenants = {version.index: version.tenants for version in history.versions}
 
     def calls_of(self, query_id: str) -> list[CallSeen]:
-        """Return what back ends saw of a query, in the order of time."""
+        """Return the calls of a query as recorded by back ends, in order of time."""
         return self._calls.get(query_id, []) if query_id else []
 
     def calls_for(self, sent: QuerySent, ended: QueryEnded) -> list[CallSeen]:
-        """Return the calls an answer may rest on: for an operation, those of any submission."""
+        """Return the calls that an answer may use; for an operation, those of all submissions."""
         if sent.request_key is not None:
             return self._operations.get(sent.request_key, [])
         return self.calls_of(ended.query_id)
@@ -35,5 +35,5 @@
         return self._shards.get((index, version or 0), ())
 
     def tenants_of(self, index: str) -> tuple[str, ...]:
-        """Return who may query an index."""
+        """Return the tenants that may query an index."""
         return self._tenants.get(index, ())
--- a/tinrudder_lab/checkers/once.py
+++ b/tinrudder_lab/checkers/once.py
@@ -1,7 +1,7 @@
-"""Promise: a request that must not be repeated runs at most once, and not after its validity.
+"""Promise: an unrepeatable request runs at most once, and not after its validity ends.
 
-Once its validity has passed a caller may send it anew under another key, so a start after that
-is a second run in the making.
+After the validity ends a caller may send the request again under another key, so a later start
+could become a second execution.
 """
 
 from __future__ import annotations
@@ -33,7 +33,7 @@
 
 
 def submissions_by_key(history: History) -> dict[str, list[QuerySent]]:
-    """Return all submissions of each request key."""
+    """Return all submissions by request key."""
     found: dict[str, list[QuerySent]] = {}
     for sent in history.sent.values():
         if sent.request_key is not None:
--- a/tinrudder_lab/checkers/oracle.py
+++ b/tinrudder_lab/checkers/oracle.py
@@ -1,4 +1,4 @@
-"""The rows an answer must have, worked out from the generator and nothing else."""
+"""Computes the rows that an answer must have, from the data generator alone."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 @cache
 def shard_rows(index: str, version: int, shard: str) -> tuple[DataRow, ...]:
-    """Return all rows of a shard, in order."""
+    """Return all rows of a shard, in the generator's order."""
     dataset = index.rsplit(".", maxsplit=1)[-1]
     return tuple(stored.row for stored in generate_shard(dataset, index, version, shard))
 
@@ -30,7 +30,7 @@
     after: tuple[float, str] | None,
     limit: int,
 ) -> tuple[DataRow, ...]:
-    """Return one page over exactly these shards."""
+    """Return the expected page of rows over exactly these shards."""
     wanted = tuple(sorted(match.items()))
     rows = [row for shard in shards for row in _matching(index, version, shard, wanted)]
     if after is not None:
--- a/tinrudder_lab/checkers/own_answer.py
+++ b/tinrudder_lab/checkers/own_answer.py
@@ -1,4 +1,4 @@
-"""Promise: a caller gets the whole answer to its own request and nothing of another's."""
+"""Promise: a caller gets one answer, which belongs to its own request and to no other."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def check(history: History, index: HistoryIndex) -> Iterator[Violation]:
-    """Find foreign, doubled and unordered rows, strangers' answers and second answers."""
+    """Find foreign, duplicate and unordered rows, unauthorised answers and second answers."""
     for second in history.doubled:
         yield _violation("answered twice", (history.sent[second.query], second))
     ids: dict[str, QueryEnded] = {}
@@ -42,7 +42,7 @@
 
 
 def _is_own(row: DataRow, sent: QuerySent) -> bool:
-    """Tell whether a row is one that the request asked for."""
+    """Return whether a row exists and matches the request."""
     if any(str(getattr(row, field)) != value for field, value in sent.match.items()):
         return False
     if sent.after is not None and (row.time, row.row_id) <= sent.after:
--- a/tinrudder_lab/checkers/planned_stop.py
+++ b/tinrudder_lab/checkers/planned_stop.py
@@ -1,4 +1,4 @@
-"""Promise: a planned stop cuts off no request in progress, relayed ones included."""
+"""Promise: a planned stop loses no request in flight, including relayed ones."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def check(history: History) -> Iterator[Violation]:
-    """Find requests that a planned stop cut off."""
+    """Find requests that were lost to a planned stop."""
     for begun in history.nodes:
         if begun.stage is not NodeStage.STOP_BEGUN:
             continue
@@ -22,16 +22,16 @@
         if stopped is None:
             continue
         if stopped.unfinished:
-            detail = f"{begun.node} ended with {stopped.unfinished} requests open"
+            detail = f"{begun.node} ended with {stopped.unfinished} requests in flight"
             yield Violation(Promise.STOP_CUTS_NOTHING, detail, (begun, stopped))
         for ended in _cut_off(history, begun, stopped):
-            detail = f"cut off by the stop of {begun.node}: {ended.outcome} {ended.reason}"
+            detail = f"lost to the stop of {begun.node}: {ended.outcome} {ended.reason}"
             events = (begun, history.sent[ended.query], stopped, ended)
             yield Violation(Promise.STOP_CUTS_NOTHING, detail, events)
 
 
 def _end_of_stop(history: History, begun: NodeSeen) -> NodeSeen | None:
-    """Return when a stop was over, ``None`` when the node crashed instead."""
+    """Return the event that ended a stop, ``None`` if the node crashed or has not stopped."""
     for event in history.nodes:
         if event.node == begun.node and event.at >= begun.at:
             if event.stage is NodeStage.CRASHED:
@@ -42,7 +42,7 @@
 
 
 def _cut_off(history: History, begun: NodeSeen, stopped: NodeSeen) -> Iterator[QueryEnded]:
-    """Return the requests lost to a stop and to nothing else."""
+    """Return the requests that were lost to a stop while no other fault was active."""
     for ended in history.ended.values():
         sent = history.sent[ended.query]
         if sent.at > stopped.at or ended.at > stopped.at + AFTERMATH_S or ended.at < begun.at:
@@ -54,10 +54,10 @@
 
 
 def _is_lost_to(begun: NodeSeen, sent: QuerySent, ended: QueryEnded) -> bool:
-    """Tell whether the stopping node lost a request, its caller's or one relayed to it.
+    """Return whether the stopping node lost a request that it received or that was relayed to it.
 
-    A relay from it to another node that merely took too long is not its loss.  Where its
-    address is not known, every lost relay counts.
+    A relay from it to another node that timed out does not count.  If its address is unknown,
+    every lost relay counts.
     """
     if ended.reason == RELAY_LOST:
         entered_here = sent.node == begun.node and TIMED_OUT not in ended.detail
--- a/tinrudder_lab/checkers/snapshot.py
+++ b/tinrudder_lab/checkers/snapshot.py
@@ -1,7 +1,7 @@
-"""Promise: an answer, pages included, shows one index version.
+"""Promise: an answer shows one index version, and so do all pages of a listing.
 
-Judged by the rows, by what back ends completed for the included shards, and over the pages of
-one listing.
+Checks the versions of the rows, of the calls that back ends completed for the included shards, and
+of the pages of one listing.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 
 
 def check(history: History, index: HistoryIndex) -> Iterator[Violation]:
-    """Find answers whose rows are of several versions, and listings whose pages are."""
+    """Find answers with rows of several versions, and listings with pages of several versions."""
     sessions: dict[int, QueryEnded] = {}
     for ended in history.ended.values():
         if ended.version is None:
@@ -32,7 +32,7 @@
 
 
 def _check_calls(history: History, index: HistoryIndex, ended: QueryEnded) -> Iterator[Violation]:
-    """Find an included shard that back ends completed only at other versions."""
+    """Find included shards that back ends completed only at other versions."""
     versions: dict[str, set[int]] = {}
     for call in index.calls_for(history.sent[ended.query], ended):
         if call.stage is CallStage.COMPLETED:
--- a/tinrudder_lab/checkers/violation.py
+++ b/tinrudder_lab/checkers/violation.py
@@ -1,4 +1,4 @@
-"""A broken promise and the events that show it."""
+"""The promises that checkers verify, and the record of a violation."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Promise(enum.StrEnum):
-    """The eight promises, in the order of the users' page."""
+    """The eight promises, in the order of their specification."""
 
     SINGLE_SNAPSHOT = "single_snapshot"
     TRUE_COVERAGE = "true_coverage"
@@ -23,9 +23,9 @@
 
 
 class Violation(msgspec.Struct, frozen=True):
-    """One broken promise.
+    """One violation of a promise.
 
-    :param history: the events that show it, in the order of time.
+    :param history: the events that prove it, in order of time.
     """
 
     promise: Promise
--- a/tinrudder_lab/emulator/backend.py
+++ b/tinrudder_lab/emulator/backend.py
@@ -1,4 +1,4 @@
-"""A back end with slots, a queue, pauses, and faults of its own choosing."""
+"""An emulated back end with slots, a queue, pauses and injected response faults."""
 
 from __future__ import annotations
 
@@ -20,10 +20,10 @@
 
 
 class Fault(enum.Enum):
-    """What a back end may do wrong with an answer.
+    """Faults that a back end injects into its responses.
 
-    Connections in memory end in order or not at all; answers that are reset on the way are
-    tested on the connection itself (tests/unit/gateway/test_upstream_connection.py).
+    In-memory connections either close in order or stay open, so resets in the middle of a response
+    are tested on the connection itself (tests/unit/gateway/test_upstream_connection.py).
     """
 
     NONE = "none"
@@ -63,7 +63,7 @@
         slots: int = 2,
         started_ms: int = 0,
     ) -> None:
-        """Sign answers into ``ledger``; each takes ``work_s()`` of a slot."""
+        """Record answers in ``ledger``; each request holds a slot for ``work_s()`` seconds."""
         self.backend_id = backend_id
         self.started_ms = started_ms
         self.service = service
@@ -85,12 +85,12 @@
         self.listens_at = ("", 0)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen."""
+        """Listen on ``host`` and ``port``."""
         self.listens_at = (host, port)
         self._server = await self._loop.create_server(self._accept, host, port)
 
     def stop(self) -> None:
-        """Crash: every connection ends, and so does all work."""
+        """Crash: drop all connections, running jobs and queued jobs."""
         for job in (*self._running, *self._queue):
             job.dropped = True
         if self._server is not None:
@@ -100,19 +100,19 @@
 
     @property
     def life(self) -> str:
-        """Return what names this start of it."""
+        """Return the id of this incarnation of the back end."""
         return life_of(self.backend_id, self.started_ms)
 
     def pause(self, seconds: float) -> None:
-        """Stand still for a while."""
+        """Finish no work for this time."""
         self._paused_until = self._loop.time() + seconds
 
     def tell_load(self) -> str:
-        """Return the load as an answer tells it; work always takes as long as usual."""
+        """Return the load header of an answer; the slowdown field is always 100 (per cent)."""
         return f"{len(self._running)},{len(self._queue)},{self.slots},100"
 
     def _accept(self) -> ServerConnection:
-        """Take a connection."""
+        """Create the handler of a new connection."""
         connection = ServerConnection(self._on_request)
         self.open_connections.add(connection)
         connection.on_close.append(lambda: self.open_connections.discard(connection))
@@ -135,13 +135,13 @@
             self._enqueue(_Job(request, connection))
 
     def _enqueue(self, job: _Job) -> None:
-        """Run a job when a slot is free."""
+        """Queue a job until a slot is free."""
         job.connection.on_close.append(lambda: self._drop(job))
         self._queue.append(job)
         self._run_queue()
 
     def _run_queue(self) -> None:
-        """Give free slots to the oldest jobs."""
+        """Start the oldest queued jobs in the free slots."""
         while self._queue and len(self._running) < self.slots:
             job = self._queue.popleft()
             if job.dropped:
@@ -151,14 +151,14 @@
             self._loop.call_at(begin + self._work_s(), self._finish, job)
 
     def _drop(self, job: _Job) -> None:
-        """Stop working for a caller that closed its connection."""
+        """Cancel the job of a caller that closed its connection."""
         job.dropped = True
         if job in self._running:
             self._running.discard(job)
             self._run_queue()
 
     def _finish(self, job: _Job) -> None:
-        """Answer, or do what the fault says."""
+        """Answer a finished job, or crash if its request is one that crashes back ends."""
         if job.dropped:
             return
         if self._loop.time() < self._paused_until:
@@ -173,7 +173,7 @@
         self._run_queue()
 
     def _answer(self, job: _Job) -> None:
-        """Write an answer with one fault or none."""
+        """Write the answer to a job, with at most one injected fault."""
         request, connection = job.request, job.connection
         fault = self.choose_fault()
         request_id = request.headers["tinrudder-request-id"]
@@ -203,7 +203,7 @@
         self._send(connection, data, fault)
 
     def _send(self, connection: ServerConnection, data: bytes, fault: Fault) -> None:
-        """Send the bytes of an answer as the fault has it."""
+        """Send the bytes of an answer, changed as the fault requires."""
         if fault is Fault.CUT_SHORT:
             connection.write(data[:-10])
             connection.close()
@@ -227,14 +227,14 @@
         status: int,
         headers: dict[str, str],
     ) -> None:
-        """Write an answer without a body."""
+        """Write an answer that has no body."""
         request_id = request.headers.get("tinrudder-request-id", "")
         connection.write(
             encode_response(status, {"Tinrudder-Request-Id": request_id} | headers, b"")
         )
 
     def _note(self, request: ServedRequest, *, ran: bool) -> None:
-        """Note an arrival."""
+        """Record in the ledger that a request arrived."""
         deadline = request.headers.get("tinrudder-deadline-ms")
         self._ledger.arrivals.append(
             Arrival(
--- a/tinrudder_lab/emulator/client.py
+++ b/tinrudder_lab/emulator/client.py
@@ -1,4 +1,4 @@
-"""A client of the emulated platform: one request on one connection, read to its end."""
+"""A client of the emulated site: sends one request on one connection and reads the answer."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 class PlannedRequest:
     """A request that a client sends.
 
-    :param leaves_after_s: closes its connection after this time, whatever has come.
-    :param key: of the tenant on whose behalf it asks; empty: it sends none.
+    :param leaves_after_s: the client closes its connection after this time, answered or not.
+    :param key: API key of the tenant; if empty, the request carries no key.
     """
 
     request_id: str
@@ -34,7 +34,7 @@
     key: str = ""
 
     def encode(self) -> bytes:
-        """Return the request's bytes."""
+        """Return the request as HTTP/1.1 bytes."""
         lines = [
             f"{self.method} {self.target} HTTP/1.1",
             f"Host: {self.host}",
@@ -52,7 +52,7 @@
 async def send_request(
     request: PlannedRequest, address: tuple[str, int], ledger: Ledger
 ) -> ClientResult:
-    """Send one request and note how it ended."""
+    """Send one request and record its result in ``ledger``."""
     loop = asyncio.get_running_loop()
     sent_at = loop.time()
     ledger.sent[request.request_id] = SentRequest(request.key, sent_at, address[0])
@@ -88,7 +88,7 @@
 async def _exchange(
     request: PlannedRequest, address: tuple[str, int], reader: AnswerReader
 ) -> None:
-    """Write the request and feed the reader until the answer is whole."""
+    """Write the request and feed the reader until the answer is complete."""
     stream, writer = await asyncio.open_connection(*address)
     try:
         writer.write(request.encode())
--- a/tinrudder_lab/emulator/foreign_entries.py
+++ b/tinrudder_lab/emulator/foreign_entries.py
@@ -1,4 +1,4 @@
-"""Back ends' entries as another writer might leave them: none of them names a back end to use."""
+"""Generates invalid back-end entries, as a faulty writer might leave them in the store."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 import msgspec
 
 FIELDS = ("service", "addr", "zone", "slots", "state")
-"""What no entry may lack."""
+"""Mandatory fields of an entry."""
 NESTED_LEVELS = 20_000
-"""More than a parser that calls itself for each level bears."""
+"""Levels of nesting; a recursive parser overflows its stack on them."""
 OTHER_TYPES: tuple[object, ...] = (None, True, -1, 1.5, [], {}, [1], {"a": 1})
 
 ForeignValue = Callable[[dict[str, object], random.Random], bytes]
@@ -73,5 +73,5 @@
 
 
 def foreign_value(entry: dict[str, object], source: random.Random) -> bytes:
-    """Return an entry as another writer might leave it."""
+    """Return an invalid entry derived from a valid one."""
     return source.choice(FOREIGN_VALUES)(entry, source)
--- a/tinrudder_lab/emulator/http_server.py
+++ b/tinrudder_lab/emulator/http_server.py
@@ -1,4 +1,4 @@
-"""A server that hands whole requests to a function and lets it write any bytes it likes."""
+"""An HTTP server that passes complete requests to a callback, which may write any bytes."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ServedRequest:
-    """A request as a server read it; header names are in lower case."""
+    """A parsed request; header names are in lower case."""
 
     method: str
     target: str
@@ -26,7 +26,7 @@
     """One accepted connection."""
 
     def __init__(self, on_request: RequestFunction) -> None:
-        """Hand requests to ``on_request``."""
+        """Pass complete requests to ``on_request``."""
         self.closed = False
         self.on_close: list[Callable[[], None]] = []
         self._on_request = on_request
@@ -42,51 +42,51 @@
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Tell who waits."""
+        """Call the listeners for the end of the connection."""
         self.closed = True
         for listener in self.on_close:
             listener()
 
     def data_received(self, data: bytes) -> None:
-        """Read."""
+        """Parse incoming bytes; drop the connection if they are not HTTP."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
             self.abort()
 
     def write(self, data: bytes) -> None:
-        """Send any bytes."""
+        """Send bytes as they are."""
         if self._transport is not None and not self.closed:
             self._transport.write(data)
 
     def close(self) -> None:
-        """End in order."""
+        """Close the connection after sending what is buffered."""
         if self._transport is not None:
             self._transport.close()
 
     def abort(self) -> None:
-        """Drop the connection."""
+        """Close the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
     def on_message_begin(self) -> None:
-        """Begin a request."""
+        """Reset the parser state for a new request."""
         self._target, self._headers, self._body = b"", {}, b""
 
     def on_url(self, url: bytes) -> None:
-        """Collect the target."""
+        """Append to the target."""
         self._target += url
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Collect a header."""
+        """Store a header."""
         self._headers[name.decode().lower()] = value.decode()
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body."""
+        """Append to the body."""
         self._body += body
 
     def on_message_complete(self) -> None:
-        """Hand over a whole request."""
+        """Pass the complete request to the callback."""
         method = self._parser.get_method().decode()
         request = ServedRequest(method, self._target.decode(), self._headers, self._body)
         self._on_request(request, self)
@@ -95,7 +95,7 @@
 def encode_response(
     status: int, headers: dict[str, str], body: bytes, *, framed: bool = True
 ) -> bytes:
-    """Return the bytes of an answer; without a length if it is not ``framed``."""
+    """Return the bytes of an answer, with a ``Content-Length`` only if it is ``framed``."""
     lines = [f"HTTP/1.1 {status} Emulated"]
     lines.extend(f"{name}: {value}" for name, value in headers.items())
     if framed:
--- a/tinrudder_lab/emulator/ledger.py
+++ b/tinrudder_lab/emulator/ledger.py
@@ -1,4 +1,4 @@
-"""What back ends and clients saw, and the checks of a gateway's promises against it."""
+"""Records what back ends and clients saw, and checks the gateways' promises against it."""
 
 from __future__ import annotations
 
@@ -23,23 +23,23 @@
 )
 
 KNOWN_AFTER_ENDS = 3
-"""How many back ends end under a request before gateways must know it."""
+"""Crashes of back ends under one request after which gateways must recognise it."""
 TELLING_S = 4.0
-"""Within this time all gateways that can be reached know it."""
+"""Seconds within which a change reaches all reachable gateways."""
 TRIES_ALLOWED = 3
-"""How often it may be tried again after that, in a day."""
+"""Attempts allowed after that, in a day."""
 ROUTE_ATTEMPTS = 2
-"""What every route of the emulator allows."""
+"""Attempts that every route of the emulator allows."""
 
 
 @dataclass
 class Ledger:
-    """Everything that was seen."""
+    """All records of one run."""
 
     issued: dict[str, IssuedAnswer] = field(default_factory=dict)
     arrivals: list[Arrival] = field(default_factory=list)
     results: list[ClientResult] = field(default_factory=list)
-    # By the life of the back end: what one start said does not bind the next.
+    # By incarnation: a restarted back end is not leaving because the earlier incarnation was.
     leaving_at: dict[str, float] = field(default_factory=dict)
     unreadable: list[UnreadableSpan] = field(default_factory=list)
     zones: dict[str, str] = field(default_factory=dict)
@@ -53,7 +53,7 @@
     _serial: itertools.count[int] = field(default_factory=itertools.count)
 
     def issue(self, request_id: str, service: str, body: bytes) -> str:
-        """Sign an answer."""
+        """Record an answer and return its signature."""
         stamp = f"{next(self._serial):x}.signed"
         self.issued[stamp] = IssuedAnswer(request_id, service, body)
         return stamp
@@ -61,7 +61,13 @@
     def broken_promises(
         self, ratio: float, extra: float, window_s: float, drain_s: float, evacuation_s: float
     ) -> list[BrokenPromise]:
-        """Return everything that must not have happened."""
+        """Return all violations of the gateways' promises.
+
+        :param ratio: repeats allowed for each counted request.
+        :param extra: repeats allowed on top, in each window of ``window_s``.
+        :param drain_s: time within which gateways stop calling a back end that leaves.
+        :param evacuation_s: time within which gateways stop calling an evacuated zone.
+        """
         return [
             *self._mixed(),
             *self._ran_twice(),
@@ -77,10 +83,11 @@
         ]
 
     def requests_after_three_ends(self, target: str) -> list[str]:
-        """Return the requests with a target that reached back ends although it was known.
+        """Return the requests for a target that reached back ends after gateways had to know of it.
 
-        Known: three back ends had ended under it, and the time to tell every gateway was over.
-        Gateways that were disturbed within that time are left out: nobody could tell them.
+        Gateways must know once three back ends have crashed under it and the propagation time has
+        passed.  Requests through gateways that were disturbed within that time do not count, as
+        the news could not reach these gateways.
         """
         ends = sorted(one.at for one in self.ended if one.target == target)
         if len(ends) < KNOWN_AFTER_ENDS:
@@ -90,24 +97,24 @@
         return sorted({one.request_id for one in late if not self._was_disturbed(one)})
 
     def is_disturbed(self, host: str, at: float) -> bool:
-        """Tell whether a gateway could not be told of anything lately."""
+        """Return whether a gateway was disturbed at a time or within ``TELLING_S`` before it."""
         return any(
             one.host == host and one.since <= at <= one.until + TELLING_S
             for one in self.disturbances
         )
 
     def _was_disturbed(self, arrival: Arrival) -> bool:
-        """Tell whether the gateway that took a request could not be told of anything lately."""
+        """Return whether the gateway that a request was sent to was disturbed when it arrived."""
         sent = self.sent.get(arrival.request_id)
         return sent is not None and self.is_disturbed(sent.host, arrival.at)
 
     def _came_again_to_end_back_ends(self) -> list[BrokenPromise]:
-        """Check that a request which ends back ends is not sent to one again and again."""
+        """Check that a request which crashes back ends is not sent to them again and again."""
         broken = []
         for target in {one.target for one in self.ended}:
             again = self.requests_after_three_ends(target)
             if len(again) > TRIES_ALLOWED:
-                what = f"{target} was sent {len(again)} times more after it was known"
+                what = f"{target} was sent {len(again)} more times after gateways had to know of it"
                 broken.append(BrokenPromise("ended back ends", what))
         return broken
 
@@ -120,7 +127,7 @@
         ]
 
     def _ran_without_key(self) -> list[BrokenPromise]:
-        """Check that what ran for a tenant was asked for with a key that it had."""
+        """Check that every request which ran carried a valid key of its tenant."""
         if not self.keys:
             return []
         broken = []
@@ -132,7 +139,7 @@
         return broken
 
     def _allowed(self, arrival: Arrival, sent: SentRequest) -> bool:
-        """Tell whether a request's key was its tenant's, or had been a short while before."""
+        """Return whether a request's key was valid for its tenant, or was revoked only recently."""
         late_s = self.revocation_s if self.revocation_s is not None else float("inf")
         return any(
             held.tenant == arrival.tenant
@@ -142,7 +149,7 @@
         )
 
     def most_in_window(self, tenant: str, window_s: float) -> int:
-        """Return how many requests of a tenant ran that were sent within the fullest window."""
+        """Return the highest number of a tenant's executed requests sent within one window."""
         ran = {one.request_id for one in self.arrivals if one.ran and one.tenant == tenant}
         deadlines = sorted(self.sent[request_id].at for request_id in ran)
         first = 0
@@ -154,7 +161,7 @@
         return most
 
     def _in_evacuated_zones(self, evacuation_s: float) -> list[BrokenPromise]:
-        """Check that nothing reaches a zone from a while after it was evacuated."""
+        """Check that no request reaches a zone later than ``evacuation_s`` after its evacuation."""
         return [
             BrokenPromise("evacuation", f"{arrival.request_id} reached {arrival.backend_id}")
             for arrival in self.arrivals
@@ -164,7 +171,7 @@
         ]
 
     def most_in_a_second(self, span: ColdSpan) -> int:
-        """Return how many requests reached a back end in the fullest second of a span."""
+        """Return the highest number of requests that reached a back end in one second of a span."""
         arrivals = sorted(
             one.at
             for one in self.arrivals
@@ -179,7 +186,7 @@
         return most
 
     def _too_many_back_ends(self) -> list[BrokenPromise]:
-        """Check that no request ran on more of one service's back ends than its route allows."""
+        """Check that no request ran on more back ends of a service than its route has attempts."""
         ran_on: dict[tuple[str, str], set[str]] = {}
         for arrival in self.arrivals:
             if arrival.ran:
@@ -192,7 +199,7 @@
         ]
 
     def _mixed(self) -> list[BrokenPromise]:
-        """Check every success against what back ends signed."""
+        """Check every successful answer against the signed answers."""
         broken = []
         for result in self.results:
             if 200 <= result.status < 300:
@@ -204,7 +211,7 @@
         return broken
 
     def _success_problem(self, result: ClientResult) -> str:
-        """Return what is wrong with one success."""
+        """Return what is wrong with a successful answer; empty: nothing."""
         if result.top_records:
             return self._merged_problem(result)
         answer = self.issued.get(result.headers.get("tinrudder-server-stamp", ""))
@@ -213,7 +220,7 @@
         return "" if answer.body == result.body else "another body than the back end's"
 
     def _merged_problem(self, result: ClientResult) -> str:
-        """Check parts, coverage and merge of one scatter."""
+        """Return what is wrong with parts, coverage or merge of a scatter; empty: nothing."""
         named = result.headers.get("tinrudder-parts", "")
         stamps = [stamp.strip() for stamp in named.split(",") if stamp.strip()]
         missing = int(result.headers.get("tinrudder-missing-parts", "0"))
@@ -231,7 +238,7 @@
         return "" if result.body == _greatest(parts, result.top_records) else "not the greatest"
 
     def _ran_twice(self) -> list[BrokenPromise]:
-        """Check that what must not be repeated ran at most once."""
+        """Check that every unrepeatable request ran at most once."""
         unrepeatable = {result.request_id for result in self.results if not result.repeatable}
         runs = Counter(arrival.request_id for arrival in self.arrivals if arrival.ran)
         return [
@@ -241,7 +248,7 @@
         ]
 
     def _refused_but_ran(self) -> list[BrokenPromise]:
-        """Check that what was refused as not run did not run."""
+        """Check that no unrepeatable request ran that was refused as not run."""
         ran = {arrival.request_id for arrival in self.arrivals if arrival.ran}
         return [
             BrokenPromise("not run", f"{result.request_id} got {result.status} and ran")
@@ -251,7 +258,7 @@
         ]
 
     def _over_budget(self, ratio: float, extra: float, window_s: float) -> list[BrokenPromise]:
-        """Check repeats of each service in every sliding window, over all gateways."""
+        """Check the retry budget of each service in every sliding window, over all gateways."""
         broken = []
         for service, repeats in self._repeats().items():
             requests = sorted(self._request_times(service))
@@ -265,7 +272,7 @@
         return broken
 
     def _repeats(self) -> dict[str, list[float]]:
-        """Return for each service when arrivals beyond the first of each request came."""
+        """Return for each service the times of all arrivals beyond the first of each request."""
         seen: set[tuple[str, str]] = set()
         repeats: dict[str, list[float]] = defaultdict(list)
         for arrival in sorted(self.arrivals, key=lambda arrival: arrival.at):
@@ -280,16 +287,16 @@
         return [result.sent_at for result in self.results if service in result.services]
 
     def known_at(self, written_at: float) -> float:
-        """Return from when gateways must know of what was written to the store at a moment."""
+        """Return when a write to the store becomes visible to gateways, outages considered."""
         ends = [one.until for one in self.store_outages if one.since <= written_at < one.until]
         return max([written_at, *ends])
 
     def _after_leaving(self, drain_s: float) -> list[BrokenPromise]:
-        """Check that nothing reaches a back end long after it said that it leaves.
+        """Check that no request runs on a back end later than ``drain_s`` after it began to drain.
 
-        What it said while no gateway could hear the store counts from the end of that.  A gateway
-        that has just started learns only then that it leaves, and from when on it cannot tell;
-        those that were disturbed lately are left out, as the users' rule leaves them out.
+        A drain that was written during an outage of the store counts from the end of the outage.
+        Requests through recently disturbed gateways do not count, as the promise exempts them: a
+        gateway that has just started learns that the back end is draining, but not since when.
         """
         known_at = {name: self.known_at(at) for name, at in self.leaving_at.items()}
         return [
@@ -300,19 +307,19 @@
         ]
 
     def unreadable_now(self) -> set[str]:
-        """Return the back ends whose entries cannot be read."""
+        """Return the back ends whose entries are unreadable at present."""
         return {span.backend_id for span in self.unreadable if span.until == float("inf")}
 
     def note_readable(self, backend_id: str, now: float) -> None:
-        """Note that a back end's entry is good again, or gone."""
+        """Record that a back end's entry is readable again, or removed."""
         for span in self.unreadable:
             if span.backend_id == backend_id:
                 span.until = min(span.until, now)
 
     def _while_unreadable(self, drain_s: float) -> list[BrokenPromise]:
-        """Check that nothing reaches a back end long after its entry became unreadable.
+        """Check that no request runs on a back end long after its entry became unreadable.
 
-        Gateways have as long to learn of it as of a back end that leaves.
+        Gateways have ``drain_s`` to stop, as for a back end that drains.
         """
         return [
             BrokenPromise("unreadable", f"{arrival.request_id} reached {arrival.backend_id}")
@@ -325,7 +332,7 @@
 
 
 def _greatest(parts: list[IssuedAnswer], count: int) -> bytes:
-    """Merge the plain way: sort everything."""
+    """Return the ``count`` greatest records of all parts, by sorting all of them."""
     records = []
     for part in parts:
         for start in range(0, len(part.body) - RECORD_BYTES + 1, RECORD_BYTES):
--- a/tinrudder_lab/emulator/loop.py
+++ b/tinrudder_lab/emulator/loop.py
@@ -1,4 +1,4 @@
-"""The simulator's event loop with datagrams, and machines whose connections end with them."""
+"""Adds datagrams to the simulator's event loop, and closes connections of crashed machines."""
 
 from __future__ import annotations
 
@@ -17,15 +17,15 @@
 
 AddressPair = tuple[str, int]
 
-# The in-memory sockets know no options; the product may set them all the same.
+# In-memory sockets have no options, and warn when the gateway sets one.
 warnings.filterwarnings("ignore", category=SolipsismWarning)
 
 
 class EmulatedDatagrams(asyncio.DatagramTransport):
-    """A socket for datagrams in memory."""
+    """An in-memory datagram socket."""
 
     def __init__(self, loop: EmulatorLoop, address: AddressPair, machine: Machine | None) -> None:
-        """Stand at ``address`` until closed."""
+        """Bind to ``address``."""
         super().__init__()
         self.machine = machine
         self._loop = loop
@@ -36,20 +36,20 @@
         self._loop.deliver_datagram(self._address, addr, bytes(data))
 
     def close(self) -> None:
-        """Leave the address."""
+        """Release the address."""
         self._loop.datagram_receivers.pop(self._address, None)
 
 
 class LostBytes(Queue):  # type: ignore[misc]
-    """One direction of a connection whose way is gone: takes all bytes, delivers none."""
+    """One direction of a silenced connection: accepts all bytes, delivers none."""
 
     def write(self, data: Any) -> int:
-        """Lose some bytes."""
+        """Discard the bytes."""
         return len(data)
 
 
 class DirectMapping(selectors._SelectorMapping):  # type: ignore[misc,name-defined]
-    """A selector's sockets without a look-up for each, of which a select makes thousands."""
+    """The selector's keys without a look-up for each; one select would make thousands of them."""
 
     def values(self) -> ValuesView[selectors.SelectorKey]:
         """Return the keys of all sockets."""
@@ -58,15 +58,15 @@
 
 
 class EmulatorLoop(MachineLoop):
-    """Virtual time, streams and datagrams.
+    """An event loop with virtual time, streams and datagrams.
 
-    :ivar datagram_lost: tells from source and destination whether a datagram is lost.
+    :ivar datagram_lost: returns for a source and a destination whether to drop the datagram.
     """
 
     counts_suspensions = True
 
     def __init__(self) -> None:
-        """Start with nobody listening."""
+        """Start without any socket."""
         super().__init__()
         self._selector._map = DirectMapping(self._selector)
         self.datagram_receivers: dict[
@@ -82,7 +82,7 @@
         local_addr: AddressPair,
         **options: Any,
     ) -> tuple[EmulatedDatagrams, asyncio.DatagramProtocol]:
-        """Open a socket for datagrams."""
+        """Open a datagram socket."""
         protocol = protocol_factory()
         transport = EmulatedDatagrams(self, local_addr, MACHINE.get())
         self.datagram_receivers[local_addr] = (transport, protocol)
@@ -90,7 +90,7 @@
         return transport, protocol
 
     def deliver_datagram(self, source: AddressPair, target: AddressPair, data: bytes) -> None:
-        """Deliver a datagram after a delay, unless it is lost or nobody is there."""
+        """Deliver a datagram after a delay, unless it is lost or the target has no socket."""
         receiver = self.datagram_receivers.get(target)
         if receiver is None or self.datagram_lost(source, target):
             return
@@ -100,21 +100,21 @@
             self.deliver(DATAGRAM_DELAY_S, context, protocol.datagram_received, data, source)
 
     async def create_server(self, *arguments: Any, **options: Any) -> asyncio.Server:
-        """Listen, and remember for which machine."""
+        """Listen, and record which machine the server belongs to."""
         server: asyncio.Server = await super().create_server(*arguments, **options)
         self._machine_servers.append((MACHINE.get(), server))
         return server
 
     def _make_socket_transport(self, *arguments: Any, **options: Any) -> Any:
-        """Remember which machine a connection belongs to."""
+        """Create a transport and record which machine it belongs to."""
         transport = super()._make_socket_transport(*arguments, **options)
         self._machine_transports.append((MACHINE.get(), transport))
         return transport
 
     def silence_connections(self, chosen: Callable[[AddressPair, AddressPair], bool]) -> None:
-        """Let the way of open connections be gone for good; nobody is told, new ones work.
+        """Drop all further bytes of open connections, without a reset; new connections work.
 
-        :param chosen: tells from a connection's two addresses whether it is one of them.
+        :param chosen: returns for a connection's two addresses whether to silence it.
         """
         for _, transport in self._machine_transports:
             tcp_socket = transport._sock
@@ -125,7 +125,7 @@
                 tcp_socket._read_queue, tcp_socket._write_queue = Queue(), LostBytes()
 
     def end_machine(self, machine: Machine) -> None:
-        """Kill a machine's process: nothing of it runs on, its connections end."""
+        """Kill a machine's process: its tasks stop, its connections and sockets close."""
         machine.crash()
         for owner, server in tuple(self._machine_servers):
             if owner is machine:
@@ -140,12 +140,12 @@
                 del self.datagram_receivers[address]
 
     def _close_socket(self, transport: Any) -> None:
-        """Close a connection without telling the dead end of it."""
+        """Close a connection without calling the dead machine's protocol."""
         tcp_socket = transport._sock
         if tcp_socket is None:
             return
         self._remove_reader(tcp_socket.fileno())
         self._remove_writer(tcp_socket.fileno())
         tcp_socket.close()
-        # The collector would close it again, which sockets in memory take for an error.
+        # Garbage collection would close it again, which is an error for in-memory sockets.
         transport._sock = None
--- a/tinrudder_lab/emulator/records.py
+++ b/tinrudder_lab/emulator/records.py
@@ -1,4 +1,4 @@
-"""What back ends, clients and the run itself note, for the checks of a gateway's promises."""
+"""Records of what back ends, clients and fault injection did, for the checks of a run."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True, slots=True)
 class IssuedAnswer:
-    """A whole, good answer that a back end signed."""
+    """A complete, valid answer that a back end signed."""
 
     request_id: str
     service: str
@@ -18,10 +18,10 @@
 class Arrival:
     """A request that reached a back end.
 
-    :param ran: the back end began to work on it.
-    :param tenant: on whose behalf it was asked, as it was told; empty: nobody's.
-    :param credentials: a client's key came with it.
-    :param started_ms: when the back end's process started, Unix milliseconds.
+    :param ran: whether the back end accepted it for execution.
+    :param tenant: value of the tenant header; empty if there was none.
+    :param credentials: whether it carried the client's ``Authorization`` header.
+    :param started_ms: when the back end's process started, Unix milliseconds; 0: unknown.
     """
 
     at: float
@@ -37,20 +37,20 @@
 
     @property
     def life(self) -> str:
-        """Return what names this start of the back end."""
+        """Return the id of the back end's incarnation."""
         return life_of(self.backend_id, self.started_ms)
 
 
 def life_of(backend_id: str, started_ms: int) -> str:
-    """Return what names one start of a back end that may keep its id."""
+    """Return the id of one incarnation of a back end, which may restart under its id."""
     return f"{backend_id}@{started_ms}" if started_ms else backend_id
 
 
 @dataclass(frozen=True, slots=True)
 class SentRequest:
-    """A request as its client sent it; ``key`` is empty for none.
+    """When and where a client sent a request, and with which API key (empty: none).
 
-    :param host: the address of the gateway that it was sent to.
+    :param host: address of the gateway that it was sent to.
     """
 
     key: str
@@ -60,7 +60,11 @@
 
 @dataclass(slots=True)
 class HeldKey:
-    """A key of a tenant, from a configuration's acknowledgement to that of one without it."""
+    """A span in which a key was valid for a tenant.
+
+    It begins with the write of the first configuration that has the key for this tenant and ends
+    with the write of the first one that does not.
+    """
 
     tenant: str
     since: float
@@ -69,7 +73,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientResult:
-    """What a client got; status 0 for none."""
+    """The answer that a client got; status 0 if there was none."""
 
     request_id: str
     target: str
@@ -87,7 +91,7 @@
 
 @dataclass(slots=True)
 class Disturbance:
-    """A time in which a gateway's process was killed, stopped, paused or starting."""
+    """A span in which a gateway's process was killed, stopped, paused or starting."""
 
     host: str
     since: float
@@ -96,9 +100,9 @@
 
 @dataclass(frozen=True, slots=True)
 class EndedBackend:
-    """A back end that ended under a request which ends whatever runs it.
+    """A back end that crashed while running a request which crashes every back end.
 
-    :param target: what such requests of one client have in common.
+    :param target: target of the request, shared by all its repeats from one client.
     """
 
     at: float
@@ -109,7 +113,7 @@
 
 @dataclass(frozen=True, slots=True)
 class BrokenPromise:
-    """A promise that a run broke, with what shows it."""
+    """A promise that was broken in a run, with the evidence."""
 
     promise: str
     what: str
@@ -117,7 +121,7 @@
 
 @dataclass(slots=True)
 class EvacuatedZone:
-    """A zone whose back ends were to get nothing between two moments."""
+    """A span in which a zone was evacuated, so its back ends must get no requests."""
 
     zone: str
     since: float
@@ -126,7 +130,7 @@
 
 @dataclass(slots=True)
 class UnreadableSpan:
-    """A time in which a back end's entry could not be read."""
+    """A span in which a back end's entry in the store was not readable."""
 
     backend_id: str
     since: float
@@ -135,9 +139,9 @@
 
 @dataclass(slots=True)
 class StoreOutage:
-    """A time in which no gateway could learn anything from the store.
+    """A span in which no gateway could learn of changes from the store.
 
-    :param until: when it served again and every watch that it had lost was over.
+    :param until: when the store served again and every watch that it had lost had timed out.
     """
 
     since: float
@@ -146,7 +150,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ColdSpan:
-    """A time in which a back end bears few requests a second."""
+    """A span in which a cold back end accepts only few requests a second."""
 
     backend_id: str
     since: float
--- a/tinrudder_lab/emulator/silent_connections.py
+++ b/tinrudder_lab/emulator/silent_connections.py
@@ -1,4 +1,7 @@
-"""Open connections of an emulated site whose way is gone: nobody is told, and new ones work."""
+"""Silences open connections of an emulated site: bytes are dropped without a reset.
+
+Connections that are opened later work.  Also measures how soon a configuration is in force.
+"""
 
 from __future__ import annotations
 
@@ -18,7 +21,7 @@
 
 
 def silence_peers(site: EmulatedSite) -> None:
-    """Silence those between gateways."""
+    """Silence the connections between gateways."""
     _silence(site, lambda one, other: PEER_PORT in (one[1], other[1]))
 
 
@@ -28,7 +31,7 @@
 
 
 def lacking(site: EmulatedSite) -> list[str]:
-    """Return the gateways that lack the newest configuration."""
+    """Return the names of running gateways that do not have the newest configuration."""
     return [
         node.name
         for node in site.nodes
@@ -39,7 +42,7 @@
 
 
 async def in_force_after(site: EmulatedSite) -> float:
-    """Return the seconds from now until the newest configuration is in force on all gateways."""
+    """Return the seconds until all gateways have the newest configuration, up to ``LONGEST_S``."""
     began = site.loop.time()
     while lacking(site) and site.loop.time() - began < LONGEST_S:
         await asyncio.sleep(LOOK_S)
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -1,4 +1,4 @@
-"""A whole emulated site: gateways, back ends, store and clients in virtual time."""
+"""An emulated site: gateways, back ends, store and clients in virtual time."""
 
 from __future__ import annotations
 
@@ -44,16 +44,16 @@
 REPEATS = RepeatBounds(ratio=0.2, extra=56.0, window_s=10.0)
 DRAIN_S = 3.0
 LAPSE_S = 1.0
-"""After this time without a heartbeat the store drops the entry of a back end that has ended."""
+"""Seconds without a heartbeat after which the store drops the entry of a crashed back end."""
 BACK_S = 3.0
-"""After this time a back end that has ended is back, under another id at its old address."""
+"""Seconds after which a crashed back end restarts at its old address, by default under a new id."""
 COLD_NOTICE_S = 1.0
-"""How long it takes until every gateway knows that a back end has turned cold."""
+"""Seconds until every gateway knows that a back end has turned cold."""
 MILLISECONDS = 1000.0
 CLOCK_BEGAN_MS = 1_764_720_000_000
-"""Unix milliseconds at which the loop's clock showed zero."""
+"""Time of day, in Unix milliseconds, at which the loop's clock is zero."""
 EVACUATION_S = 5.0
-"""How long after the store has taken an evacuation calls may still reach the zone."""
+"""Seconds after an evacuation is written in which calls may still reach the zone."""
 GRACE_S = 6.0
 ZONES = ("zone-a", "zone-b")
 
@@ -72,12 +72,12 @@
 
     @property
     def host(self) -> str:
-        """Return the machine's address."""
+        """Return the machine's IP address."""
         return f"{self.network}.1.0.{self.index + 1}"
 
     @property
     def store_port(self) -> int:
-        """Return where this machine reaches the store."""
+        """Return the port at which this machine reaches the store."""
         return STORE_FIRST_PORT + self.index
 
 
@@ -92,7 +92,7 @@
     priority: int | None = None
 
     def document(self) -> dict[str, Any]:
-        """Return it as the configuration has it."""
+        """Return the tenant as an element of the configuration document."""
         return {
             "name": self.name,
             "api_keys": list(self.keys),
@@ -104,21 +104,22 @@
 
 @dataclass
 class EmulatedSite:
-    """Everything; use :meth:`start` before anything else.
+    """A store, gateways, back ends and a ledger; call :meth:`start` first.
 
     :param shards: how many shards the scatter route has.
     :param copies: how many back ends each shard has.
-    :param capacities: processor cores of the gateways, by turns.
-    :param zones: of the gateways, by turns.
-    :param spread: the copies of a shard stand in ``zones`` from the shard's own number on, so that
-        every zone lacks some shards; else in the first zones, the same ones for all shards.
-    :param network: first number of every address.
-    :param work_s: time that a back end's slot is held by one request.
-    :param cold_calls_per_s: what the configuration says that a cold back end bears.
-    :param tenants: of the configuration, each with its keys, as :class:`SiteTenant`.
-    :param keeps_ids: back ends that crash start again under their ids.
-    :param variants: further scatter routes of the same index, each as its changes to the first.
-    :param revocation_s: the bound within which an ended key stops working everywhere.
+    :param capacities: processor cores of the gateways, assigned round-robin.
+    :param zones: zones of the gateways, assigned round-robin.
+    :param spread: place the copies of a shard in successive zones from the shard's own number on,
+        so that every zone lacks some shards; otherwise the copies of all shards are in the same
+        first zones.
+    :param network: first octet of every address.
+    :param work_s: median time for which a request holds a slot of a back end.
+    :param cold_calls_per_s: configured rate limit of a cold back end.
+    :param tenants: tenants of the configuration, with their keys.
+    :param keeps_ids: whether crashed back ends restart under their ids.
+    :param variants: further scatter routes, each as its differences from the first one.
+    :param revocation_s: time within which a revoked key stops working on all gateways.
     """
 
     loop: asyncio.AbstractEventLoop
@@ -149,7 +150,7 @@
     _started_ms: dict[str, int] = field(default_factory=dict)
 
     async def start(self) -> None:
-        """Start the store, the back ends and the gateways, and wait until they serve."""
+        """Start the store, the back ends and the gateways, and give them 2 s to become ready."""
         self.random = random.Random(self.seed)
         self.store = EmulatedStore(f"{self.network}.200.0.1")
         for index in range(self.node_count):
@@ -172,11 +173,11 @@
 
     @property
     def shard_services(self) -> tuple[str, ...]:
-        """Return the services that are the scatter's shards."""
+        """Return the names of the services that a scatter calls, one for each shard."""
         return tuple(f"shard-{index}" for index in range(self.shards))
 
     async def add_backend(self, backend_id: str, service: str, zone: str) -> EmulatedBackend:
-        """Start a back end and let it record itself."""
+        """Start a back end and write its entry."""
         backend = self._run_backend(backend_id, service)
         host = self._next_host()
         await backend.start(host, BACKEND_PORT)
@@ -185,17 +186,17 @@
         return backend
 
     def _next_host(self) -> str:
-        """Return an address that no back end has had."""
+        """Return an IP address that no back end has used."""
         number = self.backends_added
         self.backends_added += 1
         return f"{self.network}.128.{number // 250}.{number % 250 + 1}"
 
     def unix_ms(self) -> int:
-        """Return the time of day, Unix milliseconds."""
+        """Return the virtual time of day, Unix milliseconds."""
         return CLOCK_BEGAN_MS + int(self.loop.time() * MILLISECONDS)
 
     def _run_backend(self, backend_id: str, service: str) -> EmulatedBackend:
-        """Make the process of a back end."""
+        """Create an incarnation of a back end, not yet listening."""
         started_ms = self.unix_ms()
         self._started_ms[backend_id] = started_ms
         backend = EmulatedBackend(
@@ -208,14 +209,14 @@
         return backend
 
     def _on_end(self, backend: EmulatedBackend, request: ServedRequest) -> None:
-        """Note a back end that ended under a request, and let it come back."""
+        """Record that a back end crashed while running a request, and schedule its restart."""
         request_id = request.headers["tinrudder-request-id"]
         ended = EndedBackend(self.loop.time(), backend.backend_id, request_id, request.target)
         self.ledger.ended.append(ended)
         self.end_backend(backend.backend_id)
 
     def end_backend(self, backend_id: str) -> None:
-        """Crash a back end; its entry lapses, and it comes back, by default under another id."""
+        """Crash a back end; its entry expires, and it restarts, by default under another id."""
         if self.keeps_ids:
             self.loop.create_task(self.restart_backend(backend_id, BACK_S))
             return
@@ -225,7 +226,7 @@
         self.loop.create_task(self._come_back(backend_id, backend))
 
     async def _come_back(self, backend_id: str, backend: EmulatedBackend) -> None:
-        """Start a back end again."""
+        """Restart a crashed back end under another id at its old address."""
         await asyncio.sleep(BACK_S)
         _, address, zone = self._entries[backend_id]
         first_id, _, life = backend_id.partition("+")
@@ -237,10 +238,10 @@
     async def restart_backend(
         self, backend_id: str, down_s: float, *, moves: bool = False, cold_left_s: float = 0.0
     ) -> None:
-        """Crash a back end and start it again under its id.
+        """Crash a back end and restart it under its id.
 
-        :param down_s: until its process serves again; its entry lapses if that takes long.
-        :param moves: it starts at another address.
+        :param down_s: time until it listens again; beyond ``LAPSE_S`` its entry expires meanwhile.
+        :param moves: whether it restarts at another address.
         """
         ended = self.backends.pop(backend_id)
         ended.stop()
@@ -256,19 +257,19 @@
         self.write_entry(backend_id, service, address, zone, cold_left_s=cold_left_s)
 
     def came_back(self, backend_id: str, again: str) -> None:
-        """Take note that a back end has another id; nothing here depends on it."""
+        """Handle the restart of a back end under another id; a hook for subclasses."""
 
     async def reachable_at(self, backend_id: str, address: Address) -> Address:
-        """Return where gateways reach a back end: its own address."""
+        """Return the address at which gateways reach a back end; subclasses may add a proxy."""
         return address
 
     @property
     def seeds(self) -> tuple[Address, ...]:
-        """Return the peers that a gateway is told of."""
+        """Return the seed peers in every gateway's settings."""
         return tuple(Address(node.host, PEER_PORT) for node in self.nodes[:2])
 
     def _work_time(self) -> float:
-        """Draw how long one request holds a slot."""
+        """Draw the time for which a request holds a slot."""
         return self.work_s * self.random.lognormvariate(0.0, 0.35)
 
     def write_entry(
@@ -280,7 +281,7 @@
         state: str = "ready",
         cold_left_s: float = 0.0,
     ) -> None:
-        """Write a back end's entry."""
+        """Write a back end's entry to the store."""
         self._entries[backend_id] = (service, address, zone)
         self.ledger.zones[backend_id] = zone
         self.put_document(backend_id, self.entry_document(backend_id, state, cold_left_s))
@@ -288,7 +289,7 @@
     def entry_document(
         self, backend_id: str, state: str = "ready", cold_left_s: float = 0.0
     ) -> dict[str, object]:
-        """Return a back end's entry as it writes it."""
+        """Return a back end's entry as a document."""
         service, address, zone = self._entries[backend_id]
         return {
             "service": service,
@@ -303,48 +304,48 @@
         }
 
     def put_document(self, backend_id: str, document: dict[str, object]) -> None:
-        """Write an entry as it is."""
+        """Write a readable document under a back end's key."""
         self.ledger.note_readable(backend_id, self.loop.time())
         self.store.put(BACKENDS_PREFIX + backend_id, document)
 
     def write_foreign(self, backend_id: str, value: bytes) -> None:
-        """Let another writer write what nobody can read under a back end's key."""
+        """Write an unreadable value under a back end's key, as a faulty writer would."""
         self.ledger.unreadable.append(UnreadableSpan(backend_id, self.loop.time()))
         self.store.put_bytes(BACKENDS_PREFIX + backend_id, value)
 
     def remove_entry(self, backend_id: str) -> None:
-        """Remove an entry."""
+        """Remove a back end's entry."""
         self.ledger.note_readable(backend_id, self.loop.time())
         self.store.remove(BACKENDS_PREFIX + backend_id)
 
     def rewrite_entry(self, backend_id: str) -> None:
-        """Let a back end record itself again after its entry has lapsed."""
+        """Write a back end's entry again in its present state, as its heartbeat would."""
         service, address, zone = self._entries[backend_id]
         life = life_of(backend_id, self._started_ms.get(backend_id, 0))
         state = "draining" if life in self.ledger.leaving_at else "ready"
         self.write_entry(backend_id, service, address, zone, state)
 
     def turn_cold(self, backend_id: str, seconds: float) -> ColdSpan:
-        """Let a back end say that it bears few requests for some time from now on."""
+        """Mark a back end as cold for some time; return the span in which gateways must know it."""
         service, address, zone = self._entries[backend_id]
         self.write_entry(backend_id, service, address, zone, cold_left_s=seconds)
         since = self.loop.time() + COLD_NOTICE_S
         return ColdSpan(backend_id, since, since + seconds - COLD_NOTICE_S)
 
     def drain(self, backend_id: str) -> None:
-        """Let a back end say that it leaves."""
+        """Mark a back end as draining."""
         service, address, zone = self._entries[backend_id]
         self.write_entry(backend_id, service, address, zone, state="draining")
         life = life_of(backend_id, self._started_ms.get(backend_id, 0))
         self.ledger.leaving_at[life] = self.loop.time()
 
     def evacuate(self, zone: str) -> None:
-        """Ask that nothing go to the back ends of a zone."""
+        """Write the evacuation of a zone."""
         self.store.put(EVACUATION_PREFIX + zone, {})
         self.ledger.evacuations.append(EvacuatedZone(zone, self.loop.time()))
 
     def take_back(self, zone: str) -> None:
-        """End the evacuation of a zone."""
+        """Remove the evacuation of a zone."""
         self.store.remove(EVACUATION_PREFIX + zone)
         for evacuated in self.ledger.evacuations:
             if evacuated.zone == zone:
@@ -386,11 +387,11 @@
         self.store.put(CONFIGURATION_KEY, document)
 
     def further_routes(self) -> list[str]:
-        """Return the names of more routes to the single service in the version to be written."""
+        """Return names of additional routes to the single service; a hook for subclasses."""
         return []
 
     def _note_keys(self) -> None:
-        """Note which keys end with the configuration that is about to be written, and begin."""
+        """Record which keys become valid or invalid with the configuration about to be written."""
         now = self.loop.time()
         self.ledger.revocation_s = self.revocation_s
         given = {key: tenant.name for tenant in self.tenants for key in tenant.keys}
@@ -403,12 +404,12 @@
                 spans.append(HeldKey(name, now))
 
     def set_tenants(self, *tenants: SiteTenant) -> None:
-        """Write a configuration with other tenants."""
+        """Replace the tenants and write the configuration."""
         self.tenants = tenants
         self.configure()
 
     def start_node(self, node: EmulatedNode) -> None:
-        """Start, or start again, a gateway's process."""
+        """Start or restart a gateway's process."""
         node.machine = Machine(node.name, node.machine.zone, "region")
         node.machine.context.run(self._start_in_machine, node)
 
@@ -432,7 +433,7 @@
         async def run() -> None:
             node.gateway = Gateway(settings, HEADERS, DECODERS, StoreClient)
             await node.gateway.run()
-            # The process ends here, and with it whatever it still had open.
+            # The process ends here: close all connections that it still has open.
             outside = contextvars.Context()
             self.loop.call_soon(self.kill_node, node, context=outside)
 
@@ -466,17 +467,17 @@
         return PlannedRequest(**(fields | changes))
 
     def _own_key(self) -> str:
-        """Return the newest key of the first tenant, as its clients use it; empty for none."""
+        """Return the newest key of the first tenant, empty if there are no tenants."""
         keys = self.tenants[0].keys if self.tenants else ()
         return keys[-1] if keys else ""
 
     async def send(self, route: str, node: int = 0, **changes: Any) -> ClientResult:
-        """Send one request to a node."""
+        """Send one request to a gateway."""
         address = (self.nodes[node].host, CLIENT_PORT)
         return await send_request(self.request(route, **changes), address, self.ledger)
 
     async def traffic(self, seconds: float, per_second: float, routes: tuple[str, ...]) -> None:
-        """Send requests at random moments to random nodes, and wait for their ends."""
+        """Send requests to random gateways with Poisson arrivals, and wait until all have ended."""
         tasks = []
         end = self.loop.time() + seconds
         while self.loop.time() < end:
@@ -487,12 +488,12 @@
         await asyncio.gather(*tasks)
 
     def served_share(self) -> float:
-        """Return the share of requests that were served, of clients that stayed."""
+        """Return the share of requests answered 200, without clients that disconnect early."""
         stayed = [result for result in self.ledger.results if not result.gone]
         return sum(1 for result in stayed if result.status == 200) / max(1, len(stayed))
 
     def broken_promises(self) -> list[str]:
-        """Return what must not have happened."""
+        """Return all violations of the gateways' promises as texts."""
         broken = self.ledger.broken_promises(
             REPEATS.ratio, REPEATS.extra, REPEATS.window_s, DRAIN_S, EVACUATION_S
         )
@@ -500,7 +501,7 @@
 
 
 def _single(name: str, kind: str) -> dict[str, Any]:
-    """Return a route to one back end."""
+    """Return a route to the single service."""
     return {
         "name": name,
         "host": SITE_HOST,
@@ -515,7 +516,7 @@
 
 
 def _has_not_begun(coroutine: Coroutine[Any, Any, Any]) -> bool:
-    """Tell whether a coroutine was made in the very moment in which a run ended."""
+    """Return whether a coroutine was created but never started when the run ended."""
     return inspect.getcoroutinestate(coroutine) == inspect.CORO_CREATED
 
 
@@ -524,7 +525,7 @@
     site_type: type[EmulatedSite] = EmulatedSite,
     **options: Any,
 ) -> Result:
-    """Run a scenario on a fresh site in virtual time."""
+    """Run a scenario on a new site in virtual time."""
     loop = EmulatorLoop()
     asyncio.set_event_loop(loop)
     site = site_type(loop, **options)
@@ -538,7 +539,7 @@
         return result
     finally:
         for task in asyncio.all_tasks(loop):
-            # Gateways run until they are told to stop; that they are still there is no mistake.
+            # Gateways run until they are stopped, so pending tasks are expected here.
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             coroutine = task.get_coro()
             if inspect.iscoroutine(coroutine) and _has_not_begun(coroutine):
--- a/tinrudder_lab/emulator/store.py
+++ b/tinrudder_lab/emulator/store.py
@@ -1,6 +1,7 @@
-"""The platform's metadata store: keys with revisions, ranges in pages, watches, and outages.
+"""Emulates the metadata store: keys with revisions, paged ranges, watches and outages.
 
-It may come back from an older copy: then its revisions go back and are given out again.
+The store can be restored from an older copy: its revision then goes back, and revisions are
+issued again.
 """
 
 from __future__ import annotations
@@ -22,7 +23,7 @@
 
 
 class StoreMode(enum.Enum):
-    """How the store treats one machine."""
+    """How the store answers one machine."""
 
     SERVING = "serving"
     REFUSING = "refusing"
@@ -45,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """One write, kept so that the store can go back to the moment before it."""
+    """One write, kept so that the store can be restored to an earlier time."""
 
     at: float
     key: str
@@ -62,15 +63,15 @@
 
 
 class EmulatedStore:
-    """One store that each machine reaches at a port of its own, so that it can be treated apart.
+    """One store with a port for each machine, so that faults can be limited to some machines.
 
-    :ivar calls: how often it was asked anything.
-    :ivar reads: how many of these calls were not watches.
-    :ivar epoch: how often it came back from an older copy; in every answer, unless ``None``.
+    :ivar calls: number of calls received.
+    :ivar reads: number of these calls that were not watches.
+    :ivar epoch: number of restores from a copy; sent in every answer unless ``None``.
     """
 
     def __init__(self, host: str) -> None:
-        """Start empty at ``host``."""
+        """Create an empty store at ``host``."""
         self.host = host
         self.modes: dict[int, StoreMode] = {}
         self.calls = 0
@@ -86,7 +87,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def listen(self, port: int) -> None:
-        """Serve one machine."""
+        """Listen on the port of one machine."""
         self.modes[port] = StoreMode.SERVING
         self._connections[port] = set()
 
@@ -100,12 +101,12 @@
         self._servers.append(await self._loop.create_server(accept, self.host, port))
 
     def close(self) -> None:
-        """Give back the addresses."""
+        """Stop listening on all ports."""
         for server in self._servers:
             server.close()
 
     def set_mode(self, mode: StoreMode, *ports: int) -> None:
-        """Treat the machines at ``ports`` (all of them if none is given) another way."""
+        """Set the mode for the machines at ``ports``, or for all machines if none is given."""
         for port in ports or tuple(self.modes):
             self.modes[port] = mode
             if mode is StoreMode.RESETTING:
@@ -113,16 +114,16 @@
                     connection.abort()
 
     def put(self, key: str, document: object) -> int:
-        """Write a document; return its revision."""
+        """Write a document as JSON; return its revision."""
         return self.put_bytes(key, msgspec.json.encode(document))
 
     def put_bytes(self, key: str, value: bytes) -> int:
-        """Write any bytes; return the revision."""
+        """Write bytes as they are; return their revision."""
         self._write(key, value)
         return self.revision
 
     def put_spoiled(self, key: str, shown: dict[str, object]) -> int:
-        """Write a value that the store itself shows with other fields; return its revision.
+        """Write an item that the store answers with the fields of ``shown``; return its revision.
 
         A field that is ``None`` is left out.
         """
@@ -135,25 +136,25 @@
         self._write(key, None)
 
     def value(self, key: str) -> bytes | None:
-        """Return what stands under a key; ``None``: nothing."""
+        """Return the value of a key, ``None`` if it has none."""
         item = self._items.get(key)
         return item.value if item is not None else None
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key's newest write; 0: it was never written."""
+        """Return the revision of a key's newest write, 0 if it was never written."""
         item = self._items.get(key)
         return item.rev if item is not None else 0
 
     def values(self) -> dict[str, bytes]:
-        """Return what stands under every key."""
+        """Return all keys that have a value."""
         return {key: item.value for key, item in self._items.items() if item.value is not None}
 
     def watching_ports(self) -> set[int]:
-        """Return where the machines reach the store that have a watch open."""
+        """Return the ports of the machines that have a watch open."""
         return {watch.port for watch in self._watches}
 
     def restore(self, age_s: float) -> None:
-        """Go back to what stood here some time ago; whoever watches is told nothing of it."""
+        """Restore the contents of ``age_s`` ago; open watches are not notified."""
         copied_at = self._loop.time() - age_s
         self._writes = [write for write in self._writes if write.at <= copied_at]
         self._items = {write.key: write.item for write in self._writes}
@@ -163,13 +164,13 @@
             self.epoch += 1
 
     def forget_history(self) -> None:
-        """Drop history and cut every watch."""
+        """Compact the history and end every watch with 410."""
         self._forgotten = self.revision
         for watch in tuple(self._watches):
             self._answer(watch, 410, {"error": "compacted"})
 
     def _write(self, key: str, value: bytes | None) -> None:
-        """Give a key another value, or none, at the next revision."""
+        """Set or remove (``None``) a key's value at the next revision, and notify watches."""
         self.revision += 1
         item = _Item(value, self.revision)
         self._items[key] = item
@@ -181,7 +182,7 @@
         return {} if self.epoch is None else {STORE_EPOCH.decode(): str(self.epoch)}
 
     def _serve(self, request: ServedRequest, connection: ServerConnection, port: int) -> None:
-        """Answer one call by the machine's mode."""
+        """Handle one call as the machine's mode requires."""
         self.calls += 1
         if not request.target.startswith(WATCH_PATH):
             self.reads += 1
@@ -199,7 +200,7 @@
         self._loop.call_later(delay, self._answer_call, request, connection, port)
 
     def _answer_call(self, request: ServedRequest, connection: ServerConnection, port: int) -> None:
-        """Answer one call."""
+        """Dispatch one call by its path."""
         parts = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == RANGE_PATH:
@@ -258,7 +259,7 @@
 
 
 def _document(key: str, item: _Item) -> dict[str, object]:
-    """Return an item or a removal as the store writes it."""
+    """Return an item or a removal as it appears in answers."""
     if item.value is None:
         return {"key": key, "rev": item.rev, "gone": True}
     value = base64.b64encode(item.value).decode()
--- a/tinrudder_lab/emulator/store_restore.py
+++ b/tinrudder_lab/emulator/store_restore.py
@@ -1,7 +1,7 @@
-"""A store that is away for a moment and is back from an older copy, and what is written again.
+"""A drill: the store fails, is restored from an older copy, and lost writes are repeated.
 
-Owns the course of one such drill; relies on the site for who writes what, and on the ledger for
-nothing: what gateways make of it shows at clients and back ends.
+Owns the course of one drill; relies on the site for writing entries.  Its effect on gateways
+shows at clients and back ends.
 """
 
 from __future__ import annotations
@@ -16,15 +16,16 @@
 
 @dataclass(frozen=True, slots=True)
 class StoreRestore:
-    """How one drill goes.
+    """Parameters of one drill.
 
-    What the operator writes while the store is away stands in it when it is back.
+    What the operator writes during the outage is kept by the restored store.
 
-    :param age_s: how old the copy is when the store goes away.
-    :param away_s: for how long the store answers nobody.
-    :param operator_after_s: how long after its return the operator has written again all that the
-        copy lacks; ``None``: never.
-    :param backends_after_s: the same for each living back end, at most.
+    :param age_s: age of the copy when the outage begins.
+    :param away_s: duration of the outage.
+    :param operator_after_s: time from the end of the outage until the operator repeats all writes
+        that the copy lacks; ``None``: never.
+    :param backends_after_s: upper bound of the same time for each running back end; ``None``:
+        never.
     """
 
     age_s: float
@@ -34,7 +35,7 @@
 
 
 async def restore_store(site: EmulatedSite, drill: StoreRestore) -> None:
-    """Let the store go away and come back; return once all is written again that ever will be."""
+    """Run one drill; return once every lost write that is to be repeated has been."""
     lost = site.store.values()
     site.store.set_mode(StoreMode.RESETTING)
     site.store.restore(drill.age_s)
@@ -51,7 +52,7 @@
 async def _write_again(
     site: EmulatedSite, lost: dict[str, bytes], copied: dict[str, bytes], drill: StoreRestore
 ) -> None:
-    """Let the operator write what the copy lacks, unless something newer stands there."""
+    """Repeat the operator's writes that the copy lacks, except where a newer value was written."""
     if drill.operator_after_s is None:
         return
     await asyncio.sleep(drill.operator_after_s)
@@ -66,7 +67,7 @@
 
 
 async def _record_again(site: EmulatedSite, lost: dict[str, bytes], drill: StoreRestore) -> None:
-    """Let every back end that lives record itself, where the copy shows it otherwise or not."""
+    """Rewrite the entry of every running back end whose entry the copy lacks or shows otherwise."""
     if drill.backends_after_s is None:
         return
     moments = {one: site.random.uniform(0.0, drill.backends_after_s) for one in [*site.backends]}
@@ -80,7 +81,7 @@
 
 
 async def _lapse(site: EmulatedSite) -> None:
-    """Let entries go whose back ends have ended: nobody writes them any more."""
+    """Remove entries of back ends that have ended, since they send no heartbeats any more."""
     await asyncio.sleep(LAPSE_S)
     for key in site.store.values():
         backend_id = key.removeprefix(BACKENDS_PREFIX)
@@ -89,5 +90,5 @@
 
 
 def _operators_values(values: dict[str, bytes]) -> dict[str, bytes]:
-    """Return what the operator wrote."""
+    """Return the keys and values that the operator writes: all but back ends' entries."""
     return {key: value for key, value in values.items() if not key.startswith(BACKENDS_PREFIX)}
--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -1,12 +1,12 @@
-"""Runs processes of two builds beside each other, as during a rolling upgrade, and checks both.
+"""Runs processes of two builds together, as during a rolling upgrade, and checks them.
 
     python -m tinrudder_lab.mixed_builds gateways --other CHECKOUT [--seed N] [--gateways N]
     python -m tinrudder_lab.mixed_builds nodes --other CHECKOUT
 
 CHECKOUT is a directory with the other build and a virtual environment in ``.venv``.  Half of the
-processes of every zone run from there.  Owns the choice of the build and the search of the logs;
-relies on the soak's site, faults and checks for gateways, and on the demo for nodes of the
-loopback program.
+processes of every zone run from there.  Owns the choice of the build for each process and the
+search of the logs; relies on the soak's site, faults and checks for gateways, and on the demo for
+nodes.
 """
 
 from __future__ import annotations
@@ -34,25 +34,25 @@
 from tinrudder_lab.soak.run import ROUTES, SETTLE_S, START_S, _broken, ask_poison, ask_too_much
 
 GATEWAYS = 12
-"""Processes: from this number on scatters are run by coordinators for other gateways."""
+"""Number of gateway processes; from this number on coordinators run scatters for others."""
 REQUESTS_PER_SECOND = 40.0
 CALM_S = 4.0
-"""Traffic without faults, before them and after them."""
+"""Seconds of traffic without faults, once before the faults and once after them."""
 FAULTS_S = 14.0
-"""Time within which all faults come and end."""
+"""Seconds within which all faults are injected and end."""
 SUSPECT_WORDS = ("malformed", "unreadable", "unknown message", "exception", "Traceback", "failed:")
-"""A log line with one of these, of any build, is shown: no message may be misunderstood."""
+"""Words in log lines that report a message which could not be decoded, or an error."""
 EXPECTED_WORDS = ("unreadable_load_report",)
-"""Events with such a word that the emulator's back ends cause on purpose."""
+"""Events with such a word that the emulated back ends cause on purpose."""
 
 
 @dataclass
 class MixedProcesses(ProcessGroup):
-    """Starts half of the programs of ``module`` from the other checkout.
+    """Starts half of the processes of ``module`` from the other checkout.
 
-    :param other: the other checkout; ``None`` runs everything from this one.
-    :param module: of the processes that alternate; the stand-ins always run from this checkout.
-    :param builds: which build each process runs, by name.
+    :param other: the other checkout; ``None`` runs all processes from this one.
+    :param module: module whose processes alternate; all others run from this checkout.
+    :param builds: build of each alternating process, by the process's name.
     """
 
     other: Path | None = None
@@ -62,7 +62,7 @@
     async def start(self, name: str, module: str, *arguments: str) -> None:
         """Run ``python -m module``, from the other checkout for half of the names."""
         if module == self.module and name not in self.builds:
-            # Zones alternate from process to process: own, other, other, own mixes each of them.
+            # Zones alternate between processes; own, other, other, own puts both builds in each.
             other = len(self.builds) % 4 in (1, 2)
             self.builds[name] = "other" if other and self.other is not None else "own"
         if self.builds.get(name) != "other" or self.other is None:
@@ -70,19 +70,20 @@
             return
         command = (str(self.other / ".venv/bin/python"), "-m", module, *arguments)
         with self.log_of(name).open("ab") as log:
-            # The working directory comes first on Python's path: it decides which build runs.
+            # The working directory is first on Python's path, so it selects the build.
             self._processes[name] = await asyncio.create_subprocess_exec(
                 *command, stdout=log, stderr=log, cwd=self.other
             )
 
 
 class MixedResult(msgspec.Struct, frozen=True):
-    """What a run with gateways of two builds showed.
+    """The result of a run with gateways of two builds.
 
-    :param served_before: share of requests served before the first fault; likewise ``after``.
-    :param coordinated: scatters that a coordinator of one build ran for an entry of another,
-        and those within one build, by ``entry>coordinator``.
-    :param suspect_lines: log lines that tell of a message which was not understood.
+    :param served_before: share of requests served before the first fault.
+    :param served_after: share of requests served after the last fault.
+    :param coordinated: number of delegated scatters by the builds of both gateways, as
+        ``entry>coordinator``.
+    :param suspect_lines: log lines that report a message which could not be decoded, or an error.
     """
 
     seed: int
@@ -98,7 +99,7 @@
 
 
 async def run_gateways(other: Path | None, seed: int, count: int, folder: Path) -> MixedResult:
-    """Run gateways of two builds through calm, faults and calm again."""
+    """Run gateways of two builds without faults, with faults, and without faults again."""
     loop = asyncio.get_running_loop()
     site = ProcessSite(
         loop,
@@ -139,7 +140,7 @@
 
 
 async def _served(site: ProcessSite) -> list[int]:
-    """Return the statuses of a calm span."""
+    """Send requests for ``CALM_S``; return their statuses."""
     before = len(site.ledger.results)
     await site.traffic(CALM_S, REQUESTS_PER_SECOND, ROUTES)
     return [result.status for result in site.ledger.results[before:]]
@@ -150,7 +151,7 @@
 
 
 async def _disturb(site: ProcessSite) -> None:
-    """Change the configuration, lose connections to the store, stop and kill of either build."""
+    """Change configurations, reset store links, stop a gateway of each build, and kill one."""
     own, other = site.nodes[2], site.nodes[3]
     await asyncio.sleep(1.0)
     await faults.configure(site)
@@ -172,7 +173,7 @@
 
 
 def _lines(processes: MixedProcesses) -> Iterator[dict[str, object]]:
-    """Yield the log lines of all processes that alternate."""
+    """Yield the log lines of all alternating processes; a line that is not JSON as ``text``."""
     for name in processes.builds:
         for text in processes.log_of(name).read_text(errors="replace").splitlines():
             try:
@@ -182,7 +183,7 @@
 
 
 def _coordinated(processes: MixedProcesses) -> Counter[str]:
-    """Count the scatters that one gateway ran for another, by the builds of both."""
+    """Count delegated scatters by the builds of the entry gateway and the coordinator."""
     entries: dict[object, str] = {}
     coordinators: dict[object, str] = {}
     for line in _lines(processes):
@@ -195,7 +196,7 @@
 
 
 def _suspect_lines(processes: MixedProcesses) -> list[str]:
-    """Return the log lines that tell of something a process did not understand."""
+    """Return the log lines with suspect words, each after the build that wrote it."""
     found = []
     for line in _lines(processes):
         text = json.dumps(line)
@@ -206,7 +207,7 @@
 
 
 def run_nodes(other: Path | None, folder: Path) -> tuple[DemoResult, list[str]]:
-    """Run the demo with half of the nodes of the other build; return its result and bad lines."""
+    """Run the demo with half of the nodes of the other build; return result and suspect lines."""
     cluster = DemoCluster(folder, VICTIM)
     processes = MixedProcesses(folder, other=other, module="tinrudder.cli.main")
     cluster.processes = processes
@@ -219,13 +220,13 @@
 
 
 def main() -> int:
-    """Run what the command line names; 1 if a check failed or a message was misunderstood."""
+    """Run the programs that the command line names; 1 on a failed check or a suspect log line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("programs", choices=("gateways", "nodes"))
     parser.add_argument("--other", type=Path, help="checkout of the other build; default: none")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--gateways", type=int, default=GATEWAYS)
-    parser.add_argument("--folder", type=Path, help="for settings and logs")
+    parser.add_argument("--folder", type=Path, help="directory for settings and logs")
     parsed = parser.parse_args()
     folder = parsed.folder or Path(tempfile.mkdtemp(prefix="tinrudder-mixed-"))
     folder.mkdir(parents=True, exist_ok=True)
--- a/tinrudder_lab/soak/__init__.py
+++ b/tinrudder_lab/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak: real gateway processes on loopback, with faults from outside them."""
+"""A randomized soak test: real gateway processes on loopback, with injected faults."""
--- a/tinrudder_lab/soak/entry_faults.py
+++ b/tinrudder_lab/soak/entry_faults.py
@@ -1,6 +1,6 @@
-"""Back ends that start again under their ids and entries by other writers, beside all else.
+"""Restarts back ends under their ids and overwrites entries, concurrently with other faults.
 
-Their moments come from randomness of their own: a seed's other faults stay what they were.
+Uses a random generator of its own, so it does not change the other faults of a seed.
 """
 
 from __future__ import annotations
@@ -13,13 +13,13 @@
 
 PAUSE_S = (0.3, 1.5)
 DOWN_S = (0.05, 3.0)
-"""A back end that starts again soon is back before its entry lapses, another one after it."""
+"""Seconds that a restart takes: the shorter ones end before the entry expires, others after."""
 UNREADABLE_S = (0.2, 6.0)
-"""Until the next heartbeat of the back end itself; longer ones let a call that should not come."""
+"""Seconds until the back end's next heartbeat; longer spans expose calls that must not come."""
 
 
 async def change_entries(site: ProcessSite, seconds: float) -> list[str]:
-    """Restart back ends and spoil entries for a while; return what was done."""
+    """Restart back ends and corrupt entries for some time; return a description of each fault."""
     source = random.Random(f"entries {site.seed}")
     told: list[str] = []
     running: set[asyncio.Task[None]] = set()
@@ -34,7 +34,7 @@
             moves = source.random() < 0.5
             restart = site.restart_backend(backend_id, source.uniform(*DOWN_S), moves=moves)
             running.add(asyncio.create_task(restart))
-            told.append(f"{backend_id} starts again{' elsewhere' if moves else ''}")
+            told.append(f"{backend_id} restarts{' at another address' if moves else ''}")
         else:
             running.add(asyncio.create_task(_spoil(site, backend_id, source)))
             told.append(f"entry of {backend_id} unreadable")
@@ -44,7 +44,7 @@
 
 
 async def _spoil(site: ProcessSite, backend_id: str, source: random.Random) -> None:
-    """Let another writer overwrite an entry until its back end writes again, if it lives."""
+    """Overwrite an entry with an unreadable value until its running back end rewrites it."""
     backend = site.backends[backend_id]
     site.write_foreign(backend_id, foreign_value(site.entry_document(backend_id), source))
     await asyncio.sleep(source.uniform(*UNREADABLE_S))
@@ -53,7 +53,7 @@
 
 
 def _add_stranger(site: ProcessSite, source: random.Random) -> None:
-    """Let another writer write, or take away, an entry under an id of its own."""
+    """Write or remove an entry whose id belongs to no back end."""
     stranger = f"stranger-{source.randrange(5)}"
     entry = site.entry_document(source.choice(sorted(site.backends) or ["single-0"]))
     kind = source.randrange(3)
--- a/tinrudder_lab/soak/faults.py
+++ b/tinrudder_lab/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, drawn from its seed; each heals by itself."""
+"""Faults of a soak, drawn from its seed; each fault ends by itself."""
 
 from __future__ import annotations
 
@@ -30,11 +30,11 @@
 LOWER_RATE = 1.0
 MAX_STORE_OUTAGE_S = 4.0
 HEARD_AGAIN_S = 2.0
-"""How long after an outage of the store gateways may take to hear it over a new connection."""
+"""Seconds that gateways may take after a store outage to reach it over a new connection."""
 
 
 async def kill(site: ProcessSite) -> str:
-    """Kill a gateway and start it again."""
+    """Kill a gateway and restart it."""
     async with site.one_node() as node:
         site.kill_node(node)
         await site.wait_for_end(node)
@@ -44,7 +44,7 @@
 
 
 async def stop(site: ProcessSite) -> str:
-    """Stop a gateway as planned and start it again."""
+    """Stop a gateway gracefully and restart it."""
     async with site.one_node() as node:
         site.signal_node(node, signal.SIGTERM)
         code = await site.wait_for_end(node)
@@ -57,7 +57,7 @@
 
 
 async def pause(site: ProcessSite) -> str:
-    """Pause a gateway's process."""
+    """Suspend a gateway's process for a while."""
     async with site.one_node() as node:
         site.signal_node(node, signal.SIGSTOP)
         await asyncio.sleep(site.random.uniform(0.2, 4.0))
@@ -66,14 +66,14 @@
 
 
 async def reload(site: ProcessSite) -> str:
-    """Have a gateway read its settings again."""
+    """Make a gateway reload its settings."""
     async with site.one_node() as node:
         site.signal_node(node, signal.SIGHUP)
     return f"reloaded {node.name}"
 
 
 async def harm_link(site: ProcessSite) -> str:
-    """Harm the link to a back end, or from a gateway to the store."""
+    """Inject a fault into the link to one back end, or from one gateway to the store."""
     name = site.random.choice(sorted(site.links))
     mode = site.random.choice(BAD_LINK_MODES)
     site.links[name].set_mode(mode)
@@ -83,7 +83,7 @@
 
 
 async def harm_store(site: ProcessSite) -> str:
-    """Let the store treat some machines, or all, badly."""
+    """Make the store fail for some or all machines."""
     ports = [node.store_port for node in site.nodes]
     chosen = site.random.sample(ports, site.random.randint(1, len(ports)))
     mode = site.random.choice(BAD_STORE_MODES)
@@ -98,29 +98,29 @@
 
 
 async def forget_history(site: ProcessSite) -> str:
-    """Let the store forget its history."""
+    """Compact the store's history, which ends all watches."""
     site.store.forget_history()
-    return "store forgot"
+    return "store history compacted"
 
 
 async def configure(site: ProcessSite) -> str:
-    """Change the configuration."""
+    """Write a configuration with another time-out."""
     site.configure(timeout_ms=site.random.choice([1500, 2000, 2500]))
     return f"configured {site.version}"
 
 
 async def end_key(site: ProcessSite) -> str:
-    """End the oldest key of the first tenant; it gets a new one."""
+    """Revoke the oldest key of the first tenant and add a new one."""
     first, *others = site.tenants
     ended, *kept = first.keys
     number = int(first.keys[-1].rpartition("-")[2]) + 1
     keys = (*kept, f"{first.name}-{number}")
     site.set_tenants(SiteTenant(first.name, keys, first.rate_per_s, first.burst), *others)
-    return f"key {ended} ended"
+    return f"key {ended} revoked"
 
 
 async def change_limit(site: ProcessSite) -> str:
-    """Let the limited tenant's limit go down or up, never above what its check allows."""
+    """Change the limited tenant's rate limit, never above the limit that is checked."""
     *others, limited = site.tenants
     rate = site.random.choice((LOWER_RATE, LIMITED.rate_per_s))
     site.set_tenants(*others, SiteTenant(limited.name, limited.keys, rate, limited.burst))
@@ -128,7 +128,7 @@
 
 
 async def cut_back_ends(site: ProcessSite) -> str:
-    """Harm the links to all back ends of a zone at once."""
+    """Inject a fault into the links to all back ends of a zone at once."""
     zone = site.random.choice(site.zones)
     mode = site.random.choice((LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESETTING))
     names = [name for name, where in site.ledger.zones.items() if where == zone]
@@ -141,9 +141,9 @@
 
 
 async def spoil_answers(site: ProcessSite) -> str:
-    """Let some back ends spoil some answers."""
+    """Make some back ends inject a fault into some of their answers."""
     fault = site.random.choice(BAD_ANSWERS)
-    # The back ends themselves: one that crashes meanwhile comes back under another id.
+    # Keeps the objects, not the ids: a back end that crashes meanwhile restarts under another id.
     alive = sorted(site.backends)
     backends = [site.backends[one] for one in site.random.sample(alive, min(4, len(alive)))]
 
@@ -159,22 +159,22 @@
 
 
 async def stand_still(site: ProcessSite) -> str:
-    """Let a back end stand still for a moment."""
+    """Make a back end finish no work for a moment."""
     backend: EmulatedBackend = site.random.choice([*site.backends.values()])
     backend.pause(site.random.uniform(0.1, 1.0))
-    return f"{backend.backend_id} stood still"
+    return f"{backend.backend_id} paused"
 
 
 async def replace_backend(site: ProcessSite) -> str:
-    """Let a back end of the single service leave, after another one came."""
+    """Add a back end to the single service, then drain another one."""
     alive = [name for name in site.backends if name.startswith("single")]
     old = site.random.choice(alive) if alive else ""
     if not alive or site.backends[old].life in site.ledger.leaving_at:
-        return "nothing replaced"
+        return "no back end replaced"
     await site.add_backend(f"single-{site.backends_added}", "single", "zone-a")
     await asyncio.sleep(0.5)
     site.drain(old)
-    return f"{old} leaves"
+    return f"{old} drains"
 
 
 FAULTS: tuple[SoakFault, ...] = (
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -1,4 +1,4 @@
-"""The emulated site with gateways as separate processes, each link through a proxy."""
+"""An emulated site whose gateways are separate processes and whose links go through proxies."""
 
 from __future__ import annotations
 
@@ -35,22 +35,22 @@
 REVOCATION_S = 5.0
 QUOTAS = QuotaBounds()
 MEMORY_MB = 152
-"""What a gateway's process may take: the smallest setting seen."""
+"""Memory limit in a gateway's settings, megabytes: the smallest setting in use."""
 
 
 def version_route(version: int) -> str:
-    """Return the name of the route that one version of the configuration has, and no other."""
+    """Return the name of the route that exists only in this version of the configuration."""
     return f"version-{version}"
 
 
 @dataclass
 class ProcessSite(EmulatedSite):
-    """Gateways run as processes; store and back ends stay in this one, behind proxies.
+    """Gateways run as processes; store and back ends run in this process, behind proxies.
 
-    :param folder: for settings files and logs.
-    :param problems: what faults found that no client or back end can see.
-    :param peak_mb: the most that any gateway's process took, megabytes.
-    :param versions: when the operator wrote each version of the configuration.
+    :param folder: directory for settings files and logs.
+    :param problems: failures that fault injection found, beyond what clients and back ends see.
+    :param peak_mb: highest memory use of any gateway's process, megabytes.
+    :param versions: time at which each version of the configuration was written.
     """
 
     folder: Path = field(default_factory=Path)
@@ -67,20 +67,20 @@
         self.processes = ProcessGroup(self.folder)
 
     async def reachable_at(self, backend_id: str, address: Address) -> Address:
-        """Put a proxy before a back end."""
+        """Start a proxy in front of a back end; return the proxy's address."""
         proxied = Address(address.host.replace("127.128.", "127.129."), BACKEND_PORT)
         await self._add_link(backend_id, address, proxied)
         return proxied
 
     def start_node(self, node: EmulatedNode) -> None:
-        """Start, or start again, a gateway's process."""
+        """Start or restart a gateway's process."""
         self.loop.create_task(self.launch(node))
 
     async def launch(self, node: EmulatedNode) -> None:
         """Start a gateway's process and wait until its own code runs.
 
-        A signal that comes while the interpreter itself starts ends any program, so none is sent
-        before; from its first line on the gateway must bear them.
+        A signal during the start of the interpreter ends any program, so none is sent before the
+        first log line.  From then on the gateway must handle signals.
         """
         await self._link_to_store(node)
         settings = self.folder / f"{node.name}.toml"
@@ -92,7 +92,7 @@
         await self._wait_for_first_line(node, log, before)
 
     async def _wait_for_first_line(self, node: EmulatedNode, path: Path, before: int) -> None:
-        """Wait until a process has written to its log."""
+        """Wait until a process has written to its log; record a problem if it does not."""
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
                 while path.stat().st_size <= before:
@@ -101,13 +101,13 @@
             self.problems.append(f"start: {node.name} wrote nothing in {START_TIMEOUT_S} s")
 
     def further_routes(self) -> list[str]:
-        """Return a route that this version alone has, so that it shows which one is in force."""
+        """Return a route that only this version has, to show whether it is in force."""
         self.versions[self.version] = self.loop.time()
         return [version_route(self.version)]
 
     @contextlib.asynccontextmanager
     async def one_node(self) -> AsyncIterator[EmulatedNode]:
-        """Draw a gateway and keep other faults of processes away from it."""
+        """Draw a gateway and lock it against other process faults; record the disturbance."""
         node = self.random.choice(self.nodes)
         async with self._locks.setdefault(node.name, asyncio.Lock()):
             disturbance = Disturbance(node.host, self.loop.time())
@@ -116,7 +116,7 @@
             disturbance.until = self.loop.time()
 
     def signal_node(self, node: EmulatedNode, number: signal.Signals) -> None:
-        """Send a signal to a gateway that this soak started."""
+        """Send a signal to a gateway's process, which this soak started."""
         self.processes.send_signal(node.name, number)
 
     def kill_node(self, node: EmulatedNode) -> None:
@@ -124,17 +124,18 @@
         self.signal_node(node, signal.SIGKILL)
 
     async def wait_for_end(self, node: EmulatedNode) -> int | None:
-        """Wait until a gateway's process has ended; return its code, ``None`` if it has not."""
+        """Wait for a gateway's process to end; return its exit code, ``None`` on time-out."""
         return await self.processes.wait(node.name, STOP_TIMEOUT_S)
 
     def ended_by_themselves(self) -> list[str]:
-        """Name the gateways that are not running although nothing ended them."""
+        """Return the gateways that exited although no fault ended them, with their exit codes."""
         return [
-            f"own exit: {name} ended with {code}" for name, code in self.processes.ended().items()
+            f"unexpected exit: {name} ended with {code}"
+            for name, code in self.processes.ended().items()
         ]
 
     async def close(self) -> None:
-        """End every process that this soak started, and give back all addresses."""
+        """End every process that this soak started, and close all sockets."""
         await self.processes.kill_all()
         for link in self.links.values():
             link.close()
@@ -143,11 +144,11 @@
         self.store.close()
 
     def came_back(self, backend_id: str, again: str) -> None:
-        """Know the link to a back end by its new id too."""
+        """Register a back end's link under its new id too."""
         self.links[again] = self.links[backend_id]
 
     async def _link_to_store(self, node: EmulatedNode) -> None:
-        """Put a proxy between a gateway and the store, once."""
+        """Start the proxy between a gateway and the store, unless it runs already."""
         if node.name not in self.links:
             target = Address(self.store.host, node.store_port)
             await self._add_link(node.name, target, Address(STORE_PROXY_HOST, node.store_port))
@@ -158,7 +159,7 @@
         await link.listen(address)
 
     def _settings_text(self, node: EmulatedNode) -> str:
-        """Return a gateway's settings file."""
+        """Return the contents of a gateway's settings file."""
         seeds = ", ".join(f'"{seed}"' for seed in self.seeds)
         return f"""node = "{node.name}"
 zone = "{node.machine.zone}"
--- a/tinrudder_lab/soak/proxy.py
+++ b/tinrudder_lab/soak/proxy.py
@@ -1,4 +1,4 @@
-"""A loopback proxy that delays, resets, silences or cuts one way the connections through it."""
+"""A loopback proxy that delays, resets or silences connections, or drops one direction."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 
 class LinkMode(enum.Enum):
-    """What happens to bytes on the way.
+    """How a proxy treats the bytes that pass through it.
 
-    ``ONE_WAY``: requests arrive, answers do not.
+    ``ONE_WAY``: forwards requests and drops answers.
     """
 
     PASSING = "passing"
@@ -29,41 +29,41 @@
 
 
 class LinkProxy:
-    """Passes connections at one address on to another."""
+    """Forwards connections from one address to another."""
 
     def __init__(self, target: Address) -> None:
-        """Pass on to ``target``."""
+        """Forward connections to ``target``."""
         self.mode = LinkMode.PASSING
         self._target = target
         self._server: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
-        # Connections of an earlier generation went silent for good.
+        # Connections of an earlier generation forward nothing any more.
         self._generation = 0
 
     async def listen(self, address: Address) -> None:
-        """Accept connections."""
+        """Listen on ``address``."""
         self._server = await asyncio.start_server(self._serve, address.host, address.port)
 
     def set_mode(self, mode: LinkMode) -> None:
-        """Treat bytes another way; what is open is reset if the mode says so."""
+        """Set the mode for all connections; ``RESETTING`` also resets the open ones."""
         self.mode = mode
         if mode is LinkMode.RESETTING:
             for writer in tuple(self._writers):
                 _reset(writer)
 
     def silence_open(self) -> None:
-        """Pass nothing on over the connections that are open now; new ones work."""
+        """Drop all further bytes of the connections that are open now; new connections work."""
         self._generation += 1
 
     def close(self) -> None:
-        """End everything."""
+        """Stop listening and close all connections."""
         if self._server is not None:
             self._server.close()
         for writer in tuple(self._writers):
             writer.close()
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        """Pass one connection on."""
+        """Forward one connection."""
         if self.mode is LinkMode.RESETTING:
             _reset(writer)
             return
@@ -86,7 +86,7 @@
     async def _pass(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, answers: bool
     ) -> None:
-        """Pass bytes on in one direction until either end closes."""
+        """Forward bytes in one direction until either end closes."""
         generation = self._generation
         with contextlib.suppress(OSError):
             while data := await reader.read(CHUNK_BYTES):
--- a/tinrudder_lab/soak/regressions.py
+++ b/tinrudder_lab/soak/regressions.py
@@ -1,4 +1,4 @@
-"""Seeds of soaks that failed once; each is kept and run again."""
+"""Seeds of soaks that failed, kept as regression tests."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 class RegressionSeed:
     """A soak that failed.
 
-    :param gateways: how many there were.
-    :param cause: what it was traced to, or that it is open.
-    :param poison: a client asked what crashes back ends.
-    :param entries: back ends started again under their ids, and entries were spoiled.
-    :param slow: clients read slowly or not at all.
-    :param restores: the store came back from older copies.
-    :param silences: open connections fell silent.
+    :param gateways: number of gateways.
+    :param cause: cause of the failure, or that it is unknown.
+    :param poison: whether a client sent requests that crash back ends.
+    :param entries: whether back ends restarted under their ids and entries were corrupted.
+    :param slow: whether clients read slowly or not at all.
+    :param restores: whether the store was restored from older copies.
+    :param silences: whether open connections were silenced.
     """
 
     seed: int
@@ -40,26 +40,28 @@
         13,
         25.0,
         3,
-        "2026-12-02: a reload signal ended a gateway whose handler did not stand yet; mended. "
-        "Seen again as -1 and -15 where the signal met the interpreter's own start, which no "
-        "program bears; the soak waits for the gateway's first line since",
+        "2026-12-02: a reload signal ended a gateway that had not installed its handler yet; "
+        "fixed.  Seen again with exit codes -1 and -15: a signal during the start of the "
+        "interpreter ends any program; since then the soak waits for the gateway's first log line",
     ),
     RegressionSeed(
         104,
         40.0,
         3,
-        "2026-12-02: 52 requests of a tenant in a window of 50: each of its quota homes, killed or "
-        "paused one after another, began with a bucket of its own; entries tell the next home what "
-        "the last one said since.  Seen again with 51: a gateway that had stood still admitted the "
-        "21 requests that waited for it before its home could answer; at most 3 since",
+        "2026-12-02: 52 requests of a tenant ran in a window that allows 50: its quota homes were "
+        "killed or paused one after another, and each began with a full token bucket; since then "
+        "entry gateways pass the last home's report to the next home.  Seen again with 51: a "
+        "resumed gateway admitted the 21 requests that waited for it before its home could answer; "
+        "since then it admits at most 3",
     ),
     RegressionSeed(
         311,
         12.0,
         3,
-        "a request reached a back end 3.8 s after it said that it leaves.  By the logs a gateway "
-        "sent it 0.06 s after its start, as the last resort: all others of the service had "
-        "crashed.  Allowed: it could not know since when; the check leaves such gateways out",
+        "a request reached a back end 3.8 s after it began to drain.  By the logs a gateway sent "
+        "it 0.06 s after the gateway's start, as a last resort: all other back ends of the service "
+        "had crashed.  Allowed: a new gateway cannot know since when a back end drains; the check "
+        "leaves such gateways out",
         poison=True,
     ),
 )
--- a/tinrudder_lab/soak/restores.py
+++ b/tinrudder_lab/soak/restores.py
@@ -1,6 +1,6 @@
-"""A store that comes back from older copies, one after another, beside all else.
+"""Restores the store from older copies repeatedly, concurrently with other faults.
 
-Their moments come from randomness of their own: a seed's other faults stay what they were.
+Uses a random generator of its own, so it does not change the other faults of a seed.
 """
 
 from __future__ import annotations
@@ -17,15 +17,15 @@
 AWAY_S = (0.1, 3.0)
 WRITTEN_AGAIN_S = (0.0, 5.0)
 UNHEARD_S = 1.0
-"""What was written this short before the store went away may have reached no gateway: readers rest
-up to 0.6 s between two watches."""
+"""Seconds before an outage in which a write may have reached no gateway: readers pause up to 0.6 s
+between two watches."""
 HEARD_AGAIN_S = 2.0
-"""How long after all is written again every gateway must have heard of it: readers ask a store that
-was away at least every 0.8 s, and digests tell the others."""
+"""Seconds within which repeated writes reach every gateway: readers retry a failed store at least
+every 0.8 s, and digests inform the other gateways."""
 
 
 async def restore_again_and_again(site: ProcessSite, seconds: float) -> list[str]:
-    """Let the store come back from copies for a while; return what was done."""
+    """Restore the store from copies for some time; return a description of each drill."""
     source = random.Random(f"restores {site.seed}")
     told: list[str] = []
     end = site.loop.time() + seconds
@@ -40,7 +40,7 @@
         outage = StoreOutage(site.loop.time() - UNHEARD_S)
         site.ledger.store_outages.append(outage)
         for backend_id in site.ledger.unreadable_now():
-            # The copy may hold the good entry that another writer replaced since.
+            # The copy may hold the readable entry that was overwritten after it was made.
             site.ledger.note_readable(backend_id, site.loop.time())
         told.append(f"{site.loop.time():.1f}: store back from {drill.age_s:.1f} s before")
         await restore_store(site, drill)
--- a/tinrudder_lab/soak/run.py
+++ b/tinrudder_lab/soak/run.py
@@ -1,4 +1,4 @@
-"""Runs one soak from its seed and checks what clients and back ends saw."""
+"""Runs one soak from its seed and checks what clients and back ends recorded."""
 
 from __future__ import annotations
 
@@ -29,11 +29,11 @@
 
 
 class SoakResult(msgspec.Struct, frozen=True):
-    """What a soak found.
+    """The result of a soak.
 
-    :param served_after: share of requests served once every fault had healed.
-    :param slow_readers: clients that read slowly or not at all.
-    :param peak_mb: the most that any gateway's process took, megabytes.
+    :param served_after: share of requests served once every fault had ended.
+    :param slow_readers: number of clients that read slowly or not at all.
+    :param peak_mb: highest memory use of any gateway's process, megabytes.
     """
 
     seed: int
@@ -49,7 +49,7 @@
 
 
 class SoakSpans(msgspec.Struct, frozen=True):
-    """For how long each trouble that has randomness of its own goes on, seconds; 0: not at all."""
+    """Seconds for which each fault with a random generator of its own is injected; 0: never."""
 
     poison: float
     entries: float
@@ -72,12 +72,13 @@
 ) -> SoakResult:
     """Run one soak; settings and logs of the gateways are left in ``folder``.
 
-    :param gateways: above eleven, scatters go through coordinators and some follow no store.
-    :param poison: a client asks again and again what crashes the back ends that run it.
-    :param entries: back ends start again under their ids, and others spoil entries.
-    :param slow: clients come who read slowly or not at all.
-    :param restores: the store comes back from older copies.
-    :param silences: open connections fall silent, often just before a change.
+    :param gateways: number of gateways; above eleven, scatters go through coordinators and some
+        gateways do not watch the store.
+    :param poison: repeat requests that crash the back ends running them.
+    :param entries: restart back ends under their ids and corrupt entries.
+    :param slow: run clients that read slowly or not at all.
+    :param restores: restore the store from older copies.
+    :param silences: silence open connections, often just before a configuration change.
     """
     loop = asyncio.get_running_loop()
     site = ProcessSite(
@@ -90,7 +91,7 @@
     )
     task = asyncio.current_task()
     assert task is not None
-    # Whoever ends the soak must not leave its gateways behind.
+    # A soak that is terminated must not leave its gateways running.
     loop.add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         spans = SoakSpans(
@@ -106,7 +107,7 @@
 
 
 async def _run(site: ProcessSite, seconds: float, spans: SoakSpans) -> SoakResult:
-    """Drive traffic and faults, let everything heal, and check."""
+    """Drive traffic and faults, wait for recovery, and check."""
     await site.start()
     await asyncio.sleep(START_S)
     memory = asyncio.create_task(watch_memory(site))
@@ -130,7 +131,7 @@
 
 
 async def _disturb(site: ProcessSite, seconds: float, spans: SoakSpans) -> tuple[list[str], int]:
-    """Drive traffic and faults; return what was done, and how many clients read slowly."""
+    """Drive traffic and faults; return the faults' descriptions and the number of slow clients."""
     told: list[str] = []
     faults = asyncio.create_task(_inject(site, seconds, told))
     changes = asyncio.create_task(change_entries(site, spans.entries))
@@ -152,7 +153,7 @@
 
 
 async def _served_calmly(site: ProcessSite) -> float:
-    """Send requests once every fault has healed; return the share that was served."""
+    """Send requests once every fault has ended; return the share that was served."""
     before = len(site.ledger.results)
     await site.traffic(3.0, REQUESTS_PER_SECOND, ROUTES)
     after = site.ledger.results[before:]
@@ -160,21 +161,21 @@
 
 
 def _broken(site: ProcessSite, served_after: float) -> list[str]:
-    """Return everything that must not have happened."""
+    """Return all violations that the checks of a soak found."""
     texts = site.broken_promises()
     texts.extend(site.problems)
     texts.extend(site.ended_by_themselves())
     texts.extend(over_limit(site))
     texts.extend(over_memory(site))
     if served_after < MINIMUM_SERVED_AFTER:
-        texts.append(f"recovery: {served_after:.3f} served after everything had healed")
+        texts.append(f"recovery: {served_after:.3f} served after all faults had ended")
     return texts
 
 
 async def ask_poison(site: ProcessSite, seconds: float) -> None:
-    """Send the same two requests, under which back ends crash, to any gateway.
+    """Send two requests that crash back ends to random gateways, repeatedly.
 
-    Their moments come from randomness of their own: a seed's faults stay what they were.
+    Uses a random generator of its own, so it does not change the faults of a seed.
     """
     source = random.Random(f"poison {site.seed}")
     site.ends_under = lambda request: request.target.endswith(POISON)
@@ -187,7 +188,7 @@
 
 
 async def ask_too_much(site: ProcessSite, seconds: float) -> None:
-    """Send the limited tenant's requests, several times as many as its limit allows."""
+    """Send requests of the limited tenant at ``TIMES_LIMIT`` times its rate limit."""
     tasks = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
@@ -199,7 +200,7 @@
 
 
 async def ask_with_any_key(site: ProcessSite, seconds: float) -> None:
-    """Send requests with keys that the first tenant has or had: some are about to end."""
+    """Send requests with random present and past keys of all tenants, some about to be revoked."""
     tasks = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
@@ -211,7 +212,7 @@
 
 
 def over_limit(site: ProcessSite) -> list[str]:
-    """Tell whether more of the limited tenant's requests ran than its highest limit allows."""
+    """Return a violation if more of the limited tenant's requests ran than its quota allows."""
     limit = LIMITED.rate_per_s * QUOTAS.window_s + LIMITED.burst
     bound = limit * (1.0 + QUOTAS.excess) + QUOTAS.slack
     ran = site.ledger.most_in_window(LIMITED.name, QUOTAS.window_s)
@@ -219,7 +220,7 @@
 
 
 async def _inject(site: ProcessSite, seconds: float, told: list[str]) -> None:
-    """Draw faults, up to two at a time, until the time is over; wait until they have healed."""
+    """Inject random faults, at most two at a time, for some time; wait until all have ended."""
     end = site.loop.time() + seconds
     running: set[asyncio.Task[str]] = set()
     while site.loop.time() < end:
@@ -235,7 +236,7 @@
 
 
 async def _one(site: ProcessSite, fault: SoakFault) -> str:
-    """Run one fault and say when it began."""
+    """Run one fault; return its description with the time at which it began."""
     began = site.loop.time()
     what = await fault(site)
     return f"{began:.1f}: {what}"
--- a/tinrudder_lab/soak/silences.py
+++ b/tinrudder_lab/soak/silences.py
@@ -1,7 +1,7 @@
-"""Open connections that fall silent for good, again and again, often just before a change.
+"""Silences open connections repeatedly, often just before a configuration change.
 
-Nobody is told, and new connections work.  Their moments come from randomness of their own: a seed's
-other faults stay what they were.
+Silenced connections drop all bytes without a reset; new connections work.  Uses a random generator
+of its own, so it does not change the other faults of a seed.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 async def silence_again_and_again(site: ProcessSite, seconds: float) -> list[str]:
-    """Let connections to the store, and some to back ends, fall silent; return what was done."""
+    """Silence connections to the store and some to back ends; return a description of each time."""
     source = random.Random(f"silences {site.seed}")
     told: list[str] = []
     end = site.loop.time() + seconds
--- a/tinrudder_lab/soak/slow_readers.py
+++ b/tinrudder_lab/soak/slow_readers.py
@@ -1,4 +1,4 @@
-"""Clients that read large answers slowly or not at all, and how much memory gateways take then."""
+"""Clients that read large answers slowly or not at all, and the memory that gateways use then."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
 
 LARGE = "large"
 LARGE_RECORDS = 30_000
-"""Records of 16 bytes: answers of 480 KB, more than what sockets on both sides take."""
+"""Records of 16 bytes: answers of 480 KB, more than the socket buffers of both sides hold."""
 PIPELINED = 3
 CLIENTS_PER_SECOND = 2.0
-"""About a tenth of all clients of a soak."""
+"""Mean arrival rate: about a tenth of all clients of a soak."""
 READ_BYTES = 1024
 READ_PAUSE_S = 1.0
 MEMORY_LOOK_S = 0.2
@@ -29,14 +29,14 @@
 
 
 def records_of(request: ServedRequest) -> int:
-    """Tell how many records an answer has."""
+    """Return the number of records in the answer to a request."""
     return LARGE_RECORDS if request.target.endswith(LARGE) else ANSWER_RECORDS
 
 
 async def read_slowly(site: ProcessSite, seconds: float) -> int:
-    """Let clients come who read 1 KB a second or nothing; return how many came.
+    """Run clients that read 1 KB a second or nothing; return the number of clients.
 
-    Their moments come from randomness of their own: a seed's faults stay what they were.
+    Uses a random generator of its own, so it does not change the faults of a seed.
     """
     source = random.Random(f"slow {site.seed}")
     site.records_of = records_of
@@ -54,7 +54,7 @@
 
 
 async def _ask(site: ProcessSite, node: EmulatedNode, *, reads: bool) -> None:
-    """Ask for some large answers at once and read them slowly, or not."""
+    """Pipeline requests for large answers and read the answers slowly, or not at all."""
     with socket.socket() as client, contextlib.suppress(OSError):
         client.setblocking(False)
         await site.loop.sock_connect(client, (node.host, CLIENT_PORT))
@@ -69,7 +69,7 @@
 
 
 async def watch_memory(site: ProcessSite) -> None:
-    """Note the most that any gateway's process took, until cancelled."""
+    """Update ``site.peak_mb`` with the memory use of all gateways until cancelled."""
     while True:
         for node in site.nodes:
             site.peak_mb = max(site.peak_mb, peak_mb(site, node))
@@ -77,7 +77,7 @@
 
 
 def peak_mb(site: ProcessSite, node: EmulatedNode) -> float:
-    """Return the most that a gateway's process took so far, megabytes; 0 if it has ended."""
+    """Return the peak memory use of a gateway's process, megabytes; 0 if it has ended."""
     process_id = site.processes.pid_of(node.name)
     if process_id is None:
         return 0.0
@@ -90,7 +90,7 @@
 
 
 def over_memory(site: ProcessSite) -> list[str]:
-    """Tell whether any gateway outgrew the memory that its settings give it."""
+    """Return a violation if any gateway used more memory than its settings allow."""
     if site.peak_mb <= MEMORY_MB:
         return []
-    return [f"memory: a gateway took {site.peak_mb:.0f} MB, at most {MEMORY_MB}"]
+    return [f"memory: a gateway used {site.peak_mb:.0f} MB, limit {MEMORY_MB} MB"]
--- a/tinrudder_lab/soak/versions.py
+++ b/tinrudder_lab/soak/versions.py
@@ -1,7 +1,7 @@
-"""Which version of the configuration each gateway has in force, as its clients see it.
+"""Checks which version of the configuration each gateway enforces, as seen by clients.
 
-Every version has one route that no other has.  Owns nothing; relies on the ledger for what no
-gateway could know, and for gateways that were disturbed.
+Every version has a route that no other version has.  Owns nothing; relies on the ledger for outages
+of the store and for disturbed gateways.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from tinrudder_lab.soak.process_site import ProcessSite, version_route
 
 IN_FORCE_S = 3.0
-"""Within this time of its confirmation a version must be in force everywhere."""
+"""Seconds until a version that the store shows must be in force on all gateways."""
 LOOK_S = (0.1, 0.5)
 NO_ROUTE = 404
 
 
 async def ask_versions(site: ProcessSite, seconds: float) -> None:
-    """Ask any gateway on the routes of every version that it may have in force.
+    """Check random gateways for the versions that they may enforce.
 
-    Their moments come from randomness of their own: a seed's faults stay what they were.
+    Uses a random generator of its own, so it does not change the faults of a seed.
     """
     source = random.Random(f"versions {site.seed}")
     end = site.loop.time() + seconds
@@ -31,7 +31,7 @@
 
 
 def _due(site: ProcessSite, now: float) -> int | None:
-    """Return the newest version that every gateway must have in force, or a later one."""
+    """Return the oldest version that a gateway may still enforce at a time."""
     due = [
         version
         for version, written_at in site.versions.items()
@@ -41,10 +41,10 @@
 
 
 async def _ask(site: ProcessSite, node: EmulatedNode) -> None:
-    """Note a problem if a gateway has none of the versions that may be in force, or an older one.
+    """Record a problem if a gateway has no allowed version, or still has an older one.
 
-    Each version has a route of its own, so one of them must be there; a refusal that lets clients
-    come back says nothing.
+    One of the allowed versions' routes must exist.  Only answers of 404 count as its absence: a
+    temporary refusal says nothing of the version.
     """
     now = site.loop.time()
     due, newest = _due(site, now), site.version
@@ -54,7 +54,7 @@
     statuses = [await _status(site, node, version) for version in allowed]
     older = max((version for version in site.versions if version < due), default=None)
     before = NO_ROUTE if older is None else await _status(site, node, older)
-    # A change meanwhile, or a fault that began, says nothing of what was asked for.
+    # The result is void if the configuration changed or a fault began meanwhile.
     if site.version != newest or site.ledger.is_disturbed(node.host, site.loop.time()):
         return
     if _due(site, now) != due:
@@ -66,6 +66,6 @@
 
 
 async def _status(site: ProcessSite, node: EmulatedNode, version: int) -> int:
-    """Return what a request on a version's route gets."""
+    """Return the status of a request on a version's route."""
     target = f"/{version_route(version)}/{site.loop.time()}"
     return (await site.send("single", node.index, target=target)).status
