--- a/tinrudder_lab/soak/regressions.py
+++ b/tinrudder_lab/soak/regressions.py
@@ -49,10 +49,10 @@
         40.0,
         3,
         "2026-12-02: 52 requests of a tenant ran in a window that allows 50: its quota homes were "
-        "killed or paused one after another, and each began with a full token bucket; since then "
-        "entry gateways pass the last home's report to the next home.  Seen again with 51: a "
-        "resumed gateway admitted the 21 requests that waited for it before its home could answer; "
-        "since then it admits at most 3",
+        "killed or paused one after another, and each began with a new token bucket; since then "
+        "entry gateways pass the level that the last home reported to the next home.  Seen again "
+        "with 51: a resumed gateway admitted the 21 requests that waited for it before its home "
+        "could answer; since then it admits at most 3",
     ),
     RegressionSeed(
         311,
