--- a/tests/unit/lab/test_emulator_ledger.py
+++ b/tests/unit/lab/test_emulator_ledger.py
@@ -7,8 +7,8 @@
 from tinrudder_lab.emulator.ledger import Ledger
 from tinrudder_lab.emulator.records import (
     Arrival,
+    CrashedBackend,
     Disturbance,
-    EndedBackend,
     SentRequest,
     StoreOutage,
     UnreadableSpan,
@@ -40,7 +40,7 @@
         (19.9, [StoreOutage(2.0, 12.0), StoreOutage(9.0, 17.0)], False),
     ],
 )
-def test_calls_to_a_leaving_back_end_end_once_gateways_could_know_of_it(
+def test_calls_to_a_leaving_back_end_stop_once_gateways_can_know(
     arrival_at: float, outages: list[StoreOutage], broken: bool
 ) -> None:
     assert leaving_broken(ledger_with(arrival_at, outages)) is broken
@@ -56,7 +56,7 @@
         ("another", 11.0, 12.0, True),
     ],
 )
-def test_a_gateway_that_was_disturbed_lately_is_left_out(
+def test_calls_through_a_recently_disturbed_gateway_do_not_count(
     host: str, since: float, until: float, broken: bool
 ) -> None:
     """A gateway that has just started cannot know since when a back end drains (soak seed 311)."""
@@ -66,11 +66,11 @@
     assert leaving_broken(ledger) is broken
 
 
-def poison_ledger(tries_after: int, host: str = "") -> Ledger:
+def poison_ledger(attempts_after: int, host: str = "") -> Ledger:
     """Three crashes in the first second, then attempts from 4 s after the third on."""
     ledger = Ledger(zones={"b": "z"})
-    ledger.ended = [EndedBackend(0.1 * n, f"b{n}", "r", "/poison") for n in range(3)]
-    for number in range(tries_after):
+    ledger.ended = [CrashedBackend(0.1 * n, f"b{n}", "r", "/poison") for n in range(3)]
+    for number in range(attempts_after):
         name = f"late-{number}"
         ledger.sent[name] = SentRequest("", 5.0, host)
         ledger.arrivals.append(Arrival(5.0 + number, name, "s", "b", "/poison", None, ran=True))
@@ -85,7 +85,7 @@
     assert any(one.promise == "ended back ends" for one in promises) is broken
 
 
-def test_tries_by_a_gateway_that_nobody_could_tell_do_not_count() -> None:
+def test_attempts_through_a_disturbed_gateway_do_not_count() -> None:
     ledger = poison_ledger(4, host="gateway")
     ledger.disturbances.append(Disturbance("gateway", 2.0, 4.5))
     assert ledger.requests_after_three_ends("/poison") == []
@@ -106,7 +106,7 @@
     assert [one.promise for one in found] == (["unreadable"] if broken else [])
 
 
-def test_what_one_start_said_of_leaving_does_not_bind_the_next() -> None:
+def test_draining_of_one_incarnation_does_not_apply_to_the_next() -> None:
     ledger = Ledger(leaving_at={"b@1": 10.0}, zones={"b": "z"})
     for started_ms in (1, 2):
         arrival = Arrival(20.0, "r", "s", "b", "/", None, ran=True, started_ms=started_ms)
--- a/tests/unit/lab/test_mixed_builds.py
+++ b/tests/unit/lab/test_mixed_builds.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tinrudder_lab.mixed_builds import MixedProcesses, _coordinated, _suspect_lines
+from tinrudder_lab.mixed_builds import MixedProcesses, count_coordinated, find_suspect_lines
 
 MODULE = "tinrudder.cli.gateway_process"
 OTHER = Path("other-checkout")
@@ -65,7 +65,7 @@
     assert [directory for _, directory in started] == [None, None]
 
 
-def test_lines_that_tell_of_a_misunderstood_message_are_shown(tmp_path: Path) -> None:
+def test_log_lines_about_undecodable_messages_are_reported(tmp_path: Path) -> None:
     processes = MixedProcesses(tmp_path, other=OTHER, module=MODULE)
     processes.builds = {"gateway-0": "own", "gateway-1": "other"}
     lines = [
@@ -75,7 +75,7 @@
     ]
     processes.log_of("gateway-0").write_text("\n".join(json.dumps(line) for line in lines))
     processes.log_of("gateway-1").write_text("Traceback (most recent call last):\n")
-    shown = _suspect_lines(processes)
+    shown = find_suspect_lines(processes)
     assert [line.split(":")[0] for line in shown] == ["own", "other"]
     assert "unreadable_datagram" in shown[0]
     assert "Traceback" in shown[1]
@@ -88,4 +88,4 @@
     coordinator = [{"event": "coordinated", "request": "a"}]
     processes.log_of("gateway-0").write_text("\n".join(json.dumps(line) for line in entry))
     processes.log_of("gateway-1").write_text("\n".join(json.dumps(line) for line in coordinator))
-    assert _coordinated(processes) == {"own>other": 1}
+    assert count_coordinated(processes) == {"own>other": 1}
--- a/tinrudder_lab/checkers/configuration.py
+++ b/tinrudder_lab/checkers/configuration.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterator
 
-from tinrudder_lab.checkers.excuses import is_excused
+from tinrudder_lab.checkers.excuses import is_unavailable
 from tinrudder_lab.checkers.violation import Promise, Violation
 from tinrudder_lab.history import History, RevisionSeen
 
@@ -17,11 +17,11 @@
 
 def check(history: History) -> Iterator[Violation]:
     """Find nodes that reverted to an older revision or enforced a revision too late."""
-    yield from _check_lowered(history)
+    yield from _check_reverted(history)
     yield from _check_late(history)
 
 
-def _check_lowered(history: History) -> Iterator[Violation]:
+def _check_reverted(history: History) -> Iterator[Violation]:
     last: dict[tuple[str, int], RevisionSeen] = {}
     for seen in history.revisions:
         before = last.get((seen.node, seen.start))
@@ -47,7 +47,7 @@
     for seen in history.revisions:
         if seen.revision in accepted or seen.revision == 0:
             continue
-        if not is_excused(history, seen.node, seen.at, seen.at + IN_FORCE_S):
+        if not is_unavailable(history, seen.node, seen.at, seen.at + IN_FORCE_S):
             accepted[seen.revision] = seen
     return accepted
 
@@ -65,7 +65,7 @@
             break
     else:
         at = history.finished_at
-    if is_excused(history, node, accepted.at, at):
+    if is_unavailable(history, node, accepted.at, at):
         return None
     return at - accepted.at
 
--- a/tinrudder_lab/checkers/coverage.py
+++ b/tinrudder_lab/checkers/coverage.py
@@ -41,10 +41,10 @@
     completed = {
         call.shard for call in calls if call.stage is CallStage.COMPLETED and call.at <= ended.at
     }
-    invented = [shard for shard in ended.included if shard not in completed]
-    if invented:
-        shown = tuple(call for call in calls if call.shard == invented[0])
-        detail = f"includes {invented}, which no back end had completed"
+    unconfirmed = [shard for shard in ended.included if shard not in completed]
+    if unconfirmed:
+        shown = tuple(call for call in calls if call.shard == unconfirmed[0])
+        detail = f"includes {unconfirmed}, which no back end had completed"
         yield _violation(detail, (history.sent[ended.query], *shown, ended))
 
 
@@ -52,9 +52,9 @@
     sent = history.sent[ended.query]
     assert ended.version is not None
     included = frozenset(ended.included)
-    strangers = {shard_of(row.row_id) for row in ended.rows} - included
-    if strangers:
-        yield _violation(f"rows of {sorted(strangers)}, not included", (sent, ended))
+    foreign = {shard_of(row.row_id) for row in ended.rows} - included
+    if foreign:
+        yield _violation(f"rows of {sorted(foreign)}, not included", (sent, ended))
     expected = expected_rows(
         sent.index, ended.version, ended.included, sent.match, sent.after, sent.limit
     )
--- a/tinrudder_lab/checkers/draining.py
+++ b/tinrudder_lab/checkers/draining.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterator
 
-from tinrudder_lab.checkers.excuses import is_excused
+from tinrudder_lab.checkers.excuses import is_unavailable
 from tinrudder_lab.checkers.violation import Promise, Violation
 from tinrudder_lab.history import CallSeen, CallStage, DrainSigned, History
 
@@ -22,7 +22,7 @@
             call
             for call in calls_after(history, drain)
             if call.at > drain.at + GRACE_S
-            and not is_excused(history, call.node, call.at - GRACE_S, call.at)
+            and not is_unavailable(history, call.node, call.at - GRACE_S, call.at)
         ]
         if late:
             detail = f"{drain.backend} received {len(late)} calls {GRACE_S} s after its first sign"
--- a/tinrudder_lab/checkers/planned_stop.py
+++ b/tinrudder_lab/checkers/planned_stop.py
@@ -24,7 +24,7 @@
         if stopped.unfinished:
             detail = f"{begun.node} ended with {stopped.unfinished} requests in flight"
             yield Violation(Promise.STOP_CUTS_NOTHING, detail, (begun, stopped))
-        for ended in _cut_off(history, begun, stopped):
+        for ended in _lost_requests(history, begun, stopped):
             detail = f"lost to the stop of {begun.node}: {ended.outcome} {ended.reason}"
             events = (begun, history.sent[ended.query], stopped, ended)
             yield Violation(Promise.STOP_CUTS_NOTHING, detail, events)
@@ -41,7 +41,7 @@
     return None
 
 
-def _cut_off(history: History, begun: NodeSeen, stopped: NodeSeen) -> Iterator[QueryEnded]:
+def _lost_requests(history: History, begun: NodeSeen, stopped: NodeSeen) -> Iterator[QueryEnded]:
     """Return the requests that were lost to a stop while no other fault was active."""
     for ended in history.ended.values():
         sent = history.sent[ended.query]
--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -249,14 +249,14 @@
     """Run the demo; non-zero on any violation."""
     with tempfile.TemporaryDirectory(prefix="tinrudder-demo-") as directory:
         demo = Demo(DemoCluster(Path(directory), VICTIM))
-        extra_load = asyncio.run(_play(demo))
+        extra_load = asyncio.run(run_demo(demo))
         result = result_of(demo, extra_load)
     print_table(demo)
     print(msgspec.json.encode(result).decode())
-    return 0 if _has_passed(result) else 1
+    return 0 if has_passed(result) else 1
 
 
-async def _play(demo: Demo) -> float:
+async def run_demo(demo: Demo) -> float:
     """Start the processes, run, and end every process whatever happened."""
     try:
         await demo.cluster.start()
@@ -265,7 +265,7 @@
         await demo.cluster.processes.stop_all()
 
 
-def _has_passed(result: DemoResult) -> bool:
+def has_passed(result: DemoResult) -> bool:
     """Tell whether nothing was broken and callers were really served.
 
     Without the second part a demo whose every query was refused, truthfully, would pass.
--- a/tinrudder_lab/emulator/backend.py
+++ b/tinrudder_lab/emulator/backend.py
@@ -11,11 +11,11 @@
 
 from tinrudder_lab.emulator.http_server import ServedRequest, ServerConnection, encode_response
 from tinrudder_lab.emulator.ledger import Ledger
-from tinrudder_lab.emulator.records import Arrival, life_of
+from tinrudder_lab.emulator.records import Arrival, incarnation_of
 
 RECORD_BYTES = 16
 ANSWER_RECORDS = 6
-QUEUE_PLACES = 12
+QUEUE_CAPACITY = 12
 CLOCK_STEP_S = 0.001
 
 
@@ -69,7 +69,7 @@
         self.service = service
         self.choose_fault: Callable[[], Fault] = lambda: Fault.NONE
         self.ends_under: Callable[[ServedRequest], bool] = lambda request: False
-        self.on_end: Callable[[ServedRequest], None] = lambda request: None
+        self.on_crash: Callable[[ServedRequest], None] = lambda request: None
         self.slots = slots
         self.records_of: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
         self.open_connections: set[ServerConnection] = set()
@@ -82,11 +82,11 @@
         self._queue: deque[_Job] = deque()
         self._paused_until = 0.0
         self._server: asyncio.Server | None = None
-        self.listens_at = ("", 0)
+        self.listen_address = ("", 0)
 
     async def start(self, host: str, port: int) -> None:
         """Listen on ``host`` and ``port``."""
-        self.listens_at = (host, port)
+        self.listen_address = (host, port)
         self._server = await self._loop.create_server(self._accept, host, port)
 
     def stop(self) -> None:
@@ -99,9 +99,9 @@
             connection.abort()
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Return the id of this incarnation of the back end."""
-        return life_of(self.backend_id, self.started_ms)
+        return incarnation_of(self.backend_id, self.started_ms)
 
     def pause(self, seconds: float) -> None:
         """Finish no work for this time."""
@@ -123,9 +123,9 @@
         """Reject, queue or run a request."""
         expected = request.headers.get("tinrudder-expect-instance", self.backend_id)
         shed = self.choose_fault() is Fault.SHED
-        full = len(self._queue) >= QUEUE_PLACES
+        full = len(self._queue) >= QUEUE_CAPACITY
         accepted = expected == self.backend_id and not full and not shed
-        self._note(request, ran=accepted)
+        self._record_arrival(request, ran=accepted)
         if expected != self.backend_id:
             headers = {"Tinrudder-Instance": self.backend_id}
             self._write(request, connection, 421, headers)
@@ -167,7 +167,7 @@
         self._running.discard(job)
         if self.ends_under(job.request):
             self.stop()
-            self.on_end(job.request)
+            self.on_crash(job.request)
             return
         self._answer(job)
         self._run_queue()
@@ -233,7 +233,7 @@
             encode_response(status, {"Tinrudder-Request-Id": request_id} | headers, b"")
         )
 
-    def _note(self, request: ServedRequest, *, ran: bool) -> None:
+    def _record_arrival(self, request: ServedRequest, *, ran: bool) -> None:
         """Record in the ledger that a request arrived."""
         deadline = request.headers.get("tinrudder-deadline-ms")
         self._ledger.arrivals.append(
--- a/tinrudder_lab/emulator/foreign_entries.py
+++ b/tinrudder_lab/emulator/foreign_entries.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-FIELDS = ("service", "addr", "zone", "slots", "state")
+MANDATORY_FIELDS = ("service", "addr", "zone", "slots", "state")
 """Mandatory fields of an entry."""
 NESTED_LEVELS = 20_000
 """Levels of nesting; a recursive parser overflows its stack on them."""
@@ -17,12 +17,12 @@
 
 
 def _lacks_a_field(entry: dict[str, object], source: random.Random) -> bytes:
-    missing = source.choice(FIELDS)
+    missing = source.choice(MANDATORY_FIELDS)
     return msgspec.json.encode({name: value for name, value in entry.items() if name != missing})
 
 
 def _has_another_type(entry: dict[str, object], source: random.Random) -> bytes:
-    field = source.choice((*FIELDS, "cold_left_ms", "seq", "born"))
+    field = source.choice((*MANDATORY_FIELDS, "cold_left_ms", "seq", "born"))
     types = [value for value in OTHER_TYPES if not (field == "cold_left_ms" and value == 1.5)]
     return msgspec.json.encode(entry | {field: source.choice(types)})
 
@@ -53,7 +53,7 @@
     return value[: source.randrange(len(value))]
 
 
-def _is_no_text(entry: dict[str, object], source: random.Random) -> bytes:
+def _is_not_utf8(entry: dict[str, object], source: random.Random) -> bytes:
     return b"\xff" + source.randbytes(40)
 
 
@@ -67,7 +67,7 @@
     _has_another_state,
     _has_absurd_figures,
     _is_cut_short,
-    _is_no_text,
+    _is_not_utf8,
     _is_nested,
 )
 
--- a/tinrudder_lab/emulator/ledger.py
+++ b/tinrudder_lab/emulator/ledger.py
@@ -12,21 +12,21 @@
     BrokenPromise,
     ClientResult,
     ColdSpan,
+    CrashedBackend,
     Disturbance,
-    EndedBackend,
     EvacuatedZone,
-    HeldKey,
     IssuedAnswer,
+    KeySpan,
     SentRequest,
     StoreOutage,
     UnreadableSpan,
 )
 
-KNOWN_AFTER_ENDS = 3
+CRASHES_UNTIL_KNOWN = 3
 """Crashes of back ends under one request after which gateways must recognise it."""
-TELLING_S = 4.0
+PROPAGATION_S = 4.0
 """Seconds within which a change reaches all reachable gateways."""
-TRIES_ALLOWED = 3
+ATTEMPTS_AFTER_KNOWN = 3
 """Attempts allowed after that, in a day."""
 ROUTE_ATTEMPTS = 2
 """Attempts that every route of the emulator allows."""
@@ -46,9 +46,9 @@
     evacuations: list[EvacuatedZone] = field(default_factory=list)
     store_outages: list[StoreOutage] = field(default_factory=list)
     sent: dict[str, SentRequest] = field(default_factory=dict)
-    keys: dict[str, list[HeldKey]] = field(default_factory=dict)
+    keys: dict[str, list[KeySpan]] = field(default_factory=dict)
     revocation_s: float | None = None
-    ended: list[EndedBackend] = field(default_factory=list)
+    ended: list[CrashedBackend] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     _serial: itertools.count[int] = field(default_factory=itertools.count)
 
@@ -69,17 +69,17 @@
         :param evacuation_s: time within which gateways stop calling an evacuated zone.
         """
         return [
-            *self._mixed(),
-            *self._ran_twice(),
-            *self._refused_but_ran(),
-            *self._over_budget(ratio, extra, window_s),
-            *self._after_leaving(drain_s),
-            *self._while_unreadable(drain_s),
-            *self._too_many_back_ends(),
-            *self._in_evacuated_zones(evacuation_s),
-            *self._keys_passed_on(),
-            *self._ran_without_key(),
-            *self._came_again_to_end_back_ends(),
+            *self._check_answers(),
+            *self._check_single_runs(),
+            *self._check_refusals(),
+            *self._check_repeat_budget(ratio, extra, window_s),
+            *self._check_draining(drain_s),
+            *self._check_unreadable(drain_s),
+            *self._check_attempts(),
+            *self._check_evacuations(evacuation_s),
+            *self._check_credentials(),
+            *self._check_keys(),
+            *self._check_crashing_requests(),
         ]
 
     def requests_after_three_ends(self, target: str) -> list[str]:
@@ -90,16 +90,16 @@
         the news could not reach these gateways.
         """
         ends = sorted(one.at for one in self.ended if one.target == target)
-        if len(ends) < KNOWN_AFTER_ENDS:
+        if len(ends) < CRASHES_UNTIL_KNOWN:
             return []
-        known_at = ends[KNOWN_AFTER_ENDS - 1] + TELLING_S
+        known_at = ends[CRASHES_UNTIL_KNOWN - 1] + PROPAGATION_S
         late = (one for one in self.arrivals if one.target == target and one.at > known_at)
         return sorted({one.request_id for one in late if not self._was_disturbed(one)})
 
     def is_disturbed(self, host: str, at: float) -> bool:
-        """Return whether a gateway was disturbed at a time or within ``TELLING_S`` before it."""
+        """Return whether a gateway was disturbed at ``at`` or within ``PROPAGATION_S`` before."""
         return any(
-            one.host == host and one.since <= at <= one.until + TELLING_S
+            one.host == host and one.since <= at <= one.until + PROPAGATION_S
             for one in self.disturbances
         )
 
@@ -108,17 +108,19 @@
         sent = self.sent.get(arrival.request_id)
         return sent is not None and self.is_disturbed(sent.host, arrival.at)
 
-    def _came_again_to_end_back_ends(self) -> list[BrokenPromise]:
+    def _check_crashing_requests(self) -> list[BrokenPromise]:
         """Check that a request which crashes back ends is not sent to them again and again."""
         broken = []
         for target in {one.target for one in self.ended}:
-            again = self.requests_after_three_ends(target)
-            if len(again) > TRIES_ALLOWED:
-                what = f"{target} was sent {len(again)} more times after gateways had to know of it"
+            repeats = self.requests_after_three_ends(target)
+            if len(repeats) > ATTEMPTS_AFTER_KNOWN:
+                what = (
+                    f"{target} was sent {len(repeats)} more times after gateways had to know of it"
+                )
                 broken.append(BrokenPromise("ended back ends", what))
         return broken
 
-    def _keys_passed_on(self) -> list[BrokenPromise]:
+    def _check_credentials(self) -> list[BrokenPromise]:
         """Check that no client's key reaches a back end."""
         return [
             BrokenPromise("keys", f"{arrival.request_id} reached {arrival.backend_id} with its key")
@@ -126,19 +128,19 @@
             if arrival.credentials
         ]
 
-    def _ran_without_key(self) -> list[BrokenPromise]:
+    def _check_keys(self) -> list[BrokenPromise]:
         """Check that every request which ran carried a valid key of its tenant."""
         if not self.keys:
             return []
         broken = []
         for arrival in self.arrivals:
             sent = self.sent.get(arrival.request_id)
-            if arrival.ran and sent is not None and not self._allowed(arrival, sent):
+            if arrival.ran and sent is not None and not self._is_authorized(arrival, sent):
                 what = f"{arrival.request_id} ran for {arrival.tenant or 'nobody'}"
                 broken.append(BrokenPromise("keys", what))
         return broken
 
-    def _allowed(self, arrival: Arrival, sent: SentRequest) -> bool:
+    def _is_authorized(self, arrival: Arrival, sent: SentRequest) -> bool:
         """Return whether a request's key was valid for its tenant, or was revoked only recently."""
         late_s = self.revocation_s if self.revocation_s is not None else float("inf")
         return any(
@@ -151,16 +153,16 @@
     def most_in_window(self, tenant: str, window_s: float) -> int:
         """Return the highest number of a tenant's executed requests sent within one window."""
         ran = {one.request_id for one in self.arrivals if one.ran and one.tenant == tenant}
-        deadlines = sorted(self.sent[request_id].at for request_id in ran)
+        sent_times = sorted(self.sent[request_id].at for request_id in ran)
         first = 0
         most = 0
-        for last, at in enumerate(deadlines):
-            while deadlines[first] <= at - window_s:
+        for last, at in enumerate(sent_times):
+            while sent_times[first] <= at - window_s:
                 first += 1
             most = max(most, last - first + 1)
         return most
 
-    def _in_evacuated_zones(self, evacuation_s: float) -> list[BrokenPromise]:
+    def _check_evacuations(self, evacuation_s: float) -> list[BrokenPromise]:
         """Check that no request reaches a zone later than ``evacuation_s`` after its evacuation."""
         return [
             BrokenPromise("evacuation", f"{arrival.request_id} reached {arrival.backend_id}")
@@ -185,7 +187,7 @@
             most = max(most, last - first + 1)
         return most
 
-    def _too_many_back_ends(self) -> list[BrokenPromise]:
+    def _check_attempts(self) -> list[BrokenPromise]:
         """Check that no request ran on more back ends of a service than its route has attempts."""
         ran_on: dict[tuple[str, str], set[str]] = {}
         for arrival in self.arrivals:
@@ -198,7 +200,7 @@
             if len(used) > ROUTE_ATTEMPTS
         ]
 
-    def _mixed(self) -> list[BrokenPromise]:
+    def _check_answers(self) -> list[BrokenPromise]:
         """Check every successful answer against the signed answers."""
         broken = []
         for result in self.results:
@@ -235,9 +237,9 @@
             return "parts and missing do not make up the shards"
         if not parts or len(parts) < result.minimum_share * len(result.services) - 1e-9:
             return "too few parts"
-        return "" if result.body == _greatest(parts, result.top_records) else "not the greatest"
+        return "" if result.body == _top_records(parts, result.top_records) else "not the greatest"
 
-    def _ran_twice(self) -> list[BrokenPromise]:
+    def _check_single_runs(self) -> list[BrokenPromise]:
         """Check that every unrepeatable request ran at most once."""
         unrepeatable = {result.request_id for result in self.results if not result.repeatable}
         runs = Counter(arrival.request_id for arrival in self.arrivals if arrival.ran)
@@ -247,7 +249,7 @@
             if runs[request_id] > 1
         ]
 
-    def _refused_but_ran(self) -> list[BrokenPromise]:
+    def _check_refusals(self) -> list[BrokenPromise]:
         """Check that no unrepeatable request ran that was refused as not run."""
         ran = {arrival.request_id for arrival in self.arrivals if arrival.ran}
         return [
@@ -257,7 +259,9 @@
             if result.request_id in ran
         ]
 
-    def _over_budget(self, ratio: float, extra: float, window_s: float) -> list[BrokenPromise]:
+    def _check_repeat_budget(
+        self, ratio: float, extra: float, window_s: float
+    ) -> list[BrokenPromise]:
         """Check the retry budget of each service in every sliding window, over all gateways."""
         broken = []
         for service, repeats in self._repeats().items():
@@ -286,23 +290,24 @@
         """Return when clients sent requests for a service."""
         return [result.sent_at for result in self.results if service in result.services]
 
-    def known_at(self, written_at: float) -> float:
+    def visible_at(self, written_at: float) -> float:
         """Return when a write to the store becomes visible to gateways, outages considered."""
         ends = [one.until for one in self.store_outages if one.since <= written_at < one.until]
         return max([written_at, *ends])
 
-    def _after_leaving(self, drain_s: float) -> list[BrokenPromise]:
+    def _check_draining(self, drain_s: float) -> list[BrokenPromise]:
         """Check that no request runs on a back end later than ``drain_s`` after it began to drain.
 
         A drain that was written during an outage of the store counts from the end of the outage.
         Requests through recently disturbed gateways do not count, as the promise exempts them: a
         gateway that has just started learns that the back end is draining, but not since when.
         """
-        known_at = {name: self.known_at(at) for name, at in self.leaving_at.items()}
+        known_at = {name: self.visible_at(at) for name, at in self.leaving_at.items()}
         return [
             BrokenPromise("leaving", f"{arrival.request_id} reached {arrival.backend_id}")
             for arrival in self.arrivals
-            if arrival.ran and arrival.at > known_at.get(arrival.life, float("inf")) + drain_s
+            if arrival.ran
+            and arrival.at > known_at.get(arrival.incarnation, float("inf")) + drain_s
             if not self._was_disturbed(arrival)
         ]
 
@@ -310,13 +315,13 @@
         """Return the back ends whose entries are unreadable at present."""
         return {span.backend_id for span in self.unreadable if span.until == float("inf")}
 
-    def note_readable(self, backend_id: str, now: float) -> None:
+    def record_readable(self, backend_id: str, now: float) -> None:
         """Record that a back end's entry is readable again, or removed."""
         for span in self.unreadable:
             if span.backend_id == backend_id:
                 span.until = min(span.until, now)
 
-    def _while_unreadable(self, drain_s: float) -> list[BrokenPromise]:
+    def _check_unreadable(self, drain_s: float) -> list[BrokenPromise]:
         """Check that no request runs on a back end long after its entry became unreadable.
 
         Gateways have ``drain_s`` to stop, as for a back end that drains.
@@ -326,12 +331,12 @@
             for arrival in self.arrivals
             for span in self.unreadable
             if arrival.ran and arrival.backend_id == span.backend_id
-            if self.known_at(span.since) + drain_s < arrival.at < span.until
+            if self.visible_at(span.since) + drain_s < arrival.at < span.until
             if not self._was_disturbed(arrival)
         ]
 
 
-def _greatest(parts: list[IssuedAnswer], count: int) -> bytes:
+def _top_records(parts: list[IssuedAnswer], count: int) -> bytes:
     """Return the ``count`` greatest records of all parts, by sorting all of them."""
     records = []
     for part in parts:
--- a/tinrudder_lab/emulator/loop.py
+++ b/tinrudder_lab/emulator/loop.py
@@ -40,7 +40,7 @@
         self._loop.datagram_receivers.pop(self._address, None)
 
 
-class LostBytes(Queue):  # type: ignore[misc]
+class DiscardingQueue(Queue):  # type: ignore[misc]
     """One direction of a silenced connection: accepts all bytes, delivers none."""
 
     def write(self, data: Any) -> int:
@@ -111,18 +111,18 @@
         self._machine_transports.append((MACHINE.get(), transport))
         return transport
 
-    def silence_connections(self, chosen: Callable[[AddressPair, AddressPair], bool]) -> None:
+    def silence_connections(self, is_selected: Callable[[AddressPair, AddressPair], bool]) -> None:
         """Drop all further bytes of open connections, without a reset; new connections work.
 
-        :param chosen: returns for a connection's two addresses whether to silence it.
+        :param is_selected: returns for a connection's two addresses whether to silence it.
         """
         for _, transport in self._machine_transports:
             tcp_socket = transport._sock
             if tcp_socket is None:
                 continue
             ends = (tcp_socket.getsockname()[:2], tcp_socket.getpeername()[:2])
-            if chosen(*ends):
-                tcp_socket._read_queue, tcp_socket._write_queue = Queue(), LostBytes()
+            if is_selected(*ends):
+                tcp_socket._read_queue, tcp_socket._write_queue = Queue(), DiscardingQueue()
 
     def end_machine(self, machine: Machine) -> None:
         """Kill a machine's process: its tasks stop, its connections and sockets close."""
--- a/tinrudder_lab/emulator/records.py
+++ b/tinrudder_lab/emulator/records.py
@@ -36,12 +36,12 @@
     started_ms: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation(self) -> str:
         """Return the id of the back end's incarnation."""
-        return life_of(self.backend_id, self.started_ms)
+        return incarnation_of(self.backend_id, self.started_ms)
 
 
-def life_of(backend_id: str, started_ms: int) -> str:
+def incarnation_of(backend_id: str, started_ms: int) -> str:
     """Return the id of one incarnation of a back end, which may restart under its id."""
     return f"{backend_id}@{started_ms}" if started_ms else backend_id
 
@@ -59,7 +59,7 @@
 
 
 @dataclass(slots=True)
-class HeldKey:
+class KeySpan:
     """A span in which a key was valid for a tenant.
 
     It begins with the write of the first configuration that has the key for this tenant and ends
@@ -99,7 +99,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class EndedBackend:
+class CrashedBackend:
     """A back end that crashed while running a request which crashes every back end.
 
     :param target: target of the request, shared by all its repeats from one client.
--- a/tinrudder_lab/emulator/silent_connections.py
+++ b/tinrudder_lab/emulator/silent_connections.py
@@ -11,8 +11,8 @@
 from tinrudder_lab.emulator.loop import AddressPair, EmulatorLoop
 from tinrudder_lab.emulator.site import PEER_PORT, EmulatedSite
 
-LOOK_S = 0.01
-LONGEST_S = 30.0
+POLL_INTERVAL_S = 0.01
+TIMEOUT_S = 30.0
 
 
 def silence_store(site: EmulatedSite) -> None:
@@ -30,7 +30,7 @@
     _silence(site, lambda one, other: True)
 
 
-def lacking(site: EmulatedSite) -> list[str]:
+def outdated_gateways(site: EmulatedSite) -> list[str]:
     """Return the names of running gateways that do not have the newest configuration."""
     return [
         node.name
@@ -42,13 +42,13 @@
 
 
 async def in_force_after(site: EmulatedSite) -> float:
-    """Return the seconds until all gateways have the newest configuration, up to ``LONGEST_S``."""
+    """Return the seconds until all gateways have the newest configuration, up to ``TIMEOUT_S``."""
     began = site.loop.time()
-    while lacking(site) and site.loop.time() - began < LONGEST_S:
-        await asyncio.sleep(LOOK_S)
+    while outdated_gateways(site) and site.loop.time() - began < TIMEOUT_S:
+        await asyncio.sleep(POLL_INTERVAL_S)
     return site.loop.time() - began
 
 
-def _silence(site: EmulatedSite, chosen: Callable[[AddressPair, AddressPair], bool]) -> None:
+def _silence(site: EmulatedSite, is_selected: Callable[[AddressPair, AddressPair], bool]) -> None:
     assert isinstance(site.loop, EmulatorLoop)
-    site.loop.silence_connections(chosen)
+    site.loop.silence_connections(is_selected)
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -25,11 +25,11 @@
 from tinrudder_lab.emulator.records import (
     ClientResult,
     ColdSpan,
-    EndedBackend,
+    CrashedBackend,
     EvacuatedZone,
-    HeldKey,
+    KeySpan,
     UnreadableSpan,
-    life_of,
+    incarnation_of,
 )
 from tinrudder_lab.emulator.store import EmulatedStore
 from tinrudder_lab.sim.loop import Machine
@@ -43,14 +43,14 @@
 COLD = ColdBounds(factor=1.5, extra=5.0)
 REPEATS = RepeatBounds(ratio=0.2, extra=56.0, window_s=10.0)
 DRAIN_S = 3.0
-LAPSE_S = 1.0
+ENTRY_EXPIRY_S = 1.0
 """Seconds without a heartbeat after which the store drops the entry of a crashed back end."""
 BACK_S = 3.0
 """Seconds after which a crashed back end restarts at its old address, by default under a new id."""
 COLD_NOTICE_S = 1.0
 """Seconds until every gateway knows that a back end has turned cold."""
-MILLISECONDS = 1000.0
-CLOCK_BEGAN_MS = 1_764_720_000_000
+MS_PER_SECOND = 1000.0
+CLOCK_START_MS = 1_764_720_000_000
 """Time of day, in Unix milliseconds, at which the loop's clock is zero."""
 EVACUATION_S = 5.0
 """Seconds after an evacuation is written in which calls may still reach the zone."""
@@ -178,10 +178,10 @@
 
     async def add_backend(self, backend_id: str, service: str, zone: str) -> EmulatedBackend:
         """Start a back end and write its entry."""
-        backend = self._run_backend(backend_id, service)
+        backend = self._create_backend(backend_id, service)
         host = self._next_host()
         await backend.start(host, BACKEND_PORT)
-        address = await self.reachable_at(backend_id, Address(host, BACKEND_PORT))
+        address = await self.expose_backend(backend_id, Address(host, BACKEND_PORT))
         self.write_entry(backend_id, service, str(address), zone)
         return backend
 
@@ -193,9 +193,9 @@
 
     def unix_ms(self) -> int:
         """Return the virtual time of day, Unix milliseconds."""
-        return CLOCK_BEGAN_MS + int(self.loop.time() * MILLISECONDS)
+        return CLOCK_START_MS + int(self.loop.time() * MS_PER_SECOND)
 
-    def _run_backend(self, backend_id: str, service: str) -> EmulatedBackend:
+    def _create_backend(self, backend_id: str, service: str) -> EmulatedBackend:
         """Create an incarnation of a back end, not yet listening."""
         started_ms = self.unix_ms()
         self._started_ms[backend_id] = started_ms
@@ -204,14 +204,14 @@
         )
         backend.ends_under = lambda request: self.ends_under(request)
         backend.records_of = lambda request: self.records_of(request)
-        backend.on_end = lambda request: self._on_end(backend, request)
+        backend.on_crash = lambda request: self._on_crash(backend, request)
         self.backends[backend_id] = backend
         return backend
 
-    def _on_end(self, backend: EmulatedBackend, request: ServedRequest) -> None:
+    def _on_crash(self, backend: EmulatedBackend, request: ServedRequest) -> None:
         """Record that a back end crashed while running a request, and schedule its restart."""
         request_id = request.headers["tinrudder-request-id"]
-        ended = EndedBackend(self.loop.time(), backend.backend_id, request_id, request.target)
+        ended = CrashedBackend(self.loop.time(), backend.backend_id, request_id, request.target)
         self.ledger.ended.append(ended)
         self.end_backend(backend.backend_id)
 
@@ -222,44 +222,44 @@
             return
         backend = self.backends.pop(backend_id)
         backend.stop()
-        self.loop.call_later(LAPSE_S, self.remove_entry, backend_id)
-        self.loop.create_task(self._come_back(backend_id, backend))
+        self.loop.call_later(ENTRY_EXPIRY_S, self.remove_entry, backend_id)
+        self.loop.create_task(self._replace_backend(backend_id, backend))
 
-    async def _come_back(self, backend_id: str, backend: EmulatedBackend) -> None:
+    async def _replace_backend(self, backend_id: str, backend: EmulatedBackend) -> None:
         """Restart a crashed back end under another id at its old address."""
         await asyncio.sleep(BACK_S)
         _, address, zone = self._entries[backend_id]
-        first_id, _, life = backend_id.partition("+")
-        again = f"{first_id}+{int(life or 0) + 1}"
-        await self._run_backend(again, backend.service).start(*backend.listens_at)
-        self.came_back(backend_id, again)
-        self.write_entry(again, backend.service, address, zone)
+        first_id, _, generation = backend_id.partition("+")
+        new_id = f"{first_id}+{int(generation or 0) + 1}"
+        await self._create_backend(new_id, backend.service).start(*backend.listen_address)
+        self.on_replaced(backend_id, new_id)
+        self.write_entry(new_id, backend.service, address, zone)
 
     async def restart_backend(
         self, backend_id: str, down_s: float, *, moves: bool = False, cold_left_s: float = 0.0
     ) -> None:
         """Crash a back end and restart it under its id.
 
-        :param down_s: time until it listens again; beyond ``LAPSE_S`` its entry expires meanwhile.
+        :param down_s: time until it listens again; above ``ENTRY_EXPIRY_S`` its entry expires.
         :param moves: whether it restarts at another address.
         """
         ended = self.backends.pop(backend_id)
         ended.stop()
-        if down_s > LAPSE_S:
-            await asyncio.sleep(LAPSE_S)
+        if down_s > ENTRY_EXPIRY_S:
+            await asyncio.sleep(ENTRY_EXPIRY_S)
             self.remove_entry(backend_id)
-        await asyncio.sleep(down_s - LAPSE_S if down_s > LAPSE_S else down_s)
+        await asyncio.sleep(down_s - ENTRY_EXPIRY_S if down_s > ENTRY_EXPIRY_S else down_s)
         service, address, zone = self._entries[backend_id]
-        host, port = (self._next_host(), BACKEND_PORT) if moves else ended.listens_at
-        await self._run_backend(backend_id, service).start(host, port)
+        host, port = (self._next_host(), BACKEND_PORT) if moves else ended.listen_address
+        await self._create_backend(backend_id, service).start(host, port)
         if moves:
-            address = str(await self.reachable_at(backend_id, Address(host, port)))
+            address = str(await self.expose_backend(backend_id, Address(host, port)))
         self.write_entry(backend_id, service, address, zone, cold_left_s=cold_left_s)
 
-    def came_back(self, backend_id: str, again: str) -> None:
+    def on_replaced(self, backend_id: str, new_id: str) -> None:
         """Handle the restart of a back end under another id; a hook for subclasses."""
 
-    async def reachable_at(self, backend_id: str, address: Address) -> Address:
+    async def expose_backend(self, backend_id: str, address: Address) -> Address:
         """Return the address at which gateways reach a back end; subclasses may add a proxy."""
         return address
 
@@ -298,14 +298,14 @@
             "version": "v1",
             "slots": 2,
             "state": state,
-            "cold_left_ms": cold_left_s * MILLISECONDS,
+            "cold_left_ms": cold_left_s * MS_PER_SECOND,
             "seq": 1,
             "born": self._started_ms.get(backend_id, self.unix_ms()),
         }
 
     def put_document(self, backend_id: str, document: dict[str, object]) -> None:
         """Write a readable document under a back end's key."""
-        self.ledger.note_readable(backend_id, self.loop.time())
+        self.ledger.record_readable(backend_id, self.loop.time())
         self.store.put(BACKENDS_PREFIX + backend_id, document)
 
     def write_foreign(self, backend_id: str, value: bytes) -> None:
@@ -315,14 +315,14 @@
 
     def remove_entry(self, backend_id: str) -> None:
         """Remove a back end's entry."""
-        self.ledger.note_readable(backend_id, self.loop.time())
+        self.ledger.record_readable(backend_id, self.loop.time())
         self.store.remove(BACKENDS_PREFIX + backend_id)
 
     def rewrite_entry(self, backend_id: str) -> None:
         """Write a back end's entry again in its present state, as its heartbeat would."""
         service, address, zone = self._entries[backend_id]
-        life = life_of(backend_id, self._started_ms.get(backend_id, 0))
-        state = "draining" if life in self.ledger.leaving_at else "ready"
+        incarnation = incarnation_of(backend_id, self._started_ms.get(backend_id, 0))
+        state = "draining" if incarnation in self.ledger.leaving_at else "ready"
         self.write_entry(backend_id, service, address, zone, state)
 
     def turn_cold(self, backend_id: str, seconds: float) -> ColdSpan:
@@ -336,8 +336,8 @@
         """Mark a back end as draining."""
         service, address, zone = self._entries[backend_id]
         self.write_entry(backend_id, service, address, zone, state="draining")
-        life = life_of(backend_id, self._started_ms.get(backend_id, 0))
-        self.ledger.leaving_at[life] = self.loop.time()
+        incarnation = incarnation_of(backend_id, self._started_ms.get(backend_id, 0))
+        self.ledger.leaving_at[incarnation] = self.loop.time()
 
     def evacuate(self, zone: str) -> None:
         """Write the evacuation of a zone."""
@@ -383,14 +383,14 @@
             "limits": limits,
             "tenants": [tenant.document() for tenant in self.tenants],
         }
-        self._note_keys()
+        self._record_keys()
         self.store.put(CONFIGURATION_KEY, document)
 
     def further_routes(self) -> list[str]:
         """Return names of additional routes to the single service; a hook for subclasses."""
         return []
 
-    def _note_keys(self) -> None:
+    def _record_keys(self) -> None:
         """Record which keys become valid or invalid with the configuration about to be written."""
         now = self.loop.time()
         self.ledger.revocation_s = self.revocation_s
@@ -401,7 +401,7 @@
         for key, name in given.items():
             spans = self.ledger.keys.setdefault(key, [])
             if not spans or spans[-1].until <= now:
-                spans.append(HeldKey(name, now))
+                spans.append(KeySpan(name, now))
 
     def set_tenants(self, *tenants: SiteTenant) -> None:
         """Replace the tenants and write the configuration."""
@@ -455,7 +455,7 @@
             "target": f"/{route}/{self._serial}",
             "services": ("single",),
             "repeatable": route != "once",
-            "key": self._own_key(),
+            "key": self._newest_key(),
         }
         if route == "scatter":
             fields |= {
@@ -466,7 +466,7 @@
             }
         return PlannedRequest(**(fields | changes))
 
-    def _own_key(self) -> str:
+    def _newest_key(self) -> str:
         """Return the newest key of the first tenant, empty if there are no tenants."""
         keys = self.tenants[0].keys if self.tenants else ()
         return keys[-1] if keys else ""
@@ -515,7 +515,7 @@
     }
 
 
-def _has_not_begun(coroutine: Coroutine[Any, Any, Any]) -> bool:
+def _never_started(coroutine: Coroutine[Any, Any, Any]) -> bool:
     """Return whether a coroutine was created but never started when the run ended."""
     return inspect.getcoroutinestate(coroutine) == inspect.CORO_CREATED
 
@@ -542,7 +542,7 @@
             # Gateways run until they are stopped, so pending tasks are expected here.
             task._log_destroy_pending = False  # type: ignore[attr-defined]
             coroutine = task.get_coro()
-            if inspect.iscoroutine(coroutine) and _has_not_begun(coroutine):
+            if inspect.iscoroutine(coroutine) and _never_started(coroutine):
                 coroutine.close()
         asyncio.set_event_loop(None)
         loop.close()
--- a/tinrudder_lab/emulator/store.py
+++ b/tinrudder_lab/emulator/store.py
@@ -19,7 +19,7 @@
 from tinrudder_lab.emulator.http_server import ServedRequest, ServerConnection, encode_response
 
 PAGE_ITEMS = 50
-ANSWER_S = 0.004
+ANSWER_DELAY_S = 0.004
 
 
 class StoreMode(enum.Enum):
@@ -41,7 +41,7 @@
 class _Item:
     value: bytes | None
     rev: int
-    shown_as: dict[str, object] | None = None
+    overrides: dict[str, object] | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -79,7 +79,7 @@
         self.revision = 0
         self.epoch: int | None = 0
         self._writes: list[_Write] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._items: dict[str, _Item] = {}
         self._watches: list[_Watch] = []
         self._connections: dict[int, set[ServerConnection]] = {}
@@ -122,13 +122,13 @@
         self._write(key, value)
         return self.revision
 
-    def put_spoiled(self, key: str, shown: dict[str, object]) -> int:
-        """Write an item that the store answers with the fields of ``shown``; return its revision.
+    def put_spoiled(self, key: str, fields: dict[str, object]) -> int:
+        """Write an item whose fields are replaced by ``fields`` in answers; return its revision.
 
         A field that is ``None`` is left out.
         """
         revision = self.put_bytes(key, b"{}")
-        self._items[key].shown_as = shown
+        self._items[key].overrides = fields
         return revision
 
     def remove(self, key: str) -> None:
@@ -159,13 +159,13 @@
         self._writes = [write for write in self._writes if write.at <= copied_at]
         self._items = {write.key: write.item for write in self._writes}
         self.revision = max((write.item.rev for write in self._writes), default=0)
-        self._forgotten = min(self._forgotten, self.revision)
+        self._compacted_revision = min(self._compacted_revision, self.revision)
         if self.epoch is not None:
             self.epoch += 1
 
     def forget_history(self) -> None:
         """Compact the history and end every watch with 410."""
-        self._forgotten = self.revision
+        self._compacted_revision = self.revision
         for watch in tuple(self._watches):
             self._answer(watch, 410, {"error": "compacted"})
 
@@ -175,7 +175,7 @@
         item = _Item(value, self.revision)
         self._items[key] = item
         self._writes.append(_Write(self._loop.time(), key, item))
-        self._wake()
+        self._notify_watches()
 
     def _headers(self) -> dict[str, str]:
         """Return the headers of every answer."""
@@ -196,7 +196,7 @@
             status = 503 if mode is StoreMode.REFUSING else 429
             connection.write(encode_response(status, self._headers(), b"{}"))
             return
-        delay = ANSWER_S * (SLOW_FACTOR if mode is StoreMode.SLOW else 1)
+        delay = ANSWER_DELAY_S * (SLOW_FACTOR if mode is StoreMode.SLOW else 1)
         self._loop.call_later(delay, self._answer_call, request, connection, port)
 
     def _answer_call(self, request: ServedRequest, connection: ServerConnection, port: int) -> None:
@@ -223,17 +223,17 @@
 
     def _watch(self, query: dict[str, str], connection: ServerConnection, port: int) -> None:
         watch = _Watch(query["path_prefix"], int(query["after"]), connection, port)
-        if not self._forgotten <= watch.after <= self.revision:
+        if not self._compacted_revision <= watch.after <= self.revision:
             self._answer(watch, 410, {"error": "compacted"})
             return
         self._watches.append(watch)
         self._loop.call_later(int(query["wait_ms"]) / 1000, self._answer_watch, watch, True)
         self._answer_watch(watch, False)
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         for watch in tuple(self._watches):
             if self.modes[watch.port] is StoreMode.SERVING:
-                self._loop.call_later(ANSWER_S, self._answer_watch, watch, False)
+                self._loop.call_later(ANSWER_DELAY_S, self._answer_watch, watch, False)
 
     def _answer_watch(self, watch: _Watch, at_end: bool) -> None:
         if watch.done or self.modes[watch.port] is StoreMode.SILENT:
@@ -264,5 +264,5 @@
         return {"key": key, "rev": item.rev, "gone": True}
     value = base64.b64encode(item.value).decode()
     document = {"key": key, "value": value, "rev": item.rev, "made": item.rev, "lease": 0}
-    document |= item.shown_as or {}
+    document |= item.overrides or {}
     return {name: field for name, field in document.items() if field is not None}
--- a/tinrudder_lab/emulator/store_restore.py
+++ b/tinrudder_lab/emulator/store_restore.py
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 
 from tinrudder.platform.documents import BACKENDS_PREFIX
-from tinrudder_lab.emulator.site import LAPSE_S, EmulatedSite
+from tinrudder_lab.emulator.site import ENTRY_EXPIRY_S, EmulatedSite
 from tinrudder_lab.emulator.store import StoreMode
 
 
@@ -39,17 +39,17 @@
     lost = site.store.values()
     site.store.set_mode(StoreMode.RESETTING)
     site.store.restore(drill.age_s)
-    copied = _operators_values(site.store.values())
+    copied = _operator_values(site.store.values())
     await asyncio.sleep(drill.away_s)
     site.store.set_mode(StoreMode.SERVING)
     await asyncio.gather(
-        _lapse(site),
-        _write_again(site, _operators_values(lost), copied, drill),
-        _record_again(site, lost, drill),
+        _expire_entries(site),
+        _repeat_operator_writes(site, _operator_values(lost), copied, drill),
+        _repeat_backend_writes(site, lost, drill),
     )
 
 
-async def _write_again(
+async def _repeat_operator_writes(
     site: EmulatedSite, lost: dict[str, bytes], copied: dict[str, bytes], drill: StoreRestore
 ) -> None:
     """Repeat the operator's writes that the copy lacks, except where a newer value was written."""
@@ -66,29 +66,31 @@
             site.store.remove(key)
 
 
-async def _record_again(site: EmulatedSite, lost: dict[str, bytes], drill: StoreRestore) -> None:
+async def _repeat_backend_writes(
+    site: EmulatedSite, lost: dict[str, bytes], drill: StoreRestore
+) -> None:
     """Rewrite the entry of every running back end whose entry the copy lacks or shows otherwise."""
     if drill.backends_after_s is None:
         return
-    moments = {one: site.random.uniform(0.0, drill.backends_after_s) for one in [*site.backends]}
-    waited_s = 0.0
-    for backend_id in sorted(moments, key=moments.__getitem__):
-        await asyncio.sleep(moments[backend_id] - waited_s)
-        waited_s = moments[backend_id]
+    delays = {one: site.random.uniform(0.0, drill.backends_after_s) for one in [*site.backends]}
+    elapsed_s = 0.0
+    for backend_id in sorted(delays, key=delays.__getitem__):
+        await asyncio.sleep(delays[backend_id] - elapsed_s)
+        elapsed_s = delays[backend_id]
         key = BACKENDS_PREFIX + backend_id
         if backend_id in site.backends and lost.get(key) != site.store.value(key):
             site.rewrite_entry(backend_id)
 
 
-async def _lapse(site: EmulatedSite) -> None:
+async def _expire_entries(site: EmulatedSite) -> None:
     """Remove entries of back ends that have ended, since they send no heartbeats any more."""
-    await asyncio.sleep(LAPSE_S)
+    await asyncio.sleep(ENTRY_EXPIRY_S)
     for key in site.store.values():
         backend_id = key.removeprefix(BACKENDS_PREFIX)
         if key != backend_id and backend_id not in site.backends:
             site.remove_entry(backend_id)
 
 
-def _operators_values(values: dict[str, bytes]) -> dict[str, bytes]:
+def _operator_values(values: dict[str, bytes]) -> dict[str, bytes]:
     """Return the keys and values that the operator writes: all but back ends' entries."""
     return {key: value for key, value in values.items() if not key.startswith(BACKENDS_PREFIX)}
--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -25,13 +25,28 @@
 
 import msgspec
 
-from tinrudder_lab.demo import VICTIM, Demo, DemoResult, _has_passed, _play, print_table, result_of
+from tinrudder_lab.demo import (
+    VICTIM,
+    Demo,
+    DemoResult,
+    has_passed,
+    print_table,
+    result_of,
+    run_demo,
+)
 from tinrudder_lab.demo_cluster import DemoCluster
 from tinrudder_lab.processes import ProcessGroup
 from tinrudder_lab.soak import faults
 from tinrudder_lab.soak.process_site import REVOCATION_S, ProcessSite
 from tinrudder_lab.soak.proxy import LinkMode
-from tinrudder_lab.soak.run import ROUTES, SETTLE_S, START_S, _broken, ask_poison, ask_too_much
+from tinrudder_lab.soak.run import (
+    ROUTES,
+    SETTLE_S,
+    START_S,
+    find_violations,
+    send_crashing_requests,
+    send_over_quota,
+)
 
 GATEWAYS = 12
 """Number of gateway processes; from this number on coordinators run scatters for others."""
@@ -113,16 +128,16 @@
     try:
         await site.start()
         await asyncio.sleep(START_S)
-        first = await _served(site)
+        first = await _send_calm_traffic(site)
         await asyncio.gather(
             site.traffic(FAULTS_S, REQUESTS_PER_SECOND, ROUTES),
-            ask_too_much(site, FAULTS_S),
-            ask_poison(site, FAULTS_S),
+            send_over_quota(site, FAULTS_S),
+            send_crashing_requests(site, FAULTS_S),
             _disturb(site),
         )
         await asyncio.sleep(SETTLE_S)
-        last = await _served(site)
-        served_before, served_after = _share(first), _share(last)
+        last = await _send_calm_traffic(site)
+        served_before, served_after = _served_share(first), _served_share(last)
         return MixedResult(
             seed,
             dict(Counter(site.processes.builds.values())),
@@ -130,23 +145,23 @@
             served_before,
             served_after,
             dict(Counter(str(status) for status in first + last)),
-            dict(_coordinated(site.processes)),
+            dict(count_coordinated(site.processes)),
             dict(Counter(str(line.get("event")) for line in _lines(site.processes))),
-            _broken(site, min(served_before, served_after)),
-            _suspect_lines(site.processes),
+            find_violations(site, min(served_before, served_after)),
+            find_suspect_lines(site.processes),
         )
     finally:
         await site.close()
 
 
-async def _served(site: ProcessSite) -> list[int]:
+async def _send_calm_traffic(site: ProcessSite) -> list[int]:
     """Send requests for ``CALM_S``; return their statuses."""
     before = len(site.ledger.results)
     await site.traffic(CALM_S, REQUESTS_PER_SECOND, ROUTES)
     return [result.status for result in site.ledger.results[before:]]
 
 
-def _share(statuses: list[int]) -> float:
+def _served_share(statuses: list[int]) -> float:
     return sum(status == 200 for status in statuses) / max(1, len(statuses))
 
 
@@ -155,7 +170,7 @@
     own, other = site.nodes[2], site.nodes[3]
     await asyncio.sleep(1.0)
     await faults.configure(site)
-    await faults.end_key(site)
+    await faults.revoke_key(site)
     for node in (own, other):
         site.links[node.name].set_mode(LinkMode.RESETTING)
     await asyncio.sleep(2.0)
@@ -182,7 +197,7 @@
                 yield {"event": "", "process": name, "text": text}
 
 
-def _coordinated(processes: MixedProcesses) -> Counter[str]:
+def count_coordinated(processes: MixedProcesses) -> Counter[str]:
     """Count delegated scatters by the builds of the entry gateway and the coordinator."""
     entries: dict[object, str] = {}
     coordinators: dict[object, str] = {}
@@ -195,7 +210,7 @@
     return Counter(pairs)
 
 
-def _suspect_lines(processes: MixedProcesses) -> list[str]:
+def find_suspect_lines(processes: MixedProcesses) -> list[str]:
     """Return the log lines with suspect words, each after the build that wrote it."""
     found = []
     for line in _lines(processes):
@@ -212,11 +227,11 @@
     processes = MixedProcesses(folder, other=other, module="tinrudder.cli.main")
     cluster.processes = processes
     demo = Demo(cluster)
-    extra_load = asyncio.run(_play(demo))
+    extra_load = asyncio.run(run_demo(demo))
     result = result_of(demo, extra_load)
     print_table(demo)
     print("builds:", dict(Counter(processes.builds.values())))
-    return result, _suspect_lines(processes)
+    return result, find_suspect_lines(processes)
 
 
 def main() -> int:
@@ -235,7 +250,7 @@
         nodes, suspect = run_nodes(parsed.other, folder)
         print("\n".join(suspect))
         print(msgspec.json.encode(nodes).decode())
-        return 0 if _has_passed(nodes) and not suspect else 1
+        return 0 if has_passed(nodes) and not suspect else 1
     gateways = asyncio.run(run_gateways(parsed.other, parsed.seed, parsed.gateways, folder))
     print(msgspec.json.encode(gateways).decode())
     return 1 if gateways.broken or gateways.suspect_lines else 0
--- a/tinrudder_lab/soak/entry_faults.py
+++ b/tinrudder_lab/soak/entry_faults.py
@@ -21,29 +21,29 @@
 async def change_entries(site: ProcessSite, seconds: float) -> list[str]:
     """Restart back ends and corrupt entries for some time; return a description of each fault."""
     source = random.Random(f"entries {site.seed}")
-    told: list[str] = []
+    descriptions: list[str] = []
     running: set[asyncio.Task[None]] = set()
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(source.uniform(*PAUSE_S))
-        whole = sorted(site.backends.keys() - site.ledger.unreadable_now())
-        if not whole:
+        readable = sorted(site.backends.keys() - site.ledger.unreadable_now())
+        if not readable:
             continue
-        backend_id = source.choice(whole)
+        backend_id = source.choice(readable)
         if source.random() < 0.5:
             moves = source.random() < 0.5
             restart = site.restart_backend(backend_id, source.uniform(*DOWN_S), moves=moves)
             running.add(asyncio.create_task(restart))
-            told.append(f"{backend_id} restarts{' at another address' if moves else ''}")
+            descriptions.append(f"{backend_id} restarts{' at another address' if moves else ''}")
         else:
-            running.add(asyncio.create_task(_spoil(site, backend_id, source)))
-            told.append(f"entry of {backend_id} unreadable")
-        _add_stranger(site, source)
+            running.add(asyncio.create_task(_corrupt_entry(site, backend_id, source)))
+            descriptions.append(f"entry of {backend_id} unreadable")
+        _change_foreign_entry(site, source)
     await asyncio.gather(*running)
-    return told
+    return descriptions
 
 
-async def _spoil(site: ProcessSite, backend_id: str, source: random.Random) -> None:
+async def _corrupt_entry(site: ProcessSite, backend_id: str, source: random.Random) -> None:
     """Overwrite an entry with an unreadable value until its running back end rewrites it."""
     backend = site.backends[backend_id]
     site.write_foreign(backend_id, foreign_value(site.entry_document(backend_id), source))
@@ -52,14 +52,14 @@
         site.rewrite_entry(backend_id)
 
 
-def _add_stranger(site: ProcessSite, source: random.Random) -> None:
+def _change_foreign_entry(site: ProcessSite, source: random.Random) -> None:
     """Write or remove an entry whose id belongs to no back end."""
-    stranger = f"stranger-{source.randrange(5)}"
+    foreign_id = f"stranger-{source.randrange(5)}"
     entry = site.entry_document(source.choice(sorted(site.backends) or ["single-0"]))
     kind = source.randrange(3)
     if kind == 0:
-        site.remove_entry(stranger)
+        site.remove_entry(foreign_id)
     elif kind == 1:
-        site.put_document(stranger, entry | {"service": "unheard-of"})
+        site.put_document(foreign_id, entry | {"service": "unheard-of"})
     else:
-        site.write_foreign(stranger, foreign_value(entry, source))
+        site.write_foreign(foreign_id, foreign_value(entry, source))
--- a/tinrudder_lab/soak/faults.py
+++ b/tinrudder_lab/soak/faults.py
@@ -24,18 +24,18 @@
 )
 BAD_ANSWERS = tuple(fault for fault in Fault if fault is not Fault.NONE)
 BAD_ANSWER_SHARE = 0.1
-FIRST = SiteTenant("first", tuple(f"first-{number}" for number in range(4)))
-LIMITED = SiteTenant("limited", ("limited-0",), 4.0, 4.0)
-TENANTS = (FIRST, LIMITED)
+FIRST_TENANT = SiteTenant("first", tuple(f"first-{number}" for number in range(4)))
+LIMITED_TENANT = SiteTenant("limited", ("limited-0",), 4.0, 4.0)
+TENANTS = (FIRST_TENANT, LIMITED_TENANT)
 LOWER_RATE = 1.0
 MAX_STORE_OUTAGE_S = 4.0
-HEARD_AGAIN_S = 2.0
+RECONNECT_S = 2.0
 """Seconds that gateways may take after a store outage to reach it over a new connection."""
 
 
 async def kill(site: ProcessSite) -> str:
     """Kill a gateway and restart it."""
-    async with site.one_node() as node:
+    async with site.lock_random_node() as node:
         site.kill_node(node)
         await site.wait_for_end(node)
         await asyncio.sleep(site.random.uniform(0.1, 1.0))
@@ -45,7 +45,7 @@
 
 async def stop(site: ProcessSite) -> str:
     """Stop a gateway gracefully and restart it."""
-    async with site.one_node() as node:
+    async with site.lock_random_node() as node:
         site.signal_node(node, signal.SIGTERM)
         code = await site.wait_for_end(node)
         if code != 0:
@@ -58,7 +58,7 @@
 
 async def pause(site: ProcessSite) -> str:
     """Suspend a gateway's process for a while."""
-    async with site.one_node() as node:
+    async with site.lock_random_node() as node:
         site.signal_node(node, signal.SIGSTOP)
         await asyncio.sleep(site.random.uniform(0.2, 4.0))
         site.signal_node(node, signal.SIGCONT)
@@ -67,7 +67,7 @@
 
 async def reload(site: ProcessSite) -> str:
     """Make a gateway reload its settings."""
-    async with site.one_node() as node:
+    async with site.lock_random_node() as node:
         site.signal_node(node, signal.SIGHUP)
     return f"reloaded {node.name}"
 
@@ -93,7 +93,7 @@
     site.store.set_mode(mode, *chosen)
     await asyncio.sleep(site.random.uniform(0.5, MAX_STORE_OUTAGE_S))
     site.store.set_mode(StoreMode.SERVING, *chosen)
-    outage.until = site.loop.time() + HEARD_AGAIN_S
+    outage.until = site.loop.time() + RECONNECT_S
     return f"store {mode.value} to {len(chosen)}"
 
 
@@ -109,7 +109,7 @@
     return f"configured {site.version}"
 
 
-async def end_key(site: ProcessSite) -> str:
+async def revoke_key(site: ProcessSite) -> str:
     """Revoke the oldest key of the first tenant and add a new one."""
     first, *others = site.tenants
     ended, *kept = first.keys
@@ -122,12 +122,12 @@
 async def change_limit(site: ProcessSite) -> str:
     """Change the limited tenant's rate limit, never above the limit that is checked."""
     *others, limited = site.tenants
-    rate = site.random.choice((LOWER_RATE, LIMITED.rate_per_s))
+    rate = site.random.choice((LOWER_RATE, LIMITED_TENANT.rate_per_s))
     site.set_tenants(*others, SiteTenant(limited.name, limited.keys, rate, limited.burst))
     return f"limit {rate}"
 
 
-async def cut_back_ends(site: ProcessSite) -> str:
+async def harm_zone_links(site: ProcessSite) -> str:
     """Inject a fault into the links to all back ends of a zone at once."""
     zone = site.random.choice(site.zones)
     mode = site.random.choice((LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESETTING))
@@ -140,25 +140,25 @@
     return f"links to {zone} {mode.value}"
 
 
-async def spoil_answers(site: ProcessSite) -> str:
+async def inject_answer_faults(site: ProcessSite) -> str:
     """Make some back ends inject a fault into some of their answers."""
     fault = site.random.choice(BAD_ANSWERS)
     # Keeps the objects, not the ids: a back end that crashes meanwhile restarts under another id.
     alive = sorted(site.backends)
     backends = [site.backends[one] for one in site.random.sample(alive, min(4, len(alive)))]
 
-    def spoil() -> Fault:
+    def draw_fault() -> Fault:
         return fault if site.random.random() < BAD_ANSWER_SHARE else Fault.NONE
 
     for backend in backends:
-        backend.choose_fault = spoil
+        backend.choose_fault = draw_fault
     await asyncio.sleep(site.random.uniform(1.0, 4.0))
     for backend in backends:
         backend.choose_fault = lambda: Fault.NONE
     return f"answers {fault.value}"
 
 
-async def stand_still(site: ProcessSite) -> str:
+async def pause_backend(site: ProcessSite) -> str:
     """Make a back end finish no work for a moment."""
     backend: EmulatedBackend = site.random.choice([*site.backends.values()])
     backend.pause(site.random.uniform(0.1, 1.0))
@@ -169,7 +169,7 @@
     """Add a back end to the single service, then drain another one."""
     alive = [name for name in site.backends if name.startswith("single")]
     old = site.random.choice(alive) if alive else ""
-    if not alive or site.backends[old].life in site.ledger.leaving_at:
+    if not alive or site.backends[old].incarnation in site.ledger.leaving_at:
         return "no back end replaced"
     await site.add_backend(f"single-{site.backends_added}", "single", "zone-a")
     await asyncio.sleep(0.5)
@@ -187,10 +187,10 @@
     harm_store,
     forget_history,
     configure,
-    end_key,
+    revoke_key,
     change_limit,
-    cut_back_ends,
-    spoil_answers,
-    stand_still,
+    harm_zone_links,
+    inject_answer_faults,
+    pause_backend,
     replace_backend,
 )
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -28,9 +28,9 @@
 
 LOOPBACK = 127
 STORE_PROXY_HOST = "127.201.0.1"
-MILLISECONDS = 1000
+MS_PER_SECOND = 1000
 START_TIMEOUT_S = 20.0
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 STOP_TIMEOUT_S = GRACE_S + 4.0
 REVOCATION_S = 5.0
 QUOTAS = QuotaBounds()
@@ -66,7 +66,7 @@
         """Keep the gateways' logs in the folder."""
         self.processes = ProcessGroup(self.folder)
 
-    async def reachable_at(self, backend_id: str, address: Address) -> Address:
+    async def expose_backend(self, backend_id: str, address: Address) -> Address:
         """Start a proxy in front of a back end; return the proxy's address."""
         proxied = Address(address.host.replace("127.128.", "127.129."), BACKEND_PORT)
         await self._add_link(backend_id, address, proxied)
@@ -96,7 +96,7 @@
         try:
             async with asyncio.timeout(START_TIMEOUT_S):
                 while path.stat().st_size <= before:
-                    await asyncio.sleep(LOOK_S)
+                    await asyncio.sleep(POLL_INTERVAL_S)
         except TimeoutError:
             self.problems.append(f"start: {node.name} wrote nothing in {START_TIMEOUT_S} s")
 
@@ -106,7 +106,7 @@
         return [version_route(self.version)]
 
     @contextlib.asynccontextmanager
-    async def one_node(self) -> AsyncIterator[EmulatedNode]:
+    async def lock_random_node(self) -> AsyncIterator[EmulatedNode]:
         """Draw a gateway and lock it against other process faults; record the disturbance."""
         node = self.random.choice(self.nodes)
         async with self._locks.setdefault(node.name, asyncio.Lock()):
@@ -127,7 +127,7 @@
         """Wait for a gateway's process to end; return its exit code, ``None`` on time-out."""
         return await self.processes.wait(node.name, STOP_TIMEOUT_S)
 
-    def ended_by_themselves(self) -> list[str]:
+    def unexpected_exits(self) -> list[str]:
         """Return the gateways that exited although no fault ended them, with their exit codes."""
         return [
             f"unexpected exit: {name} ended with {code}"
@@ -143,9 +143,9 @@
             backend.stop()
         self.store.close()
 
-    def came_back(self, backend_id: str, again: str) -> None:
+    def on_replaced(self, backend_id: str, new_id: str) -> None:
         """Register a back end's link under its new id too."""
-        self.links[again] = self.links[backend_id]
+        self.links[new_id] = self.links[backend_id]
 
     async def _link_to_store(self, node: EmulatedNode) -> None:
         """Start the proxy between a gateway and the store, unless it runs already."""
@@ -171,13 +171,13 @@
 [platform]
 addr = "{STORE_PROXY_HOST}:{node.store_port}"
 [bounds]
-drain_ms = {DRAIN_S * MILLISECONDS}
+drain_ms = {DRAIN_S * MS_PER_SECOND}
 grace_s = {GRACE_S}
 budget_ratio = {REPEATS.ratio}
 budget_extra = {REPEATS.extra}
 budget_window_s = {REPEATS.window_s}
 strict_revoke = {"true" if self.revocation_s is not None else "false"}
-revoke_ms = {(self.revocation_s or REVOCATION_S) * MILLISECONDS}
+revoke_ms = {(self.revocation_s or REVOCATION_S) * MS_PER_SECOND}
 quota_window_s = {QUOTAS.window_s}
 quota_excess = {QUOTAS.excess}
 quota_slack = {QUOTAS.slack}
--- a/tinrudder_lab/soak/proxy.py
+++ b/tinrudder_lab/soak/proxy.py
@@ -78,12 +78,12 @@
             return
         self._writers.add(target_writer)
         await asyncio.gather(
-            self._pass(reader, target_writer, answers=False),
-            self._pass(target_reader, writer, answers=True),
+            self._forward(reader, target_writer, answers=False),
+            self._forward(target_reader, writer, answers=True),
         )
         self._writers -= {writer, target_writer}
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, *, answers: bool
     ) -> None:
         """Forward bytes in one direction until either end closes."""
--- a/tinrudder_lab/soak/run.py
+++ b/tinrudder_lab/soak/run.py
@@ -11,21 +11,21 @@
 import msgspec
 
 from tinrudder_lab.soak.entry_faults import change_entries
-from tinrudder_lab.soak.faults import FAULTS, LIMITED, TENANTS, SoakFault
+from tinrudder_lab.soak.faults import FAULTS, LIMITED_TENANT, TENANTS, SoakFault
 from tinrudder_lab.soak.process_site import QUOTAS, REVOCATION_S, ProcessSite
-from tinrudder_lab.soak.restores import restore_again_and_again
-from tinrudder_lab.soak.silences import silence_again_and_again
-from tinrudder_lab.soak.slow_readers import over_memory, read_slowly, watch_memory
-from tinrudder_lab.soak.versions import ask_versions
+from tinrudder_lab.soak.restores import restore_repeatedly
+from tinrudder_lab.soak.silences import silence_repeatedly
+from tinrudder_lab.soak.slow_readers import memory_violations, read_slowly, watch_memory
+from tinrudder_lab.soak.versions import probe_versions
 
 START_S = 2.5
 SETTLE_S = 6.0
 REQUESTS_PER_SECOND = 25.0
 MINIMUM_SERVED_AFTER = 0.95
-TIMES_LIMIT = 5.0
-OLD_KEYS_PER_SECOND = 10.0
+OVERLOAD_FACTOR = 5.0
+RANDOM_KEYS_PER_SECOND = 10.0
 ROUTES = ("scatter", "single", "once")
-POISON = "ends-back-ends"
+CRASHING_TARGET = "ends-back-ends"
 
 
 class SoakResult(msgspec.Struct, frozen=True):
@@ -111,9 +111,9 @@
     await site.start()
     await asyncio.sleep(START_S)
     memory = asyncio.create_task(watch_memory(site))
-    told, slow_readers = await _disturb(site, seconds, spans)
+    descriptions, slow_readers = await _disturb(site, seconds, spans)
     await asyncio.sleep(SETTLE_S)
-    served_after = await _served_calmly(site)
+    served_after = await _measure_recovery(site)
     memory.cancel()
     statuses = Counter(str(result.status) for result in site.ledger.results)
     return SoakResult(
@@ -122,8 +122,8 @@
         len(site.ledger.results),
         dict(statuses),
         served_after,
-        told,
-        _broken(site, served_after),
+        descriptions,
+        find_violations(site, served_after),
         len(site.ledger.ended),
         slow_readers,
         site.peak_mb,
@@ -132,27 +132,27 @@
 
 async def _disturb(site: ProcessSite, seconds: float, spans: SoakSpans) -> tuple[list[str], int]:
     """Drive traffic and faults; return the faults' descriptions and the number of slow clients."""
-    told: list[str] = []
-    faults = asyncio.create_task(_inject(site, seconds, told))
+    descriptions: list[str] = []
+    faults = asyncio.create_task(_inject(site, seconds, descriptions))
     changes = asyncio.create_task(change_entries(site, spans.entries))
-    restores = asyncio.create_task(restore_again_and_again(site, spans.restores))
-    silences = asyncio.create_task(silence_again_and_again(site, spans.silences))
+    restores = asyncio.create_task(restore_repeatedly(site, spans.restores))
+    silences = asyncio.create_task(silence_repeatedly(site, spans.silences))
     *_, slow_readers = await asyncio.gather(
         site.traffic(seconds, REQUESTS_PER_SECOND, ROUTES),
-        ask_too_much(site, seconds),
-        ask_with_any_key(site, seconds),
-        ask_poison(site, spans.poison),
-        ask_versions(site, seconds),
+        send_over_quota(site, seconds),
+        send_with_random_keys(site, seconds),
+        send_crashing_requests(site, spans.poison),
+        probe_versions(site, seconds),
         read_slowly(site, spans.slow),
     )
-    told.extend(await changes)
-    told.extend(await restores)
-    told.extend(await silences)
+    descriptions.extend(await changes)
+    descriptions.extend(await restores)
+    descriptions.extend(await silences)
     await faults
-    return told, slow_readers
+    return descriptions, slow_readers
 
 
-async def _served_calmly(site: ProcessSite) -> float:
+async def _measure_recovery(site: ProcessSite) -> float:
     """Send requests once every fault has ended; return the share that was served."""
     before = len(site.ledger.results)
     await site.traffic(3.0, REQUESTS_PER_SECOND, ROUTES)
@@ -160,66 +160,66 @@
     return sum(1 for result in after if result.status == 200) / max(1, len(after))
 
 
-def _broken(site: ProcessSite, served_after: float) -> list[str]:
+def find_violations(site: ProcessSite, served_after: float) -> list[str]:
     """Return all violations that the checks of a soak found."""
     texts = site.broken_promises()
     texts.extend(site.problems)
-    texts.extend(site.ended_by_themselves())
-    texts.extend(over_limit(site))
-    texts.extend(over_memory(site))
+    texts.extend(site.unexpected_exits())
+    texts.extend(quota_violations(site))
+    texts.extend(memory_violations(site))
     if served_after < MINIMUM_SERVED_AFTER:
         texts.append(f"recovery: {served_after:.3f} served after all faults had ended")
     return texts
 
 
-async def ask_poison(site: ProcessSite, seconds: float) -> None:
+async def send_crashing_requests(site: ProcessSite, seconds: float) -> None:
     """Send two requests that crash back ends to random gateways, repeatedly.
 
     Uses a random generator of its own, so it does not change the faults of a seed.
     """
     source = random.Random(f"poison {site.seed}")
-    site.ends_under = lambda request: request.target.endswith(POISON)
+    site.ends_under = lambda request: request.target.endswith(CRASHING_TARGET)
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(source.uniform(0.2, 2.0))
         route, path = source.choice((("scatter", "all"), ("single", "single")))
         node = source.randrange(len(site.nodes))
-        await site.send(route, node, target=f"/{path}/{POISON}")
+        await site.send(route, node, target=f"/{path}/{CRASHING_TARGET}")
 
 
-async def ask_too_much(site: ProcessSite, seconds: float) -> None:
-    """Send requests of the limited tenant at ``TIMES_LIMIT`` times its rate limit."""
+async def send_over_quota(site: ProcessSite, seconds: float) -> None:
+    """Send requests of the limited tenant at ``OVERLOAD_FACTOR`` times its rate limit."""
     tasks = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
-        await asyncio.sleep(site.random.expovariate(LIMITED.rate_per_s * TIMES_LIMIT))
+        await asyncio.sleep(site.random.expovariate(LIMITED_TENANT.rate_per_s * OVERLOAD_FACTOR))
         node = site.random.randrange(len(site.nodes))
-        request = site.send("single", node, key=LIMITED.keys[0])
+        request = site.send("single", node, key=LIMITED_TENANT.keys[0])
         tasks.append(site.loop.create_task(request))
     await asyncio.gather(*tasks)
 
 
-async def ask_with_any_key(site: ProcessSite, seconds: float) -> None:
+async def send_with_random_keys(site: ProcessSite, seconds: float) -> None:
     """Send requests with random present and past keys of all tenants, some about to be revoked."""
     tasks = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
-        await asyncio.sleep(site.random.expovariate(OLD_KEYS_PER_SECOND))
+        await asyncio.sleep(site.random.expovariate(RANDOM_KEYS_PER_SECOND))
         key = site.random.choice([*site.ledger.keys])
         node = site.random.randrange(len(site.nodes))
         tasks.append(site.loop.create_task(site.send(site.random.choice(ROUTES), node, key=key)))
     await asyncio.gather(*tasks)
 
 
-def over_limit(site: ProcessSite) -> list[str]:
+def quota_violations(site: ProcessSite) -> list[str]:
     """Return a violation if more of the limited tenant's requests ran than its quota allows."""
-    limit = LIMITED.rate_per_s * QUOTAS.window_s + LIMITED.burst
+    limit = LIMITED_TENANT.rate_per_s * QUOTAS.window_s + LIMITED_TENANT.burst
     bound = limit * (1.0 + QUOTAS.excess) + QUOTAS.slack
-    ran = site.ledger.most_in_window(LIMITED.name, QUOTAS.window_s)
+    ran = site.ledger.most_in_window(LIMITED_TENANT.name, QUOTAS.window_s)
     return [f"quota: {ran} ran in {QUOTAS.window_s} s, at most {bound}"] if ran > bound else []
 
 
-async def _inject(site: ProcessSite, seconds: float, told: list[str]) -> None:
+async def _inject(site: ProcessSite, seconds: float, descriptions: list[str]) -> None:
     """Inject random faults, at most two at a time, for some time; wait until all have ended."""
     end = site.loop.time() + seconds
     running: set[asyncio.Task[str]] = set()
@@ -227,15 +227,15 @@
         await asyncio.sleep(site.random.uniform(0.2, 1.2))
         if len(running) < 2:
             fault = site.random.choice(FAULTS)
-            running.add(asyncio.create_task(_one(site, fault)))
+            running.add(asyncio.create_task(_run_fault(site, fault)))
         done = {task for task in running if task.done()}
-        told.extend(task.result() for task in done)
+        descriptions.extend(task.result() for task in done)
         running -= done
     for task in running:
-        told.append(await task)
+        descriptions.append(await task)
 
 
-async def _one(site: ProcessSite, fault: SoakFault) -> str:
+async def _run_fault(site: ProcessSite, fault: SoakFault) -> str:
     """Run one fault; return its description with the time at which it began."""
     began = site.loop.time()
     what = await fault(site)
--- a/tinrudder_lab/soak/silences.py
+++ b/tinrudder_lab/soak/silences.py
@@ -17,10 +17,10 @@
 BACKENDS_SHARE = 0.3
 
 
-async def silence_again_and_again(site: ProcessSite, seconds: float) -> list[str]:
+async def silence_repeatedly(site: ProcessSite, seconds: float) -> list[str]:
     """Silence connections to the store and some to back ends; return a description of each time."""
     source = random.Random(f"silences {site.seed}")
-    told: list[str] = []
+    descriptions: list[str] = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(source.uniform(*PAUSE_S))
@@ -32,8 +32,10 @@
         for name in silent:
             if name in site.links:
                 site.links[name].silence_open()
-        told.append(f"{site.loop.time():.1f}: {len(silent)} links silent, new connections work")
+        descriptions.append(
+            f"{site.loop.time():.1f}: {len(silent)} links silent, new connections work"
+        )
         if source.random() < CHANGE_SHARE:
             await asyncio.sleep(source.uniform(*CHANGE_AFTER_S))
             site.configure()
-    return told
+    return descriptions
--- a/tinrudder_lab/soak/slow_readers.py
+++ b/tinrudder_lab/soak/slow_readers.py
@@ -23,7 +23,7 @@
 """Mean arrival rate: about a tenth of all clients of a soak."""
 READ_BYTES = 1024
 READ_PAUSE_S = 1.0
-MEMORY_LOOK_S = 0.2
+MEMORY_POLL_S = 0.2
 KILOBYTES_PER_MB = 1000
 _PEAK = re.compile(r"VmHWM:\s+(\d+) kB")
 
@@ -46,14 +46,14 @@
         await asyncio.sleep(source.expovariate(CLIENTS_PER_SECOND))
         node = source.choice(site.nodes)
         reads = source.random() < 0.5
-        clients.append(asyncio.create_task(_ask(site, node, reads=reads)))
+        clients.append(asyncio.create_task(_run_client(site, node, reads=reads)))
     for client in clients:
         client.cancel()
     await asyncio.gather(*clients, return_exceptions=True)
     return len(clients)
 
 
-async def _ask(site: ProcessSite, node: EmulatedNode, *, reads: bool) -> None:
+async def _run_client(site: ProcessSite, node: EmulatedNode, *, reads: bool) -> None:
     """Pipeline requests for large answers and read the answers slowly, or not at all."""
     with socket.socket() as client, contextlib.suppress(OSError):
         client.setblocking(False)
@@ -73,7 +73,7 @@
     while True:
         for node in site.nodes:
             site.peak_mb = max(site.peak_mb, peak_mb(site, node))
-        await asyncio.sleep(MEMORY_LOOK_S)
+        await asyncio.sleep(MEMORY_POLL_S)
 
 
 def peak_mb(site: ProcessSite, node: EmulatedNode) -> float:
@@ -89,7 +89,7 @@
     return int(found[1]) / KILOBYTES_PER_MB if found is not None else 0.0
 
 
-def over_memory(site: ProcessSite) -> list[str]:
+def memory_violations(site: ProcessSite) -> list[str]:
     """Return a violation if any gateway used more memory than its settings allow."""
     if site.peak_mb <= MEMORY_MB:
         return []
