--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -56,7 +56,7 @@
 FAULTS_S = 14.0
 """Seconds within which all faults are injected and end."""
 SUSPECT_WORDS = ("malformed", "unreadable", "unknown message", "exception", "Traceback", "failed:")
-"""Words in log lines that report a message which could not be decoded, or an error."""
+"""Lines with such words are reported: neither build may misread messages of the other or fail."""
 EXPECTED_WORDS = ("unreadable_load_report",)
 """Events with such a word that the emulated back ends cause on purpose."""
 
