--- a/tinrudder_lab/emulator/foreign_entries.py
+++ b/tinrudder_lab/emulator/foreign_entries.py
@@ -1,4 +1,4 @@
-"""Back ends' entries as another writer might leave them: none of them names a back end to use."""
+"""Generates invalid back-end entries, as a faulty writer might leave them in the store."""
 
 from __future__ import annotations
 
@@ -7,22 +7,22 @@
 
 import msgspec
 
-FIELDS = ("service", "addr", "zone", "slots", "state")
-"""What no entry may lack."""
+MANDATORY_FIELDS = ("service", "addr", "zone", "slots", "state")
+"""Mandatory fields of an entry."""
 NESTED_LEVELS = 20_000
-"""More than a parser that calls itself for each level bears."""
+"""Levels of nesting; a recursive parser overflows its stack on them."""
 OTHER_TYPES: tuple[object, ...] = (None, True, -1, 1.5, [], {}, [1], {"a": 1})
 
 ForeignValue = Callable[[dict[str, object], random.Random], bytes]
 
 
 def _lacks_a_field(entry: dict[str, object], source: random.Random) -> bytes:
-    missing = source.choice(FIELDS)
+    missing = source.choice(MANDATORY_FIELDS)
     return msgspec.json.encode({name: value for name, value in entry.items() if name != missing})
 
 
 def _has_another_type(entry: dict[str, object], source: random.Random) -> bytes:
-    field = source.choice((*FIELDS, "cold_left_ms", "seq", "born"))
+    field = source.choice((*MANDATORY_FIELDS, "cold_left_ms", "seq", "born"))
     types = [value for value in OTHER_TYPES if not (field == "cold_left_ms" and value == 1.5)]
     return msgspec.json.encode(entry | {field: source.choice(types)})
 
@@ -53,7 +53,7 @@
     return value[: source.randrange(len(value))]
 
 
-def _is_no_text(entry: dict[str, object], source: random.Random) -> bytes:
+def _is_not_utf8(entry: dict[str, object], source: random.Random) -> bytes:
     return b"\xff" + source.randbytes(40)
 
 
@@ -67,11 +67,11 @@
     _has_another_state,
     _has_absurd_figures,
     _is_cut_short,
-    _is_no_text,
+    _is_not_utf8,
     _is_nested,
 )
 
 
 def foreign_value(entry: dict[str, object], source: random.Random) -> bytes:
-    """Return an entry as another writer might leave it."""
+    """Return an invalid entry derived from a valid one."""
     return source.choice(FOREIGN_VALUES)(entry, source)
--- a/tinrudder_lab/emulator/silent_connections.py
+++ b/tinrudder_lab/emulator/silent_connections.py
@@ -1,4 +1,7 @@
-"""Open connections of an emulated site whose way is gone: nobody is told, and new ones work."""
+"""Silences open connections of an emulated site: bytes are dropped without a reset.
+
+Connections that are opened later work.  Also measures how soon a configuration is in force.
+"""
 
 from __future__ import annotations
 
@@ -8,8 +11,8 @@
 from tinrudder_lab.emulator.loop import AddressPair, EmulatorLoop
 from tinrudder_lab.emulator.site import PEER_PORT, EmulatedSite
 
-LOOK_S = 0.01
-LONGEST_S = 30.0
+POLL_INTERVAL_S = 0.01
+TIMEOUT_S = 30.0
 
 
 def silence_store(site: EmulatedSite) -> None:
@@ -18,7 +21,7 @@
 
 
 def silence_peers(site: EmulatedSite) -> None:
-    """Silence those between gateways."""
+    """Silence the connections between gateways."""
     _silence(site, lambda one, other: PEER_PORT in (one[1], other[1]))
 
 
@@ -27,8 +30,8 @@
     _silence(site, lambda one, other: True)
 
 
-def lacking(site: EmulatedSite) -> list[str]:
-    """Return the gateways that lack the newest configuration."""
+def outdated_gateways(site: EmulatedSite) -> list[str]:
+    """Return the names of running gateways that do not have the newest configuration."""
     return [
         node.name
         for node in site.nodes
@@ -39,13 +42,13 @@
 
 
 async def in_force_after(site: EmulatedSite) -> float:
-    """Return the seconds from now until the newest configuration is in force on all gateways."""
+    """Return the seconds until all gateways have the newest configuration, up to ``TIMEOUT_S``."""
     began = site.loop.time()
-    while lacking(site) and site.loop.time() - began < LONGEST_S:
-        await asyncio.sleep(LOOK_S)
+    while outdated_gateways(site) and site.loop.time() - began < TIMEOUT_S:
+        await asyncio.sleep(POLL_INTERVAL_S)
     return site.loop.time() - began
 
 
-def _silence(site: EmulatedSite, chosen: Callable[[AddressPair, AddressPair], bool]) -> None:
+def _silence(site: EmulatedSite, is_selected: Callable[[AddressPair, AddressPair], bool]) -> None:
     assert isinstance(site.loop, EmulatorLoop)
-    site.loop.silence_connections(chosen)
+    site.loop.silence_connections(is_selected)
--- a/tinrudder_lab/emulator/store.py
+++ b/tinrudder_lab/emulator/store.py
@@ -1,6 +1,7 @@
-"""The platform's metadata store: keys with revisions, ranges in pages, watches, and outages.
+"""Emulates the metadata store: keys with revisions, paged ranges, watches and outages.
 
-It may come back from an older copy: then its revisions go back and are given out again.
+The store can be restored from an older copy: its revision then goes back, and revisions are
+issued again.
 """
 
 from __future__ import annotations
@@ -18,11 +19,11 @@
 from tinrudder_lab.emulator.http_server import ServedRequest, ServerConnection, encode_response
 
 PAGE_ITEMS = 50
-ANSWER_S = 0.004
+ANSWER_DELAY_S = 0.004
 
 
 class StoreMode(enum.Enum):
-    """How the store treats one machine."""
+    """How the store answers one machine."""
 
     SERVING = "serving"
     REFUSING = "refusing"
@@ -40,12 +41,12 @@
 class _Item:
     value: bytes | None
     rev: int
-    shown_as: dict[str, object] | None = None
+    overrides: dict[str, object] | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class _Write:
-    """One write, kept so that the store can go back to the moment before it."""
+    """One write, kept so that the store can be restored to an earlier time."""
 
     at: float
     key: str
@@ -62,15 +63,15 @@
 
 
 class EmulatedStore:
-    """One store that each machine reaches at a port of its own, so that it can be treated apart.
+    """One store with a port for each machine, so that faults can be limited to some machines.
 
-    :ivar calls: how often it was asked anything.
-    :ivar reads: how many of these calls were not watches.
-    :ivar epoch: how often it came back from an older copy; in every answer, unless ``None``.
+    :ivar calls: number of calls received.
+    :ivar reads: number of these calls that were not watches.
+    :ivar epoch: number of restores from a copy; sent in every answer unless ``None``.
     """
 
     def __init__(self, host: str) -> None:
-        """Start empty at ``host``."""
+        """Create an empty store at ``host``."""
         self.host = host
         self.modes: dict[int, StoreMode] = {}
         self.calls = 0
@@ -78,7 +79,7 @@
         self.revision = 0
         self.epoch: int | None = 0
         self._writes: list[_Write] = []
-        self._forgotten = 0
+        self._compacted_revision = 0
         self._items: dict[str, _Item] = {}
         self._watches: list[_Watch] = []
         self._connections: dict[int, set[ServerConnection]] = {}
@@ -86,7 +87,7 @@
         self._loop = asyncio.get_running_loop()
 
     async def listen(self, port: int) -> None:
-        """Serve one machine."""
+        """Listen on the port of one machine."""
         self.modes[port] = StoreMode.SERVING
         self._connections[port] = set()
 
@@ -100,12 +101,12 @@
         self._servers.append(await self._loop.create_server(accept, self.host, port))
 
     def close(self) -> None:
-        """Give back the addresses."""
+        """Stop listening on all ports."""
         for server in self._servers:
             server.close()
 
     def set_mode(self, mode: StoreMode, *ports: int) -> None:
-        """Treat the machines at ``ports`` (all of them if none is given) another way."""
+        """Set the mode for the machines at ``ports``, or for all machines if none is given."""
         for port in ports or tuple(self.modes):
             self.modes[port] = mode
             if mode is StoreMode.RESETTING:
@@ -113,21 +114,21 @@
                     connection.abort()
 
     def put(self, key: str, document: object) -> int:
-        """Write a document; return its revision."""
+        """Write a document as JSON; return its revision."""
         return self.put_bytes(key, msgspec.json.encode(document))
 
     def put_bytes(self, key: str, value: bytes) -> int:
-        """Write any bytes; return the revision."""
+        """Write bytes as they are; return their revision."""
         self._write(key, value)
         return self.revision
 
-    def put_spoiled(self, key: str, shown: dict[str, object]) -> int:
-        """Write a value that the store itself shows with other fields; return its revision.
+    def put_spoiled(self, key: str, fields: dict[str, object]) -> int:
+        """Write an item whose fields are replaced by ``fields`` in answers; return its revision.
 
         A field that is ``None`` is left out.
         """
         revision = self.put_bytes(key, b"{}")
-        self._items[key].shown_as = shown
+        self._items[key].overrides = fields
         return revision
 
     def remove(self, key: str) -> None:
@@ -135,53 +136,53 @@
         self._write(key, None)
 
     def value(self, key: str) -> bytes | None:
-        """Return what stands under a key; ``None``: nothing."""
+        """Return the value of a key, ``None`` if it has none."""
         item = self._items.get(key)
         return item.value if item is not None else None
 
     def revision_of(self, key: str) -> int:
-        """Return the revision of a key's newest write; 0: it was never written."""
+        """Return the revision of a key's newest write, 0 if it was never written."""
         item = self._items.get(key)
         return item.rev if item is not None else 0
 
     def values(self) -> dict[str, bytes]:
-        """Return what stands under every key."""
+        """Return all keys that have a value."""
         return {key: item.value for key, item in self._items.items() if item.value is not None}
 
     def watching_ports(self) -> set[int]:
-        """Return where the machines reach the store that have a watch open."""
+        """Return the ports of the machines that have a watch open."""
         return {watch.port for watch in self._watches}
 
     def restore(self, age_s: float) -> None:
-        """Go back to what stood here some time ago; whoever watches is told nothing of it."""
+        """Restore the contents of ``age_s`` ago; open watches are not notified."""
         copied_at = self._loop.time() - age_s
         self._writes = [write for write in self._writes if write.at <= copied_at]
         self._items = {write.key: write.item for write in self._writes}
         self.revision = max((write.item.rev for write in self._writes), default=0)
-        self._forgotten = min(self._forgotten, self.revision)
+        self._compacted_revision = min(self._compacted_revision, self.revision)
         if self.epoch is not None:
             self.epoch += 1
 
     def forget_history(self) -> None:
-        """Drop history and cut every watch."""
-        self._forgotten = self.revision
+        """Compact the history and end every watch with 410."""
+        self._compacted_revision = self.revision
         for watch in tuple(self._watches):
             self._answer(watch, 410, {"error": "compacted"})
 
     def _write(self, key: str, value: bytes | None) -> None:
-        """Give a key another value, or none, at the next revision."""
+        """Set or remove (``None``) a key's value at the next revision, and notify watches."""
         self.revision += 1
         item = _Item(value, self.revision)
         self._items[key] = item
         self._writes.append(_Write(self._loop.time(), key, item))
-        self._wake()
+        self._notify_watches()
 
     def _headers(self) -> dict[str, str]:
         """Return the headers of every answer."""
         return {} if self.epoch is None else {STORE_EPOCH.decode(): str(self.epoch)}
 
     def _serve(self, request: ServedRequest, connection: ServerConnection, port: int) -> None:
-        """Answer one call by the machine's mode."""
+        """Handle one call as the machine's mode requires."""
         self.calls += 1
         if not request.target.startswith(WATCH_PATH):
             self.reads += 1
@@ -195,11 +196,11 @@
             status = 503 if mode is StoreMode.REFUSING else 429
             connection.write(encode_response(status, self._headers(), b"{}"))
             return
-        delay = ANSWER_S * (SLOW_FACTOR if mode is StoreMode.SLOW else 1)
+        delay = ANSWER_DELAY_S * (SLOW_FACTOR if mode is StoreMode.SLOW else 1)
         self._loop.call_later(delay, self._answer_call, request, connection, port)
 
     def _answer_call(self, request: ServedRequest, connection: ServerConnection, port: int) -> None:
-        """Answer one call."""
+        """Dispatch one call by its path."""
         parts = urlsplit(request.target)
         query = {name: values[0] for name, values in parse_qs(parts.query).items()}
         if parts.path == RANGE_PATH:
@@ -222,17 +223,17 @@
 
     def _watch(self, query: dict[str, str], connection: ServerConnection, port: int) -> None:
         watch = _Watch(query["path_prefix"], int(query["after"]), connection, port)
-        if not self._forgotten <= watch.after <= self.revision:
+        if not self._compacted_revision <= watch.after <= self.revision:
             self._answer(watch, 410, {"error": "compacted"})
             return
         self._watches.append(watch)
         self._loop.call_later(int(query["wait_ms"]) / 1000, self._answer_watch, watch, True)
         self._answer_watch(watch, False)
 
-    def _wake(self) -> None:
+    def _notify_watches(self) -> None:
         for watch in tuple(self._watches):
             if self.modes[watch.port] is StoreMode.SERVING:
-                self._loop.call_later(ANSWER_S, self._answer_watch, watch, False)
+                self._loop.call_later(ANSWER_DELAY_S, self._answer_watch, watch, False)
 
     def _answer_watch(self, watch: _Watch, at_end: bool) -> None:
         if watch.done or self.modes[watch.port] is StoreMode.SILENT:
@@ -258,10 +259,10 @@
 
 
 def _document(key: str, item: _Item) -> dict[str, object]:
-    """Return an item or a removal as the store writes it."""
+    """Return an item or a removal as it appears in answers."""
     if item.value is None:
         return {"key": key, "rev": item.rev, "gone": True}
     value = base64.b64encode(item.value).decode()
     document = {"key": key, "value": value, "rev": item.rev, "made": item.rev, "lease": 0}
-    document |= item.shown_as or {}
+    document |= item.overrides or {}
     return {name: field for name, field in document.items() if field is not None}
--- a/tinrudder_lab/emulator/store_restore.py
+++ b/tinrudder_lab/emulator/store_restore.py
@@ -1,7 +1,7 @@
-"""A store that is away for a moment and is back from an older copy, and what is written again.
+"""A drill: the store fails, is restored from an older copy, and lost writes are repeated.
 
-Owns the course of one such drill; relies on the site for who writes what, and on the ledger for
-nothing: what gateways make of it shows at clients and back ends.
+Owns the course of one drill; relies on the site for writing entries.  Its effect on gateways
+shows at clients and back ends.
 """
 
 from __future__ import annotations
@@ -10,21 +10,22 @@
 from dataclasses import dataclass
 
 from tinrudder.platform.documents import BACKENDS_PREFIX
-from tinrudder_lab.emulator.site import LAPSE_S, EmulatedSite
+from tinrudder_lab.emulator.site import ENTRY_EXPIRY_S, EmulatedSite
 from tinrudder_lab.emulator.store import StoreMode
 
 
 @dataclass(frozen=True, slots=True)
 class StoreRestore:
-    """How one drill goes.
+    """Parameters of one drill.
 
-    What the operator writes while the store is away stands in it when it is back.
+    What the operator writes during the outage is kept by the restored store.
 
-    :param age_s: how old the copy is when the store goes away.
-    :param away_s: for how long the store answers nobody.
-    :param operator_after_s: how long after its return the operator has written again all that the
-        copy lacks; ``None``: never.
-    :param backends_after_s: the same for each living back end, at most.
+    :param age_s: age of the copy when the outage begins.
+    :param away_s: duration of the outage.
+    :param operator_after_s: time from the end of the outage until the operator repeats all writes
+        that the copy lacks; ``None``: never.
+    :param backends_after_s: upper bound of the same time for each running back end; ``None``:
+        never.
     """
 
     age_s: float
@@ -34,24 +35,24 @@
 
 
 async def restore_store(site: EmulatedSite, drill: StoreRestore) -> None:
-    """Let the store go away and come back; return once all is written again that ever will be."""
+    """Run one drill; return once every lost write that is to be repeated has been."""
     lost = site.store.values()
     site.store.set_mode(StoreMode.RESETTING)
     site.store.restore(drill.age_s)
-    copied = _operators_values(site.store.values())
+    copied = _operator_values(site.store.values())
     await asyncio.sleep(drill.away_s)
     site.store.set_mode(StoreMode.SERVING)
     await asyncio.gather(
-        _lapse(site),
-        _write_again(site, _operators_values(lost), copied, drill),
-        _record_again(site, lost, drill),
+        _expire_entries(site),
+        _repeat_operator_writes(site, _operator_values(lost), copied, drill),
+        _repeat_backend_writes(site, lost, drill),
     )
 
 
-async def _write_again(
+async def _repeat_operator_writes(
     site: EmulatedSite, lost: dict[str, bytes], copied: dict[str, bytes], drill: StoreRestore
 ) -> None:
-    """Let the operator write what the copy lacks, unless something newer stands there."""
+    """Repeat the operator's writes that the copy lacks, except where a newer value was written."""
     if drill.operator_after_s is None:
         return
     await asyncio.sleep(drill.operator_after_s)
@@ -65,29 +66,31 @@
             site.store.remove(key)
 
 
-async def _record_again(site: EmulatedSite, lost: dict[str, bytes], drill: StoreRestore) -> None:
-    """Let every back end that lives record itself, where the copy shows it otherwise or not."""
+async def _repeat_backend_writes(
+    site: EmulatedSite, lost: dict[str, bytes], drill: StoreRestore
+) -> None:
+    """Rewrite the entry of every running back end whose entry the copy lacks or shows otherwise."""
     if drill.backends_after_s is None:
         return
-    moments = {one: site.random.uniform(0.0, drill.backends_after_s) for one in [*site.backends]}
-    waited_s = 0.0
-    for backend_id in sorted(moments, key=moments.__getitem__):
-        await asyncio.sleep(moments[backend_id] - waited_s)
-        waited_s = moments[backend_id]
+    delays = {one: site.random.uniform(0.0, drill.backends_after_s) for one in [*site.backends]}
+    elapsed_s = 0.0
+    for backend_id in sorted(delays, key=delays.__getitem__):
+        await asyncio.sleep(delays[backend_id] - elapsed_s)
+        elapsed_s = delays[backend_id]
         key = BACKENDS_PREFIX + backend_id
         if backend_id in site.backends and lost.get(key) != site.store.value(key):
             site.rewrite_entry(backend_id)
 
 
-async def _lapse(site: EmulatedSite) -> None:
-    """Let entries go whose back ends have ended: nobody writes them any more."""
-    await asyncio.sleep(LAPSE_S)
+async def _expire_entries(site: EmulatedSite) -> None:
+    """Remove entries of back ends that have ended, since they send no heartbeats any more."""
+    await asyncio.sleep(ENTRY_EXPIRY_S)
     for key in site.store.values():
         backend_id = key.removeprefix(BACKENDS_PREFIX)
         if key != backend_id and backend_id not in site.backends:
             site.remove_entry(backend_id)
 
 
-def _operators_values(values: dict[str, bytes]) -> dict[str, bytes]:
-    """Return what the operator wrote."""
+def _operator_values(values: dict[str, bytes]) -> dict[str, bytes]:
+    """Return the keys and values that the operator writes: all but back ends' entries."""
     return {key: value for key, value in values.items() if not key.startswith(BACKENDS_PREFIX)}
--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -1,12 +1,12 @@
-"""Runs processes of two builds beside each other, as during a rolling upgrade, and checks both.
+"""Runs processes of two builds together, as during a rolling upgrade, and checks them.
 
     python -m tinrudder_lab.mixed_builds gateways --other CHECKOUT [--seed N] [--gateways N]
     python -m tinrudder_lab.mixed_builds nodes --other CHECKOUT
 
 CHECKOUT is a directory with the other build and a virtual environment in ``.venv``.  Half of the
-processes of every zone run from there.  Owns the choice of the build and the search of the logs;
-relies on the soak's site, faults and checks for gateways, and on the demo for nodes of the
-loopback program.
+processes of every zone run from there.  Owns the choice of the build for each process and the
+search of the logs; relies on the soak's site, faults and checks for gateways, and on the demo for
+nodes.
 """
 
 from __future__ import annotations
@@ -25,34 +25,49 @@
 
 import msgspec
 
-from tinrudder_lab.demo import VICTIM, Demo, DemoResult, _has_passed, _play, print_table, result_of
+from tinrudder_lab.demo import (
+    VICTIM,
+    Demo,
+    DemoResult,
+    has_passed,
+    print_table,
+    result_of,
+    run_demo,
+)
 from tinrudder_lab.demo_cluster import DemoCluster
 from tinrudder_lab.processes import ProcessGroup
 from tinrudder_lab.soak import faults
 from tinrudder_lab.soak.process_site import REVOCATION_S, ProcessSite
 from tinrudder_lab.soak.proxy import LinkMode
-from tinrudder_lab.soak.run import ROUTES, SETTLE_S, START_S, _broken, ask_poison, ask_too_much
+from tinrudder_lab.soak.run import (
+    ROUTES,
+    SETTLE_S,
+    START_S,
+    find_violations,
+    send_crashing_requests,
+    send_over_quota,
+)
 
 GATEWAYS = 12
-"""Processes: from this number on scatters are run by coordinators for other gateways."""
+"""Number of gateway processes; from this number on coordinators run scatters for others."""
 REQUESTS_PER_SECOND = 40.0
 CALM_S = 4.0
-"""Traffic without faults, before them and after them."""
+"""Seconds of traffic without faults, once before the faults and once after them."""
 FAULTS_S = 14.0
-"""Time within which all faults come and end."""
+"""Seconds within which all faults are injected and end."""
 SUSPECT_WORDS = ("malformed", "unreadable", "unknown message", "exception", "Traceback", "failed:")
-"""A log line with one of these, of any build, is shown: no message may be misunderstood."""
+"""Lines with such words are reported: neither build may misread messages of the other or fail."""
 EXPECTED_WORDS = ("unreadable_load_report",)
-"""Events with such a word that the emulator's back ends cause on purpose."""
+"""Events with such a word that the emulated back ends cause on purpose."""
 
 
 @dataclass
 class MixedProcesses(ProcessGroup):
-    """Starts half of the programs of ``module`` from the other checkout.
+    """Starts half of the processes of ``module`` from the other checkout.
 
-    :param other: the other checkout; ``None`` runs everything from this one.
-    :param module: of the processes that alternate; the stand-ins always run from this checkout.
-    :param builds: which build each process runs, by name.
+    :param other: the other checkout; ``None`` runs all processes from this one.
+    :param module: module whose processes alternate; all others run from this checkout.
+    :param builds: build of each alternating process, by the process's name.
     """
 
     other: Path | None = None
@@ -62,7 +77,7 @@
     async def start(self, name: str, module: str, *arguments: str) -> None:
         """Run ``python -m module``, from the other checkout for half of the names."""
         if module == self.module and name not in self.builds:
-            # Zones alternate from process to process: own, other, other, own mixes each of them.
+            # Zones alternate between processes; own, other, other, own puts both builds in each.
             other = len(self.builds) % 4 in (1, 2)
             self.builds[name] = "other" if other and self.other is not None else "own"
         if self.builds.get(name) != "other" or self.other is None:
@@ -70,19 +85,20 @@
             return
         command = (str(self.other / ".venv/bin/python"), "-m", module, *arguments)
         with self.log_of(name).open("ab") as log:
-            # The working directory comes first on Python's path: it decides which build runs.
+            # The working directory is first on Python's path, so it selects the build.
             self._processes[name] = await asyncio.create_subprocess_exec(
                 *command, stdout=log, stderr=log, cwd=self.other
             )
 
 
 class MixedResult(msgspec.Struct, frozen=True):
-    """What a run with gateways of two builds showed.
+    """The result of a run with gateways of two builds.
 
-    :param served_before: share of requests served before the first fault; likewise ``after``.
-    :param coordinated: scatters that a coordinator of one build ran for an entry of another,
-        and those within one build, by ``entry>coordinator``.
-    :param suspect_lines: log lines that tell of a message which was not understood.
+    :param served_before: share of requests served before the first fault.
+    :param served_after: share of requests served after the last fault.
+    :param coordinated: number of delegated scatters by the builds of both gateways, as
+        ``entry>coordinator``.
+    :param suspect_lines: log lines that report a message which could not be decoded, or an error.
     """
 
     seed: int
@@ -98,7 +114,7 @@
 
 
 async def run_gateways(other: Path | None, seed: int, count: int, folder: Path) -> MixedResult:
-    """Run gateways of two builds through calm, faults and calm again."""
+    """Run gateways of two builds without faults, with faults, and without faults again."""
     loop = asyncio.get_running_loop()
     site = ProcessSite(
         loop,
@@ -112,16 +128,16 @@
     try:
         await site.start()
         await asyncio.sleep(START_S)
-        first = await _served(site)
+        first = await _send_calm_traffic(site)
         await asyncio.gather(
             site.traffic(FAULTS_S, REQUESTS_PER_SECOND, ROUTES),
-            ask_too_much(site, FAULTS_S),
-            ask_poison(site, FAULTS_S),
+            send_over_quota(site, FAULTS_S),
+            send_crashing_requests(site, FAULTS_S),
             _disturb(site),
         )
         await asyncio.sleep(SETTLE_S)
-        last = await _served(site)
-        served_before, served_after = _share(first), _share(last)
+        last = await _send_calm_traffic(site)
+        served_before, served_after = _served_share(first), _served_share(last)
         return MixedResult(
             seed,
             dict(Counter(site.processes.builds.values())),
@@ -129,32 +145,32 @@
             served_before,
             served_after,
             dict(Counter(str(status) for status in first + last)),
-            dict(_coordinated(site.processes)),
+            dict(count_coordinated(site.processes)),
             dict(Counter(str(line.get("event")) for line in _lines(site.processes))),
-            _broken(site, min(served_before, served_after)),
-            _suspect_lines(site.processes),
+            find_violations(site, min(served_before, served_after)),
+            find_suspect_lines(site.processes),
         )
     finally:
         await site.close()
 
 
-async def _served(site: ProcessSite) -> list[int]:
-    """Return the statuses of a calm span."""
+async def _send_calm_traffic(site: ProcessSite) -> list[int]:
+    """Send requests for ``CALM_S``; return their statuses."""
     before = len(site.ledger.results)
     await site.traffic(CALM_S, REQUESTS_PER_SECOND, ROUTES)
     return [result.status for result in site.ledger.results[before:]]
 
 
-def _share(statuses: list[int]) -> float:
+def _served_share(statuses: list[int]) -> float:
     return sum(status == 200 for status in statuses) / max(1, len(statuses))
 
 
 async def _disturb(site: ProcessSite) -> None:
-    """Change the configuration, lose connections to the store, stop and kill of either build."""
+    """Change configurations, reset store links, stop a gateway of each build, and kill one."""
     own, other = site.nodes[2], site.nodes[3]
     await asyncio.sleep(1.0)
     await faults.configure(site)
-    await faults.end_key(site)
+    await faults.revoke_key(site)
     for node in (own, other):
         site.links[node.name].set_mode(LinkMode.RESETTING)
     await asyncio.sleep(2.0)
@@ -172,7 +188,7 @@
 
 
 def _lines(processes: MixedProcesses) -> Iterator[dict[str, object]]:
-    """Yield the log lines of all processes that alternate."""
+    """Yield the log lines of all alternating processes; a line that is not JSON as ``text``."""
     for name in processes.builds:
         for text in processes.log_of(name).read_text(errors="replace").splitlines():
             try:
@@ -181,8 +197,8 @@
                 yield {"event": "", "process": name, "text": text}
 
 
-def _coordinated(processes: MixedProcesses) -> Counter[str]:
-    """Count the scatters that one gateway ran for another, by the builds of both."""
+def count_coordinated(processes: MixedProcesses) -> Counter[str]:
+    """Count delegated scatters by the builds of the entry gateway and the coordinator."""
     entries: dict[object, str] = {}
     coordinators: dict[object, str] = {}
     for line in _lines(processes):
@@ -194,8 +210,8 @@
     return Counter(pairs)
 
 
-def _suspect_lines(processes: MixedProcesses) -> list[str]:
-    """Return the log lines that tell of something a process did not understand."""
+def find_suspect_lines(processes: MixedProcesses) -> list[str]:
+    """Return the log lines with suspect words, each after the build that wrote it."""
     found = []
     for line in _lines(processes):
         text = json.dumps(line)
@@ -206,26 +222,26 @@
 
 
 def run_nodes(other: Path | None, folder: Path) -> tuple[DemoResult, list[str]]:
-    """Run the demo with half of the nodes of the other build; return its result and bad lines."""
+    """Run the demo with half of the nodes of the other build; return result and suspect lines."""
     cluster = DemoCluster(folder, VICTIM)
     processes = MixedProcesses(folder, other=other, module="tinrudder.cli.main")
     cluster.processes = processes
     demo = Demo(cluster)
-    extra_load = asyncio.run(_play(demo))
+    extra_load = asyncio.run(run_demo(demo))
     result = result_of(demo, extra_load)
     print_table(demo)
     print("builds:", dict(Counter(processes.builds.values())))
-    return result, _suspect_lines(processes)
+    return result, find_suspect_lines(processes)
 
 
 def main() -> int:
-    """Run what the command line names; 1 if a check failed or a message was misunderstood."""
+    """Run the programs that the command line names; 1 on a failed check or a suspect log line."""
     parser = argparse.ArgumentParser(description=__doc__.split("\n")[0])
     parser.add_argument("programs", choices=("gateways", "nodes"))
     parser.add_argument("--other", type=Path, help="checkout of the other build; default: none")
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--gateways", type=int, default=GATEWAYS)
-    parser.add_argument("--folder", type=Path, help="for settings and logs")
+    parser.add_argument("--folder", type=Path, help="directory for settings and logs")
     parsed = parser.parse_args()
     folder = parsed.folder or Path(tempfile.mkdtemp(prefix="tinrudder-mixed-"))
     folder.mkdir(parents=True, exist_ok=True)
@@ -234,7 +250,7 @@
         nodes, suspect = run_nodes(parsed.other, folder)
         print("\n".join(suspect))
         print(msgspec.json.encode(nodes).decode())
-        return 0 if _has_passed(nodes) and not suspect else 1
+        return 0 if has_passed(nodes) and not suspect else 1
     gateways = asyncio.run(run_gateways(parsed.other, parsed.seed, parsed.gateways, folder))
     print(msgspec.json.encode(gateways).decode())
     return 1 if gateways.broken or gateways.suspect_lines else 0
--- a/tinrudder_lab/soak/silences.py
+++ b/tinrudder_lab/soak/silences.py
@@ -1,7 +1,7 @@
-"""Open connections that fall silent for good, again and again, often just before a change.
+"""Silences open connections repeatedly, often just before a configuration change.
 
-Nobody is told, and new connections work.  Their moments come from randomness of their own: a seed's
-other faults stay what they were.
+Silenced connections drop all bytes without a reset; new connections work.  Uses a random generator
+of its own, so it does not change the other faults of a seed.
 """
 
 from __future__ import annotations
@@ -17,10 +17,10 @@
 BACKENDS_SHARE = 0.3
 
 
-async def silence_again_and_again(site: ProcessSite, seconds: float) -> list[str]:
-    """Let connections to the store, and some to back ends, fall silent; return what was done."""
+async def silence_repeatedly(site: ProcessSite, seconds: float) -> list[str]:
+    """Silence connections to the store and some to back ends; return a description of each time."""
     source = random.Random(f"silences {site.seed}")
-    told: list[str] = []
+    descriptions: list[str] = []
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(source.uniform(*PAUSE_S))
@@ -32,8 +32,10 @@
         for name in silent:
             if name in site.links:
                 site.links[name].silence_open()
-        told.append(f"{site.loop.time():.1f}: {len(silent)} links silent, new connections work")
+        descriptions.append(
+            f"{site.loop.time():.1f}: {len(silent)} links silent, new connections work"
+        )
         if source.random() < CHANGE_SHARE:
             await asyncio.sleep(source.uniform(*CHANGE_AFTER_S))
             site.configure()
-    return told
+    return descriptions
