--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks of the call path; see docs/CALL_COST.md."""
+"""Benchmarks of the query tier; docs/CALL_COST.md covers the call path."""
--- a/bench/call_cost.py
+++ b/bench/call_cost.py
@@ -1,8 +1,9 @@
 """Processor time per back-end call: ``make bench`` or ``python -m bench.call_cost``.
 
-All subjects take turns in one run, so that a busy machine hits all of them alike; each figure is
-the median over the turns.  The back ends run in another process and are not counted.  Last line:
-one JSON object with at least ``floor_us``, ``client_us`` and ``node_us``, microseconds.
+The subjects are measured in alternating turns of one run, so that other load on the machine affects
+all of them equally; each figure is the median over the turns.  The back ends run in a separate
+process, whose time is not counted.  The last line of the output is one JSON object with at least
+``floor_us``, ``client_us`` and ``node_us``, in microseconds.
 """
 
 from __future__ import annotations
@@ -43,7 +44,7 @@
 
 @dataclass(slots=True)
 class Measurement:
-    """All turns of one subject."""
+    """Results of all turns of one subject."""
 
     name: str
     subject: Subject
@@ -51,7 +52,7 @@
     fan_out_ms: list[float] = field(default_factory=list)
 
     async def take_turn(self, fan_outs: int, fan_out: int) -> None:
-        """Measure one turn."""
+        """Run one turn of ``fan_outs`` fan-outs and record its cost."""
         processor = time.process_time()
         wall = time.perf_counter()
         await self.subject.run(fan_outs)
@@ -62,7 +63,7 @@
 
     @property
     def median_us(self) -> float:
-        """Return the median cost of a call."""
+        """Return the median processor time of a call, in microseconds."""
         return round(statistics.median(self.processor_us), 1)
 
 
@@ -80,7 +81,7 @@
 
 
 async def measure(ports: list[int], arguments: argparse.Namespace) -> list[Measurement]:
-    """Let the subjects take turns."""
+    """Warm up all subjects, then measure them in alternating turns."""
     measurements = build_measurements(ports, arguments.fan_out)
     for measurement in measurements:
         await measurement.subject.run(WARM_UP_FAN_OUTS)
@@ -94,7 +95,7 @@
 
 
 def print_table(measurements: list[Measurement]) -> None:
-    """Print one line a subject."""
+    """Print one line per subject."""
     floor = measurements[0].median_us
     print(f"{'subject':12}{'us a call':>10}{'least':>8}{'most':>8}{'x floor':>9}{'fan-out ms':>12}")
     for measurement in measurements:
@@ -108,7 +109,7 @@
 
 
 def report(measurements: list[Measurement], fan_out: int) -> dict[str, float]:
-    """Return the last line's object."""
+    """Return the object that is printed on the last line."""
     figures: dict[str, float] = {f"{each.name}_us": each.median_us for each in measurements}
     figures["node_over_floor"] = round(figures["node_us"] / figures["floor_us"], 2)
     figures["fan_out"] = fan_out
@@ -116,17 +117,17 @@
 
 
 def parse_arguments() -> argparse.Namespace:
-    """Read the flags."""
+    """Parse the command line."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--fan-out", type=int, default=FAN_OUT)
     parser.add_argument("--ports", type=int, default=PORTS)
     parser.add_argument("--turns", type=int, default=TURNS)
-    parser.add_argument("--fan-outs", type=int, default=FAN_OUTS_PER_TURN, help="a turn")
+    parser.add_argument("--fan-outs", type=int, default=FAN_OUTS_PER_TURN, help="fan-outs per turn")
     return parser.parse_args()
 
 
 def main() -> None:
-    """Run the bench."""
+    """Run the benchmark."""
     arguments = parse_arguments()
     absl_logging.set_verbosity(absl_logging.ERROR)
     command = [sys.executable, "-m", "bench.canned_backend", "--ports", str(arguments.ports)]
--- a/bench/caller_process.py
+++ b/bench/caller_process.py
@@ -1,7 +1,7 @@
-"""A caller in its own process, so that its cost is not counted as the node's.
+"""HTTP client in its own process, so that its processor time is not counted as the node's.
 
-``python -m bench.caller_process PORT`` reads a number of queries a line from standard input,
-sends them one after the other and answers with the statuses it saw.
+``python -m bench.caller_process PORT`` reads one number per line from standard input, sends that
+many queries sequentially and prints the count of each response status, such as ``200:8``.
 """
 
 from __future__ import annotations
--- a/bench/canned_backend.py
+++ b/bench/canned_backend.py
@@ -1,7 +1,7 @@
-"""Back ends with canned answers: the same bytes every time, but for the call id.
+"""Back ends with canned responses, which depend only on the call id and the shards of a request.
 
 ``python -m bench.canned_backend --ports 20`` prints the ports it listens on and serves until its
-standard input closes, so it never outlives the bench.
+standard input closes, so that it exits with the benchmark.
 """
 
 from __future__ import annotations
@@ -20,7 +20,7 @@
 
 
 class AskedFields(msgspec.Struct, frozen=True):
-    """What the canned answer depends on."""
+    """Request fields that the canned response depends on."""
 
     call_id: int
     shards: tuple[str, ...]
@@ -30,7 +30,9 @@
 
 
 def answer_body(call_id: int, shards: tuple[str, ...]) -> bytes:
-    """Return an answer of ``ANSWER_BYTES`` with one row a shard, as ``docs/BACKENDS.md`` says.
+    """Return a response body with one row per shard, padded to ``ANSWER_BYTES``.
+
+    ``docs/BACKENDS.md`` describes the format.
 
     >>> len(answer_body(7, ("s001",)))
     200
@@ -45,7 +47,7 @@
 
 
 def answer(body: bytes) -> bytes:
-    """Return the whole HTTP answer to a request body."""
+    """Return the complete HTTP response to a request body."""
     asked = _decoder.decode(body)
     content = answer_body(asked.call_id, asked.shards)
     head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(content)}"
@@ -53,20 +55,20 @@
 
 
 class CannedProtocol(asyncio.Protocol):
-    """One connection of the client under measure."""
+    """Server side of one connection from the measured client."""
 
     def __init__(self) -> None:
-        """Start without input."""
+        """Start with an empty buffer."""
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Answer every whole request."""
+        """Respond to every complete request in the buffer."""
         self._buffer += data
         while True:
             head_end = self._buffer.find(HEAD_END)
@@ -83,7 +85,7 @@
 
 
 def _content_length(head: bytes) -> int:
-    """Read the length of a request's body, however the client spells the header."""
+    """Return the body length from a request's head; the header's case does not matter."""
     start = head.lower().index(LENGTH_HEADER.lower()) + len(LENGTH_HEADER)
     return int(head[start:].split(b"\r\n", 1)[0])
 
--- a/bench/claim_cost.py
+++ b/bench/claim_cost.py
@@ -1,7 +1,7 @@
-"""What one claim costs: messages, bytes, processor time and memory.
+"""Cost of one claim: messages, bytes, processor time and memory.
 
-Every node is in this process and messages are handed over directly, so the figures are those of
-claims alone, codec included, without the transport::
+All nodes run in this process and messages are passed by direct calls, so the figures cover claims
+alone, including the codec but not the transport::
 
     python -m bench.claim_cost --members 14 --members 730
 
@@ -44,12 +44,14 @@
 
 
 class ClaimCost(msgspec.Struct, frozen=True):
-    """Medians would hide rare work, so all times are means, in microseconds of processor time.
+    """Costs at one number of members; times are microseconds of processor time.
 
-    :param claim_us: one claim, its proposer and all its voters together.
-    :param voter_us: one voter's part, decoding and encoding included.
-    :param electorate_us: choosing a key's voters among the members, once.
-    :param held_bytes: memory of one held vote.
+    All times are means, since medians would hide rare work.
+
+    :param claim_us: one claim, at its proposer and all its voters together.
+    :param voter_us: one vote, including decoding and encoding.
+    :param electorate_us: one selection of a key's voters among the members.
+    :param held_bytes: memory of one stored vote.
     """
 
     members: int
@@ -64,7 +66,7 @@
 
 @dataclass
 class DirectNetwork:
-    """Hands requests to their destination at once, and counts them."""
+    """Delivers requests without delay, and counts messages and bytes."""
 
     handlers: dict[PeerAddress, RequestHandler] = field(default_factory=dict)
     messages: int = 0
@@ -73,15 +75,15 @@
 
 
 class DirectTransport:
-    """One node's end of the network."""
+    """Peer transport of one node."""
 
     def __init__(self, network: DirectNetwork, address: PeerAddress) -> None:
-        """Listen at ``address``."""
+        """Create the transport of the node at ``address``."""
         self._network = network
         self._address = address
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who handles requests."""
+        """Register the request handler."""
         self._network.handlers[self._address] = on_request
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
@@ -90,7 +92,7 @@
         self._network.bytes += len(payload)
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
-        """Return the destination's answer."""
+        """Call the destination's handler and return its answer."""
         network = self._network
         started = time.process_time()
         answer = await network.handlers[destination](self._address, payload)
@@ -115,7 +117,7 @@
 
 
 async def measure(members: int) -> ClaimCost:
-    """Claim many keys, each through another node."""
+    """Claim ``CLAIMS`` keys, with the nodes as proposers in turn."""
     network = DirectNetwork()
     loop = asyncio.get_running_loop()
     voters = _voters(members)
@@ -163,7 +165,7 @@
 
 
 def _electorate_us(voters: list[Voter]) -> float:
-    """Return the time to choose one key's voters."""
+    """Return the microseconds to select one key's voters."""
     listed, ranking = VoterList(1, voters), VoterRanking(voters)
     keys = [make_claim_key("tenant", str(number)).digest for number in range(CLAIMS)]
     before = time.process_time()
@@ -173,7 +175,7 @@
 
 
 def _held_bytes() -> float:
-    """Return the memory of one vote that is held."""
+    """Return the bytes of memory of one stored vote."""
     tracemalloc.start()
     voter = ClaimVoter(ClaimLimits(window_s=WINDOW_S), 0.0)
     before = tracemalloc.get_traced_memory()[0]
@@ -188,7 +190,7 @@
 
 
 def main() -> None:
-    """Measure for each number of members asked for."""
+    """Measure each requested number of members."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--members", type=int, action="append")
     for members in parser.parse_args().members or [6, 14, 730]:
--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -1,8 +1,8 @@
-"""What one change of the configuration costs a node, at the plan's 4,620 back ends.
+"""Cost of one configuration change at a node, at the planned 4,620 back ends.
 
-``python -m bench.configuration_cost`` prints one JSON object: processor time of taking in a whole
-document, of a second document with one change, and of the same change as a peer's delta; and the
-bytes of that delta, request and answer, as they travel.
+``python -m bench.configuration_cost`` prints one JSON object: the processor time to apply a first
+document, a second document with one change, and the same change as a delta from a peer; and the
+encoded sizes of that delta's request and answer.
 """
 
 from __future__ import annotations
@@ -33,7 +33,9 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationCost:
-    """Milliseconds of processor time, medians over ``CHANGES``, and bytes."""
+    """Processor times in milliseconds and sizes in bytes.
+
+    Times of changes are medians over ``CHANGES``."""
 
     resources: int
     first_document_ms: float
@@ -45,7 +47,7 @@
 
 
 def measure() -> ConfigurationCost:
-    """Take in changes at one node and let another one learn each as a delta."""
+    """Apply changes at one node and replicate each to another node as a delta."""
     reader, follower = ConfigurationStore(), ConfigurationStore()
     first = build_document(SERVICES, 1, 5)
     first_ms = _processor_ms(lambda: reader.offer(first))
@@ -71,7 +73,7 @@
 
 
 def _whole_state_bytes(state: ReplicatedConfiguration) -> int:
-    """Return what a node receives that holds nothing yet, over all chunks."""
+    """Return the bytes that an empty node receives for the whole state, over all chunks."""
     received, entries, more = 0, 0, True
     while more:
         digest = state.header().state_digest if entries else b""
@@ -94,7 +96,7 @@
 
 
 def main() -> int:
-    """Print the measurements."""
+    """Measure and print the result."""
     print(msgspec.json.encode(measure()).decode())
     return 0
 
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -1,9 +1,9 @@
-"""How fast a change of the configuration is in force everywhere, and what that costs, by nodes.
+"""Propagation time and traffic of a configuration change, by number of nodes.
 
-``python -m bench.configuration_spread --nodes 730 --loss 0.05`` runs the product's exchange and
-its pace of reading the platform in virtual time; the last line is one JSON object.  Datagrams are
-lost at the given rate, delays are 1 to 3 ms one way, an answer of the platform takes 20 ms.
-Bytes count payloads sent and answered, without UDP, TCP and IP headers.
+``python -m bench.configuration_spread --nodes 730 --loss 0.05`` runs the product's state exchange
+and poll intervals in virtual time; the last line is one JSON object.  Datagrams are lost at the
+given rate, one-way delays are 1 to 3 ms, and the platform answers after 20 ms.  Bytes count the
+payloads of datagrams, requests and answers, without UDP, TCP and IP headers.
 """
 
 from __future__ import annotations
@@ -37,14 +37,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Spread:
-    """Seconds and bytes; ``None`` where it took longer than the limit.
-
-    :param in_force_s: from the write on the platform until the last node enforces it.
-    :param in_force_platform_down_s: from the moment one node has it, the platform being down.
-    :param change_bytes: of one change per node, with the notices that follow it.
-    :param quiet_bytes_per_s: of anti-entropy per node.
-    :param bytes_per_s: both, at 1,100 changes a day.
-    :param documents: times the platform was asked for the whole document after the write.
+    """Figures of one run; a time is ``None`` if it exceeds ``TIME_LIMIT_S``.
+
+    :param in_force_s: from the write at the platform until the change is in force on all nodes.
+    :param in_force_platform_down_s: from the change on one node until it is in force on all
+        nodes, while the platform is down.
+    :param change_bytes: traffic per node of one change, including the notices that follow it.
+    :param quiet_bytes_per_s: anti-entropy traffic per node without changes.
+    :param bytes_per_s: both kinds of traffic per node, at 1,100 changes a day.
+    :param documents: fetches of the whole document from the platform after the write.
     """
 
     nodes: int
@@ -61,7 +62,7 @@
 
 @dataclass
 class Platform:
-    """What the platform holds, and whether it answers."""
+    """The platform's document, whether it answers, and how often it was fetched."""
 
     document: ResourceDocument
     is_up: bool = True
@@ -70,7 +71,7 @@
 
 @dataclass
 class Wires:
-    """Delivers between nodes."""
+    """Delivers messages between nodes, with delay and loss."""
 
     loss: float
     random: random.Random
@@ -78,26 +79,26 @@
     sent_bytes: int = 0
 
     def delay(self) -> float:
-        """Return one way's seconds."""
+        """Return a random one-way delay, in seconds."""
         return self.random.uniform(*ONE_WAY_S)
 
 
 class WireTransport:
-    """One node's end."""
+    """Peer transport of one node."""
 
     def __init__(self, wires: Wires, address: PeerAddress) -> None:
-        """Listen at ``address``."""
+        """Attach to the network at ``address``."""
         self.address = address
         self._wires = wires
         wires.transports[address] = self
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who handles what arrives."""
+        """Register the handlers of datagrams and requests."""
         self.on_datagram = on_datagram
         self.on_request = on_request
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
-        """Count, then deliver or lose."""
+        """Count the datagram, then deliver or drop it."""
         self._wires.sent_bytes += len(payload)
         if self._wires.random.random() >= self._wires.loss:
             receive = self._wires.transports[destination].on_datagram
@@ -105,7 +106,7 @@
             loop.call_later(self._wires.delay(), receive, self.address, payload)
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
-        """Count both ways; never lost, for TCP repeats."""
+        """Count request and answer; neither is lost, since TCP retransmits."""
         await asyncio.sleep(self._wires.delay())
         answer = await self._wires.transports[destination].on_request(self.address, payload)
         await asyncio.sleep(self._wires.delay())
@@ -113,16 +114,16 @@
         return answer
 
     async def close(self) -> None:
-        """Hold nothing."""
+        """Do nothing: there is nothing to close."""
 
 
 class SpreadNode:
-    """Store, exchange and reading of the platform."""
+    """One node: configuration store, state exchange and polling of the platform."""
 
     def __init__(
         self, number: int, wires: Wires, platform: Platform, seed: int, settings: ExchangeSettings
     ) -> None:
-        """Begin with nothing in force."""
+        """Create the node without a configuration."""
         self._platform = platform
         self._random = random.Random(f"{seed} {number}")
         self._wires = wires
@@ -138,10 +139,10 @@
         )
 
     def start(self) -> None:
-        """Exchange and read the platform from now on."""
+        """Start the state exchange and the polling of the platform."""
         self.store.subscribe(lambda _: self.exchange.announce())
         self.exchange.start()
-        # As if every node had last read at a random moment before.
+        # Spreads the first polls as if every node had last polled at a random time before.
         nodes = len(self._wires.transports)
         first = poll_delay_s(nodes, SHORTEST_POLL_S, self._random) * self._random.random()
         asyncio.get_running_loop().call_later(first, self._poll)
@@ -159,7 +160,7 @@
 async def measure(
     nodes: int, services: int, loss: float, seed: int, settings: ExchangeSettings
 ) -> Spread:
-    """Run the changes one after the other."""
+    """Measure one change with the platform up, then one with it down."""
     wires = Wires(loss, random.Random(seed))
     platform = Platform(build_document(services, 1, 5))
     members = [
@@ -206,7 +207,7 @@
 
 
 async def _until_revision(members: list[SpreadNode], revision: int) -> float | None:
-    """Return seconds until every node enforces a revision."""
+    """Return the seconds until a revision is in force on all nodes, ``None`` on time-out."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while loop.time() - started < TIME_LIMIT_S:
@@ -217,7 +218,7 @@
 
 
 def main() -> int:
-    """Measure once per seed; the last line is the JSON object of the last."""
+    """Measure once per seed and print one JSON object for each."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--nodes", type=int, default=30)
     parser.add_argument("--services", type=int, default=2, help="of 145 resources each")
--- a/bench/connection_cost.py
+++ b/bench/connection_cost.py
@@ -1,9 +1,9 @@
-"""What a request costs at a client's connection, and a call at a back end's.
+"""Processor time of one request at a client connection and one call at a back-end connection.
 
     python -m bench.connection_cost
 
-Processor time for reading, parsing, counting and writing, without sockets.  The least of several
-rounds: on a busy machine the median says more of others.  Prints one JSON object.
+Covers reading, parsing, accounting and writing, without sockets.  Reports the minimum of several
+rounds: on a busy machine the median mostly reflects other processes.  Prints one JSON object.
 """
 
 from __future__ import annotations
@@ -28,25 +28,25 @@
 
 
 class NullTransport(asyncio.Transport):
-    """Takes every byte at once."""
+    """Transport that discards all writes."""
 
     def write(self, data: bytes) -> None:  # type: ignore[override]
-        """Take the bytes."""
+        """Discard the data."""
 
     def get_write_buffer_size(self) -> int:
-        """Hold nothing."""
+        """Return 0: nothing is buffered."""
         return 0
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Need no limits."""
+        """Ignore the limits: nothing is buffered."""
 
     def is_closing(self) -> bool:
-        """Stay open."""
+        """Return ``False``: the transport stays open."""
         return False
 
 
 def least_us(run: Callable[[], None]) -> float:
-    """Return the least processor time of one run, microseconds."""
+    """Return the processor time of one run in the fastest round, in microseconds."""
     seconds = []
     for _ in range(ROUNDS):
         started = time.process_time()
@@ -57,7 +57,7 @@
 
 
 async def measure() -> dict[str, float]:
-    """Return the costs at both connections."""
+    """Return the costs at both kinds of connection."""
     account = MemoryAccount(BOUND)
     answer = text_answer(b"x" * 96)
     client = ClientConnection(PlainHandler(lambda: answer), set(), account)
@@ -76,7 +76,7 @@
 
 
 def main() -> None:
-    """Measure with the cycle collector off: a gateway lets it run rarely too."""
+    """Measure without the garbage collector, which a gateway also runs rarely."""
     gc.disable()
     print(json.dumps(asyncio.run(measure())))
 
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -1,11 +1,10 @@
-"""What the decisions cost per back-end call, and how that grows with back ends and tenants.
+"""Processor time of the decisions per back-end call, by numbers of back ends and tenants.
 
     python -m bench.decision_cost
 
-Measures processor time between a query's submitting a call and the transport, both ways: choice
-of the replica, fair queue, limit, accounts.  Admission and the look for overdue calls are
-measured beside it, per call.  The transport answers at once and costs next to nothing.  Prints a
-table, then one JSON object.
+Measures the path from submitting a call to the transport and back: replica choice, fair queue,
+limit and tenant usage.  Admission is measured separately, per call.  The transport answers
+immediately at negligible cost.  Prints a table, then one JSON object.
 """
 
 from __future__ import annotations
@@ -47,35 +46,35 @@
 
 
 class StoppedTimers:
-    """Time stands still; no timer is ever due."""
+    """Clock that does not advance; timers cannot be set."""
 
     def time(self) -> float:
-        """Return monotonic seconds."""
+        """Return the constant time."""
         return 0.0
 
     def call_at(self, when: float, callback: Callable[..., object], *args: object) -> TimerHandle:
-        """Refuse: nothing measured here sets a timer."""
+        """Raise: the measured code sets no timers."""
         raise NotImplementedError
 
 
 @dataclass
 class InstantTransport:
-    """Keeps the calls until they are answered."""
+    """Transport that records calls and answers them in :meth:`answer_all`."""
 
     started: list[tuple[BackendCall, ReplyListener]] = field(default_factory=list)
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Keep a call."""
+        """Record a call."""
         self.started.append((call, listener))
 
     def cancel(self, call: BackendCall) -> None:
-        """Keep it all the same."""
+        """Do nothing: a cancelled call is still answered."""
 
     async def close(self) -> None:
-        """Hold nothing."""
+        """Do nothing: there is nothing to close."""
 
     def answer_all(self) -> None:
-        """Answer until nothing is in flight."""
+        """Answer calls until none is in flight."""
         while self.started:
             started, self.started = self.started, []
             for call, listener in started:
@@ -83,10 +82,10 @@
 
 
 class Subject:
-    """A dispatcher over ``backends`` back ends, and calls of ``tenants`` tenants."""
+    """A dispatcher over ``backends`` back ends, with calls of ``tenants`` tenants."""
 
     def __init__(self, backends: int, tenants: int) -> None:
-        """Build everything that is not measured."""
+        """Build the dispatcher and its back ends outside the measurement."""
         self.transport = InstantTransport()
         self.queue = StartTimeFairQueue(lambda: 0.0)
         self.dispatcher = Dispatcher(
@@ -109,7 +108,7 @@
         return (self.records[number % count], self.records[(number + 1) % count])
 
     def calls(self, count: int) -> list[PendingCall]:
-        """Return calls ready to be submitted, each query's one after the other."""
+        """Return calls ready to be submitted, ordered by query."""
         return [self._call(number) for number in range(count)]
 
     def _call(self, number: int) -> PendingCall:
@@ -132,7 +131,7 @@
         return (time.process_time() - started) / CALLS * 1e6
 
     def run_admission(self) -> float:
-        """Return microseconds per call of admission while calls of every tenant wait."""
+        """Return microseconds of admission per call while calls of every tenant are queued."""
         for call in self.calls(max(FAN_OUT, len(self.tenants)) * FAN_OUT):
             self.queue.push(call)
         admission = ExpectedWaitAdmission(self.queue, random.Random(1))
@@ -146,7 +145,7 @@
 
 
 def _ignore_reply(sent: SentCall, reply: BackendReply) -> None:
-    """Take no notice: the query's own work is not measured here."""
+    """Ignore the reply: the query's own work is not measured."""
 
 
 def measure(backends: int, tenants: int) -> dict[str, float]:
@@ -163,7 +162,7 @@
 
 
 def main() -> None:
-    """Measure every size, with the cycle collector off: the daemon lets it run rarely too."""
+    """Measure every size without the garbage collector, which the daemon also runs rarely."""
     gc.disable()
     results = {}
     for backends in BACKENDS:
--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -1,6 +1,6 @@
-"""Shares, isolation and cost of the fair queue, by its burst.
+"""Tenant shares, isolation and cost of the fair queue, by burst size.
 
-Virtual time, on a plain model of back ends.
+Runs in virtual time on a simple model of back ends.
 
     python -m bench.fair_queue [--seeds 5]
 
@@ -37,7 +37,7 @@
 
 @dataclass
 class VirtualTime:
-    """A clock and its events."""
+    """Virtual clock with an event queue."""
 
     now: float = 0.0
     events: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
@@ -48,11 +48,11 @@
         return self.now
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
-        """Add an event."""
+        """Schedule a callback."""
         heapq.heappush(self.events, (when, next(self.order), callback))
 
     def run_until(self, end: float) -> None:
-        """Run events in order."""
+        """Run the events up to ``end`` in order of time."""
         while self.events and self.events[0][0] <= end:
             self.now, _, callback = heapq.heappop(self.events)
             callback()
@@ -60,12 +60,12 @@
 
 
 BURSTS = (0.0, 16.0, 32.0, 64.0, 128.0)
-"""Calls by which a tenant may be served ahead of its share after idleness."""
+"""Calls by which a tenant may be served ahead of its share after being idle."""
 
 
 @dataclass
 class Service:
-    """Back ends with slots, fed by one queue."""
+    """Back ends with slots, served from one queue."""
 
     clock: VirtualTime
     queue: CallQueue
@@ -75,14 +75,14 @@
     served: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Make the back ends."""
+        """Create the back ends."""
         self.backends = [
             BackendRecord(f"b{number}", "127.0.0.1", 1, "z", self.slots, self.slots)
             for number in range(self.backend_count)
         ]
 
     def submit(self, tenant: str, weight: int, shard: int, on_done: Callable[[], None]) -> None:
-        """Queue one call, or send it when there is room."""
+        """Send one call to a back end with a free slot, or queue it."""
         candidates = tuple(
             self.backends[(shard + step) % self.backend_count]
             for step in range(min(2, self.backend_count))
@@ -122,7 +122,7 @@
 
 
 def measure_shares(burst: float, seed: int) -> float:
-    """Return the largest relative error of the shares 1:2:4:8, all tenants backlogged 60 s."""
+    """Return the largest relative error of the shares 1:2:4:8, all tenants backlogged for 60 s."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
 
@@ -142,7 +142,7 @@
 
 @dataclass
 class Isolation:
-    """Three light tenants' queries, beside a noisy tenant or without."""
+    """Queries of three light tenants, with or without a noisy tenant."""
 
     service: Service
     arrivals: random.Random
@@ -151,7 +151,7 @@
     noise_waiting: int = 0
 
     def light_query(self, tenant: str) -> None:
-        """Ask one query of a light tenant and schedule its next."""
+        """Submit one query of a light tenant and schedule the next."""
         clock = self.service.clock
         started = clock.now
         left = FAN_OUT
@@ -168,7 +168,7 @@
         clock.call_at(clock.now + gap, lambda: self.light_query(tenant))
 
     def noisy_query(self) -> None:
-        """Ask one query of the noisy tenant, unless its queue places are taken."""
+        """Submit one query of the noisy tenant, unless its queue is full, and schedule the next."""
         clock = self.service.clock
         if self.noise_waiting < NOISY_QUEUE_PLACES:
             for shard in range(FAN_OUT):
@@ -182,7 +182,7 @@
 
 
 def measure_isolation(burst: float, seed: int, *, noisy: bool) -> list[float]:
-    """Return the latencies of light tenants' queries over 60 s."""
+    """Return the latencies of the light tenants' queries over 60 s, in seconds."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed + 2000))
     isolation = Isolation(service, random.Random(seed), random.Random(seed + 1000))
@@ -196,7 +196,7 @@
 
 
 def measure_stall(burst: float, seed: int) -> float:
-    """Return the longest time without a call of a tenant, long alone, when an equal arrives."""
+    """Return the longest gap between a lone tenant's completions after an equal one arrives."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
     done_at: list[float] = []
@@ -217,7 +217,7 @@
 
 
 def measure_cost(burst: float, tenants: int, backends: int) -> float:
-    """Return microseconds of one push and one pop, with eight calls waiting per tenant."""
+    """Return microseconds of one push and one pop, with eight calls queued per tenant."""
     queue = StartTimeFairQueue(lambda: 0.0, burst)
     records = [BackendRecord(f"b{n}", "127.0.0.1", 1, "z", 3, 3) for n in range(backends)]
 
@@ -240,12 +240,12 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile by rank."""
+    """Return the quantile ``share`` of the values, by rank."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
 def main() -> None:
-    """Measure every burst."""
+    """Measure every burst size."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(parser.parse_args().seeds)
--- a/bench/floor_client.py
+++ b/bench/floor_client.py
@@ -1,7 +1,7 @@
-"""The floor: the least that Python's asyncio can do for one HTTP exchange.
+"""Baseline client: the minimum work of Python's asyncio for one HTTP exchange.
 
-One write and one read a call on a kept connection, the length of the answer taken from its
-head, nothing decoded and nothing checked.
+Each call is one write and one read on a persistent connection.  Only the length of the response is
+read from its head; nothing is decoded or checked.
 """
 
 from __future__ import annotations
@@ -13,21 +13,21 @@
 
 
 class FloorConnection(asyncio.Protocol):
-    """One connection with one call at a time."""
+    """Connection with at most one call in flight."""
 
     def __init__(self, fan_out: FloorFanOut) -> None:
-        """Report ends to ``fan_out``."""
+        """Report completed calls to ``fan_out``."""
         self._fan_out = fan_out
         self._transport: asyncio.Transport | None = None
         self._buffer = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def send(self, request: bytes) -> None:
-        """Write a whole request."""
+        """Write a complete request."""
         assert self._transport is not None
         self._transport.write(request)
 
@@ -37,7 +37,7 @@
         self._transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """End the call once the whole answer is here."""
+        """Complete the call when the whole response has arrived."""
         self._buffer += data
         head_end = self._buffer.find(HEAD_END)
         if head_end < 0:
@@ -50,7 +50,7 @@
 
 
 class FloorFanOut:
-    """Sends one request on every connection and waits for all answers."""
+    """Sends one request on every connection and waits for all responses."""
 
     def __init__(self) -> None:
         """Start without connections."""
@@ -60,7 +60,7 @@
         self._done: asyncio.Future[None] | None = None
 
     async def connect(self, host: str, ports: list[int], requests: list[bytes]) -> None:
-        """Open one connection a request, over the ports in turn."""
+        """Open one connection per request, round-robin over the ports."""
         loop = asyncio.get_running_loop()
         self._requests = requests
         for number in range(len(requests)):
@@ -69,7 +69,7 @@
             self._connections.append(connection)
 
     async def run(self) -> None:
-        """Do one fan-out."""
+        """Run one fan-out."""
         self._done = asyncio.get_running_loop().create_future()
         self._left = len(self._connections)
         for connection, request in zip(self._connections, self._requests, strict=True):
@@ -77,7 +77,7 @@
         await self._done
 
     def on_answer(self) -> None:
-        """Count an answer."""
+        """Count a response; the last one completes the fan-out."""
         self._left -= 1
         if self._left == 0 and self._done is not None:
             self._done.set_result(None)
--- a/bench/key_lookup.py
+++ b/bench/key_lookup.py
@@ -1,6 +1,7 @@
-"""What it costs to know who asks: the look-up of a key, and taking it off a request.
+"""Cost of authenticating a request: look-up of its API key and removal of the credentials.
 
-``python -m bench.key_lookup`` prints microseconds a request, for 79 and 1,000 tenants of two keys.
+``python -m bench.key_lookup`` prints microseconds per request, for 79 and 1,000 tenants with two
+keys each.
 """
 
 from __future__ import annotations
@@ -19,7 +20,7 @@
 
 
 def ring_of(tenants: int) -> KeyRing:
-    """Return the keys of a configuration with some tenants."""
+    """Return the key ring of a configuration with ``tenants`` tenants."""
     named = [
         {"name": f"tenant-{number}", "api_keys": [f"{number:020d}", f"x{number:019d}"]}
         for number in range(tenants)
@@ -29,7 +30,7 @@
 
 
 def request_of(key: str) -> HttpRequest:
-    """Return a request as clients send it."""
+    """Return a client request that carries ``key``."""
     headers = (
         (b"host", b"search.example"),
         (b"tinrudder-request-id", b"9c41d07be2a35f68"),
@@ -40,7 +41,7 @@
 
 
 def main() -> None:
-    """Measure."""
+    """Run the benchmark."""
     for tenants in FLEETS:
         ring = ring_of(tenants)
         request = request_of(f"{tenants // 2:020d}")
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -1,9 +1,10 @@
-"""Limits of back ends whose configured slots are right, wrong, or that get slow, in virtual time.
+"""Adaptive limits of back ends with right or wrong configured slots, or that slow down.
 
     python -m bench.limits [--seeds 5]
 
-One node, eight back ends, a noisy tenant that always has calls waiting, and light tenants whose
-latency shows what queues at the back ends cost.  Prints a table, then one JSON object.
+Simulates one node and eight back ends in virtual time, with a noisy tenant that always has calls
+queued and light tenants whose latency shows the cost of queues at the back ends.  Prints a table,
+then one JSON object.
 """
 
 from __future__ import annotations
@@ -35,12 +36,13 @@
 
 @dataclass(frozen=True, slots=True)
 class Case:
-    """What back ends really are.
+    """Configuration and actual behaviour of the back ends.
 
-    :param share: the configured slots, of which the node may use all and, for tenants well
-        below their share, twice as many; :param slots: what really runs at once.
-    :param room: calls that wait at the back end before it sheds.
-    :param slow_from_s: from then on every call takes ``slow_factor`` times longer.
+    :param share: configured slots; the node may use all of them and, for tenants well below their
+        share, twice as many.
+    :param slots: calls that a back end actually runs at once.
+    :param room: calls that queue at a back end before it sheds.
+    :param slow_from_s: time from which every call takes ``slow_factor`` times longer.
     """
 
     name: str
@@ -62,7 +64,7 @@
 
 @dataclass(eq=False)
 class ModelBackend:
-    """A back end with slots and a short queue."""
+    """Model of a back end with slots and a bounded queue."""
 
     record: BackendRecord
     case: Case
@@ -72,7 +74,7 @@
 
 @dataclass
 class Bench:
-    """One run."""
+    """One simulation run."""
 
     case: Case
     source: random.Random
@@ -82,7 +84,7 @@
     shed: int = 0
 
     def __post_init__(self) -> None:
-        """Make the back ends."""
+        """Create the back ends."""
         self.queue = StartTimeFairQueue(self.clock.time)
         self.limit = AdaptiveLimit()
         share = self.case.share
@@ -94,7 +96,7 @@
         self.records = list(self.backends)
 
     def run(self) -> None:
-        """Play the whole run."""
+        """Simulate ``DURATION_S`` seconds."""
         for _ in range(40 * BACKENDS):
             self._noise()
         for tenant in ("light-0", "light-1", "light-2"):
--- a/bench/node_under_test.py
+++ b/bench/node_under_test.py
@@ -1,4 +1,4 @@
-"""The configuration that the bench gives to the node's own code."""
+"""The node under test: its configuration, and stand-ins for platform, peers and back ends."""
 
 from __future__ import annotations
 
@@ -50,14 +50,14 @@
 
 
 def shard_name(number: int) -> str:
-    """Return e.g. ``s007``."""
+    """Return the name of a shard, such as ``s007``."""
     return f"s{number:03d}"
 
 
 def build_document(host: str, ports: list[int], fan_out: int) -> ResourceDocument:
-    """Return one tenant with one index of ``fan_out`` shards over the ports.
+    """Return a document of one tenant and one index of ``fan_out`` shards over the ports.
 
-    Slots are ample, so that the figure is the call's and not the queue's.
+    Slots are ample, so that calls do not queue and the figure covers the call alone.
     """
     names = [f"backend-{number}" for number in range(len(ports))]
     digest = hashlib.sha256(SECRET.encode()).hexdigest()
@@ -102,57 +102,57 @@
 
 
 class FixedPlatform:
-    """A platform that never changes."""
+    """Platform whose document never changes."""
 
     def __init__(self, document: ResourceDocument) -> None:
-        """Give out ``document``."""
+        """Serve ``document``."""
         self._document = document
 
     async def fetch_resources(self, known_revision: int) -> ResourceDocument | None:
-        """Return the document once."""
+        """Return the document, or ``None`` if its revision is already known."""
         return None if known_revision == self._document.revision else self._document
 
     async def fetch_members(self) -> MemberList:
-        """Return a list with nobody else."""
+        """Return an empty member list."""
         return MemberList(1, ())
 
 
 class NoPeers:
-    """A node alone."""
+    """Peer transport of a node without peers."""
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Nothing ever arrives."""
+        """Ignore the handlers: nothing ever arrives."""
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
-        """Lose it."""
+        """Drop the datagram."""
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
-        """Refuse."""
+        """Raise ``PeerNotSentError``."""
         raise PeerNotSentError("no peers")
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is nothing to close."""
 
 
 class InstantTransport:
-    """Answers every call in the next turn of the loop: what is left is the cost of decisions."""
+    """Answers every call in the next event-loop iteration, which leaves the cost of decisions."""
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Answer soon."""
+        """Schedule a fixed answer."""
         shard = call.request.shards[0]
         rows = (RowMessage(1.5, "row-0001", msgspec.Raw(b'{"amount":12}')),)
         answer = SearchAnswer(call.call_id, call.request.version, (ShardRows(shard, rows),))
         asyncio.get_running_loop().call_soon(listener, call, Answered(answer))
 
     def cancel(self, call: BackendCall) -> None:
-        """Nothing is ever in flight long enough."""
+        """Do nothing: every call is answered in the next event-loop iteration."""
 
     async def close(self) -> None:
-        """Nothing to close."""
+        """Do nothing: there is nothing to close."""
 
 
 async def start_node(document: ResourceDocument, transport: BackendTransport) -> Node:
-    """Return a serving node over ``transport``."""
+    """Start a node that calls back ends through ``transport``."""
     settings = NodeSettings(
         name="bench", zone="zone", region="region", platform_url="http://unused"
     )
@@ -171,7 +171,7 @@
 
 
 def query_request(deadline: float) -> QueryRequest:
-    """Return the query that is measured."""
+    """Return the measured query."""
     return QueryRequest(
         query_id="0" * 32,
         tenant=TENANT,
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -1,8 +1,9 @@
-"""Goodput over offered load: what callers get in time when more comes than back ends can do.
+"""Goodput by offered load: requests answered in time when the load exceeds back-end capacity.
 
-Plays the emulator (real gateways, virtual time, emulated back ends): a site of several gateways and
-one index.  Less urgent scatters make up the load, a few urgent ones come beside them.  Two ways
-on the same seeds: ``none``, no admission; ``gate``, scatters wait whole at the gateway.
+Runs the emulator (real gateways, virtual time, emulated back ends) with several gateways and one
+index.  Less urgent scatters make up the load; a few urgent ones are sent in addition.  Compares
+two modes on the same seeds: ``none``, no admission control; ``gate``, scatters queue as a whole at
+the gateway.
 
 Run as ``python -m bench.overload [--ways gate,none] [--loads 1,2] [--seed 1]``.
 """
@@ -29,11 +30,11 @@
 SPREAD = 0.35
 GATEWAYS = 3
 MEAN_WORK_S = WORK_S * 1.063
-"""The mean of a log-normal distribution with this spread."""
+"""Mean of a log-normal distribution with this :data:`SPREAD`."""
 CAPACITY_PER_S = COPIES * SLOTS / MEAN_WORK_S
 LOADS = (0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 8.0)
 URGENT_SHARE = 0.1
-"""Urgent scatters, as a part of what the back ends can do; they come beside the load."""
+"""Rate of urgent scatters, as a fraction of capacity; sent in addition to the load."""
 WARM_S = 1.0
 LOAD_S = 2.0
 OBJECTIVE_S = 0.2
@@ -44,7 +45,7 @@
 
 @dataclass
 class Asked:
-    """One request of a caller, with the tries that it took."""
+    """One client request and the number of its tries."""
 
     priority: int
     begun_at: float
@@ -53,24 +54,24 @@
 
     @property
     def served(self) -> bool:
-        """Tell whether the last try was answered."""
+        """Return whether the last try was answered with status 200."""
         return self.result is not None and self.result.status == 200
 
     @property
     def took_s(self) -> float:
-        """Return how long the last try took."""
+        """Return the latency of the last try, in seconds."""
         assert self.result is not None
         return self.result.ended_at - self.result.sent_at
 
     @property
     def in_time(self) -> bool:
-        """Tell whether the last try was answered within the objective."""
+        """Return whether the last try was answered within the objective."""
         return self.served and self.took_s <= OBJECTIVE_S
 
 
 @dataclass(frozen=True)
 class Row:
-    """What one way made of one load."""
+    """Figures of one mode at one load."""
 
     way: str
     load: float
@@ -89,7 +90,7 @@
 
 
 async def ask(site: EmulatedSite, priority: int, source: random.Random, asked: list[Asked]) -> None:
-    """Ask once, and again as long as refusals leave time for it."""
+    """Send one request, and retry it after refusals while its deadline allows."""
     one = Asked(priority, site.loop.time())
     asked.append(one)
     left_ms = DEADLINE_MS
@@ -113,7 +114,7 @@
 async def traffic(
     site: EmulatedSite, seconds: float, rates: dict[int, float], source: random.Random
 ) -> list[Asked]:
-    """Ask at random moments, each priority at its rate."""
+    """Send requests at random times, each priority at its rate."""
     asked: list[Asked] = []
     tasks = []
     end = site.loop.time() + seconds
@@ -128,7 +129,7 @@
 
 
 def admit_all(gate: ScatterAdmission, ticket: Ticket) -> None:
-    """Start every scatter at once: no admission."""
+    """Start every scatter immediately, without admission control."""
     gate._start(ticket)
 
 
@@ -139,7 +140,7 @@
 
 
 def play(way: str, load: float, seed: int) -> Row:
-    """Play one load."""
+    """Simulate one load in one mode."""
 
     async def scenario(site: EmulatedSite) -> Row:
         source = random.Random(seed)
@@ -168,9 +169,9 @@
 
 
 def summarize(way: str, load: float, asked: list[Asked], end: float) -> Row:
-    """Count what was in time, all of it as a part of what the back ends can do.
+    """Return the figures of one run; goodput is a fraction of the back ends' capacity.
 
-    Of what came back after the end of the load nothing counts as goodput.
+    Answers after the end of the load do not count as goodput.
     """
     in_time = [
         one for one in asked if one.in_time and one.result is not None and one.result.ended_at < end
--- a/bench/relay_cost.py
+++ b/bench/relay_cost.py
@@ -1,9 +1,9 @@
-"""What relaying one query costs both nodes, and what one answer in memory takes.
+"""Processor time of relaying one query, and memory of one answer.
 
 ``python -m bench.relay_cost`` runs the product's relay client and server over the real TCP peer
-transport on loopback, both ends in this process, with a runner that answers at once.  The
-figures are therefore those of codec, transport and event loop of both ends together, by the
-number of rows in the answer.  Last line: one JSON object; times are processor microseconds.
+transport on loopback, both ends in this process, with a runner that answers immediately.  The
+figures therefore cover codec, transport and event loop of both ends together, by the number of
+rows in the answer.  The last line is one JSON object; times are microseconds of processor time.
 """
 
 from __future__ import annotations
@@ -37,11 +37,12 @@
 
 
 class RelayCost(msgspec.Struct, frozen=True):
-    """Figures at ``ROW_COUNTS`` rows an answer and the line through the times.
+    """Figures at ``ROW_COUNTS`` rows per answer, and a line fitted to the times.
 
-    :param request_bytes: one relayed query; :param answer_bytes: one outcome, by rows.
-    :param relay_us: both ends together, by rows.
-    :param answer_memory_bytes: one decoded answer kept in memory, by rows.
+    :param request_bytes: size of one relayed query.
+    :param answer_bytes: size of one encoded outcome, by rows.
+    :param relay_us: processor time of both ends together, by rows.
+    :param answer_memory_bytes: memory of one answer, by rows.
     """
 
     request_bytes: int
@@ -56,11 +57,11 @@
     """Answers every query with the same outcome."""
 
     def __init__(self, outcome: Outcome) -> None:
-        """Answer ``outcome``."""
+        """Set the outcome of every query."""
         self._outcome = outcome
 
     async def run(self, request: QueryRequest, forwarded: bool) -> Outcome:
-        """Return the outcome at once."""
+        """Return the outcome immediately."""
         del request, forwarded
         return self._outcome
 
@@ -75,7 +76,7 @@
 
 
 def make_request(deadline: float) -> QueryRequest:
-    """Return a query as an entry relays it."""
+    """Return a query as an entry node relays it."""
     return QueryRequest(
         query_id="0123456789abcdef0123456789abcdef",
         tenant="tenant",
@@ -122,7 +123,7 @@
 
 
 def answer_memory(rows: int) -> int:
-    """Return the bytes one answer keeps allocated."""
+    """Return the bytes that one answer occupies."""
     gc.collect()
     tracemalloc.start()
     outcome = make_outcome(rows)
--- a/bench/relay_tls_cost.py
+++ b/bench/relay_tls_cost.py
@@ -1,7 +1,7 @@
-"""Processor time of one relayed query in clear and under mutual TLS, both ends together.
+"""Processor time of one relayed query without TLS and with mutual TLS, both ends together.
 
-The entry's client, the transport and the coordinator's server run in this process; the query
-itself is answered from memory, so what is left is what a relay adds.
+The entry node's client, the transport and the coordinator's server run in this process; the query
+is answered from memory, so the figures show the overhead of the relay alone.
 
     python -m bench.relay_tls_cost
 
@@ -52,7 +52,7 @@
 
 
 async def measure(identity: Identity | None) -> float:
-    """Return microseconds of processor time a relayed query, the median over the turns."""
+    """Return the microseconds of processor time per relayed query, median over the turns."""
     loop = asyncio.get_running_loop()
     serving = TcpPeerTransport(HOST, 0, identity)
     channel = ChannelRouter(serving).channel(Channel.RELAY)
@@ -86,7 +86,7 @@
 
 
 def mutual_identity(directory: Path) -> Identity:
-    """Return an identity of an authority made up for this run."""
+    """Return an identity issued by a temporary certificate authority."""
     authority = trustme.CA()
     certificate = authority.issue_cert(HOST)
     files = TlsFiles(*(directory / name for name in ("cert.pem", "key.pem", "ca.pem")))
@@ -98,7 +98,7 @@
 
 
 def main() -> None:
-    """Measure in clear and under mutual TLS."""
+    """Measure without TLS and with mutual TLS."""
     with tempfile.TemporaryDirectory() as directory:
         identity = mutual_identity(Path(directory))
         clear_us = asyncio.run(measure(None))
--- a/bench/restored_store.py
+++ b/bench/restored_store.py
@@ -1,11 +1,13 @@
-"""How soon a change is in force everywhere where the store came back from an older copy.
+"""Propagation time of a change when the store is restored from an older backup.
 
     python -m bench.restored_store [GATEWAYS ...]
 
-Emulated gateways in virtual time; the store loses four changes of each kind, and the operator and
-the back ends write the newest again.  One line a case: how long after the return (or before the
-store went away) the change was confirmed, until when the last gateway had put it in force, how
-many gateways held an older version then, and what the store was asked in the 10 s after its return.
+Runs emulated gateways in virtual time.  The store loses four changes of each kind, and the operator
+and the back ends write the newest values again.  Prints one line per case.  A change confirmed
+after the store's return: the time until it is in force on every gateway, the gateways that still
+have an older version then, and the store's calls in the 10 s after its return.  A change confirmed
+before the store goes away, and lost: the time until the newest version is in force on every gateway
+after it was written again, and the lowest version in force in between.
 """
 
 from __future__ import annotations
@@ -30,13 +32,13 @@
 
 
 def versions(site: EmulatedSite) -> list[int]:
-    """Return the version in force at each gateway."""
+    """Return the configuration version in force on each gateway."""
     accepted = [node.gateway.knowledge.state.accepted for node in site.nodes if node.gateway]
     return [0 if one is None else one.configuration.version for one in accepted]
 
 
 async def in_force_s(site: EmulatedSite) -> float:
-    """Return how long it takes until the newest version is in force everywhere."""
+    """Return the seconds until the newest version is in force on every gateway."""
     began = site.loop.time()
     while min(versions(site)) < site.version and site.loop.time() - began < PATIENCE_S:
         await asyncio.sleep(LOOK_S)
@@ -44,7 +46,7 @@
 
 
 async def change_often(site: EmulatedSite) -> None:
-    """Write what the store is going to lose."""
+    """Write the changes that the store loses in the restore."""
     await asyncio.sleep(2.0)
     for _ in range(LOST_CHANGES):
         await asyncio.sleep(0.4)
@@ -55,7 +57,7 @@
 
 
 async def changed_after(site: EmulatedSite, after_s: float) -> str:
-    """Change the configuration some time after the return."""
+    """Measure a configuration change ``after_s`` seconds after the store's return."""
     await change_often(site)
     drill = StoreRestore(COPY_AGE_S)
     running = asyncio.create_task(restore_store(site, drill))
@@ -71,7 +73,7 @@
 
 
 async def changed_before(site: EmulatedSite, before_s: float) -> str:
-    """Change the configuration some time before the store goes away, which loses it."""
+    """Measure a lost configuration change, ``before_s`` seconds before the store goes away."""
     await change_often(site)
     site.configure()
     await asyncio.sleep(before_s)
@@ -86,7 +88,7 @@
 
 
 def main() -> None:
-    """Print a line a case."""
+    """Print one line per case."""
     logging.disable(logging.CRITICAL)
     for gateways in [int(word) for word in sys.argv[1:]] or SIZES:
         for after_s in AFTER_S:
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -1,7 +1,8 @@
-"""Processor time of one scatter at the gateway that merges it, by part.
+"""Time to send and to merge one scatter at a gateway.
 
-Everything is the product's own but the sockets: writes go nowhere, and answers are fed as bytes.
-``python -m bench.scatter_cost`` prints microseconds a scatter; ``--profile`` shows the functions.
+Runs the product's code without sockets: writes are discarded, and answers are fed in as bytes.
+``python -m bench.scatter_cost`` prints microseconds per scatter; ``--profile`` adds the functions
+that take the most time.
 """
 
 from __future__ import annotations
@@ -51,35 +52,35 @@
 
 
 class NullTransport(asyncio.Transport):
-    """Takes writes and forgets them."""
+    """Transport that discards all writes."""
 
     def write(self, data: object) -> None:
-        """Forget the bytes."""
+        """Discard the data."""
 
     def is_closing(self) -> bool:
-        """Stay open."""
+        """Return ``False``: the transport stays open."""
         return False
 
     def get_write_buffer_size(self) -> int:
-        """Keep nothing back."""
+        """Return 0: nothing is buffered."""
         return 0
 
     def abort(self) -> None:
         """Do nothing."""
 
     def set_write_buffer_limits(self, high: int | None = None, low: int | None = None) -> None:
-        """Take every byte at once."""
+        """Ignore the limits: nothing is buffered."""
 
     def get_extra_info(self, name: str, default: object = None) -> object:
-        """Know nothing."""
+        """Return ``default``."""
         return default
 
 
 class ScatterBench:
-    """One gateway's parts with a warm connection to every back end."""
+    """Components of one gateway, with an open connection to every back end."""
 
     def __init__(self) -> None:
-        """Fill the directory, and connect."""
+        """Fill the back-end directory and open the connections."""
         loop = asyncio.get_running_loop()
         self.loop = loop
         self.state = SharedState(DECODERS, loop.time, print)
@@ -112,7 +113,7 @@
             backend.pool._idle.append(connection)
 
     def _no_evidence(self) -> PoisonWatch:
-        """Hold nothing against any request, as on an ordinary day."""
+        """Return a poison watch without evidence against any request, the normal state."""
         source = random.Random(0)
         peers = PeerList(Address("127.0.0.1", 1), source, self.loop.time())
         return PoisonWatch(peers, PeerDatagrams(), self.loop.time, HEADERS, source)
@@ -151,7 +152,7 @@
         self.state.apply(Topic.BACKENDS, entries)
 
     def scatter(self, number: int) -> tuple[float, float]:
-        """Run one; return the seconds until all calls left, and from there to the answer."""
+        """Run one scatter; return the seconds to send its calls and to merge their answers."""
         accepted = self.state.accepted
         assert accepted is not None
         route = accepted.configuration.routes[0]
@@ -178,7 +179,7 @@
         return sent - began, ended - fed
 
     def _answer(self, request_id: bytes, place: int) -> bytes:
-        """Return what a back end sends."""
+        """Return the response of a back end."""
         head = (
             b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\nTinrudder-Request-Id: %b\r\n"
             b"Tinrudder-Server-Stamp: stamp.%d\r\nTinrudder-Backend-Load: 1,0,2,100\r\n"
@@ -188,7 +189,7 @@
 
 
 async def measure(after: Callable[[ScatterBench], None] = lambda bench: None) -> None:
-    """Print the medians of some scatters."""
+    """Print the medians of ``ROUNDS`` scatters, then call ``after``."""
     bench = ScatterBench()
     for number in range(WARM_UP):
         bench.scatter(number)
@@ -200,7 +201,7 @@
 
 
 def profile(bench: ScatterBench) -> None:
-    """Print the functions that take most."""
+    """Print the functions that take the most time."""
     profiler = cProfile.Profile()
     profiler.enable()
     for number in range(ROUNDS):
@@ -210,7 +211,7 @@
 
 
 def main() -> None:
-    """Measure."""
+    """Run the benchmark."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--profile", action="store_true")
     arguments = parser.parse_args()
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -1,9 +1,10 @@
-"""A service of four back ends that 113 gateways call, at loads up to four times what it can do.
+"""A service of four back ends, called by 113 gateways at loads up to four times its capacity.
 
     python -m bench.shared_service [--seeds 3] [--seconds 20]
 
-Virtual time on a plain model of back ends, network and clients; what gateways know, tell, admit and
-choose is the product's own code.  Prints a table, then one JSON object.
+Back ends, network and clients are simple models in virtual time; the gateways' observations, load
+reports, admission and choice of back ends are the product's code.  Prints a table, then one JSON
+array.
 """
 
 from __future__ import annotations
@@ -52,35 +53,35 @@
 BACKENDS = 4
 SLOTS = 4
 QUEUE_PLACES = 12
-"""Calls that wait at one back end at most; it turns further ones away."""
+"""Most calls that queue at one back end; it sheds further ones."""
 WORK_S = 0.251
-"""How long a call holds a slot in the mean."""
+"""Mean time in seconds for which a call occupies a slot."""
 WORK_SIGMA = 0.5
-"""Spread of the logarithm of work."""
+"""Standard deviation of the logarithm of work."""
 OBJECTIVE_S = 0.908
 DEADLINE_S = 15.0
 ONE_WAY_S = 0.001
-"""What the way between a gateway and a back end takes."""
+"""Network delay in seconds between a gateway and a back end or another gateway."""
 QUIET_S = 20.0
 QUIET_LOAD = 0.08
-"""Load of the first :data:`QUIET_S`, as a part of what the back ends can do."""
+"""Load during the first :data:`QUIET_S`, as a fraction of :data:`CAPACITY`."""
 CAPACITY = BACKENDS * SLOTS / WORK_S
-"""Calls a second that the back ends can do."""
+"""Calls per second that the back ends can complete."""
 LOADS = (0.08, 0.5, 1.0, 1.4, 2.0, 4.0)
-"""Calls that come, as a part of :data:`CAPACITY`."""
+"""Offered loads, as fractions of :data:`CAPACITY`."""
 MOST_SENDS = 4
-"""Calls of one request at most."""
+"""Most calls for one try of a request."""
 RETRY_PAUSE_S = 0.03
-"""Pause after a call that was turned away, times the calls of its request until then."""
+"""Back-off in seconds after a shed call, multiplied by the calls made so far."""
 OWN_RETRY_AFTER_S = 0.1
-"""Wait that a pause is reckoned from where the budget allows no other call."""
+"""Expected wait in seconds that a refusal reports when the retry budget allows no further call."""
 ANSWER_MARGIN_S = 0.015
-"""How long before its objective an answer leaves."""
+"""Time in seconds before the objective at which an answer leaves."""
 
 
 @dataclass(eq=False)
 class Request:
-    """One request of a client, over both of its tries."""
+    """One client request, over both of its tries."""
 
     sent_at: float
     counted: bool
@@ -89,7 +90,7 @@
 
 @dataclass(eq=False)
 class ModelBackend:
-    """Slots and a queue, first in, first out."""
+    """Model of a back end: slots and a first-in, first-out queue."""
 
     clock: VirtualTime
     source: random.Random
@@ -98,7 +99,10 @@
     queue: deque[Callable[[], None]] = field(default_factory=deque)
 
     def arrive(self, answer: Callable[[tuple[int, int] | None], None]) -> bool:
-        """Run, queue or shed a call; ``answer`` gets running and waiting, ``None`` if shed."""
+        """Run, queue or shed a call.
+
+        :param answer: receives the running and the queued calls, or ``None`` if the call is shed.
+        """
         if len(self.queue) >= QUEUE_PLACES:
             answer(None)
             return False
@@ -125,7 +129,7 @@
 
 @dataclass(eq=False)
 class ModelGateway:
-    """What one gateway knows, with the product's code for every decision."""
+    """State of one gateway, with the product's code for every decision."""
 
     fleet: Fleet
     budget: FleetRetryBudget
@@ -135,19 +139,19 @@
     timer_set: bool = False
 
     def __post_init__(self) -> None:
-        """Know every back end, and nothing of its load."""
+        """Create the observations of every back end, without any load."""
         self.known = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
         self.order = self.fleet.source.sample(range(BACKENDS), BACKENDS)
 
     def usual_s(self) -> float:
-        """Return how long calls work."""
+        """Return the usual service time of a call, in seconds."""
         if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
             return self.unloaded.quantile(0.5)
         guess_s = usual_latency_s(LatencyWindow(), self.fleet.objective_s)
         return work_s_of(self.known) or guess_s
 
     def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
-        """Judge a request."""
+        """Return the share of such requests to admit."""
         usual_s = self.usual_s()
         return judge(
             self.known,
@@ -160,7 +164,7 @@
         )
 
     def choose(self, now: float, avoided: set[int]) -> int:
-        """Choose a back end."""
+        """Return the index of the back end for the next call."""
         fresh = [index for index in range(BACKENDS) if index not in avoided]
         candidates: Sequence[int] = fresh or list(range(BACKENDS))
         candidates = two_of(candidates, self.known.__getitem__, now, self.fleet.source)
@@ -174,7 +178,7 @@
         )
 
     def heard(self, index: int, waiting: int, *, shed: bool) -> None:
-        """Tell others of a back end that has just been heard, while there is pressure."""
+        """Queue a back end's new load for the other gateways, if there was pressure recently."""
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
             self.pressed_at = now
@@ -203,7 +207,7 @@
             self._tell_after(NEXT_S)
 
     def take(self, news: tuple[ReportedLoad, ...]) -> None:
-        """Take what another gateway tells."""
+        """Apply the load reports of another gateway."""
         now = self.fleet.clock.now
         for one in news:
             if one.is_credible:
@@ -227,7 +231,7 @@
     latencies: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Make everything."""
+        """Create back ends and gateways."""
         self.source = random.Random(self.seed)
         self.backends = [ModelBackend(self.clock, self.source) for _ in range(BACKENDS)]
         self.backends[0].slowdown = self.slowdown
@@ -237,7 +241,7 @@
         ]
 
     def run(self) -> dict[str, float]:
-        """Run a quiet time and the load, and return figures of the load."""
+        """Run a quiet period, then the load, and return the figures of the load."""
         self._next_arrival()
         self.clock.run_until(QUIET_S + self.seconds + DEADLINE_S)
         asked = max(1, self.count["asked"])
@@ -271,7 +275,7 @@
         self._next_arrival()
 
     def _enter(self, request: Request) -> None:
-        """Let a client try, at any gateway."""
+        """Let a client try a random gateway."""
         now = self.clock.now
         request.tries += 1
         gateway = self.source.choice(self.gateways)
@@ -287,7 +291,7 @@
         Call(self, gateway, request, now + left_s).send()
 
     def refuse(self, request: Request, judgement: AdmittedShare) -> None:
-        """Answer that a request has not run; its client comes back once."""
+        """Refuse a request; its client retries once."""
         now = self.clock.now
         left_s = request.sent_at + DEADLINE_S - now
         self.count["refused"] += request.counted
@@ -299,7 +303,7 @@
         self.clock.call_at(now + min(pause_s, left_s / 3), lambda: self._enter(request))
 
     def served(self, request: Request) -> None:
-        """Count an answer."""
+        """Record an answer."""
         took_s = self.clock.now - request.sent_at
         kind = "in time" if took_s <= self.objective_s else "late"
         self.count[kind] += request.counted
@@ -309,7 +313,7 @@
 
 @dataclass(eq=False)
 class Call:
-    """The tries of one request at one gateway."""
+    """The calls for one try of a request, at one gateway."""
 
     fleet: Fleet
     gateway: ModelGateway
@@ -319,7 +323,7 @@
     tries: int = 0
 
     def send(self) -> None:
-        """Send it to one back end."""
+        """Send the next call, or refuse the request if the retry budget is exhausted."""
         fleet, gateway = self.fleet, self.gateway
         now = fleet.clock.now
         if self.tries and not gateway.budget.may_repeat(now, fleet.size, hedge=False):
@@ -384,7 +388,12 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--size", type=int, default=113)
     parser.add_argument("--objective", type=float, default=OBJECTIVE_S)
-    parser.add_argument("--slowdown", type=float, default=1.0, help="of the first back end")
+    parser.add_argument(
+        "--slowdown",
+        type=float,
+        default=1.0,
+        help="factor by which work takes longer at the first back end",
+    )
     arguments = parser.parse_args()
     results = []
     print(f"{arguments.size} gateways, {CAPACITY:.1f} requests a second can be done")
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,4 +1,4 @@
-"""A straight line through measured points: fixed cost and cost per unit."""
+"""Least-squares line through measured points: fixed cost and cost per unit."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 class Slope(msgspec.Struct, frozen=True):
     """Least-squares line ``value = fixed + per_unit * units``.
 
-    :param worst_error: largest distance of a point from the line, relative to the point.
+    :param worst_error: largest error of the line at a measured point, relative to the point.
     """
 
     fixed: float
@@ -18,12 +18,12 @@
     worst_error: float
 
     def at(self, units: float) -> float:
-        """Return the line's value at a size."""
+        """Return the line's value at ``units``."""
         return self.fixed + self.per_unit * units
 
 
 def fit(units: Sequence[float], values: Sequence[float]) -> Slope:
-    """Fit the line.
+    """Fit a line to measured points.
 
     >>> fit([1, 2, 3], [3, 5, 7])
     Slope(fixed=1.0, per_unit=2.0, worst_error=0.0)
--- a/bench/state_slopes.py
+++ b/bench/state_slopes.py
@@ -1,8 +1,8 @@
-"""How a node's state grows: memory and processor time of the configuration, by back ends.
+"""Memory and processor time of a node's configuration, by number of back ends.
 
-``python -m bench.state_slopes`` builds configurations shaped like the plan (services of 132 back
-ends, one index of 130 shards with two replicas, two versions), takes each in, and fits lines.
-Memory is what tracemalloc counts; times are processor time of this process.
+``python -m bench.state_slopes`` builds configurations of the planned shape (services of 132 back
+ends, one index of 130 shards with two replicas, two versions), applies each, and fits lines.
+Memory is counted by tracemalloc; times are processor time of this process.
 """
 
 from __future__ import annotations
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """Measurements at one size; bytes and processor seconds."""
+    """Measurements at one size: bytes, and seconds of processor time."""
 
     backends: int
     document_bytes: int
@@ -113,7 +113,7 @@
 
 
 def _traced(build: Callable[[], Any]) -> tuple[Any, int]:
-    """Return what ``build`` makes and how many bytes stay allocated for it."""
+    """Return the result of ``build`` and the bytes that stay allocated for it."""
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
     made = build()
@@ -128,7 +128,7 @@
 
 
 def measure(services: int) -> Point:
-    """Measure one size: time without tracing, then memory with it."""
+    """Measure one size: times without tracing of memory, then memory."""
     encoded = msgspec.json.encode(build_document(services, 1, USUAL_SLOTS))
     changed = build_document(services, 2, USUAL_SLOTS + 1)
     document = msgspec.json.decode(encoded, type=ResourceDocument)
@@ -163,7 +163,7 @@
 
 
 class SlopeReport(msgspec.Struct, frozen=True):
-    """A line per measured quantity, and its value at the plan's number of back ends."""
+    """Fitted line of each measured quantity, and its value at the planned number of back ends."""
 
     lines: dict[str, Slope]
     at_plan: dict[str, float]
--- a/bench/subjects.py
+++ b/bench/subjects.py
@@ -1,4 +1,4 @@
-"""What the bench measures: each subject does one fan-out at a time."""
+"""Subjects of the call-cost benchmark; each runs one fan-out at a time."""
 
 from __future__ import annotations
 
@@ -33,13 +33,13 @@
 
 
 class Subject(Protocol):
-    """Something whose cost per back-end call is measured."""
+    """Client or node whose cost per back-end call is measured."""
 
     async def run(self, fan_outs: int) -> None:
-        """Do so many fan-outs, one after the other."""
+        """Run ``fan_outs`` fan-outs sequentially."""
 
     async def close(self) -> None:
-        """Give everything back."""
+        """Release all resources."""
 
 
 def search_request(call_id: int, *shards: str) -> SearchRequest:
@@ -51,12 +51,12 @@
 
 
 def single_requests(fan_out: int) -> list[SearchRequest]:
-    """Return one request a shard."""
+    """Return one request per shard."""
     return [search_request(number, shard_name(number)) for number in range(fan_out)]
 
 
 def grouped_requests(fan_out: int, ports: int) -> list[SearchRequest]:
-    """Return one request a back end, for all of its shards."""
+    """Return one request per back end, for all of its shards."""
     return [
         search_request(number, *(shard_name(shard) for shard in range(number, fan_out, ports)))
         for number in range(ports)
@@ -64,7 +64,7 @@
 
 
 class Floor:
-    """Bare asyncio; requests are encoded beforehand."""
+    """Bare asyncio client with requests encoded beforehand."""
 
     def __init__(self, ports: list[int], fan_out: int) -> None:
         """Prepare the requests."""
@@ -76,7 +76,7 @@
         self._connected = False
 
     async def run(self, fan_outs: int) -> None:
-        """Do fan-outs."""
+        """Run fan-outs."""
         if not self._connected:
             await self._fan_out.connect(HOST, self._ports, self._requests)
             self._connected = True
@@ -95,7 +95,7 @@
 
 
 class TransportClient:
-    """The node's own transport, with requests made beforehand and answers decoded."""
+    """The node's back-end transport with prepared requests; answers are decoded."""
 
     def __init__(self, ports: list[int], requests: list[SearchRequest]) -> None:
         """Send ``requests`` over the ports in turn."""
@@ -106,7 +106,7 @@
         self._done: asyncio.Future[None] | None = None
 
     async def run(self, fan_outs: int) -> None:
-        """Do fan-outs."""
+        """Run fan-outs."""
         loop = asyncio.get_running_loop()
         for _ in range(fan_outs):
             self._done = loop.create_future()
@@ -130,7 +130,7 @@
 
 
 class AiosonicClient:
-    """aiosonic as it comes, one task a call."""
+    """aiosonic client with one task per call."""
 
     def __init__(self, ports: list[int], fan_out: int) -> None:
         """Prepare the requests."""
@@ -147,7 +147,7 @@
         ]
 
     async def run(self, fan_outs: int) -> None:
-        """Do fan-outs."""
+        """Run fan-outs."""
         for _ in range(fan_outs):
             await asyncio.gather(*(self._call(url, request) for url, request in self._calls))
 
@@ -162,7 +162,7 @@
 
 
 class WholeNode:
-    """The node's path without callers' HTTP: plan, fan-out, dispatcher, transport, merge."""
+    """The node without its HTTP front end: plan, fan-out, dispatcher, transport, merge."""
 
     def __init__(self, ports: list[int], fan_out: int, transport: BackendTransport) -> None:
         """Prepare the configuration."""
@@ -172,7 +172,7 @@
         self._node: Node | None = None
 
     async def run(self, fan_outs: int) -> None:
-        """Run queries, one after the other."""
+        """Run queries sequentially."""
         loop = asyncio.get_running_loop()
         if self._node is None:
             self._node = await start_node(self._document, self._transport)
@@ -188,7 +188,7 @@
 
 
 class WholeNodeWithCallers:
-    """The same, asked over HTTP by a caller in another process."""
+    """The whole node, queried over HTTP by a client in another process."""
 
     def __init__(self, ports: list[int], fan_out: int) -> None:
         """Prepare the configuration."""
@@ -199,7 +199,7 @@
         self._serving: asyncio.Task[None] | None = None
 
     async def run(self, fan_outs: int) -> None:
-        """Let the caller send so many queries."""
+        """Let the client process send ``fan_outs`` queries."""
         if self._caller is None:
             await self._start()
         assert self._caller is not None and self._caller.stdin and self._caller.stdout
@@ -234,7 +234,7 @@
         self._caller = await asyncio.create_subprocess_exec(*command, stdin=PIPE, stdout=PIPE)
 
     async def close(self) -> None:
-        """Stop caller, server and node."""
+        """Stop the client process, the server and the node."""
         if self._caller is None or self._server is None or self._node is None:
             return
         assert self._caller.stdin is not None and self._serving is not None
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -1,16 +1,16 @@
-"""What replica choice and hedges can gain where back ends are uneven, in virtual time.
+"""Benefit of replica choice and hedging when back ends differ in speed, in virtual time.
 
-Callers send scatters over 90 shards of three replicas, whose speed changes from moment to moment.
-The product's own decisions choose replicas and moments of hedges; an oracle, which knows the state
-of each replica at sending, and a random choice bound what knowledge can gain::
+Callers send scatters over 90 shards with three replicas each, whose speed changes over time.  The
+product's code chooses replicas and the times of hedges.  An oracle, which knows the state of each
+replica when a call is sent, and a random choice show the upper and lower bound::
 
     python -m bench.uneven --seeds 3 --loads moments,pauses
 
-Prints a line for each load, way and kind of scatter: the share of shards that are in when the
-answer leaves at its objective (mean, mean of squares), answers that were whole, the median time
-until they left, calls beyond the first and calls across zones, each for a first call.
+Prints one line per load, way and kind of scatter: the share of shards included when the answer
+leaves at its objective (mean, mean of squares), the share of complete answers, the median time
+until they leave, and the calls beyond the first and calls across zones per first call.
 
-Left out: the time that gateways and connections take, and other gateways that shards are handed to.
+Not modelled: the time spent in gateways and connections, and shards delegated to other gateways.
 """
 
 from __future__ import annotations
@@ -43,27 +43,27 @@
 REPLICAS = 3
 SLOTS = 2
 MOMENT_S = 0.6
-"""How long a replica is slow, or is not."""
+"""Seconds for which a replica is slow, or is not."""
 IN_ZONE_S = 0.0002
 ACROSS_S = 0.0005
 SEND_S = 0.00006
-"""Between the calls of a scatter: 90 leave in 5 ms."""
+"""Seconds between the calls of a scatter: 90 leave in 5 ms."""
 MARGIN_S = 0.015
-"""How long before its objective an answer leaves."""
+"""Seconds before its objective at which an answer leaves."""
 SWING = 0.55
 SWING_PERIOD_S = 13.0
 BUDGET_RATIO = 0.2
 BUDGET_WINDOW_S = 10.0
 CALLERS_PART = 0.75
-"""Part of the fleet's repeats that the callers divide among themselves."""
+"""Fraction of the fleet's repeats that the callers share."""
 DENIED_PAUSE_S = 0.02
 WARM_UP_S = 6.0
 SPREAD = 0.35
-"""Of the logarithm of work."""
+"""Standard deviation of the logarithm of work."""
 TAIL = 0.01
 TAIL_FACTOR = 5.0
 MOST_WORK = 7.5
-"""In means."""
+"""Most work of a call, in multiples of the mean."""
 REMEMBERED_S = 1.0
 MILLISECONDS = 1000.0
 
@@ -80,10 +80,10 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """What back ends and callers do.
+    """Behaviour of back ends and callers.
 
-    :param slow_share: part of the moments in which a replica is slow.
-    :param long_slow: part of the replicas that are slow by ``long_factor`` for ``long_s``.
+    :param slow_share: fraction of the time in which a replica is slow.
+    :param long_share: fraction of the replicas that are slower by ``long_factor`` for ``long_s``.
     """
 
     name: str
@@ -114,10 +114,10 @@
 
 
 class Replica:
-    """One back end: slow moments, pauses, slots; a call's end is known when it arrives."""
+    """Model of a back end with slow periods, pauses and slots; computes a call's end on arrival."""
 
     def __init__(self, load: Load, source: random.Random) -> None:
-        """Draw its course."""
+        """Draw the phases of slow periods and pauses."""
         self._load = load
         self._shift = source.random()
         self._phase = source.random() * load.pause_every_s
@@ -128,7 +128,7 @@
         self._source = random.Random(self._shift)
 
     def slowdown(self, now: float) -> float:
-        """Return how long work takes now, 1 is usual."""
+        """Return the factor by which work takes longer now; 1 is normal."""
         load = self._load
         moment = int(now / MOMENT_S + self._shift)
         if moment not in self._moments:
@@ -140,7 +140,7 @@
         return factor
 
     def _after_pauses(self, start: float, work_s: float) -> float:
-        """Return when work ends that rests in pauses."""
+        """Return when work ends that stops during pauses."""
         load = self._load
         now, left = start, work_s
         while True:
@@ -159,7 +159,7 @@
         return max(now, min(self._free))
 
     def run(self, now: float, work_s: float) -> float:
-        """Take a call; return when it ends."""
+        """Run a call; return when it ends."""
         start = self.begin(now)
         slot = self._free.index(min(self._free))
         end = self._after_pauses(start, work_s * self.slowdown(start))
@@ -174,7 +174,7 @@
         return self._after_pauses(start, work_s * self.slowdown(start))
 
     def report(self, now: float) -> tuple[int, int]:
-        """Return how many calls run and wait."""
+        """Return the numbers of running and queued calls."""
         running = sum(1 for begun, ended in self._ends if begun <= now < ended)
         waiting = sum(1 for begun, ended in self._ends if begun > now)
         return running, waiting
@@ -182,7 +182,7 @@
 
 @dataclass(eq=False, slots=True)
 class Call:
-    """One call on its way."""
+    """One call in flight."""
 
     shard: Shard
     replica: int
@@ -201,7 +201,7 @@
 
 @dataclass(eq=False, slots=True)
 class Scatter:
-    """One scatter under way."""
+    """One scatter in flight."""
 
     caller: Caller
     kind: Kind
@@ -214,10 +214,10 @@
 
 
 class Caller:
-    """One gateway that calls back ends: what it has seen, and its part of the budget."""
+    """One gateway that calls back ends: its observations and its part of the retry budget."""
 
     def __init__(self, load: Load, zone: int) -> None:
-        """Have seen nothing."""
+        """Start without observations."""
         self.zone = zone
         self.load = load
         self.seen = [
@@ -235,12 +235,12 @@
         return self.budgets[shard].fill(now, self.load.callers / CALLERS_PART)
 
     def may_repeat(self, shard: int, now: float) -> bool:
-        """Draw on the budget."""
+        """Count one more call if the budget has room for it; return whether it has."""
         return self.budgets[shard].may_repeat(now, self.load.callers / CALLERS_PART, hedge=True)
 
 
 class Way:
-    """The product: the own zone first, hedges when they buy most, not later than by medians."""
+    """The product's policy: own zone first, hedges by gain and no later than by medians."""
 
     name = "product"
 
@@ -259,7 +259,7 @@
     def advantage(
         self, caller: Caller, kind: Kind, local: Sequence[BackendObservations], now: float
     ) -> float:
-        """Return by how many usual latencies a replica elsewhere must be expected sooner."""
+        """Return how many usual latencies sooner a replica in another zone must answer."""
         if any(is_slow(seen.expected_relative_latency(now)) for seen in local):
             return LEAST_ADVANTAGE
         window = caller.latencies[kind.name]
@@ -280,7 +280,7 @@
 
 
 class ByMedians(Way):
-    """Hedges after so many medians, by how full the budget is, for all calls alike."""
+    """Hedges every call after a number of medians that depends on how full the budget is."""
 
     name = "hedged by medians"
 
@@ -292,22 +292,22 @@
 
 
 class RandomReplica(Way):
-    """Knows nothing of replicas."""
+    """Chooses replicas at random."""
 
     name = "random replica"
 
     def choose(self, world: World, shard: Shard, candidates: list[int]) -> int:
-        """Return any."""
+        """Return a random replica."""
         return world.source.choice(candidates)
 
 
 class Oracle(Way):
-    """Knows the slowness, pause and queue of each replica at sending, not what comes after."""
+    """Knows the slowdown, pauses and queue of each replica when a call is sent."""
 
     name = "oracle"
 
     def choose(self, world: World, shard: Shard, candidates: list[int]) -> int:
-        """Return the one that would answer mean work first."""
+        """Return the replica that would be first to answer a call of mean work."""
         caller, kind = shard.scatter.caller, shard.scatter.kind
         replicas = world.replicas[shard.number]
 
@@ -322,13 +322,13 @@
 
 
 class World:
-    """All of one play.
+    """One simulation run.
 
     :ivar now: virtual time, seconds.
     """
 
     def __init__(self, load: Load, way: Way, seed: int) -> None:
-        """Draw replicas and arrivals."""
+        """Create replicas and callers."""
         self.source = random.Random(f"{load.name}:{seed}")
         self.load = load
         self.way = way
@@ -342,11 +342,11 @@
         self._numbers = itertools.count()
 
     def at(self, when: float, what: Callable[[], None]) -> None:
-        """Let something happen."""
+        """Schedule a callback."""
         heapq.heappush(self._events, (when, next(self._numbers), what))
 
     def play(self, length_s: float) -> None:
-        """Run all scatters of a time."""
+        """Run the scatters that arrive within ``length_s`` seconds."""
         for kind in self.load.kinds:
             for when in self._arrivals(kind, length_s):
                 self.at(when, partial(self._begin, kind))
@@ -355,7 +355,7 @@
             what()
 
     def _arrivals(self, kind: Kind, length_s: float) -> Iterable[float]:
-        """Yield the moments of one kind, by thinning a steady stream."""
+        """Yield the arrival times of one kind, by thinning a Poisson process."""
         now = 0.0
         while now < length_s:
             now += self.source.expovariate(kind.per_s * (1.0 + SWING))
@@ -364,7 +364,7 @@
                 yield now
 
     def _begin(self, kind: Kind) -> None:
-        """Begin a scatter at any caller."""
+        """Start a scatter at a random caller."""
         caller = self.source.choice(self.callers)
         scatter = Scatter(caller, kind, self.now, self.now + kind.objective_s - MARGIN_S)
         self.scatters.append(scatter)
@@ -378,7 +378,7 @@
         self._send(shard, list(range(REPLICAS)))
 
     def _send(self, shard: Shard, candidates: list[int]) -> None:
-        """Send a call to one of some replicas."""
+        """Send a call to one of the candidate replicas."""
         scatter = shard.scatter
         caller, kind = scatter.caller, scatter.kind
         chosen = self.way.choose(self, shard, candidates)
@@ -395,13 +395,13 @@
         self._arm(shard)
 
     def _arm(self, shard: Shard) -> None:
-        """Hedge the call that was sent last when that is due."""
+        """Schedule the hedge of the call that was sent last."""
         when = self.way.hedge_at(shard, self.now)
         if when < math.inf and len(shard.asked) < REPLICAS:
             self.at(max(when, self.now), partial(self._hedge, shard))
 
     def _hedge(self, shard: Shard) -> None:
-        """Send another call if that is of use, and the budget has room."""
+        """Send another call if the shard is not done yet and the budget has room."""
         scatter = shard.scatter
         if shard.done or scatter.left_at or len(shard.asked) >= REPLICAS:
             return
@@ -412,7 +412,7 @@
         self._send(shard, [one for one in range(REPLICAS) if one not in shard.asked])
 
     def _answer(self, call: Call, end: float) -> None:
-        """Take an answer; it says how loaded and how slow its replica was when it left."""
+        """Record an answer, with its replica's load and slowdown when it was sent."""
         shard = call.shard
         scatter = shard.scatter
         replica = self.replicas[shard.number][call.replica]
@@ -430,7 +430,7 @@
             scatter.left_at = self.now
 
     def _leave(self, scatter: Scatter) -> None:
-        """Let an answer leave with what is in."""
+        """Let the answer leave with the shards included so far."""
         if not scatter.left_at:
             scatter.left_at = self.now
 
@@ -444,14 +444,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Figures:
-    """What callers get of one kind of scatter.
+    """Results of one kind of scatter.
 
-    :param share: mean share of the shards that are in when the answer leaves.
-    :param squares: mean of its square, which is what an answer is worth.
-    :param whole: share of the answers that have all shards.
+    :param share: mean share of the shards that are included when the answer leaves.
+    :param squares: mean of the squared share, which measures the value of an answer.
+    :param whole: share of the answers that include all shards.
     :param left_ms: median time until an answer leaves.
-    :param repeats: calls beyond the first, for a first call.
-    :param across: calls to another zone, for a first call.
+    :param repeats: calls beyond the first, per first call.
+    :param across: calls to another zone, per first call.
     """
 
     scatters: int
@@ -464,7 +464,7 @@
 
 
 def figures(scatters: Sequence[Scatter]) -> Figures:
-    """Sum up scatters."""
+    """Summarize the results of scatters."""
     shares = [one.included / SHARDS for one in scatters]
     first_calls = SHARDS * len(scatters)
     return Figures(
@@ -479,7 +479,7 @@
 
 
 def play(load: Load, way: Way, seeds: Iterable[int], length_s: float) -> dict[str, Figures]:
-    """Play some days; return the figures of each kind of scatter."""
+    """Simulate one run per seed; return the figures of each kind of scatter."""
     seen: dict[str, list[Scatter]] = {kind.name: [] for kind in load.kinds}
     for seed in seeds:
         world = World(load, way, seed)
--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -1,9 +1,9 @@
-"""Seconds until a confirmed change is in force on the last gateway, for each way to miss it.
+"""Seconds until a confirmed change is in force on every gateway, by fault that delays it.
 
     python -m bench.unheard_changes [GATEWAYS ...]
 
-Runs emulated sites in virtual time.  The change is confirmed 0.1 s after the trouble began, and all
-watches began 1.1 s before it: none is about to end by itself.
+Runs emulated sites in virtual time.  The change is confirmed 0.1 s after the fault begins.  All
+watches begin 1.1 s before the change, so that none is about to end by itself.
 """
 
 from __future__ import annotations
@@ -30,32 +30,32 @@
 
 
 def nothing(site: EmulatedSite) -> None:
-    """Let the path be whole."""
+    """Cause no fault."""
 
 
 def silent_to_followers(site: EmulatedSite) -> None:
-    """Let the store answer those no more that have a watch open."""
+    """Let the store stop answering the machines that have an open watch."""
     site.store.set_mode(StoreMode.SILENT, *site.store.watching_ports())
 
 
 def refuses_followers(site: EmulatedSite) -> None:
-    """Let the store refuse those that have a watch open, and cut their connections."""
+    """Let the store reset the connections of the machines that have an open watch."""
     site.store.set_mode(StoreMode.RESETTING, *site.store.watching_ports())
 
 
 def deaf_watches(site: EmulatedSite) -> None:
-    """Let all watches of those that have one open tell nothing more."""
+    """Let the store send no events to the machines that have an open watch."""
     site.store.set_mode(StoreMode.DEAF, *site.store.watching_ports())
 
 
 def forgets_behind_silence(site: EmulatedSite) -> None:
-    """Let connections fall silent, and the store forget its history behind them."""
+    """Silence the store's connections, and drop the store's history."""
     silence_store(site)
     site.store.forget_history()
 
 
 def first_reader_dies(site: EmulatedSite) -> None:
-    """Let connections fall silent, and kill the gateway whose turn it is to find out."""
+    """Silence the store's connections, and kill the gateway that is the first reader."""
     silence_store(site)
     for node in site.nodes:
         if node.gateway is not None and node.gateway.store.readers.place() == 0:
@@ -63,13 +63,13 @@
 
 
 def away(site: EmulatedSite) -> None:
-    """Let the store be silent to all for a while, new connections too."""
+    """Let the store answer nobody for ``AWAY_S`` seconds, also on new connections."""
     site.store.set_mode(StoreMode.SILENT)
     site.loop.call_later(AWAY_S, site.store.set_mode, StoreMode.SERVING)
 
 
 def slow(site: EmulatedSite) -> None:
-    """Let the store be sixty times slower, behind silent connections."""
+    """Silence the store's connections, and make the store sixty times slower."""
     silence_store(site)
     site.store.set_mode(StoreMode.SLOW)
 
@@ -90,7 +90,7 @@
 
 
 def seconds_in_force(trouble: Trouble, gateways: int) -> float:
-    """Return the seconds until a change is in force on the last gateway."""
+    """Return the seconds until a change is in force on every gateway."""
 
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(SETTLED_S)
@@ -105,7 +105,7 @@
 
 
 def calm_calls_per_second(gateways: int) -> float:
-    """Return what all gateways together ask of a store without news."""
+    """Return the calls per second of all gateways to a store without changes."""
 
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(15.0)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""One hypothesis profile for all tests: the same examples every run, no wall-clock limit."""
+"""One hypothesis profile for all tests: the same examples in every run, no wall-clock deadline."""
 
 from __future__ import annotations
 
--- a/tests/probe/test_relay_faults.py
+++ b/tests/probe/test_relay_faults.py
@@ -1,4 +1,4 @@
-"""Entries and coordinators under cuts, crashes, pauses and stops, in virtual time."""
+"""Entry nodes and coordinators under partitions, crashes, pauses and stops, in virtual time."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 FAULT_AT_S = 2.0
 NODES = 8
 TRAVEL_S = 0.02
-"""Between a caller and its node, there and back, and some scheduling."""
+"""Seconds for the round trip between a caller and its node, and for scheduling."""
 
 
 def outcomes(world: World, after: float = 0.0) -> Counter[str]:
@@ -54,7 +54,7 @@
     assert slowest_s(world) <= DEADLINE_S + TRAVEL_S
     counted = outcomes(world)
     assert set(counted) <= {"complete", "partial", "may_have_run"}
-    assert 0 < counted["may_have_run"] <= 20, "only those in flight when the cut came"
+    assert 0 < counted["may_have_run"] <= 20, "only queries in flight when the partition began"
 
 
 def test_coordinator_lost_in_the_middle_of_queries() -> None:
@@ -63,7 +63,7 @@
     counted = outcomes(world)
     assert set(counted) <= {"complete", "lost"}
     lost_at = {world.history.sent[e.query].node for e in endings(world) if e.outcome == "lost"}
-    assert len(lost_at) <= 1, "only callers of the crashed node itself lose their connection"
+    assert len(lost_at) <= 1, "only clients of the crashed node lose their connection"
 
 
 def test_every_coordinator_lost_leaves_the_work_to_the_last_node() -> None:
--- a/tests/support/asgi.py
+++ b/tests/support/asgi.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class AsgiResponse:
-    """What an application answered so far."""
+    """The part of the response that the application has sent so far."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -26,7 +26,7 @@
 
 @dataclass
 class AsgiCall:
-    """One request, which may be left running to read a stream."""
+    """One request, which may still be running, for example while a stream is read."""
 
     task: asyncio.Task[None]
     response: AsgiResponse
@@ -41,7 +41,7 @@
 def start(
     app: ASGIApp, method: str, target: str, authorization: str = "", body: bytes = b""
 ) -> AsgiCall:
-    """Begin a request."""
+    """Start a request."""
     path, _, query = target.partition("?")
     headers = [(b"authorization", authorization.encode())] if authorization else []
     scope = {
@@ -70,7 +70,7 @@
 
     async def send(message: Message) -> None:
         if gone.is_set():
-            raise OSError("the client went away")
+            raise OSError("client disconnected")
         if message["type"] == "http.response.start":
             response.status = message["status"]
             pairs = ((name.decode(), value.decode()) for name, value in message["headers"])
@@ -91,7 +91,7 @@
 async def call(
     app: ASGIApp, method: str, target: str, authorization: str = "", body: bytes = b""
 ) -> AsgiResponse:
-    """Run a request to its end."""
+    """Run a request to completion."""
     started = start(app, method, target, authorization, body)
     await asyncio.wait_for(started.task, 5)
     return started.response
--- a/tests/support/documents.py
+++ b/tests/support/documents.py
@@ -17,13 +17,13 @@
 
 
 def tenant(name: str, generation: int = 1, *, weight: int = 1, key: str = "") -> RawResource:
-    """A tenant; weight 0 makes it invalid."""
+    """Return a tenant; weight 0 makes it invalid."""
     credentials = [{"key_id": key, "secret_sha256": "0" * 64}] if key else []
     return resource(Kind.TENANT, name, generation, weight=weight, credentials=credentials)
 
 
 def small_deployment() -> tuple[RawResource, ...]:
-    """One of every kind, all valid."""
+    """Return one valid resource of every kind."""
     shard = {"shard": "s0", "owner": "acme", "backends": ["b0"]}
     return (
         tenant("acme", key="acme-key"),
--- a/tests/support/fakes.py
+++ b/tests/support/fakes.py
@@ -1,4 +1,4 @@
-"""Hand-driven stand-ins for time and back ends."""
+"""Fake timers and back-end transport, driven by the test."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 @dataclass(eq=False)
 class ManualTimer:
-    """A timer that :class:`ManualTimers` fires."""
+    """Handle of a timer that :class:`ManualTimers` fires."""
 
     callback: object
     arguments: tuple[object, ...]
@@ -33,7 +33,7 @@
 
 @dataclass
 class ManualTimers:
-    """Time that moves only when told to."""
+    """Timers with a clock that only :meth:`advance` moves."""
 
     now: float = 0.0
     _queue: list[tuple[float, int, ManualTimer]] = field(default_factory=list)
@@ -59,7 +59,7 @@
 
 @dataclass
 class RecordingTransport:
-    """Keeps every call; the test decides when and how each is answered."""
+    """Records every call; the test answers each with :meth:`reply` or :meth:`answer`."""
 
     calls: list[BackendCall] = field(default_factory=list)
     cancelled: list[int] = field(default_factory=list)
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -1,4 +1,4 @@
-"""One service on eight simulated nodes, its coordinator in a zone of the test's choice."""
+"""One service on eight simulated nodes, with its coordinator in ``COORDINATOR_ZONE``."""
 
 from __future__ import annotations
 
@@ -45,7 +45,7 @@
 
 @cache
 def service_name() -> str:
-    """Return a service whose coordinator stands in ``COORDINATOR_ZONE``."""
+    """Return the name of a service whose coordinator is in ``COORDINATOR_ZONE``."""
     return next(
         name
         for name in (f"service-{number}" for number in range(1000))
@@ -66,7 +66,10 @@
 def run(
     make_steps: Callable[[str], list[Step]], rule: QueryRuleSpec = RULE, seed: int = 1
 ) -> World:
-    """Run with faults; ``make_steps`` gets the coordinator's name."""
+    """Simulate the service with the faults that ``make_steps`` returns.
+
+    :param make_steps: receives the coordinator's name.
+    """
     deployment = Deployment()
     name = service_name()
     shape = ServiceShape(name, "stock", "tenant", 1, 2, SLOTS, 70, 16, rule)
@@ -88,27 +91,27 @@
 
 
 def slowest_s(world: World) -> float:
-    """Return the longest time a caller waited."""
+    """Return the longest time in seconds that a caller waited."""
     return max(ended.at - world.history.sent[ended.query].at for ended in endings(world))
 
 
 def endings(world: World, after: float = 0.0) -> list[QueryEnded]:
-    """Return how queries ended that were sent after a moment."""
+    """Return the outcomes of the queries that were sent at ``after`` or later."""
     history = world.history
-    assert len(history.ended) == len(history.sent), "every caller has its outcome"
+    assert len(history.ended) == len(history.sent), "every query must have exactly one outcome"
     return [ended for ended in history.ended.values() if history.sent[ended.query].at >= after]
 
 
 def peak_calls(world: World) -> int:
-    """Return the most calls that were in one back end at once."""
+    """Return the maximum number of concurrent calls in one back end."""
     return measures.peak_calls(world.history)
 
 
 def relays(world: World) -> int:
-    """Return how many queries the nodes that still run have relayed."""
+    """Return the number of queries relayed by the nodes that still run."""
     return sum(host.node.entry.counters.relayed for host in world.hosts.values())
 
 
 def not_repeatable() -> QueryRuleSpec:
-    """Return the rule for requests that must not run twice."""
+    """Return a rule whose queries must not run twice."""
     return msgspec.structs.replace(RULE, repeatable=False)
--- a/tests/support/virtual_caller.py
+++ b/tests/support/virtual_caller.py
@@ -1,4 +1,4 @@
-"""Calls an ASGI application under virtual time, with full control of what the caller does."""
+"""ASGI client in virtual time; the test controls its pace and its disconnects."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def run_virtual(scenario: Coroutine[object, object, Result]) -> Result:
-    """Run a coroutine on a loop whose time moves only when nothing else can."""
+    """Run a coroutine on an event loop whose clock advances only when no callback is ready."""
     loop = async_solipsism.EventLoop()
     try:
         return loop.run_until_complete(scenario)
@@ -26,11 +26,12 @@
 
 @dataclass
 class FakeCaller:
-    """One request of a caller and what it got.
+    """One client request and its response.
 
-    :param parts: the body as it arrives; seconds between the parts in ``part_gap_s``.
-    :param leaves_at: virtual seconds after which the caller closes its connection.
-    :param read_gap_s: how long the caller takes to read each piece of the answer.
+    :param parts: parts of the request body, sent ``part_gap_s`` seconds apart.
+    :param cut_off: whether the client disconnects before the body is complete.
+    :param leaves_at: virtual seconds after which the client closes its connection.
+    :param read_gap_s: seconds that the client takes to read each piece of the response.
     """
 
     path: str = "/v1/query"
@@ -49,7 +50,7 @@
     ended: bool = False
 
     async def call(self, app: ASGIApp) -> FakeCaller:
-        """Send the request and read the answer."""
+        """Send the request and read the response."""
         self._loop = asyncio.get_running_loop()
         self._began = self._loop.time()
         self._next_part = 0
@@ -92,10 +93,10 @@
 
     @property
     def json(self) -> dict[str, object]:
-        """Return the answer's body."""
+        """Return the decoded response body."""
         return msgspec.json.decode(b"".join(self.pieces))
 
     @property
     def lines(self) -> list[dict[str, object]]:
-        """Return a stream's lines."""
+        """Return the decoded lines of a streamed response."""
         return [msgspec.json.decode(line) for line in b"".join(self.pieces).splitlines()]
--- a/tests/unit/test_constants.py
+++ b/tests/unit/test_constants.py
@@ -1,6 +1,6 @@
-"""Every number with a name says its unit and what it is for, in the packages that are done.
+"""Named numeric constants of the listed packages document their unit and purpose.
 
-Whether a value was measured or chosen belongs into a commit's message or docs/CAPACITY.md.
+Whether a value was measured or chosen belongs in a commit message or docs/CAPACITY.md.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     "tinrudder/node/query",
     "tinrudder/platform",
 )
-"""Packages without exceptions; add a package here when its last constant says it."""
+"""Packages whose constants are all documented; add a package when its last constant is."""
 
 WITHOUT_ORIGIN = (
     "tinrudder/common/transport",
@@ -27,7 +27,7 @@
     "tinrudder/gateway/store",
     "tinrudder/platform",
 )
-"""Packages whose constants say nothing of how their values were found."""
+"""Packages whose constants must not say how their values were found."""
 ORIGINS = ("chosen", "measured", "a choice:")
 
 
@@ -36,7 +36,7 @@
 
 
 def is_number(node: ast.expr) -> bool:
-    """Tell whether an expression is made of written numbers alone."""
+    """Return whether an expression consists of numeric literals only."""
     allowed = (ast.BinOp, ast.UnaryOp, ast.operator, ast.unaryop, ast.Constant)
     if not all(isinstance(part, allowed) for part in ast.walk(node)):
         return False
@@ -45,7 +45,7 @@
 
 
 def numbers(module: ast.Module) -> Iterator[tuple[int, str, ast.stmt]]:
-    """Yield place, name and statement of each named number of a module."""
+    """Yield index, name and statement of each named numeric constant of a module."""
     for place, node in enumerate(module.body):
         if isinstance(node, ast.Assign) and node.value is not None:
             target: ast.expr = node.targets[0]
@@ -58,7 +58,7 @@
 
 
 def is_explained(text: str, module: ast.Module, place: int) -> bool:
-    """Tell whether a docstring follows, or a comment stands beside or right above."""
+    """Return whether a docstring follows, or a comment is on the same line or the line above."""
     node = module.body[place]
     after = module.body[place + 1] if place + 1 < len(module.body) else None
     if isinstance(after, ast.Expr) and isinstance(after.value, ast.Constant):
@@ -98,7 +98,7 @@
 
 
 def origins_told(path: Path) -> list[str]:
-    """Return the named numbers whose docstring says how the value was found."""
+    """Return the constants whose docstring says how the value was found, once per word."""
     module = ast.parse(path.read_text())
     told = []
     for place, name, _ in numbers(module):
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""What pages name exists: modules, tests, log events, metrics, constants, other pages."""
+"""Everything that pages name exists: modules, tests, log events, metrics, constants, pages."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
 RECORDS = DOCS / "records"
-"""Records name what there was when they were written."""
+"""Records are not checked: they name what existed when they were written."""
 PAGES = [
     ROOT / "README.md",
     *sorted(page for page in DOCS.rglob("*.md") if not page.is_relative_to(RECORDS)),
 ]
 ARCHITECTURE = DOCS / "ARCHITECTURE.md"
 RENAMES = DOCS / "NAMES.md"
-"""Has old names beside new ones."""
+"""Not checked for paths and tests: lists old names beside new ones."""
 LOGGING_CALLS = frozenset(("log_event", "log_problem", "log", "_log"))
 LINES_DROPPED = "log_lines_dropped"
-"""Written past the functions that log, since it tells of their lines."""
+"""Written without the logging functions, since it reports lines that they dropped."""
 BASES = (ROOT, ROOT / "tinrudder", ROOT / "tinrudder_lab")
 FOLDERS = frozenset(
     path.name for base in BASES for path in base.iterdir() if path.is_dir() and path.name[0] != "."
@@ -42,12 +42,12 @@
 
 
 def prose(page: Path) -> str:
-    """Return a page without its examples."""
+    """Return a page without indented lines and code fences."""
     return "\n".join(line for line in page.read_text().splitlines() if not FENCED.match(line))
 
 
 def quoted(page: Path) -> set[str]:
-    """Return what stands between backticks."""
+    """Return the texts between backticks."""
     return set(CODE.findall(prose(page)))
 
 
@@ -58,7 +58,7 @@
 
 @cache
 def log_events() -> frozenset[str]:
-    """Return the first argument of every call that logs."""
+    """Return the event names in the first arguments of all logging calls."""
     return frozenset(_logged()) | {LINES_DROPPED}
 
 
@@ -76,7 +76,7 @@
 
 @cache
 def metric_names() -> frozenset[str]:
-    """Return what a scrape of a gateway shows."""
+    """Return the metric families of a gateway's scrape."""
 
     async def scenario(site: EmulatedSite) -> bytes:
         gateway = site.nodes[0].gateway
@@ -92,7 +92,7 @@
 
 @cache
 def defined_names() -> frozenset[str]:
-    """Return the names of the classes and constants of modules."""
+    """Return the names of all classes and constants at module level."""
     names: set[str] = set()
     for tree in syntax_trees():
         for node in tree.body:
@@ -118,16 +118,16 @@
 
 
 def is_path(text: str) -> bool:
-    """Tell whether a quoted text names a file or folder of the repository."""
+    """Return whether a quoted text names a file or folder of the repository."""
     if PATH.fullmatch(text) is None:
         return False
     return text.endswith(".py") or ("/" in text and text.split("/")[0] in FOLDERS)
 
 
 def exists(text: str) -> bool:
-    """Tell whether a path exists, of which the package and ``.py`` may be left out.
+    """Return whether a path exists; the package and ``.py`` may be omitted.
 
-    A page that is about one folder may name its modules without the folder.
+    A page about one folder may name its modules without the folder.
     """
     if "/" not in text:
         return text in module_names()
@@ -175,7 +175,7 @@
 def test_every_metric_of_the_gateway_that_a_page_names_exists(page: Path) -> None:
     named = set(re.findall(r"\btinrudder_gateway_\w+", page.read_text()))
     assert named
-    # A counter's family may be told with or without the ending of its samples.
+    # A page may name a counter with or without the ``_total`` suffix of its samples.
     shown = metric_names()
     assert {one for one in named if one not in shown and f"{one}_total" not in shown} == set()
 
--- a/tests/unit/test_module_docs.py
+++ b/tests/unit/test_module_docs.py
@@ -1,4 +1,4 @@
-"""Modules of finished rooms say in their first lines what they are for and what they own."""
+"""Module docstrings of the listed packages state the purpose of the module and what it owns."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 ROOT = Path(__file__).parents[2]
 DONE = ("tinrudder/gateway", "tinrudder/platform", "tinrudder/common/transport")
-"""Rooms without exceptions; add one when its last module says it."""
+"""Packages whose modules all comply; add a package when its last module does."""
 OWNERSHIP = ("Owns", "Owned", "owns ", "Values only")
 
 
