--- a/bench/call_cost.py
+++ b/bench/call_cost.py
@@ -26,7 +26,7 @@
     Subject,
     TransportClient,
     WholeNode,
-    WholeNodeWithCallers,
+    WholeNodeOverHttp,
     grouped_requests,
     single_requests,
 )
@@ -53,13 +53,13 @@
 
     async def take_turn(self, fan_outs: int, fan_out: int) -> None:
         """Run one turn of ``fan_outs`` fan-outs and record its cost."""
-        processor = time.process_time()
-        wall = time.perf_counter()
+        processor_s = time.process_time()
+        wall_s = time.perf_counter()
         await self.subject.run(fan_outs)
-        wall = time.perf_counter() - wall
-        processor = time.process_time() - processor
-        self.processor_us.append(processor / (fan_outs * fan_out) * MICROSECONDS)
-        self.fan_out_ms.append(wall / fan_outs * MILLISECONDS)
+        wall_s = time.perf_counter() - wall_s
+        processor_s = time.process_time() - processor_s
+        self.processor_us.append(processor_s / (fan_outs * fan_out) * MICROSECONDS)
+        self.fan_out_ms.append(wall_s / fan_outs * MILLISECONDS)
 
     @property
     def median_us(self) -> float:
@@ -76,7 +76,7 @@
         Measurement("aiosonic", AiosonicClient(ports, fan_out)),
         Measurement("decision", WholeNode(ports, fan_out, InstantTransport())),
         Measurement("node", WholeNode(ports, fan_out, HttpBackendTransport())),
-        Measurement("node_http", WholeNodeWithCallers(ports, fan_out)),
+        Measurement("node_http", WholeNodeOverHttp(ports, fan_out)),
     ]
 
 
--- a/bench/canned_backend.py
+++ b/bench/canned_backend.py
@@ -19,22 +19,22 @@
 INDEX_VERSION = 1
 
 
-class AskedFields(msgspec.Struct, frozen=True):
+class RequestFields(msgspec.Struct, frozen=True):
     """Request fields that the canned response depends on."""
 
     call_id: int
     shards: tuple[str, ...]
 
 
-_decoder = msgspec.json.Decoder(AskedFields)
+_decoder = msgspec.json.Decoder(RequestFields)
 
 
-def answer_body(call_id: int, shards: tuple[str, ...]) -> bytes:
+def response_body(call_id: int, shards: tuple[str, ...]) -> bytes:
     """Return a response body with one row per shard, padded to ``ANSWER_BYTES``.
 
     ``docs/BACKENDS.md`` describes the format.
 
-    >>> len(answer_body(7, ("s001",)))
+    >>> len(response_body(7, ("s001",)))
     200
     """
     rows = ",".join(
@@ -48,10 +48,12 @@
 
 def answer(body: bytes) -> bytes:
     """Return the complete HTTP response to a request body."""
-    asked = _decoder.decode(body)
-    content = answer_body(asked.call_id, asked.shards)
-    head = f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(content)}"
-    return head.encode() + HEAD_END + content
+    request = _decoder.decode(body)
+    encoded_body = response_body(request.call_id, request.shards)
+    head = (
+        f"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: {len(encoded_body)}"
+    )
+    return head.encode() + HEAD_END + encoded_body
 
 
 class CannedProtocol(asyncio.Protocol):
--- a/bench/claim_cost.py
+++ b/bench/claim_cost.py
@@ -37,10 +37,10 @@
 
 REGION = "region"
 ZONES = 4
-LONG_AGO_S = 1000.0
+NODE_UPTIME_S = 1000.0
 WINDOW_S = 60.0
 CLAIMS = 2000
-HELD_CLAIMS = 20_000
+STORED_VOTES = 20_000
 
 
 class ClaimCost(msgspec.Struct, frozen=True):
@@ -121,7 +121,7 @@
     network = DirectNetwork()
     loop = asyncio.get_running_loop()
     voters = _voters(members)
-    started_at = time.time() - LONG_AGO_S
+    started_at = time.time() - NODE_UPTIME_S
     clock = [started_at]
     services = []
     for number, voter in enumerate(voters):
@@ -148,17 +148,17 @@
         service = services[number % members]
         claim = await service.claim(REGION, key, clock[0] + WINDOW_S, window, 1.0)
         won += claim.won
-    spent = time.process_time() - before
+    spent_s = time.process_time() - before
     if won != CLAIMS:
         raise RuntimeError(f"only {won} of {CLAIMS} claims were won")
-    asked = network.messages / 2
+    requests = network.messages / 2
     return ClaimCost(
         members,
         VoterList(1, voters).size,
         round(network.messages / CLAIMS, 2),
         round(network.bytes / CLAIMS, 1),
-        round(spent / CLAIMS * 1e6, 1),
-        round(network.voter_s / asked * 1e6, 1),
+        round(spent_s / CLAIMS * 1e6, 1),
+        round(network.voter_s / requests * 1e6, 1),
         _electorate_us(voters),
         _held_bytes(),
     )
@@ -166,11 +166,11 @@
 
 def _electorate_us(voters: list[Voter]) -> float:
     """Return the microseconds to select one key's voters."""
-    listed, ranking = VoterList(1, voters), VoterRanking(voters)
+    voter_list, ranking = VoterList(1, voters), VoterRanking(voters)
     keys = [make_claim_key("tenant", str(number)).digest for number in range(CLAIMS)]
     before = time.process_time()
     for key in keys:
-        listed.electorate(ranking.ranked(key))
+        voter_list.electorate(ranking.ranked(key))
     return round((time.process_time() - before) / CLAIMS * 1e6, 1)
 
 
@@ -179,14 +179,14 @@
     tracemalloc.start()
     voter = ClaimVoter(ClaimLimits(window_s=WINDOW_S), 0.0)
     before = tracemalloc.get_traced_memory()[0]
-    for number in range(HELD_CLAIMS):
+    for number in range(STORED_VOTES):
         address = PeerAddress(f"10.0.0.{number % 250}", 8081)
         proposer = ProposerId(f"node-{number % 250:04}", 1, number, address)
         key = make_claim_key("tenant", str(number))
         voter.vote(VoteRequest(key, proposer, 1000.0 + WINDOW_S, ()), (), 1000.0)
     held = tracemalloc.get_traced_memory()[0] - before
     tracemalloc.stop()
-    return round(held / HELD_CLAIMS, 1)
+    return round(held / STORED_VOTES, 1)
 
 
 def main() -> None:
--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -51,16 +51,19 @@
     reader, follower = ConfigurationStore(), ConfigurationStore()
     first = build_document(SERVICES, 1, 5)
     first_ms = _processor_ms(lambda: reader.offer(first))
-    ours, theirs = ReplicatedConfiguration(follower), ReplicatedConfiguration(reader)
+    follower_state, reader_state = (
+        ReplicatedConfiguration(follower),
+        ReplicatedConfiguration(reader),
+    )
     follower.offer(first)
     document_ms, delta_ms, request, answer = [], [], b"", b""
     for revision in range(2, 2 + CHANGES):
         changed = build_document(SERVICES, revision, 4 + revision)
-        document_ms.append(_processor_ms(lambda offered=changed: reader.offer(offered)))  # type: ignore[misc]
-        request = encode_request(PullRequest(short_digests(ours.bucket_digests())))
-        answer = answer_pull(theirs, request)
+        document_ms.append(_processor_ms(lambda document=changed: reader.offer(document)))  # type: ignore[misc]
+        request = encode_request(PullRequest(short_digests(follower_state.bucket_digests())))
+        answer = answer_pull(reader_state, request)
         update = _update(decode_answer(answer))
-        delta_ms.append(_processor_ms(lambda update=update: ours.merge(update)))  # type: ignore[misc]
+        delta_ms.append(_processor_ms(lambda update=update: follower_state.merge(update)))  # type: ignore[misc]
     return ConfigurationCost(
         len(reader.state.resources),
         round(first_ms, 1),
@@ -68,7 +71,7 @@
         round(sorted(delta_ms)[CHANGES // 2], 1),
         len(request),
         len(answer),
-        _whole_state_bytes(theirs),
+        _whole_state_bytes(reader_state),
     )
 
 
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -25,18 +25,18 @@
 from tinrudder.node.resources.store import ConfigurationStore
 from tinrudder.peers import DatagramHandler, PeerAddress, RequestHandler
 
-ONE_WAY_S = (0.001, 0.003)
-PLATFORM_ANSWER_S = 0.02
+ONE_WAY_DELAY_S = (0.001, 0.003)
+PLATFORM_LATENCY_S = 0.02
 SHORTEST_POLL_S = 1.0
 TIME_LIMIT_S = 120.0
-CHECK_S = 0.05
+CHECK_INTERVAL_S = 0.05
 SETTLE_S = 20.0
 CHANGES_PER_DAY = 1100
 SECONDS_PER_DAY = 86_400
 
 
 @dataclass(frozen=True, slots=True)
-class Spread:
+class PropagationFigures:
     """Figures of one run; a time is ``None`` if it exceeds ``TIME_LIMIT_S``.
 
     :param in_force_s: from the write at the platform until the change is in force on all nodes.
@@ -70,27 +70,27 @@
 
 
 @dataclass
-class Wires:
+class SimulatedNetwork:
     """Delivers messages between nodes, with delay and loss."""
 
     loss: float
     random: random.Random
-    transports: dict[PeerAddress, WireTransport] = field(default_factory=dict)
+    transports: dict[PeerAddress, SimulatedTransport] = field(default_factory=dict)
     sent_bytes: int = 0
 
     def delay(self) -> float:
         """Return a random one-way delay, in seconds."""
-        return self.random.uniform(*ONE_WAY_S)
+        return self.random.uniform(*ONE_WAY_DELAY_S)
 
 
-class WireTransport:
+class SimulatedTransport:
     """Peer transport of one node."""
 
-    def __init__(self, wires: Wires, address: PeerAddress) -> None:
+    def __init__(self, network: SimulatedNetwork, address: PeerAddress) -> None:
         """Attach to the network at ``address``."""
         self.address = address
-        self._wires = wires
-        wires.transports[address] = self
+        self._network = network
+        network.transports[address] = self
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
         """Register the handlers of datagrams and requests."""
@@ -99,42 +99,47 @@
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
         """Count the datagram, then deliver or drop it."""
-        self._wires.sent_bytes += len(payload)
-        if self._wires.random.random() >= self._wires.loss:
-            receive = self._wires.transports[destination].on_datagram
+        self._network.sent_bytes += len(payload)
+        if self._network.random.random() >= self._network.loss:
+            receive = self._network.transports[destination].on_datagram
             loop = asyncio.get_running_loop()
-            loop.call_later(self._wires.delay(), receive, self.address, payload)
+            loop.call_later(self._network.delay(), receive, self.address, payload)
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
         """Count request and answer; neither is lost, since TCP retransmits."""
-        await asyncio.sleep(self._wires.delay())
-        answer = await self._wires.transports[destination].on_request(self.address, payload)
-        await asyncio.sleep(self._wires.delay())
-        self._wires.sent_bytes += len(payload) + len(answer)
+        await asyncio.sleep(self._network.delay())
+        answer = await self._network.transports[destination].on_request(self.address, payload)
+        await asyncio.sleep(self._network.delay())
+        self._network.sent_bytes += len(payload) + len(answer)
         return answer
 
     async def close(self) -> None:
         """Do nothing: there is nothing to close."""
 
 
-class SpreadNode:
+class PropagationNode:
     """One node: configuration store, state exchange and polling of the platform."""
 
     def __init__(
-        self, number: int, wires: Wires, platform: Platform, seed: int, settings: ExchangeSettings
+        self,
+        number: int,
+        network: SimulatedNetwork,
+        platform: Platform,
+        seed: int,
+        settings: ExchangeSettings,
     ) -> None:
         """Create the node without a configuration."""
         self._platform = platform
         self._random = random.Random(f"{seed} {number}")
-        self._wires = wires
+        self._network = network
         self.store = ConfigurationStore()
         self.address = PeerAddress("10.0.0.1", number)
         self.exchange = StateExchange(
             ReplicatedConfiguration(self.store),
-            WireTransport(wires, self.address),
+            SimulatedTransport(network, self.address),
             asyncio.get_running_loop(),
             self._random,
-            lambda: [peer for peer in wires.transports if peer != self.address],
+            lambda: [peer for peer in network.transports if peer != self.address],
             settings,
         )
 
@@ -143,28 +148,28 @@
         self.store.subscribe(lambda _: self.exchange.announce())
         self.exchange.start()
         # Spreads the first polls as if every node had last polled at a random time before.
-        nodes = len(self._wires.transports)
-        first = poll_delay_s(nodes, SHORTEST_POLL_S, self._random) * self._random.random()
-        asyncio.get_running_loop().call_later(first, self._poll)
+        nodes = len(self._network.transports)
+        first_poll_s = poll_delay_s(nodes, SHORTEST_POLL_S, self._random) * self._random.random()
+        asyncio.get_running_loop().call_later(first_poll_s, self._poll)
 
     def _poll(self) -> None:
         loop = asyncio.get_running_loop()
-        nodes = len(self._wires.transports)
+        nodes = len(self._network.transports)
         loop.call_later(poll_delay_s(nodes, SHORTEST_POLL_S, self._random), self._poll)
         platform = self._platform
         if platform.is_up and platform.document.revision != self.store.current.revision:
             platform.documents += 1
-            loop.call_later(PLATFORM_ANSWER_S, self.store.offer, platform.document)
+            loop.call_later(PLATFORM_LATENCY_S, self.store.offer, platform.document)
 
 
 async def measure(
     nodes: int, services: int, loss: float, seed: int, settings: ExchangeSettings
-) -> Spread:
+) -> PropagationFigures:
     """Measure one change with the platform up, then one with it down."""
-    wires = Wires(loss, random.Random(seed))
+    network = SimulatedNetwork(loss, random.Random(seed))
     platform = Platform(build_document(services, 1, 5))
     members = [
-        SpreadNode(number, wires, platform, seed, settings) for number in range(1, nodes + 1)
+        PropagationNode(number, network, platform, seed, settings) for number in range(1, nodes + 1)
     ]
     members[0].store.offer(platform.document)
     for member in members[1:]:
@@ -172,48 +177,48 @@
     for member in members:
         member.start()
     await asyncio.sleep(SETTLE_S)
-    quiet = await _sent_during(wires, SETTLE_S) / nodes / SETTLE_S
+    quiet_bytes_per_s = await _sent_during(network, SETTLE_S) / nodes / SETTLE_S
 
-    before = wires.sent_bytes
+    before = network.sent_bytes
     platform.document = build_document(services, 2, 6)
-    in_force = await _until_revision(members, 2)
+    in_force_s = await _until_revision(members, 2)
     await asyncio.sleep(SETTLE_S)
-    busy_s = SETTLE_S + (in_force or TIME_LIMIT_S)
-    change = (wires.sent_bytes - before) / nodes - quiet * busy_s
+    busy_s = SETTLE_S + (in_force_s or TIME_LIMIT_S)
+    change_bytes = (network.sent_bytes - before) / nodes - quiet_bytes_per_s * busy_s
     documents = platform.documents
 
     platform.is_up = False
     members[0].store.offer(build_document(services, 3, 7))
-    platform_down = await _until_revision(members, 3)
-    rate = quiet + change * CHANGES_PER_DAY / SECONDS_PER_DAY
-    return Spread(
+    platform_down_s = await _until_revision(members, 3)
+    rate = quiet_bytes_per_s + change_bytes * CHANGES_PER_DAY / SECONDS_PER_DAY
+    return PropagationFigures(
         nodes,
         len(members[0].store.state.resources),
         loss,
         seed,
-        in_force,
-        platform_down,
-        round(change, 1),
-        round(quiet, 2),
+        in_force_s,
+        platform_down_s,
+        round(change_bytes, 1),
+        round(quiet_bytes_per_s, 2),
         round(rate, 2),
         documents,
     )
 
 
-async def _sent_during(wires: Wires, seconds: float) -> int:
-    before = wires.sent_bytes
+async def _sent_during(network: SimulatedNetwork, seconds: float) -> int:
+    before = network.sent_bytes
     await asyncio.sleep(seconds)
-    return wires.sent_bytes - before
+    return network.sent_bytes - before
 
 
-async def _until_revision(members: list[SpreadNode], revision: int) -> float | None:
+async def _until_revision(members: list[PropagationNode], revision: int) -> float | None:
     """Return the seconds until a revision is in force on all nodes, ``None`` on time-out."""
     loop = asyncio.get_running_loop()
     started = loop.time()
     while loop.time() - started < TIME_LIMIT_S:
         if all(member.store.current.revision >= revision for member in members):
             return round(loop.time() - started, 2)
-        await asyncio.sleep(CHECK_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
     return None
 
 
--- a/bench/connection_cost.py
+++ b/bench/connection_cost.py
@@ -22,7 +22,7 @@
 
 ROUNDS = 9
 REQUESTS = 20_000
-BOUND = 100_000_000.0
+MEMORY_LIMIT_BYTES = 100_000_000.0
 REQUEST = b"GET /all/1?q=abc HTTP/1.1\r\nHost: h\r\nRequest-Id: 1\r\nDeadline-Ms: 800\r\n\r\n"
 ANSWER = b"HTTP/1.1 200 OK\r\nRequest-Id: 1\r\nContent-Length: 96\r\n\r\n" + b"x" * 96
 
@@ -45,7 +45,7 @@
         return False
 
 
-def least_us(run: Callable[[], None]) -> float:
+def minimum_us(run: Callable[[], None]) -> float:
     """Return the processor time of one run in the fastest round, in microseconds."""
     seconds = []
     for _ in range(ROUNDS):
@@ -58,7 +58,7 @@
 
 async def measure() -> dict[str, float]:
     """Return the costs at both kinds of connection."""
-    account = MemoryAccount(BOUND)
+    account = MemoryAccount(MEMORY_LIMIT_BYTES)
     answer = text_answer(b"x" * 96)
     client = ClientConnection(PlainHandler(lambda: answer), set(), account)
     client.connection_made(NullTransport())
@@ -70,8 +70,8 @@
         backend.data_received(ANSWER)
 
     return {
-        "request_us": least_us(lambda: client.data_received(REQUEST)),
-        "call_us": least_us(call),
+        "request_us": minimum_us(lambda: client.data_received(REQUEST)),
+        "call_us": minimum_us(call),
     }
 
 
--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -126,12 +126,12 @@
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
 
-    def keep_going(tenant: str, weight: int) -> None:
-        service.submit(tenant, weight, 0, lambda: keep_going(tenant, weight))
+    def resubmit(tenant: str, weight: int) -> None:
+        service.submit(tenant, weight, 0, lambda: resubmit(tenant, weight))
 
     for weight in SHARES:
         for _ in range(64):
-            keep_going(f"t{weight}", weight)
+            resubmit(f"t{weight}", weight)
     clock.run_until(60.0)
     total = sum(service.served.values())
     errors = [
@@ -145,10 +145,10 @@
     """Queries of three light tenants, with or without a noisy tenant."""
 
     service: Service
-    arrivals: random.Random
-    noise: random.Random
+    light_arrivals: random.Random
+    noisy_arrivals: random.Random
     latencies: list[float] = field(default_factory=list)
-    noise_waiting: int = 0
+    noisy_waiting: int = 0
 
     def light_query(self, tenant: str) -> None:
         """Submit one query of a light tenant and schedule the next."""
@@ -164,21 +164,21 @@
 
         for shard in range(FAN_OUT):
             self.service.submit(tenant, 1, shard, done)
-        gap = self.arrivals.expovariate(LIGHT_QUERIES_PER_S)
+        gap = self.light_arrivals.expovariate(LIGHT_QUERIES_PER_S)
         clock.call_at(clock.now + gap, lambda: self.light_query(tenant))
 
     def noisy_query(self) -> None:
         """Submit one query of the noisy tenant, unless its queue is full, and schedule the next."""
         clock = self.service.clock
-        if self.noise_waiting < NOISY_QUEUE_PLACES:
+        if self.noisy_waiting < NOISY_QUEUE_PLACES:
             for shard in range(FAN_OUT):
-                self.noise_waiting += 1
+                self.noisy_waiting += 1
                 self.service.submit("noisy", 1, shard, self._noisy_done)
-        gap = self.noise.expovariate(NOISY_CALLS_PER_S / FAN_OUT)
+        gap = self.noisy_arrivals.expovariate(NOISY_CALLS_PER_S / FAN_OUT)
         clock.call_at(clock.now + gap, self.noisy_query)
 
     def _noisy_done(self) -> None:
-        self.noise_waiting -= 1
+        self.noisy_waiting -= 1
 
 
 def measure_isolation(burst: float, seed: int, *, noisy: bool) -> list[float]:
@@ -199,21 +199,21 @@
     """Return the longest gap between a lone tenant's completions after an equal one arrives."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
-    done_at: list[float] = []
+    completed_at: list[float] = []
 
-    def keep_going(tenant: str) -> None:
+    def resubmit(tenant: str) -> None:
         if tenant == "incumbent":
-            done_at.append(clock.now)
-        service.submit(tenant, 1, 0, lambda: keep_going(tenant))
+            completed_at.append(clock.now)
+        service.submit(tenant, 1, 0, lambda: resubmit(tenant))
 
     def arrive(tenant: str) -> None:
         for _ in range(64):
-            keep_going(tenant)
+            resubmit(tenant)
 
     arrive("incumbent")
     clock.call_at(5.0, lambda: arrive("newcomer"))
     clock.run_until(10.0)
-    return max(after - before for before, after in itertools.pairwise(done_at))
+    return max(after - before for before, after in itertools.pairwise(completed_at))
 
 
 def measure_cost(burst: float, tenants: int, backends: int) -> float:
@@ -252,12 +252,14 @@
     results: dict[str, dict[str, float]] = {}
     for burst in BURSTS:
         alone = [measure_isolation(burst, seed, noisy=False) for seed in seeds]
-        beside = [measure_isolation(burst, seed, noisy=True) for seed in seeds]
-        ratios = [quantile(b, 0.99) / quantile(a, 0.99) for a, b in zip(alone, beside, strict=True)]
+        with_noise = [measure_isolation(burst, seed, noisy=True) for seed in seeds]
+        ratios = [
+            quantile(b, 0.99) / quantile(a, 0.99) for a, b in zip(alone, with_noise, strict=True)
+        ]
         results[f"{burst:g}"] = {
             "share_error": statistics.median(measure_shares(burst, seed) for seed in seeds),
             "alone_p99_ms": statistics.median(quantile(a, 0.99) * 1e3 for a in alone),
-            "beside_p99_ms": statistics.median(quantile(b, 0.99) * 1e3 for b in beside),
+            "beside_p99_ms": statistics.median(quantile(b, 0.99) * 1e3 for b in with_noise),
             "p99_ratio": statistics.median(ratios),
             "stall_ms": statistics.median(measure_stall(burst, seed) * 1e3 for seed in seeds),
             "us_8_tenants_4_backends": measure_cost(burst, 8, 4),
--- a/bench/floor_client.py
+++ b/bench/floor_client.py
@@ -46,7 +46,7 @@
         length = int(self._buffer[start : self._buffer.find(b"\r\n", start)])
         if len(self._buffer) >= head_end + len(HEAD_END) + length:
             self._buffer = b""
-            self._fan_out.on_answer()
+            self._fan_out.on_response()
 
 
 class FloorFanOut:
@@ -56,7 +56,7 @@
         """Start without connections."""
         self._connections: list[FloorConnection] = []
         self._requests: list[bytes] = []
-        self._left = 0
+        self._unanswered = 0
         self._done: asyncio.Future[None] | None = None
 
     async def connect(self, host: str, ports: list[int], requests: list[bytes]) -> None:
@@ -71,15 +71,15 @@
     async def run(self) -> None:
         """Run one fan-out."""
         self._done = asyncio.get_running_loop().create_future()
-        self._left = len(self._connections)
+        self._unanswered = len(self._connections)
         for connection, request in zip(self._connections, self._requests, strict=True):
             connection.send(request)
         await self._done
 
-    def on_answer(self) -> None:
+    def on_response(self) -> None:
         """Count a response; the last one completes the fan-out."""
-        self._left -= 1
-        if self._left == 0 and self._done is not None:
+        self._unanswered -= 1
+        if self._unanswered == 0 and self._done is not None:
             self._done.set_result(None)
 
     async def close(self) -> None:
--- a/bench/key_lookup.py
+++ b/bench/key_lookup.py
@@ -16,20 +16,20 @@
 
 ROUNDS = 20_000
 REPEATS = 5
-FLEETS = (79, 1000)
+TENANT_COUNTS = (79, 1000)
 
 
-def ring_of(tenants: int) -> KeyRing:
+def make_key_ring(tenants: int) -> KeyRing:
     """Return the key ring of a configuration with ``tenants`` tenants."""
-    named = [
+    entries = [
         {"name": f"tenant-{number}", "api_keys": [f"{number:020d}", f"x{number:019d}"]}
         for number in range(tenants)
     ]
-    document = {"version": 1, "routes": [], "tenants": named}
+    document = {"version": 1, "routes": [], "tenants": entries}
     return KeyRing.of(decode_configuration(json.dumps(document).encode()))
 
 
-def request_of(key: str) -> HttpRequest:
+def make_request(key: str) -> HttpRequest:
     """Return a client request that carries ``key``."""
     headers = (
         (b"host", b"search.example"),
@@ -42,9 +42,9 @@
 
 def main() -> None:
     """Run the benchmark."""
-    for tenants in FLEETS:
-        ring = ring_of(tenants)
-        request = request_of(f"{tenants // 2:020d}")
+    for tenants in TENANT_COUNTS:
+        ring = make_key_ring(tenants)
+        request = make_request(f"{tenants // 2:020d}")
 
         def serve(ring: KeyRing = ring, request: HttpRequest = request) -> None:
             identity = ring.identify(request)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -27,7 +27,7 @@
 BACKENDS = 8
 SERVICE_S = 0.01
 SIGMA = 0.4
-ONE_WAY_S = 0.001
+ONE_WAY_DELAY_S = 0.001
 FAN_OUT = 16
 DURATION_S = 20.0
 LIGHT_SHARE = 0.5
@@ -38,17 +38,17 @@
 class Case:
     """Configuration and actual behaviour of the back ends.
 
-    :param share: configured slots; the node may use all of them and, for tenants well below their
+    :param configured_slots: the node may use all of them and, for tenants well below their
         share, twice as many.
-    :param slots: calls that a back end actually runs at once.
-    :param room: calls that queue at a back end before it sheds.
+    :param actual_slots: calls that a back end actually runs at once.
+    :param queue_capacity: calls that queue at a back end before it sheds.
     :param slow_from_s: time from which every call takes ``slow_factor`` times longer.
     """
 
     name: str
-    share: int
-    slots: int
-    room: int = 40
+    configured_slots: int
+    actual_slots: int
+    queue_capacity: int = 40
     slow_from_s: float = DURATION_S
     slow_factor: float = 1.0
 
@@ -57,7 +57,7 @@
     Case("five as configured", 5, 5),
     Case("two as configured", 2, 2),
     Case("two instead of six", 6, 2),
-    Case("same, sheds early", 6, 2, room=2),
+    Case("same, sheds early", 6, 2, queue_capacity=2),
     Case("5 times slower", 5, 5, slow_from_s=10.0, slow_factor=5.0),
 )
 
@@ -73,7 +73,7 @@
 
 
 @dataclass
-class Bench:
+class Simulation:
     """One simulation run."""
 
     case: Case
@@ -87,10 +87,12 @@
         """Create the back ends."""
         self.queue = StartTimeFairQueue(self.clock.time)
         self.limit = AdaptiveLimit()
-        share = self.case.share
+        configured_slots = self.case.configured_slots
         self.backends = {}
         for number in range(BACKENDS):
-            record = BackendRecord(f"b{number}", "127.0.0.1", 1, "z", share, share)
+            record = BackendRecord(
+                f"b{number}", "127.0.0.1", 1, "z", configured_slots, configured_slots
+            )
             record.headroom = HEADROOM
             self.backends[record] = ModelBackend(record, self.case)
         self.records = list(self.backends)
@@ -98,13 +100,13 @@
     def run(self) -> None:
         """Simulate ``DURATION_S`` seconds."""
         for _ in range(40 * BACKENDS):
-            self._noise()
+            self._submit_noisy()
         for tenant in ("light-0", "light-1", "light-2"):
             self._light_query(tenant)
         self.clock.run_until(DURATION_S)
 
-    def _noise(self) -> None:
-        self._submit("noisy", self.source.randrange(BACKENDS), self._noise)
+    def _submit_noisy(self) -> None:
+        self._submit("noisy", self.source.randrange(BACKENDS), self._submit_noisy)
 
     def _light_query(self, tenant: str) -> None:
         started = self.clock.now
@@ -118,7 +120,7 @@
 
         for shard in range(FAN_OUT):
             self._submit(tenant, shard, done)
-        capacity = BACKENDS * self.case.slots / SERVICE_S / FAN_OUT
+        capacity = BACKENDS * self.case.actual_slots / SERVICE_S / FAN_OUT
         gap = self.source.expovariate(capacity * LIGHT_SHARE / 3)
         self.clock.call_at(self.clock.now + gap, lambda: self._light_query(tenant))
 
@@ -159,12 +161,12 @@
         backend = self.backends[record]
 
         def arrive() -> None:
-            if backend.busy < self.case.slots:
+            if backend.busy < self.case.actual_slots:
                 serve()
-            elif len(backend.queue) < self.case.room:
+            elif len(backend.queue) < self.case.queue_capacity:
                 backend.queue.append(serve)
             else:
-                self.clock.call_at(self.clock.now + ONE_WAY_S, refused)
+                self.clock.call_at(self.clock.now + ONE_WAY_DELAY_S, rejected)
 
         def serve() -> None:
             backend.busy += 1
@@ -172,7 +174,7 @@
 
         def completed() -> None:
             backend.busy -= 1
-            self.clock.call_at(self.clock.now + ONE_WAY_S, answered)
+            self.clock.call_at(self.clock.now + ONE_WAY_DELAY_S, answered)
             if backend.queue:
                 backend.queue.popleft()()
 
@@ -183,13 +185,13 @@
             done()
             self._fill(record)
 
-        def refused() -> None:
+        def rejected() -> None:
             self.shed += 1
             self.limit.on_shed(record, sent_at, self.clock.now)
             record.in_flight -= 1
             self._submit(tenant, shard, done)
 
-        self.clock.call_at(self.clock.now + ONE_WAY_S, arrive)
+        self.clock.call_at(self.clock.now + ONE_WAY_DELAY_S, arrive)
 
     def _service_s(self) -> float:
         factor = self.case.slow_factor if self.clock.now >= self.case.slow_from_s else 1.0
@@ -198,7 +200,7 @@
 
 def measure(case: Case, seeds: range) -> dict[str, float]:
     """Return medians over the seeds."""
-    runs = [Bench(case, random.Random(seed)) for seed in seeds]
+    runs = [Simulation(case, random.Random(seed)) for seed in seeds]
     for run in runs:
         run.run()
     limits = [statistics.mean(record.limit for record in run.records) for run in runs]
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -35,20 +35,20 @@
 LOADS = (0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 8.0)
 URGENT_SHARE = 0.1
 """Rate of urgent scatters, as a fraction of capacity; sent in addition to the load."""
-WARM_S = 1.0
+WARM_UP_S = 1.0
 LOAD_S = 2.0
 OBJECTIVE_S = 0.2
 DEADLINE_MS = 2000
-URGENT, USUAL = 0, 1
+URGENT, NORMAL = 0, 1
 URGENT_ROUTE = {"name": "urgent", "path_prefix": "/urgent/", "priority": URGENT}
 
 
 @dataclass
-class Asked:
+class ClientRequest:
     """One client request and the number of its tries."""
 
     priority: int
-    begun_at: float
+    started_at: float
     tries: int = 0
     result: ClientResult | None = None
 
@@ -73,7 +73,7 @@
 class Row:
     """Figures of one mode at one load."""
 
-    way: str
+    mode: str
     load: float
     goodput: float
     urgent: float
@@ -84,15 +84,17 @@
     def __str__(self) -> str:
         """Return one line of the table."""
         return (
-            f"{self.way:9} {self.load:5.1f} {self.goodput:9.3f} {self.urgent:8.3f} "
+            f"{self.mode:9} {self.load:5.1f} {self.goodput:9.3f} {self.urgent:8.3f} "
             f"{self.median_s * 1000:8.1f} {self.refused_tries:8.2f} {self.other:6d}"
         )
 
 
-async def ask(site: EmulatedSite, priority: int, source: random.Random, asked: list[Asked]) -> None:
+async def send_with_retries(
+    site: EmulatedSite, priority: int, source: random.Random, requests: list[ClientRequest]
+) -> None:
     """Send one request, and retry it after refusals while its deadline allows."""
-    one = Asked(priority, site.loop.time())
-    asked.append(one)
+    one = ClientRequest(priority, site.loop.time())
+    requests.append(one)
     left_ms = DEADLINE_MS
     while left_ms > 50:
         one.tries += 1
@@ -104,28 +106,28 @@
         if one.result.status != 503:
             return
         pause_s = float(one.result.headers["retry-after"])
-        left_ms = DEADLINE_MS - int((site.loop.time() - one.begun_at) * 1000)
+        left_ms = DEADLINE_MS - int((site.loop.time() - one.started_at) * 1000)
         if pause_s > left_ms / 3000:
             return
         await asyncio.sleep(pause_s)
-        left_ms = DEADLINE_MS - int((site.loop.time() - one.begun_at) * 1000)
+        left_ms = DEADLINE_MS - int((site.loop.time() - one.started_at) * 1000)
 
 
 async def traffic(
     site: EmulatedSite, seconds: float, rates: dict[int, float], source: random.Random
-) -> list[Asked]:
+) -> list[ClientRequest]:
     """Send requests at random times, each priority at its rate."""
-    asked: list[Asked] = []
+    requests: list[ClientRequest] = []
     tasks = []
     end = site.loop.time() + seconds
     total = sum(rates.values())
     while site.loop.time() < end:
         await asyncio.sleep(source.expovariate(total))
         urgent = source.random() * total < rates[URGENT]
-        priority = URGENT if urgent else USUAL
-        tasks.append(site.loop.create_task(ask(site, priority, source, asked)))
+        priority = URGENT if urgent else NORMAL
+        tasks.append(site.loop.create_task(send_with_retries(site, priority, source, requests)))
     await asyncio.gather(*tasks)
-    return asked
+    return requests
 
 
 def admit_all(gate: ScatterAdmission, ticket: Ticket) -> None:
@@ -133,26 +135,28 @@
     gate._start(ticket)
 
 
-WAYS: dict[str, Callable[[ScatterAdmission, Ticket], None]] = {
+MODES: dict[str, Callable[[ScatterAdmission, Ticket], None]] = {
     "none": admit_all,
     "gate": ScatterAdmission.enter,
 }
 
 
-def play(way: str, load: float, seed: int) -> Row:
+def simulate(mode: str, load: float, seed: int) -> Row:
     """Simulate one load in one mode."""
 
     async def scenario(site: EmulatedSite) -> Row:
         source = random.Random(seed)
         urgent = URGENT_SHARE * CAPACITY_PER_S
-        calm = {URGENT: urgent, USUAL: 0.2 * CAPACITY_PER_S}
-        await traffic(site, WARM_S, calm, source)
-        begun_at = site.loop.time()
-        asked = await traffic(site, LOAD_S, {URGENT: urgent, USUAL: load * CAPACITY_PER_S}, source)
-        return summarize(way, load, asked, begun_at + LOAD_S)
-
-    kept = ScatterAdmission.enter
-    setattr(ScatterAdmission, "enter", WAYS[way])  # noqa: B010
+        warm_up_rates = {URGENT: urgent, NORMAL: 0.2 * CAPACITY_PER_S}
+        await traffic(site, WARM_UP_S, warm_up_rates, source)
+        started_at = site.loop.time()
+        requests = await traffic(
+            site, LOAD_S, {URGENT: urgent, NORMAL: load * CAPACITY_PER_S}, source
+        )
+        return summarize(mode, load, requests, started_at + LOAD_S)
+
+    original_enter = ScatterAdmission.enter
+    setattr(ScatterAdmission, "enter", MODES[mode])  # noqa: B010
     try:
         row: Row = run_site(
             scenario,
@@ -165,24 +169,26 @@
         )
         return row
     finally:
-        setattr(ScatterAdmission, "enter", kept)  # noqa: B010
+        setattr(ScatterAdmission, "enter", original_enter)  # noqa: B010
 
 
-def summarize(way: str, load: float, asked: list[Asked], end: float) -> Row:
+def summarize(mode: str, load: float, requests: list[ClientRequest], end: float) -> Row:
     """Return the figures of one run; goodput is a fraction of the back ends' capacity.
 
     Answers after the end of the load do not count as goodput.
     """
     in_time = [
-        one for one in asked if one.in_time and one.result is not None and one.result.ended_at < end
+        one
+        for one in requests
+        if one.in_time and one.result is not None and one.result.ended_at < end
     ]
-    urgent = [one for one in asked if one.priority == URGENT]
-    served = [one.took_s for one in asked if one.served]
-    ends = [one.result.status for one in asked if one.result is not None]
+    urgent = [one for one in requests if one.priority == URGENT]
+    served = [one.took_s for one in requests if one.served]
+    ends = [one.result.status for one in requests if one.result is not None]
     other = sum(1 for status in ends if status not in (200, 503))
-    refused = sum(one.tries - one.served for one in asked) / max(1, len(asked))
+    refused = sum(one.tries - one.served for one in requests) / max(1, len(requests))
     return Row(
-        way,
+        mode,
         load,
         len(in_time) / (CAPACITY_PER_S * LOAD_S),
         sum(1 for one in urgent if one.in_time) / max(1, len(urgent)),
@@ -195,7 +201,7 @@
 def main(arguments: Any = None) -> None:
     """Print the table."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0] if __doc__ else "")
-    parser.add_argument("--ways", default=",".join(WAYS))
+    parser.add_argument("--ways", default=",".join(MODES))
     parser.add_argument("--loads", default=",".join(str(load) for load in LOADS))
     parser.add_argument("--seed", type=int, default=1)
     options = parser.parse_args(arguments)
@@ -203,8 +209,8 @@
     print("way        load   goodput   urgent  median  refused  other")
     print("                (of cap.) in time     (ms)  a query  errors")
     for load in options.loads.split(","):
-        for way in options.ways.split(","):
-            print(play(way, float(load), options.seed), flush=True)
+        for mode in options.ways.split(","):
+            print(simulate(mode, float(load), options.seed), flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/relay_cost.py
+++ b/bench/relay_cost.py
@@ -32,7 +32,7 @@
 PAYLOAD = b'{"row_id":"s000-0001","time":123456.0,"entity":"entity-7","amount":17}'
 TURNS = 7
 RELAYS_PER_TURN = 150
-AT_ONCE = 10
+CONCURRENCY = 10
 MICROSECONDS = 1e6
 
 
@@ -113,13 +113,13 @@
 
 
 async def _turn(client: RelayClient, address: PeerAddress) -> None:
-    """Relay ``RELAYS_PER_TURN`` queries, ``AT_ONCE`` at a time."""
+    """Relay ``RELAYS_PER_TURN`` queries, ``CONCURRENCY`` at a time."""
 
     async def worker(count: int) -> None:
         for _ in range(count):
             await client.run(address, make_request(asyncio.get_running_loop().time() + 10))
 
-    await asyncio.gather(*(worker(RELAYS_PER_TURN // AT_ONCE) for _ in range(AT_ONCE)))
+    await asyncio.gather(*(worker(RELAYS_PER_TURN // CONCURRENCY) for _ in range(CONCURRENCY)))
 
 
 def answer_memory(rows: int) -> int:
--- a/bench/relay_tls_cost.py
+++ b/bench/relay_tls_cost.py
@@ -32,8 +32,8 @@
 ROWS = 100
 ROW = b'{"row_id":"r","entity":"machine-0001","time":1.5,"value":"two hundred bytes"}' * 2
 TURNS = 9
-QUERIES_A_TURN = 200
-CONCURRENT = 8
+QUERIES_PER_TURN = 200
+CONCURRENCY = 8
 MICROSECONDS = 1e6
 
 
@@ -54,27 +54,27 @@
 async def measure(identity: Identity | None) -> float:
     """Return the microseconds of processor time per relayed query, median over the turns."""
     loop = asyncio.get_running_loop()
-    serving = TcpPeerTransport(HOST, 0, identity)
-    channel = ChannelRouter(serving).channel(Channel.RELAY)
+    server_transport = TcpPeerTransport(HOST, 0, identity)
+    channel = ChannelRouter(server_transport).channel(Channel.RELAY)
     RelayServer(channel, loop, time.time, CannedRunner().run, lambda: True)
-    address = await serving.open()
-    asking = TcpPeerTransport(HOST, 0, identity)
-    client = RelayClient(ChannelRouter(asking).channel(Channel.RELAY), loop, time.time)
+    address = await server_transport.open()
+    client_transport = TcpPeerTransport(HOST, 0, identity)
+    client = RelayClient(ChannelRouter(client_transport).channel(Channel.RELAY), loop, time.time)
     turns = []
     for _ in range(TURNS):
         started = time.process_time()
-        await _ask_many(client, address)
-        turns.append((time.process_time() - started) / QUERIES_A_TURN * MICROSECONDS)
-    await asking.close()
-    await serving.close()
+        await _relay_many(client, address)
+        turns.append((time.process_time() - started) / QUERIES_PER_TURN * MICROSECONDS)
+    await client_transport.close()
+    await server_transport.close()
     return statistics.median(turns)
 
 
-async def _ask_many(client: RelayClient, address: PeerAddress) -> None:
+async def _relay_many(client: RelayClient, address: PeerAddress) -> None:
     loop = asyncio.get_running_loop()
 
-    async def ask() -> None:
-        for _ in range(QUERIES_A_TURN // CONCURRENT):
+    async def worker() -> None:
+        for _ in range(QUERIES_PER_TURN // CONCURRENCY):
             deadline = loop.time() + 5.0
             request = QueryRequest(
                 "query", "tenant", "index", "rule", {"entity": "x"}, "time", False, 100, deadline
@@ -82,7 +82,7 @@
             outcome = await client.run(address, request)
             assert isinstance(outcome, Complete)
 
-    await asyncio.gather(*(ask() for _ in range(CONCURRENT)))
+    await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
 
 
 def mutual_identity(directory: Path) -> Identity:
--- a/bench/restored_store.py
+++ b/bench/restored_store.py
@@ -20,14 +20,14 @@
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 from tinrudder_lab.emulator.store_restore import StoreRestore, restore_store
 
-SIZES = (7, 28, 74)
-AFTER_S = (0.0, 0.5, 2.0, 5.0)
-BEFORE_S = (0.5, 3.0)
-LOOK_S = 0.01
-PATIENCE_S = 15.0
-CALLS_SPAN_S = 10.0
+GATEWAY_COUNTS = (7, 28, 74)
+DELAYS_AFTER_RETURN_S = (0.0, 0.5, 2.0, 5.0)
+DELAYS_BEFORE_LOSS_S = (0.5, 3.0)
+CHECK_INTERVAL_S = 0.01
+TIME_LIMIT_S = 15.0
+CALL_COUNT_PERIOD_S = 10.0
 LOST_CHANGES = 4
-COPY_AGE_S = 1.8
+BACKUP_AGE_S = 1.8
 OPERATOR_AFTER_S = 3.0
 
 
@@ -40,12 +40,12 @@
 async def in_force_s(site: EmulatedSite) -> float:
     """Return the seconds until the newest version is in force on every gateway."""
     began = site.loop.time()
-    while min(versions(site)) < site.version and site.loop.time() - began < PATIENCE_S:
-        await asyncio.sleep(LOOK_S)
+    while min(versions(site)) < site.version and site.loop.time() - began < TIME_LIMIT_S:
+        await asyncio.sleep(CHECK_INTERVAL_S)
     return site.loop.time() - began
 
 
-async def change_often(site: EmulatedSite) -> None:
+async def write_lost_changes(site: EmulatedSite) -> None:
     """Write the changes that the store loses in the restore."""
     await asyncio.sleep(2.0)
     for _ in range(LOST_CHANGES):
@@ -56,32 +56,32 @@
         site.take_back("zone-a")
 
 
-async def changed_after(site: EmulatedSite, after_s: float) -> str:
+async def change_after_return(site: EmulatedSite, after_s: float) -> str:
     """Measure a configuration change ``after_s`` seconds after the store's return."""
-    await change_often(site)
-    drill = StoreRestore(COPY_AGE_S)
-    running = asyncio.create_task(restore_store(site, drill))
-    await asyncio.sleep(drill.away_s)
+    await write_lost_changes(site)
+    restore = StoreRestore(BACKUP_AGE_S)
+    running = asyncio.create_task(restore_store(site, restore))
+    await asyncio.sleep(restore.away_s)
     calls = site.store.calls
     await asyncio.sleep(after_s)
     site.configure()
     took_s = await in_force_s(site)
     behind = sum(1 for version in versions(site) if version < site.version)
-    await asyncio.sleep(max(0.0, CALLS_SPAN_S - after_s - took_s))
+    await asyncio.sleep(max(0.0, CALL_COUNT_PERIOD_S - after_s - took_s))
     await running
     return f"{took_s:6.2f} s, {behind} behind, {site.store.calls - calls} calls"
 
 
-async def changed_before(site: EmulatedSite, before_s: float) -> str:
+async def change_before_loss(site: EmulatedSite, before_s: float) -> str:
     """Measure a lost configuration change, ``before_s`` seconds before the store goes away."""
-    await change_often(site)
+    await write_lost_changes(site)
     site.configure()
     await asyncio.sleep(before_s)
-    drill = StoreRestore(COPY_AGE_S + before_s, operator_after_s=OPERATOR_AFTER_S)
-    running = asyncio.create_task(restore_store(site, drill))
+    restore = StoreRestore(BACKUP_AGE_S + before_s, operator_after_s=OPERATOR_AFTER_S)
+    running = asyncio.create_task(restore_store(site, restore))
     lowest = site.version
     while not running.done():
-        await asyncio.sleep(LOOK_S)
+        await asyncio.sleep(CHECK_INTERVAL_S)
         lowest = min(lowest, *versions(site))
     took_s = await in_force_s(site)
     return f"{took_s:6.2f} s after all was written again, lowest {lowest} of {site.version}"
@@ -90,13 +90,13 @@
 def main() -> None:
     """Print one line per case."""
     logging.disable(logging.CRITICAL)
-    for gateways in [int(word) for word in sys.argv[1:]] or SIZES:
-        for after_s in AFTER_S:
-            told = run_site(partial(changed_after, after_s=after_s), node_count=gateways)
-            print(f"{gateways:3} gateways, {after_s:3.1f} s after the return: {told}", flush=True)
-        for before_s in BEFORE_S:
-            told = run_site(partial(changed_before, before_s=before_s), node_count=gateways)
-            print(f"{gateways:3} gateways, {before_s:3.1f} s before the loss: {told}", flush=True)
+    for gateways in [int(word) for word in sys.argv[1:]] or GATEWAY_COUNTS:
+        for after_s in DELAYS_AFTER_RETURN_S:
+            result = run_site(partial(change_after_return, after_s=after_s), node_count=gateways)
+            print(f"{gateways:3} gateways, {after_s:3.1f} s after the return: {result}", flush=True)
+        for before_s in DELAYS_BEFORE_LOSS_S:
+            result = run_site(partial(change_before_loss, before_s=before_s), node_count=gateways)
+            print(f"{gateways:3} gateways, {before_s:3.1f} s before the loss: {result}", flush=True)
 
 
 if __name__ == "__main__":
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -104,7 +104,7 @@
             sharers=lambda service: 8.0,
             started_at=loop.time() - 100.0,
             load_reports=LoadReports(DECODERS.load_report, loop.time),
-            evidence=self._no_evidence(),
+            evidence=self._quiet_poison_watch(),
         )
         for backend in (one for group in self.directory._services.values() for one in group):
             connection = backend.pool._new_connection()
@@ -112,7 +112,7 @@
             backend.pool._open.add(connection)
             backend.pool._idle.append(connection)
 
-    def _no_evidence(self) -> PoisonWatch:
+    def _quiet_poison_watch(self) -> PoisonWatch:
         """Return a poison watch without evidence against any request, the normal state."""
         source = random.Random(0)
         peers = PeerList(Address("127.0.0.1", 1), source, self.loop.time())
@@ -162,7 +162,7 @@
         headers = ((b"host", b"h"), (b"tinrudder-request-id", request_id), (b"accept", b"*/*"))
         request = HttpRequest(b"GET", b"/some/path", headers, b"")
         outcomes: list[RequestOutcome] = []
-        began = time.perf_counter()
+        started = time.perf_counter()
         encoded = RequestBytes(request, request_id, deadlines.deadline_at, HEADERS)
         context = RunContext.of(self.call_context, route, encoded, deadlines)
         run = RequestRun(context, route.shards, outcomes.append)
@@ -176,7 +176,7 @@
             carrier.data_received(answer)
         ended = time.perf_counter()
         assert isinstance(outcomes[0], Merged) and not outcomes[0].missing
-        return sent - began, ended - fed
+        return sent - started, ended - fed
 
     def _answer(self, request_id: bytes, place: int) -> bytes:
         """Return the response of a back end."""
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -52,7 +52,7 @@
 
 BACKENDS = 4
 SLOTS = 4
-QUEUE_PLACES = 12
+QUEUE_CAPACITY = 12
 """Most calls that queue at one back end; it sheds further ones."""
 WORK_S = 0.251
 """Mean time in seconds for which a call occupies a slot."""
@@ -60,7 +60,7 @@
 """Standard deviation of the logarithm of work."""
 OBJECTIVE_S = 0.908
 DEADLINE_S = 15.0
-ONE_WAY_S = 0.001
+ONE_WAY_DELAY_S = 0.001
 """Network delay in seconds between a gateway and a back end or another gateway."""
 QUIET_S = 20.0
 QUIET_LOAD = 0.08
@@ -69,9 +69,9 @@
 """Calls per second that the back ends can complete."""
 LOADS = (0.08, 0.5, 1.0, 1.4, 2.0, 4.0)
 """Offered loads, as fractions of :data:`CAPACITY`."""
-MOST_SENDS = 4
+MAX_CALLS = 4
 """Most calls for one try of a request."""
-RETRY_PAUSE_S = 0.03
+RETRY_BACKOFF_S = 0.03
 """Back-off in seconds after a shed call, multiplied by the calls made so far."""
 OWN_RETRY_AFTER_S = 0.1
 """Expected wait in seconds that a refusal reports when the retry budget allows no further call."""
@@ -103,7 +103,7 @@
 
         :param answer: receives the running and the queued calls, or ``None`` if the call is shed.
         """
-        if len(self.queue) >= QUEUE_PLACES:
+        if len(self.queue) >= QUEUE_CAPACITY:
             answer(None)
             return False
 
@@ -135,12 +135,12 @@
     budget: FleetRetryBudget
     pending: PendingNews
     unloaded: LatencyWindow = field(default_factory=LatencyWindow)
-    pressed_at: float = -MOST_AGE_S
+    pressure_at: float = -MOST_AGE_S
     timer_set: bool = False
 
     def __post_init__(self) -> None:
         """Create the observations of every back end, without any load."""
-        self.known = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
+        self.observations = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
         self.order = self.fleet.source.sample(range(BACKENDS), BACKENDS)
 
     def usual_s(self) -> float:
@@ -148,13 +148,13 @@
         if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
             return self.unloaded.quantile(0.5)
         guess_s = usual_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return work_s_of(self.known) or guess_s
+        return work_s_of(self.observations) or guess_s
 
     def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
         """Return the share of such requests to admit."""
         usual_s = self.usual_s()
         return judge(
-            self.known,
+            self.observations,
             now,
             usual_s,
             left_s,
@@ -167,53 +167,58 @@
         """Return the index of the back end for the next call."""
         fresh = [index for index in range(BACKENDS) if index not in avoided]
         candidates: Sequence[int] = fresh or list(range(BACKENDS))
-        candidates = two_of(candidates, self.known.__getitem__, now, self.fleet.source)
+        candidates = two_of(candidates, self.observations.__getitem__, now, self.fleet.source)
         extra = {index: 0.0 for index in candidates}
         if len(candidates) == 2:
-            least_s = least_work_s(self.known)
-            extra = {index: extra_cost(self.known[index], least_s, now) for index in candidates}
+            least_s = least_work_s(self.observations)
+            extra = {
+                index: extra_cost(self.observations[index], least_s, now) for index in candidates
+            }
         return min(
             candidates,
-            key=lambda index: (self.known[index].cost(now) + extra[index], self.order[index]),
+            key=lambda index: (
+                self.observations[index].cost(now) + extra[index],
+                self.order[index],
+            ),
         )
 
-    def heard(self, index: int, waiting: int, *, shed: bool) -> None:
+    def announce_load(self, index: int, waiting: int, *, shed: bool) -> None:
         """Queue a back end's new load for the other gateways, if there was pressure recently."""
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
-            self.pressed_at = now
-        if now - self.pressed_at < MOST_AGE_S:
-            heard_at = self.known[index].reported_at
+            self.pressure_at = now
+        if now - self.pressure_at < MOST_AGE_S:
+            heard_at = self.observations[index].reported_at
             self.pending.note(Noted(index, shed, self.unloaded.quantile(0.5), heard_at))
-            self._tell_after(GATHER_S)
+            self._schedule_announcement(GATHER_S)
 
-    def _tell_after(self, seconds: float) -> None:
+    def _schedule_announcement(self, seconds: float) -> None:
         if not self.timer_set:
             self.timer_set = True
-            self.fleet.clock.call_at(self.fleet.clock.now + seconds, self._tell)
+            self.fleet.clock.call_at(self.fleet.clock.now + seconds, self._send_announcement)
 
-    def _tell(self) -> None:
+    def _send_announcement(self) -> None:
         self.timer_set = False
         now = self.fleet.clock.now
         peers = [one for one in self.fleet.gateways if one is not self]
-        told, copies = self.pending.take(now, len(peers))
-        loads = (tell_load(one, self.known[one.backend], now) for one in told)
-        news = tuple(one for one in loads if one is not None)
+        noted, copies = self.pending.take(now, len(peers))
+        loads = (tell_load(one, self.observations[one.backend], now) for one in noted)
+        reported_loads = tuple(one for one in loads if one is not None)
         self.fleet.count["copies"] += copies
-        self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(news))
+        self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(reported_loads))
         for peer in self.fleet.source.sample(peers, copies):
-            self.fleet.clock.call_at(now + ONE_WAY_S, partial(peer.take, news))
+            self.fleet.clock.call_at(now + ONE_WAY_DELAY_S, partial(peer.take, reported_loads))
         if self.pending:
-            self._tell_after(NEXT_S)
+            self._schedule_announcement(NEXT_S)
 
-    def take(self, news: tuple[ReportedLoad, ...]) -> None:
+    def take(self, reported_loads: tuple[ReportedLoad, ...]) -> None:
         """Apply the load reports of another gateway."""
         now = self.fleet.clock.now
-        for one in news:
+        for one in reported_loads:
             if one.is_credible:
-                take_load(one, self.known[one.backend], now)
+                take_load(one, self.observations[one.backend], now)
                 if one.is_long:
-                    self.pressed_at = max(self.pressed_at, now - one.age_s)
+                    self.pressure_at = max(self.pressure_at, now - one.age_s)
 
 
 @dataclass(eq=False)
@@ -333,52 +338,52 @@
         self.tries += 1
         index = gateway.choose(now, self.avoided)
         self.avoided.add(index)
-        running = gateway.known[index].begin(now, gateway.usual_s())
+        running = gateway.observations[index].begin(now, gateway.usual_s())
 
         def answer(load: tuple[int, int] | None) -> None:
             fleet.clock.call_at(
-                fleet.clock.now + ONE_WAY_S, lambda: self._end(index, running, load)
+                fleet.clock.now + ONE_WAY_DELAY_S, lambda: self._end(index, running, load)
             )
 
         def arrive() -> None:
             fleet.count["arrivals"] += self.request.counted
             fleet.backends[index].arrive(answer)
 
-        fleet.clock.call_at(now + ONE_WAY_S, arrive)
+        fleet.clock.call_at(now + ONE_WAY_DELAY_S, arrive)
 
     def _end(self, index: int, running: RunningCall, load: tuple[int, int] | None) -> None:
         fleet, gateway = self.fleet, self.gateway
         now = fleet.clock.now
-        known = gateway.known[index]
+        observations = gateway.observations[index]
         if load is None:
             fleet.count["shed"] += self.request.counted
-            known.failed(running, now)
-            if known.shed(now):
-                gateway.heard(index, 0, shed=True)
+            observations.failed(running, now)
+            if observations.shed(now):
+                gateway.announce_load(index, 0, shed=True)
             self._rejected(now)
             return
         busy, waiting = load
         latency_s = now - running.sent_at
-        known.reported(busy, waiting, SLOTS, now)
+        observations.reported(busy, waiting, SLOTS, now)
         if not waiting:
             gateway.unloaded.observe(latency_s)
-            known.worked(latency_s)
-        known.answered(running, now)
-        gateway.heard(index, waiting, shed=False)
+            observations.worked(latency_s)
+        observations.answered(running, now)
+        gateway.announce_load(index, waiting, shed=False)
         fleet.served(self.request)
 
     def _rejected(self, now: float) -> None:
         fleet, gateway = self.fleet, self.gateway
         usual_s = gateway.usual_s()
         left_s = self.objective_at - now
-        room = has_room(gateway.known, now, usual_s, left_s)
-        if not room or self.tries >= MOST_SENDS:
+        room = has_room(gateway.observations, now, usual_s, left_s)
+        if not room or self.tries >= MAX_CALLS:
             judgement = gateway.judge(now, left_s, returning=True, late=False)
             fleet.refuse(self.request, judgement)
         elif self.tries < 2:
             self.send()
         else:
-            fleet.clock.call_at(now + RETRY_PAUSE_S * self.tries, self.send)
+            fleet.clock.call_at(now + RETRY_BACKOFF_S * self.tries, self.send)
 
 
 def main() -> None:
--- a/bench/state_slopes.py
+++ b/bench/state_slopes.py
@@ -40,8 +40,8 @@
 VERSIONS_PER_INDEX = 2
 TENANTS_PER_SERVICE = 10
 SERVICE_COUNTS = (4, 9, 18, 35)
-PLAN_BACKENDS = 4600
-USUAL_SLOTS = 5
+PLANNED_BACKENDS = 4600
+DEFAULT_SLOTS = 5
 
 
 @dataclass(frozen=True, slots=True)
@@ -75,23 +75,25 @@
 
 def _service_resources(number: int) -> list[RawResource]:
     service = f"service-{number}"
-    tenants = tuple(f"tenant-{number}-{which}" for which in range(TENANTS_PER_SERVICE))
-    names = [f"{service}-backend-{which}" for which in range(BACKENDS_PER_SERVICE)]
+    tenants = tuple(f"tenant-{number}-{position}" for position in range(TENANTS_PER_SERVICE))
+    names = [f"{service}-backend-{position}" for position in range(BACKENDS_PER_SERVICE)]
     resources = [_raw(Kind.TENANT, tenant, TenantSpec()) for tenant in tenants]
     resources.append(_raw(Kind.SERVICE, service, ServiceSpec(region="region-0", tenants=tenants)))
-    for which, name in enumerate(names):
-        resources.append(_raw(Kind.BACKEND, name, _backend(service, number, which, USUAL_SLOTS)))
+    for position, name in enumerate(names):
+        resources.append(
+            _raw(Kind.BACKEND, name, _backend(service, number, position, DEFAULT_SLOTS))
+        )
     resources.append(_raw(Kind.INDEX, f"{service}.index", _index(service, names)))
     resources.append(_raw(Kind.QUERY_RULE, service, QueryRuleSpec(service=service)))
     return resources
 
 
-def _backend(service: str, number: int, which: int, slots: int) -> BackendSpec:
+def _backend(service: str, number: int, position: int, slots: int) -> BackendSpec:
     return BackendSpec(
         service=service,
-        host=f"10.{number}.0.{which + 1}",
+        host=f"10.{number}.0.{position + 1}",
         port=8000,
-        zone=f"zone-{which % 7}",
+        zone=f"zone-{position % 7}",
         slots=slots,
     )
 
@@ -116,9 +118,9 @@
     """Return the result of ``build`` and the bytes that stay allocated for it."""
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
-    made = build()
+    result = build()
     gc.collect()
-    return made, tracemalloc.get_traced_memory()[0] - before
+    return result, tracemalloc.get_traced_memory()[0] - before
 
 
 def _timed(action: Callable[[], object]) -> float:
@@ -129,8 +131,8 @@
 
 def measure(services: int) -> Point:
     """Measure one size: times without tracing of memory, then memory."""
-    encoded = msgspec.json.encode(build_document(services, 1, USUAL_SLOTS))
-    changed = build_document(services, 2, USUAL_SLOTS + 1)
+    encoded = msgspec.json.encode(build_document(services, 1, DEFAULT_SLOTS))
+    changed = build_document(services, 2, DEFAULT_SLOTS + 1)
     document = msgspec.json.decode(encoded, type=ResourceDocument)
     store = ConfigurationStore()
     accept_s = _timed(lambda: store.offer(document))
@@ -177,7 +179,7 @@
     units = [float(point.backends) for point in points]
     quantities = [name for name in Point.__slots__ if name != "backends"]
     lines = {name: fit(units, [float(getattr(p, name)) for p in points]) for name in quantities}
-    at_plan = {name: round(line.at(PLAN_BACKENDS), 4) for name, line in lines.items()}
+    at_plan = {name: round(line.at(PLANNED_BACKENDS), 4) for name, line in lines.items()}
     print(msgspec.json.encode(SlopeReport(lines, at_plan)).decode())
     return 0
 
--- a/bench/subjects.py
+++ b/bench/subjects.py
@@ -102,7 +102,7 @@
         self._ports = ports
         self._transport = HttpBackendTransport()
         self._requests = requests
-        self._left = 0
+        self._unanswered = 0
         self._done: asyncio.Future[None] | None = None
 
     async def run(self, fan_outs: int) -> None:
@@ -110,7 +110,7 @@
         loop = asyncio.get_running_loop()
         for _ in range(fan_outs):
             self._done = loop.create_future()
-            self._left = len(self._requests)
+            self._unanswered = len(self._requests)
             for number, request in enumerate(self._requests):
                 port = self._ports[number % len(self._ports)]
                 deadline = loop.time() + DEADLINE_S
@@ -120,8 +120,8 @@
 
     def _on_reply(self, call: BackendCall, reply: BackendReply) -> None:
         assert isinstance(reply, Answered), reply
-        self._left -= 1
-        if self._left == 0 and self._done is not None:
+        self._unanswered -= 1
+        if self._unanswered == 0 and self._done is not None:
             self._done.set_result(None)
 
     async def close(self) -> None:
@@ -187,7 +187,7 @@
             await self._node.stop()
 
 
-class WholeNodeWithCallers:
+class WholeNodeOverHttp:
     """The whole node, queried over HTTP by a client in another process."""
 
     def __init__(self, ports: list[int], fan_out: int) -> None:
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -42,27 +42,27 @@
 SHARDS = 90
 REPLICAS = 3
 SLOTS = 2
-MOMENT_S = 0.6
+SLOW_PERIOD_S = 0.6
 """Seconds for which a replica is slow, or is not."""
 IN_ZONE_S = 0.0002
-ACROSS_S = 0.0005
+CROSS_ZONE_S = 0.0005
 SEND_S = 0.00006
 """Seconds between the calls of a scatter: 90 leave in 5 ms."""
-MARGIN_S = 0.015
+ANSWER_MARGIN_S = 0.015
 """Seconds before its objective at which an answer leaves."""
 SWING = 0.55
 SWING_PERIOD_S = 13.0
 BUDGET_RATIO = 0.2
 BUDGET_WINDOW_S = 10.0
-CALLERS_PART = 0.75
+CALLERS_SHARE = 0.75
 """Fraction of the fleet's repeats that the callers share."""
 DENIED_PAUSE_S = 0.02
 WARM_UP_S = 6.0
-SPREAD = 0.35
+WORK_SIGMA = 0.35
 """Standard deviation of the logarithm of work."""
-TAIL = 0.01
+TAIL_SHARE = 0.01
 TAIL_FACTOR = 5.0
-MOST_WORK = 7.5
+MAX_WORK = 7.5
 """Most work of a call, in multiples of the mean."""
 REMEMBERED_S = 1.0
 MILLISECONDS = 1000.0
@@ -124,17 +124,17 @@
         self._is_long = source.random() < load.long_share
         self._free = [0.0] * SLOTS
         self._ends: list[tuple[float, float]] = []
-        self._moments: dict[int, float] = {}
+        self._slow_factors: dict[int, float] = {}
         self._source = random.Random(self._shift)
 
     def slowdown(self, now: float) -> float:
         """Return the factor by which work takes longer now; 1 is normal."""
         load = self._load
-        moment = int(now / MOMENT_S + self._shift)
-        if moment not in self._moments:
+        moment = int(now / SLOW_PERIOD_S + self._shift)
+        if moment not in self._slow_factors:
             slow = self._source.random() < load.slow_share
-            self._moments[moment] = load.slow_factor if slow else 1.0
-        factor = self._moments[moment]
+            self._slow_factors[moment] = load.slow_factor if slow else 1.0
+        factor = self._slow_factors[moment]
         if self._is_long and load.long_from_s <= now < load.long_from_s + load.long_s:
             factor *= load.long_factor
         return factor
@@ -232,11 +232,11 @@
 
     def fill(self, shard: int, now: float) -> float:
         """Return how full the budget for hedges is."""
-        return self.budgets[shard].fill(now, self.load.callers / CALLERS_PART)
+        return self.budgets[shard].fill(now, self.load.callers / CALLERS_SHARE)
 
     def may_repeat(self, shard: int, now: float) -> bool:
         """Count one more call if the budget has room for it; return whether it has."""
-        return self.budgets[shard].may_repeat(now, self.load.callers / CALLERS_PART, hedge=True)
+        return self.budgets[shard].may_repeat(now, self.load.callers / CALLERS_SHARE, hedge=True)
 
 
 class Way:
@@ -312,7 +312,7 @@
         replicas = world.replicas[shard.number]
 
         def answered_at(one: int) -> float:
-            path_s = IN_ZONE_S if one == caller.zone else ACROSS_S
+            path_s = IN_ZONE_S if one == caller.zone else CROSS_ZONE_S
             return path_s + replicas[one].expected_end(world.now + path_s, kind.work_s)
 
         return min(candidates, key=answered_at)
@@ -341,18 +341,18 @@
         self._events: list[tuple[float, int, Callable[[], None]]] = []
         self._numbers = itertools.count()
 
-    def at(self, when: float, what: Callable[[], None]) -> None:
+    def schedule(self, when: float, callback: Callable[[], None]) -> None:
         """Schedule a callback."""
-        heapq.heappush(self._events, (when, next(self._numbers), what))
+        heapq.heappush(self._events, (when, next(self._numbers), callback))
 
     def play(self, length_s: float) -> None:
         """Run the scatters that arrive within ``length_s`` seconds."""
         for kind in self.load.kinds:
             for when in self._arrivals(kind, length_s):
-                self.at(when, partial(self._begin, kind))
+                self.schedule(when, partial(self._start_scatter, kind))
         while self._events:
-            self.now, _, what = heapq.heappop(self._events)
-            what()
+            self.now, _, callback = heapq.heappop(self._events)
+            callback()
 
     def _arrivals(self, kind: Kind, length_s: float) -> Iterable[float]:
         """Yield the arrival times of one kind, by thinning a Poisson process."""
@@ -363,16 +363,18 @@
             if self.source.random() < rate / (1.0 + SWING):
                 yield now
 
-    def _begin(self, kind: Kind) -> None:
+    def _start_scatter(self, kind: Kind) -> None:
         """Start a scatter at a random caller."""
         caller = self.source.choice(self.callers)
-        scatter = Scatter(caller, kind, self.now, self.now + kind.objective_s - MARGIN_S)
+        scatter = Scatter(caller, kind, self.now, self.now + kind.objective_s - ANSWER_MARGIN_S)
         self.scatters.append(scatter)
-        self.at(scatter.leaves_at, partial(self._leave, scatter))
+        self.schedule(scatter.leaves_at, partial(self._send_answer, scatter))
         for number in range(SHARDS):
-            self.at(self.now + number * SEND_S, partial(self._first, Shard(scatter, number)))
+            self.schedule(
+                self.now + number * SEND_S, partial(self._send_first, Shard(scatter, number))
+            )
 
-    def _first(self, shard: Shard) -> None:
+    def _send_first(self, shard: Shard) -> None:
         """Send a shard's first call."""
         shard.scatter.caller.budgets[shard.number].note_request(self.now)
         self._send(shard, list(range(REPLICAS)))
@@ -386,19 +388,19 @@
         replica = self.replicas[shard.number][chosen]
         across = chosen != caller.zone
         scatter.across += across
-        path_s = ACROSS_S if across else IN_ZONE_S
+        path_s = CROSS_ZONE_S if across else IN_ZONE_S
         usual_s = usual_latency_s(caller.latencies[kind.name], kind.objective_s)
         running = caller.seen[shard.number][chosen].begin(self.now, usual_s)
         call = Call(shard, chosen, running)
         end = replica.run(self.now + path_s, self._work_s(kind))
-        self.at(end + path_s, partial(self._answer, call, end))
-        self._arm(shard)
+        self.schedule(end + path_s, partial(self._answer, call, end))
+        self._schedule_hedge(shard)
 
-    def _arm(self, shard: Shard) -> None:
+    def _schedule_hedge(self, shard: Shard) -> None:
         """Schedule the hedge of the call that was sent last."""
         when = self.way.hedge_at(shard, self.now)
         if when < math.inf and len(shard.asked) < REPLICAS:
-            self.at(max(when, self.now), partial(self._hedge, shard))
+            self.schedule(max(when, self.now), partial(self._hedge, shard))
 
     def _hedge(self, shard: Shard) -> None:
         """Send another call if the shard is not done yet and the budget has room."""
@@ -406,7 +408,7 @@
         if shard.done or scatter.left_at or len(shard.asked) >= REPLICAS:
             return
         if not scatter.caller.may_repeat(shard.number, self.now):
-            self.at(self.now + DENIED_PAUSE_S, partial(self._hedge, shard))
+            self.schedule(self.now + DENIED_PAUSE_S, partial(self._hedge, shard))
             return
         scatter.repeats += 1
         self._send(shard, [one for one in range(REPLICAS) if one not in shard.asked])
@@ -429,17 +431,17 @@
         if scatter.included == SHARDS:
             scatter.left_at = self.now
 
-    def _leave(self, scatter: Scatter) -> None:
+    def _send_answer(self, scatter: Scatter) -> None:
         """Let the answer leave with the shards included so far."""
         if not scatter.left_at:
             scatter.left_at = self.now
 
     def _work_s(self, kind: Kind) -> float:
         """Draw the work of one call."""
-        work = self.source.lognormvariate(-SPREAD * SPREAD / 2.0, SPREAD)
-        if self.source.random() < TAIL:
+        work = self.source.lognormvariate(-WORK_SIGMA * WORK_SIGMA / 2.0, WORK_SIGMA)
+        if self.source.random() < TAIL_SHARE:
             work *= TAIL_FACTOR
-        return kind.work_s * min(work, MOST_WORK)
+        return kind.work_s * min(work, MAX_WORK)
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -21,12 +21,12 @@
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 from tinrudder_lab.emulator.store import StoreMode
 
-Trouble = Callable[[EmulatedSite], None]
-SETTLED_S = 6.0
-FLEETS = (7, 28, 60)
+Fault = Callable[[EmulatedSite], None]
+SETTLE_S = 6.0
+GATEWAY_COUNTS = (7, 28, 60)
 ZONES = ("zone-a", "zone-b", "zone-c")
-AWAY_S = 3.0
-CALM_S = 60.0
+UNAVAILABLE_S = 3.0
+IDLE_S = 60.0
 
 
 def nothing(site: EmulatedSite) -> None:
@@ -63,9 +63,9 @@
 
 
 def away(site: EmulatedSite) -> None:
-    """Let the store answer nobody for ``AWAY_S`` seconds, also on new connections."""
+    """Let the store answer nobody for ``UNAVAILABLE_S`` seconds, also on new connections."""
     site.store.set_mode(StoreMode.SILENT)
-    site.loop.call_later(AWAY_S, site.store.set_mode, StoreMode.SERVING)
+    site.loop.call_later(UNAVAILABLE_S, site.store.set_mode, StoreMode.SERVING)
 
 
 def slow(site: EmulatedSite) -> None:
@@ -74,7 +74,7 @@
     site.store.set_mode(StoreMode.SLOW)
 
 
-TROUBLES: tuple[Trouble, ...] = (
+FAULTS: tuple[Fault, ...] = (
     nothing,
     silence_store,
     silence_peers,
@@ -89,14 +89,14 @@
 )
 
 
-def seconds_in_force(trouble: Trouble, gateways: int) -> float:
+def seconds_in_force(fault: Fault, gateways: int) -> float:
     """Return the seconds until a change is in force on every gateway."""
 
     async def scenario(site: EmulatedSite) -> float:
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_S)
         site.configure()
         await asyncio.sleep(1.0)
-        trouble(site)
+        fault(site)
         await asyncio.sleep(0.1)
         site.configure()
         return await in_force_after(site)
@@ -104,28 +104,28 @@
     return run_site(scenario, node_count=gateways, zones=ZONES)
 
 
-def calm_calls_per_second(gateways: int) -> float:
+def idle_calls_per_second(gateways: int) -> float:
     """Return the calls per second of all gateways to a store without changes."""
 
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(15.0)
         before = site.store.calls
-        await asyncio.sleep(CALM_S)
-        return (site.store.calls - before) / CALM_S
+        await asyncio.sleep(IDLE_S)
+        return (site.store.calls - before) / IDLE_S
 
     return run_site(scenario, node_count=gateways, zones=ZONES)
 
 
 def main() -> None:
     """Print the table."""
-    fleets = [int(one) for one in sys.argv[1:]] or list(FLEETS)
-    print("| | " + " | ".join(f"{one} gateways" for one in fleets) + " |")
-    print("|---|" + "---|" * len(fleets))
-    for trouble in TROUBLES:
-        name = trouble.__name__.replace("_", " ")
-        cells = (f"{seconds_in_force(trouble, one):.2f}" for one in fleets)
+    gateway_counts = [int(one) for one in sys.argv[1:]] or list(GATEWAY_COUNTS)
+    print("| | " + " | ".join(f"{one} gateways" for one in gateway_counts) + " |")
+    print("|---|" + "---|" * len(gateway_counts))
+    for fault in FAULTS:
+        name = fault.__name__.replace("_", " ")
+        cells = (f"{seconds_in_force(fault, one):.2f}" for one in gateway_counts)
         print(f"| {name} | " + " | ".join(cells) + " |", flush=True)
-    cells = (f"{calm_calls_per_second(one):.2f}" for one in fleets)
+    cells = (f"{idle_calls_per_second(one):.2f}" for one in gateway_counts)
     print("| calls of a calm store a second | " + " | ".join(cells) + " |")
 
 
--- a/tests/probe/test_relay_faults.py
+++ b/tests/probe/test_relay_faults.py
@@ -29,7 +29,7 @@
 
 FAULT_AT_S = 2.0
 NODES = 8
-TRAVEL_S = 0.02
+ROUND_TRIP_S = 0.02
 """Seconds for the round trip between a caller and its node, and for scheduling."""
 
 
@@ -41,7 +41,7 @@
 def test_entry_and_coordinator_on_opposite_sides_of_a_cut(both: bool) -> None:
     sides = frozenset({CUT_ZONE}), frozenset({COORDINATOR_ZONE})
     world = run(lambda _: [Step(FAULT_AT_S, faults.cut(*sides, seconds=60.0, both=both))])
-    assert slowest_s(world) <= DEADLINE_S + TRAVEL_S
+    assert slowest_s(world) <= DEADLINE_S + ROUND_TRIP_S
     assert set(outcomes(world)) <= {"complete", "partial"}
     assert check_history(world.history) == ()
     assert peak_calls(world) <= SLOTS * SLOT_HEADROOM + NODES
@@ -51,7 +51,7 @@
     sides = frozenset({CUT_ZONE}), frozenset({COORDINATOR_ZONE})
     steps = [Step(FAULT_AT_S, faults.cut(*sides, seconds=60.0, both=True))]
     world = run(lambda _: steps, not_repeatable())
-    assert slowest_s(world) <= DEADLINE_S + TRAVEL_S
+    assert slowest_s(world) <= DEADLINE_S + ROUND_TRIP_S
     counted = outcomes(world)
     assert set(counted) <= {"complete", "partial", "may_have_run"}
     assert 0 < counted["may_have_run"] <= 20, "only queries in flight when the partition began"
@@ -59,7 +59,7 @@
 
 def test_coordinator_lost_in_the_middle_of_queries() -> None:
     world = run(lambda name: [Step(FAULT_AT_S, faults.crash_node(name, restart_after_s=None))])
-    assert slowest_s(world) <= DEADLINE_S + TRAVEL_S
+    assert slowest_s(world) <= DEADLINE_S + ROUND_TRIP_S
     counted = outcomes(world)
     assert set(counted) <= {"complete", "lost"}
     lost_at = {world.history.sent[e.query].node for e in endings(world) if e.outcome == "lost"}
@@ -75,10 +75,10 @@
                 world.crash_node(name)
 
     world = run(lambda _: [Step(FAULT_AT_S, crash_others)])
-    struck = next(node.at for node in world.history.nodes if node.stage == "crashed")
-    assert slowest_s(world) <= DEADLINE_S + TRAVEL_S
+    crashed_at = next(node.at for node in world.history.nodes if node.stage == "crashed")
+    assert slowest_s(world) <= DEADLINE_S + ROUND_TRIP_S
     assert set(outcomes(world)) <= {"complete", "partial", "lost", "not_run", "failed"}
-    last_second = outcomes(world, after=struck + DURATION_S - FAULT_AT_S - 1.0)
+    last_second = outcomes(world, after=crashed_at + DURATION_S - FAULT_AT_S - 1.0)
     assert last_second["complete"] > 0
     assert set(last_second) <= {"complete", "partial", "not_run"}
 
@@ -87,12 +87,14 @@
     pause_s = 2.5
     world = run(lambda name: [Step(FAULT_AT_S, faults.pause_node(name, pause_s))])
     history = world.history
-    woken = next(node.at for node in history.nodes if node.stage == "woken")
-    ended_before = {e.query_id for e in endings(world) if e.query_id and e.at < woken}
+    woken_at = next(node.at for node in history.nodes if node.stage == "woken")
+    ended_before = {e.query_id for e in endings(world) if e.query_id and e.at < woken_at}
     started_late = [
         call
         for call in history.calls
-        if call.stage is CallStage.RECEIVED and call.at >= woken and call.query_id in ended_before
+        if call.stage is CallStage.RECEIVED
+        and call.at >= woken_at
+        and call.query_id in ended_before
     ]
     assert started_late == []
     paused = next(node.node for node in history.nodes if node.stage == "paused")
--- a/tests/support/asgi.py
+++ b/tests/support/asgi.py
@@ -30,10 +30,10 @@
 
     task: asyncio.Task[None]
     response: AsgiResponse
-    gone: asyncio.Event
+    disconnected: asyncio.Event
 
     async def disconnect(self) -> AsgiResponse:
-        self.gone.set()
+        self.disconnected.set()
         await asyncio.wait_for(self.task, 5)
         return self.response
 
@@ -59,17 +59,17 @@
         "server": ("127.0.0.1", 80),
     }
     response = AsgiResponse()
-    gone = asyncio.Event()
+    disconnected = asyncio.Event()
     requests: list[Message] = [{"type": "http.request", "body": body, "more_body": False}]
 
     async def receive() -> Message:
         if requests:
             return requests.pop()
-        await gone.wait()
+        await disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(message: Message) -> None:
-        if gone.is_set():
+        if disconnected.is_set():
             raise OSError("client disconnected")
         if message["type"] == "http.response.start":
             response.status = message["status"]
@@ -82,10 +82,10 @@
         try:
             await app(scope, receive, send)
         except Exception:
-            if not gone.is_set():
+            if not disconnected.is_set():
                 raise
 
-    return AsgiCall(asyncio.create_task(run()), response, gone)
+    return AsgiCall(asyncio.create_task(run()), response, disconnected)
 
 
 async def call(
--- a/tests/support/virtual_caller.py
+++ b/tests/support/virtual_caller.py
@@ -11,7 +11,7 @@
 import msgspec
 from starlette.types import ASGIApp, Message
 
-FAR_AWAY_S = 10_000.0
+NEVER_S = 10_000.0
 Result = TypeVar("Result")
 
 
@@ -41,7 +41,7 @@
     parts: list[bytes] = field(default_factory=list)
     part_gap_s: float = 0.0
     cut_off: bool = False
-    leaves_at: float = FAR_AWAY_S
+    leaves_at: float = NEVER_S
     read_gap_s: float = 0.0
     host: str = "127.0.0.1"
     status: int = 0
@@ -52,7 +52,7 @@
     async def call(self, app: ASGIApp) -> FakeCaller:
         """Send the request and read the response."""
         self._loop = asyncio.get_running_loop()
-        self._began = self._loop.time()
+        self._started_at = self._loop.time()
         self._next_part = 0
         headers = dict(self.headers)
         if self.authorization is not None:
@@ -79,7 +79,7 @@
             more = number + 1 < len(self.parts) or self.cut_off
             return {"type": "http.request", "body": body, "more_body": more}
         if not self.cut_off:
-            await asyncio.sleep(self._began + self.leaves_at - self._loop.time())
+            await asyncio.sleep(self._started_at + self.leaves_at - self._loop.time())
         return {"type": "http.disconnect"}
 
     async def _send(self, message: Message) -> None:
--- a/tests/unit/test_constants.py
+++ b/tests/unit/test_constants.py
@@ -12,7 +12,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-DONE = (
+CHECKED_PACKAGES = (
     "tinrudder/common",
     "tinrudder/gateway",
     "tinrudder/node/decisions",
@@ -21,7 +21,7 @@
 )
 """Packages whose constants are all documented; add a package when its last constant is."""
 
-WITHOUT_ORIGIN = (
+PACKAGES_WITHOUT_ORIGINS = (
     "tinrudder/common/transport",
     "tinrudder/gateway/peers",
     "tinrudder/gateway/store",
@@ -44,9 +44,9 @@
     return all(type(value) in (int, float) for value in constants)
 
 
-def numbers(module: ast.Module) -> Iterator[tuple[int, str, ast.stmt]]:
+def named_numbers(module: ast.Module) -> Iterator[tuple[int, str, ast.stmt]]:
     """Yield index, name and statement of each named numeric constant of a module."""
-    for place, node in enumerate(module.body):
+    for index, node in enumerate(module.body):
         if isinstance(node, ast.Assign) and node.value is not None:
             target: ast.expr = node.targets[0]
         elif isinstance(node, ast.AnnAssign) and node.value is not None:
@@ -54,13 +54,13 @@
         else:
             continue
         if isinstance(target, ast.Name) and target.id.isupper() and is_number(node.value):
-            yield place, target.id, node
+            yield index, target.id, node
 
 
-def is_explained(text: str, module: ast.Module, place: int) -> bool:
+def is_explained(text: str, module: ast.Module, index: int) -> bool:
     """Return whether a docstring follows, or a comment is on the same line or the line above."""
-    node = module.body[place]
-    after = module.body[place + 1] if place + 1 < len(module.body) else None
+    node = module.body[index]
+    after = module.body[index + 1] if index + 1 < len(module.body) else None
     if isinstance(after, ast.Expr) and isinstance(after.value, ast.Constant):
         return isinstance(after.value.value, str) and bool(after.value.value.strip())
     lines = text.splitlines()
@@ -74,12 +74,12 @@
     module = ast.parse(text)
     return [
         f"{path.relative_to(ROOT)}:{node.lineno} {name}"
-        for place, name, node in numbers(module)
-        if not is_explained(text, module, place)
+        for index, name, node in named_numbers(module)
+        if not is_explained(text, module, index)
     ]
 
 
-@pytest.mark.parametrize("package", DONE)
+@pytest.mark.parametrize("package", CHECKED_PACKAGES)
 def test_every_constant_says_its_unit_and_source(package: str) -> None:
     assert sources(package)
     assert [name for path in sources(package) for name in unexplained(path)] == []
@@ -97,24 +97,24 @@
     assert unexplained(path) == ["module.py:1 BARE", "module.py:2 BARE_TOO"]
 
 
-def origins_told(path: Path) -> list[str]:
+def stated_origins(path: Path) -> list[str]:
     """Return the constants whose docstring says how the value was found, once per word."""
     module = ast.parse(path.read_text())
-    told = []
-    for place, name, _ in numbers(module):
-        after = module.body[place + 1] if place + 1 < len(module.body) else None
+    stated = []
+    for index, name, _ in named_numbers(module):
+        after = module.body[index + 1] if index + 1 < len(module.body) else None
         if isinstance(after, ast.Expr) and isinstance(after.value, ast.Constant):
             text = str(after.value.value).lower()
-            told.extend(f"{path.name} {name}" for word in ORIGINS if word in text)
-    return told
+            stated.extend(f"{path.name} {name}" for word in ORIGINS if word in text)
+    return stated
 
 
-@pytest.mark.parametrize("package", WITHOUT_ORIGIN)
+@pytest.mark.parametrize("package", PACKAGES_WITHOUT_ORIGINS)
 def test_no_constant_tells_how_its_value_was_found(package: str) -> None:
-    assert [name for path in sources(package) for name in origins_told(path)] == []
+    assert [name for path in sources(package) for name in stated_origins(path)] == []
 
 
 def test_an_origin_is_found(tmp_path: Path) -> None:
     path = tmp_path / "module.py"
     path.write_text('WAIT_S = 2.0\n"""Seconds.  Chosen, not measured."""\n')
-    assert origins_told(path) == ["module.py WAIT_S"] * 2
+    assert stated_origins(path) == ["module.py WAIT_S"] * 2
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -26,7 +26,7 @@
 """Not checked for paths and tests: lists old names beside new ones."""
 LOGGING_CALLS = frozenset(("log_event", "log_problem", "log", "_log"))
 LINES_DROPPED = "log_lines_dropped"
-"""Written without the logging functions, since it reports lines that they dropped."""
+"""Written by the log stream, not by a logging function: reports the lines it dropped."""
 BASES = (ROOT, ROOT / "tinrudder", ROOT / "tinrudder_lab")
 FOLDERS = frozenset(
     path.name for base in BASES for path in base.iterdir() if path.is_dir() and path.name[0] != "."
@@ -34,7 +34,7 @@
 CODE = re.compile(r"`([^`\n]+)`")
 LINK = re.compile(r"\]\(([^()\s]+)\)")
 PATH = re.compile(r"[\w-]+(?:/[\w.-]+)*/?")
-FENCED = re.compile(r"^( {4}|```)")
+CODE_LINE = re.compile(r"^( {4}|```)")
 
 
 def page_id(page: Path) -> str:
@@ -43,10 +43,10 @@
 
 def prose(page: Path) -> str:
     """Return a page without indented lines and code fences."""
-    return "\n".join(line for line in page.read_text().splitlines() if not FENCED.match(line))
+    return "\n".join(line for line in page.read_text().splitlines() if not CODE_LINE.match(line))
 
 
-def quoted(page: Path) -> set[str]:
+def quoted_texts(page: Path) -> set[str]:
     """Return the texts between backticks."""
     return set(CODE.findall(prose(page)))
 
@@ -151,17 +151,17 @@
 
 @pytest.mark.parametrize("page", [one for one in PAGES if one != RENAMES], ids=page_id)
 def test_every_path_that_a_page_names_exists(page: Path) -> None:
-    assert sorted(one for one in quoted(page) if is_path(one) and not exists(one)) == []
+    assert sorted(one for one in quoted_texts(page) if is_path(one) and not exists(one)) == []
 
 
 @pytest.mark.parametrize("page", [one for one in PAGES if one != RENAMES], ids=page_id)
 def test_every_test_that_a_page_names_exists(page: Path) -> None:
-    named = {one for one in quoted(page) if re.fullmatch(r"test_\w+", one)}
+    named = {one for one in quoted_texts(page) if re.fullmatch(r"test_\w+", one)}
     assert named - names_of_tests() == set()
 
 
 def test_every_log_event_of_the_architecture_exists() -> None:
-    words = {one for one in quoted(ARCHITECTURE) if re.fullmatch(r"[a-z]+(_[a-z]+)*", one)}
+    words = {one for one in quoted_texts(ARCHITECTURE) if re.fullmatch(r"[a-z]+(_[a-z]+)*", one)}
     adapter = "".join(path.read_text() for path in (ROOT / "tinrudder/platform").glob("*.py"))
     settings = {one for one in words if re.search(rf"^    {one}: ", adapter, re.MULTILINE)}
     metrics = {one for one in words if one.startswith("tinrudder_gateway_")}
@@ -192,7 +192,7 @@
 def test_every_class_and_constant_of_the_architecture_exists() -> None:
     named = {
         one
-        for one in quoted(ARCHITECTURE)
+        for one in quoted_texts(ARCHITECTURE)
         if re.fullmatch(r"[A-Z][A-Z0-9]*(_[A-Z0-9]+)+|([A-Z][a-z0-9]+){2,}", one)
     }
     assert named - defined_names() == set()
@@ -200,4 +200,4 @@
 
 def test_the_log_events_of_the_gateway_are_told_to_operators() -> None:
     gateway = {value for value in log_events() if re.fullmatch(r"[a-z]+(_[a-z]+)+", value)}
-    assert gateway - quoted(DOCS / "OPERATIONS.md") == set()
+    assert gateway - quoted_texts(DOCS / "OPERATIONS.md") == set()
--- a/tests/unit/test_module_docs.py
+++ b/tests/unit/test_module_docs.py
@@ -8,27 +8,27 @@
 import pytest
 
 ROOT = Path(__file__).parents[2]
-DONE = ("tinrudder/gateway", "tinrudder/platform", "tinrudder/common/transport")
+CHECKED_PACKAGES = ("tinrudder/gateway", "tinrudder/platform", "tinrudder/common/transport")
 """Packages whose modules all comply; add a package when its last module does."""
 OWNERSHIP = ("Owns", "Owned", "owns ", "Values only")
 
 
-def modules(room: str) -> list[Path]:
-    return [one for one in sorted((ROOT / room).rglob("*.py")) if "_pb2" not in one.name]
+def modules(package: str) -> list[Path]:
+    return [one for one in sorted((ROOT / package).rglob("*.py")) if "_pb2" not in one.name]
 
 
 def docstring(module: Path) -> str:
     return ast.get_docstring(ast.parse(module.read_text())) or ""
 
 
-@pytest.mark.parametrize("room", DONE)
+@pytest.mark.parametrize("room", CHECKED_PACKAGES)
 def test_every_module_says_in_a_sentence_what_it_is_for(room: str) -> None:
-    firsts = {one: docstring(one).split("\n")[0] for one in modules(room)}
-    assert [str(one) for one, first in firsts.items() if not first.endswith((".", "?"))] == []
+    first_lines = {one: docstring(one).split("\n")[0] for one in modules(room)}
+    assert [str(one) for one, first in first_lines.items() if not first.endswith((".", "?"))] == []
 
 
-@pytest.mark.parametrize("room", DONE)
+@pytest.mark.parametrize("room", CHECKED_PACKAGES)
 def test_every_module_says_what_it_owns(room: str) -> None:
     files = [one for one in modules(room) if one.name != "__init__.py"]
-    silent = [one for one in files if not any(word in docstring(one) for word in OWNERSHIP)]
-    assert [str(one.relative_to(ROOT)) for one in silent] == []
+    undocumented = [one for one in files if not any(word in docstring(one) for word in OWNERSHIP)]
+    assert [str(one.relative_to(ROOT)) for one in undocumented] == []
