--- a/bench/call_cost.py
+++ b/bench/call_cost.py
@@ -34,7 +34,10 @@
 from tinrudder.node.backends.http_transport import HttpBackendTransport
 
 FAN_OUT = 130
+"""Calls per fan-out, one for each shard."""
+"""Calls per fan-out, one for each shard."""
 PORTS = 20
+"""Back ends, one for each port."""
 TURNS = 60
 FAN_OUTS_PER_TURN = 8
 WARM_UP_FAN_OUTS = 20
--- a/bench/claim_cost.py
+++ b/bench/claim_cost.py
@@ -38,9 +38,11 @@
 REGION = "region"
 ZONES = 4
 NODE_UPTIME_S = 1000.0
+"""Seconds since the nodes' start; voters abstain on claims whose window began earlier."""
 WINDOW_S = 60.0
 CLAIMS = 2000
 STORED_VOTES = 20_000
+"""Votes stored to measure the memory of one."""
 
 
 class ClaimCost(msgspec.Struct, frozen=True):
--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -28,6 +28,7 @@
 from tinrudder.node.resources.store import ConfigurationStore
 
 SERVICES = 35
+"""Services of 132 back ends each."""
 CHANGES = 5
 
 
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -28,6 +28,7 @@
 ONE_WAY_DELAY_S = (0.001, 0.003)
 PLATFORM_LATENCY_S = 0.02
 SHORTEST_POLL_S = 1.0
+"""Lower bound in seconds for a node's mean poll interval."""
 TIME_LIMIT_S = 120.0
 CHECK_INTERVAL_S = 0.05
 SETTLE_S = 20.0
--- a/bench/decision_cost.py
+++ b/bench/decision_cost.py
@@ -37,6 +37,7 @@
 from tinrudder.timers import TimerHandle
 
 FAN_OUT = 130
+"""Calls per query."""
 SLOTS = 5
 CALLS = 20_000
 REPEATS = 5
--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -28,11 +28,15 @@
 
 SERVICE_MEDIAN_S = 0.004
 SERVICE_SIGMA = 0.4
+"""Standard deviation of the logarithm of service times."""
 FAN_OUT = 16
+"""Calls per query."""
 LIGHT_QUERIES_PER_S = 10.0
 NOISY_CALLS_PER_S = 3500.0
 NOISY_QUEUE_PLACES = 512
+"""Unfinished calls from which on the noisy tenant submits no further query."""
 SHARES = (1, 2, 4, 8)
+"""Weights of the tenants."""
 
 
 @dataclass
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -26,12 +26,17 @@
 
 BACKENDS = 8
 SERVICE_S = 0.01
+"""Median service time of a call, in seconds."""
 SIGMA = 0.4
+"""Standard deviation of the logarithm of service times."""
 ONE_WAY_DELAY_S = 0.001
 FAN_OUT = 16
+"""Calls per query of a light tenant."""
 DURATION_S = 20.0
 LIGHT_SHARE = 0.5
+"""Load of all light tenants, as a fraction of the back ends' capacity."""
 HEADROOM = 2.0
+"""Multiple of its limit up to which a back end serves tenants well below their share."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -28,10 +28,12 @@
 SLOTS = 2
 WORK_S = 0.03
 SPREAD = 0.35
+"""Standard deviation of the logarithm of work."""
 GATEWAYS = 3
 MEAN_WORK_S = WORK_S * 1.063
 """Mean of a log-normal distribution with this :data:`SPREAD`."""
 CAPACITY_PER_S = COPIES * SLOTS / MEAN_WORK_S
+"""Scatters per second that the back ends can complete; each calls every shard once."""
 LOADS = (0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 8.0)
 URGENT_SHARE = 0.1
 """Rate of urgent scatters, as a fraction of capacity; sent in addition to the load."""
--- a/bench/restored_store.py
+++ b/bench/restored_store.py
@@ -28,7 +28,9 @@
 CALL_COUNT_PERIOD_S = 10.0
 LOST_CHANGES = 4
 BACKUP_AGE_S = 1.8
+"""Age in seconds of the backup from which the store is restored."""
 OPERATOR_AFTER_S = 3.0
+"""Seconds after the store's return until the operator has written the lost values again."""
 
 
 def versions(site: EmulatedSite) -> list[int]:
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -45,26 +45,34 @@
 SLOW_PERIOD_S = 0.6
 """Seconds for which a replica is slow, or is not."""
 IN_ZONE_S = 0.0002
+"""Network delay in seconds within a zone, one way."""
 CROSS_ZONE_S = 0.0005
+"""Network delay in seconds between zones, one way."""
 SEND_S = 0.00006
 """Seconds between the calls of a scatter: 90 leave in 5 ms."""
 ANSWER_MARGIN_S = 0.015
 """Seconds before its objective at which an answer leaves."""
 SWING = 0.55
+"""Relative amplitude of the sinusoidal arrival rate."""
 SWING_PERIOD_S = 13.0
 BUDGET_RATIO = 0.2
+"""Repeats per request that the retry budget allows."""
 BUDGET_WINDOW_S = 10.0
 CALLERS_SHARE = 0.75
 """Fraction of the fleet's repeats that the callers share."""
 DENIED_PAUSE_S = 0.02
+"""Seconds until a hedge is tried again that the budget denied."""
 WARM_UP_S = 6.0
+"""Scatters that begin before this time in seconds are not counted."""
 WORK_SIGMA = 0.35
 """Standard deviation of the logarithm of work."""
 TAIL_SHARE = 0.01
+"""Fraction of calls whose work is longer by :data:`TAIL_FACTOR`."""
 TAIL_FACTOR = 5.0
 MAX_WORK = 7.5
 """Most work of a call, in multiples of the mean."""
 REMEMBERED_S = 1.0
+"""Seconds for which ended calls are kept."""
 MILLISECONDS = 1000.0
 
 
--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -27,6 +27,7 @@
 ZONES = ("zone-a", "zone-b", "zone-c")
 UNAVAILABLE_S = 3.0
 IDLE_S = 60.0
+"""Seconds for which the calls to an unchanged store are counted."""
 
 
 def nothing(site: EmulatedSite) -> None:
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -34,6 +34,7 @@
 SLOTS = 5
 DEADLINE_S = 0.3
 RATE = 60.0
+"""Queries per second."""
 DURATION_S = 6.0
 RULE = QueryRuleSpec(
     service="placeholder",
