--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -249,17 +249,17 @@
         """Run a quiet period, then the load, and return the figures of the load."""
         self._next_arrival()
         self.clock.run_until(QUIET_S + self.seconds + DEADLINE_S)
-        asked = max(1, self.count["asked"])
+        requests = max(1, self.count["asked"])
         arrivals = max(1, self.count["arrivals"])
         gateway_s = self.size * self.seconds
         return {
             "in_time_per_s": self.count["in time"] / self.seconds,
-            "in_time": self.count["in time"] / asked,
-            "late": self.count["late"] / asked,
-            "refused": self.count["refused"] / asked,
-            "refused_twice": self.count["refused twice"] / asked,
+            "in_time": self.count["in time"] / requests,
+            "late": self.count["late"] / requests,
+            "refused": self.count["refused"] / requests,
+            "refused_twice": self.count["refused twice"] / requests,
             "shed": self.count["shed"] / arrivals,
-            "repeats": self.count["repeats"] / asked,
+            "repeats": self.count["repeats"] / requests,
             "median_s": statistics.median(self.latencies) if self.latencies else 0.0,
             "copies_per_s": self.count["copies"] / gateway_s,
             "bytes_per_s": self.count["bytes"] / gateway_s,
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -204,7 +204,7 @@
     scatter: Scatter
     number: int
     done: bool = False
-    asked: list[int] = field(default_factory=list)
+    tried: list[int] = field(default_factory=list)
 
 
 @dataclass(eq=False, slots=True)
@@ -228,7 +228,7 @@
         """Start without observations."""
         self.zone = zone
         self.load = load
-        self.seen = [
+        self.observations = [
             [BackendObservations(slots=SLOTS) for _ in range(REPLICAS)] for _ in range(SHARDS)
         ]
         self.latencies = {kind.name: LatencyWindow() for kind in load.kinds}
@@ -255,12 +255,12 @@
     def choose(self, world: World, shard: Shard, candidates: list[int]) -> int:
         """Return the replica for the next call."""
         caller, kind = shard.scatter.caller, shard.scatter.kind
-        seen = caller.seen[shard.number]
+        observations = caller.observations[shard.number]
         local = [one for one in candidates if one == caller.zone]
-        advantage = self.advantage(caller, kind, [seen[one] for one in local], world.now)
+        advantage = self.advantage(caller, kind, [observations[one] for one in local], world.now)
 
         def cost(one: int) -> float:
-            return seen[one].cost(world.now) + (0.0 if one == caller.zone else advantage)
+            return observations[one].cost(world.now) + (0.0 if one == caller.zone else advantage)
 
         return min(candidates, key=cost)
 
@@ -268,7 +268,7 @@
         self, caller: Caller, kind: Kind, local: Sequence[BackendObservations], now: float
     ) -> float:
         """Return how many usual latencies sooner a replica in another zone must answer."""
-        if any(is_slow(seen.expected_relative_latency(now)) for seen in local):
+        if any(is_slow(observations.expected_relative_latency(now)) for observations in local):
             return LEAST_ADVANTAGE
         window = caller.latencies[kind.name]
         usual_s = usual_latency_s(window, kind.objective_s)
@@ -392,13 +392,13 @@
         scatter = shard.scatter
         caller, kind = scatter.caller, scatter.kind
         chosen = self.way.choose(self, shard, candidates)
-        shard.asked.append(chosen)
+        shard.tried.append(chosen)
         replica = self.replicas[shard.number][chosen]
         across = chosen != caller.zone
         scatter.across += across
         path_s = CROSS_ZONE_S if across else IN_ZONE_S
         usual_s = usual_latency_s(caller.latencies[kind.name], kind.objective_s)
-        running = caller.seen[shard.number][chosen].begin(self.now, usual_s)
+        running = caller.observations[shard.number][chosen].begin(self.now, usual_s)
         call = Call(shard, chosen, running)
         end = replica.run(self.now + path_s, self._work_s(kind))
         self.schedule(end + path_s, partial(self._answer, call, end))
@@ -407,19 +407,19 @@
     def _schedule_hedge(self, shard: Shard) -> None:
         """Schedule the hedge of the call that was sent last."""
         when = self.way.hedge_at(shard, self.now)
-        if when < math.inf and len(shard.asked) < REPLICAS:
+        if when < math.inf and len(shard.tried) < REPLICAS:
             self.schedule(max(when, self.now), partial(self._hedge, shard))
 
     def _hedge(self, shard: Shard) -> None:
         """Send another call if the shard is not done yet and the budget has room."""
         scatter = shard.scatter
-        if shard.done or scatter.left_at or len(shard.asked) >= REPLICAS:
+        if shard.done or scatter.left_at or len(shard.tried) >= REPLICAS:
             return
         if not scatter.caller.may_repeat(shard.number, self.now):
             self.schedule(self.now + DENIED_PAUSE_S, partial(self._hedge, shard))
             return
         scatter.repeats += 1
-        self._send(shard, [one for one in range(REPLICAS) if one not in shard.asked])
+        self._send(shard, [one for one in range(REPLICAS) if one not in shard.tried])
 
     def _answer(self, call: Call, end: float) -> None:
         """Record an answer, with its replica's load and slowdown when it was sent."""
@@ -428,9 +428,9 @@
         replica = self.replicas[shard.number][call.replica]
         report = (*replica.report(end), SLOTS)
         slowdown = replica.slowdown(end)
-        seen = scatter.caller.seen[shard.number][call.replica]
-        seen.reported(*report, self.now, slowdown)
-        seen.answered(call.running, self.now)
+        observations = scatter.caller.observations[shard.number][call.replica]
+        observations.reported(*report, self.now, slowdown)
+        observations.answered(call.running, self.now)
         scatter.caller.latencies[scatter.kind.name].observe(self.now - call.running.sent_at)
         if shard.done or scatter.left_at:
             return
@@ -490,14 +490,14 @@
 
 def play(load: Load, way: Way, seeds: Iterable[int], length_s: float) -> dict[str, Figures]:
     """Simulate one run per seed; return the figures of each kind of scatter."""
-    seen: dict[str, list[Scatter]] = {kind.name: [] for kind in load.kinds}
+    scatters_by_kind: dict[str, list[Scatter]] = {kind.name: [] for kind in load.kinds}
     for seed in seeds:
         world = World(load, way, seed)
         world.play(length_s)
         for scatter in world.scatters:
             if scatter.began_at >= WARM_UP_S:
-                seen[scatter.kind.name].append(scatter)
-    return {name: figures(scatters) for name, scatters in seen.items()}
+                scatters_by_kind[scatter.kind.name].append(scatter)
+    return {name: figures(scatters) for name, scatters in scatters_by_kind.items()}
 
 
 def main() -> None:
@@ -511,11 +511,11 @@
     loads = [load for load in LOADS if load.name in options.loads.split(",")]
     ways = [way for way in WAYS if way.name in options.ways.split(",")]
     for load, way in itertools.product(loads, ways):
-        for kind, seen in play(load, way, range(options.seeds), options.seconds).items():
+        for kind, mean in play(load, way, range(options.seeds), options.seconds).items():
             print(
-                f"{load.name:12} {way.name:20} {kind:14} n {seen.scatters:4} "
-                f"share {seen.share:.4f} squares {seen.squares:.4f} whole {seen.whole:.3f} "
-                f"left {seen.left_ms:5.1f} ms repeats {seen.repeats:.3f} across {seen.across:.3f}",
+                f"{load.name:12} {way.name:20} {kind:14} n {mean.scatters:4} "
+                f"share {mean.share:.4f} squares {mean.squares:.4f} whole {mean.whole:.3f} "
+                f"left {mean.left_ms:5.1f} ms repeats {mean.repeats:.3f} across {mean.across:.3f}",
                 flush=True,
             )
 
--- a/tests/probe/test_relay_faults.py
+++ b/tests/probe/test_relay_faults.py
@@ -12,10 +12,10 @@
     DEADLINE_S,
     DURATION_S,
     SLOTS,
-    endings,
-    not_repeatable,
+    ended_queries,
+    non_repeatable_rule,
     peak_calls,
-    relays,
+    relayed_query_count,
     run,
     slowest_s,
 )
@@ -34,7 +34,7 @@
 
 
 def outcomes(world: World, after: float = 0.0) -> Counter[str]:
-    return Counter(ended.outcome for ended in endings(world, after))
+    return Counter(ended.outcome for ended in ended_queries(world, after))
 
 
 @pytest.mark.parametrize("both", [True, False])
@@ -50,7 +50,7 @@
 def test_cut_leaves_requests_that_must_not_repeat_unknown_but_never_not_run() -> None:
     sides = frozenset({CUT_ZONE}), frozenset({COORDINATOR_ZONE})
     steps = [Step(FAULT_AT_S, faults.cut(*sides, seconds=60.0, both=True))]
-    world = run(lambda _: steps, not_repeatable())
+    world = run(lambda _: steps, non_repeatable_rule())
     assert slowest_s(world) <= DEADLINE_S + ROUND_TRIP_S
     counted = outcomes(world)
     assert set(counted) <= {"complete", "partial", "may_have_run"}
@@ -62,7 +62,9 @@
     assert slowest_s(world) <= DEADLINE_S + ROUND_TRIP_S
     counted = outcomes(world)
     assert set(counted) <= {"complete", "lost"}
-    lost_at = {world.history.sent[e.query].node for e in endings(world) if e.outcome == "lost"}
+    lost_at = {
+        world.history.sent[e.query].node for e in ended_queries(world) if e.outcome == "lost"
+    }
     assert len(lost_at) <= 1, "only clients of the crashed node lose their connection"
 
 
@@ -88,7 +90,7 @@
     world = run(lambda name: [Step(FAULT_AT_S, faults.pause_node(name, pause_s))])
     history = world.history
     woken_at = next(node.at for node in history.nodes if node.stage == "woken")
-    ended_before = {e.query_id for e in endings(world) if e.query_id and e.at < woken_at}
+    ended_before = {e.query_id for e in ended_queries(world) if e.query_id and e.at < woken_at}
     started_late = [
         call
         for call in history.calls
@@ -98,7 +100,7 @@
     ]
     assert started_late == []
     paused = next(node.node for node in history.nodes if node.stage == "paused")
-    others = [e for e in endings(world) if history.sent[e.query].node != paused]
+    others = [e for e in ended_queries(world) if history.sent[e.query].node != paused]
     assert {ended.outcome for ended in others} <= {"complete", "partial"}
 
 
@@ -109,7 +111,7 @@
 
     world = run(lambda _: [Step(0.2, stop_all)])
     assert outcomes(world) == {"complete": len(world.history.sent)}
-    assert relays(world) > 0
+    assert relayed_query_count(world) > 0
     stops = [node for node in world.history.nodes if node.stage == "stopped"]
     assert len(stops) == NODES
     assert all(node.unfinished == 0 for node in stops)
--- a/tests/support/relay_world.py
+++ b/tests/support/relay_world.py
@@ -93,10 +93,10 @@
 
 def slowest_s(world: World) -> float:
     """Return the longest time in seconds that a caller waited."""
-    return max(ended.at - world.history.sent[ended.query].at for ended in endings(world))
+    return max(ended.at - world.history.sent[ended.query].at for ended in ended_queries(world))
 
 
-def endings(world: World, after: float = 0.0) -> list[QueryEnded]:
+def ended_queries(world: World, after: float = 0.0) -> list[QueryEnded]:
     """Return the outcomes of the queries that were sent at ``after`` or later."""
     history = world.history
     assert len(history.ended) == len(history.sent), "every query must have exactly one outcome"
@@ -108,11 +108,11 @@
     return measures.peak_calls(world.history)
 
 
-def relays(world: World) -> int:
+def relayed_query_count(world: World) -> int:
     """Return the number of queries relayed by the nodes that still run."""
     return sum(host.node.entry.counters.relayed for host in world.hosts.values())
 
 
-def not_repeatable() -> QueryRuleSpec:
+def non_repeatable_rule() -> QueryRuleSpec:
     """Return a rule whose queries must not run twice."""
     return msgspec.structs.replace(RULE, repeatable=False)
