--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -1,8 +1,8 @@
-"""What one change of the configuration costs a node, at the plan's 4,620 back ends.
+"""Cost of one configuration change at a node, at the planned 4,620 back ends.
 
-``python -m bench.configuration_cost`` prints one JSON object: processor time of taking in a whole
-document, of a second document with one change, and of the same change as a peer's delta; and the
-bytes of that delta, request and answer, as they travel.
+``python -m bench.configuration_cost`` prints one JSON object: the processor time to apply a first
+document, a second document with one change, and the same change as a delta from a peer; and the
+encoded sizes of that delta's request and answer.
 """
 
 from __future__ import annotations
@@ -28,12 +28,15 @@
 from tinrudder.node.resources.store import ConfigurationStore
 
 SERVICES = 35
+"""Services of 132 back ends each."""
 CHANGES = 5
 
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationCost:
-    """Milliseconds of processor time, medians over ``CHANGES``, and bytes."""
+    """Processor times in milliseconds and sizes in bytes.
+
+    Times of changes are medians over ``CHANGES``."""
 
     resources: int
     first_document_ms: float
@@ -45,20 +48,23 @@
 
 
 def measure() -> ConfigurationCost:
-    """Take in changes at one node and let another one learn each as a delta."""
+    """Apply changes at one node and replicate each to another node as a delta."""
     reader, follower = ConfigurationStore(), ConfigurationStore()
     first = build_document(SERVICES, 1, 5)
     first_ms = _processor_ms(lambda: reader.offer(first))
-    ours, theirs = ReplicatedConfiguration(follower), ReplicatedConfiguration(reader)
+    follower_state, reader_state = (
+        ReplicatedConfiguration(follower),
+        ReplicatedConfiguration(reader),
+    )
     follower.offer(first)
     document_ms, delta_ms, request, answer = [], [], b"", b""
     for revision in range(2, 2 + CHANGES):
         changed = build_document(SERVICES, revision, 4 + revision)
-        document_ms.append(_processor_ms(lambda offered=changed: reader.offer(offered)))  # type: ignore[misc]
-        request = encode_request(PullRequest(short_digests(ours.bucket_digests())))
-        answer = answer_pull(theirs, request)
+        document_ms.append(_processor_ms(lambda document=changed: reader.offer(document)))  # type: ignore[misc]
+        request = encode_request(PullRequest(short_digests(follower_state.bucket_digests())))
+        answer = answer_pull(reader_state, request)
         update = _update(decode_answer(answer))
-        delta_ms.append(_processor_ms(lambda update=update: ours.merge(update)))  # type: ignore[misc]
+        delta_ms.append(_processor_ms(lambda update=update: follower_state.merge(update)))  # type: ignore[misc]
     return ConfigurationCost(
         len(reader.state.resources),
         round(first_ms, 1),
@@ -66,12 +72,12 @@
         round(sorted(delta_ms)[CHANGES // 2], 1),
         len(request),
         len(answer),
-        _whole_state_bytes(theirs),
+        _whole_state_bytes(reader_state),
     )
 
 
 def _whole_state_bytes(state: ReplicatedConfiguration) -> int:
-    """Return what a node receives that holds nothing yet, over all chunks."""
+    """Return the bytes that an empty node receives for the whole state, over all chunks."""
     received, entries, more = 0, 0, True
     while more:
         digest = state.header().state_digest if entries else b""
@@ -94,7 +100,7 @@
 
 
 def main() -> int:
-    """Print the measurements."""
+    """Measure and print the result."""
     print(msgspec.json.encode(measure()).decode())
     return 0
 
--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -1,6 +1,6 @@
-"""Shares, isolation and cost of the fair queue, by its burst.
+"""Tenant shares, isolation and cost of the fair queue, by burst size.
 
-Virtual time, on a plain model of back ends.
+Runs in virtual time on a simple model of back ends.
 
     python -m bench.fair_queue [--seeds 5]
 
@@ -28,16 +28,20 @@
 
 SERVICE_MEDIAN_S = 0.004
 SERVICE_SIGMA = 0.4
+"""Standard deviation of the logarithm of service times."""
 FAN_OUT = 16
+"""Calls per query."""
 LIGHT_QUERIES_PER_S = 10.0
 NOISY_CALLS_PER_S = 3500.0
 NOISY_QUEUE_PLACES = 512
+"""Unfinished calls from which on the noisy tenant submits no further query."""
 SHARES = (1, 2, 4, 8)
+"""Weights of the tenants."""
 
 
 @dataclass
 class VirtualTime:
-    """A clock and its events."""
+    """Virtual clock with an event queue."""
 
     now: float = 0.0
     events: list[tuple[float, int, Callable[[], None]]] = field(default_factory=list)
@@ -48,11 +52,11 @@
         return self.now
 
     def call_at(self, when: float, callback: Callable[[], None]) -> None:
-        """Add an event."""
+        """Schedule a callback."""
         heapq.heappush(self.events, (when, next(self.order), callback))
 
     def run_until(self, end: float) -> None:
-        """Run events in order."""
+        """Run the events up to ``end`` in order of time."""
         while self.events and self.events[0][0] <= end:
             self.now, _, callback = heapq.heappop(self.events)
             callback()
@@ -60,12 +64,12 @@
 
 
 BURSTS = (0.0, 16.0, 32.0, 64.0, 128.0)
-"""Calls by which a tenant may be served ahead of its share after idleness."""
+"""Calls by which a tenant may be served ahead of its share after being idle."""
 
 
 @dataclass
 class Service:
-    """Back ends with slots, fed by one queue."""
+    """Back ends with slots, served from one queue."""
 
     clock: VirtualTime
     queue: CallQueue
@@ -75,14 +79,14 @@
     served: dict[str, int] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
-        """Make the back ends."""
+        """Create the back ends."""
         self.backends = [
             BackendRecord(f"b{number}", "127.0.0.1", 1, "z", self.slots, self.slots)
             for number in range(self.backend_count)
         ]
 
     def submit(self, tenant: str, weight: int, shard: int, on_done: Callable[[], None]) -> None:
-        """Queue one call, or send it when there is room."""
+        """Send one call to a back end with a free slot, or queue it."""
         candidates = tuple(
             self.backends[(shard + step) % self.backend_count]
             for step in range(min(2, self.backend_count))
@@ -122,16 +126,16 @@
 
 
 def measure_shares(burst: float, seed: int) -> float:
-    """Return the largest relative error of the shares 1:2:4:8, all tenants backlogged 60 s."""
+    """Return the largest relative error of the shares 1:2:4:8, all tenants backlogged for 60 s."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
 
-    def keep_going(tenant: str, weight: int) -> None:
-        service.submit(tenant, weight, 0, lambda: keep_going(tenant, weight))
+    def resubmit(tenant: str, weight: int) -> None:
+        service.submit(tenant, weight, 0, lambda: resubmit(tenant, weight))
 
     for weight in SHARES:
         for _ in range(64):
-            keep_going(f"t{weight}", weight)
+            resubmit(f"t{weight}", weight)
     clock.run_until(60.0)
     total = sum(service.served.values())
     errors = [
@@ -142,16 +146,16 @@
 
 @dataclass
 class Isolation:
-    """Three light tenants' queries, beside a noisy tenant or without."""
+    """Queries of three light tenants, with or without a noisy tenant."""
 
     service: Service
-    arrivals: random.Random
-    noise: random.Random
+    light_arrivals: random.Random
+    noisy_arrivals: random.Random
     latencies: list[float] = field(default_factory=list)
-    noise_waiting: int = 0
+    noisy_waiting: int = 0
 
     def light_query(self, tenant: str) -> None:
-        """Ask one query of a light tenant and schedule its next."""
+        """Submit one query of a light tenant and schedule the next."""
         clock = self.service.clock
         started = clock.now
         left = FAN_OUT
@@ -164,25 +168,25 @@
 
         for shard in range(FAN_OUT):
             self.service.submit(tenant, 1, shard, done)
-        gap = self.arrivals.expovariate(LIGHT_QUERIES_PER_S)
+        gap = self.light_arrivals.expovariate(LIGHT_QUERIES_PER_S)
         clock.call_at(clock.now + gap, lambda: self.light_query(tenant))
 
     def noisy_query(self) -> None:
-        """Ask one query of the noisy tenant, unless its queue places are taken."""
+        """Submit one query of the noisy tenant, unless its queue is full, and schedule the next."""
         clock = self.service.clock
-        if self.noise_waiting < NOISY_QUEUE_PLACES:
+        if self.noisy_waiting < NOISY_QUEUE_PLACES:
             for shard in range(FAN_OUT):
-                self.noise_waiting += 1
+                self.noisy_waiting += 1
                 self.service.submit("noisy", 1, shard, self._noisy_done)
-        gap = self.noise.expovariate(NOISY_CALLS_PER_S / FAN_OUT)
+        gap = self.noisy_arrivals.expovariate(NOISY_CALLS_PER_S / FAN_OUT)
         clock.call_at(clock.now + gap, self.noisy_query)
 
     def _noisy_done(self) -> None:
-        self.noise_waiting -= 1
+        self.noisy_waiting -= 1
 
 
 def measure_isolation(burst: float, seed: int, *, noisy: bool) -> list[float]:
-    """Return the latencies of light tenants' queries over 60 s."""
+    """Return the latencies of the light tenants' queries over 60 s, in seconds."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed + 2000))
     isolation = Isolation(service, random.Random(seed), random.Random(seed + 1000))
@@ -196,28 +200,28 @@
 
 
 def measure_stall(burst: float, seed: int) -> float:
-    """Return the longest time without a call of a tenant, long alone, when an equal arrives."""
+    """Return the longest gap between a lone tenant's completions after an equal one arrives."""
     clock = VirtualTime()
     service = Service(clock, StartTimeFairQueue(clock.time, burst), random.Random(seed))
-    done_at: list[float] = []
+    completed_at: list[float] = []
 
-    def keep_going(tenant: str) -> None:
+    def resubmit(tenant: str) -> None:
         if tenant == "incumbent":
-            done_at.append(clock.now)
-        service.submit(tenant, 1, 0, lambda: keep_going(tenant))
+            completed_at.append(clock.now)
+        service.submit(tenant, 1, 0, lambda: resubmit(tenant))
 
     def arrive(tenant: str) -> None:
         for _ in range(64):
-            keep_going(tenant)
+            resubmit(tenant)
 
     arrive("incumbent")
     clock.call_at(5.0, lambda: arrive("newcomer"))
     clock.run_until(10.0)
-    return max(after - before for before, after in itertools.pairwise(done_at))
+    return max(after - before for before, after in itertools.pairwise(completed_at))
 
 
 def measure_cost(burst: float, tenants: int, backends: int) -> float:
-    """Return microseconds of one push and one pop, with eight calls waiting per tenant."""
+    """Return microseconds of one push and one pop, with eight calls queued per tenant."""
     queue = StartTimeFairQueue(lambda: 0.0, burst)
     records = [BackendRecord(f"b{n}", "127.0.0.1", 1, "z", 3, 3) for n in range(backends)]
 
@@ -240,24 +244,26 @@
 
 
 def quantile(values: list[float], share: float) -> float:
-    """Return a quantile by rank."""
+    """Return the quantile ``share`` of the values, by rank."""
     return sorted(values)[min(len(values) - 1, int(len(values) * share))]
 
 
 def main() -> None:
-    """Measure every burst."""
+    """Measure every burst size."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=5)
     seeds = range(parser.parse_args().seeds)
     results: dict[str, dict[str, float]] = {}
     for burst in BURSTS:
         alone = [measure_isolation(burst, seed, noisy=False) for seed in seeds]
-        beside = [measure_isolation(burst, seed, noisy=True) for seed in seeds]
-        ratios = [quantile(b, 0.99) / quantile(a, 0.99) for a, b in zip(alone, beside, strict=True)]
+        with_noise = [measure_isolation(burst, seed, noisy=True) for seed in seeds]
+        ratios = [
+            quantile(b, 0.99) / quantile(a, 0.99) for a, b in zip(alone, with_noise, strict=True)
+        ]
         results[f"{burst:g}"] = {
             "share_error": statistics.median(measure_shares(burst, seed) for seed in seeds),
             "alone_p99_ms": statistics.median(quantile(a, 0.99) * 1e3 for a in alone),
-            "beside_p99_ms": statistics.median(quantile(b, 0.99) * 1e3 for b in beside),
+            "beside_p99_ms": statistics.median(quantile(b, 0.99) * 1e3 for b in with_noise),
             "p99_ratio": statistics.median(ratios),
             "stall_ms": statistics.median(measure_stall(burst, seed) * 1e3 for seed in seeds),
             "us_8_tenants_4_backends": measure_cost(burst, 8, 4),
--- a/bench/key_lookup.py
+++ b/bench/key_lookup.py
@@ -1,6 +1,7 @@
-"""What it costs to know who asks: the look-up of a key, and taking it off a request.
+"""Cost of authenticating a request: look-up of its API key and removal of the credentials.
 
-``python -m bench.key_lookup`` prints microseconds a request, for 79 and 1,000 tenants of two keys.
+``python -m bench.key_lookup`` prints microseconds per request, for 79 and 1,000 tenants with two
+keys each.
 """
 
 from __future__ import annotations
@@ -15,21 +16,21 @@
 
 ROUNDS = 20_000
 REPEATS = 5
-FLEETS = (79, 1000)
+TENANT_COUNTS = (79, 1000)
 
 
-def ring_of(tenants: int) -> KeyRing:
-    """Return the keys of a configuration with some tenants."""
-    named = [
+def make_key_ring(tenants: int) -> KeyRing:
+    """Return the key ring of a configuration with ``tenants`` tenants."""
+    entries = [
         {"name": f"tenant-{number}", "api_keys": [f"{number:020d}", f"x{number:019d}"]}
         for number in range(tenants)
     ]
-    document = {"version": 1, "routes": [], "tenants": named}
+    document = {"version": 1, "routes": [], "tenants": entries}
     return KeyRing.of(decode_configuration(json.dumps(document).encode()))
 
 
-def request_of(key: str) -> HttpRequest:
-    """Return a request as clients send it."""
+def make_request(key: str) -> HttpRequest:
+    """Return a client request that carries ``key``."""
     headers = (
         (b"host", b"search.example"),
         (b"tinrudder-request-id", b"9c41d07be2a35f68"),
@@ -40,10 +41,10 @@
 
 
 def main() -> None:
-    """Measure."""
-    for tenants in FLEETS:
-        ring = ring_of(tenants)
-        request = request_of(f"{tenants // 2:020d}")
+    """Run the benchmark."""
+    for tenants in TENANT_COUNTS:
+        ring = make_key_ring(tenants)
+        request = make_request(f"{tenants // 2:020d}")
 
         def serve(ring: KeyRing = ring, request: HttpRequest = request) -> None:
             identity = ring.identify(request)
--- a/bench/relay_tls_cost.py
+++ b/bench/relay_tls_cost.py
@@ -1,7 +1,7 @@
-"""Processor time of one relayed query in clear and under mutual TLS, both ends together.
+"""Processor time of one relayed query without TLS and with mutual TLS, both ends together.
 
-The entry's client, the transport and the coordinator's server run in this process; the query
-itself is answered from memory, so what is left is what a relay adds.
+The entry node's client, the transport and the coordinator's server run in this process; the query
+is answered from memory, so the figures show the overhead of the relay alone.
 
     python -m bench.relay_tls_cost
 
@@ -32,8 +32,8 @@
 ROWS = 100
 ROW = b'{"row_id":"r","entity":"machine-0001","time":1.5,"value":"two hundred bytes"}' * 2
 TURNS = 9
-QUERIES_A_TURN = 200
-CONCURRENT = 8
+QUERIES_PER_TURN = 200
+CONCURRENCY = 8
 MICROSECONDS = 1e6
 
 
@@ -52,29 +52,29 @@
 
 
 async def measure(identity: Identity | None) -> float:
-    """Return microseconds of processor time a relayed query, the median over the turns."""
+    """Return the microseconds of processor time per relayed query, median over the turns."""
     loop = asyncio.get_running_loop()
-    serving = TcpPeerTransport(HOST, 0, identity)
-    channel = ChannelRouter(serving).channel(Channel.RELAY)
+    server_transport = TcpPeerTransport(HOST, 0, identity)
+    channel = ChannelRouter(server_transport).channel(Channel.RELAY)
     RelayServer(channel, loop, time.time, CannedRunner().run, lambda: True)
-    address = await serving.open()
-    asking = TcpPeerTransport(HOST, 0, identity)
-    client = RelayClient(ChannelRouter(asking).channel(Channel.RELAY), loop, time.time)
+    address = await server_transport.open()
+    client_transport = TcpPeerTransport(HOST, 0, identity)
+    client = RelayClient(ChannelRouter(client_transport).channel(Channel.RELAY), loop, time.time)
     turns = []
     for _ in range(TURNS):
         started = time.process_time()
-        await _ask_many(client, address)
-        turns.append((time.process_time() - started) / QUERIES_A_TURN * MICROSECONDS)
-    await asking.close()
-    await serving.close()
+        await _relay_many(client, address)
+        turns.append((time.process_time() - started) / QUERIES_PER_TURN * MICROSECONDS)
+    await client_transport.close()
+    await server_transport.close()
     return statistics.median(turns)
 
 
-async def _ask_many(client: RelayClient, address: PeerAddress) -> None:
+async def _relay_many(client: RelayClient, address: PeerAddress) -> None:
     loop = asyncio.get_running_loop()
 
-    async def ask() -> None:
-        for _ in range(QUERIES_A_TURN // CONCURRENT):
+    async def worker() -> None:
+        for _ in range(QUERIES_PER_TURN // CONCURRENCY):
             deadline = loop.time() + 5.0
             request = QueryRequest(
                 "query", "tenant", "index", "rule", {"entity": "x"}, "time", False, 100, deadline
@@ -82,11 +82,11 @@
             outcome = await client.run(address, request)
             assert isinstance(outcome, Complete)
 
-    await asyncio.gather(*(ask() for _ in range(CONCURRENT)))
+    await asyncio.gather(*(worker() for _ in range(CONCURRENCY)))
 
 
 def mutual_identity(directory: Path) -> Identity:
-    """Return an identity of an authority made up for this run."""
+    """Return an identity issued by a temporary certificate authority."""
     authority = trustme.CA()
     certificate = authority.issue_cert(HOST)
     files = TlsFiles(*(directory / name for name in ("cert.pem", "key.pem", "ca.pem")))
@@ -98,7 +98,7 @@
 
 
 def main() -> None:
-    """Measure in clear and under mutual TLS."""
+    """Measure without TLS and with mutual TLS."""
     with tempfile.TemporaryDirectory() as directory:
         identity = mutual_identity(Path(directory))
         clear_us = asyncio.run(measure(None))
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -1,9 +1,10 @@
-"""A service of four back ends that 113 gateways call, at loads up to four times what it can do.
+"""A service of four back ends, called by 113 gateways at loads up to four times its capacity.
 
     python -m bench.shared_service [--seeds 3] [--seconds 20]
 
-Virtual time on a plain model of back ends, network and clients; what gateways know, tell, admit and
-choose is the product's own code.  Prints a table, then one JSON object.
+Back ends, network and clients are simple models in virtual time; the gateways' observations, load
+reports, admission and choice of back ends are the product's code.  Prints a table, then one JSON
+array.
 """
 
 from __future__ import annotations
@@ -51,36 +52,36 @@
 
 BACKENDS = 4
 SLOTS = 4
-QUEUE_PLACES = 12
-"""Calls that wait at one back end at most; it turns further ones away."""
+QUEUE_CAPACITY = 12
+"""Most calls that queue at one back end; it sheds further ones."""
 WORK_S = 0.251
-"""How long a call holds a slot in the mean."""
+"""Mean time in seconds for which a call occupies a slot."""
 WORK_SIGMA = 0.5
-"""Spread of the logarithm of work."""
+"""Standard deviation of the logarithm of work."""
 OBJECTIVE_S = 0.908
 DEADLINE_S = 15.0
-ONE_WAY_S = 0.001
-"""What the way between a gateway and a back end takes."""
+ONE_WAY_DELAY_S = 0.001
+"""Network delay in seconds between a gateway and a back end or another gateway."""
 QUIET_S = 20.0
 QUIET_LOAD = 0.08
-"""Load of the first :data:`QUIET_S`, as a part of what the back ends can do."""
+"""Load during the first :data:`QUIET_S`, as a fraction of :data:`CAPACITY`."""
 CAPACITY = BACKENDS * SLOTS / WORK_S
-"""Calls a second that the back ends can do."""
+"""Calls per second that the back ends can complete."""
 LOADS = (0.08, 0.5, 1.0, 1.4, 2.0, 4.0)
-"""Calls that come, as a part of :data:`CAPACITY`."""
-MOST_SENDS = 4
-"""Calls of one request at most."""
-RETRY_PAUSE_S = 0.03
-"""Pause after a call that was turned away, times the calls of its request until then."""
+"""Offered loads, as fractions of :data:`CAPACITY`."""
+MAX_CALLS = 4
+"""Most calls for one try of a request."""
+RETRY_BACKOFF_S = 0.03
+"""Back-off in seconds after a shed call, multiplied by the calls made so far."""
 OWN_RETRY_AFTER_S = 0.1
-"""Wait that a pause is reckoned from where the budget allows no other call."""
+"""Expected wait in seconds that a refusal reports when the retry budget allows no further call."""
 ANSWER_MARGIN_S = 0.015
-"""How long before its objective an answer leaves."""
+"""Time in seconds before the objective at which an answer leaves."""
 
 
 @dataclass(eq=False)
 class Request:
-    """One request of a client, over both of its tries."""
+    """One client request, over both of its tries."""
 
     sent_at: float
     counted: bool
@@ -89,7 +90,7 @@
 
 @dataclass(eq=False)
 class ModelBackend:
-    """Slots and a queue, first in, first out."""
+    """Model of a back end: slots and a first-in, first-out queue."""
 
     clock: VirtualTime
     source: random.Random
@@ -98,8 +99,11 @@
     queue: deque[Callable[[], None]] = field(default_factory=deque)
 
     def arrive(self, answer: Callable[[tuple[int, int] | None], None]) -> bool:
-        """Run, queue or shed a call; ``answer`` gets running and waiting, ``None`` if shed."""
-        if len(self.queue) >= QUEUE_PLACES:
+        """Run, queue or shed a call.
+
+        :param answer: receives the running and the queued calls, or ``None`` if the call is shed.
+        """
+        if len(self.queue) >= QUEUE_CAPACITY:
             answer(None)
             return False
 
@@ -125,32 +129,32 @@
 
 @dataclass(eq=False)
 class ModelGateway:
-    """What one gateway knows, with the product's code for every decision."""
+    """State of one gateway, with the product's code for every decision."""
 
     fleet: Fleet
     budget: FleetRetryBudget
     pending: PendingNews
     unloaded: LatencyWindow = field(default_factory=LatencyWindow)
-    pressed_at: float = -MOST_AGE_S
+    pressure_at: float = -MOST_AGE_S
     timer_set: bool = False
 
     def __post_init__(self) -> None:
-        """Know every back end, and nothing of its load."""
-        self.known = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
+        """Create the observations of every back end, without any load."""
+        self.observations = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
         self.order = self.fleet.source.sample(range(BACKENDS), BACKENDS)
 
     def usual_s(self) -> float:
-        """Return how long calls work."""
+        """Return the usual service time of a call, in seconds."""
         if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
             return self.unloaded.quantile(0.5)
         guess_s = usual_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return work_s_of(self.known) or guess_s
+        return work_s_of(self.observations) or guess_s
 
     def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
-        """Judge a request."""
+        """Return the share of such requests to admit."""
         usual_s = self.usual_s()
         return judge(
-            self.known,
+            self.observations,
             now,
             usual_s,
             left_s,
@@ -160,56 +164,61 @@
         )
 
     def choose(self, now: float, avoided: set[int]) -> int:
-        """Choose a back end."""
+        """Return the index of the back end for the next call."""
         fresh = [index for index in range(BACKENDS) if index not in avoided]
         candidates: Sequence[int] = fresh or list(range(BACKENDS))
-        candidates = two_of(candidates, self.known.__getitem__, now, self.fleet.source)
+        candidates = two_of(candidates, self.observations.__getitem__, now, self.fleet.source)
         extra = {index: 0.0 for index in candidates}
         if len(candidates) == 2:
-            least_s = least_work_s(self.known)
-            extra = {index: extra_cost(self.known[index], least_s, now) for index in candidates}
+            least_s = least_work_s(self.observations)
+            extra = {
+                index: extra_cost(self.observations[index], least_s, now) for index in candidates
+            }
         return min(
             candidates,
-            key=lambda index: (self.known[index].cost(now) + extra[index], self.order[index]),
+            key=lambda index: (
+                self.observations[index].cost(now) + extra[index],
+                self.order[index],
+            ),
         )
 
-    def heard(self, index: int, waiting: int, *, shed: bool) -> None:
-        """Tell others of a back end that has just been heard, while there is pressure."""
+    def announce_load(self, index: int, waiting: int, *, shed: bool) -> None:
+        """Queue a back end's new load for the other gateways, if there was pressure recently."""
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
-            self.pressed_at = now
-        if now - self.pressed_at < MOST_AGE_S:
-            heard_at = self.known[index].reported_at
+            self.pressure_at = now
+        if now - self.pressure_at < MOST_AGE_S:
+            heard_at = self.observations[index].reported_at
             self.pending.note(Noted(index, shed, self.unloaded.quantile(0.5), heard_at))
-            self._tell_after(GATHER_S)
+            self._schedule_announcement(GATHER_S)
 
-    def _tell_after(self, seconds: float) -> None:
+    def _schedule_announcement(self, seconds: float) -> None:
         if not self.timer_set:
             self.timer_set = True
-            self.fleet.clock.call_at(self.fleet.clock.now + seconds, self._tell)
+            self.fleet.clock.call_at(self.fleet.clock.now + seconds, self._send_announcement)
 
-    def _tell(self) -> None:
+    def _send_announcement(self) -> None:
         self.timer_set = False
         now = self.fleet.clock.now
         peers = [one for one in self.fleet.gateways if one is not self]
-        told, copies = self.pending.take(now, len(peers))
-        loads = (tell_load(one, self.known[one.backend], now) for one in told)
-        news = tuple(one for one in loads if one is not None)
+        noted, copies = self.pending.take(now, len(peers))
+        loads = (tell_load(one, self.observations[one.backend], now) for one in noted)
+        reported_loads = tuple(one for one in loads if one is not None)
         self.fleet.count["copies"] += copies
-        self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(news))
+        self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(reported_loads))
         for peer in self.fleet.source.sample(peers, copies):
-            self.fleet.clock.call_at(now + ONE_WAY_S, partial(peer.take, news))
+            self.fleet.clock.call_at(now + ONE_WAY_DELAY_S, partial(peer.take, reported_loads))
         if self.pending:
-            self._tell_after(NEXT_S)
+            self._schedule_announcement(NEXT_S)
 
-    def take(self, news: tuple[ReportedLoad, ...]) -> None:
-        """Take what another gateway tells."""
+    def take(self, reported_loads: tuple[ReportedLoad, ...]) -> None:
+        """Apply the load reports of another gateway."""
         now = self.fleet.clock.now
-        for one in news:
+        for one in reported_loads:
             if one.is_credible:
-                take_load(one, self.known[one.backend], now)
+                take_load(one, self.observations[one.backend], now)
                 if one.is_long:
-                    self.pressed_at = max(self.pressed_at, now - one.age_s)
+                    self.pressure_at = max(self.pressure_at, now - one.age_s)
 
 
 @dataclass(eq=False)
@@ -227,7 +236,7 @@
     latencies: list[float] = field(default_factory=list)
 
     def __post_init__(self) -> None:
-        """Make everything."""
+        """Create back ends and gateways."""
         self.source = random.Random(self.seed)
         self.backends = [ModelBackend(self.clock, self.source) for _ in range(BACKENDS)]
         self.backends[0].slowdown = self.slowdown
@@ -237,20 +246,20 @@
         ]
 
     def run(self) -> dict[str, float]:
-        """Run a quiet time and the load, and return figures of the load."""
+        """Run a quiet period, then the load, and return the figures of the load."""
         self._next_arrival()
         self.clock.run_until(QUIET_S + self.seconds + DEADLINE_S)
-        asked = max(1, self.count["asked"])
+        requests = max(1, self.count["asked"])
         arrivals = max(1, self.count["arrivals"])
         gateway_s = self.size * self.seconds
         return {
             "in_time_per_s": self.count["in time"] / self.seconds,
-            "in_time": self.count["in time"] / asked,
-            "late": self.count["late"] / asked,
-            "refused": self.count["refused"] / asked,
-            "refused_twice": self.count["refused twice"] / asked,
+            "in_time": self.count["in time"] / requests,
+            "late": self.count["late"] / requests,
+            "refused": self.count["refused"] / requests,
+            "refused_twice": self.count["refused twice"] / requests,
             "shed": self.count["shed"] / arrivals,
-            "repeats": self.count["repeats"] / asked,
+            "repeats": self.count["repeats"] / requests,
             "median_s": statistics.median(self.latencies) if self.latencies else 0.0,
             "copies_per_s": self.count["copies"] / gateway_s,
             "bytes_per_s": self.count["bytes"] / gateway_s,
@@ -271,7 +280,7 @@
         self._next_arrival()
 
     def _enter(self, request: Request) -> None:
-        """Let a client try, at any gateway."""
+        """Let a client try a random gateway."""
         now = self.clock.now
         request.tries += 1
         gateway = self.source.choice(self.gateways)
@@ -287,7 +296,7 @@
         Call(self, gateway, request, now + left_s).send()
 
     def refuse(self, request: Request, judgement: AdmittedShare) -> None:
-        """Answer that a request has not run; its client comes back once."""
+        """Refuse a request; its client retries once."""
         now = self.clock.now
         left_s = request.sent_at + DEADLINE_S - now
         self.count["refused"] += request.counted
@@ -299,7 +308,7 @@
         self.clock.call_at(now + min(pause_s, left_s / 3), lambda: self._enter(request))
 
     def served(self, request: Request) -> None:
-        """Count an answer."""
+        """Record an answer."""
         took_s = self.clock.now - request.sent_at
         kind = "in time" if took_s <= self.objective_s else "late"
         self.count[kind] += request.counted
@@ -309,7 +318,7 @@
 
 @dataclass(eq=False)
 class Call:
-    """The tries of one request at one gateway."""
+    """The calls for one try of a request, at one gateway."""
 
     fleet: Fleet
     gateway: ModelGateway
@@ -319,7 +328,7 @@
     tries: int = 0
 
     def send(self) -> None:
-        """Send it to one back end."""
+        """Send the next call, or refuse the request if the retry budget is exhausted."""
         fleet, gateway = self.fleet, self.gateway
         now = fleet.clock.now
         if self.tries and not gateway.budget.may_repeat(now, fleet.size, hedge=False):
@@ -329,52 +338,52 @@
         self.tries += 1
         index = gateway.choose(now, self.avoided)
         self.avoided.add(index)
-        running = gateway.known[index].begin(now, gateway.usual_s())
+        running = gateway.observations[index].begin(now, gateway.usual_s())
 
         def answer(load: tuple[int, int] | None) -> None:
             fleet.clock.call_at(
-                fleet.clock.now + ONE_WAY_S, lambda: self._end(index, running, load)
+                fleet.clock.now + ONE_WAY_DELAY_S, lambda: self._end(index, running, load)
             )
 
         def arrive() -> None:
             fleet.count["arrivals"] += self.request.counted
             fleet.backends[index].arrive(answer)
 
-        fleet.clock.call_at(now + ONE_WAY_S, arrive)
+        fleet.clock.call_at(now + ONE_WAY_DELAY_S, arrive)
 
     def _end(self, index: int, running: RunningCall, load: tuple[int, int] | None) -> None:
         fleet, gateway = self.fleet, self.gateway
         now = fleet.clock.now
-        known = gateway.known[index]
+        observations = gateway.observations[index]
         if load is None:
             fleet.count["shed"] += self.request.counted
-            known.failed(running, now)
-            if known.shed(now):
-                gateway.heard(index, 0, shed=True)
+            observations.failed(running, now)
+            if observations.shed(now):
+                gateway.announce_load(index, 0, shed=True)
             self._rejected(now)
             return
         busy, waiting = load
         latency_s = now - running.sent_at
-        known.reported(busy, waiting, SLOTS, now)
+        observations.reported(busy, waiting, SLOTS, now)
         if not waiting:
             gateway.unloaded.observe(latency_s)
-            known.worked(latency_s)
-        known.answered(running, now)
-        gateway.heard(index, waiting, shed=False)
+            observations.worked(latency_s)
+        observations.answered(running, now)
+        gateway.announce_load(index, waiting, shed=False)
         fleet.served(self.request)
 
     def _rejected(self, now: float) -> None:
         fleet, gateway = self.fleet, self.gateway
         usual_s = gateway.usual_s()
         left_s = self.objective_at - now
-        room = has_room(gateway.known, now, usual_s, left_s)
-        if not room or self.tries >= MOST_SENDS:
+        room = has_room(gateway.observations, now, usual_s, left_s)
+        if not room or self.tries >= MAX_CALLS:
             judgement = gateway.judge(now, left_s, returning=True, late=False)
             fleet.refuse(self.request, judgement)
         elif self.tries < 2:
             self.send()
         else:
-            fleet.clock.call_at(now + RETRY_PAUSE_S * self.tries, self.send)
+            fleet.clock.call_at(now + RETRY_BACKOFF_S * self.tries, self.send)
 
 
 def main() -> None:
@@ -384,7 +393,12 @@
     parser.add_argument("--seconds", type=float, default=20.0)
     parser.add_argument("--size", type=int, default=113)
     parser.add_argument("--objective", type=float, default=OBJECTIVE_S)
-    parser.add_argument("--slowdown", type=float, default=1.0, help="of the first back end")
+    parser.add_argument(
+        "--slowdown",
+        type=float,
+        default=1.0,
+        help="factor by which work takes longer at the first back end",
+    )
     arguments = parser.parse_args()
     results = []
     print(f"{arguments.size} gateways, {CAPACITY:.1f} requests a second can be done")
--- a/bench/state_slopes.py
+++ b/bench/state_slopes.py
@@ -1,8 +1,8 @@
-"""How a node's state grows: memory and processor time of the configuration, by back ends.
+"""Memory and processor time of a node's configuration, by number of back ends.
 
-``python -m bench.state_slopes`` builds configurations shaped like the plan (services of 132 back
-ends, one index of 130 shards with two replicas, two versions), takes each in, and fits lines.
-Memory is what tracemalloc counts; times are processor time of this process.
+``python -m bench.state_slopes`` builds configurations of the planned shape (services of 132 back
+ends, one index of 130 shards with two replicas, two versions), applies each, and fits lines.
+Memory is counted by tracemalloc; times are processor time of this process.
 """
 
 from __future__ import annotations
@@ -40,13 +40,13 @@
 VERSIONS_PER_INDEX = 2
 TENANTS_PER_SERVICE = 10
 SERVICE_COUNTS = (4, 9, 18, 35)
-PLAN_BACKENDS = 4600
-USUAL_SLOTS = 5
+PLANNED_BACKENDS = 4600
+DEFAULT_SLOTS = 5
 
 
 @dataclass(frozen=True, slots=True)
 class Point:
-    """Measurements at one size; bytes and processor seconds."""
+    """Measurements at one size: bytes, and seconds of processor time."""
 
     backends: int
     document_bytes: int
@@ -75,23 +75,25 @@
 
 def _service_resources(number: int) -> list[RawResource]:
     service = f"service-{number}"
-    tenants = tuple(f"tenant-{number}-{which}" for which in range(TENANTS_PER_SERVICE))
-    names = [f"{service}-backend-{which}" for which in range(BACKENDS_PER_SERVICE)]
+    tenants = tuple(f"tenant-{number}-{position}" for position in range(TENANTS_PER_SERVICE))
+    names = [f"{service}-backend-{position}" for position in range(BACKENDS_PER_SERVICE)]
     resources = [_raw(Kind.TENANT, tenant, TenantSpec()) for tenant in tenants]
     resources.append(_raw(Kind.SERVICE, service, ServiceSpec(region="region-0", tenants=tenants)))
-    for which, name in enumerate(names):
-        resources.append(_raw(Kind.BACKEND, name, _backend(service, number, which, USUAL_SLOTS)))
+    for position, name in enumerate(names):
+        resources.append(
+            _raw(Kind.BACKEND, name, _backend(service, number, position, DEFAULT_SLOTS))
+        )
     resources.append(_raw(Kind.INDEX, f"{service}.index", _index(service, names)))
     resources.append(_raw(Kind.QUERY_RULE, service, QueryRuleSpec(service=service)))
     return resources
 
 
-def _backend(service: str, number: int, which: int, slots: int) -> BackendSpec:
+def _backend(service: str, number: int, position: int, slots: int) -> BackendSpec:
     return BackendSpec(
         service=service,
-        host=f"10.{number}.0.{which + 1}",
+        host=f"10.{number}.0.{position + 1}",
         port=8000,
-        zone=f"zone-{which % 7}",
+        zone=f"zone-{position % 7}",
         slots=slots,
     )
 
@@ -113,12 +115,12 @@
 
 
 def _traced(build: Callable[[], Any]) -> tuple[Any, int]:
-    """Return what ``build`` makes and how many bytes stay allocated for it."""
+    """Return the result of ``build`` and the bytes that stay allocated for it."""
     gc.collect()
     before = tracemalloc.get_traced_memory()[0]
-    made = build()
+    result = build()
     gc.collect()
-    return made, tracemalloc.get_traced_memory()[0] - before
+    return result, tracemalloc.get_traced_memory()[0] - before
 
 
 def _timed(action: Callable[[], object]) -> float:
@@ -128,9 +130,9 @@
 
 
 def measure(services: int) -> Point:
-    """Measure one size: time without tracing, then memory with it."""
-    encoded = msgspec.json.encode(build_document(services, 1, USUAL_SLOTS))
-    changed = build_document(services, 2, USUAL_SLOTS + 1)
+    """Measure one size: times without tracing of memory, then memory."""
+    encoded = msgspec.json.encode(build_document(services, 1, DEFAULT_SLOTS))
+    changed = build_document(services, 2, DEFAULT_SLOTS + 1)
     document = msgspec.json.decode(encoded, type=ResourceDocument)
     store = ConfigurationStore()
     accept_s = _timed(lambda: store.offer(document))
@@ -163,7 +165,7 @@
 
 
 class SlopeReport(msgspec.Struct, frozen=True):
-    """A line per measured quantity, and its value at the plan's number of back ends."""
+    """Fitted line of each measured quantity, and its value at the planned number of back ends."""
 
     lines: dict[str, Slope]
     at_plan: dict[str, float]
@@ -177,7 +179,7 @@
     units = [float(point.backends) for point in points]
     quantities = [name for name in Point.__slots__ if name != "backends"]
     lines = {name: fit(units, [float(getattr(p, name)) for p in points]) for name in quantities}
-    at_plan = {name: round(line.at(PLAN_BACKENDS), 4) for name, line in lines.items()}
+    at_plan = {name: round(line.at(PLANNED_BACKENDS), 4) for name, line in lines.items()}
     print(msgspec.json.encode(SlopeReport(lines, at_plan)).decode())
     return 0
 
--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -1,9 +1,9 @@
-"""Seconds until a confirmed change is in force on the last gateway, for each way to miss it.
+"""Seconds until a confirmed change is in force on every gateway, by fault that delays it.
 
     python -m bench.unheard_changes [GATEWAYS ...]
 
-Runs emulated sites in virtual time.  The change is confirmed 0.1 s after the trouble began, and all
-watches began 1.1 s before it: none is about to end by itself.
+Runs emulated sites in virtual time.  The change is confirmed 0.1 s after the fault begins.  All
+watches begin 1.1 s before the change, so that none is about to end by itself.
 """
 
 from __future__ import annotations
@@ -21,41 +21,42 @@
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 from tinrudder_lab.emulator.store import StoreMode
 
-Trouble = Callable[[EmulatedSite], None]
-SETTLED_S = 6.0
-FLEETS = (7, 28, 60)
+Fault = Callable[[EmulatedSite], None]
+SETTLE_S = 6.0
+GATEWAY_COUNTS = (7, 28, 60)
 ZONES = ("zone-a", "zone-b", "zone-c")
-AWAY_S = 3.0
-CALM_S = 60.0
+UNAVAILABLE_S = 3.0
+IDLE_S = 60.0
+"""Seconds for which the calls to an unchanged store are counted."""
 
 
 def nothing(site: EmulatedSite) -> None:
-    """Let the path be whole."""
+    """Cause no fault."""
 
 
 def silent_to_followers(site: EmulatedSite) -> None:
-    """Let the store answer those no more that have a watch open."""
+    """Let the store stop answering the machines that have an open watch."""
     site.store.set_mode(StoreMode.SILENT, *site.store.watching_ports())
 
 
 def refuses_followers(site: EmulatedSite) -> None:
-    """Let the store refuse those that have a watch open, and cut their connections."""
+    """Let the store reset the connections of the machines that have an open watch."""
     site.store.set_mode(StoreMode.RESETTING, *site.store.watching_ports())
 
 
 def deaf_watches(site: EmulatedSite) -> None:
-    """Let all watches of those that have one open tell nothing more."""
+    """Let the store send no events to the machines that have an open watch."""
     site.store.set_mode(StoreMode.DEAF, *site.store.watching_ports())
 
 
 def forgets_behind_silence(site: EmulatedSite) -> None:
-    """Let connections fall silent, and the store forget its history behind them."""
+    """Silence the store's connections, and drop the store's history."""
     silence_store(site)
     site.store.forget_history()
 
 
 def first_reader_dies(site: EmulatedSite) -> None:
-    """Let connections fall silent, and kill the gateway whose turn it is to find out."""
+    """Silence the store's connections, and kill the gateway that is the first reader."""
     silence_store(site)
     for node in site.nodes:
         if node.gateway is not None and node.gateway.store.readers.place() == 0:
@@ -63,18 +64,18 @@
 
 
 def away(site: EmulatedSite) -> None:
-    """Let the store be silent to all for a while, new connections too."""
+    """Let the store answer nobody for ``UNAVAILABLE_S`` seconds, also on new connections."""
     site.store.set_mode(StoreMode.SILENT)
-    site.loop.call_later(AWAY_S, site.store.set_mode, StoreMode.SERVING)
+    site.loop.call_later(UNAVAILABLE_S, site.store.set_mode, StoreMode.SERVING)
 
 
 def slow(site: EmulatedSite) -> None:
-    """Let the store be sixty times slower, behind silent connections."""
+    """Silence the store's connections, and make the store sixty times slower."""
     silence_store(site)
     site.store.set_mode(StoreMode.SLOW)
 
 
-TROUBLES: tuple[Trouble, ...] = (
+FAULTS: tuple[Fault, ...] = (
     nothing,
     silence_store,
     silence_peers,
@@ -89,14 +90,14 @@
 )
 
 
-def seconds_in_force(trouble: Trouble, gateways: int) -> float:
-    """Return the seconds until a change is in force on the last gateway."""
+def seconds_in_force(fault: Fault, gateways: int) -> float:
+    """Return the seconds until a change is in force on every gateway."""
 
     async def scenario(site: EmulatedSite) -> float:
-        await asyncio.sleep(SETTLED_S)
+        await asyncio.sleep(SETTLE_S)
         site.configure()
         await asyncio.sleep(1.0)
-        trouble(site)
+        fault(site)
         await asyncio.sleep(0.1)
         site.configure()
         return await in_force_after(site)
@@ -104,28 +105,28 @@
     return run_site(scenario, node_count=gateways, zones=ZONES)
 
 
-def calm_calls_per_second(gateways: int) -> float:
-    """Return what all gateways together ask of a store without news."""
+def idle_calls_per_second(gateways: int) -> float:
+    """Return the calls per second of all gateways to a store without changes."""
 
     async def scenario(site: EmulatedSite) -> float:
         await asyncio.sleep(15.0)
         before = site.store.calls
-        await asyncio.sleep(CALM_S)
-        return (site.store.calls - before) / CALM_S
+        await asyncio.sleep(IDLE_S)
+        return (site.store.calls - before) / IDLE_S
 
     return run_site(scenario, node_count=gateways, zones=ZONES)
 
 
 def main() -> None:
     """Print the table."""
-    fleets = [int(one) for one in sys.argv[1:]] or list(FLEETS)
-    print("| | " + " | ".join(f"{one} gateways" for one in fleets) + " |")
-    print("|---|" + "---|" * len(fleets))
-    for trouble in TROUBLES:
-        name = trouble.__name__.replace("_", " ")
-        cells = (f"{seconds_in_force(trouble, one):.2f}" for one in fleets)
+    gateway_counts = [int(one) for one in sys.argv[1:]] or list(GATEWAY_COUNTS)
+    print("| | " + " | ".join(f"{one} gateways" for one in gateway_counts) + " |")
+    print("|---|" + "---|" * len(gateway_counts))
+    for fault in FAULTS:
+        name = fault.__name__.replace("_", " ")
+        cells = (f"{seconds_in_force(fault, one):.2f}" for one in gateway_counts)
         print(f"| {name} | " + " | ".join(cells) + " |", flush=True)
-    cells = (f"{calm_calls_per_second(one):.2f}" for one in fleets)
+    cells = (f"{idle_calls_per_second(one):.2f}" for one in gateway_counts)
     print("| calls of a calm store a second | " + " | ".join(cells) + " |")
 
 
--- a/tests/support/asgi.py
+++ b/tests/support/asgi.py
@@ -11,7 +11,7 @@
 
 @dataclass
 class AsgiResponse:
-    """What an application answered so far."""
+    """The part of the response that the application has sent so far."""
 
     status: int = 0
     headers: dict[str, str] = field(default_factory=dict)
@@ -26,14 +26,14 @@
 
 @dataclass
 class AsgiCall:
-    """One request, which may be left running to read a stream."""
+    """One request, which may still be running, for example while a stream is read."""
 
     task: asyncio.Task[None]
     response: AsgiResponse
-    gone: asyncio.Event
+    disconnected: asyncio.Event
 
     async def disconnect(self) -> AsgiResponse:
-        self.gone.set()
+        self.disconnected.set()
         await asyncio.wait_for(self.task, 5)
         return self.response
 
@@ -41,7 +41,7 @@
 def start(
     app: ASGIApp, method: str, target: str, authorization: str = "", body: bytes = b""
 ) -> AsgiCall:
-    """Begin a request."""
+    """Start a request."""
     path, _, query = target.partition("?")
     headers = [(b"authorization", authorization.encode())] if authorization else []
     scope = {
@@ -59,18 +59,18 @@
         "server": ("127.0.0.1", 80),
     }
     response = AsgiResponse()
-    gone = asyncio.Event()
+    disconnected = asyncio.Event()
     requests: list[Message] = [{"type": "http.request", "body": body, "more_body": False}]
 
     async def receive() -> Message:
         if requests:
             return requests.pop()
-        await gone.wait()
+        await disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def send(message: Message) -> None:
-        if gone.is_set():
-            raise OSError("the client went away")
+        if disconnected.is_set():
+            raise OSError("client disconnected")
         if message["type"] == "http.response.start":
             response.status = message["status"]
             pairs = ((name.decode(), value.decode()) for name, value in message["headers"])
@@ -82,16 +82,16 @@
         try:
             await app(scope, receive, send)
         except Exception:
-            if not gone.is_set():
+            if not disconnected.is_set():
                 raise
 
-    return AsgiCall(asyncio.create_task(run()), response, gone)
+    return AsgiCall(asyncio.create_task(run()), response, disconnected)
 
 
 async def call(
     app: ASGIApp, method: str, target: str, authorization: str = "", body: bytes = b""
 ) -> AsgiResponse:
-    """Run a request to its end."""
+    """Run a request to completion."""
     started = start(app, method, target, authorization, body)
     await asyncio.wait_for(started.task, 5)
     return started.response
--- a/tests/support/virtual_caller.py
+++ b/tests/support/virtual_caller.py
@@ -1,4 +1,4 @@
-"""Calls an ASGI application under virtual time, with full control of what the caller does."""
+"""ASGI client in virtual time; the test controls its pace and its disconnects."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 import msgspec
 from starlette.types import ASGIApp, Message
 
-FAR_AWAY_S = 10_000.0
+NEVER_S = 10_000.0
 Result = TypeVar("Result")
 
 
 def run_virtual(scenario: Coroutine[object, object, Result]) -> Result:
-    """Run a coroutine on a loop whose time moves only when nothing else can."""
+    """Run a coroutine on an event loop whose clock advances only when no callback is ready."""
     loop = async_solipsism.EventLoop()
     try:
         return loop.run_until_complete(scenario)
@@ -26,11 +26,12 @@
 
 @dataclass
 class FakeCaller:
-    """One request of a caller and what it got.
+    """One client request and its response.
 
-    :param parts: the body as it arrives; seconds between the parts in ``part_gap_s``.
-    :param leaves_at: virtual seconds after which the caller closes its connection.
-    :param read_gap_s: how long the caller takes to read each piece of the answer.
+    :param parts: parts of the request body, sent ``part_gap_s`` seconds apart.
+    :param cut_off: whether the client disconnects before the body is complete.
+    :param leaves_at: virtual seconds after which the client closes its connection.
+    :param read_gap_s: seconds that the client takes to read each piece of the response.
     """
 
     path: str = "/v1/query"
@@ -40,7 +41,7 @@
     parts: list[bytes] = field(default_factory=list)
     part_gap_s: float = 0.0
     cut_off: bool = False
-    leaves_at: float = FAR_AWAY_S
+    leaves_at: float = NEVER_S
     read_gap_s: float = 0.0
     host: str = "127.0.0.1"
     status: int = 0
@@ -49,9 +50,9 @@
     ended: bool = False
 
     async def call(self, app: ASGIApp) -> FakeCaller:
-        """Send the request and read the answer."""
+        """Send the request and read the response."""
         self._loop = asyncio.get_running_loop()
-        self._began = self._loop.time()
+        self._started_at = self._loop.time()
         self._next_part = 0
         headers = dict(self.headers)
         if self.authorization is not None:
@@ -78,7 +79,7 @@
             more = number + 1 < len(self.parts) or self.cut_off
             return {"type": "http.request", "body": body, "more_body": more}
         if not self.cut_off:
-            await asyncio.sleep(self._began + self.leaves_at - self._loop.time())
+            await asyncio.sleep(self._started_at + self.leaves_at - self._loop.time())
         return {"type": "http.disconnect"}
 
     async def _send(self, message: Message) -> None:
@@ -92,10 +93,10 @@
 
     @property
     def json(self) -> dict[str, object]:
-        """Return the answer's body."""
+        """Return the decoded response body."""
         return msgspec.json.decode(b"".join(self.pieces))
 
     @property
     def lines(self) -> list[dict[str, object]]:
-        """Return a stream's lines."""
+        """Return the decoded lines of a streamed response."""
         return [msgspec.json.decode(line) for line in b"".join(self.pieces).splitlines()]
--- a/tests/unit/test_docs.py
+++ b/tests/unit/test_docs.py
@@ -1,4 +1,4 @@
-"""What pages name exists: modules, tests, log events, metrics, constants, other pages."""
+"""Everything that pages name exists: modules, tests, log events, metrics, constants, pages."""
 
 from __future__ import annotations
 
@@ -16,17 +16,17 @@
 ROOT = Path(__file__).parents[2]
 DOCS = ROOT / "docs"
 RECORDS = DOCS / "records"
-"""Records name what there was when they were written."""
+"""Records are not checked: they name what existed when they were written."""
 PAGES = [
     ROOT / "README.md",
     *sorted(page for page in DOCS.rglob("*.md") if not page.is_relative_to(RECORDS)),
 ]
 ARCHITECTURE = DOCS / "ARCHITECTURE.md"
 RENAMES = DOCS / "NAMES.md"
-"""Has old names beside new ones."""
+"""Not checked for paths and tests: lists old names beside new ones."""
 LOGGING_CALLS = frozenset(("log_event", "log_problem", "log", "_log"))
 LINES_DROPPED = "log_lines_dropped"
-"""Written past the functions that log, since it tells of their lines."""
+"""Written by the log stream, not by a logging function: reports the lines it dropped."""
 BASES = (ROOT, ROOT / "tinrudder", ROOT / "tinrudder_lab")
 FOLDERS = frozenset(
     path.name for base in BASES for path in base.iterdir() if path.is_dir() and path.name[0] != "."
@@ -34,7 +34,7 @@
 CODE = re.compile(r"`([^`\n]+)`")
 LINK = re.compile(r"\]\(([^()\s]+)\)")
 PATH = re.compile(r"[\w-]+(?:/[\w.-]+)*/?")
-FENCED = re.compile(r"^( {4}|```)")
+CODE_LINE = re.compile(r"^( {4}|```)")
 
 
 def page_id(page: Path) -> str:
@@ -42,12 +42,12 @@
 
 
 def prose(page: Path) -> str:
-    """Return a page without its examples."""
-    return "\n".join(line for line in page.read_text().splitlines() if not FENCED.match(line))
+    """Return a page without indented lines and code fences."""
+    return "\n".join(line for line in page.read_text().splitlines() if not CODE_LINE.match(line))
 
 
-def quoted(page: Path) -> set[str]:
-    """Return what stands between backticks."""
+def quoted_texts(page: Path) -> set[str]:
+    """Return the texts between backticks."""
     return set(CODE.findall(prose(page)))
 
 
@@ -58,7 +58,7 @@
 
 @cache
 def log_events() -> frozenset[str]:
-    """Return the first argument of every call that logs."""
+    """Return the event names in the first arguments of all logging calls."""
     return frozenset(_logged()) | {LINES_DROPPED}
 
 
@@ -76,7 +76,7 @@
 
 @cache
 def metric_names() -> frozenset[str]:
-    """Return what a scrape of a gateway shows."""
+    """Return the metric families of a gateway's scrape."""
 
     async def scenario(site: EmulatedSite) -> bytes:
         gateway = site.nodes[0].gateway
@@ -92,7 +92,7 @@
 
 @cache
 def defined_names() -> frozenset[str]:
-    """Return the names of the classes and constants of modules."""
+    """Return the names of all classes and constants at module level."""
     names: set[str] = set()
     for tree in syntax_trees():
         for node in tree.body:
@@ -118,16 +118,16 @@
 
 
 def is_path(text: str) -> bool:
-    """Tell whether a quoted text names a file or folder of the repository."""
+    """Return whether a quoted text names a file or folder of the repository."""
     if PATH.fullmatch(text) is None:
         return False
     return text.endswith(".py") or ("/" in text and text.split("/")[0] in FOLDERS)
 
 
 def exists(text: str) -> bool:
-    """Tell whether a path exists, of which the package and ``.py`` may be left out.
+    """Return whether a path exists; the package and ``.py`` may be omitted.
 
-    A page that is about one folder may name its modules without the folder.
+    A page about one folder may name its modules without the folder.
     """
     if "/" not in text:
         return text in module_names()
@@ -151,17 +151,17 @@
 
 @pytest.mark.parametrize("page", [one for one in PAGES if one != RENAMES], ids=page_id)
 def test_every_path_that_a_page_names_exists(page: Path) -> None:
-    assert sorted(one for one in quoted(page) if is_path(one) and not exists(one)) == []
+    assert sorted(one for one in quoted_texts(page) if is_path(one) and not exists(one)) == []
 
 
 @pytest.mark.parametrize("page", [one for one in PAGES if one != RENAMES], ids=page_id)
 def test_every_test_that_a_page_names_exists(page: Path) -> None:
-    named = {one for one in quoted(page) if re.fullmatch(r"test_\w+", one)}
+    named = {one for one in quoted_texts(page) if re.fullmatch(r"test_\w+", one)}
     assert named - names_of_tests() == set()
 
 
 def test_every_log_event_of_the_architecture_exists() -> None:
-    words = {one for one in quoted(ARCHITECTURE) if re.fullmatch(r"[a-z]+(_[a-z]+)*", one)}
+    words = {one for one in quoted_texts(ARCHITECTURE) if re.fullmatch(r"[a-z]+(_[a-z]+)*", one)}
     adapter = "".join(path.read_text() for path in (ROOT / "tinrudder/platform").glob("*.py"))
     settings = {one for one in words if re.search(rf"^    {one}: ", adapter, re.MULTILINE)}
     metrics = {one for one in words if one.startswith("tinrudder_gateway_")}
@@ -175,7 +175,7 @@
 def test_every_metric_of_the_gateway_that_a_page_names_exists(page: Path) -> None:
     named = set(re.findall(r"\btinrudder_gateway_\w+", page.read_text()))
     assert named
-    # A counter's family may be told with or without the ending of its samples.
+    # A page may name a counter with or without the ``_total`` suffix of its samples.
     shown = metric_names()
     assert {one for one in named if one not in shown and f"{one}_total" not in shown} == set()
 
@@ -192,7 +192,7 @@
 def test_every_class_and_constant_of_the_architecture_exists() -> None:
     named = {
         one
-        for one in quoted(ARCHITECTURE)
+        for one in quoted_texts(ARCHITECTURE)
         if re.fullmatch(r"[A-Z][A-Z0-9]*(_[A-Z0-9]+)+|([A-Z][a-z0-9]+){2,}", one)
     }
     assert named - defined_names() == set()
@@ -200,4 +200,4 @@
 
 def test_the_log_events_of_the_gateway_are_told_to_operators() -> None:
     gateway = {value for value in log_events() if re.fullmatch(r"[a-z]+(_[a-z]+)+", value)}
-    assert gateway - quoted(DOCS / "OPERATIONS.md") == set()
+    assert gateway - quoted_texts(DOCS / "OPERATIONS.md") == set()
