--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -22,15 +22,15 @@
 from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import (
     AdmittedShare,
+    draw_candidates,
     extra_cost,
     has_room,
     judge,
-    least_work_s,
-    two_of,
-    work_s_of,
+    mean_work_s,
+    min_work_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
-from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
+from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, typical_latency_s
 from tinrudder.gateway.decisions.fleet.load_news import (
     DATAGRAM_BYTES,
     GATHER_S,
@@ -143,8 +143,8 @@
         """Return how long calls work."""
         if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
             return self.unloaded.quantile(0.5)
-        guess_s = usual_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return work_s_of(self.known) or guess_s
+        guess_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
+        return mean_work_s(self.known) or guess_s
 
     def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
         """Judge a request."""
@@ -163,10 +163,10 @@
         """Choose a back end."""
         fresh = [index for index in range(BACKENDS) if index not in avoided]
         candidates: Sequence[int] = fresh or list(range(BACKENDS))
-        candidates = two_of(candidates, self.known.__getitem__, now, self.fleet.source)
+        candidates = draw_candidates(candidates, self.known.__getitem__, now, self.fleet.source)
         extra = {index: 0.0 for index in candidates}
         if len(candidates) == 2:
-            least_s = least_work_s(self.known)
+            least_s = min_work_s(self.known)
             extra = {index: extra_cost(self.known[index], least_s, now) for index in candidates}
         return min(
             candidates,
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -27,8 +27,8 @@
 
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
-from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
-from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
+from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, typical_latency_s
+from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeAges
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
     RunningCall,
@@ -224,7 +224,7 @@
             [BackendObservations(slots=SLOTS) for _ in range(REPLICAS)] for _ in range(SHARDS)
         ]
         self.latencies = {kind.name: LatencyWindow() for kind in load.kinds}
-        self.hedges = {name: HedgeMoments(window) for name, window in self.latencies.items()}
+        self.hedges = {name: HedgeAges(window) for name, window in self.latencies.items()}
         self.budgets = [
             FleetRetryBudget(BUDGET_RATIO, load.extra, BUDGET_WINDOW_S, -BUDGET_WINDOW_S)
             for _ in range(SHARDS)
@@ -263,7 +263,7 @@
         if any(is_slow(seen.expected_relative_latency(now)) for seen in local):
             return LEAST_ADVANTAGE
         window = caller.latencies[kind.name]
-        usual_s = usual_latency_s(window, kind.objective_s)
+        usual_s = typical_latency_s(window, kind.objective_s)
         hedged_s = hedge_delay_s(window, kind.objective_s, budget_fill=1.0)
         return zone_advantage(usual_s, hedged_s, kind.objective_s)
 
@@ -271,11 +271,11 @@
         """Return when a call that is sent now is hedged."""
         caller, kind = shard.scatter.caller, shard.scatter.kind
         fill = caller.fill(shard.number, now)
-        moments = caller.hedges[kind.name]
+        hedge_ages = caller.hedges[kind.name]
         overdue_at = now + hedge_delay_s(caller.latencies[kind.name], kind.objective_s, fill)
-        if not moments.is_known:
+        if not hedge_ages.is_known:
             return overdue_at
-        age_s = moments.age_s(shard.scatter.leaves_at - now, fill)
+        age_s = hedge_ages.age_s(shard.scatter.leaves_at - now, fill)
         return math.inf if age_s is None else min(overdue_at, now + age_s)
 
 
@@ -387,7 +387,7 @@
         across = chosen != caller.zone
         scatter.across += across
         path_s = ACROSS_S if across else IN_ZONE_S
-        usual_s = usual_latency_s(caller.latencies[kind.name], kind.objective_s)
+        usual_s = typical_latency_s(caller.latencies[kind.name], kind.objective_s)
         running = caller.seen[shard.number][chosen].begin(self.now, usual_s)
         call = Call(shard, chosen, running)
         end = replica.run(self.now + path_s, self._work_s(kind))
--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -9,7 +9,7 @@
 
 from tests.support.many_gateways import SETTLED_S, run_many
 from tinrudder.common.address import Address
-from tinrudder.gateway.decisions.admission.token_buckets import RETURN_SPREAD_S
+from tinrudder.gateway.decisions.admission.token_buckets import RETRY_SPREAD_S
 from tinrudder.gateway.gateway import Gateway
 from tinrudder.gateway.model.configuration import QuotaBounds
 from tinrudder_lab.emulator.client import ClientResult
@@ -105,8 +105,8 @@
         refusals = [one for one in answers if one.status == 429]
         assert len(refusals) >= 6
         waits = {round(float(one.headers["retry-after"]), 1) for one in refusals}
-        assert len(waits) >= RETURN_SPREAD_S * RATE
-        assert max(waits) - min(waits) >= 0.8 * RETURN_SPREAD_S
+        assert len(waits) >= RETRY_SPREAD_S * RATE
+        assert max(waits) - min(waits) >= 0.8 * RETRY_SPREAD_S
         assert all(one.ended_at - one.sent_at < 0.05 for one in refusals)
         ran = {arrival.request_id for arrival in site.ledger.arrivals}
         assert not any(one.request_id in ran for one in refusals)
--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -18,7 +18,7 @@
     play,
 )
 from tinrudder.common.latency_window import LatencyWindow
-from tinrudder.gateway.decisions.attempts.hedge_gain import MIN_OBSERVATIONS, HedgeMoments
+from tinrudder.gateway.decisions.attempts.hedge_gain import MIN_OBSERVATIONS, HedgeAges
 from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
 
 LENGTH_S = 14.0
@@ -64,7 +64,7 @@
 def test_a_hedge_leaves_while_its_answer_can_be_in_time() -> None:
     """One of 25 calls pauses; the others take 10 to 20 ms."""
     latencies = [0.2 if number % 25 == 0 else 0.010 + number % 10 * 0.001 for number in range(1000)]
-    hedge_ages = HedgeMoments(seen(latencies))
+    hedge_ages = HedgeAges(seen(latencies))
     for left_s in (0.040, 0.063, 0.1):
         age_s = hedge_ages.age_s(left_s, budget_fill=1.0)
         assert age_s is not None
@@ -72,7 +72,7 @@
 
 
 def test_a_hedge_that_cannot_be_in_time_is_not_sent() -> None:
-    hedge_ages = HedgeMoments(seen([0.050] * 500))
+    hedge_ages = HedgeAges(seen([0.050] * 500))
     assert hedge_ages.age_s(0.045, budget_fill=1.0) is None
     assert hedge_ages.age_s(-0.001, budget_fill=1.0) is None
 
@@ -80,21 +80,21 @@
 def test_a_scarce_budget_goes_where_it_gains_most() -> None:
     """Most slow calls, 15%, are in time: with a small budget only those that pause are hedged."""
     latencies = [0.010] * 800 + [0.025] * 150 + [0.2] * 50
-    hedge_ages = HedgeMoments(seen(latencies))
+    hedge_ages = HedgeAges(seen(latencies))
     plenty, scarce = hedge_ages.age_s(0.048, 1.0), hedge_ages.age_s(0.048, 0.1)
     assert plenty is not None and scarce is not None
     assert plenty < scarce
 
 
 def test_a_paused_call_is_hedged_in_time_even_where_no_latency_is_late() -> None:
-    hedge_ages = HedgeMoments(seen([0.010 + number % 10 * 0.001 for number in range(1000)]))
+    hedge_ages = HedgeAges(seen([0.010 + number % 10 * 0.001 for number in range(1000)]))
     age_s = hedge_ages.age_s(0.1, budget_fill=1.0)
     assert age_s is not None
     assert 0.02 <= age_s <= 0.08
 
 
 def test_latencies_are_unknown_after_few_calls() -> None:
-    assert not HedgeMoments(seen([0.01] * (MIN_OBSERVATIONS - 1))).is_known
+    assert not HedgeAges(seen([0.01] * (MIN_OBSERVATIONS - 1))).is_known
 
 
 def test_an_urgent_scatter_is_not_handed_over_a_long_path() -> None:
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -8,13 +8,13 @@
 from tinrudder.gateway.decisions.admission.crash_evidence import (
     ALERT_S,
     CLEARED_RETENTION_S,
+    EVIDENCE_RETENTION_S,
     FIRST_BAR_S,
-    KEPT_S,
     MAX_BAR_S,
 )
 from tinrudder.gateway.decisions.admission.poison_requests import (
+    MAX_REQUESTS,
     MIN_RESTART_S,
-    MOST_REQUESTS,
     RESTART_DETECTION_S,
     TRIAL_TIMEOUT_S,
     PoisonRequests,
@@ -112,11 +112,11 @@
     reported = table.find(FINGERPRINT)
     assert reported is not None
     other.merge(FINGERPRINT, reported)
-    assert table.note_survivor(FINGERPRINT, 0)
+    assert table.withdraw_crash(FINGERPRINT, 0)
     assert standing(table, 0.1) is Standing.SUSPECT
-    assert not table.note_survivor(FINGERPRINT, 0)
+    assert not table.withdraw_crash(FINGERPRINT, 0)
     for backend in range(1, ENOUGH_CRASHES):
-        assert table.note_survivor(FINGERPRINT, backend)
+        assert table.withdraw_crash(FINGERPRINT, backend)
     assert standing(table, 0.1) is Standing.FREE
     table.merge(FINGERPRINT, reported)
     assert standing(table, 0.1) is Standing.FREE
@@ -143,20 +143,20 @@
     table = PoisonRequests()
     table.note_crash(FINGERPRINT, ORIGIN, 1, 10.0, trial=True)
     table.note_crash(b"second", ORIGIN, 2, 10.0, trial=True)
-    assert table.lost_under(1, 10.0 + later_s) == ((FINGERPRINT,) if innocent else ())
-    assert table.note_survivor(FINGERPRINT, 1)
-    assert table.lost_under(1, 10.0) == ()
-    assert table.lost_under(2, 10.0) == (b"second",)
+    assert table.requests_cleared_by(1, 10.0 + later_s) == ((FINGERPRINT,) if innocent else ())
+    assert table.withdraw_crash(FINGERPRINT, 1)
+    assert table.requests_cleared_by(1, 10.0) == ()
+    assert table.requests_cleared_by(2, 10.0) == (b"second",)
     table.note_answer(b"second", 10.1)
-    assert table.lost_under(2, 10.0) == ()
+    assert table.requests_cleared_by(2, 10.0) == ()
 
 
 def test_all_evidence_expires() -> None:
     table = PoisonRequests()
     bar_request(table, 0.0)
-    table.forget(FIRST_BAR_S + KEPT_S - 1.0)
+    table.forget(FIRST_BAR_S + EVIDENCE_RETENTION_S - 1.0)
     assert len(table) == 1
-    table.forget(FIRST_BAR_S + KEPT_S + 1.0)
+    table.forget(FIRST_BAR_S + EVIDENCE_RETENTION_S + 1.0)
     assert len(table) == 0
     bar_request(table, 1_000.0)
     table.note_answer(FINGERPRINT, 1_001.0)
@@ -166,11 +166,11 @@
 
 def test_a_flood_of_requests_drops_what_changed_longest_ago() -> None:
     table = PoisonRequests()
-    for number in range(2 * MOST_REQUESTS):
+    for number in range(2 * MAX_REQUESTS):
         table.note_crash(number.to_bytes(4, "big"), ORIGIN, 0, float(number), trial=False)
         if number % 100 == 0:
             bar_request(table, float(number))
-    assert len(table) == MOST_REQUESTS
+    assert len(table) == MAX_REQUESTS
     assert table.find(FINGERPRINT) is not None
 
 
@@ -179,6 +179,8 @@
     table = PoisonRequests()
     table.note_crash(FINGERPRINT, ORIGIN, 1, 10.0, trial=True)
     late = 10.0 + 2 * RESTART_DETECTION_S
-    assert table.lost_under(1, late, starts_known_at=10.0) == ()
-    assert table.lost_under(1, late, starts_known_at=10.0 + RESTART_DETECTION_S) == (FINGERPRINT,)
-    assert table.lost_under(1, 10.0 + MIN_RESTART_S, starts_known_at=0.0) == (FINGERPRINT,)
+    assert table.requests_cleared_by(1, late, starts_known_at=10.0) == ()
+    assert table.requests_cleared_by(1, late, starts_known_at=10.0 + RESTART_DETECTION_S) == (
+        FINGERPRINT,
+    )
+    assert table.requests_cleared_by(1, 10.0 + MIN_RESTART_S, starts_known_at=0.0) == (FINGERPRINT,)
--- a/tests/unit/gateway/decisions/test_scatter_concurrency.py
+++ b/tests/unit/gateway/decisions/test_scatter_concurrency.py
@@ -16,15 +16,15 @@
 
 def test_the_room_follows_reports_and_stays_at_or_above_the_own_part() -> None:
     room = ScatterConcurrency(hold_s=HOLD_S)
-    room.set_part(4.0)
+    room.set_slot_share(4.0)
     begun = room.limit
     assert begun == room.initial_limit == 4.0 * OVER_COMMITMENT
     for step in range(40):
-        room.judge(QUEUE_HIGH + 0.1, step * HOLD_S, in_use=True)
+        room.adjust(QUEUE_HIGH + 0.1, step * HOLD_S, in_use=True)
     assert room.limit == room.floor == 4.0
     for step in range(40):
-        room.judge(QUEUE_LOW - 0.1, step * HOLD_S, in_use=True)
+        room.adjust(QUEUE_LOW - 0.1, step * HOLD_S, in_use=True)
     assert room.limit > begun
     for step in range(60):
-        room.judge(0.0, step * HOLD_S, in_use=False)
+        room.adjust(0.0, step * HOLD_S, in_use=False)
     assert room.limit == pytest.approx(begun, rel=0.05)
--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -125,7 +125,7 @@
     before = len(queue)
     urgent = [scatter(priority=0, objective_at=0.28) for _ in range(before)]
     assert [queue.arrive(one, FULL, 0.05) for one in urgent[:3]] == [False] * 3
-    refused = queue.refuse_hopeless(FULL, 0.05)
+    refused = queue.refuse_too_late(FULL, 0.05)
     assert refused
     assert {one.priority for one, _ in refused} == {1}
     # The 0.15 s left suffice for six scatters, including the urgent ones.
@@ -137,15 +137,15 @@
     queue = make_queue()
     waits, overtakes = scatter(objective_at=0.28), scatter(objective_at=9.0)
     assert queue.arrive(waits, FULL, 0.0) is False
-    assert queue.next_end_at == pytest.approx(0.2)
-    assert queue.refuse_hopeless(FULL, 0.2) == []
+    assert queue.next_latest_start_at == pytest.approx(0.2)
+    assert queue.refuse_too_late(FULL, 0.2) == []
     assert queue.arrive(overtakes, FULL, 0.2) is False
     assert list(queue) == [overtakes, waits]
     half = 0.2 + (20.0 - 0.2) * LATE_WAIT_SHARE
     assert waits.latest_start_at == pytest.approx(half)
     queue.leave(overtakes)
-    assert queue.refuse_hopeless(FULL, half - 0.01) == []
-    assert [one for one, _ in queue.refuse_hopeless(FULL, half)] == [waits]
+    assert queue.refuse_too_late(FULL, half - 0.01) == []
+    assert [one for one, _ in queue.refuse_too_late(FULL, half)] == [waits]
     assert len(queue) == 0
 
 
@@ -211,20 +211,20 @@
             held = max(0.0, held - source.random())
             while queue.next_ready(held) is not None:
                 held += 1.0
-            queue.refuse_hopeless(held, now)
-            assert not len(queue) or not queue.room.bears_another(held)
+            queue.refuse_too_late(held, now)
+            assert not len(queue) or not queue.room.has_room_for_another(held)
             assert held <= FULL + 1.0 - MIN_FREE_ROOM
 
 
 def test_less_urgent_scatters_that_hold_all_room_do_not_block_an_urgent_one() -> None:
     urgent = scatter(priority=0, objective_at=0.041, usual_s=0.036)
     assert isinstance(make_queue().arrive(urgent, FULL, 0.0), ScatterRefusal)
-    assert make_queue().arrive(urgent, FULL, 0.0, held_before=0.0) is True
-    assert isinstance(make_queue().arrive(urgent, FULL, 0.0, held_before=FULL), ScatterRefusal)
+    assert make_queue().arrive(urgent, FULL, 0.0, held_by_urgent=0.0) is True
+    assert isinstance(make_queue().arrive(urgent, FULL, 0.0, held_by_urgent=FULL), ScatterRefusal)
 
 
 def test_a_late_scatter_waits_for_all_running_ones_whatever_its_priority() -> None:
     queue = make_queue()
     too_late = scatter(priority=0, objective_at=0.01)
-    assert queue.arrive(too_late, FULL, 0.0, held_before=0.0) is False
+    assert queue.arrive(too_late, FULL, 0.0, held_by_urgent=0.0) is False
     assert too_late.late
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -4,7 +4,7 @@
 
 import random
 
-from tinrudder.gateway.decisions.admission.shared_service import has_room, judge, two_of
+from tinrudder.gateway.decisions.admission.shared_service import draw_candidates, has_room, judge
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
 )
@@ -66,9 +66,9 @@
     backends = service()
     for known in backends:
         known.reported(SLOTS - 1, 0, SLOTS, NOW)
-    assert two_of(backends, lambda one: one, NOW, random.Random(1)) is backends
+    assert draw_candidates(backends, lambda one: one, NOW, random.Random(1)) is backends
     busy = service(9, 0, 0, 0)
-    drawn = [two_of(busy, lambda one: one, NOW, random.Random(seed)) for seed in range(30)]
+    drawn = [draw_candidates(busy, lambda one: one, NOW, random.Random(seed)) for seed in range(30)]
     assert all(len(set(map(id, two))) == 2 for two in drawn)
 
 
--- a/tests/unit/gateway/decisions/test_token_buckets.py
+++ b/tests/unit/gateway/decisions/test_token_buckets.py
@@ -13,7 +13,7 @@
     MAX_RETRY_DELAY_S,
     QuotaLimit,
     TokenBuckets,
-    part_of_rate,
+    grantable_share,
 )
 
 WINDOW_S = 5.0
@@ -156,5 +156,5 @@
 ) -> None:
     """Each partition grants its part of the rate: together at most the rate plus the excess."""
     fleet = sum(pieces)
-    shares = [part_of_rate(piece / fleet, excess) for piece in pieces]
+    shares = [grantable_share(piece / fleet, excess) for piece in pieces]
     assert sum(shares) <= 1.0 + excess + 1e-9
--- a/tests/unit/gateway/test_memory_account.py
+++ b/tests/unit/gateway/test_memory_account.py
@@ -16,10 +16,10 @@
 from tinrudder.gateway.clients.client_connection import ClientConnection
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.memory_bound import (
-    BARE_PROCESS_BYTES,
-    LEAST_ACCOUNT_BYTES,
+    IDLE_PROCESS_BYTES,
+    MIN_ACCOUNT_BYTES,
     account_bytes,
-    refused_from,
+    refusal_fill,
 )
 from tinrudder.gateway.model.configuration import ClientLimits
 from tinrudder.gateway.model.http_messages import HttpRequest, UpstreamCall
@@ -167,8 +167,8 @@
 @given(st.floats(1.0, 10_000.0))
 def test_the_bound_leaves_room_for_the_process_itself(memory_mb: float) -> None:
     bound = account_bytes(memory_mb)
-    assert bound >= LEAST_ACCOUNT_BYTES
-    assert bound < max(LEAST_ACCOUNT_BYTES + 1.0, memory_mb * 1e6 - BARE_PROCESS_BYTES)
+    assert bound >= MIN_ACCOUNT_BYTES
+    assert bound < max(MIN_ACCOUNT_BYTES + 1.0, memory_mb * 1e6 - IDLE_PROCESS_BYTES)
 
 
 def test_a_process_without_room_for_anything_refuses_all() -> None:
@@ -183,5 +183,5 @@
     account.look()
     account.clients = clients
     refused = account.refusal(steps) is not None
-    assert refused == ((clients + peers) / 1e6 >= refused_from(steps))
+    assert refused == ((clients + peers) / 1e6 >= refusal_fill(steps))
     assert not refused or account.refusal(steps + 1) is not None
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -16,7 +16,11 @@
 import pytest
 
 from tinrudder.common.address import Address
-from tinrudder.gateway.decisions.admission.crash_evidence import KEPT_S, Crash, Evidence
+from tinrudder.gateway.decisions.admission.crash_evidence import (
+    EVIDENCE_RETENTION_S,
+    Crash,
+    Evidence,
+)
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member, PoisonReport
@@ -126,7 +130,7 @@
     now = network.loop.time()
     ages = random.Random(7)
     for watch in network.watches.values():
-        crash = Crash(1, now - KEPT_S + ages.uniform(2.0, 3.0), False)
+        crash = Crash(1, now - EVIDENCE_RETENTION_S + ages.uniform(2.0, 3.0), False)
         watch.requests.merge(b"f" * FINGERPRINT_BYTES, Evidence(ORIGIN, (crash,)))
     await asyncio.sleep(6.0)
     before = network.sent
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -15,7 +15,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.common.crash_limit import ENOUGH_CRASHES
-from tinrudder.gateway.decisions.admission.poison_requests import MOST_REQUESTS, Standing
+from tinrudder.gateway.decisions.admission.poison_requests import MAX_REQUESTS, Standing
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import (
@@ -219,7 +219,7 @@
         first, second, _ = network.watches.values()
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-1", trial=False)
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-2", trial=False)
-        first.note_survivor(FINGERPRINT, "back-end-1")
+        first.withdraw_crash(FINGERPRINT, "back-end-1")
         await asyncio.sleep(2 * BATCH_DELAY_S)
         network.deliver()
         return second.judge(FINGERPRINT, ORIGIN).standing
@@ -242,7 +242,7 @@
 def test_requests_for_all_evidence_do_not_delay_new_changes() -> None:
     network = Network(3)
     first, second, _ = network.watches.values()
-    for number in range(MOST_REQUESTS):
+    for number in range(MAX_REQUESTS):
         fingerprint = number.to_bytes(FINGERPRINT_BYTES, "little")
         first.requests.note_crash(fingerprint, ORIGIN, number, 99.0, trial=False)
     for _ in range(2):
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -127,12 +127,12 @@
         number = crc32(life.encode())
         self.requests.note_crash(fingerprint, origin, number, self.loop.now, trial=trial)
 
-    def note_survivor(self, fingerprint: bytes, life: str) -> None:
-        self.requests.note_survivor(fingerprint, crc32(life.encode()))
+    def withdraw_crash(self, fingerprint: bytes, life: str) -> None:
+        self.requests.withdraw_crash(fingerprint, crc32(life.encode()))
 
     def note_alive(self, life: str, sent_at: float) -> None:
-        for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at):
-            self.note_survivor(fingerprint, life)
+        for fingerprint in self.requests.requests_cleared_by(crc32(life.encode()), sent_at):
+            self.withdraw_crash(fingerprint, life)
 
     def note_answer(self, fingerprint: bytes) -> None:
         self.requests.note_answer(fingerprint, self.loop.now)
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.backends.upstream_connection import never_stood_still
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
+from tinrudder.gateway.decisions.admission.memory_bound import max_body_bytes_in_flight
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
@@ -313,6 +313,6 @@
             callers = self._callers(service).count
             for backend in backends:
                 backend.pool.max_connections = limit
-                backend.pool.max_body_bytes = body_bytes_on_the_way(
+                backend.pool.max_body_bytes = max_body_bytes_in_flight(
                     backend.observations.slots, callers, limits.max_body_bytes
                 )
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -14,9 +14,9 @@
 from tinrudder.common.logs import LogValue, log_problem
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import (
-    LARGEST_ANSWER_SHARE,
-    PAUSE_FILL,
-    refused_from,
+    MAX_ANSWER_SHARE,
+    READ_PAUSE_FILL,
+    refusal_fill,
     retry_after_s,
 )
 from tinrudder.gateway.model.outcomes import NotRun
@@ -60,7 +60,7 @@
         self.refused = 0
         self.ended_unread = 0
         self.pauses = 0
-        self._near = bound * PAUSE_FILL / 2
+        self._near = bound * READ_PAUSE_FILL / 2
         self._count_peers = count_peers
         self._clock = clock
         self._line_at: dict[str, float] = {}
@@ -81,7 +81,7 @@
     @property
     def is_near_bound(self) -> bool:
         """Whether reading of bodies should pause."""
-        return self.may_be_near and self.fill >= PAUSE_FILL
+        return self.may_be_near and self.fill >= READ_PAUSE_FILL
 
     @property
     def is_full(self) -> bool:
@@ -91,7 +91,7 @@
     @property
     def largest_answer(self) -> float:
         """The size limit of one answer, bytes."""
-        return self.bound * LARGEST_ANSWER_SHARE
+        return self.bound * MAX_ANSWER_SHARE
 
     def look(self) -> None:
         """Refresh the count for peers; the node's housekeeping also calls this every second."""
@@ -105,7 +105,7 @@
         if not self.may_be_near:
             return None
         fill = self.fill
-        if fill < refused_from(priority_steps):
+        if fill < refusal_fill(priority_steps):
             return None
         self.refused += 1
         self._log("memory_refused", {"refused": self.refused})
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -46,7 +46,7 @@
 MAX_BAR_S = 3600.0
 """Longest bar, seconds. The guarantee for poison requests is that a known one costs a back end in
 at most three tries a day; restarting all gateways discards the evidence and allows one more."""
-KEPT_S = 600.0
+EVIDENCE_RETENTION_S = 600.0
 """How long evidence is kept after the last crash and after the end of a bar, seconds: 37 times the
 longest pause seen between two tries of one client, 16 s."""
 CLEARED_RETENTION_S = 30.0
@@ -57,7 +57,7 @@
 route begin as canaries. A caller that varies the body sends a new poison request each time: 40 such
 scatters over 10 shards, 1.5 s apart, cost 68 back ends, and 365 without this rule (emulated, 8
 gateways)."""
-MOST_CRASHES_OF_A_KIND = 5
+MAX_CRASHES_PER_KIND = 5
 """Crashes kept per request, the latest ones in trials and the latest ones outside trials each.
 Further crashes do not change any decision."""
 
@@ -141,7 +141,7 @@
         if not self.held:
             latest = max((crash.at for crash in self.crashes), default=NEVER)
             return max(self.cleared_at, latest) + CLEARED_RETENTION_S
-        return max(self.last_crash_at, self.barred_until) + KEPT_S
+        return max(self.last_crash_at, self.barred_until) + EVIDENCE_RETENTION_S
 
     def merged(self, other: Evidence) -> Evidence:
         """Merge two records; the result does not depend on their order."""
@@ -164,6 +164,6 @@
 def _latest_crashes(crashes: Iterable[Crash]) -> tuple[Crash, ...]:
     """Return the crashes to keep, in an order that does not depend on the input order."""
     in_order = sorted(crashes, key=lambda crash: (crash.at, crash.backend), reverse=True)
-    trials = [crash for crash in in_order if crash.trial][:MOST_CRASHES_OF_A_KIND]
-    others = [crash for crash in in_order if not crash.trial][:MOST_CRASHES_OF_A_KIND]
+    trials = [crash for crash in in_order if crash.trial][:MAX_CRASHES_PER_KIND]
+    others = [crash for crash in in_order if not crash.trial][:MAX_CRASHES_PER_KIND]
     return tuple(trials + others)
--- a/tinrudder/gateway/decisions/admission/load_forecast.py
+++ b/tinrudder/gateway/decisions/admission/load_forecast.py
@@ -34,7 +34,7 @@
 RETURNING_FACTOR = 0.85
 """Factor applied to the expected time of a caller that was refused before: another refusal may be
 its last try."""
-USUAL_FACTOR = 1.8
+SERVICE_TIME_FACTOR = 1.8
 """Time reserved for the call itself, in typical call times without a queue. Above the median,
 because most calls, and not half of them, should finish in time."""
 NEGLIGIBLE_WAIT = 0.5
@@ -66,7 +66,7 @@
         return 1.0
     if left_s <= 0.0:
         return 0.0
-    load = (wait_s + USUAL_FACTOR * usual_s) / left_s
+    load = (wait_s + SERVICE_TIME_FACTOR * usual_s) / left_s
     load *= PRIORITY_STEP_FACTOR**priority_steps
     if returning:
         load *= RETURNING_FACTOR
--- a/tinrudder/gateway/decisions/admission/memory_bound.py
+++ b/tinrudder/gateway/decisions/admission/memory_bound.py
@@ -26,14 +26,14 @@
 
 BYTES_PER_MB = 1_000_000
 """Bytes in a megabyte, the unit of the memory setting."""
-BARE_PROCESS_BYTES = 44 * BYTES_PER_MB
+IDLE_PROCESS_BYTES = 44 * BYTES_PER_MB
 """Resident memory of a gateway that buffers nothing, bytes: peaks were 38.9 MB idle with 1,019 back
 ends known and 42.3 MB after 250 requests; this adds a small reserve."""
 USABLE_SHARE = 0.6
 """Fraction of the remaining memory that the account may use. A body is briefly copied each time it
 is joined, merged, encoded or queued for a socket, and the allocator does not return all freed
 memory: 43 MB accounted became 51 MB resident."""
-LEAST_ACCOUNT_BYTES = 8 * BYTES_PER_MB
+MIN_ACCOUNT_BYTES = 8 * BYTES_PER_MB
 """Smallest account, however little memory is configured, bytes: the configured figure may mean
 something else, and a gateway that refuses everything serves nobody. Holds thirty of the largest
 bodies."""
@@ -43,11 +43,11 @@
 FILL_STEP = 0.1
 """How much lower this fill level is for each more urgent priority: reserves a tenth of the
 account."""
-PAUSE_FILL = 0.65
+READ_PAUSE_FILL = 0.65
 """Fill level from which request bodies are no longer read, and the lowest level at which any
 request is refused. All requests in progress on a gateway at its normal load fit below it three
 times over."""
-LARGEST_ANSWER_SHARE = 0.25
+MAX_ANSWER_SHARE = 0.25
 """Fraction of the account that one answer may take: at least four answers fit at once, the minimum
 for requests to proceed concurrently."""
 RETRY_AFTER_S = 0.3
@@ -72,19 +72,19 @@
     """
     if memory_mb is None:
         return math.inf
-    usable = (memory_mb * BYTES_PER_MB - BARE_PROCESS_BYTES) * USABLE_SHARE
-    return max(LEAST_ACCOUNT_BYTES, usable)
+    usable = (memory_mb * BYTES_PER_MB - IDLE_PROCESS_BYTES) * USABLE_SHARE
+    return max(MIN_ACCOUNT_BYTES, usable)
 
 
-def refused_from(priority_steps: int) -> float:
+def refusal_fill(priority_steps: int) -> float:
     """Return the fill level of the account from which a request is refused.
 
     :param priority_steps: number of priorities in use that are more urgent than the request's.
 
-    >>> [round(refused_from(steps), 2) for steps in (0, 1, 2, 9)]
+    >>> [round(refusal_fill(steps), 2) for steps in (0, 1, 2, 9)]
     [0.95, 0.85, 0.75, 0.65]
     """
-    return max(PAUSE_FILL, URGENT_FILL - FILL_STEP * priority_steps)
+    return max(READ_PAUSE_FILL, URGENT_FILL - FILL_STEP * priority_steps)
 
 
 def retry_after_s(priority_steps: int) -> float:
@@ -97,7 +97,7 @@
     return body_bytes if body_bytes > SMALL_BODY_BYTES else 0
 
 
-def body_bytes_on_the_way(slots: int, callers: int, largest_body: int) -> int:
+def max_body_bytes_in_flight(slots: int, callers: int, largest_body: int) -> int:
     """Return how many bytes of large bodies one gateway may have in flight to one back end.
 
     All gateways together stay within what the back end processes now and next; each gateway may
@@ -107,9 +107,9 @@
     :param callers: gateways that call it.
     :param largest_body: the largest body that a client may send, bytes.
 
-    >>> body_bytes_on_the_way(slots=8, callers=4, largest_body=262_144) // 262_144
+    >>> max_body_bytes_in_flight(slots=8, callers=4, largest_body=262_144) // 262_144
     4
-    >>> body_bytes_on_the_way(slots=2, callers=113, largest_body=262_144) // 262_144
+    >>> max_body_bytes_in_flight(slots=2, callers=113, largest_body=262_144) // 262_144
     1
     """
     total_bytes = slots * (1 + QUEUED_BODIES_PER_SLOT) * largest_body
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -57,7 +57,7 @@
 RESTART_DETECTION_S = 4.0
 """Time after which a restart is visible through the entry that the new process writes, seconds:
 three of its heartbeats of 1.2 s, and the propagation through the store."""
-MOST_REQUESTS = 1024
+MAX_REQUESTS = 1024
 """Maximum number of requests with evidence: at most 1.5 KB each (traced allocations, ten crashes
 each), 1.5 MB in all. The one that changed longest ago is evicted first."""
 
@@ -183,7 +183,7 @@
         self.merge(fingerprint, Evidence(evidence.origin, (), cleared, at, evidence.trial_at))
         return True
 
-    def note_survivor(self, fingerprint: bytes, backend: int) -> bool:
+    def withdraw_crash(self, fingerprint: bytes, backend: int) -> bool:
         """Withdraw one crash; return whether it counted against the request."""
         evidence = self._evidence.get(fingerprint)
         if evidence is None:
@@ -194,7 +194,7 @@
         self.merge(fingerprint, replace(evidence, crashes=(replace(crash, survived=True),)))
         return True
 
-    def lost_under(
+    def requests_cleared_by(
         self, backend: int, sent_at: float, starts_known_at: float = math.inf
     ) -> tuple[bytes, ...]:
         """Return the requests that did not crash a back end after all, because it still answers.
@@ -222,7 +222,7 @@
         self.merge(fingerprint, replace(evidence, trial_at=now))
         return True
 
-    def is_worth_taking(self, fingerprint: bytes, reported: Evidence, now: float) -> bool:
+    def should_accept(self, fingerprint: bytes, reported: Evidence, now: float) -> bool:
         """Return whether evidence from another gateway should be accepted.
 
         Crashes of an unknown request are accepted only if they will be kept for
@@ -240,7 +240,7 @@
         # Inserted at the end: eviction starts with the one that changed longest ago.
         self._evidence[fingerprint] = evidence
         self._note_alert(fingerprint, evidence)
-        while len(self._evidence) > MOST_REQUESTS:
+        while len(self._evidence) > MAX_REQUESTS:
             self._evict(next(iter(self._evidence)))
         return evidence
 
--- a/tinrudder/gateway/decisions/admission/retry_after.py
+++ b/tinrudder/gateway/decisions/admission/retry_after.py
@@ -42,10 +42,10 @@
 together do not come back together."""
 
 
-def may_come_back(room_in_s: float, left_s: float) -> bool:
+def is_retry_in_time(room_in_s: float, left_s: float) -> bool:
     """Return whether a caller would wait until room is expected.
 
-    >>> may_come_back(0.4, 2.0), may_come_back(0.7, 2.0)
+    >>> is_retry_in_time(0.4, 2.0), is_retry_in_time(0.7, 2.0)
     (True, False)
     """
     return room_in_s * POSITION_JITTER <= left_s * MAX_RESERVED_WAIT_SHARE
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -31,10 +31,10 @@
 MIN_FREE_ROOM = 0.5
 """Room that must be free for another scatter to start, in scatters. A few slow shards of a running
 scatter then do not block the next one, even if one back end of 20 pauses."""
-LEAST_SCATTERS = 0.6
+MIN_LIMIT = 0.6
 """Limit of a gateway whose share is smaller than this, in scatters. The next scatter starts when
 nine tenths of the running one's shards have answered."""
-FIRST_SCATTERS = 1.5
+MIN_INITIAL_LIMIT = 1.5
 """Minimum limit while no queue is reported, in scatters. At low load a second simultaneous scatter
 does not wait for the first."""
 QUEUE_LOW = 0.3
@@ -67,27 +67,27 @@
     :param hold_s: mean time for which a scatter holds a shard's slot; 0: not known.
     """
 
-    part: float = LEAST_SCATTERS
-    limit: float = FIRST_SCATTERS
+    part: float = MIN_LIMIT
+    limit: float = MIN_INITIAL_LIMIT
     hold_s: float = 0.0
-    _judged_at: float = 0.0
+    _adjusted_at: float = 0.0
 
     @property
     def initial_limit(self) -> float:
         """Return the limit that applies while no queue is known."""
-        return max(FIRST_SCATTERS, self.part * OVER_COMMITMENT)
+        return max(MIN_INITIAL_LIMIT, self.part * OVER_COMMITMENT)
 
     @property
     def floor(self) -> float:
         """Return the smallest value of the limit."""
-        return max(LEAST_SCATTERS, self.part)
+        return max(MIN_LIMIT, self.part)
 
     @property
-    def has_changed(self) -> bool:
+    def is_adjusted(self) -> bool:
         """Return whether the limit differs from its initial value."""
         return abs(self.limit - self.initial_limit) > UNCHANGED_TOLERANCE * self.initial_limit
 
-    def set_part(self, part: float) -> None:
+    def set_slot_share(self, part: float) -> None:
         """Set the gateway's share of the slots; the learned limit is scaled in proportion."""
         if part == self.part:
             return
@@ -95,7 +95,7 @@
         self.part = part
         self.limit = max(self.floor, learned * self.initial_limit)
 
-    def bears_another(self, held: float) -> bool:
+    def has_room_for_another(self, held: float) -> bool:
         """Return whether one more scatter may start; when nothing runs, one always may."""
         return held <= 0.0 or held + MIN_FREE_ROOM <= self.limit
 
@@ -121,20 +121,20 @@
             self.hold_s = seconds
         self.hold_s += HOLD_GAIN * (seconds - self.hold_s)
 
-    def may_judge(self, now: float) -> bool:
+    def may_adjust(self, now: float) -> bool:
         """Return whether one call time has passed, so that reports can reflect the last change."""
-        return now - self._judged_at >= self.hold_s
+        return now - self._adjusted_at >= self.hold_s
 
-    def judge(self, queue: float, now: float, *, in_use: bool) -> None:
+    def adjust(self, queue: float, now: float, *, in_use: bool) -> None:
         """Adjust the limit to the queues that back ends report.
 
         :param queue: the wait for a slot at the typical shard, in call times.
         :param in_use: whether scatters wait for room.
         """
-        self._judged_at = now
+        self._adjusted_at = now
         if queue > QUEUE_HIGH:
             self.limit = max(self.floor, self.limit * DECREASE)
         elif in_use and queue < QUEUE_LOW:
-            self.limit += INCREASE * max(LEAST_SCATTERS, self.part)
+            self.limit += INCREASE * max(MIN_LIMIT, self.part)
         elif not in_use:
             self.limit += RESET_GAIN * (self.initial_limit - self.limit)
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -67,7 +67,7 @@
 
     room: ScatterConcurrency = field(default_factory=ScatterConcurrency)
     _waiting: list[QueuedScatter] = field(default_factory=list)
-    _standing_since: float = 0.0
+    _nonempty_since: float = 0.0
     _overload_until: float = 0.0
     _turns: TenantTurns = field(default_factory=TenantTurns)
     _count: int = 0
@@ -81,12 +81,17 @@
         return iter(self._waiting)
 
     def arrive(
-        self, scatter: QueuedScatter, held: float, now: float, *, held_before: float | None = None
+        self,
+        scatter: QueuedScatter,
+        held: float,
+        now: float,
+        *,
+        held_by_urgent: float | None = None,
     ) -> ScatterRefusal | bool:
         """Admit or queue a scatter: ``True`` starts it now, ``False`` lets it wait.
 
         :param held: room that running scatters hold.
-        :param held_before: the part of ``held`` that belongs to scatters of at least the same
+        :param held_by_urgent: the part of ``held`` that belongs to scatters of at least the same
             urgency; only this part can keep the scatter from starting. ``None``: all of it. Less
             urgent scatters may have taken all free room, and an urgent one cannot wait until they
             have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load of a
@@ -94,10 +99,10 @@
             none with this rule.
         """
         self._prepare(scatter, now)
-        if held_before is not None and not scatter.late:
-            held = held_before
+        if held_by_urgent is not None and not scatter.late:
+            held = held_by_urgent
         ahead = bisect.bisect(self._waiting, scatter.order, key=_order)
-        if not ahead and self.room.bears_another(held):
+        if not ahead and self.room.has_room_for_another(held):
             self._turns.take(scatter, self._waiting)
             self._turns.start(scatter)
             return True
@@ -109,7 +114,7 @@
         if refusal is not None:
             return refusal
         if not self._waiting:
-            self._standing_since = now
+            self._nonempty_since = now
         self._turns.take(scatter, self._waiting)
         self._waiting.insert(ahead, scatter)
         return False
@@ -124,13 +129,13 @@
 
         :param held: room held by running scatters that take precedence over the first waiting one.
         """
-        if not self._waiting or not self.room.bears_another(held):
+        if not self._waiting or not self.room.has_room_for_another(held):
             return None
         scatter = self._waiting.pop(0)
         self._turns.start(scatter)
         return scatter
 
-    def refuse_hopeless(
+    def refuse_too_late(
         self, held: float, now: float
     ) -> list[tuple[QueuedScatter, ScatterRefusal]]:
         """Remove and return scatters that were overtaken or can no longer start in time."""
@@ -163,7 +168,7 @@
             self._turns.give_back(scatter)
 
     @property
-    def next_end_at(self) -> float | None:
+    def next_latest_start_at(self) -> float | None:
         """Return the earliest time at which a waiting scatter can no longer start in time."""
         return min((one.latest_start_at for one in self._waiting), default=None)
 
@@ -198,7 +203,7 @@
         """Return whether the queue is in sustained overload, as opposed to a short burst."""
         if now < self._overload_until:
             return True
-        return bool(self._waiting) and now - self._standing_since >= PERSISTENT_QUEUE_S
+        return bool(self._waiting) and now - self._nonempty_since >= PERSISTENT_QUEUE_S
 
     def _refusal_while_waiting(
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -71,15 +71,15 @@
     """The known queue of one back end.
 
     :param wait_s: wait for a slot; ``weight`` is the weight of this value, 0 to 1.
-    :param least_weight: minimum weight with which the back end counts, as free.
+    :param min_weight: minimum weight with which the back end counts, as free.
     """
 
     wait_s: float
     weight: float
-    least_weight: float
+    min_weight: float
 
 
-def work_s_of(backends: Sequence[BackendObservations]) -> float:
+def mean_work_s(backends: Sequence[BackendObservations]) -> float:
     """Return the mean time for which calls hold a slot of a service, seconds; 0: not known."""
     known = [one.work_s for one in backends if one.work_seen]
     return sum(known) / len(known) if known else 0.0
@@ -91,14 +91,14 @@
     It is the expected wait of a call that takes the better of two random back ends. With one slow
     back end of four that has a queue, a plain mean would refuse requests that the others can serve.
     """
-    work_s = work_s_of(backends) or usual_s
+    work_s = mean_work_s(backends) or usual_s
     known = sorted(_queue(one, now, work_s) for one in backends)
     total = 0.0
     weights = 0.0
     for place, queue in enumerate(known):
         chance = 2 * (len(known) - place) - 1
         total += chance * queue.weight * queue.wait_s
-        weights += chance * max(queue.weight, queue.least_weight)
+        weights += chance * max(queue.weight, queue.min_weight)
     return total / weights if weights else 0.0
 
 
@@ -142,7 +142,7 @@
     A back end without a queue has room, however long calls of the route take: answers are also
     delivered late, and draining back ends reject calls as well.
     """
-    work_s = work_s_of(backends) or usual_s
+    work_s = mean_work_s(backends) or usual_s
     return any(
         not (wait_s := one.wait_s(now, _work_s(one, work_s)))
         or wait_s + max(usual_s, _work_s(one, 0.0)) <= left_s
@@ -150,7 +150,7 @@
     )
 
 
-def two_of(
+def draw_candidates(
     candidates: Sequence[Candidate],
     observations: Callable[[Candidate], BackendObservations],
     now: float,
@@ -165,19 +165,19 @@
     return random_source.sample(list(candidates), 2)
 
 
-def extra_cost(one: BackendObservations, least_work_s: float, now: float) -> float:
+def extra_cost(one: BackendObservations, min_work_s: float, now: float) -> float:
     """Return what slow calls add to :meth:`BackendObservations.cost`, in typical calls.
 
     A gateway that calls a back end only once in several seconds cannot learn from its own calls
     that it is slow; reports from others tell it earlier.
     """
-    work_s = _work_s(one, least_work_s)
-    if not least_work_s or work_s <= least_work_s:
+    work_s = _work_s(one, min_work_s)
+    if not min_work_s or work_s <= min_work_s:
         return 0.0
-    return (work_s / least_work_s - 1.0) * (1.0 + one.wait_s(now, 1.0))
+    return (work_s / min_work_s - 1.0) * (1.0 + one.wait_s(now, 1.0))
 
 
-def least_work_s(backends: Sequence[BackendObservations]) -> float:
+def min_work_s(backends: Sequence[BackendObservations]) -> float:
     """Return how long calls hold a slot at the fastest back end, seconds; 0: not known."""
     return min((one.work_s for one in backends if one.work_seen >= MIN_OBSERVED_CALLS), default=0.0)
 
@@ -190,10 +190,10 @@
 def _queue(one: BackendObservations, now: float, work_s: float) -> _Queue:
     """Return the queue of one back end by its newest report."""
     wait_s = _relative_wait(one) * _work_s(one, work_s)
-    return _Queue(wait_s, _report_weight(now - one.reported_at), _least_weight(one, now))
+    return _Queue(wait_s, _report_weight(now - one.reported_at), _min_weight(one, now))
 
 
-def _least_weight(one: BackendObservations, now: float) -> float:
+def _min_weight(one: BackendObservations, now: float) -> float:
     """Return the weight with which a back end counts as free without a fresh report."""
     return UNREPORTED_WEIGHT if one.had_queue(now) else 1.0
 
@@ -218,7 +218,7 @@
         places = one.sheds_above(now)
         if places:
             filled += weight * _relative_wait(one) * max(1, one.slots) / places
-        weights += max(weight, _least_weight(one, now))
+        weights += max(weight, _min_weight(one, now))
     if not filled:
         return 1.0
     return min(1.0, max(0.0, (ADMIT_NONE_FILL - filled / weights) / ADMISSION_FILL_SPAN))
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -31,7 +31,7 @@
 after a single request."""
 
 
-class _Asked(Struct):
+class _DecayingCount(Struct):
     """A decaying count of one tenant's requests, as of a point in time."""
 
     amount: float
@@ -44,13 +44,13 @@
 class TenantShares(Struct):
     """Counts the tenants' requests at one gateway and divides its capacity among them."""
 
-    _asked: dict[str, _Asked] = field(default_factory=dict)
+    _asked: dict[str, _DecayingCount] = field(default_factory=dict)
 
     def note(self, tenant: str, now: float) -> None:
         """Count one request."""
         asked = self._asked.get(tenant)
         if asked is None:
-            self._asked[tenant] = _Asked(1.0, now)
+            self._asked[tenant] = _DecayingCount(1.0, now)
             return
         asked.amount = asked.now(now) + 1.0
         asked.at = now
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -47,7 +47,7 @@
 and a live owner renews it."""
 MAX_RETRY_DELAY_S = 10.0
 """Longest retry delay sent to a refused caller, seconds: limits may change meanwhile."""
-RETURN_SPREAD_S = 2.0
+RETRY_SPREAD_S = 2.0
 """Refused callers get retry times one token apart within this period, seconds, then starting again
 from its beginning. Most callers give up within seconds, and slots reserved for all of them would
 stay unused."""
@@ -184,7 +184,7 @@
         pressed_s = _pressed_s(bucket, now, share, max_tokens)
         return Grant(granted, wait_s, pressed_s, bucket.tokens)
 
-    def forget_idle(self, now: float) -> None:
+    def evict_idle(self, now: float) -> None:
         """Evict buckets that have been idle long enough to be full."""
         horizon = now - IDLE_RETENTION_S
         for tenant in [t for t, one in self._buckets.items() if one.filled_at < horizon]:
@@ -218,7 +218,7 @@
         return MAX_RETRY_DELAY_S
     next_token_s = (1.0 - bucket.tokens) / rate
     wait_s = next_token_s + bucket.return_offset_s
-    bucket.return_offset_s = (bucket.return_offset_s + 1.0 / rate) % RETURN_SPREAD_S
+    bucket.return_offset_s = (bucket.return_offset_s + 1.0 / rate) % RETRY_SPREAD_S
     return min(wait_s, MAX_RETRY_DELAY_S)
 
 
@@ -239,14 +239,14 @@
     return pressed_s
 
 
-def part_of_rate(heard_share: float, excess: float) -> float:
+def grantable_share(heard_share: float, excess: float) -> float:
     """Return the part of a tenant's rate that an owner may grant if it reaches some of the fleet.
 
     In a network partition at most one side reaches more than half of the fleet. All other sides
     together reach at most half, and so grant at most ``excess`` of the rate together. Two equal
     halves divide the rate evenly.
 
-    >>> part_of_rate(0.75, excess=0.25), part_of_rate(0.25, excess=0.25)
+    >>> grantable_share(0.75, excess=0.25), grantable_share(0.25, excess=0.25)
     (1.0, 0.125)
     """
     if heard_share > 0.5:
--- a/tinrudder/gateway/decisions/attempts/hedge_delay.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_delay.py
@@ -41,7 +41,7 @@
 long enough for a second call."""
 
 
-def usual_latency_s(latency: LatencyWindow, objective_s: float) -> float:
+def typical_latency_s(latency: LatencyWindow, objective_s: float) -> float:
     """Return the median latency of a route's calls, or an estimate while too few were observed."""
     if len(latency) < MINIMUM_OBSERVATIONS:
         return objective_s * INITIAL_SHARE_OF_OBJECTIVE / FACTOR_FULL
@@ -61,5 +61,5 @@
     True
     """
     factor = FACTOR_FULL + (1.0 - budget_fill) * (FACTOR_EMPTY - FACTOR_FULL)
-    delay = usual_latency_s(latency, objective_s) * factor
+    delay = typical_latency_s(latency, objective_s) * factor
     return max(MINIMUM_DELAY_S, min(delay, objective_s * MAXIMUM_SHARE_OF_OBJECTIVE))
--- a/tinrudder/gateway/decisions/attempts/hedge_gain.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_gain.py
@@ -48,13 +48,13 @@
 practically empty."""
 
 
-class HedgeMoments:
+class HedgeAges:
     """The ages at which calls of one route are hedged.
 
     >>> window = LatencyWindow()
     >>> for number in range(1000):
     ...     window.observe(0.2 if number % 25 == 0 else 0.010)
-    >>> age_s = HedgeMoments(window).age_s(left_s=0.048, budget_fill=1.0)
+    >>> age_s = HedgeAges(window).age_s(left_s=0.048, budget_fill=1.0)
     >>> age_s is not None and 0.010 < age_s < 0.034
     True
     """
--- a/tinrudder/gateway/decisions/attempts/peer_round_trip.py
+++ b/tinrudder/gateway/decisions/attempts/peer_round_trip.py
@@ -20,10 +20,10 @@
 
 from msgspec import Struct
 
-ASSUMED_S = 0.004
+INITIAL_MEAN_S = 0.004
 """Mean before the first observation, seconds: twice 1.4 ms between zones, and some processing at
 both ends."""
-ASSUMED_DEVIATION_S = 0.001
+INITIAL_DEVIATION_S = 0.001
 """Deviation before the first observation, seconds: with four deviations the first allowance is
 twice the assumed mean."""
 MEAN_GAIN = 0.125
@@ -54,8 +54,8 @@
     True
     """
 
-    mean_s: float = ASSUMED_S
-    deviation_s: float = ASSUMED_DEVIATION_S
+    mean_s: float = INITIAL_MEAN_S
+    deviation_s: float = INITIAL_DEVIATION_S
 
     @property
     def allowance_s(self) -> float:
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -19,7 +19,7 @@
 from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.decisions.admission.crash_evidence import (
-    MOST_CRASHES_OF_A_KIND,
+    MAX_CRASHES_PER_KIND,
     NEVER,
     Crash,
     Evidence,
@@ -175,9 +175,9 @@
         log_event("request_cleared", {"fingerprint": fingerprint.hex()})
         self._report_dropped(fingerprint)
 
-    def note_survivor(self, fingerprint: bytes, life: str) -> None:
+    def withdraw_crash(self, fingerprint: bytes, life: str) -> None:
         """Drop a crash from the evidence against a request: the back end did not crash."""
-        if not self.requests.note_survivor(fingerprint, crc32(life.encode())):
+        if not self.requests.withdraw_crash(fingerprint, crc32(life.encode())):
             return
         log_event("back_end_survived", {"fingerprint": fingerprint.hex(), "backend": life})
         self._report_dropped(fingerprint)
@@ -188,8 +188,10 @@
         :param sent_at: when the call was sent that the back end has answered.
         """
         known_at = self._starts_known_at()
-        for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at, known_at):
-            self.note_survivor(fingerprint, life)
+        for fingerprint in self.requests.requests_cleared_by(
+            crc32(life.encode()), sent_at, known_at
+        ):
+            self.withdraw_crash(fingerprint, life)
 
     def _report_dropped(self, fingerprint: bytes) -> None:
         """Report dropped evidence to peers, unless the request was never reported to them."""
@@ -293,7 +295,7 @@
         """Merge a peer's evidence about a request; forward it if it changes the judgement here."""
         now = self._clock()
         evidence = _evidence_of(reported, now)
-        if not self.requests.is_worth_taking(reported.fingerprint, evidence, now):
+        if not self.requests.should_accept(reported.fingerprint, evidence, now):
             return
         self._unreported.discard(reported.fingerprint)
         before = self.requests.judge(reported.fingerprint, reported.origin, now)
@@ -337,7 +339,7 @@
 
 def _evidence_of(reported: ReportedEvidence, now: float) -> Evidence:
     """Return reported evidence with ages converted to times of the local clock."""
-    crashes = reported.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
+    crashes = reported.crashes[: 2 * MAX_CRASHES_PER_KIND]
     return Evidence(
         reported.origin,
         tuple(Crash(one.backend, now - one.age_s, one.trial, one.survived) for one in crashes),
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -14,7 +14,7 @@
 from tinrudder.gateway.decisions.admission.token_buckets import (
     QuotaLimit,
     TokenBuckets,
-    part_of_rate,
+    grantable_share,
 )
 from tinrudder.gateway.model.configuration import QuotaBounds, Tenant
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
@@ -64,7 +64,7 @@
 
     def judge(self, report: QuotaReport) -> QuotaVerdict:
         """Answer a report as the owner of the tenant's bucket."""
-        share = part_of_rate(self._zone_monitor.heard_share, self._bounds.excess)
+        share = grantable_share(self._zone_monitor.heard_share, self._bounds.excess)
         verdict = self._grant(self.buckets, report, share)
         if verdict.pressed_s > 0.0:
             self._broadcast_pressed(verdict)
@@ -76,7 +76,7 @@
         Other gateways may do the same, so each grants only its share of the rate.
         """
         nodes = self._peers.nodes(self._loop.time())
-        share = part_of_rate(min(1.0 / nodes, MAX_ISOLATED_SHARE), self._bounds.excess)
+        share = grantable_share(min(1.0 / nodes, MAX_ISOLATED_SHARE), self._bounds.excess)
         return self._grant(self._isolated_buckets, report, share)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
@@ -85,8 +85,8 @@
             name: at for name, at in self._broadcast_at.items() if name in tenants
         }
         now = self._loop.time()
-        self.buckets.forget_idle(now)
-        self._isolated_buckets.forget_idle(now)
+        self.buckets.evict_idle(now)
+        self._isolated_buckets.evict_idle(now)
 
     def _on_report(self, report: QuotaReport, entry: Address) -> None:
         """Send the verdict on a report to its entry gateway."""
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -20,14 +20,14 @@
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
     has_room,
-    work_s_of,
+    mean_work_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
     MINIMUM_OBSERVATIONS,
-    usual_latency_s,
+    typical_latency_s,
 )
-from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
+from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeAges
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes
 from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
@@ -136,7 +136,7 @@
     _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     _latencies: dict[str, LatencyWindow] = field(default_factory=dict)
     _unloaded: dict[str, LatencyWindow] = field(default_factory=dict)
-    _hedges: dict[str, HedgeMoments] = field(default_factory=dict)
+    _hedges: dict[str, HedgeAges] = field(default_factory=dict)
     _sizes: dict[tuple[str, ...], ScatterSizes] = field(default_factory=dict)
     latest_advantage: ZoneAdvantage | None = None
 
@@ -157,13 +157,13 @@
             self._latencies[route.name] = window
         return window
 
-    def hedge_moments(self, route: Route) -> HedgeMoments:
+    def hedge_ages(self, route: Route) -> HedgeAges:
         """Return the statistics that give the ages at which calls of a route are hedged."""
-        moments = self._hedges.get(route.name)
-        if moments is None:
-            moments = HedgeMoments(self.latency(route))
-            self._hedges[route.name] = moments
-        return moments
+        hedge_ages = self._hedges.get(route.name)
+        if hedge_ages is None:
+            hedge_ages = HedgeAges(self.latency(route))
+            self._hedges[route.name] = hedge_ages
+        return hedge_ages
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
         """Return the latencies of a route's calls after which the back end reported no queue."""
@@ -224,7 +224,7 @@
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
             return unloaded.quantile(MEDIAN_QUANTILE)
-        return work_s_of(backends) or usual_latency_s(self.latency(route), route.objective_s)
+        return mean_work_s(backends) or typical_latency_s(self.latency(route), route.objective_s)
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
         """Return whether some back end of a service is expected to answer within ``left_s``."""
--- a/tinrudder/gateway/runs/lost_calls.py
+++ b/tinrudder/gateway/runs/lost_calls.py
@@ -46,4 +46,4 @@
     """Revoke a crash if the back end still has a connection from before the loss."""
     if backend.pool.has_connection_from_before(lost_at):
         evidence = run.call_context.evidence
-        evidence.note_survivor(run.request.fingerprint, backend.entry.life)
+        evidence.withdraw_crash(run.request.fingerprint, backend.entry.life)
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -6,7 +6,7 @@
 (:mod:`tinrudder.gateway.decisions.placement.zone_preference`), since traffic between zones costs
 money.  For a single service, which many gateways call a few times each, two back ends are sampled
 and the cheaper one is taken
-(:func:`tinrudder.gateway.decisions.admission.shared_service.two_of`).
+(:func:`tinrudder.gateway.decisions.admission.shared_service.draw_candidates`).
 
 Owns no state: the advantage of the own zone is cached in the call context, since it is the same for
 all shards that a scatter calls at once.
@@ -18,8 +18,12 @@
 
 from tinrudder.common.rendezvous import rendezvous_score
 from tinrudder.gateway.backends.backend import Backend
-from tinrudder.gateway.decisions.admission.shared_service import extra_cost, least_work_s, two_of
-from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, usual_latency_s
+from tinrudder.gateway.decisions.admission.shared_service import (
+    draw_candidates,
+    extra_cost,
+    min_work_s,
+)
+from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, typical_latency_s
 from tinrudder.gateway.decisions.placement.zone_preference import (
     LEAST_ADVANTAGE,
     is_slow,
@@ -59,10 +63,10 @@
     arrivals were shed.
     """
     advantage = _zone_advantage(call_context, candidates, route, now)
-    sampled = two_of(candidates, lambda one: one.observations, now, call_context.random)
+    sampled = draw_candidates(candidates, lambda one: one.observations, now, call_context.random)
     least_s = 0.0
     if sampled is not candidates:
-        least_s = least_work_s([one.observations for one in candidates])
+        least_s = min_work_s([one.observations for one in candidates])
 
     def cost(backend: Backend) -> tuple[float, int]:
         local = backend.entry.zone == call_context.zone
@@ -84,7 +88,7 @@
     latest = call_context.latest_advantage
     if latest is None or latest.at != now or latest.route is not route:
         latency = call_context.latency(route)
-        usual_s = usual_latency_s(latency, route.objective_s)
+        usual_s = typical_latency_s(latency, route.objective_s)
         hedged_s = hedge_delay_s(latency, route.objective_s, budget_fill=1.0)
         advantage = zone_advantage(usual_s, hedged_s, route.objective_s)
         latest = ZoneAdvantage(route, now, advantage)
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -42,7 +42,7 @@
     def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
         """Record that a back end was lost while it was running a request."""
 
-    def note_survivor(self, fingerprint: bytes, life: str) -> None:
+    def withdraw_crash(self, fingerprint: bytes, life: str) -> None:
         """Revoke a crash: the back end is still running."""
 
     def note_answer(self, fingerprint: bytes) -> None:
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -19,7 +19,7 @@
 
 from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.decisions.admission.memory_bound import large_body_bytes
-from tinrudder.gateway.decisions.attempts.hedge_delay import usual_latency_s
+from tinrudder.gateway.decisions.attempts.hedge_delay import typical_latency_s
 from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
@@ -215,7 +215,7 @@
         if self._is_blocked(now):
             return
         running = {attempt.backend.backend_id for attempt in self._attempts}
-        usual_s = usual_latency_s(self._latency, self._run.route.objective_s)
+        usual_s = typical_latency_s(self._latency, self._run.route.objective_s)
         candidates = self._replicas.for_hedge(running, usual_s, now)
         if candidates:
             self._call_best_of(candidates, now, hedge=True)
@@ -309,7 +309,7 @@
         self._replicas.note_sent(attempt.backend)
         call_context.directory.note_call(attempt.backend)
         call_context.counters.calls += 1
-        usual_s = usual_latency_s(self._latency, self._run.route.objective_s)
+        usual_s = typical_latency_s(self._latency, self._run.route.objective_s)
         attempt.running = attempt.backend.observations.begin(now, usual_s)
         attempt.is_canary = self._run.guard.note_sent(now)
         return self._run.request.encode(attempt.backend.backend_id, now)
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -10,10 +10,10 @@
 import asyncio
 import random
 
-from tinrudder.gateway.decisions.admission.load_forecast import USUAL_FACTOR
+from tinrudder.gateway.decisions.admission.load_forecast import SERVICE_TIME_FACTOR
 from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter, ScatterRefusal
 from tinrudder.gateway.decisions.admission.retry_after import (
-    may_come_back,
+    is_retry_in_time,
     retry_after_by_place_s,
 )
 from tinrudder.gateway.decisions.admission.scatter_queue import (
@@ -63,7 +63,7 @@
         """Return the part of the concurrency limit that running scatters use, in scatters."""
         return sum(one.run.unanswered_share for one in self._running if one.run is not None)
 
-    def _held_before(self, scatter: QueuedScatter) -> float:
+    def _held_by_urgent(self, scatter: QueuedScatter) -> float:
         """Return what running scatters at least as urgent as ``scatter`` hold, in scatters.
 
         A scatter that is late already ranks behind all running ones.
@@ -83,8 +83,8 @@
         now = self._call_context.loop.time()
         self._update_limit(now)
         scatter = ticket.scatter = self._describe(ticket.waiting)
-        held_before = self._held_before(scatter)
-        verdict = self.queue.arrive(scatter, self.held, now, held_before=held_before)
+        held_by_urgent = self._held_by_urgent(scatter)
+        verdict = self.queue.arrive(scatter, self.held, now, held_by_urgent=held_by_urgent)
         if isinstance(verdict, ScatterRefusal):
             self._refuse(ticket, verdict, now)
         elif verdict:
@@ -118,7 +118,7 @@
         now = max(at, self._call_context.loop.time())
         self._update_limit(now)
         while (first := self.queue.first) is not None:
-            if self.queue.next_ready(self._held_before(first)) is None:
+            if self.queue.next_ready(self._held_by_urgent(first)) is None:
                 break
             self._start(self._waiting.pop(first))
         self._refuse_too_late(now)
@@ -132,12 +132,12 @@
 
     def _refuse_too_late(self, now: float) -> None:
         """Refuse scatters that would start too late, and set the timer for the next such check."""
-        for scatter, refusal in self.queue.refuse_hopeless(self.held, now):
+        for scatter, refusal in self.queue.refuse_too_late(self.held, now):
             self._refuse(self._waiting.pop(scatter), refusal, now)
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
-        end_at = self.queue.next_end_at
+        end_at = self.queue.next_latest_start_at
         if end_at is not None:
             self._timer = self._call_context.loop.call_at(end_at, self._admit_waiting, end_at)
 
@@ -159,7 +159,7 @@
         room_in_s = room_at - now
         if room_in_s + scatter.usual_s > left_s:
             return left_s
-        if may_come_back(room_in_s, left_s):
+        if is_retry_in_time(room_in_s, left_s):
             pace = self.queue.room.pace
             self._reserved_until[refusal.priority] = room_at + (1.0 / pace if pace else 0.0)
         return retry_after_by_place_s(room_in_s, left_s, self._random.random())
@@ -180,8 +180,8 @@
         """Return how long a scatter of a route takes without queueing, seconds."""
         unloaded = self._call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
-            return self.queue.room.hold_s * USUAL_FACTOR
-        return unloaded.quantile(0.5) * USUAL_FACTOR
+            return self.queue.room.hold_s * SERVICE_TIME_FACTOR
+        return unloaded.quantile(0.5) * SERVICE_TIME_FACTOR
 
     def _update_limit(self, now: float) -> None:
         """Adapt the limit to the fleet and, if it is in use or has changed, to reported queues."""
@@ -190,13 +190,13 @@
             self._slots_updated_at = now
             slots = self._typical_shard.own_slots()
             if slots:
-                room.set_part(slots)
-        in_use = bool(self.queue) or not room.bears_another(self.held)
-        if not room.may_judge(now) or not (in_use or room.has_changed):
+                room.set_slot_share(slots)
+        in_use = bool(self.queue) or not room.has_room_for_another(self.held)
+        if not room.may_adjust(now) or not (in_use or room.is_adjusted):
             return
         queue = self._typical_shard.queue(now)
         if queue is not None:
-            room.judge(queue, now, in_use=in_use)
+            room.adjust(queue, now, in_use=in_use)
 
 
 class ScatterAdmissions:
