--- a/bench/key_lookup.py
+++ b/bench/key_lookup.py
@@ -9,7 +9,7 @@
 import timeit
 
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.api_keys import KeyRing, Known, without_credentials
+from tinrudder.gateway.requests.api_keys import KeyIndex, Known, without_credentials
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
 
@@ -18,14 +18,14 @@
 FLEETS = (79, 1000)
 
 
-def ring_of(tenants: int) -> KeyRing:
+def ring_of(tenants: int) -> KeyIndex:
     """Return the keys of a configuration with some tenants."""
     named = [
         {"name": f"tenant-{number}", "api_keys": [f"{number:020d}", f"x{number:019d}"]}
         for number in range(tenants)
     ]
     document = {"version": 1, "routes": [], "tenants": named}
-    return KeyRing.of(decode_configuration(json.dumps(document).encode()))
+    return KeyIndex.of(decode_configuration(json.dumps(document).encode()))
 
 
 def request_of(key: str) -> HttpRequest:
@@ -45,7 +45,7 @@
         ring = ring_of(tenants)
         request = request_of(f"{tenants // 2:020d}")
 
-        def serve(ring: KeyRing = ring, request: HttpRequest = request) -> None:
+        def serve(ring: KeyIndex = ring, request: HttpRequest = request) -> None:
             identity = ring.identify(request)
             assert isinstance(identity, Known)
             without_credentials(request, identity.tenant, HEADERS)
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -100,7 +100,7 @@
             zone=ZONES[0],
             directory=self.directory,
             bounds=RepeatBounds(0.2, 188.0, 10.0),
-            sharers=lambda service: 8.0,
+            budget_parts=lambda service: 8.0,
             started_at=loop.time() - 100.0,
             load_reports=LoadReports(DECODERS.load_report, loop.time),
             evidence=self._no_evidence(),
--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -50,7 +50,7 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         parts = [
-            1.0 / node.gateway.backends.coordinators.of_service(service).sharers
+            1.0 / node.gateway.backends.coordinators.of_service(service).budget_parts
             for service in ("shard-0", "single")
             for node in site.nodes
             if node.gateway is not None
--- a/tests/unit/gateway/decisions/test_answer_time.py
+++ b/tests/unit/gateway/decisions/test_answer_time.py
@@ -27,19 +27,19 @@
 def test_decisions_follow_from_state_and_time(
     state: tuple[int, int, int], minimum_share: float, now: float
 ) -> None:
-    shards, included, hopeful = state
-    scatter = ScatterState(shards, included, hopeful, minimum_share, 1.0, 2.0)
+    shards, included, outstanding = state
+    scatter = ScatterState(shards, included, outstanding, minimum_share, 1.0, 2.0)
     decision = decide(scatter, now)
     enough = suffices(included, shards, minimum_share)
     if decision.verdict is Verdict.ANSWER:
         assert included == shards or enough
-        assert included == shards or hopeful == 0 or now >= 1.0
+        assert included == shards or outstanding == 0 or now >= 1.0
     elif decision.verdict is Verdict.FAIL:
         assert not enough
-        assert now >= 2.0 or not suffices(included + hopeful, shards, minimum_share)
+        assert now >= 2.0 or not suffices(included + outstanding, shards, minimum_share)
     else:
         assert now < decision.until <= 2.0
-        assert hopeful > 0
+        assert outstanding > 0
         assert not (enough and now >= 1.0)
 
 
--- a/tests/unit/gateway/decisions/test_weighted_rotation.py
+++ b/tests/unit/gateway/decisions/test_weighted_rotation.py
@@ -10,7 +10,7 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.placement.weighted_rotation import WeightedRotation
-from tinrudder.gateway.requests.routes_in_force import FIRST_TURNS
+from tinrudder.gateway.requests.routes_in_force import INITIAL_TURNS
 
 
 @given(st.dictionaries(st.sampled_from("abcd"), st.integers(1, 9), min_size=1))
@@ -45,7 +45,7 @@
     source = random.Random(seed)
     seen: Counter[str] = Counter()
     for _ in range(400):
-        rotation = WeightedRotation(weights, source.randrange(FIRST_TURNS))
+        rotation = WeightedRotation(weights, source.randrange(INITIAL_TURNS))
         seen.update(rotation.next() for _ in range(2))
     for name, weight in weights.items():
         assert abs(seen[name] / 800 - weight / sum(weights.values())) < 0.1
--- a/tests/unit/gateway/test_backend_entries.py
+++ b/tests/unit/gateway/test_backend_entries.py
@@ -82,7 +82,7 @@
     older = {name: field for name, field in ENTRY.items() if name != "born"}
     assert decode_backend("servers/i-1", msgspec.json.encode(older)).started_ms == 0
     entry = decode_backend("servers/i-1", msgspec.json.encode(ENTRY))
-    assert entry.life == "i-1@1764720000000"
+    assert entry.incarnation_id == "i-1@1764720000000"
 
 
 @given(
--- a/tests/unit/gateway/test_hedge_wiring.py
+++ b/tests/unit/gateway/test_hedge_wiring.py
@@ -32,7 +32,7 @@
         zone="zone",
         directory=directory,  # type: ignore[arg-type]
         bounds=RepeatBounds(1.0, 1000.0, 10.0),
-        sharers=lambda service: 1.0,
+        budget_parts=lambda service: 1.0,
         started_at=0.0,
         evidence=LocalEvidence(loop),
     )
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -117,22 +117,26 @@
         self.requests = PoisonRequests()
 
     @property
-    def is_calm(self) -> bool:
+    def has_no_evidence(self) -> bool:
         return not len(self.requests)
 
     def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
         return self.requests.judge(fingerprint, origin, self.loop.now)
 
-    def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
-        number = crc32(life.encode())
+    def note_crash(
+        self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
+    ) -> None:
+        number = crc32(incarnation_id.encode())
         self.requests.note_crash(fingerprint, origin, number, self.loop.now, trial=trial)
 
-    def withdraw_crash(self, fingerprint: bytes, life: str) -> None:
-        self.requests.withdraw_crash(fingerprint, crc32(life.encode()))
+    def withdraw_crash(self, fingerprint: bytes, incarnation_id: str) -> None:
+        self.requests.withdraw_crash(fingerprint, crc32(incarnation_id.encode()))
 
-    def note_alive(self, life: str, sent_at: float) -> None:
-        for fingerprint in self.requests.requests_cleared_by(crc32(life.encode()), sent_at):
-            self.withdraw_crash(fingerprint, life)
+    def note_alive(self, incarnation_id: str, sent_at: float) -> None:
+        for fingerprint in self.requests.requests_cleared_by(
+            crc32(incarnation_id.encode()), sent_at
+        ):
+            self.withdraw_crash(fingerprint, incarnation_id)
 
     def note_answer(self, fingerprint: bytes) -> None:
         self.requests.note_answer(fingerprint, self.loop.now)
@@ -170,7 +174,7 @@
             zone="zone",
             directory=self.directory,  # type: ignore[arg-type]
             bounds=RepeatBounds(1.0, 1000.0, 10.0),
-            sharers=lambda service: 1.0,
+            budget_parts=lambda service: 1.0,
             started_at=0.0,
             evidence=LocalEvidence(self.loop),
         )
--- a/tests/unit/gateway/test_tenants.py
+++ b/tests/unit/gateway/test_tenants.py
@@ -12,7 +12,7 @@
 
 from tinrudder.gateway.model.configuration import Tenant
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.api_keys import KeyRing, Known, key_digest, without_credentials
+from tinrudder.gateway.requests.api_keys import KeyIndex, Known, key_digest, without_credentials
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
@@ -28,8 +28,8 @@
     return HttpRequest(b"GET", b"/", headers, b"")
 
 
-def ring() -> KeyRing:
-    return KeyRing.of(decode_configuration(document({"name": "a", "api_keys": [KEY]})))
+def ring() -> KeyIndex:
+    return KeyIndex.of(decode_configuration(document({"name": "a", "api_keys": [KEY]})))
 
 
 def test_a_tenant_is_read_with_its_keys_digested() -> None:
@@ -104,4 +104,4 @@
 
 
 def test_a_configuration_without_tenants_asks_for_no_key() -> None:
-    assert not KeyRing.of(decode_configuration(document())).required
+    assert not KeyIndex.of(decode_configuration(document())).required
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -192,7 +192,7 @@
         """Return the zone of each back end of a service that is neither leaving nor evacuated."""
         return tuple(backend.entry.zone for backend in self.staying(service))
 
-    def fits_attempts(self, service: str, attempts: int) -> bool:
+    def attempts_cover_all_replicas(self, service: str, attempts: int) -> bool:
         """Whether two gateways may call the back ends of a service for the same request.
 
         Neither gateway knows which back ends the other calls, so the service may have no more back
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -41,7 +41,7 @@
 
 def start_number(entry: BackendEntry) -> int:
     """Return a hash that identifies one instance of a back end; 4 bytes instead of about 40."""
-    return crc32(entry.life.encode())
+    return crc32(entry.incarnation_id.encode())
 
 
 class LoadNewsExchange:
@@ -78,7 +78,7 @@
         """Rebuild the index of back ends at its next use, since entries have changed."""
         self._by_instance_hash = None
 
-    def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Report a back end that has just answered, if calls are queued at its service.
 
         While they are, back ends without a queue are reported too: otherwise a gateway could not
--- a/tinrudder/gateway/decisions/attempts/answer_time.py
+++ b/tinrudder/gateway/decisions/attempts/answer_time.py
@@ -42,7 +42,7 @@
 
     :param shards: number of shards in its configuration.
     :param included: number that have answered.
-    :param hopeful: number of others that may still answer: a call runs or can be sent.
+    :param outstanding: number of others that may still answer: a call runs or can be sent.
     :param minimum_share: the minimum share of shards for an answer.
     :param objective_at: monotonic time until which an answer has its full worth.
     :param deadline_at: monotonic time at which a final answer must be sent.
@@ -50,7 +50,7 @@
 
     shards: int
     included: int
-    hopeful: int
+    outstanding: int
     minimum_share: float
     objective_at: float
     deadline_at: float
@@ -81,9 +81,9 @@
     """Decide whether to wait, answer or fail; the module docstring gives the reasons."""
     if state.included == state.shards:
         return Decision(Verdict.ANSWER)
-    if not suffices(state.included + state.hopeful, state.shards, state.minimum_share):
+    if not suffices(state.included + state.outstanding, state.shards, state.minimum_share):
         return Decision(Verdict.FAIL)
-    if state.suffices and (state.hopeful == 0 or now >= state.objective_at):
+    if state.suffices and (state.outstanding == 0 or now >= state.objective_at):
         return Decision(Verdict.ANSWER)
     if now >= state.deadline_at:
         return Decision(Verdict.FAIL)
--- a/tinrudder/gateway/model/configuration.py
+++ b/tinrudder/gateway/model/configuration.py
@@ -122,7 +122,7 @@
     started_ms: int = 0
 
     @property
-    def life(self) -> str:
+    def incarnation_id(self) -> str:
         """Return an identity of this process of the back end; a restart may keep the id alone."""
         return f"{self.backend_id}@{self.started_ms}"
 
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -99,7 +99,7 @@
             return
         self._announced_positions = self._positions()
         receivers = self._peers.receivers(self._loop.time(), zone_only=zone_only)
-        other_zone = [peer for peer in receivers if self._peers.is_elsewhere(peer)]
+        other_zone = [peer for peer in receivers if self._peers.is_in_other_zone(peer)]
         same_zone = [peer for peer in receivers if peer not in other_zone]
         if same_zone:
             self._datagrams.send(self._digest(), *same_zone)
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -168,8 +168,8 @@
         """
         self._drop_silent(now)
         addresses = sorted(self._seeds | self._known.keys(), key=str)
-        other_zone = [address for address in addresses if self.is_elsewhere(address)]
-        same_zone = [address for address in addresses if not self.is_elsewhere(address)]
+        other_zone = [address for address in addresses if self.is_in_other_zone(address)]
+        same_zone = [address for address in addresses if not self.is_in_other_zone(address)]
         if len(addresses) <= SMALL_FLEET_PEERS:
             return same_zone if zone_only else addresses
         other_zone_count = min(DIGEST_FANOUT_OTHER_ZONE, len(other_zone))
@@ -212,7 +212,7 @@
         known = self._seeds if seeds_only else self._seeds | self._known.keys()
         return self._random.choice(sorted(known, key=str)) if known else None
 
-    def is_elsewhere(self, address: Address) -> bool:
+    def is_in_other_zone(self, address: Address) -> bool:
         """Return whether a peer is known to be in another zone."""
         known = self._known.get(address)
         return known is not None and known.member.zone != self.own_zone
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -111,7 +111,7 @@
         datagrams.handle(PoisonReport, self._on_report)
 
     @property
-    def is_calm(self) -> bool:
+    def has_no_evidence(self) -> bool:
         """Return whether there is no evidence, so that no request needs to be judged."""
         return self.requests.is_empty
 
@@ -132,7 +132,7 @@
 
         The client may retry once the next trial is allowed; until then no gateway runs the request.
         """
-        if self.is_calm:
+        if self.has_no_evidence:
             return None
         fingerprint = fingerprint_of(request, self._names)
         judgement = self.judge(fingerprint, origin_of(route.name, request, self._names))
@@ -142,20 +142,22 @@
         detail = f"poison: back ends crashed under this request ({fingerprint.hex()})"
         return NotRun(detail, judgement.barred_s)
 
-    def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
+    def note_crash(
+        self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
+    ) -> None:
         """Record a back end that was lost while it ran a request.
 
-        :param life: identifies the instance of the back end by its start.
+        :param incarnation_id: identifies the instance of the back end by its start.
         """
         now = self._clock()
-        backend = crc32(life.encode())
+        backend = crc32(incarnation_id.encode())
         if self.requests.find(fingerprint) is None:
             self._unreported.add(fingerprint)
         evidence = self.requests.note_crash(fingerprint, origin, backend, now, trial=trial)
         if evidence.barred_until > now:
             fields: dict[str, LogValue] = {
                 "fingerprint": fingerprint.hex(),
-                "backend": life,
+                "backend": incarnation_id,
                 "crashes": len(evidence.held),
                 "failed_trials": evidence.failed_trials,
                 "barred_s": round(evidence.barred_until - now, 3),
@@ -175,23 +177,25 @@
         log_event("request_cleared", {"fingerprint": fingerprint.hex()})
         self._report_dropped(fingerprint)
 
-    def withdraw_crash(self, fingerprint: bytes, life: str) -> None:
+    def withdraw_crash(self, fingerprint: bytes, incarnation_id: str) -> None:
         """Drop a crash from the evidence against a request: the back end did not crash."""
-        if not self.requests.withdraw_crash(fingerprint, crc32(life.encode())):
+        if not self.requests.withdraw_crash(fingerprint, crc32(incarnation_id.encode())):
             return
-        log_event("back_end_survived", {"fingerprint": fingerprint.hex(), "backend": life})
+        log_event(
+            "back_end_survived", {"fingerprint": fingerprint.hex(), "backend": incarnation_id}
+        )
         self._report_dropped(fingerprint)
 
-    def note_alive(self, life: str, sent_at: float) -> None:
+    def note_alive(self, incarnation_id: str, sent_at: float) -> None:
         """Drop a back end's crash from the requests for which its answer disproves the crash.
 
         :param sent_at: when the call was sent that the back end has answered.
         """
         known_at = self._starts_known_at()
         for fingerprint in self.requests.requests_cleared_by(
-            crc32(life.encode()), sent_at, known_at
+            crc32(incarnation_id.encode()), sent_at, known_at
         ):
-            self.withdraw_crash(fingerprint, life)
+            self.withdraw_crash(fingerprint, incarnation_id)
 
     def _report_dropped(self, fingerprint: bytes) -> None:
         """Report dropped evidence to peers, unless the request was never reported to them."""
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -123,7 +123,7 @@
             self._log(zone)
         self._start_rounds(zone)
 
-    def doubt_way_to(self, peer: Address, sent_at: float) -> None:
+    def suspect_path_to(self, peer: Address, sent_at: float) -> None:
         """Record that a message sent to a gateway has no answer yet."""
         zone = self._peers.zone_of(peer)
         if zone is not None:
--- a/tinrudder/gateway/requests/api_keys.py
+++ b/tinrudder/gateway/requests/api_keys.py
@@ -55,7 +55,7 @@
 UNKNOWN_KEY = Unknown("a key that no tenant has")
 
 
-class KeyRing(Struct, frozen=True):
+class KeyIndex(Struct, frozen=True):
     """The keys of one configuration.
 
     :param tenants: by key digest.
@@ -66,7 +66,7 @@
     required: bool
 
     @classmethod
-    def of(cls, configuration: GatewayConfiguration) -> KeyRing:
+    def of(cls, configuration: GatewayConfiguration) -> KeyIndex:
         """Index a configuration's keys."""
         tenants = {
             digest: tenant for tenant in configuration.tenants for digest in tenant.key_digests
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -6,7 +6,7 @@
 routes, a caller without a key learns nothing about back ends, and the most expensive rules come
 last.
 
-Owns no state.  Depends on the components that are grouped in :class:`Judges`, each of which keeps
+Owns no state.  Depends on the components that are grouped in :class:`RequestChecks`, each of which keeps
 its own state.  After these rules, a scatter can still be refused by the gateway that runs it
 (:mod:`tinrudder.gateway.scatters.scatter_admission`), and a run ends with a refusal if every back
 end rejected it (:mod:`tinrudder.gateway.runs.run_outcome`).
@@ -42,7 +42,7 @@
 into this time."""
 
 
-class Judges(Struct, frozen=True):
+class RequestChecks(Struct, frozen=True):
     """The components that the rules query.
 
     :param is_fresh: returns whether this gateway would know of a newer configuration.
@@ -80,16 +80,16 @@
 class ArrivalRule(Rule, frozen=True):
     """A rule on a request that has been read and not authorized yet."""
 
-    check: Callable[[Judges, ClientRequest], RequestOutcome | None]
+    check: Callable[[RequestChecks, ClientRequest], RequestOutcome | None]
 
 
 class StartRule(Rule, frozen=True):
     """A rule on an authorized request, evaluated when it would start."""
 
-    check: Callable[[Judges, AuthorizedRequest], NotRun | None]
+    check: Callable[[RequestChecks, AuthorizedRequest], NotRun | None]
 
 
-def refusal_on_arrival(checks: Judges, request: ClientRequest) -> RequestOutcome | None:
+def refusal_on_arrival(checks: RequestChecks, request: ClientRequest) -> RequestOutcome | None:
     """Return the first refusal of a request that has just been read; ``None``: there is none."""
     for rule in ARRIVAL_RULES:
         refusal = rule.check(checks, request)
@@ -99,7 +99,9 @@
 
 
 def check_quota(
-    checks: Judges, request: ClientRequest, decide: Callable[[OverQuota | NotRun | None], None]
+    checks: RequestChecks,
+    request: ClientRequest,
+    decide: Callable[[OverQuota | NotRun | None], None],
 ) -> None:
     """Call ``decide`` with the quota's refusal or ``None``, at once or after a round trip.
 
@@ -112,7 +114,7 @@
         checks.quotas.admit(tenant, decide)
 
 
-def refusal_at_start(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+def refusal_at_start(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
     """Return the first refusal of an authorized request; ``None`` lets it start."""
     for rule in START_RULES:
         refusal = rule.check(checks, request)
@@ -121,7 +123,7 @@
     return None
 
 
-def _check_protocol(checks: Judges, request: ClientRequest) -> Invalid | None:
+def _check_protocol(checks: RequestChecks, request: ClientRequest) -> Invalid | None:
     http_request = request.http_request
     if not http_request.target.startswith(b"/"):
         return Invalid(STATUS_BAD_REQUEST, "target: must begin with a slash")
@@ -136,14 +138,14 @@
     return None
 
 
-def _check_configuration(checks: Judges, request: ClientRequest) -> NotRun | None:
+def _check_configuration(checks: RequestChecks, request: ClientRequest) -> NotRun | None:
     if request.routes is None or not checks.state.complete:
         return NotRun("no configuration is known yet", STARTUP_RETRY_AFTER_S)
     request.version = request.routes.configuration.version
     return None
 
 
-def _check_route(checks: Judges, request: ClientRequest) -> UnknownRoute | NotRun | None:
+def _check_route(checks: RequestChecks, request: ClientRequest) -> UnknownRoute | NotRun | None:
     assert request.routes is not None
     request.route = request.routes.find(request.http_request)
     if request.route is not None:
@@ -163,7 +165,7 @@
     return f"version {state.configuration_version}, the store's last word heard of: {when}"
 
 
-def _check_key(checks: Judges, request: ClientRequest) -> RequestOutcome | None:
+def _check_key(checks: RequestChecks, request: ClientRequest) -> RequestOutcome | None:
     assert request.routes is not None
     assert request.route is not None
     authenticated = checks.authentication.authenticate(
@@ -175,22 +177,22 @@
     return None
 
 
-def _check_reachability(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+def _check_reachability(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
     return checks.reachability.refusal(request.route)
 
 
-def _check_memory(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+def _check_memory(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
     memory = checks.call_context.memory
     if not memory.may_be_near:
         return None
     return memory.refusal(request.steps_below_urgent)
 
 
-def _check_poison(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+def _check_poison(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
     return checks.poison.refusal(request.route, request.authenticated.request)
 
 
-def _check_overload(checks: Judges, request: AuthorizedRequest) -> NotRun | None:
+def _check_overload(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
     route = request.route
     if route.shards:
         return None
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -17,7 +17,7 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest, RequestObserver
 from tinrudder.gateway.requests.client_request import ClientRequest
 from tinrudder.gateway.requests.refusals import (
-    Judges,
+    RequestChecks,
     check_quota,
     refusal_at_start,
     refusal_on_arrival,
@@ -29,7 +29,9 @@
 class RequestHandler:
     """Serves clients' requests by the configuration in force."""
 
-    def __init__(self, checks: Judges, planner: RunPlanner, observer: RequestObserver) -> None:
+    def __init__(
+        self, checks: RequestChecks, planner: RunPlanner, observer: RequestObserver
+    ) -> None:
         """Report every finished request to ``observer``.
 
         :param checks: the components that decide whether a request may run.
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -14,9 +14,9 @@
 from tinrudder.gateway.decisions.placement.weighted_rotation import WeightedRotation
 from tinrudder.gateway.model.configuration import GatewayConfiguration, Route, Tenant
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.api_keys import KeyRing
+from tinrudder.gateway.requests.api_keys import KeyIndex
 
-FIRST_TURNS = 240
+INITIAL_TURNS = 240
 """Number of turns from which a rotation's first is drawn at random.  A number with many divisors
 holds whole rounds of most weights.  Gateways start at different turns, so that the shares of
 traffic hold over the fleet although each gateway sees few requests."""
@@ -33,7 +33,7 @@
     configuration: GatewayConfiguration
     table: RouteTable[Route]
     priorities: tuple[int, ...]
-    keys: KeyRing
+    keys: KeyIndex
     tenants: dict[str, Tenant]
     _rotations: dict[str, WeightedRotation] = field(default_factory=dict)
 
@@ -47,7 +47,7 @@
             configuration,
             RouteTable(configuration.routes),
             tuple(sorted(priorities)),
-            KeyRing.of(configuration),
+            KeyIndex.of(configuration),
             tenants,
         )
 
@@ -70,6 +70,6 @@
         rotation = self._rotations.get(route.name)
         if rotation is None:
             weights = {part.service: part.weight for part in route.services}
-            rotation = WeightedRotation(weights, random_source.randrange(FIRST_TURNS))
+            rotation = WeightedRotation(weights, random_source.randrange(INITIAL_TURNS))
             self._rotations[route.name] = rotation
         return rotation.next()
--- a/tinrudder/gateway/requests/tenant_configuration.py
+++ b/tinrudder/gateway/requests/tenant_configuration.py
@@ -28,7 +28,7 @@
     burst: float | None = None
 
 
-def make_tenants(documents: Iterable[TenantDocument]) -> tuple[Tenant, ...]:
+def build_tenants(documents: Iterable[TenantDocument]) -> tuple[Tenant, ...]:
     """Return the tenants.
 
     :raises TenantsError: a name is empty or a duplicate, two tenants share a key, a key is empty or
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -85,7 +85,7 @@
 class LoadListener(Protocol):
     """Receives the load reports of back ends that many gateways call."""
 
-    def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Handle an answer or a shed call, after the back end's observations were updated.
 
         :param shed: the back end rejected the call because its queue was full.
@@ -96,14 +96,14 @@
 class NoLoadListener:
     """Ignores load reports, for a gateway without peers."""
 
-    def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Do nothing."""
 
 
 class CallContext(Struct):
     """Shared state and dependencies of all requests.
 
-    :param sharers: returns the number of equal parts into which the fleet's retry budget of a
+    :param budget_parts: returns the number of equal parts into which the fleet's retry budget of a
         service is divided.
     :param started_at: when the process started, by the loop's clock.
     :param evidence: crashes of back ends, by the request that they were running.
@@ -122,7 +122,7 @@
     zone: str
     directory: BackendDirectory
     bounds: RepeatBounds
-    sharers: Callable[[str], float]
+    budget_parts: Callable[[str], float]
     started_at: float
     load_reports: LoadReports
     evidence: CrashEvidence
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -105,7 +105,7 @@
             observations.worked(latency_s)
     if not route.shards:
         work_s = call_context.unloaded_median_s(route)
-        call_context.load_listener.heard(backend, shed=False, work_s=work_s)
+        call_context.load_listener.on_load(backend, shed=False, work_s=work_s)
 
 
 def _observe_shed(
@@ -116,4 +116,4 @@
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
         work_s = call_context.unloaded_median_s(route)
-        call_context.load_listener.heard(backend, shed=True, work_s=work_s)
+        call_context.load_listener.on_load(backend, shed=True, work_s=work_s)
--- a/tinrudder/gateway/runs/delegated_groups.py
+++ b/tinrudder/gateway/runs/delegated_groups.py
@@ -31,9 +31,9 @@
         return sum(group.included for group in self._groups)
 
     @property
-    def hopeful(self) -> int:
+    def outstanding(self) -> int:
         """Return how many of the shards may still answer."""
-        return sum(group.hopeful for group in self._groups)
+        return sum(group.outstanding for group in self._groups)
 
     @property
     def repeats(self) -> int:
@@ -80,10 +80,10 @@
         if self._held and not in_progress:
             self._held.pop(0).start()
 
-    def withhold(self) -> None:
+    def cancel_unstarted(self) -> None:
         """End all groups that have not been started, since back ends crash under the request."""
         for group in self._held:
-            group.withhold()
+            group.cancel_unstarted()
         self._held.clear()
 
     def take_over(self, group: DelegatedShards) -> None:
--- a/tinrudder/gateway/runs/lost_calls.py
+++ b/tinrudder/gateway/runs/lost_calls.py
@@ -23,7 +23,7 @@
     match outcome:
         case Answered():
             assert attempt.running is not None
-            run.guard.note_answered(attempt.backend.entry.life, attempt.running.sent_at)
+            run.guard.note_answered(attempt.backend.entry.incarnation_id, attempt.running.sent_at)
         case Broken(detail=detail, unanswered=True):
             request = run.request
             backend_id = attempt.backend.backend_id
@@ -36,7 +36,7 @@
 def _suspect_crash(run: RunContext, attempt: Attempt) -> None:
     """Record a crash under the request, and schedule a check for its back end's survival."""
     backend = attempt.backend
-    if run.guard.note_crash(backend.entry.life, canary=attempt.is_canary):
+    if run.guard.note_crash(backend.entry.incarnation_id, canary=attempt.is_canary):
         loop = run.call_context.loop
         lost_at = loop.time()
         loop.call_later(SURVIVAL_CHECK_DELAY_S, _check_survival, run, backend, lost_at)
@@ -46,4 +46,4 @@
     """Revoke a crash if the back end still has a connection from before the loss."""
     if backend.pool.has_connection_from_before(lost_at):
         evidence = run.call_context.evidence
-        evidence.withdraw_crash(run.request.fingerprint, backend.entry.life)
+        evidence.withdraw_crash(run.request.fingerprint, backend.entry.incarnation_id)
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -152,7 +152,7 @@
 
     def _stop_sending(self) -> None:
         """Stop sending, since back ends crash under this request."""
-        self._groups.withhold()
+        self._groups.cancel_unstarted()
         for shard in self.shards:
             if shard.part is None:
                 shard.stop_sending()
@@ -186,7 +186,7 @@
         if self._finished:
             return
         now = self._context.call_context.loop.time()
-        if group.may_run_here:
+        if group.may_run_locally:
             self._take_over(group, now)
         if group.included:
             self._context.guard.note_answered_elsewhere()
@@ -212,12 +212,14 @@
         if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
             return False
         called_here = {shard.service for shard in self.shards}
-        fits_attempts = self._context.call_context.directory.fits_attempts
+        attempts_cover_all_replicas = (
+            self._context.call_context.directory.attempts_cover_all_replicas
+        )
         missing = [
             one.service
             for one in self._groups.missing_at_end
             if one.service not in called_here
-            and fits_attempts(one.service, self._context.route.attempts)
+            and attempts_cover_all_replicas(one.service, self._context.route.attempts)
         ]
         self._start_calls(self._calls(missing, called_elsewhere=True), now)
         return bool(missing)
@@ -253,7 +255,7 @@
         return ScatterState(
             shards=self._total,
             included=self.included,
-            hopeful=len(self.shards) - self._tally.settled + self._groups.hopeful,
+            outstanding=len(self.shards) - self._tally.settled + self._groups.outstanding,
             minimum_share=self._minimum_share,
             objective_at=self._context.deadlines.objective_at,
             deadline_at=self._context.deadlines.deadline_at,
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -17,7 +17,7 @@
 SECOND_CANARY_SHARE = 0.3
 """Share of the route's objective after which a second canary may be sent, since the back end of the
 first may be stalled.  Leaves most of the objective to the other shards."""
-POISON = "back ends crashed under this request: it is not sent again"
+POISON_REFUSAL = "back ends crashed under this request: it is not sent again"
 """Reason given for shards that are not called because the request crashes back ends."""
 
 
@@ -33,22 +33,24 @@
     """The fleet's evidence about requests that crash back ends, as far as a run uses it."""
 
     @property
-    def is_calm(self) -> bool:
+    def has_no_evidence(self) -> bool:
         """Whether there is no evidence against any request."""
 
     def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
         """Return whether a request may be sent now, and how."""
 
-    def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
+    def note_crash(
+        self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
+    ) -> None:
         """Record that a back end was lost while it was running a request."""
 
-    def withdraw_crash(self, fingerprint: bytes, life: str) -> None:
+    def withdraw_crash(self, fingerprint: bytes, incarnation_id: str) -> None:
         """Revoke a crash: the back end is still running."""
 
     def note_answer(self, fingerprint: bytes) -> None:
         """Clear a request that a back end has answered."""
 
-    def note_alive(self, life: str, sent_at: float) -> None:
+    def note_alive(self, incarnation_id: str, sent_at: float) -> None:
         """Record that a back end has answered a call that was sent at ``sent_at``."""
 
     def begin_trial(self, fingerprint: bytes) -> None:
@@ -82,14 +84,14 @@
     @property
     def is_unrestricted(self) -> bool:
         """Whether all shards may be called at the same time."""
-        if self.answered or (not self._lost_here and self._evidence.is_calm):
+        if self.answered or (not self._lost_here and self._evidence.has_no_evidence):
             return True
         return not self._stopped and self._standing() is Standing.FREE
 
     @property
     def is_stopped(self) -> bool:
         """Whether the run may send nothing more."""
-        if self.answered or self._evidence.is_calm:
+        if self.answered or self._evidence.has_no_evidence:
             return False
         return self._stopped or self._standing() is Standing.BARRED
 
@@ -98,7 +100,7 @@
         # Fast path for nearly every call: repeats the first test of the property inline.  The
         # checks of a call take 1.1 us this way, and 0.7 us after the first answer; through the
         # property, 2.8 and 1.8 us.
-        if self.answered or (not self._lost_here and self._evidence.is_calm):
+        if self.answered or (not self._lost_here and self._evidence.has_no_evidence):
             return Permission.SEND
         if self.is_unrestricted:
             return Permission.SEND
@@ -120,17 +122,17 @@
         self._evidence.begin_trial(self._request.fingerprint)
         return True
 
-    def note_answered(self, life: str, sent_at: float) -> None:
+    def note_answered(self, incarnation_id: str, sent_at: float) -> None:
         """Record an answer of any status: the back end has survived the request.
 
-        :param life: identifies one incarnation of the back end.
+        :param incarnation_id: identifies one incarnation of the back end.
         :param sent_at: when the call was sent.
         """
         self._in_progress -= 1
         self.answered = True
-        if not self._evidence.is_calm:
+        if not self._evidence.has_no_evidence:
             self._evidence.note_answer(self._request.fingerprint)
-            self._evidence.note_alive(life, sent_at)
+            self._evidence.note_alive(incarnation_id, sent_at)
 
     def note_answered_elsewhere(self) -> None:
         """Record that back ends have answered other gateways, which inform the fleet themselves."""
@@ -140,12 +142,12 @@
         """Record the end of a call that neither clears nor incriminates the request."""
         self._in_progress -= 1
 
-    def note_crash(self, life: str, *, canary: bool) -> bool:
+    def note_crash(self, incarnation_id: str, *, canary: bool) -> bool:
         """Record a call that was lost with its connection; return whether it counts as a crash.
 
         Once a back end has answered in this run, the request is not what crashed another one.
 
-        :param life: identifies one incarnation of the back end.
+        :param incarnation_id: identifies one incarnation of the back end.
         """
         self._in_progress -= 1
         if self.answered:
@@ -154,13 +156,13 @@
         # A lost canary ends the run; only another run may try the request again.
         self._stopped |= canary
         request = self._request
-        self._evidence.note_crash(request.fingerprint, self._origin, life, trial=canary)
+        self._evidence.note_crash(request.fingerprint, self._origin, incarnation_id, trial=canary)
         return True
 
     @property
     def barred_s(self) -> float:
         """Seconds for which every gateway refuses the request; 0 if it is not barred."""
-        if self._evidence.is_calm:
+        if self._evidence.has_no_evidence:
             return 0.0
         return self._evidence.judge(self._request.fingerprint, self._origin).barred_s
 
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -43,7 +43,7 @@
     retry_backoff_s,
 )
 from tinrudder.gateway.runs.run_context import NEVER, Attempt, RunContext
-from tinrudder.gateway.runs.run_guard import POISON, Permission
+from tinrudder.gateway.runs.run_guard import POISON_REFUSAL, Permission
 from tinrudder.gateway.runs.shard_replicas import ShardReplicas
 
 DENIED_RETRY_DELAY_S = 0.02
@@ -149,7 +149,7 @@
     def stop_sending(self) -> None:
         """Stop sending, since the request crashes back ends; calls in progress go on."""
         self.next_at = NEVER
-        self.last_error = POISON
+        self.last_error = POISON_REFUSAL
 
     def withdraw_unsent(self) -> None:
         """Cancel the calls that wait for a connection, so that they are never sent."""
@@ -270,7 +270,7 @@
     def _may_repeat(self, now: float, *, hedge: bool) -> bool:
         """Charge a repeat to the service's retry budget; return whether the budget allows it."""
         call_context = self._run.call_context
-        if self._budget.may_repeat(now, call_context.sharers(self.service), hedge=hedge):
+        if self._budget.may_repeat(now, call_context.budget_parts(self.service), hedge=hedge):
             return True
         call_context.counters.repeats_denied += 1
         return False
@@ -282,7 +282,7 @@
         attempt.call.listener = lambda outcome: self._on_outcome(attempt, outcome)
         attempt.call.make_bytes = lambda: self._encode_if_allowed(attempt)
         self._attempts.append(attempt)
-        budget_fill = self._budget.fill(now, self._run.call_context.sharers(self.service))
+        budget_fill = self._budget.fill(now, self._run.call_context.budget_parts(self.service))
         self._hedge_times = hedge_times(self._run, self._latency, budget_fill, now)
         self.next_at = min(self._hedge_times.overdue_at, self._hedge_times.hedge_at)
         backend.pool.start(attempt.call)
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -120,7 +120,7 @@
         """Reset a coordinator's back-off."""
         self._backoff.succeeded(coordinator)
 
-    def reconsider(self) -> None:
+    def discard_decisions(self) -> None:
         """Discard all decisions: a zone has become unreachable, or reachable again."""
         self._by_index.clear()
 
@@ -158,14 +158,14 @@
         if any(one.name == str(own.address) for one in chosen):
             others_chosen = [by_name[one.name] for one in chosen if one.name != str(own.address)]
             delegated = self._delegated(index, zones, others_chosen, now)
-            sharers = callers / COORDINATORS_BUDGET_SHARE
+            budget_parts = callers / COORDINATORS_BUDGET_SHARE
             names = frozenset(one.name for one in chosen)
-            return Coordination(True, (), callers, sharers, now, delegated, names)
+            return Coordination(True, (), callers, budget_parts, now, delegated, names)
         order = preference(str(own.address), own.zone, chosen)
         addresses = [by_name[one.name].address for one in order]
         asked = tuple(one for one in addresses if not self._backoff.avoids(one, now))
-        sharers = self.peers.nodes(now) / (1.0 - COORDINATORS_BUDGET_SHARE)
-        return Coordination(False, asked[:MAX_COORDINATORS_ASKED], callers, sharers, now)
+        budget_parts = self.peers.nodes(now) / (1.0 - COORDINATORS_BUDGET_SHARE)
+        return Coordination(False, asked[:MAX_COORDINATORS_ASKED], callers, budget_parts, now)
 
     def _delegated(
         self,
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -19,7 +19,7 @@
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import Merged, NotRun
 from tinrudder.gateway.peers.peer_messages import MissingShard, ScatterEnd, ScatterRequest
-from tinrudder.gateway.runs.run_guard import POISON
+from tinrudder.gateway.runs.run_guard import POISON_REFUSAL
 from tinrudder.gateway.scatters.delegation import (
     LostAfterStart,
     NotStarted,
@@ -59,7 +59,7 @@
 
     :ivar part: the merged answer of the group, once there is one.
     :ivar may_have_run: back ends may have received the request.
-    :ivar may_run_here: this gateway may call the shards: the other one sends no calls, or calls by
+    :ivar may_run_locally: this gateway may call the shards: the other one sends no calls, or calls by
         both cannot exceed the attempt limit.
     """
 
@@ -78,7 +78,7 @@
         self.pending = True
         self.part: Merged | None = None
         self.may_have_run = False
-        self.may_run_here = False
+        self.may_run_locally = False
         self.repeats = 0
         self._missing: tuple[MissingShard, ...] = ()
         self._failure = "no answer yet"
@@ -97,10 +97,10 @@
         call_context.counters.delegated += 1
         self._task = call_context.loop.create_task(self._run())
 
-    def withhold(self) -> None:
+    def cancel_unstarted(self) -> None:
         """End the group without asking the other gateway: the request crashes back ends."""
         self.pending = False
-        self._failure = POISON
+        self._failure = POISON_REFUSAL
 
     def cancel(self) -> None:
         """Cancel the request to the other gateway."""
@@ -113,7 +113,7 @@
         return len(self.part.stamps) if self.part is not None else 0
 
     @property
-    def hopeful(self) -> int:
+    def outstanding(self) -> int:
         """Return how many of the shards may still answer."""
         return len(self.services) if self.pending else 0
 
@@ -142,10 +142,10 @@
             case NotStarted(detail=detail):
                 self._failure = detail
                 self.may_have_run = False
-                self.may_run_here = True
+                self.may_run_locally = True
             case Unconfirmed(detail=detail):
                 self._failure = detail
-                self.may_run_here = True
+                self.may_run_locally = True
             case LostAfterStart(detail=detail):
                 self._failure = detail
         self.on_end(self)
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -101,7 +101,7 @@
         delegation_context.coordinators.succeeded(coordinator)
         delegation_context.zone_monitor.answered_by(coordinator)
         return outcome
-    delegation_context.zone_monitor.doubt_way_to(coordinator, asked_at)
+    delegation_context.zone_monitor.suspect_path_to(coordinator, asked_at)
     log_coordinator_failed(scatter.request_id, coordinator, outcome.detail)
     delegation_context.call_context.counters.relays_failed += 1
     delegation_context.coordinators.failed(coordinator)
@@ -118,7 +118,7 @@
     confirmed, which takes another round trip.
     """
     directory = delegation_context.call_context.directory
-    return all(directory.fits_attempts(shard, route.attempts) for shard in shards)
+    return all(directory.attempts_cover_all_replicas(shard, route.attempts) for shard in shards)
 
 
 async def _ask(
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -39,5 +39,5 @@
 
     def path_time(self, gateway: Address) -> PeerRoundTrip:
         """Return the round-trip estimate for a gateway: one for this zone, one for all others."""
-        elsewhere = self.coordinators.peers.is_elsewhere(gateway)
+        elsewhere = self.coordinators.peers.is_in_other_zone(gateway)
         return self._path_elsewhere if elsewhere else self._path_beside
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -63,7 +63,7 @@
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.quotas.tenants_in_force import TenantsInForce
 from tinrudder.gateway.requests.authentication import Authentication
-from tinrudder.gateway.requests.refusals import Judges
+from tinrudder.gateway.requests.refusals import RequestChecks
 from tinrudder.gateway.requests.request_handler import RequestHandler
 from tinrudder.gateway.requests.run_planner import RunPlanner
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
@@ -204,7 +204,7 @@
     state = knowledge.state
     coordinators = _build_coordinators(context, knowledge, fleet)
     state.subscribe(coordinators.refresh)
-    fleet.zone_monitor.subscribe(coordinators.reconsider)
+    fleet.zone_monitor.subscribe(coordinators.discard_decisions)
     directory = _build_directory(context, process, state, fleet, coordinators)
     poison_watch = _build_poison_watch(context, state, fleet)
     load_news = LoadNewsExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
@@ -215,7 +215,7 @@
         zone=context.settings.zone,
         directory=directory,
         bounds=context.settings.repeats,
-        sharers=lambda service: coordinators.of_service(service).sharers,
+        budget_parts=lambda service: coordinators.of_service(service).budget_parts,
         started_at=context.loop.time(),
         load_reports=LoadReports(context.decoders.load_report, context.loop.time),
         evidence=poison_watch,
@@ -325,15 +325,15 @@
         request_metrics.observe(request)
         log_request(request)
 
-    knows_newer = freshness.would_know_newer
+    is_fresh = freshness.is_fresh
     service_admission = ServiceAdmission(call_context)
     handler = RequestHandler(
-        Judges(
+        RequestChecks(
             call_context=call_context,
             state=state,
-            is_fresh=knows_newer,
+            is_fresh=is_fresh,
             authentication=Authentication(
-                context.names, freshness.is_too_old, knows_newer, context.random
+                context.names, freshness.is_too_old, is_fresh, context.random
             ),
             quotas=quotas,
             reachability=reachability,
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -25,7 +25,7 @@
 from tinrudder.gateway.requests.tenant_configuration import (
     TenantDocument,
     TenantsError,
-    make_tenants,
+    build_tenants,
 )
 from tinrudder.gateway.store.stored_values import (
     ConfigurationKey,
@@ -161,7 +161,7 @@
     )
     routes = tuple(_route(route) for route in document.routes)
     try:
-        tenants = make_tenants(document.tenants)
+        tenants = build_tenants(document.tenants)
     except TenantsError as error:
         raise UnreadableValueError(f"{CONFIGURATION_KEY}: {error}") from error
     return GatewayConfiguration(document.version, routes, services, limits, tenants)
