--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -58,7 +58,7 @@
     """Let connections fall silent, and kill the gateway whose turn it is to find out."""
     silence_store(site)
     for node in site.nodes:
-        if node.gateway is not None and node.gateway.store.readers.place() == 0:
+        if node.gateway is not None and node.gateway.store.readers.rank() == 0:
             site.kill_node(node)
 
 
--- a/tests/functional/gateway/test_restored_store.py
+++ b/tests/functional/gateway/test_restored_store.py
@@ -17,7 +17,7 @@
 
 import pytest
 
-from tinrudder.gateway.store.epoch_rules import WRITTEN_AGAIN_S
+from tinrudder.gateway.store.epoch_rules import REWRITE_PERIOD_S
 from tinrudder_lab.emulator.loop import EmulatorLoop
 from tinrudder_lab.emulator.site import EmulatedSite, SiteTenant, run_site
 from tinrudder_lab.emulator.store import StoreMode
@@ -183,13 +183,13 @@
         restore = StoreRestore(age_s=1.0, operator_after_s=None, backends_after_s=None)
         await restore_store(site, restore)
         assert "single-1" not in await ask(site)
-        await asyncio.sleep(WRITTEN_AGAIN_S + 2.0)
+        await asyncio.sleep(REWRITE_PERIOD_S + 2.0)
         for node in site.nodes:
             assert node.gateway is not None
             state = node.gateway.knowledge.state
             assert state.backends["servers/single-new"].leaving
             assert state.evacuations.zones == frozenset()
-            assert state.kept == [] and state.kept_s == 0.0
+            assert state.retained_keys == [] and state.retained_s == 0.0
 
     run_site(scenario, node_count=GATEWAYS)
 
--- a/tests/functional/gateway/test_store_readers.py
+++ b/tests/functional/gateway/test_store_readers.py
@@ -12,7 +12,7 @@
     SETTLED_S,
     run_many,
 )
-from tests.support.store_revisions import told
+from tests.support.store_revisions import values_for_peer
 from tinrudder.gateway.store.store_readers import READERS
 from tinrudder.gateway.store.stored_values import Topic
 from tinrudder_lab.emulator.loop import EmulatorLoop
@@ -104,9 +104,9 @@
         known = gateway.knowledge.state.revision(Topic.BACKENDS)
         site.drain("single-0")
         await asyncio.sleep(1.0)
-        changes = told(gateway.knowledge.state, known)
+        changes = values_for_peer(gateway.knowledge.state, known)
         assert [value.key.rpartition("/")[2] for value in changes] == ["single-0"]
-        assert len(told(gateway.knowledge.state)) == len(site.backends)
+        assert len(values_for_peer(gateway.knowledge.state)) == len(site.backends)
 
     run_site(scenario)
 
--- a/tests/support/store_revisions.py
+++ b/tests/support/store_revisions.py
@@ -15,7 +15,7 @@
     return TopicPosition(at(number, epoch))
 
 
-def told(
+def values_for_peer(
     state: SharedState, after: StoreRevision = NO_REVISION, topic: Topic = Topic.BACKENDS
 ) -> tuple[StoredValue, ...]:
     """Return the values sent to a peer that knows a topic up to a revision."""
--- a/tests/unit/gateway/test_backend_entries.py
+++ b/tests/unit/gateway/test_backend_entries.py
@@ -11,9 +11,9 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.support.store_revisions import at, told
+from tests.support.store_revisions import at, values_for_peer
 from tests.unit.gateway.test_shared_state import new_state
-from tinrudder.gateway.store.backend_entries import EntryStanding
+from tinrudder.gateway.store.backend_entries import EntryStatus
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, UnreadableValueError
 from tinrudder.gateway.store.unreadable_values import MAX_LINES, UnreadableValues
@@ -110,7 +110,7 @@
         assert len(problems) == (0 if readable else 1)
 
 
-def standing(state: SharedState, key: str) -> EntryStanding:
+def standing(state: SharedState, key: str) -> EntryStatus:
     return state.backends[f"servers/{key}"].standing
 
 
@@ -123,31 +123,31 @@
     state.apply(Topic.BACKENDS, (value_of("a", 1), value_of("b", 3)))
     foreign = StoredValue("servers/a", at(5), foreign_value(ENTRY, random.Random(seed)))
     assert state.apply(Topic.BACKENDS, (foreign,))
-    assert standing(state, "a") is EntryStanding.UNREADABLE
+    assert standing(state, "a") is EntryStatus.UNREADABLE
     assert state.backends["servers/a"].leaving
-    assert standing(state, "b") is EntryStanding.IN_FORCE
+    assert standing(state, "b") is EntryStatus.IN_FORCE
 
     # Gateways that learn of it from peers reach the same state, and older values change nothing.
-    peer.apply(Topic.BACKENDS, told(state))
-    late_peer.apply(Topic.BACKENDS, told(state, late_peer.revision(Topic.BACKENDS)))
+    peer.apply(Topic.BACKENDS, values_for_peer(state))
+    late_peer.apply(Topic.BACKENDS, values_for_peer(state, late_peer.revision(Topic.BACKENDS)))
     for one in (state, peer, late_peer):
         one.apply(Topic.BACKENDS, (value_of("a", 1), value_of("a", 4)))
         one.apply_complete(Topic.BACKENDS, Reading((foreign, value_of("b", 3)), at(6)))
         assert one.revision(Topic.BACKENDS) == at(5)
     assert "servers/a" not in peer.backends
-    assert standing(late_peer, "a") is EntryStanding.UNREADABLE
+    assert standing(late_peer, "a") is EntryStatus.UNREADABLE
 
     for one in (state, peer, late_peer):
         one.apply(Topic.BACKENDS, (value_of("a", 7),))
-        assert standing(one, "a") is EntryStanding.IN_FORCE
+        assert standing(one, "a") is EntryStatus.IN_FORCE
 
 
 def test_long_values_that_cannot_be_read_weigh_nothing_in_snapshots() -> None:
     state, peer = new_state(), new_state()
     values = [StoredValue(f"servers/{n}", at(n), b"?" * 65_536) for n in range(1, 400)]
     state.apply(Topic.BACKENDS, (*values, value_of("a", 400)))
-    assert sum(len(value.value or b"") for value in told(state)) < 1000
-    peer.apply(Topic.BACKENDS, told(state))
+    assert sum(len(value.value or b"") for value in values_for_peer(state)) < 1000
+    peer.apply(Topic.BACKENDS, values_for_peer(state))
     assert peer.revision(Topic.BACKENDS) == at(400)
     assert set(peer.backends) == {"servers/a"}
 
@@ -156,7 +156,7 @@
     state = new_state()
     state.apply(Topic.BACKENDS, (StoredValue("servers/a", at(5), b"?"),))
     state.apply_complete(Topic.BACKENDS, Reading((value_of("b", 3),), at(8)))
-    assert StoredValue("servers/a", at(8), None) in told(state)
+    assert StoredValue("servers/a", at(8), None) in values_for_peer(state)
 
 
 def test_a_page_with_an_item_without_key_removes_nothing() -> None:
@@ -165,10 +165,10 @@
     state.apply(Topic.BACKENDS, (value_of("a", 1), value_of("b", 2)))
     without_key = StoredValue("", at(0), b"")
     state.apply_complete(Topic.BACKENDS, Reading((without_key, value_of("c", 3)), at(9)))
-    assert {standing(state, key) for key in "abc"} == {EntryStanding.IN_FORCE}
+    assert {standing(state, key) for key in "abc"} == {EntryStatus.IN_FORCE}
     assert len(problems) == 1
     state.apply_complete(Topic.BACKENDS, Reading((value_of("c", 3),), at(9)))
-    assert {standing(state, key) for key in "ab"} == {EntryStanding.REMOVED}
+    assert {standing(state, key) for key in "ab"} == {EntryStatus.REMOVED}
 
 
 def test_log_lines_are_bounded_and_every_value_is_counted(
--- a/tests/unit/gateway/test_backend_starts.py
+++ b/tests/unit/gateway/test_backend_starts.py
@@ -16,7 +16,7 @@
 from hypothesis import strategies as st
 
 from tests.support.store_revisions import at
-from tests.support.store_revisions import told as values_after
+from tests.support.store_revisions import values_for_peer as values_after
 from tests.unit.gateway.test_shared_state import DECODERS
 from tinrudder.gateway.backends.backend_directory import (
     BackendDirectory,
@@ -26,7 +26,7 @@
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.model.configuration import ColdBounds
 from tinrudder.gateway.model.http_messages import CallOutcome, UpstreamCall, Withdrawn
-from tinrudder.gateway.store.backend_entries import OLDER_START_S, EntryStanding
+from tinrudder.gateway.store.backend_entries import OLDER_START_S, EntryStatus
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic
 from tinrudder.platform.headers import HEADERS
@@ -179,7 +179,7 @@
     gateway_state.state.apply_complete(Topic.BACKENDS, Reading((), at(9)))
     gateway_state.now = OLDER_START_S
     gateway_state.state.settle()
-    assert gateway_state.state.backends[KEY].standing is EntryStanding.REMOVED
+    assert gateway_state.state.backends[KEY].standing is EntryStatus.REMOVED
 
 
 def directory_of(gateway_state: GatewayState) -> BackendDirectory:
--- a/tests/unit/gateway/test_epoch_merge.py
+++ b/tests/unit/gateway/test_epoch_merge.py
@@ -22,8 +22,8 @@
 from tinrudder.gateway.store.epoch_merge import EpochMerge
 from tinrudder.gateway.store.epoch_rules import (
     LEAVING_PRECEDENCE_S,
-    WRITTEN_AGAIN_S,
-    HeardValue,
+    REWRITE_PERIOD_S,
+    ObservedValue,
     backend_precedence_s,
 )
 from tinrudder.gateway.store.shared_state import SharedState
@@ -47,9 +47,9 @@
     return msgspec.json.encode(document | {"born": start})
 
 
-def observed(epoch: int, number: int, value: bytes | None, since: float = 0.0) -> HeardValue:
+def observed(epoch: int, number: int, value: bytes | None, since: float = 0.0) -> ObservedValue:
     decoded = None if value is None or value == b"?" else decode_backend(KEY, value)
-    return HeardValue(StoredValue(KEY, at(number, epoch), value), since, decoded)
+    return ObservedValue(StoredValue(KEY, at(number, epoch), value), since, decoded)
 
 
 VALUES = st.one_of(
@@ -65,7 +65,7 @@
     ),
     seed=st.integers(0, 10_000),
     copy_up_to=st.integers(0, 6),
-    seen_s=st.floats(0.0, WRITTEN_AGAIN_S * 0.9),
+    seen_s=st.floats(0.0, REWRITE_PERIOD_S * 0.9),
 )
 def test_the_winner_does_not_depend_on_order_or_repetition(
     writes: dict[tuple[int, int], bytes | None], seed: int, copy_up_to: int, seen_s: float
@@ -97,11 +97,11 @@
         (entry(1), entry(1, "draining"), 0.0),
         (entry(1), None, 0.0),
         (entry(1, "draining"), entry(1), LEAVING_PRECEDENCE_S),
-        (None, entry(1), WRITTEN_AGAIN_S),
-        (entry(2), entry(1), WRITTEN_AGAIN_S),
+        (None, entry(1), REWRITE_PERIOD_S),
+        (entry(2), entry(1), REWRITE_PERIOD_S),
         (entry(1), entry(2), 0.0),
-        (entry(1), b"?", WRITTEN_AGAIN_S),
-        (b"?", entry(1), WRITTEN_AGAIN_S),
+        (entry(1), b"?", REWRITE_PERIOD_S),
+        (b"?", entry(1), REWRITE_PERIOD_S),
     ],
 )
 def test_how_long_a_value_takes_precedence_over_a_copy(
@@ -150,7 +150,7 @@
     history.enter(at(60, 2))
     history.is_read_whole = True
     merge.begin_epoch()
-    now[0] = WRITTEN_AGAIN_S * 5
+    now[0] = REWRITE_PERIOD_S * 5
     assert merge.settle() == []
     history.confirm(0.0)
     assert [one.is_removal for one in merge.settle()] == [True]
@@ -406,7 +406,7 @@
         for _ in range(2):
             for index in range(len(self.gateways)):
                 self.reads(index)
-            self.now += WRITTEN_AGAIN_S
+            self.now += REWRITE_PERIOD_S
             self.nothing_goes_back()
         for index, gateway in enumerate(self.gateways):
             self.reads(index)
--- a/tests/unit/gateway/test_gateway_relay_codec.py
+++ b/tests/unit/gateway/test_gateway_relay_codec.py
@@ -32,7 +32,7 @@
     ScatterRequest,
     SnapshotRequest,
 )
-from tinrudder.gateway.store.store_revision import EpochBegin, StoreRevision, TopicPosition
+from tinrudder.gateway.store.store_revision import EpochStart, StoreRevision, TopicPosition
 from tinrudder.gateway.wire import gateway_relay_pb2, snapshot_pb2
 from tinrudder.gateway.wire.gateway_relay_codec import (
     decode_answer,
@@ -51,7 +51,7 @@
 TEXT = st.text(max_size=20)
 REVISION = st.integers(0, 2**63)
 STORE_REVISIONS = st.builds(StoreRevision, st.integers(0, 2**31 - 1), REVISION)
-BEGINS = st.builds(EpochBegin, st.integers(0, 120).map(float), REVISION)
+BEGINS = st.builds(EpochStart, st.integers(0, 120).map(float), REVISION)
 POSITIONS = st.builds(TopicPosition, STORE_REVISIONS, STORE_REVISIONS, st.none() | BEGINS)
 SECONDS = st.floats(0, 100).map(lambda value: round(value, 3))
 HEADERS = st.lists(st.tuples(st.binary(max_size=8), st.binary(max_size=8)), max_size=4).map(tuple)
--- a/tests/unit/gateway/test_shared_state.py
+++ b/tests/unit/gateway/test_shared_state.py
@@ -8,14 +8,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.support.store_revisions import at, told
+from tests.support.store_revisions import at, values_for_peer
 from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_exchange import DIGEST_INTERVAL_S
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Digest, Member, ReportedMember
-from tinrudder.gateway.store.backend_entries import EntryStanding, KnownBackend
+from tinrudder.gateway.store.backend_entries import EntryStatus, KnownBackend
 from tinrudder.gateway.store.shared_state import SharedState
-from tinrudder.gateway.store.store_revision import EpochBegin, TopicPosition
+from tinrudder.gateway.store.store_revision import EpochStart, TopicPosition
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, ValueDecoders
 from tinrudder.gateway.wire.peer_datagram_codec import encode_datagram
 from tinrudder.platform.documents import (
@@ -56,7 +56,7 @@
 
 
 def is_removed(known: KnownBackend) -> bool:
-    return known.standing is EntryStanding.REMOVED
+    return known.standing is EntryStatus.REMOVED
 
 
 def seen(state: SharedState) -> dict[str, tuple[int, bool, bool]]:
@@ -130,7 +130,7 @@
     teacher, pupil = new_state(), new_state()
     teacher.apply(Topic.BACKENDS, (backend("a", 5), backend("b", 6), removed("b", 8)))
     pupil.apply(Topic.BACKENDS, (backend("b", 6),))
-    pupil.apply(Topic.BACKENDS, told(teacher))
+    pupil.apply(Topic.BACKENDS, values_for_peer(teacher))
     assert seen(pupil) == seen(teacher)
 
 
@@ -165,7 +165,7 @@
     teacher, pupil = new_state(), new_state()
     teacher.apply(Topic.BACKENDS, values)
     pupil.apply(Topic.BACKENDS, values[:known])
-    pupil.apply(Topic.BACKENDS, told(teacher, pupil.revision(Topic.BACKENDS)))
+    pupil.apply(Topic.BACKENDS, values_for_peer(teacher, pupil.revision(Topic.BACKENDS)))
     assert seen(pupil) == seen(teacher)
 
 
@@ -175,7 +175,7 @@
     state.apply(Topic.BACKENDS, (backend("a", 5), removed("a", 8)))
     now[0] = 121.0
     state.settle()
-    assert told(state) == ()
+    assert values_for_peer(state) == ()
     assert state.forgotten_up_to == at(8)
 
 
@@ -266,7 +266,7 @@
         host = f"10.{index // 250}.250.{index % 250}"
         peers.heard_from(Member(Address(host, 65000), "a-zone-of-length", 0.516), 10.0)
     own = Member(Address("10.250.250.250", 65000), "a-zone-of-length", 0.516)
-    reached = TopicPosition(at(10**9, 9), at(10**9, 8), EpochBegin(99.9, 10**9))
+    reached = TopicPosition(at(10**9, 9), at(10**9, 8), EpochStart(99.9, 10**9))
     digest = Digest(own, reached, reached, peers.to_tell(30.0), 9.9, 9.9)
     datagram = len(encode_datagram(digest)) + IP_AND_UDP_HEADER_BYTES
     receivers = len(peers.receivers(30.0))
@@ -308,7 +308,9 @@
     teacher, pupil = new_state(), new_state()
     teacher.apply(Topic.OPERATOR, values)
     pupil.apply(Topic.OPERATOR, values[:known])
-    pupil.apply(Topic.OPERATOR, told(teacher, pupil.revision(Topic.OPERATOR), Topic.OPERATOR))
+    pupil.apply(
+        Topic.OPERATOR, values_for_peer(teacher, pupil.revision(Topic.OPERATOR), Topic.OPERATOR)
+    )
     assert pupil.evacuations.zones == teacher.evacuations.zones
 
 
--- a/tests/unit/gateway/test_snapshot_codec.py
+++ b/tests/unit/gateway/test_snapshot_codec.py
@@ -9,7 +9,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tests.support.store_revisions import told
+from tests.support.store_revisions import values_for_peer
 from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Member, ReportedMember, Snapshot
 from tinrudder.gateway.store.store_revision import StoreRevision, TopicPosition
@@ -73,7 +73,7 @@
     async def scenario(site: EmulatedSite) -> tuple[int, int]:
         gateway = site.nodes[0].gateway
         assert gateway is not None and gateway.knowledge.state.accepted is not None
-        known = told(gateway.knowledge.state)
+        known = values_for_peer(gateway.knowledge.state)
         snapshot = Snapshot(gateway.knowledge.state.accepted.value, known, True)
         plain = sum(len(value.key) + len(value.value or b"") for value in known)
         plain += len(gateway.knowledge.state.accepted.value.value or b"")
--- a/tests/unit/gateway/test_staleness_bound.py
+++ b/tests/unit/gateway/test_staleness_bound.py
@@ -22,7 +22,7 @@
     """The part of the shared state that the bound uses."""
 
     known: TopicHistory = field(default_factory=lambda: TopicHistory(lambda: 0.0))
-    may_lack_lost_words: bool = False
+    may_lack_lost_writes: bool = False
     listeners: list[object] = field(default_factory=list)
 
     def history(self, topic: Topic) -> TopicHistory:
@@ -103,7 +103,7 @@
             probe, peer = waiting[which % len(waiting)]
             probe.answered = True
             probe.revision = self.states[peer].known.revision
-            probe.age_s = self.known[peer].told_age_s
+            probe.age_s = self.known[peer].proven_age_s
 
     @rule(which=st.integers(0, 5))
     def peer_answer_arrives(self, which: int) -> None:
@@ -137,7 +137,7 @@
     state.learn(at(4))
     known = StalenessBound(state, lambda: now[0])  # type: ignore[arg-type]
     known.prove(9.0, revision=at(7))
-    assert known.told_age_s is None
+    assert known.proven_age_s is None
     state.learn(at(7))
     assert known.age_s == 1.0
 
@@ -156,9 +156,9 @@
     known = StalenessBound(state, lambda: now[0])  # type: ignore[arg-type]
     known.prove(9.0)
     now[0] = 14.0
-    state.may_lack_lost_words = True
+    state.may_lack_lost_writes = True
     known.prove(13.9)
     assert known.age_s == 5.0
-    state.may_lack_lost_words = False
+    state.may_lack_lost_writes = False
     known.prove(13.9)
     assert known.age_s < 0.2
--- a/tests/unit/gateway/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -17,7 +17,7 @@
     MAX_PAUSE_S,
     PAUSE_JITTER,
     STALE_WATCH_S,
-    FollowerParts,
+    FollowerDependencies,
     StoreFollower,
 )
 from tinrudder.gateway.store.store_readers import ReadReason
@@ -29,12 +29,12 @@
     StoredValue,
     Topic,
 )
-from tinrudder.gateway.store.watch_turns import (
+from tinrudder.gateway.store.watch_timing import (
     ANSWER_DELAY_S,
     FIRST_READER_WAIT_S,
     MAX_WAIT_S,
-    PLACE_STEP_S,
     PROBE_WAIT_S,
+    RANK_STEP_S,
 )
 
 MAX_STORE_WAIT_S = 30.0
@@ -74,15 +74,15 @@
 class FixedReaders:
     """Stands in for the readers of a fleet in which this gateway follows the store."""
 
-    def __init__(self, readers: int, place: int) -> None:
+    def __init__(self, readers: int, rank: int) -> None:
         self._readers = readers
-        self._place = place
+        self._rank = rank
 
     def count(self) -> int:
         return self._readers
 
-    def place(self) -> int:
-        return self._place
+    def rank(self) -> int:
+        return self._rank
 
     def reason_to_read(self, topic: Topic) -> ReadReason:
         return ReadReason.READER
@@ -113,7 +113,7 @@
     peer_revision: int | None = None,
     refuses: tuple[float, float] | None = None,
     store_type: type[ScriptedStore] = ScriptedStore,
-    place: int = 0,
+    rank: int = 0,
     operator_revision: int = FIRST_REVISION,
 ) -> ScriptedStore:
     """Follow back ends for a while; peers send a revision after the first change."""
@@ -124,11 +124,11 @@
         state = SharedState(DECODERS, loop.time, lambda problem: None)
         operators = in_epoch(configuration(1, operator_revision))
         state.apply_complete(Topic.OPERATOR, Reading((operators,), operators.revision))
-        parts = FollowerParts(
+        parts = FollowerDependencies(
             store,  # type: ignore[arg-type]
             state,
             StoreStatus(lambda topic, reachable, detail: None),
-            FixedReaders(readers, place),  # type: ignore[arg-type]
+            FixedReaders(readers, rank),  # type: ignore[arg-type]
             random.Random(1),
             lambda topic, asked_at: None,
         )
@@ -163,13 +163,13 @@
         assert max(gaps) <= 0.25
 
 
-@pytest.mark.parametrize("place", [0, 1, 7])
+@pytest.mark.parametrize("rank", [0, 1, 7])
 def test_the_first_reader_waits_briefly_and_the_others_as_long_as_the_store_allows(
-    place: int,
+    rank: int,
 ) -> None:
-    waits = follow(5.0, readers=8, place=place).waits_s
+    waits = follow(5.0, readers=8, rank=rank).waits_s
     assert len(waits) > 3
-    assert set(waits) == {FIRST_READER_WAIT_S[Topic.BACKENDS] if place == 0 else MAX_WAIT_S - place}
+    assert set(waits) == {FIRST_READER_WAIT_S[Topic.BACKENDS] if rank == 0 else MAX_WAIT_S - rank}
     assert max(waits) <= MAX_STORE_WAIT_S
 
 
@@ -203,13 +203,13 @@
     assert len(store.waits_s) <= 60.0 / FIRST_READER_WAIT_S[Topic.BACKENDS] + 1
 
 
-@pytest.mark.parametrize("place", [0, 1, 7])
-def test_a_silent_watch_is_cancelled_after_the_first_readers_wait(place: int) -> None:
-    store = follow(10.0, readers=8, place=place, store_type=SilentStore)
+@pytest.mark.parametrize("rank", [0, 1, 7])
+def test_a_silent_watch_is_cancelled_after_the_first_readers_wait(rank: int) -> None:
+    store = follow(10.0, readers=8, rank=rank, store_type=SilentStore)
     first, second, *_ = store.watched_at
     assert (
         second - first
-        <= FIRST_READER_WAIT_S[Topic.BACKENDS] + ANSWER_DELAY_S + PLACE_STEP_S * place + 0.01
+        <= FIRST_READER_WAIT_S[Topic.BACKENDS] + ANSWER_DELAY_S + RANK_STEP_S * rank + 0.01
     )
     # The next watch is a probe: its answer shows that the store is reachable.
     assert store.waits_s[1] == PROBE_WAIT_S
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -30,7 +30,7 @@
     ColdBounds,
     HeaderNames,
 )
-from tinrudder.gateway.store.backend_entries import EntryStanding, KnownBackend
+from tinrudder.gateway.store.backend_entries import EntryStatus, KnownBackend
 from tinrudder.gateway.store.shared_state import SharedState
 
 MIN_REPLICAS = 2
@@ -128,7 +128,7 @@
             self._apply_entry(backend, known)
             backend.leaving_since = known.since if known.leaving else None
             backend.lapsed = not known.in_force and not known.entry.leaving
-            backend.unreadable = known.standing is EntryStanding.UNREADABLE
+            backend.unreadable = known.standing is EntryStatus.UNREADABLE
             self._set_evacuated(backend, known.entry.zone in evacuated)
         for key in removed_keys:
             self._remove(key)
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -9,7 +9,7 @@
 from tinrudder.gateway.scatters.coordination import Coordination
 from tinrudder.gateway.store.configuration_in_force import AcceptedConfiguration
 from tinrudder.gateway.store.epoch_change import EpochChange
-from tinrudder.gateway.store.epoch_rules import HeardValue
+from tinrudder.gateway.store.epoch_rules import ObservedValue
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.store.stored_values import Topic
 
@@ -88,7 +88,7 @@
     log_problem("store_restored", fields)
 
 
-def log_settled_values(settled: list[HeardValue]) -> None:
+def log_settled_values(settled: list[ObservedValue]) -> None:
     """Log values accepted from a restored store, since conflicting ones were not written again."""
     for item in settled[:MAX_KEYS_LOGGED]:
         fields: dict[str, LogValue] = {
--- a/tinrudder/gateway/observability/metric_figures.py
+++ b/tinrudder/gateway/observability/metric_figures.py
@@ -244,12 +244,12 @@
     MetricDefinition(
         "store_behind_seconds",
         "For how long the store, back from an older copy, has shown less than is known here.",
-        lambda sources: sources.state.kept_s,
+        lambda sources: sources.state.retained_s,
     ),
     MetricDefinition(
         "store_kept_keys",
         "Keys on which what is known here stands against what the store shows.",
-        lambda sources: len(sources.state.kept),
+        lambda sources: len(sources.state.retained_keys),
     ),
     MetricDefinition(
         "configuration_version",
--- a/tinrudder/gateway/peers/peer_service.py
+++ b/tinrudder/gateway/peers/peer_service.py
@@ -93,8 +93,8 @@
 
     def _snapshot(self, request: SnapshotRequest) -> Snapshot:
         """Return the state that the requester may lack, with all members if it wants them."""
-        told_age_s = self._staleness_bound.told_age_s
-        snapshot = snapshot_for(self._state, request, told_age_s)
+        proven_age_s = self._staleness_bound.proven_age_s
+        snapshot = snapshot_for(self._state, request, proven_age_s)
         if not request.members_wanted:
             return snapshot
         own = ReportedMember(self._own_member.describe(), 0.0)
--- a/tinrudder/gateway/peers/snapshots.py
+++ b/tinrudder/gateway/peers/snapshots.py
@@ -100,7 +100,7 @@
     else:
         state.apply(Topic.OPERATOR, values, source)
     if position is not None:
-        history.hear_position(position)
+        history.observe_position(position)
 
 
 def _apply_backends(state: SharedState, snapshot: Snapshot) -> None:
@@ -113,4 +113,4 @@
     else:
         state.apply(Topic.BACKENDS, snapshot.backends)
     if position is not None and snapshot.backends_read:
-        state.history(Topic.BACKENDS).hear_position(position)
+        state.history(Topic.BACKENDS).observe_position(position)
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -6,8 +6,8 @@
 routes, a caller without a key learns nothing about back ends, and the most expensive rules come
 last.
 
-Owns no state.  Depends on the components that are grouped in :class:`RequestChecks`, each of which keeps
-its own state.  After these rules, a scatter can still be refused by the gateway that runs it
+Owns no state.  Depends on the components that are grouped in :class:`RequestChecks`, each of which
+keeps its own state.  After these rules, a scatter can still be refused by the gateway that runs it
 (:mod:`tinrudder.gateway.scatters.scatter_admission`), and a run ends with a refusal if every back
 end rejected it (:mod:`tinrudder.gateway.runs.run_outcome`).
 """
--- a/tinrudder/gateway/scatters/coordination.py
+++ b/tinrudder/gateway/scatters/coordination.py
@@ -32,7 +32,8 @@
     :param own: whether this gateway calls the back ends itself.
     :param asked: the coordinators to ask, best first; empty if ``own``.
     :param callers: how many gateways call the back ends, including this one if ``own``.
-    :param budget_parts: this gateway's share of the fleet's hedges and retries is one divided by this.
+    :param budget_parts: this gateway's share of the fleet's hedges and retries is one divided by
+        this.
     :param decided_at: monotonic time of the decision, seconds.
     :param delegated: if ``own``, the shards that gateways in the zones of their replicas call.
     :param caller_names: the names of the callers, if ``own``.
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -59,8 +59,8 @@
 
     :ivar part: the merged answer of the group, once there is one.
     :ivar may_have_run: back ends may have received the request.
-    :ivar may_run_locally: this gateway may call the shards: the other one sends no calls, or calls by
-        both cannot exceed the attempt limit.
+    :ivar may_run_locally: this gateway may call the shards: the other one sends no calls, or calls
+        by both cannot exceed the attempt limit.
     """
 
     def __init__(
--- a/tinrudder/gateway/store/backend_entries.py
+++ b/tinrudder/gateway/store/backend_entries.py
@@ -16,7 +16,11 @@
 
 from tinrudder.gateway.model.configuration import BackendEntry
 from tinrudder.gateway.store.epoch_merge import EpochMerge
-from tinrudder.gateway.store.epoch_rules import WRITTEN_AGAIN_S, HeardValue, backend_precedence_s
+from tinrudder.gateway.store.epoch_rules import (
+    REWRITE_PERIOD_S,
+    ObservedValue,
+    backend_precedence_s,
+)
 from tinrudder.gateway.store.store_revision import NO_REVISION
 from tinrudder.gateway.store.stored_values import StoredValue, UnreadableValueError
 from tinrudder.gateway.store.topic_history import TopicHistory
@@ -35,7 +39,7 @@
 these would exceed the size of a snapshot that a peer accepts, and hide every other entry."""
 
 
-class EntryStanding(enum.Enum):
+class EntryStatus(enum.Enum):
     """State of a back end's key, relative to the entry that was in force last."""
 
     IN_FORCE = "in force"
@@ -58,17 +62,17 @@
     value: StoredValue
     since: float
     said_at: float
-    standing: EntryStanding = EntryStanding.IN_FORCE
+    standing: EntryStatus = EntryStatus.IN_FORCE
 
     @property
     def in_force(self) -> bool:
         """Tell whether ``entry`` is currently in force."""
-        return self.standing is EntryStanding.IN_FORCE
+        return self.standing is EntryStatus.IN_FORCE
 
     @property
     def is_older_start(self) -> bool:
         """Tell whether the winning value has an older start time, and is not yet accepted."""
-        return self.standing is EntryStanding.OLDER_START
+        return self.standing is EntryStatus.OLDER_START
 
     @property
     def leaving(self) -> bool:
@@ -103,17 +107,17 @@
         """Apply a value of a key; tell whether it may change which requests a back end gets."""
         if not self.merge.is_newer(value):
             return False
-        observed = HeardValue(value, self._clock(), self._read_entry(value))
+        observed = ObservedValue(value, self._clock(), self._read_entry(value))
         if observed.entry is None and len(value.value or b"") > MAX_UNREADABLE_BYTES:
-            observed = HeardValue(StoredValue(value.key, value.revision, b""), observed.since)
+            observed = ObservedValue(StoredValue(value.key, value.revision, b""), observed.since)
         if self._is_pending_start(observed):
             # A repeated write keeps the time since which its older start waits to be accepted.
             before = self.merge.winner(value.key)
             assert before is not None
-            observed = HeardValue(observed.value, before.since, observed.entry)
+            observed = ObservedValue(observed.value, before.since, observed.entry)
         return self.merge.record(observed) and self._update(observed.value.key)
 
-    def settle(self) -> list[HeardValue]:
+    def settle(self) -> list[ObservedValue]:
         """End precedence whose time is over; return the values that win since."""
         settled = self.merge.settle()
         for observed in settled:
@@ -148,16 +152,16 @@
         observed = self.merge.winner(key)
         assert observed is not None
         if observed.is_removal:
-            return self._withdraw(observed.value, EntryStanding.REMOVED)
+            return self._withdraw(observed.value, EntryStatus.REMOVED)
         if observed.entry is None:
-            return self._withdraw(observed.value, EntryStanding.UNREADABLE)
+            return self._withdraw(observed.value, EntryStatus.UNREADABLE)
         known = self.known.get(key)
         if known is not None and observed.entry.started_before(known.entry):
-            return self._withdraw(observed.value, EntryStanding.OLDER_START)
+            return self._withdraw(observed.value, EntryStatus.OLDER_START)
         self._put_in_force(observed.entry, observed.value)
         return True
 
-    def _is_pending_start(self, observed: HeardValue) -> bool:
+    def _is_pending_start(self, observed: ObservedValue) -> bool:
         """Tell whether a value has the same start as one that is waiting to be accepted."""
         known = self.known.get(observed.value.key)
         if observed.entry is None or known is None or not known.is_older_start:
@@ -196,9 +200,9 @@
         again, or rewritten because the store lost it, does not make it cold; otherwise all back
         ends would be cold at once.
         """
-        return known.entry == entry and self._history.restored_s < WRITTEN_AGAIN_S
+        return known.entry == entry and self._history.restored_s < REWRITE_PERIOD_S
 
-    def _withdraw(self, value: StoredValue, standing: EntryStanding) -> bool:
+    def _withdraw(self, value: StoredValue, standing: EntryStatus) -> bool:
         """Mark a key's entry as not in force; tell whether one has ever been."""
         known = self.known.get(value.key)
         if known is None:
--- a/tinrudder/gateway/store/configuration_freshness.py
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -30,7 +30,7 @@
     :param change_in_force_s: seconds within which a confirmed change must be in force.
     :param unconfirmed_s: returns the time since the store's latest known confirmation.
     :param is_needed: tells whether the bound applies, as the configuration in force has API keys.
-    :param may_lack_lost_words: tells whether the store may have lost acknowledged writes that have
+    :param may_lack_lost_writes: tells whether the store may have lost acknowledged writes that have
         not been repeated yet.
     :param clock: returns the time of the event loop, seconds.
     """
@@ -42,7 +42,7 @@
     is_needed: Callable[[], bool]
     peers: PeerList
     store_status: StoreStatus
-    may_lack_lost_words: Callable[[], bool]
+    may_lack_lost_writes: Callable[[], bool]
     clock: Callable[[], float]
 
     def is_too_old(self) -> bool:
@@ -57,7 +57,7 @@
         """
         if self.bound_s is not None and self.is_needed():
             return self.staleness_bound.age_s <= self.bound_s * FRESH_SHARE
-        if self.may_lack_lost_words() or self.unconfirmed_s() > self.change_in_force_s:
+        if self.may_lack_lost_writes() or self.unconfirmed_s() > self.change_in_force_s:
             return False
         if self.peers.has_peers:
             return self.peers.silent_s(self.clock()) <= MAX_PEER_SILENCE_S
--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.store.epoch_rules import HeardValue
+from tinrudder.gateway.store.epoch_rules import ObservedValue
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.store.stored_values import Topic
 
@@ -38,7 +38,7 @@
     """
 
     on_epoch: Callable[[EpochChange], None] = lambda change: None
-    on_settled: Callable[[list[HeardValue]], None] = lambda _winning_values: None
+    on_settled: Callable[[list[ObservedValue]], None] = lambda _winning_values: None
 
 
 IGNORE_HISTORY = HistoryListener()
--- a/tinrudder/gateway/store/epoch_merge.py
+++ b/tinrudder/gateway/store/epoch_merge.py
@@ -10,19 +10,21 @@
 from collections.abc import Callable, Iterator
 from typing import Protocol
 
-from tinrudder.gateway.store.epoch_rules import WRITTEN_AGAIN_S, HeardValue
+from tinrudder.gateway.store.epoch_rules import REWRITE_PERIOD_S, ObservedValue
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.store.topic_history import TopicHistory
 
-Observations = tuple[HeardValue, ...]
+Observations = tuple[ObservedValue, ...]
 """Observed values of one key, in the order of their epochs; one for each epoch."""
 
 
 class PrecedenceRule(Protocol):
     """Decides for how long a value takes precedence over one of a later epoch."""
 
-    def __call__(self, earlier: HeardValue, later: HeardValue, *, may_be_copied: bool) -> float:
+    def __call__(
+        self, earlier: ObservedValue, later: ObservedValue, *, may_be_copied: bool
+    ) -> float:
         """Return seconds; 0 if the later value wins at once; see :mod:`.epoch_rules`."""
 
 
@@ -40,15 +42,15 @@
         self._precedence_s = precedence_s
         self._clock = clock
         self._observations: dict[str, Observations] = {}
-        self._winners: dict[str, HeardValue] = {}
+        self._winners: dict[str, ObservedValue] = {}
         # Keys with values of an earlier epoch.
         self._unsettled: set[str] = set()
 
-    def __iter__(self) -> Iterator[HeardValue]:
+    def __iter__(self) -> Iterator[ObservedValue]:
         """Return the winning value of each key."""
         return iter(tuple(self._winners.values()))
 
-    def winner(self, key: str) -> HeardValue | None:
+    def winner(self, key: str) -> ObservedValue | None:
         """Return the winning value of a key; ``None`` if none was observed."""
         return self._winners.get(key)
 
@@ -71,7 +73,7 @@
             one.revision < value.revision for one in observations if one.revision.epoch == epoch
         )
 
-    def record(self, observed: HeardValue) -> bool:
+    def record(self, observed: ObservedValue) -> bool:
         """Record an observed value; tell whether the winner changed."""
         if not self.is_newer(observed.value):
             return False
@@ -90,7 +92,7 @@
         """Begin to follow a later epoch, whose values may contradict any known one."""
         self._unsettled.update(self._observations)
 
-    def settle(self) -> list[HeardValue]:
+    def settle(self) -> list[ObservedValue]:
         """Drop values that can no longer matter; return the values that win since.
 
         A key without a value in this epoch counts as removed once all lost writes must have been
@@ -107,7 +109,7 @@
                 self._unsettled.discard(key)
         return changed
 
-    def retained(self) -> list[HeardValue]:
+    def retained(self) -> list[ObservedValue]:
         """Return the winning values of earlier epochs."""
         held = (self._winners[key] for key in self._unsettled)
         return [observed for observed in held if observed.revision.epoch < self._history.epoch]
@@ -125,9 +127,9 @@
     @property
     def _is_settled(self) -> bool:
         """Tell whether all writes that the store lost must have been repeated by now."""
-        return self._history.seen_s >= WRITTEN_AGAIN_S
+        return self._history.seen_s >= REWRITE_PERIOD_S
 
-    def _current(self, key: str) -> HeardValue | None:
+    def _current(self, key: str) -> ObservedValue | None:
         """Return a key's value of the current epoch; ``None`` if none was observed."""
         observations = self._observations.get(key)
         newest = observations[-1] if observations else None
@@ -148,11 +150,11 @@
         self._winners[key] = winner
         return changed
 
-    def _removal(self, key: str) -> HeardValue:
+    def _removal(self, key: str) -> ObservedValue:
         """Return the removal of a key that the complete reads of this epoch lack."""
-        return HeardValue(StoredValue(key, self._history.copy_up_to, None), self._clock())
+        return ObservedValue(StoredValue(key, self._history.copy_up_to, None), self._clock())
 
 
-def _epoch_of(observed: HeardValue) -> int:
+def _epoch_of(observed: ObservedValue) -> int:
     """Return the epoch of an observed value."""
     return observed.revision.epoch
--- a/tinrudder/gateway/store/epoch_rules.py
+++ b/tinrudder/gateway/store/epoch_rules.py
@@ -23,7 +23,7 @@
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.store.stored_values import StoredValue
 
-WRITTEN_AGAIN_S = 6.0
+REWRITE_PERIOD_S = 6.0
 """Seconds from the start of an epoch within which everything that the copy lacks is written again.
 Back ends write every 1.2 s, an entry that is no longer written expires after three of these
 intervals, 3.6 s, and an operator is given 5 s. Until then known values take precedence over a
@@ -37,7 +37,7 @@
 evacuated the zone again, which must take effect within 5 s."""
 
 
-class HeardValue(Struct, frozen=True):
+class ObservedValue(Struct, frozen=True):
     """One value of a key, as observed by this gateway.
 
     :param since: when it was first observed.
@@ -60,7 +60,9 @@
         return self.value.value is None
 
 
-def backend_precedence_s(earlier: HeardValue, later: HeardValue, *, may_be_copied: bool) -> float:
+def backend_precedence_s(
+    earlier: ObservedValue, later: ObservedValue, *, may_be_copied: bool
+) -> float:
     """Return for how long a back end's value wins over one of a later epoch; 0: not at all.
 
     :param may_be_copied: the copy may have contained the later value.
@@ -75,11 +77,11 @@
         return 0.0
     if before is not None and after is not None and before.started_before(after):
         return 0.0
-    return WRITTEN_AGAIN_S
+    return REWRITE_PERIOD_S
 
 
 def evacuation_precedence_s(
-    earlier: HeardValue, later: HeardValue, *, may_be_copied: bool
+    earlier: ObservedValue, later: ObservedValue, *, may_be_copied: bool
 ) -> float:
     """Return for how long a zone's value wins over one of a later epoch; 0: not at all."""
     if earlier.is_removal and not later.is_removal and may_be_copied:
--- a/tinrudder/gateway/store/evacuations.py
+++ b/tinrudder/gateway/store/evacuations.py
@@ -14,7 +14,7 @@
 
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.store.epoch_merge import EpochMerge
-from tinrudder.gateway.store.epoch_rules import HeardValue, evacuation_precedence_s
+from tinrudder.gateway.store.epoch_rules import ObservedValue, evacuation_precedence_s
 from tinrudder.gateway.store.stored_values import STORE, StoredValue
 from tinrudder.gateway.store.topic_history import TopicHistory
 
@@ -38,7 +38,7 @@
         """Apply an evacuation or its end; tell whether the winning value changed."""
         self._zone_of_key[value.key] = zone
         before = self.merge.winner(value.key)
-        if not self.merge.record(HeardValue(value, self._clock())):
+        if not self.merge.record(ObservedValue(value, self._clock())):
             return False
         after = self.merge.winner(value.key)
         assert after is not None
@@ -46,7 +46,7 @@
             _log(zone, after, source)
         return True
 
-    def settle(self) -> list[HeardValue]:
+    def settle(self) -> list[ObservedValue]:
         """End precedence whose time is over; return the values that win since."""
         before = self.zones
         settled = self.merge.settle()
@@ -57,7 +57,7 @@
         return settled
 
 
-def _log(zone: str, observed: HeardValue, source: str) -> None:
+def _log(zone: str, observed: ObservedValue, source: str) -> None:
     """Log that a zone was evacuated or taken back, and the source of that information."""
     fields: dict[str, LogValue] = {
         "zone": zone,
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -20,7 +20,7 @@
 )
 from tinrudder.gateway.store.epoch_change import IGNORE_HISTORY, EpochChange, HistoryListener
 from tinrudder.gateway.store.epoch_merge import EpochMerge
-from tinrudder.gateway.store.epoch_rules import WRITTEN_AGAIN_S
+from tinrudder.gateway.store.epoch_rules import REWRITE_PERIOD_S
 from tinrudder.gateway.store.evacuations import Evacuations
 from tinrudder.gateway.store.store_revision import NO_REVISION, StoreRevision, TopicPosition
 from tinrudder.gateway.store.stored_values import (
@@ -102,7 +102,7 @@
         return max(history.epoch for history in self._histories.values())
 
     @property
-    def may_lack_lost_words(self) -> bool:
+    def may_lack_lost_writes(self) -> bool:
         """Tell whether an acknowledged write of the operator may be unknown to every gateway.
 
         A restored store has lost its latest acknowledged writes; those that had reached no gateway
@@ -112,17 +112,17 @@
         history = self._histories[Topic.OPERATOR]
         if self.configuration_revision > history.copy_up_to:
             return False
-        return history.restored_s < WRITTEN_AGAIN_S
+        return history.restored_s < REWRITE_PERIOD_S
 
     @property
-    def kept(self) -> list[str]:
+    def retained_keys(self) -> list[str]:
         """Return the keys whose known value takes precedence over the store's latest epoch."""
         return [key for topic in Topic for key in self._retained_keys(topic)]
 
     @property
-    def kept_s(self) -> float:
+    def retained_s(self) -> float:
         """Return for how long the store has held less than is known here; 0: it holds all."""
-        if not self.kept:
+        if not self.retained_keys:
             return 0.0
         return max(history.seen_s for history in self._histories.values())
 
--- a/tinrudder/gateway/store/staleness_bound.py
+++ b/tinrudder/gateway/store/staleness_bound.py
@@ -42,7 +42,7 @@
         return self._clock() - self._proven_until
 
     @property
-    def told_age_s(self) -> float | None:
+    def proven_age_s(self) -> float | None:
         """Return the age to report to other processes; ``None`` while nothing is proven."""
         return None if self._proven_until == NEVER else max(0.0, self.age_s)
 
@@ -53,7 +53,7 @@
         :param revision: the answerer's revision; the proof is pending while this gateway knows
             less.
         """
-        if self._state.may_lack_lost_words:
+        if self._state.may_lack_lost_writes:
             return
         if self._state.history(Topic.OPERATOR).covers(revision):
             self._proven_until = max(self._proven_until, at)
@@ -64,7 +64,7 @@
 
     def _on_state_change(self) -> None:
         """Apply the pending proofs that have become valid."""
-        if not self._pending or self._state.may_lack_lost_words:
+        if not self._pending or self._state.may_lack_lost_writes:
             return
         covers = self._state.history(Topic.OPERATOR).covers
         for revision in [one for one in self._pending if covers(one)]:
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -94,9 +94,9 @@
         share = self._staleness_bound.age_s / self._bound_s
         if share < ASK_SHARE:
             return
-        place = self._readers.place()
-        is_reader = place is not None
-        if share >= (NON_READER_SHARE if place is None else READ_SHARE + place * READ_STEP_SHARE):
+        rank = self._readers.rank()
+        is_reader = rank is not None
+        if share >= (NON_READER_SHARE if rank is None else READ_SHARE + rank * READ_STEP_SHARE):
             self._read(is_reader=is_reader)
         if is_reader or share >= ASK_ELSEWHERE_SHARE or not self._ask_in_zone():
             self._ask_elsewhere()
@@ -162,5 +162,5 @@
 
     def _on_state_change(self) -> None:
         """Check at once when the state becomes complete, as nothing is proven yet."""
-        if self._state.complete and self._staleness_bound.told_age_s is None:
+        if self._state.complete and self._staleness_bound.proven_age_s is None:
             self.check()
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -3,7 +3,7 @@
 There is one follower for each topic. It reads everything, then watches for changes. It reads
 everything again if the store has forgotten the history since its revision, or if any gateway has
 observed a new epoch of the store. A waiting watch is suspected if the store has not confirmed to
-any reader for longer than the first reader's wait (:mod:`.watch_turns`). Calls are charged for, so
+any reader for longer than the first reader's wait (:mod:`.watch_timing`). Calls are charged for, so
 of many gateways only a few readers follow the store, and digests inform the others. Digests also
 carry the time since the store's latest confirmation: if no reader reaches the store, all gateways
 try.
@@ -20,7 +20,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.store.epoch_rules import WRITTEN_AGAIN_S
+from tinrudder.gateway.store.epoch_rules import REWRITE_PERIOD_S
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.store_readers import ReadReason, StoreReaders
 from tinrudder.gateway.store.store_revision import NO_REVISION, StoreRevision
@@ -33,7 +33,7 @@
     StoreUnavailableError,
     Topic,
 )
-from tinrudder.gateway.store.watch_turns import (
+from tinrudder.gateway.store.watch_timing import (
     PROBE_WAIT_S,
     seconds_to_suspicion,
     watch_wait_s,
@@ -65,7 +65,7 @@
 a new one; if several readers receive a change at once, only one notifies."""
 
 CompleteReadListener = Callable[[Topic, float], None]
-AskingListener = Callable[[Topic, ReadReason | None], None]
+ReadingListener = Callable[[Topic, ReadReason | None], None]
 SilenceListener = Callable[[Topic], None]
 
 
@@ -73,7 +73,7 @@
     """A watch was cancelled because its connection may be broken."""
 
 
-class FollowerParts(Struct, frozen=True):
+class FollowerDependencies(Struct, frozen=True):
     """What the followers of all topics depend on.
 
     :param store: is read and watched; the results go to ``state``.
@@ -81,7 +81,7 @@
     :param readers: decides whether this gateway follows the store at all.
     :param on_complete_read: called with the topic and the time at which a complete read was
         requested.
-    :param on_asking: called with the reason why this gateway begins to query the store, or with
+    :param on_reading: called with the reason why this gateway begins to query the store, or with
         ``None`` when it stops.
     :param on_silent: called when a new query returned changes that a watch had not reported.
     """
@@ -92,14 +92,14 @@
     readers: StoreReaders
     random_source: random.Random
     on_complete_read: CompleteReadListener
-    on_asking: AskingListener = lambda topic, reason: None
+    on_reading: ReadingListener = lambda topic, reason: None
     on_silent: SilenceListener = lambda topic: None
 
 
 class StoreFollower:
     """Follows one topic until it is cancelled."""
 
-    def __init__(self, topic: Topic, parts: FollowerParts) -> None:
+    def __init__(self, topic: Topic, parts: FollowerDependencies) -> None:
         """Begin with a complete read."""
         self._topic = topic
         self._store = parts.store
@@ -119,7 +119,7 @@
         self._is_watch_lost = False
         self._on_confirmed: list[Callable[[], None]] = []
         self._on_silent = parts.on_silent
-        self._on_asking = parts.on_asking
+        self._on_reading = parts.on_reading
         self._reason: ReadReason | None = None
         self._backoff_s = MIN_BACKOFF_S
         # Seconds to pause before a complete read after a refused watch; 0: none.
@@ -173,7 +173,7 @@
         """Report when this gateway begins or stops to query the store, or its reason changes."""
         if reason is not self._reason:
             self._reason = reason
-            self._on_asking(self._topic, reason)
+            self._on_reading(self._topic, reason)
 
     async def _step(self) -> None:
         """Read everything, or wait for changes."""
@@ -261,7 +261,7 @@
         if self._is_probe:
             return None
         unconfirmed_s = self._state.unconfirmed_s(self._topic)
-        return seconds_to_suspicion(self._topic, unconfirmed_s, self._place)
+        return seconds_to_suspicion(self._topic, unconfirmed_s, self._rank)
 
     def _on_state_change(self) -> None:
         """Cancel a watch of a past epoch, or one that has not reported a known change in time."""
@@ -317,15 +317,15 @@
         if self._is_probe:
             return PROBE_WAIT_S
         history = self._state.history(self._topic)
-        if history.is_restored and history.seen_s < WRITTEN_AGAIN_S:
+        if history.is_restored and history.seen_s < REWRITE_PERIOD_S:
             return RESTORED_WAIT_S
-        return watch_wait_s(self._topic, self._place)
+        return watch_wait_s(self._topic, self._rank)
 
     @property
-    def _place(self) -> int:
+    def _rank(self) -> int:
         """Return this gateway's rank among the readers; the last one if it is no reader."""
-        place = self._readers.place()
-        return self._readers.count() - 1 if place is None else place
+        rank = self._readers.rank()
+        return self._readers.count() - 1 if rank is None else rank
 
     def _pause_s(self) -> float:
         """Return how long to pause after changes, which often come in groups.
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -137,7 +137,7 @@
         """Return the number of gateways that follow the store, including this one."""
         return len(self.addresses()) + 1
 
-    def place(self) -> int | None:
+    def rank(self) -> int | None:
         """Return this gateway's rank among the readers, 0 for the first; ``None``: it is none."""
         if not self.is_reader():
             return None
--- a/tinrudder/gateway/store/store_revision.py
+++ b/tinrudder/gateway/store/store_revision.py
@@ -32,7 +32,7 @@
 """The lowest revision, before any change."""
 
 
-class EpochBegin(Struct, frozen=True):
+class EpochStart(Struct, frozen=True):
     """How an epoch began.
 
     :param age_s: seconds since then.
@@ -54,4 +54,4 @@
 
     revision: StoreRevision = NO_REVISION
     older: StoreRevision = NO_REVISION
-    restored: EpochBegin | None = None
+    restored: EpochStart | None = None
--- a/tinrudder/gateway/store/topic_history.py
+++ b/tinrudder/gateway/store/topic_history.py
@@ -11,7 +11,7 @@
 from tinrudder.gateway.store.epoch_rules import LEAVING_PRECEDENCE_S
 from tinrudder.gateway.store.store_revision import (
     NO_REVISION,
-    EpochBegin,
+    EpochStart,
     StoreRevision,
     TopicPosition,
 )
@@ -122,7 +122,7 @@
         elif revision.epoch < self.epoch:
             self.older = max(self.older, revision)
 
-    def hear_position(self, position: TopicPosition) -> None:
+    def observe_position(self, position: TopicPosition) -> None:
         """Record that everything known to a gateway at a position has been received."""
         self.observe(position.revision)
         self.observe(position.older)
@@ -138,5 +138,5 @@
         """Return this gateway's position, with the start of the epoch if that was recent."""
         begin = None
         if self.restored_s <= EPOCH_AGE_REPORTED_S:
-            begin = EpochBegin(self.restored_s, self.copy_up_to.number)
+            begin = EpochStart(self.restored_s, self.copy_up_to.number)
         return TopicPosition(self.revision, self.older, begin)
--- a/tinrudder/gateway/store/watch_turns.py
+++ b/tinrudder/gateway/store/watch_timing.py
@@ -21,7 +21,7 @@
 ANSWER_DELAY_S = 0.25
 """Seconds by which the first reader's answer may be late: an answer of a busy store, a late timer,
 and the time until the other readers learn of it."""
-PLACE_STEP_S = 0.05
+RANK_STEP_S = 0.05
 """Seconds by which a reader suspects its watch later than the reader of the previous rank: enough
 for that reader to get an answer and report it."""
 MAX_WAIT_S = 28.0
@@ -31,29 +31,29 @@
 """Wait time in seconds of a query that only checks whether the store answers."""
 
 
-def watch_wait_s(topic: Topic, place: int) -> float:
+def watch_wait_s(topic: Topic, rank: int) -> float:
     """Return how long a watch waits.
 
-    :param place: this reader's rank among all readers.
+    :param rank: this reader's rank among all readers.
 
-    >>> [watch_wait_s(Topic.OPERATOR, place) for place in range(3)]
+    >>> [watch_wait_s(Topic.OPERATOR, rank) for rank in range(3)]
     [1.5, 27.0, 26.0]
     """
     return (
         FIRST_READER_WAIT_S[topic]
-        if place == 0
-        else max(FIRST_READER_WAIT_S[topic], MAX_WAIT_S - place)
+        if rank == 0
+        else max(FIRST_READER_WAIT_S[topic], MAX_WAIT_S - rank)
     )
 
 
-def seconds_to_suspicion(topic: Topic, unconfirmed_s: float, place: int) -> float:
+def seconds_to_suspicion(topic: Topic, unconfirmed_s: float, rank: int) -> float:
     """Return in how many seconds a watch is suspected, unless the store confirms before.
 
     :param unconfirmed_s: time since the store's latest confirmation to any gateway.
-    :param place: this reader's rank among all readers.
+    :param rank: this reader's rank among all readers.
 
     >>> seconds_to_suspicion(Topic.OPERATOR, 1.0, 0), seconds_to_suspicion(Topic.OPERATOR, 3.0, 0)
     (0.75, 0.0)
     """
-    due_s = FIRST_READER_WAIT_S[topic] + ANSWER_DELAY_S + PLACE_STEP_S * place
+    due_s = FIRST_READER_WAIT_S[topic] + ANSWER_DELAY_S + RANK_STEP_S * rank
     return max(0.0, round(due_s - unconfirmed_s, 3))
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -13,7 +13,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.gateway.peers.peer_messages import Digest, Member, ReportedMember, Snapshot
-from tinrudder.gateway.store.store_revision import EpochBegin, StoreRevision, TopicPosition
+from tinrudder.gateway.store.store_revision import EpochStart, StoreRevision, TopicPosition
 from tinrudder.gateway.store.stored_values import StoredValue
 from tinrudder.gateway.wire import snapshot_pb2 as pb
 
@@ -140,7 +140,7 @@
     return TopicPosition(
         StoreRevision(position.epoch, position.number),
         StoreRevision(position.older_epoch, position.older_number),
-        None if age_s is None else EpochBegin(age_s, position.copy_up_to),
+        None if age_s is None else EpochStart(age_s, position.copy_up_to),
     )
 
 
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -79,7 +79,7 @@
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.staleness_bound import StalenessBound
 from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
-from tinrudder.gateway.store.store_follower import FollowerParts, StoreFollower
+from tinrudder.gateway.store.store_follower import FollowerDependencies, StoreFollower
 from tinrudder.gateway.store.store_readers import ReadReason, StoreReaders
 from tinrudder.gateway.store.store_status import StoreStatus
 from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
@@ -188,7 +188,7 @@
     datagrams = PeerDatagrams()
 
     def answer_probe(number: int) -> ProbeAnswer:
-        age_s = knowledge.staleness_bound.told_age_s
+        age_s = knowledge.staleness_bound.proven_age_s
         return ProbeAnswer(number, knowledge.state.revision(Topic.OPERATOR), age_s)
 
     probes = Probes(datagrams, answer_probe, clock)
@@ -369,7 +369,7 @@
         tenants.are_there_any,
         fleet.peers,
         knowledge.store_status,
-        lambda: knowledge.state.may_lack_lost_words,
+        lambda: knowledge.state.may_lack_lost_writes,
         context.loop.time,
     )
 
@@ -426,25 +426,25 @@
     knowledge: KnowledgeParts,
     readers: StoreReaders,
     on_silent: Callable[[Topic], None],
-) -> FollowerParts:
+) -> FollowerDependencies:
     def on_complete_read(topic: Topic, asked_at: float) -> None:
         # Lets a starting gateway serve keyed requests after its first complete read, without
         # another read that confirms it.
         if topic is Topic.OPERATOR:
             knowledge.staleness_bound.prove(asked_at)
 
-    def on_asking(topic: Topic, reason: ReadReason | None) -> None:
+    def on_reading(topic: Topic, reason: ReadReason | None) -> None:
         reason_text = "" if reason is None else reason.value
         log_store_reading(topic, reason_text, knowledge.state.unconfirmed_s(topic))
 
-    return FollowerParts(
+    return FollowerDependencies(
         store,
         knowledge.state,
         knowledge.store_status,
         readers,
         context.random,
         on_complete_read,
-        on_asking,
+        on_reading,
         on_silent,
     )
 
--- a/tinrudder_lab/soak/restores.py
+++ b/tinrudder_lab/soak/restores.py
@@ -15,7 +15,7 @@
 PAUSE_S = (1.0, 6.0)
 AGE_S = (0.2, 5.0)
 AWAY_S = (0.1, 3.0)
-WRITTEN_AGAIN_S = (0.0, 5.0)
+REWRITE_PERIOD_S = (0.0, 5.0)
 UNHEARD_S = 1.0
 """What was written this short before the store went away may have reached no gateway: readers rest
 up to 0.6 s between two watches."""
@@ -34,8 +34,8 @@
         drill = StoreRestore(
             age_s=source.uniform(*AGE_S),
             away_s=source.uniform(*AWAY_S),
-            operator_after_s=source.uniform(*WRITTEN_AGAIN_S),
-            backends_after_s=source.uniform(*WRITTEN_AGAIN_S),
+            operator_after_s=source.uniform(*REWRITE_PERIOD_S),
+            backends_after_s=source.uniform(*REWRITE_PERIOD_S),
         )
         outage = StoreOutage(site.loop.time() - UNHEARD_S)
         site.ledger.store_outages.append(outage)
