--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -32,17 +32,17 @@
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, typical_latency_s
 from tinrudder.gateway.decisions.fleet.load_news import (
+    BATCH_DELAY_S,
     DATAGRAM_BYTES,
-    GATHER_S,
     LOAD_BYTES,
-    MOST_AGE_S,
-    NEXT_S,
-    Noted,
-    PendingNews,
+    MAX_REPORT_AGE_S,
+    RETRY_INTERVAL_S,
+    PendingReport,
+    PendingReports,
     ReportedLoad,
+    apply_report,
     is_long,
-    take_load,
-    tell_load,
+    prepare_report,
 )
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
@@ -129,9 +129,9 @@
 
     fleet: Fleet
     budget: FleetRetryBudget
-    pending: PendingNews
+    pending: PendingReports
     unloaded: LatencyWindow = field(default_factory=LatencyWindow)
-    pressed_at: float = -MOST_AGE_S
+    pressed_at: float = -MAX_REPORT_AGE_S
     timer_set: bool = False
 
     def __post_init__(self) -> None:
@@ -178,10 +178,10 @@
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
             self.pressed_at = now
-        if now - self.pressed_at < MOST_AGE_S:
+        if now - self.pressed_at < MAX_REPORT_AGE_S:
             heard_at = self.known[index].reported_at
-            self.pending.note(Noted(index, shed, self.unloaded.quantile(0.5), heard_at))
-            self._tell_after(GATHER_S)
+            self.pending.note(PendingReport(index, shed, self.unloaded.quantile(0.5), heard_at))
+            self._tell_after(BATCH_DELAY_S)
 
     def _tell_after(self, seconds: float) -> None:
         if not self.timer_set:
@@ -193,21 +193,21 @@
         now = self.fleet.clock.now
         peers = [one for one in self.fleet.gateways if one is not self]
         told, copies = self.pending.take(now, len(peers))
-        loads = (tell_load(one, self.known[one.backend], now) for one in told)
+        loads = (prepare_report(one, self.known[one.backend], now) for one in told)
         news = tuple(one for one in loads if one is not None)
         self.fleet.count["copies"] += copies
         self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(news))
         for peer in self.fleet.source.sample(peers, copies):
             self.fleet.clock.call_at(now + ONE_WAY_S, partial(peer.take, news))
         if self.pending:
-            self._tell_after(NEXT_S)
+            self._tell_after(RETRY_INTERVAL_S)
 
     def take(self, news: tuple[ReportedLoad, ...]) -> None:
         """Take what another gateway tells."""
         now = self.fleet.clock.now
         for one in news:
             if one.is_credible:
-                take_load(one, self.known[one.backend], now)
+                apply_report(one, self.known[one.backend], now)
                 if one.is_long:
                     self.pressed_at = max(self.pressed_at, now - one.age_s)
 
@@ -232,7 +232,7 @@
         self.backends = [ModelBackend(self.clock, self.source) for _ in range(BACKENDS)]
         self.backends[0].slowdown = self.slowdown
         self.gateways = [
-            ModelGateway(self, FleetRetryBudget(0.2, 290.0, 10.0, 0.0), PendingNews())
+            ModelGateway(self, FleetRetryBudget(0.2, 290.0, 10.0, 0.0), PendingReports())
             for _ in range(self.size)
         ]
 
@@ -358,7 +358,7 @@
         known.reported(busy, waiting, SLOTS, now)
         if not waiting:
             gateway.unloaded.observe(latency_s)
-            known.worked(latency_s)
+            known.record_service_time(latency_s)
         known.answered(running, now)
         gateway.heard(index, waiting, shed=False)
         fleet.served(self.request)
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -34,7 +34,7 @@
     RunningCall,
 )
 from tinrudder.gateway.decisions.placement.zone_preference import (
-    LEAST_ADVANTAGE,
+    MIN_ADVANTAGE,
     is_slow,
     zone_advantage,
 )
@@ -261,7 +261,7 @@
     ) -> float:
         """Return by how many usual latencies a replica elsewhere must be expected sooner."""
         if any(is_slow(seen.expected_relative_latency(now)) for seen in local):
-            return LEAST_ADVANTAGE
+            return MIN_ADVANTAGE
         window = caller.latencies[kind.name]
         usual_s = typical_latency_s(window, kind.objective_s)
         hedged_s = hedge_delay_s(window, kind.objective_s, budget_fill=1.0)
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -14,10 +14,10 @@
 
 from tinrudder.gateway.backends.load_news_exchange import start_number
 from tinrudder.gateway.decisions.fleet.load_news import (
+    BURST_BYTES,
     BYTES_PER_S,
     DATAGRAM_BYTES,
     LOAD_BYTES,
-    MOST_BYTES,
     ReportedLoad,
 )
 from tinrudder.gateway.peers.peer_messages import LoadNews
@@ -73,7 +73,7 @@
         pauses = {float(one.headers["retry-after"]) for one in refused}
         assert len(pauses) > len(refused) / 3
         assert {one.status for one in results} == {200, 503}
-        most_bytes = MOST_BYTES + BYTES_PER_S * 12.0
+        most_bytes = BURST_BYTES + BYTES_PER_S * 12.0
         assert max(exchange_counts(site, "sent")) <= most_bytes / (DATAGRAM_BYTES + LOAD_BYTES)
         assert sum(exchange_counts(site, "ignored")) == 0
         assert site.broken_promises() == []
--- a/tests/unit/gateway/decisions/test_cold_start_rate.py
+++ b/tests/unit/gateway/decisions/test_cold_start_rate.py
@@ -11,7 +11,7 @@
     RATE_SHARE,
     Callers,
     ColdStartRate,
-    own_part,
+    own_call_limit,
 )
 
 RATES = st.floats(0, 500)
@@ -24,7 +24,7 @@
 ) -> None:
     names = [f"10.0.{number // 250}.{number % 250}:81" for number in range(gateways)]
     callers = Callers(names, gateways)
-    parts = [own_part(rate, name, callers, "back-end") for name in names]
+    parts = [own_call_limit(rate, name, callers, "back-end") for name in names]
     assert sum(parts) == int(rate * RATE_SHARE)
     assert max(parts) - min(parts) <= 1
 
@@ -36,14 +36,17 @@
     names = [f"gateway-{number}" for number in range(known)]
     callers = Callers(names, known + unknown)
     each = rate * RATE_SHARE / callers.count
-    assert all(own_part(rate, name, callers, "back-end") <= each + 1 for name in names)
+    assert all(own_call_limit(rate, name, callers, "back-end") <= each + 1 for name in names)
 
 
 def test_single_calls_go_to_other_gateways_for_other_back_ends() -> None:
     names = [f"gateway-{number}" for number in range(76)]
     callers = Callers(names, 76)
     chosen = {
-        name for name in names for other in range(40) if own_part(5.0, name, callers, f"b{other}")
+        name
+        for name in names
+        for other in range(40)
+        if own_call_limit(5.0, name, callers, f"b{other}")
     }
     assert len(chosen) > 50
 
--- a/tests/unit/gateway/decisions/test_coordinator_choice.py
+++ b/tests/unit/gateway/decisions/test_coordinator_choice.py
@@ -9,15 +9,15 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.placement.coordinator_choice import (
-    CONNECTION_SAFETY,
+    DIVIDED_CONNECTION_SHARE,
     MIN_COORDINATORS_PER_ZONE,
     Candidate,
     IndexDemand,
     choose_coordinators,
     choose_readers,
     coordinators_needed,
-    preference,
-    strong_ones,
+    order_coordinators,
+    strong_candidates,
 )
 
 ZONES = ("zone-a", "zone-b", "zone-c")
@@ -49,7 +49,7 @@
     assert callers >= 1
     assert needed is None or needed == 1 or needed * 8 <= demand.connections
     if needed is None:
-        assert callers <= CONNECTION_SAFETY * max_connections * replicas / 4
+        assert callers <= DIVIDED_CONNECTION_SHARE * max_connections * replicas / 4
 
 
 @given(candidates=CANDIDATES, count=st.integers(1, 12))
@@ -104,10 +104,12 @@
 def test_a_gateway_asks_its_own_zone_first_and_always_the_same_coordinator() -> None:
     coordinators = choose_coordinators("index", fleet(4), 6)
     for number in range(30):
-        order = preference(f"gateway-{number}", "zone-b", coordinators)
+        order = order_coordinators(f"gateway-{number}", "zone-b", coordinators)
         assert [one.zone for one in order[:2]] == ["zone-b", "zone-b"]
         assert set(order) == set(coordinators)
-    first = Counter(preference(f"g-{number}", "zone-b", coordinators)[0] for number in range(300))
+    first = Counter(
+        order_coordinators(f"g-{number}", "zone-b", coordinators)[0] for number in range(300)
+    )
     assert len(first) == 2
     assert min(first.values()) >= 100
 
@@ -129,11 +131,11 @@
     weak = [Candidate("w0", "z1", 0.5)]
     elsewhere = [Candidate("e0", "z2", 2.15)]
     for number in range(50):
-        order = preference(f"gateway-{number}", "z1", strong + weak + elsewhere)
+        order = order_coordinators(f"gateway-{number}", "z1", strong + weak + elsewhere)
         assert set(order[:2]) == set(strong)
         assert order[2:] == (*weak, *elsewhere)
 
 
 def test_candidates_of_equal_capacity_are_all_strong() -> None:
-    assert set(strong_ones(fleet(4, 0.5))) == set(fleet(4, 0.5))
-    assert strong_ones([]) == ()
+    assert set(strong_candidates(fleet(4, 0.5))) == set(fleet(4, 0.5))
+    assert strong_candidates([]) == ()
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -9,13 +9,13 @@
 from hypothesis import strategies as st
 
 from tinrudder.gateway.decisions.fleet.load_news import (
+    BURST_BYTES,
     BYTES_PER_S,
     DATAGRAM_BYTES,
     LOAD_BYTES,
     MAX_PER_DATAGRAM,
-    MOST_BYTES,
-    Noted,
-    PendingNews,
+    PendingReport,
+    PendingReports,
     ReportedLoad,
     take_load,
 )
@@ -71,13 +71,13 @@
 def test_the_bytes_sent_in_any_period_are_bounded(
     pauses: list[float], wanted: int, noted: int
 ) -> None:
-    pending = PendingNews()
+    pending = PendingReports()
     now = 0.0
     sent: list[tuple[float, int]] = []  # time and bytes
     for pause in pauses:
         now += pause
         for backend in range(noted):
-            pending.note(Noted(backend, False, 0.0, NOW))
+            pending.note(PendingReport(backend, False, 0.0, NOW))
         assert len(pending) <= noted
         reports, copies = pending.take(now, wanted)
         assert len(reports) <= MAX_PER_DATAGRAM
@@ -85,12 +85,12 @@
     for first, (begin, _) in enumerate(sent):
         for last, (end, _) in enumerate(sent[first:], first):
             total = sum(size for _, size in sent[first : last + 1])
-            assert total <= MOST_BYTES + BYTES_PER_S * (end - begin) + 1e-6
+            assert total <= BURST_BYTES + BYTES_PER_S * (end - begin) + 1e-6
 
 
 def test_without_peers_pending_reports_are_dropped() -> None:
-    pending = PendingNews()
-    pending.note(Noted(1, True, 0.0, NOW))
+    pending = PendingReports()
+    pending.note(PendingReport(1, True, 0.0, NOW))
     assert pending.take(0.0, 0) == ([], 0)
     assert len(pending) == 0
 
@@ -143,8 +143,8 @@
     assert observed.shed(NOW)
     assert observed.wait_s(NOW, 0.1) == pytest.approx(0.1 * 12 / 4)
     assert observed.wait_s(NOW + BACKLOG_LIFETIME_S, 0.1) == 0.0
-    assert observed.sheds_above(NOW) == 11
-    assert observed.sheds_above(NOW + 10.0) == 0
+    assert observed.shed_queue_length(NOW) == 11
+    assert observed.shed_queue_length(NOW + 10.0) == 0
 
 
 def test_a_shed_without_a_queue_counts_as_a_fault_and_not_as_load() -> None:
@@ -153,5 +153,5 @@
     observed.reported(1, 0, SLOTS, NOW)
     assert not observed.shed(NOW + 0.1)
     assert observed.wait_s(NOW + 0.1, 0.1) == 0.0
-    assert observed.sheds_above(NOW + 0.1) == 0
+    assert observed.shed_queue_length(NOW + 0.1) == 0
     assert observed.shed(NOW + 0.2, backlog=9)
--- a/tests/unit/gateway/decisions/test_process_pause.py
+++ b/tests/unit/gateway/decisions/test_process_pause.py
@@ -5,10 +5,14 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S, STOOD_STILL_S, ProcessPause
+from tinrudder.gateway.decisions.fleet.process_pause import (
+    PAUSE_THRESHOLD_S,
+    RECORD_INTERVAL_S,
+    ProcessPause,
+)
 
 
-@given(st.lists(st.floats(0.0, LOOK_S), max_size=20))
+@given(st.lists(st.floats(0.0, RECORD_INTERVAL_S), max_size=20))
 def test_a_process_that_records_in_time_was_never_paused(pauses: list[float]) -> None:
     pause, now = ProcessPause(0.0), 0.0
     for passed in pauses:
@@ -17,7 +21,7 @@
         assert not pause.covers(0.0, now)
 
 
-@given(st.floats(LOOK_S + STOOD_STILL_S + 0.001, 1000.0), st.booleans())
+@given(st.floats(RECORD_INTERVAL_S + PAUSE_THRESHOLD_S + 0.001, 1000.0), st.booleans())
 def test_a_pause_is_found_before_the_next_note_and_after_it(passed: float, noted: bool) -> None:
     pause = ProcessPause(10.0)
     if noted:
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -19,7 +19,7 @@
     backends = [BackendObservations(slots=SLOTS) for _ in range(4)]
     for known, calls in zip(backends, waiting, strict=False):
         known.reported(SLOTS, calls, SLOTS, NOW, age_s=age_s)
-        known.worked(0.25)
+        known.record_service_time(0.25)
     return backends
 
 
--- a/tests/unit/gateway/decisions/test_zone_paths.py
+++ b/tests/unit/gateway/decisions/test_zone_paths.py
@@ -22,7 +22,7 @@
     paths = ZonePaths()
     assert paths.doubt(ZONE, now - 0.05, now)
     for _ in range(MIN_PROBE_ROUNDS):
-        paths.note_round(ZONE)
+        paths.count_probe_round(ZONE)
     assert paths.review(ZONE, now + CLOSE_AFTER_S)
     return paths
 
@@ -51,7 +51,7 @@
     """After a pause of the process, its timers are due before it has sent further probes."""
     paths = ZonePaths()
     paths.doubt(ZONE, 9.9, 10.0)
-    paths.note_round(ZONE)
+    paths.count_probe_round(ZONE)
     assert not paths.review(ZONE, 60.0)
 
 
@@ -93,10 +93,10 @@
     paths = ZonePaths()
     paths.heard("a", 10.0)
     paths.heard("b", 9.0)
-    assert not paths.doubt_silent(("a", "b"), 10.0 + SILENCE_TIMEOUT_S - 0.1)
-    assert paths.doubt_silent(("a", "b"), 10.0 + SILENCE_TIMEOUT_S)
+    assert not paths.suspect_silent_zones(("a", "b"), 10.0 + SILENCE_TIMEOUT_S - 0.1)
+    assert paths.suspect_silent_zones(("a", "b"), 10.0 + SILENCE_TIMEOUT_S)
     assert set(paths.doubtful) == {"a", "b"}
-    assert not paths.doubt_silent((), 100.0)
+    assert not paths.suspect_silent_zones((), 100.0)
 
 
 @given(st.lists(st.tuples(st.sampled_from("hadnr"), st.floats(0.0, 1.0)), max_size=60))
@@ -115,7 +115,7 @@
         elif event == "d" and paths.doubt(ZONE, now - 0.05, now):
             rounds, doubted_at = 0, now
         elif event == "n":
-            paths.note_round(ZONE)
+            paths.count_probe_round(ZONE)
             rounds += 1
         elif event == "r":
             paths.review(ZONE, now)
--- a/tests/unit/gateway/decisions/test_zone_preference.py
+++ b/tests/unit/gateway/decisions/test_zone_preference.py
@@ -7,8 +7,8 @@
 
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.zone_preference import (
-    LEAST_ADVANTAGE,
     MAX_ADVANTAGE,
+    MIN_ADVANTAGE,
     is_slow,
     zone_advantage,
 )
@@ -25,7 +25,7 @@
 ) -> None:
     usual = zone_advantage(usual_s, hedge, objective_s)
     loaded = zone_advantage(usual_s * longer, hedge * longer, objective_s)
-    assert LEAST_ADVANTAGE <= loaded <= usual <= MAX_ADVANTAGE
+    assert MIN_ADVANTAGE <= loaded <= usual <= MAX_ADVANTAGE
 
 
 def test_one_stall_is_not_slowness_but_two_slow_answers_are() -> None:
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -17,9 +17,9 @@
     start_number,
 )
 from tinrudder.gateway.decisions.fleet.load_news import (
+    BATCH_DELAY_S,
+    BURST_BYTES,
     BYTES_PER_S,
-    GATHER_S,
-    MOST_BYTES,
     ReportedLoad,
 )
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
@@ -71,7 +71,7 @@
             one.observations.reported(4, 12, 4, timers.now)
             exchange.on_load(one, shed=False, work_s=0.25)
         timers.advance(0.1)
-    assert socket.bytes <= MOST_BYTES + BYTES_PER_S * SECONDS
+    assert socket.bytes <= BURST_BYTES + BYTES_PER_S * SECONDS
     assert (socket.bytes > 0) == (peers > 0)
     assert 0 < len(lines) <= SECONDS / LOG_PAUSE_S + 1
 
@@ -84,9 +84,9 @@
     exchange = LoadNewsExchange(known, socket, timers, lambda: [one])  # type: ignore[arg-type]
     one.observations.reported(4, 12, 4, timers.now)
     exchange.on_load(one, shed=False, work_s=0.25)
-    timers.advance(GATHER_S / 2)
+    timers.advance(BATCH_DELAY_S / 2)
     peer_load = ReportedLoad(start_number(one.entry), 7, 4, 1.0, 0.001)
     socket.handler(LoadNews((peer_load,)), Address("10.0.1.1", 1))
-    timers.advance(GATHER_S)
+    timers.advance(BATCH_DELAY_S)
     assert one.observations.reported_backlog == 7
     assert socket.bytes == 0
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -54,7 +54,10 @@
                 DIGEST_INTERVAL_S * random.Random(self.own.address.port).uniform(0.8, 1.2)
             )
             digest = Digest(
-                self.own, position(1), position(1), silent_zones=self.zone_monitor.paths.told_doubts
+                self.own,
+                position(1),
+                position(1),
+                silent_zones=self.zone_monitor.paths.own_suspicions,
             )
             self.datagrams.send(digest, *self.peers.receivers(self.network.loop.time()))
 
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -17,13 +17,13 @@
 from tinrudder.gateway.backends.answer_check import AnswerCheck
 from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.backends.cold_start_limits import ColdStartLimits
-from tinrudder.gateway.backends.upstream_connection import never_stood_still
+from tinrudder.gateway.backends.upstream_connection import never_paused
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.decisions.admission.memory_bound import max_body_bytes_in_flight
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
-from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
+from tinrudder.gateway.decisions.placement.coordinator_choice import DIVIDED_CONNECTION_SHARE
 from tinrudder.gateway.model.configuration import (
     BackendEntry,
     ClientLimits,
@@ -65,12 +65,12 @@
 
     :param count_opened: called for each connection opened.
     :param memory: counts bytes held for back ends; ``None`` if nothing reads that count.
-    :param stood_still: tells whether this process has been paused since a given time.
+    :param was_paused: tells whether this process has been paused since a given time.
     """
 
     count_opened: Callable[[], None]
     memory: HeldBytes | None = None
-    stood_still: Callable[[float], bool] = never_stood_still
+    was_paused: Callable[[float], bool] = never_paused
 
 
 class BackendDirectory:
@@ -228,7 +228,9 @@
         spec = accepted.configuration.services.get(service) if accepted is not None else None
         if spec is None:
             return 1.0
-        return spec.max_connections * CONNECTION_SAFETY / max(1, self._callers(service).count)
+        return (
+            spec.max_connections * DIVIDED_CONNECTION_SHARE / max(1, self._callers(service).count)
+        )
 
     def may_receive(self, backend: Backend) -> bool:
         """Whether a call may still be sent to a back end that was selected earlier."""
@@ -264,7 +266,7 @@
         instance whose entry is not in force.
         """
         backend = self._backends.get(key)
-        if backend is not None and backend.entry.is_same_start(known.entry):
+        if backend is not None and backend.entry.is_same_process(known.entry):
             return backend
         if backend is not None:
             self._remove(key)
@@ -275,7 +277,7 @@
         address = Address(entry.host, entry.port)
         hooks = self._connection_hooks
         pool = UpstreamPool(
-            address, self._answer_check.check, hooks.count_opened, hooks.memory, hooks.stood_still
+            address, self._answer_check.check, hooks.count_opened, hooks.memory, hooks.was_paused
         )
         observations = BackendObservations(slots=entry.slots)
         backend = Backend(entry, pool, observations)
--- a/tinrudder/gateway/backends/cold_start_limits.py
+++ b/tinrudder/gateway/backends/cold_start_limits.py
@@ -11,7 +11,7 @@
 from collections.abc import Callable
 
 from tinrudder.gateway.backends.backend import Backend
-from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, own_part
+from tinrudder.gateway.decisions.placement.cold_start_rate import Callers, own_call_limit
 from tinrudder.gateway.model.configuration import ColdBounds
 from tinrudder.gateway.store.shared_state import SharedState
 
@@ -45,7 +45,7 @@
         if rate is None:
             return True
         callers = self._callers(backend.entry.service)
-        part = own_part(rate, self._own_name, callers, backend.backend_id)
+        part = own_call_limit(rate, self._own_name, callers, backend.backend_id)
         return backend.cold_start_rate.may_send(now, part)
 
     def _rate(self, backend: Backend) -> float | None:
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_news_exchange.py
@@ -3,7 +3,7 @@
 A gateway sends only loads that were reported in answers to its own calls, so received reports are
 never forwarded and reports cease when the queues are gone. Owns the reports to be sent and the
 services that have long queues; received reports are stored in the back ends' observations.
-:class:`~tinrudder.gateway.decisions.fleet.load_news.PendingNews` bounds what is sent.
+:class:`~tinrudder.gateway.decisions.fleet.load_news.PendingReports` bounds what is sent.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.decisions.fleet.load_news import (
-    GATHER_S,
-    MOST_AGE_S,
-    NEXT_S,
-    Noted,
-    PendingNews,
+    BATCH_DELAY_S,
+    MAX_REPORT_AGE_S,
+    RETRY_INTERVAL_S,
+    PendingReport,
+    PendingReports,
     ReportedLoad,
+    apply_report,
     is_long,
-    take_load,
-    tell_load,
+    prepare_report,
 )
 from tinrudder.gateway.model.configuration import BackendEntry
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
@@ -67,7 +67,7 @@
         self._datagrams = datagrams
         self._timers = timers
         self._backends = backends
-        self._pending = PendingNews()
+        self._pending = PendingReports()
         self._long_queue_at: dict[str, float] = {}
         self._by_instance_hash: dict[int, Backend] | None = None
         self._timer_set = False
@@ -95,16 +95,16 @@
         elif not self._has_long_queue(backend.entry.service):
             return
         instance_hash = start_number(backend.entry)
-        self._pending.note(Noted(instance_hash, shed, work_s, observations.reported_at))
-        self._schedule_send(GATHER_S)
+        self._pending.note(PendingReport(instance_hash, shed, work_s, observations.reported_at))
+        self._schedule_send(BATCH_DELAY_S)
 
     def _has_long_queue(self, service: str) -> bool:
-        """Whether a long queue of a service was observed or reported within :data:`MOST_AGE_S`."""
+        """Whether a long queue was observed or reported within :data:`MAX_REPORT_AGE_S`."""
         # Fast path: called for every answer, and usually no service has a long queue.
         if not self._long_queue_at:
             return False
         long_queue_at = self._long_queue_at.get(service, NEVER)
-        if self._timers.time() - long_queue_at < MOST_AGE_S:
+        if self._timers.time() - long_queue_at < MAX_REPORT_AGE_S:
             return True
         self._long_queue_at.pop(service, None)
         return False
@@ -115,7 +115,7 @@
         previous_at = self._long_queue_at.get(service, NEVER)
         self._long_queue_at[service] = max(previous_at, observed_at)
         now = self._timers.time()
-        if observed_at - previous_at < MOST_AGE_S or now - self._logged_at < LOG_PAUSE_S:
+        if observed_at - previous_at < MAX_REPORT_AGE_S or now - self._logged_at < LOG_PAUSE_S:
             return
         self._logged_at = now
         observations = backend.observations
@@ -140,22 +140,22 @@
         """Send one datagram to as many peers as the budget allows."""
         self._timer_set = False
         now = self._timers.time()
-        noted, copies = self._pending.take(now, self._peers.heard_of_in_all)
-        reported = (self._load_to_report(one, now) for one in noted)
+        pending, copies = self._pending.take(now, self._peers.heard_of_in_all)
+        reported = (self._load_to_report(one, now) for one in pending)
         loads = tuple(one for one in reported if one is not None and one.is_credible)
         if loads:
             peers = self._peers.everybody(now, copies)
             self._datagrams.send(LoadNews(loads), *peers)
             self.sent += len(peers)
         if self._pending:
-            self._schedule_send(NEXT_S)
+            self._schedule_send(RETRY_INTERVAL_S)
 
-    def _load_to_report(self, noted: Noted, now: float) -> ReportedLoad | None:
+    def _load_to_report(self, pending: PendingReport, now: float) -> ReportedLoad | None:
         """Return the load to report for a back end; ``None`` if it is gone or another gateway has
         reported a newer load.
         """
-        backend = self._backend_of(noted.backend)
-        return tell_load(noted, backend.observations, now) if backend is not None else None
+        backend = self._backend_of(pending.backend)
+        return prepare_report(pending, backend.observations, now) if backend is not None else None
 
     def _on_load_news(self, news: LoadNews, sender: Address) -> None:
         """Handle a report from another gateway."""
@@ -165,7 +165,7 @@
                 self.ignored += 1
                 continue
             now = self._timers.time()
-            self.taken += take_load(reported, backend.observations, now)
+            self.taken += apply_report(reported, backend.observations, now)
             if reported.is_long:
                 self._note_long_queue(backend, now - reported.age_s, str(sender))
 
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -33,7 +33,7 @@
 _KEEP_ALIVE_TIMEOUT = re.compile(rb"timeout=(\d+)")
 
 
-def never_stood_still(since: float) -> bool:
+def never_paused(since: float) -> bool:
     """Default for ``was_paused``: assume that this process was never paused."""
     return False
 
@@ -57,7 +57,7 @@
         on_free: Callable[[UpstreamConnection], None],
         on_closed: Callable[[UpstreamConnection], None],
         memory: HeldBytes,
-        was_paused: Callable[[float], bool] = never_stood_still,
+        was_paused: Callable[[float], bool] = never_paused,
     ) -> None:
         """Validate complete answers with ``check``; report to the pool by ``on_free`` and
         ``on_closed``.
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -16,7 +16,7 @@
 from tinrudder.gateway.backends.upstream_connection import (
     AnswerCheck,
     UpstreamConnection,
-    never_stood_still,
+    never_paused,
 )
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
@@ -40,7 +40,7 @@
         check: AnswerCheck,
         on_opened: Callable[[], None],
         memory: HeldBytes | None = None,
-        was_paused: Callable[[float], bool] = never_stood_still,
+        was_paused: Callable[[float], bool] = never_paused,
     ) -> None:
         """Create an empty pool; ``on_opened`` is called for each connection opened.
 
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -195,7 +195,7 @@
 
 def _min_weight(one: BackendObservations, now: float) -> float:
     """Return the weight with which a back end counts as free without a fresh report."""
-    return UNREPORTED_WEIGHT if one.had_queue(now) else 1.0
+    return UNREPORTED_WEIGHT if one.had_recent_queue(now) else 1.0
 
 
 def _relative_wait(one: BackendObservations) -> float:
@@ -215,7 +215,7 @@
     weights = 0.0
     for one in backends:
         weight = _report_weight(now - one.reported_at)
-        places = one.sheds_above(now)
+        places = one.shed_queue_length(now)
         if places:
             filled += weight * _relative_wait(one) * max(1, one.slots) / places
         weights += max(weight, _min_weight(one, now))
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -33,7 +33,7 @@
 BYTES_PER_S = 900.0
 """Bytes a second that one gateway sends to all peers together, headers included: a third of what
 all its messages may take in a fleet of 730."""
-MOST_BYTES = 7_000.0
+BURST_BYTES = 7_000.0
 """Burst of the byte budget: a gateway in a fleet of 730 gets an answer from such a service once in
 ten seconds, and has to report it to a sixth of its peers."""
 DATAGRAM_BYTES = 34
@@ -42,13 +42,13 @@
 """Maximum bytes of one back end in a datagram; a test of the encoding checks it."""
 MAX_PER_DATAGRAM = 4
 """Maximum number of back ends in one datagram: as many as such a service has."""
-GATHER_S = 0.02
+BATCH_DELAY_S = 0.02
 """Batching delay of reports, seconds: short compared with the calls of a service that hundreds of
 gateways share."""
-NEXT_S = 0.1
+RETRY_INTERVAL_S = 0.1
 """Retry interval while the byte budget is exhausted, seconds: by then it allows a datagram with two
 back ends."""
-MOST_AGE_S = 0.8
+MAX_REPORT_AGE_S = 0.8
 """Age from which a report is too old to use, seconds; equals ``BACKLOG_LIFETIME_S`` of the
 back-end observations."""
 MAX_WORK_S = 600.0
@@ -86,7 +86,7 @@
             0 <= self.calls <= MAX_CALLS
             and 0 < self.slots <= MAX_CALLS
             and 0.0 < self.slowdown <= MAX_SLOWDOWN
-            and 0.0 <= self.age_s < MOST_AGE_S
+            and 0.0 <= self.age_s < MAX_REPORT_AGE_S
             and 0.0 <= self.work_s <= MAX_WORK_S
         )
 
@@ -96,7 +96,7 @@
         return self.shed or is_long(self.calls - self.slots, self.slots)
 
 
-class Noted(Struct, frozen=True):
+class PendingReport(Struct, frozen=True):
     """A back end whose load is to be reported to peers, see :class:`ReportedLoad`.
 
     :param heard_at: time of the load report that this gateway received with an answer.
@@ -117,26 +117,28 @@
     return waiting > 0 and waiting >= REPORTED_QUEUE_PER_SLOT * slots
 
 
-def tell_load(noted: Noted, observations: BackendObservations, now: float) -> ReportedLoad | None:
+def prepare_report(
+    pending: PendingReport, observations: BackendObservations, now: float
+) -> ReportedLoad | None:
     """Return the report to send now; ``None`` if a peer has sent a newer one since.
 
     The newer one is not forwarded: its age does not include time in transit, so each hop would make
     it look younger.
     """
-    if observations.reported_at != noted.heard_at:
+    if observations.reported_at != pending.heard_at:
         return None
     return ReportedLoad(
-        noted.backend,
+        pending.backend,
         observations.reported_backlog,
         observations.slots,
         observations.reported_slowdown,
         now - observations.reported_at,
-        noted.shed,
-        noted.work_s,
+        pending.shed,
+        pending.work_s,
     )
 
 
-def take_load(report: ReportedLoad, observations: BackendObservations, now: float) -> bool:
+def apply_report(report: ReportedLoad, observations: BackendObservations, now: float) -> bool:
     """Apply a peer's load report, and return whether it is newer than the known one."""
     if report.shed:
         newer = observations.shed(now, report.age_s, report.calls)
@@ -150,36 +152,36 @@
             report.age_s,
         )
     if newer and report.work_s:
-        observations.worked(report.work_s)
+        observations.record_service_time(report.work_s)
     return newer
 
 
-class PendingNews:
+class PendingReports:
     """Back ends whose load is to be reported to peers; holds only the latest entry for each."""
 
     def __init__(self) -> None:
         """Start empty, with a full byte budget."""
-        self._budget = SendBudget(MOST_BYTES, BYTES_PER_S)
-        self._noted: dict[int, Noted] = {}
+        self._budget = SendBudget(BURST_BYTES, BYTES_PER_S)
+        self._pending: dict[int, PendingReport] = {}
 
     def __len__(self) -> int:
         """Return the number of back ends yet to be reported."""
-        return len(self._noted)
+        return len(self._pending)
 
-    def note(self, noted: Noted) -> None:
+    def note(self, pending: PendingReport) -> None:
         """Add a back end, to be reported when the budget allows; the newest are sent first."""
-        self._noted.pop(noted.backend, None)
-        self._noted[noted.backend] = noted
+        self._pending.pop(pending.backend, None)
+        self._pending[pending.backend] = pending
 
-    def take(self, now: float, peers: int) -> tuple[list[Noted], int]:
+    def take(self, now: float, peers: int) -> tuple[list[PendingReport], int]:
         """Remove back ends for one datagram; return them and the number of peers to send it to.
 
         Returns 0 peers while the budget is exhausted. Without peers the back ends are dropped.
         """
         if not peers:
-            self._noted.clear()
-        count = min(MAX_PER_DATAGRAM, len(self._noted))
+            self._pending.clear()
+        count = min(MAX_PER_DATAGRAM, len(self._pending))
         copies = self._budget.take(peers, now, DATAGRAM_BYTES + LOAD_BYTES * count)
         if not copies:
             return [], 0
-        return [self._noted.popitem()[1] for _ in range(count)], copies
+        return [self._pending.popitem()[1] for _ in range(count)], copies
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -19,10 +19,10 @@
 
 from __future__ import annotations
 
-LOOK_S = 1.0
+RECORD_INTERVAL_S = 1.0
 """Interval at which the process records that it runs, seconds: the interval of housekeeping, so
 that it costs no extra timer."""
-STOOD_STILL_S = 0.5
+PAUSE_THRESHOLD_S = 0.5
 """Delay of a record beyond its interval that counts as a pause, seconds.  Pauses of 1.5 s or more
 are always detected; back ends wait some seconds for an answer to be read."""
 
@@ -45,7 +45,7 @@
         self._pause_ended_at = float("-inf")
 
     def note(self, now: float) -> None:
-        """Record that the process runs; to be called every :data:`LOOK_S`."""
+        """Record that the process runs; to be called every :data:`RECORD_INTERVAL_S`."""
         if self._is_overdue(now):
             self._pause_ended_at = now
         self._recorded_at = now
@@ -58,4 +58,4 @@
         return self._pause_ended_at > since or self._is_overdue(now)
 
     def _is_overdue(self, now: float) -> bool:
-        return now - self._recorded_at >= LOOK_S + STOOD_STILL_S
+        return now - self._recorded_at >= RECORD_INTERVAL_S + PAUSE_THRESHOLD_S
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -115,7 +115,7 @@
         return tuple(zone for zone, path in self.paths.items() if path.state is not PathState.OPEN)
 
     @property
-    def told_doubts(self) -> tuple[str, ...]:
+    def own_suspicions(self) -> tuple[str, ...]:
         """Return the doubtful zones to report to peers: those that this gateway itself doubts.
 
         Doubts received from peers are not forwarded: they would keep each other alive wherever an
@@ -162,7 +162,7 @@
             return False
         return True
 
-    def doubt_silent(self, others: tuple[str, ...], now: float) -> bool:
+    def suspect_silent_zones(self, others: tuple[str, ...], now: float) -> bool:
         """Make all open paths suspect if no zone sent anything; return whether any changed."""
         paths = [self.path(zone) for zone in others]
         if not paths or max(path.heard_at for path in paths) > now - SILENCE_TIMEOUT_S:
@@ -174,7 +174,7 @@
                 changed = True
         return changed
 
-    def note_round(self, zone: str) -> None:
+    def count_probe_round(self, zone: str) -> None:
         """Count a round of probes to gateways of a zone."""
         self.path(zone).rounds += 1
 
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -205,7 +205,7 @@
         :return: whether the back end is full and the report is newer than the known one.
         """
         slots = max(1, self.slots)
-        if not (self.had_queue(now) or backlog > slots):
+        if not (self.had_recent_queue(now) or backlog > slots):
             return False
         most = max(self.most_backlog, int(MIN_FULL_BACKLOG_PER_SLOT * slots))
         backlog = backlog or most
@@ -214,17 +214,17 @@
             self.full_at = now - age_s
         return self.reported(slots, backlog - slots, slots, now, self.reported_slowdown, age_s)
 
-    def had_queue(self, now: float) -> bool:
+    def had_recent_queue(self, now: float) -> bool:
         """Return whether calls waited there by a report within :data:`QUEUE_LIFETIME_S`."""
         return self.reported_backlog > self.slots and now - self.reported_at < QUEUE_LIFETIME_S
 
-    def sheds_above(self, now: float) -> int:
+    def shed_queue_length(self, now: float) -> int:
         """Return the queue length at which it sheds calls; 0: it has not shed any recently."""
         if now - self.full_at >= FULL_FOR_S:
             return 0
         return max(1, self.full_backlog - self.slots)
 
-    def worked(self, seconds: float) -> None:
+    def record_service_time(self, seconds: float) -> None:
         """Record how long a call held a slot, as observed here or by another gateway."""
         self.work_seen += 1
         gain = max(SERVICE_TIME_GAIN, 1.0 / self.work_seen)
--- a/tinrudder/gateway/decisions/placement/cold_start_rate.py
+++ b/tinrudder/gateway/decisions/placement/cold_start_rate.py
@@ -47,14 +47,14 @@
     count: int
 
 
-def own_part(rate: float, own: str, callers: Callers, backend_id: str) -> int:
+def own_call_limit(rate: float, own: str, callers: Callers, backend_id: str) -> int:
     """Return how many calls one gateway may send to a cold back end in a second.
 
     :param rate: calls that all gateways together may send in any second.
     :param own: the gateway's name; a gateway that is not among the callers has no part.
 
     >>> callers = Callers(("a", "b", "c"), count=3)
-    >>> [own_part(10.0, name, callers, "back-end") for name in ("a", "b", "c", "d")]
+    >>> [own_call_limit(10.0, name, callers, "back-end") for name in ("a", "b", "c", "d")]
     [3, 3, 2, 0]
     """
     if own not in callers.names:
--- a/tinrudder/gateway/decisions/placement/coordinator_choice.py
+++ b/tinrudder/gateway/decisions/placement/coordinator_choice.py
@@ -30,7 +30,7 @@
 
 from tinrudder.common.rendezvous import weighted_score
 
-CONNECTION_SAFETY = 0.9
+DIVIDED_CONNECTION_SHARE = 0.9
 """Part of a back end's connections that is divided among gateways.  The rest is headroom for
 gateways that do not know of each other yet, and for connections that are closing."""
 MIN_CONNECTIONS_PER_SHARD = 4.0
@@ -77,7 +77,7 @@
     @property
     def connections(self) -> float:
         """Return how many connections to one shard's back ends all gateways may divide."""
-        return CONNECTION_SAFETY * self.max_connections * self.replicas
+        return DIVIDED_CONNECTION_SHARE * self.max_connections * self.replicas
 
 
 def coordinators_needed(demand: IndexDemand, nodes: int) -> int | None:
@@ -145,7 +145,7 @@
     return tuple(chosen)
 
 
-def preference(
+def order_coordinators(
     own_name: str, own_zone: str, coordinators: Iterable[Candidate]
 ) -> tuple[Candidate, ...]:
     """Return the coordinators in the order in which one gateway asks them.
@@ -156,7 +156,7 @@
     """
     members = tuple(coordinators)
     strong = frozenset(
-        one for in_zone in _by_zone(members).values() for one in strong_ones(in_zone)
+        one for in_zone in _by_zone(members).values() for one in strong_candidates(in_zone)
     )
 
     def order(candidate: Candidate) -> tuple[bool, bool, float]:
@@ -166,11 +166,11 @@
     return tuple(sorted(members, key=order))
 
 
-def strong_ones(candidates: Iterable[Candidate]) -> tuple[Candidate, ...]:
+def strong_candidates(candidates: Iterable[Candidate]) -> tuple[Candidate, ...]:
     """Return the candidates that count as strong, see :data:`STRONG_CAPACITY_SHARE`.
 
     >>> one, other = Candidate("a", "z", 2.0), Candidate("b", "z", 0.5)
-    >>> strong_ones([one, other]) == (one,), strong_ones([other]) == (other,)
+    >>> strong_candidates([one, other]) == (one,), strong_candidates([other]) == (other,)
     (True, True)
     """
     members = tuple(candidates)
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -77,7 +77,7 @@
     return direct_bytes >= MIN_BYTES_REDUCTION * delegated_bytes
 
 
-def leaves_time(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
+def delegation_meets_deadline(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
     """Return whether delegated calls are in time about as often as calls sent from this gateway.
 
     Matters for urgent scatters, and where gateways are busy or have little processor time: the
@@ -90,14 +90,16 @@
     >>> window = LatencyWindow()
     >>> for latency_ms in range(100):
     ...     window.observe(latency_ms / 1000)
-    >>> leaves_time(window, left_s=0.5, path_s=0.1), leaves_time(window, left_s=0.1, path_s=0.04)
-    (True, False)
+    >>> delegation_meets_deadline(window, left_s=0.5, path_s=0.1)
+    True
+    >>> delegation_meets_deadline(window, left_s=0.1, path_s=0.04)
+    False
     """
     late_delegated, late_direct = latency.shares_above([left_s - path_s, left_s])
     return late_delegated - late_direct <= MAX_EXTRA_LATE_SHARE
 
 
-def group_by_place(
+def group_shards_by_zones(
     own_zone: str,
     zones: Iterable[str],
     replica_zones: Mapping[str, Collection[str]],
@@ -113,7 +115,7 @@
 
     >>> replicas = {f"s{i}": ("a", "b") for i in range(5)} | {"s5": ("c",)}
     >>> [(len(group.shards), sorted(group.zones))
-    ...     for group in group_by_place("c", "abc", replicas, ScatterSizes(1000.0, 800.0))]
+    ...     for group in group_shards_by_zones("c", "abc", replicas, ScatterSizes(1000.0, 800.0))]
     [(5, ['a', 'b'])]
     """
     remote_shards = [shard for shard, in_zones in replica_zones.items() if own_zone not in in_zones]
--- a/tinrudder/gateway/decisions/placement/zone_preference.py
+++ b/tinrudder/gateway/decisions/placement/zone_preference.py
@@ -21,7 +21,7 @@
 
 from __future__ import annotations
 
-LEAST_ADVANTAGE = 0.35
+MIN_ADVANTAGE = 0.35
 """Minimum advantage of a remote replica, as a multiple of the usual latency: compensates for the
 longer path.  The mean score of 13 simulated days on two sites was 0.7867 and 0.8541, with 0.15
 instead 0.7864 and 0.8537: no difference beyond noise."""
@@ -50,7 +50,7 @@
     0.35
     """
     spare_s = HEDGE_OBJECTIVE_SHARE * objective_s - hedge_delay_s
-    return min(MAX_ADVANTAGE, max(LEAST_ADVANTAGE, spare_s / usual_s))
+    return min(MAX_ADVANTAGE, max(MIN_ADVANTAGE, spare_s / usual_s))
 
 
 def is_slow(expected_relative_latency: float) -> bool:
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -16,7 +16,7 @@
 from tinrudder.common.logs import log_event
 from tinrudder.gateway.clients.client_connection import ClientConnection, HttpRequestHandler
 from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
-from tinrudder.gateway.decisions.fleet.process_pause import LOOK_S
+from tinrudder.gateway.decisions.fleet.process_pause import RECORD_INTERVAL_S
 from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
 from tinrudder.gateway.model.outcomes import FinalAnswer
 from tinrudder.gateway.observability.gateway_log import log_configuration
@@ -27,7 +27,7 @@
     from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
     from tinrudder.gateway.observability.metric_figures import MetricSources
 
-HOUSEKEEPING_INTERVAL_S = LOOK_S
+HOUSEKEEPING_INTERVAL_S = RECORD_INTERVAL_S
 """Seconds between two rounds of housekeeping: the interval that pause detection requires."""
 LEAVING_PERIOD_S = 2.6
 """Seconds for which a stopping gateway still accepts requests, at most half of the grace period.
--- a/tinrudder/gateway/model/configuration.py
+++ b/tinrudder/gateway/model/configuration.py
@@ -126,7 +126,7 @@
         """Return an identity of this process of the back end; a restart may keep the id alone."""
         return f"{self.backend_id}@{self.started_ms}"
 
-    def is_same_start(self, other: BackendEntry) -> bool:
+    def is_same_process(self, other: BackendEntry) -> bool:
         """Return whether both entries describe the same process, address and service."""
         return (self.started_ms, self.host, self.port, self.service) == (
             other.started_ms,
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -150,7 +150,7 @@
             members=self._peers.to_tell(now, to_other_zone=to_other_zone) if with_members else (),
             operator_unconfirmed_s=self._unconfirmed_s(Topic.OPERATOR),
             backends_unconfirmed_s=self._unconfirmed_s(Topic.BACKENDS),
-            silent_zones=self._zone_monitor.paths.told_doubts,
+            silent_zones=self._zone_monitor.paths.own_suspicions,
             configuration_version=state.configuration_version,
         )
 
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -136,7 +136,7 @@
             now = self._loop.time()
             zones = tuple(set(self._peers.zones(now)))
             others = tuple(zone for zone in zones if zone != self._zone) or zones
-            if self.paths.doubt_silent(others, now):
+            if self.paths.suspect_silent_zones(others, now):
                 for zone in others:
                     self._start_rounds(zone)
 
@@ -160,7 +160,7 @@
         members = self._peers.members_in(zone, self._loop.time())
         probed = PROBED_PER_ROUND if state is PathState.SUSPECT else 1
         self._probes.ask(*self._random.sample(members, min(probed, len(members))))
-        self.paths.note_round(zone)
+        self.paths.count_probe_round(zone)
         pause_s = ROUND_INTERVAL_S if state is PathState.SUSPECT else CLOSED_ROUND_INTERVAL_S
         self._round_timers[zone] = self._loop.call_later(pause_s, self._run_round, zone)
 
--- a/tinrudder/gateway/quotas/tenants_in_force.py
+++ b/tinrudder/gateway/quotas/tenants_in_force.py
@@ -23,7 +23,7 @@
         """Return a tenant of the configuration in force, or ``None``."""
         return self._tenants.get(name)
 
-    def are_there_any(self) -> bool:
+    def has_tenants(self) -> bool:
         """Return whether the configuration in force has tenants, and so requires keys."""
         return bool(self._tenants)
 
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -102,7 +102,7 @@
     if report.waiting == 0 and latency_s is not None:
         call_context.unloaded_latency(route).observe(latency_s)
         if not route.shards:
-            observations.worked(latency_s)
+            observations.record_service_time(latency_s)
     if not route.shards:
         work_s = call_context.unloaded_median_s(route)
         call_context.load_listener.on_load(backend, shed=False, work_s=work_s)
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -25,7 +25,7 @@
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, typical_latency_s
 from tinrudder.gateway.decisions.placement.zone_preference import (
-    LEAST_ADVANTAGE,
+    MIN_ADVANTAGE,
     is_slow,
     zone_advantage,
 )
@@ -84,7 +84,7 @@
     for backend in candidates:
         local = backend.entry.zone == call_context.zone
         if local and is_slow(backend.observations.expected_relative_latency(now)):
-            return LEAST_ADVANTAGE
+            return MIN_ADVANTAGE
     latest = call_context.latest_advantage
     if latest is None or latest.at != now or latest.route is not route:
         latency = call_context.latency(route)
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -20,10 +20,13 @@
     IndexDemand,
     choose_coordinators,
     coordinators_needed,
-    preference,
-    strong_ones,
+    order_coordinators,
+    strong_candidates,
+)
+from tinrudder.gateway.decisions.placement.shard_placement import (
+    ScatterSizes,
+    group_shards_by_zones,
 )
-from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes, group_by_place
 from tinrudder.gateway.model.configuration import GatewayConfiguration, Route
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member
@@ -161,7 +164,7 @@
             budget_parts = callers / COORDINATORS_BUDGET_SHARE
             names = frozenset(one.name for one in chosen)
             return Coordination(True, (), callers, budget_parts, now, delegated, names)
-        order = preference(str(own.address), own.zone, chosen)
+        order = order_coordinators(str(own.address), own.zone, chosen)
         addresses = [by_name[one.name].address for one in order]
         asked = tuple(one for one in addresses if not self._backoff.avoids(one, now))
         budget_parts = self.peers.nodes(now) / (1.0 - COORDINATORS_BUDGET_SHARE)
@@ -177,7 +180,7 @@
         """Return the shards that some of ``members`` should call for this gateway."""
         available = [one for one in members if not self._backoff.avoids(one.address, now)]
         own_zone = self.describe_own().zone
-        groups = group_by_place(
+        groups = group_shards_by_zones(
             own_zone,
             {member.zone for member in available},
             dict(zip(index, zones, strict=True)),
@@ -216,7 +219,7 @@
 def _strong_member_addresses(zones: Collection[str], members: list[Member]) -> tuple[Address, ...]:
     """Return the addresses of the members in ``zones`` with enough capacity."""
     in_zones = {str(one.address): one for one in members if one.zone in zones}
-    strong = strong_ones(_candidate(one) for one in in_zones.values())
+    strong = strong_candidates(_candidate(one) for one in in_zones.values())
     return tuple(in_zones[one.name].address for one in strong)
 
 
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -8,7 +8,7 @@
 import random
 
 from tinrudder.gateway.clients.client_deadlines import Deadlines
-from tinrudder.gateway.decisions.placement.shard_placement import leaves_time
+from tinrudder.gateway.decisions.placement.shard_placement import delegation_meets_deadline
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.runs.call_context import CallContext
@@ -83,7 +83,7 @@
         """Tell whether the path to another gateway leaves enough time for its calls."""
         left_s = deadlines.objective_at - self._call_context.loop.time()
         path_s = self._delegation_context.path_time(delegation.coordinator).allowance_s
-        return leaves_time(self._call_context.latency(route), left_s, path_s)
+        return delegation_meets_deadline(self._call_context.latency(route), left_s, path_s)
 
     def _coordination(self, route: Route) -> Coordination:
         return self._delegation_context.coordinators.of_route(route)
--- a/tinrudder/gateway/store/backend_entries.py
+++ b/tinrudder/gateway/store/backend_entries.py
@@ -170,7 +170,7 @@
         return (
             waiting is not None
             and waiting.entry is not None
-            and waiting.entry.is_same_start(observed.entry)
+            and waiting.entry.is_same_process(observed.entry)
         )
 
     def _read_entry(self, value: StoredValue) -> BackendEntry | None:
@@ -188,7 +188,7 @@
         known = self.known.get(value.key)
         now = self._clock()
         since = said_at = now
-        if known is not None and known.in_force and known.entry.is_same_start(entry):
+        if known is not None and known.in_force and known.entry.is_same_process(entry):
             since = known.since if known.entry.leaving == entry.leaving else now
             said_at = known.said_at if self._is_restored_copy(known, entry) else now
         self.known[value.key] = KnownBackend(entry, value, since, said_at)
--- a/tinrudder/gateway/store/epoch_rules.py
+++ b/tinrudder/gateway/store/epoch_rules.py
@@ -71,7 +71,7 @@
         # An explicit removal in the new epoch; a key that the copy merely lacks has no removal.
         return 0.0
     before, after = earlier.entry, later.entry
-    if before is not None and after is not None and after.is_same_start(before):
+    if before is not None and after is not None and after.is_same_process(before):
         return LEAVING_PRECEDENCE_S if before.leaving and not after.leaving else 0.0
     if not may_be_copied:
         return 0.0
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -366,7 +366,7 @@
         context.settings.revocation_s,
         context.settings.change_in_force_s,
         lambda: knowledge.state.unconfirmed_s(Topic.OPERATOR),
-        tenants.are_there_any,
+        tenants.has_tenants,
         fleet.peers,
         knowledge.store_status,
         lambda: knowledge.state.may_lack_lost_writes,
