--- a/bench/connection_cost.py
+++ b/bench/connection_cost.py
@@ -17,7 +17,7 @@
 from tinrudder.gateway.backends.upstream_connection import UpstreamConnection, accept_any_answer
 from tinrudder.gateway.clients.client_connection import ClientConnection
 from tinrudder.gateway.clients.memory_account import MemoryAccount
-from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
+from tinrudder.gateway.clients.plain_answers import FixedAnswerHandler, text_answer
 from tinrudder.gateway.model.http_messages import UpstreamCall
 
 ROUNDS = 9
@@ -60,7 +60,7 @@
     """Return the costs at both connections."""
     account = MemoryAccount(BOUND)
     answer = text_answer(b"x" * 96)
-    client = ClientConnection(PlainHandler(lambda: answer), set(), account)
+    client = ClientConnection(FixedAnswerHandler(lambda: answer), set(), account)
     client.connection_made(NullTransport())
     backend = UpstreamConnection(accept_any_answer, lambda one: None, lambda one: None, account)
     backend.connection_made(NullTransport())
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -105,7 +105,9 @@
             load_reports=LoadReports(DECODERS.load_report, loop.time),
             evidence=self._no_evidence(),
         )
-        for backend in (one for group in self.directory._services.values() for one in group):
+        for backend in (
+            one for group in self.directory._backends_by_service.values() for one in group
+        ):
             connection = backend.pool._new_connection()
             connection.connection_made(NullTransport())
             backend.pool._open.add(connection)
--- a/tests/functional/gateway/test_client_leaves.py
+++ b/tests/functional/gateway/test_client_leaves.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.many_gateways import SETTLED_S, run_many
+from tests.support.many_gateways import SETTLED_S, run_with_many_gateways
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
 DISCONNECT_AFTER_S = 0.05
@@ -59,7 +59,7 @@
         )
         await check_work_stops(site, "scatter", entry)
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_a_client_that_leaves_a_coordinated_scatter_frees_every_gateway() -> None:
@@ -78,4 +78,4 @@
             assert node.gateway.requests.handler.in_progress == 0
             assert node.gateway.requests.delegation_service.in_progress == 0
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -12,12 +12,12 @@
 
 from tests.support.many_gateways import (
     CONNECTIONS,
-    MANY,
+    GATEWAY_COUNT,
     SETTLED_S,
     busiest_coordinator,
-    counted,
-    in_time,
-    run_many,
+    counters_by_node,
+    run_with_many_gateways,
+    share_in_time,
 )
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.model.outcomes import NotRun
@@ -31,19 +31,19 @@
 def test_many_gateways_hand_scatters_to_a_few_strong_ones_in_every_zone() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        before = counted(site, "calls")
+        before = counters_by_node(site, "calls")
         await site.traffic(6.0, 40.0, ("scatter",))
-        callers = {name for name in counted(site, "calls") if name not in before}
+        callers = {name for name in counters_by_node(site, "calls") if name not in before}
         assert len(callers) == 4
         strong = {node.name for node in site.nodes if node.index % 5 < 2}
         assert callers <= strong
-        assert set(counted(site, "coordinated")) <= callers
-        assert in_time(site) == 1.0
+        assert set(counters_by_node(site, "coordinated")) <= callers
+        assert share_in_time(site) == 1.0
         peaks = [backend.peak_connections for backend in site.backends.values()]
         assert max(peaks) <= CONNECTIONS
         assert site.broken_promises() == []
 
-    run_many(scenario, capacities=(2.0, 2.0, 0.5, 0.5, 0.5))
+    run_with_many_gateways(scenario, capacities=(2.0, 2.0, 0.5, 0.5, 0.5))
 
 
 def test_the_parts_of_the_fleets_budget_add_up_to_no_more_than_the_whole() -> None:
@@ -55,18 +55,18 @@
             for node in site.nodes
             if node.gateway is not None
         ]
-        assert sum(parts[:MANY]) <= 1.0
-        assert sum(parts[MANY:]) <= 1.0 + 1e-9
+        assert sum(parts[:GATEWAY_COUNT]) <= 1.0
+        assert sum(parts[GATEWAY_COUNT:]) <= 1.0 + 1e-9
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_few_gateways_call_the_back_ends_themselves() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         await site.traffic(3.0, 40.0, ("scatter",))
-        assert counted(site, "relayed") == {}
-        assert len(counted(site, "calls")) == len(site.nodes)
+        assert counters_by_node(site, "relayed") == {}
+        assert len(counters_by_node(site, "calls")) == len(site.nodes)
 
     run_site(scenario, node_count=6)
 
@@ -82,10 +82,10 @@
             await asyncio.gather(*(site.send("scatter", node.index) for node in alive[:3]))
         results = site.ledger.results[first:]
         assert sum(1 for one in results if one.status == 200) >= len(results) - 3
-        assert in_time(site, first) >= 0.95
+        assert share_in_time(site, first) >= 0.95
         assert site.broken_promises() == []
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_a_paused_coordinator_is_skipped_within_the_objective() -> None:
@@ -99,12 +99,12 @@
         others = [node for node in site.nodes if node is not coordinator]
         for node in others:
             await site.send("scatter", node.index)
-        assert in_time(site, first) == 1.0
+        assert share_in_time(site, first) == 1.0
         coordinator.machine.resume(site.loop)
         await site.traffic(2.0, 20.0, ("scatter",))
         assert site.broken_promises() == []
 
-    run_many(scenario, copies=3)
+    run_with_many_gateways(scenario, copies=3)
 
 
 def test_no_promise_is_made_for_what_a_silent_coordinator_may_have_run() -> None:
@@ -124,7 +124,7 @@
                 await site.send("scatter", node.index)
         assert {one.status for one in site.ledger.results[first:]} <= {200, 502, 504}
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 @pytest.mark.parametrize("copies", [2, 3])
@@ -158,7 +158,7 @@
             await asyncio.sleep(0.5)
         assert site.broken_promises() == []
 
-    run_many(scenario, copies=copies)
+    run_with_many_gateways(scenario, copies=copies)
 
 
 class RefusingAdmission:
@@ -204,7 +204,7 @@
         assert admission.refused > 0
         assert site.broken_promises() == []
 
-    run_many(scenario, copies=2)
+    run_with_many_gateways(scenario, copies=2)
 
 
 def test_a_planned_stop_of_a_coordinator_cuts_nothing() -> None:
@@ -219,7 +219,7 @@
         assert {one.status for one in site.ledger.results[first:]} == {200}
         assert site.broken_promises() == []
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_when_a_client_leaves_its_entry_the_coordinators_work_ends() -> None:
@@ -229,23 +229,25 @@
             node
             for node in site.nodes
             if node.gateway is not None
-            and node.name not in counted(site, "calls")
+            and node.name not in counters_by_node(site, "calls")
             and not node.gateway.backends.coordinators.of_service("shard-0").own
         )
         result = await site.send("scatter", entry.index, leaves_after_s=0.1)
         assert result.status == 0
         await asyncio.sleep(0.5)
-        assert counted(site, "coordinated") != {}
+        assert counters_by_node(site, "coordinated") != {}
         assert all(not backend._running for backend in site.backends.values())
 
-    run_many(scenario, work_s=5.0)
+    run_with_many_gateways(scenario, work_s=5.0)
 
 
 def test_an_older_configuration_never_answers_for_a_newer_one() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         await site.traffic(1.0, 40.0, ("scatter",))
-        coordinators = [node for node in site.nodes if node.name in counted(site, "coordinated")]
+        coordinators = [
+            node for node in site.nodes if node.name in counters_by_node(site, "coordinated")
+        ]
         assert isinstance(site.loop, EmulatorLoop)
         hosts = {node.host for node in coordinators}
         site.loop.datagram_lost = lambda source, target: target[0] in hosts
@@ -258,7 +260,7 @@
         result = await site.send("scatter", entry.index, services=("shard-new",), minimum_share=1.0)
         assert result.status == 200
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def delay_paths(monkeypatch: pytest.MonkeyPatch, one_way_s: float) -> None:
@@ -288,8 +290,8 @@
         results = site.ledger.results[first:]
         cut = [one for one in results if one.headers.get("tinrudder-missing-parts") == "1"]
         assert len(cut) > 50
-        assert in_time(site, first) >= 0.95
+        assert share_in_time(site, first) >= 0.95
         assert site.broken_promises() == []
 
     delay_paths(monkeypatch, 0.012)
-    run_many(scenario)
+    run_with_many_gateways(scenario)
--- a/tests/functional/gateway/test_evacuation.py
+++ b/tests/functional/gateway/test_evacuation.py
@@ -9,7 +9,7 @@
 
 import pytest
 
-from tests.support.many_gateways import SETTLED_S, counted, run_many
+from tests.support.many_gateways import SETTLED_S, counters_by_node, run_with_many_gateways
 from tinrudder_lab.emulator.site import EVACUATION_S, EmulatedSite, run_site
 from tinrudder_lab.emulator.store import StoreMode
 
@@ -191,7 +191,7 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         await site.traffic(1.0, 30.0, ("scatter",))
-        assert counted(site, "coordinated")
+        assert counters_by_node(site, "coordinated")
         site.evacuate(ZONE)
         await asyncio.sleep(PROPAGATION_S)
         evacuated_at = site.loop.time()
@@ -200,4 +200,4 @@
         assert site.served_share() == 1.0
         assert site.broken_promises() == []
 
-    run_many(scenario, zones=("zone-a", "zone-b", "zone-c"), spread=True, shards=9)
+    run_with_many_gateways(scenario, zones=("zone-a", "zone-b", "zone-c"), spread=True, shards=9)
--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.support.many_gateways import SETTLED_S, run_many
+from tests.support.many_gateways import SETTLED_S, run_with_many_gateways
 from tinrudder.gateway.gateway import Gateway
 from tinrudder.gateway.store.configuration_freshness import FRESH_SHARE
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, SiteTenant, run_site
@@ -101,7 +101,7 @@
             assert (await site.send("scatter", index, key="key-a")).status == 200
         assert site.broken_promises() == []
 
-    run_many(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
+    run_with_many_gateways(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
     assert b"first" in seen
     assert not any(b"key-a" in value for value in seen)
     assert "key-a" not in caplog.text
@@ -274,7 +274,7 @@
         assert (await site.send("scatter", entry, key="key-a")).status in (401, 503)
         assert site.broken_promises() == []
 
-    run_many(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
+    run_with_many_gateways(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
 
 
 def test_a_gateway_started_beside_stale_peers_accepts_no_revoked_key() -> None:
--- a/tests/functional/gateway/test_overload.py
+++ b/tests/functional/gateway/test_overload.py
@@ -8,7 +8,7 @@
 import asyncio
 from typing import Any
 
-from tests.support.many_gateways import SETTLED_S, run_many
+from tests.support.many_gateways import SETTLED_S, run_with_many_gateways
 from tinrudder_lab.emulator.records import ClientResult
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
@@ -92,7 +92,7 @@
         assert {one.status for one in results} <= {200, 503}
         assert_refusals_are_true(site)
 
-    run_many(scenario, **SITE)
+    run_with_many_gateways(scenario, **SITE)
 
 
 def test_a_client_that_leaves_while_its_scatter_waits_leaves_the_queue() -> None:
--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from tests.support.many_gateways import SETTLED_S, run_many
+from tests.support.many_gateways import SETTLED_S, run_with_many_gateways
 from tinrudder.common.address import Address
 from tinrudder.gateway.decisions.admission.token_buckets import RETRY_SPREAD_S
 from tinrudder.gateway.gateway import Gateway
@@ -33,7 +33,7 @@
 
 
 def run_limited_many(scenario: Any) -> Any:
-    return run_many(scenario, tenants=(LIMITED, OTHER, FREE))
+    return run_with_many_gateways(scenario, tenants=(LIMITED, OTHER, FREE))
 
 
 async def ask(
--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -19,7 +19,7 @@
 
 import pytest
 
-from tests.support.many_gateways import MANY, SETTLED_S, run_many
+from tests.support.many_gateways import GATEWAY_COUNT, SETTLED_S, run_with_many_gateways
 from tinrudder_lab.emulator.backend import Fault
 from tinrudder_lab.emulator.http_server import ServedRequest
 from tinrudder_lab.emulator.loop import EmulatorLoop
@@ -166,11 +166,11 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         site.ends_under = is_poison
-        for node in range(0, MANY, 5):
+        for node in range(0, GATEWAY_COUNT, 5):
             await send_poison(site, "scatter", node)
         assert len(site.ledger.ended) <= max_crashes_of_first_try(site.shards)
 
-    run_many(scenario, spread=spread)
+    run_with_many_gateways(scenario, spread=spread)
 
 
 def test_a_caller_that_varies_its_body_costs_one_back_end_a_try_after_the_first_ones() -> None:
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -12,7 +12,7 @@
 
 import pytest
 
-from tinrudder.gateway.backends.load_news_exchange import start_number
+from tinrudder.gateway.backends.load_report_exchange import instance_hash_of
 from tinrudder.gateway.decisions.fleet.load_news import (
     BURST_BYTES,
     BYTES_PER_S,
@@ -48,7 +48,7 @@
 
 def exchange_counts(site: EmulatedSite, kind: str) -> list[int]:
     gateways = [node.gateway for node in site.nodes if node.gateway is not None]
-    return [getattr(one.backends.load_news_exchange, kind) for one in gateways]
+    return [getattr(one.backends.load_report_exchange, kind) for one in gateways]
 
 
 def in_time(results: list[ClientResult]) -> int:
@@ -137,7 +137,7 @@
         assert sender is not None
         assert receiver is not None
         known = next(one for one in receiver.backends.directory if one.entry.service == "single")
-        number = start_number(known.entry)
+        number = instance_hash_of(known.entry)
         invalid = [
             ReportedLoad(number + 1, 14, 2, 1.0, 0.1),
             ReportedLoad(number, 2_000_000, 2, 1.0, 0.1),
@@ -150,12 +150,12 @@
         sender.fleet.datagrams.send(LoadNews(tuple(invalid)), receiver.settings.peers)
         await asyncio.sleep(0.1)
         assert known.observations.reported_at == before
-        assert receiver.backends.load_news_exchange.ignored == len(invalid)
+        assert receiver.backends.load_report_exchange.ignored == len(invalid)
         sender.fleet.datagrams.send(
             LoadNews((ReportedLoad(number, 14, 2, 1.0, 0.1),)), receiver.settings.peers
         )
         await asyncio.sleep(0.1)
         assert known.observations.reported_backlog == 14
-        assert receiver.backends.load_news_exchange.taken == 1
+        assert receiver.backends.load_report_exchange.taken == 1
 
     run_shared(scenario)
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -24,7 +24,7 @@
     ClientConnection,
 )
 from tinrudder.gateway.clients.memory_account import MemoryAccount
-from tinrudder.gateway.clients.plain_answers import PlainHandler, text_answer
+from tinrudder.gateway.clients.plain_answers import FixedAnswerHandler, text_answer
 from tinrudder.gateway.model.configuration import ClientLimits
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import FinalAnswer
@@ -39,19 +39,19 @@
 SHORT_WAIT_S = 0.01
 
 
-class CountingHandler(PlainHandler):
+class CountingHandler(FixedAnswerHandler):
     """Answers immediately and counts the requests."""
 
     def __init__(self, size: int) -> None:
         super().__init__(lambda: text_answer(b"x" * size))
         self.served = 0
 
-    def handle(self, request: HttpRequest, connection: ClientConnection) -> PlainHandler:
+    def handle(self, request: HttpRequest, connection: ClientConnection) -> FixedAnswerHandler:
         self.served += 1
         return super().handle(request, connection)
 
 
-class HoldingHandler(PlainHandler):
+class HoldingHandler(FixedAnswerHandler):
     """Answers when the test calls for it."""
 
     def __init__(self) -> None:
@@ -59,7 +59,7 @@
         self.limits = ClientLimits(header_timeout_s=2.0)
         self.waiting: list[ClientConnection] = []
 
-    def handle(self, request: HttpRequest, connection: ClientConnection) -> PlainHandler:
+    def handle(self, request: HttpRequest, connection: ClientConnection) -> FixedAnswerHandler:
         self.waiting.append(connection)
         return self
 
@@ -81,7 +81,7 @@
         assert not connections
         silent[1].close()
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
+    run_served(FixedAnswerHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
 
 
 @pytest.mark.parametrize(
@@ -99,7 +99,7 @@
         assert account.clients == 0
         silent[1].close()
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario, bound)
+    run_served(FixedAnswerHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario, bound)
 
 
 def test_a_slow_but_steady_reader_gets_its_whole_answer() -> None:
@@ -111,7 +111,7 @@
         assert account.clients == 0
         assert account.ended_unread == 0
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
+    run_served(FixedAnswerHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
 
 
 def test_no_more_requests_are_read_from_a_client_that_does_not_read() -> None:
@@ -138,7 +138,7 @@
             await reader.readexactly(LARGE_BODY_BYTES)
         assert account.clients == 0
 
-    run_served(PlainHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
+    run_served(FixedAnswerHandler(lambda: text_answer(b"x" * LARGE_BODY_BYTES)), scenario)
 
 
 def test_a_planned_stop_is_not_held_up_by_a_client_that_does_not_read() -> None:
@@ -210,7 +210,7 @@
         assert account.clients == 0
         assert not connections
 
-    run_served(PlainHandler(lambda: text_answer(b"ok")), scenario, bound=150_000.0)
+    run_served(FixedAnswerHandler(lambda: text_answer(b"ok")), scenario, bound=150_000.0)
 
 
 def test_a_reading_pause_does_not_count_towards_the_header_timeout() -> None:
--- a/tests/functional/gateway/test_store_readers.py
+++ b/tests/functional/gateway/test_store_readers.py
@@ -8,9 +8,9 @@
 import pytest
 
 from tests.support.many_gateways import (
-    MANY,
+    GATEWAY_COUNT,
     SETTLED_S,
-    run_many,
+    run_with_many_gateways,
 )
 from tests.support.store_revisions import values_for_peer
 from tinrudder.gateway.store.store_readers import READERS
@@ -42,7 +42,7 @@
         backends = site.nodes[0].gateway.knowledge.state.backends
         assert [known.leaving for key, known in backends.items() if "single-0" in key] == [True]
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_a_gateway_that_hears_nobody_asks_the_store_itself() -> None:
@@ -66,7 +66,7 @@
         }
         assert revisions == {alone.gateway.knowledge.state.configuration_revision}
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_where_the_store_refuses_every_reader_others_ask_it() -> None:
@@ -77,7 +77,7 @@
             for node in site.nodes
             if node.gateway is not None and node.gateway.store.readers.is_reader()
         ]
-        assert READERS <= len(refused) < MANY
+        assert READERS <= len(refused) < GATEWAY_COUNT
         for node in refused:
             site.store.set_mode(StoreMode.REFUSING, node.store_port)
         await asyncio.sleep(11.0)
@@ -93,7 +93,7 @@
         assert accepted is not None and accepted.knowledge.state.accepted is not None
         assert accepted.knowledge.state.accepted.configuration.version == site.version
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_a_snapshot_holds_only_what_the_asker_lacks() -> None:
@@ -139,7 +139,7 @@
         assert all_complete(site)
         assert site.store.reads - reads <= len(site.seeds) * reads_of_one(site)
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_a_single_start_among_running_gateways_asks_peers_and_not_the_store() -> None:
@@ -154,7 +154,7 @@
         assert started.gateway.knowledge.state.complete
         assert site.store.reads == reads
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 @pytest.mark.parametrize("cut", [StoreMode.REFUSING, StoreMode.SILENT])
@@ -168,7 +168,7 @@
         await asyncio.sleep(2.5)
         assert all_complete(site)
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_a_start_without_living_seeds_soon_reads_the_store() -> None:
@@ -181,7 +181,7 @@
         assert last.gateway is not None
         assert last.gateway.knowledge.state.complete
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_starts_during_an_outage_of_the_store_do_not_all_keep_asking_it() -> None:
@@ -196,7 +196,7 @@
         await asyncio.sleep(1.5)
         assert all_complete(site)
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
 
 
 def test_gateways_that_start_together_know_each_other_within_a_second() -> None:
@@ -239,4 +239,4 @@
         assert last.gateway is not None
         assert last.gateway.knowledge.state.complete
 
-    run_many(scenario)
+    run_with_many_gateways(scenario)
--- a/tests/functional/gateway/test_upstream_pool.py
+++ b/tests/functional/gateway/test_upstream_pool.py
@@ -85,7 +85,7 @@
 def test_an_unrepeatable_call_never_uses_a_connection_that_was_idle(
     monkeypatch: pytest.MonkeyPatch, most: int
 ) -> None:
-    monkeypatch.setattr(upstream_pool, "TRUSTED_S", 0.0)
+    monkeypatch.setattr(upstream_pool, "MAX_UNREPEATABLE_IDLE_S", 0.0)
 
     async def run() -> FakeServer:
         server = FakeServer()
@@ -114,7 +114,7 @@
 
 
 def test_a_recently_active_connection_is_reused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_pool, "TRUSTED_S", 60.0)
+    monkeypatch.setattr(upstream_pool, "MAX_UNREPEATABLE_IDLE_S", 60.0)
 
     async def run() -> FakeServer:
         server = FakeServer()
--- a/tests/support/many_gateways.py
+++ b/tests/support/many_gateways.py
@@ -6,18 +6,18 @@
 
 from tinrudder_lab.emulator.site import EmulatedNode, EmulatedSite, run_site
 
-MANY = 20
+GATEWAY_COUNT = 20
 CONNECTIONS = 26
 SETTLED_S = 4.0
 OBJECTIVE_S = 0.2
 
 
-def run_many(scenario: Any, **options: Any) -> Any:
+def run_with_many_gateways(scenario: Any, **options: Any) -> Any:
     """Run a scenario with too many gateways for all of them to call the back ends."""
-    return run_site(scenario, node_count=MANY, **options)
+    return run_site(scenario, node_count=GATEWAY_COUNT, **options)
 
 
-def counted(site: EmulatedSite, counter: str) -> dict[str, int]:
+def counters_by_node(site: EmulatedSite, counter: str) -> dict[str, int]:
     return {
         node.name: getattr(node.gateway.process.counters, counter)
         for node in site.nodes
@@ -26,12 +26,12 @@
 
 
 def busiest_coordinator(site: EmulatedSite) -> EmulatedNode:
-    served = counted(site, "coordinated")
+    served = counters_by_node(site, "coordinated")
     name = max(served, key=served.__getitem__)
     return next(node for node in site.nodes if node.name == name)
 
 
-def in_time(site: EmulatedSite, first: int = 0) -> float:
+def share_in_time(site: EmulatedSite, first: int = 0) -> float:
     results = site.ledger.results[first:]
     good = [
         one for one in results if one.status == 200 and one.ended_at - one.sent_at <= OBJECTIVE_S
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -17,7 +17,7 @@
     PendingReport,
     PendingReports,
     ReportedLoad,
-    take_load,
+    apply_report,
 )
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BACKLOG_LIFETIME_S,
@@ -112,7 +112,7 @@
     now = NOW
     for moment in arrivals:
         report = ReportedLoad(1, moment, SLOTS, 1.0, now - moment / 64 - 9.0)
-        take_load(report, observed, now)
+        apply_report(report, observed, now)
         now += source.choice((0.0, 1 / 64))
     assert observed.reported_backlog == max(received)
     assert observed.reported_at == max(received) / 64 + 9.0
--- a/tests/unit/gateway/decisions/test_zone_paths.py
+++ b/tests/unit/gateway/decisions/test_zone_paths.py
@@ -130,7 +130,7 @@
     paths = closed()
     trial_at = paths.path(ZONE).trial_at
     assert paths.review(ZONE, trial_at)
-    assert not paths.doubt(ZONE, trial_at, trial_at + 0.1, by_hearsay=True)
+    assert not paths.doubt(ZONE, trial_at, trial_at + 0.1, reported_by_peer=True)
     assert paths.path(ZONE).state is PathState.TRIAL
     assert paths.doubt(ZONE, trial_at, trial_at + 0.1)
     assert paths.is_closed(ZONE)
--- a/tests/unit/gateway/test_backend_starts.py
+++ b/tests/unit/gateway/test_backend_starts.py
@@ -202,7 +202,7 @@
         (first,) = directory.usable("s")
         first.observations.failed(None, gateway_state.now)
         first.observations.reported(2, 30, 2, gateway_state.now, 5.0)
-        first.readdressed = True
+        first.address_reused = True
         gateway_state.receive(entry_value(2, 200))
         (second,) = directory.usable("s")
         assert second is not first
@@ -211,9 +211,9 @@
             gateway_state.now
         )
         assert second.observations.wait_s(gateway_state.now, 1.0) == 0.0
-        assert not second.readdressed
-        assert not directory.may_receive(first)
-        assert directory.may_receive(second)
+        assert not second.address_reused
+        assert not directory.may_send_to(first)
+        assert directory.may_send_to(second)
         assert len(directory) == 1
 
     asyncio.run(scenario())
@@ -260,8 +260,8 @@
         (backend,) = directory.usable("s")
         gateway_state.receive(entry_value(2, UNREADABLE))
         assert directory.usable("s") == []
-        assert not directory.may_receive(backend)
-        assert not directory.reachable("s")
+        assert not directory.may_send_to(backend)
+        assert not directory.has_callable_backend("s")
         assert "cannot be read" in directory.reason_for_none("s")
         gateway_state.receive(entry_value(3, 100))
         assert directory.usable("s") == [backend]
@@ -289,7 +289,7 @@
         (first,) = directory.usable("s")
         ended: asyncio.Future[CallOutcome] = asyncio.get_running_loop().create_future()
         call = UpstreamCall(
-            lambda: b"GET / HTTP/1.1\r\n\r\n" if directory.may_receive(first) else None,
+            lambda: b"GET / HTTP/1.1\r\n\r\n" if directory.may_send_to(first) else None,
             b"r",
             ended.set_result,
             asyncio.get_running_loop().time() + 5.0,
--- a/tests/unit/gateway/test_epoch_merge.py
+++ b/tests/unit/gateway/test_epoch_merge.py
@@ -18,7 +18,7 @@
 
 from tests.support.store_revisions import at
 from tests.unit.gateway.test_shared_state import DECODERS
-from tinrudder.gateway.peers.snapshots import snapshot_for, snapshot_request, take_snapshot
+from tinrudder.gateway.peers.snapshots import apply_snapshot, snapshot_for, snapshot_request
 from tinrudder.gateway.store.epoch_merge import EpochMerge
 from tinrudder.gateway.store.epoch_rules import (
     LEAVING_PRECEDENCE_S,
@@ -175,7 +175,7 @@
 
 def pull(asker: SharedState, asked: SharedState) -> None:
     request = snapshot_request(asker, members_wanted=False)
-    take_snapshot(asker, snapshot_for(asked, request, None), "a peer")
+    apply_snapshot(asker, snapshot_for(asked, request, None), "a peer")
 
 
 def configured(version: int, revision: StoreRevision) -> StoredValue:
@@ -225,7 +225,7 @@
         operator_position=None,
         backends_position=None,
     )
-    take_snapshot(state, older, "a peer")
+    apply_snapshot(state, older, "a peer")
     assert state.configuration_version == 25
     assert state.revision(Topic.OPERATOR) == at(60, 2)
 
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -10,11 +10,11 @@
 
 from tests.support.fakes import ManualTimers
 from tinrudder.common.address import Address
-from tinrudder.gateway.backends import load_news_exchange
-from tinrudder.gateway.backends.load_news_exchange import (
+from tinrudder.gateway.backends import load_report_exchange
+from tinrudder.gateway.backends.load_report_exchange import (
     LOG_PAUSE_S,
-    LoadNewsExchange,
-    start_number,
+    LoadReportExchange,
+    instance_hash_of,
 )
 from tinrudder.gateway.decisions.fleet.load_news import (
     BATCH_DELAY_S,
@@ -59,13 +59,15 @@
     peers: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     lines: list[str] = []
-    monkeypatch.setattr(load_news_exchange, "log_event", lambda event, fields: lines.append(event))
+    monkeypatch.setattr(
+        load_report_exchange, "log_event", lambda event, fields: lines.append(event)
+    )
     timers, socket = ManualTimers(now=100.0), CountingSocket()
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
     for number in range(peers):
-        known.heard_from(Member(Address(f"10.0.1.{number}", 1)), 100.0)
+        known.record_message(Member(Address(f"10.0.1.{number}", 1)), 100.0)
     backends = [backend(number) for number in range(SERVICES)]
-    exchange = LoadNewsExchange(known, socket, timers, lambda: backends)  # type: ignore[arg-type]
+    exchange = LoadReportExchange(known, socket, timers, lambda: backends)  # type: ignore[arg-type]
     for _ in range(SECONDS * 10):
         for one in backends:
             one.observations.reported(4, 12, 4, timers.now)
@@ -79,13 +81,13 @@
 def test_load_that_a_peer_has_reported_meanwhile_is_not_sent() -> None:
     timers, socket = ManualTimers(now=100.0), CountingSocket()
     known = PeerList(Address("10.0.0.9", 1), random.Random(1), 0.0)
-    known.heard_from(Member(Address("10.0.1.1", 1)), 100.0)
+    known.record_message(Member(Address("10.0.1.1", 1)), 100.0)
     one = backend(1)
-    exchange = LoadNewsExchange(known, socket, timers, lambda: [one])  # type: ignore[arg-type]
+    exchange = LoadReportExchange(known, socket, timers, lambda: [one])  # type: ignore[arg-type]
     one.observations.reported(4, 12, 4, timers.now)
     exchange.on_load(one, shed=False, work_s=0.25)
     timers.advance(BATCH_DELAY_S / 2)
-    peer_load = ReportedLoad(start_number(one.entry), 7, 4, 1.0, 0.001)
+    peer_load = ReportedLoad(instance_hash_of(one.entry), 7, 4, 1.0, 0.001)
     socket.handler(LoadNews((peer_load,)), Address("10.0.1.1", 1))
     timers.advance(BATCH_DELAY_S)
     assert one.observations.reported_backlog == 7
--- a/tests/unit/gateway/test_memory_account.py
+++ b/tests/unit/gateway/test_memory_account.py
@@ -180,7 +180,7 @@
 @given(st.integers(0, 20), st.integers(0, 2_000_000), st.integers(0, 2_000_000))
 def test_a_less_urgent_request_is_refused_no_later(steps: int, clients: int, peers: int) -> None:
     account = MemoryAccount(1_000_000.0, count_peers=lambda: peers)
-    account.look()
+    account.refresh_peers()
     account.clients = clients
     refused = account.refusal(steps) is not None
     assert refused == ((clients + peers) / 1e6 >= refusal_fill(steps))
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -52,7 +52,7 @@
         for own in addresses:
             peers = PeerList(own, random.Random(own.port), self.loop.time())
             for other in addresses:
-                peers.heard_from(Member(other), self.loop.time())
+                peers.record_message(Member(other), self.loop.time())
             self.watches[own] = PoisonWatch(
                 peers, self._socket(own), self.loop.time, HEADERS, random.Random(own.port)
             )
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -101,7 +101,7 @@
         for own in addresses:
             peers = PeerList(own, random.Random(own.port), 0.0)
             for other in addresses:
-                peers.heard_from(Member(other), self.now)
+                peers.record_message(Member(other), self.now)
             self.watches[own] = PoisonWatch(
                 peers,
                 self._socket(own),
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -67,7 +67,7 @@
     arrivals: int = 0
     keeps_connection: bool = False
 
-    def has_connection_from_before(self, _moment: float) -> bool:
+    def has_connection_older_than(self, _moment: float) -> bool:
         return self.keeps_connection
 
     def start(self, call: UpstreamCall) -> None:
@@ -97,13 +97,13 @@
             self.replicas.append(Backend(entry, FakePool(connected[index])))  # type: ignore[arg-type]
 
     def usable(self, _: str) -> list[Backend]:
-        return [one for one in self.replicas if not one.readdressed]
+        return [one for one in self.replicas if not one.address_reused]
 
-    def may_receive(self, backend: Backend) -> bool:
-        return not backend.readdressed
+    def may_send_to(self, backend: Backend) -> bool:
+        return not backend.address_reused
 
     def note_call(self, backend: Backend) -> None:
-        assert self.may_receive(backend)
+        assert self.may_send_to(backend)
 
     def reason_for_none(self, _: str) -> str:
         return "none is left"
--- a/tests/unit/gateway/test_shared_state.py
+++ b/tests/unit/gateway/test_shared_state.py
@@ -197,7 +197,7 @@
     """Otherwise, gateways that start together would each use all connections of a back end."""
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=100.0)
     assert peers.nodes(100.5) >= 8
-    peers.heard_from(member("10.0.0.2"), 100.5)
+    peers.record_message(member("10.0.0.2"), 100.5)
     assert peers.nodes(104.0) == 2
     assert peers.nodes(104.0 + 30.0) == 1
 
@@ -205,7 +205,7 @@
 def test_a_reported_peer_counts_from_its_own_latest_message() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     stale, fresh = member("10.0.0.3"), member("10.0.0.4")
-    peers.heard_of([ReportedMember(stale, 31.0), ReportedMember(fresh, 29.0)], 100.0)
+    peers.merge_reported([ReportedMember(stale, 31.0), ReportedMember(fresh, 29.0)], 100.0)
     assert peers.nodes(100.0) == 2
     assert peers.nodes(100.0 + 1.5) == 1
     assert stale.address in peers.receivers(100.0)
@@ -213,29 +213,29 @@
 
 def test_an_older_description_of_a_peer_changes_nothing() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
-    peers.heard_from(member("10.0.0.2", leaving=True), 100.0)
-    peers.heard_of([ReportedMember(member("10.0.0.2"), 5.0)], 101.0)
+    peers.record_message(member("10.0.0.2", leaving=True), 100.0)
+    peers.merge_reported([ReportedMember(member("10.0.0.2"), 5.0)], 101.0)
     assert peers.candidates(101.0) == []
-    peers.heard_of([ReportedMember(member("10.0.0.2"), 0.5)], 101.0)
+    peers.merge_reported([ReportedMember(member("10.0.0.2"), 0.5)], 101.0)
     assert [one.address.host for one in peers.candidates(101.0)] == ["10.0.0.2"]
 
 
 def test_a_gateway_neither_reports_nor_lists_itself() -> None:
     own = Address("10.0.0.1", 1)
     peers = PeerList(own, random.Random(1), started_at=0.0)
-    peers.heard_of([ReportedMember(member("10.0.0.1"), 0.0)], 10.0)
+    peers.merge_reported([ReportedMember(member("10.0.0.1"), 0.0)], 10.0)
     assert peers.nodes(10.0) == 1
-    assert peers.to_tell(10.0) == ()
+    assert peers.sample_members(10.0) == ()
 
 
 def test_digests_go_to_a_few_where_peers_are_many() -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     peers.set_seeds([Address("10.0.1.1", 1)])
     for index in range(300):
-        peers.heard_from(member(f"10.1.{index}.1"), 10.0)
+        peers.record_message(member(f"10.1.{index}.1"), 10.0)
     assert peers.nodes(11.0) == 301
     assert len(peers.receivers(11.0)) == 3
-    assert len(peers.to_tell(11.0)) == 7
+    assert len(peers.sample_members(11.0)) == 7
 
 
 @given(same_zone=st.integers(0, 40), other_zones=st.integers(0, 40), seed=st.integers(0, 100))
@@ -244,15 +244,15 @@
 ) -> None:
     peers = PeerList(Address("10.0.0.1", 1), random.Random(seed), 0.0, "zone-a")
     for index in range(same_zone):
-        peers.heard_from(Member(Address(f"10.1.0.{index}", 1), "zone-a"), 10.0)
+        peers.record_message(Member(Address(f"10.1.0.{index}", 1), "zone-a"), 10.0)
     for index in range(other_zones):
-        peers.heard_from(Member(Address(f"10.2.0.{index}", 1), "zone-b"), 10.0)
+        peers.record_message(Member(Address(f"10.2.0.{index}", 1), "zone-b"), 10.0)
     receivers = peers.receivers(11.0)
     beyond = [one for one in receivers if one.host.startswith("10.2")]
     assert len(set(receivers)) == len(receivers)
     if same_zone + other_zones <= 16:
         assert len(receivers) == same_zone + other_zones
-        assert len(peers.receivers(11.0, zone_only=True)) == same_zone
+        assert len(peers.receivers(11.0, same_zone_only=True)) == same_zone
     else:
         assert len(receivers) == 3
         assert bool(beyond) == bool(other_zones)
@@ -264,10 +264,10 @@
     peers = PeerList(Address("10.0.0.1", 1), random.Random(1), started_at=0.0)
     for index in range(729):
         host = f"10.{index // 250}.250.{index % 250}"
-        peers.heard_from(Member(Address(host, 65000), "a-zone-of-length", 0.516), 10.0)
+        peers.record_message(Member(Address(host, 65000), "a-zone-of-length", 0.516), 10.0)
     own = Member(Address("10.250.250.250", 65000), "a-zone-of-length", 0.516)
     reached = TopicPosition(at(10**9, 9), at(10**9, 8), EpochStart(99.9, 10**9))
-    digest = Digest(own, reached, reached, peers.to_tell(30.0), 9.9, 9.9)
+    digest = Digest(own, reached, reached, peers.sample_members(30.0), 9.9, 9.9)
     datagram = len(encode_datagram(digest)) + IP_AND_UDP_HEADER_BYTES
     receivers = len(peers.receivers(30.0))
     assert datagram * receivers / DIGEST_INTERVAL_S <= 3000
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -40,7 +40,7 @@
         self.network = network
         self.peers = PeerList(own.address, source, loop.time(), own.zone)
         for member in members:
-            self.peers.heard_from(member, loop.time())
+            self.peers.record_message(member, loop.time())
         datagrams = network.socket(own.address)
         self.probes = Probes(datagrams, lambda number: ProbeAnswer(number, at(1)), loop.time)
         self.zone_monitor = ZoneMonitor(own.zone, self.peers, self.probes, source)
--- a/tinrudder/gateway/backends/backend.py
+++ b/tinrudder/gateway/backends/backend.py
@@ -21,13 +21,13 @@
     instance do not apply to it.
 
     :param cold_start_rate: counts this gateway's calls to the back end while it is cold.
-    :param entry_said_at: when this process learned that the back end wrote ``entry``.
+    :param entry_write_observed_at: when this process learned that the back end wrote ``entry``.
     :param leaving_since: when this process learned that the back end accepts no new work; ``None``
         if it has not.
     :param lapsed: its entry is gone although the back end never announced that it leaves.
     :param unreadable: its entry can no longer be read, so it is not used even as a last resort.
     :param ended: it was replaced by another instance or removed; calls not sent yet go elsewhere.
-    :param readdressed: another server answered at its address.
+    :param address_reused: another server answered at its address.
     :param evacuated: the operator evacuates its zone, so it gets no calls.
     """
 
@@ -35,12 +35,12 @@
     pool: UpstreamPool
     observations: BackendObservations = field(default_factory=BackendObservations)
     cold_start_rate: ColdStartRate = field(default_factory=ColdStartRate)
-    entry_said_at: float | None = None
+    entry_write_observed_at: float | None = None
     leaving_since: float | None = None
     lapsed: bool = False
     unreadable: bool = False
     ended: bool = False
-    readdressed: bool = False
+    address_reused: bool = False
     evacuated: bool = False
 
     @property
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -104,7 +104,7 @@
         self._own_name = settings.own_name
         self._cold_starts = ColdStartLimits(state, settings.own_name, callers, settings.cold)
         self._backends: dict[str, Backend] = {}
-        self._services: dict[str, list[Backend]] = {}
+        self._backends_by_service: dict[str, list[Backend]] = {}
         self._connection_limits: dict[str, float] = {}
         state.subscribe(self.refresh)
 
@@ -146,7 +146,7 @@
         calls.
         """
         now = self._clock()
-        known = self._services.get(service, [])
+        known = self._backends_by_service.get(service, [])
         backends = [
             one
             for one in known
@@ -155,15 +155,15 @@
         not_leaving = [
             backend
             for backend in backends
-            if backend.leaving_since is None and not backend.readdressed
+            if backend.leaving_since is None and not backend.address_reused
         ]
         if not_leaving:
             return self._own_replicas(service, not_leaving)
-        return [backend for backend in backends if self.may_receive(backend)]
+        return [backend for backend in backends if self.may_send_to(backend)]
 
     def reason_for_none(self, service: str) -> str:
         """Explain why no back end of a service may get new work, for logs and callers."""
-        backends = self._services.get(service, [])
+        backends = self._backends_by_service.get(service, [])
         if any(backend.evacuated for backend in backends):
             return "every back end left is in an evacuated zone"
         if any(self._is_zone_closed(backend.entry.zone) for backend in backends):
@@ -175,22 +175,24 @@
             return "every back end left is cold and has had this gateway's part of calls"
         return "every back end is leaving" if backends else "no back end is known"
 
-    def reachable(self, service: str) -> bool:
+    def has_callable_backend(self, service: str) -> bool:
         """Whether this gateway may call any back end of a service, ignoring cold-start limits."""
-        return any(self._is_callable(backend) for backend in self._services.get(service, ()))
+        return any(
+            self._is_callable(backend) for backend in self._backends_by_service.get(service, ())
+        )
 
     def _is_callable(self, backend: Backend) -> bool:
         """Whether calls to a back end are allowed and its zone is within reach."""
         forbidden = backend.evacuated or backend.unreadable
         return not forbidden and not self._is_zone_closed(backend.entry.zone)
 
-    def staying(self, service: str) -> list[Backend]:
+    def active_backends(self, service: str) -> list[Backend]:
         """Return the back ends of a service that are neither leaving nor evacuated."""
         return [backend for backend in self._not_leaving(service) if not backend.evacuated]
 
     def replica_zones(self, service: str) -> tuple[str, ...]:
         """Return the zone of each back end of a service that is neither leaving nor evacuated."""
-        return tuple(backend.entry.zone for backend in self.staying(service))
+        return tuple(backend.entry.zone for backend in self.active_backends(service))
 
     def attempts_cover_all_replicas(self, service: str, attempts: int) -> bool:
         """Whether two gateways may call the back ends of a service for the same request.
@@ -203,7 +205,7 @@
 
     def _not_leaving(self, service: str) -> list[Backend]:
         """Return the back ends of a service that are not leaving."""
-        backends = self._services.get(service, [])
+        backends = self._backends_by_service.get(service, [])
         return [backend for backend in backends if backend.leaving_since is None]
 
     def _own_replicas(self, service: str, not_leaving: list[Backend]) -> list[Backend]:
@@ -232,10 +234,10 @@
             spec.max_connections * DIVIDED_CONNECTION_SHARE / max(1, self._callers(service).count)
         )
 
-    def may_receive(self, backend: Backend) -> bool:
+    def may_send_to(self, backend: Backend) -> bool:
         """Whether a call may still be sent to a back end that was selected earlier."""
         now = self._clock()
-        if backend.ended or backend.unreadable or backend.readdressed or backend.evacuated:
+        if backend.ended or backend.unreadable or backend.address_reused or backend.evacuated:
             return False
         if not self._cold_starts.allows_call(backend, now):
             return False
@@ -257,9 +259,9 @@
     def _apply_entry(self, backend: Backend, known: KnownBackend) -> None:
         """Apply a back end's entry; any new entry may declare the back end cold again."""
         backend.entry = known.entry
-        if known.said_at != backend.entry_said_at and known.in_force:
-            backend.entry_said_at = known.said_at
-            backend.observations.cold_until = known.said_at + known.entry.cold_left_s
+        if known.write_observed_at != backend.entry_write_observed_at and known.in_force:
+            backend.entry_write_observed_at = known.write_observed_at
+            backend.observations.cold_until = known.write_observed_at + known.entry.cold_left_s
 
     def _backend_for(self, key: str, known: KnownBackend) -> Backend | None:
         """Return the back end for an entry, created if its instance is new; ``None`` for a new
@@ -282,7 +284,7 @@
         observations = BackendObservations(slots=entry.slots)
         backend = Backend(entry, pool, observations)
         self._backends[key] = backend
-        self._services.setdefault(entry.service, []).append(backend)
+        self._backends_by_service.setdefault(entry.service, []).append(backend)
         return backend
 
     def _set_evacuated(self, backend: Backend, evacuated: bool) -> None:
@@ -295,10 +297,10 @@
         """Remove a back end; its calls in progress run to their end, and may have been executed."""
         backend = self._backends.pop(key)
         backend.ended = True
-        of_service = self._services[backend.entry.service]
+        of_service = self._backends_by_service[backend.entry.service]
         of_service.remove(backend)
         if not of_service:
-            del self._services[backend.entry.service]
+            del self._backends_by_service[backend.entry.service]
         backend.pool.close()
 
     def _set_connection_limits(self) -> None:
@@ -308,9 +310,9 @@
         accepted = self._state.accepted
         limits = accepted.configuration.limits if accepted is not None else ClientLimits()
         self._connection_limits = {
-            service: self._connection_share(service) for service in self._services
+            service: self._connection_share(service) for service in self._backends_by_service
         }
-        for service, backends in self._services.items():
+        for service, backends in self._backends_by_service.items():
             limit = max(1, int(self._connection_limits[service]))
             callers = self._callers(service).count
             for backend in backends:
--- a/tinrudder/gateway/backends/load_news_exchange.py
+++ b/tinrudder/gateway/backends/load_report_exchange.py
@@ -39,12 +39,12 @@
 NEVER = float("-inf")
 
 
-def start_number(entry: BackendEntry) -> int:
+def instance_hash_of(entry: BackendEntry) -> int:
     """Return a hash that identifies one instance of a back end; 4 bytes instead of about 40."""
     return crc32(entry.incarnation_id.encode())
 
 
-class LoadNewsExchange:
+class LoadReportExchange:
     """Sends and receives reports of long queues for one gateway.
 
     :ivar sent: datagrams sent, counted for each peer.
@@ -94,7 +94,7 @@
             self._note_long_queue(backend, observations.reported_at, "")
         elif not self._has_long_queue(backend.entry.service):
             return
-        instance_hash = start_number(backend.entry)
+        instance_hash = instance_hash_of(backend.entry)
         self._pending.note(PendingReport(instance_hash, shed, work_s, observations.reported_at))
         self._schedule_send(BATCH_DELAY_S)
 
@@ -140,11 +140,11 @@
         """Send one datagram to as many peers as the budget allows."""
         self._timer_set = False
         now = self._timers.time()
-        pending, copies = self._pending.take(now, self._peers.heard_of_in_all)
+        pending, copies = self._pending.take(now, self._peers.known_count)
         reported = (self._load_to_report(one, now) for one in pending)
         loads = tuple(one for one in reported if one is not None and one.is_credible)
         if loads:
-            peers = self._peers.everybody(now, copies)
+            peers = self._peers.sample_counted(now, copies)
             self._datagrams.send(LoadNews(loads), *peers)
             self.sent += len(peers)
         if self._pending:
@@ -172,5 +172,5 @@
     def _backend_of(self, instance_hash: int) -> Backend | None:
         """Return a back end by the hash of its instance."""
         if self._by_instance_hash is None:
-            self._by_instance_hash = {start_number(one.entry): one for one in self._backends()}
+            self._by_instance_hash = {instance_hash_of(one.entry): one for one in self._backends()}
         return self._by_instance_hash.get(instance_hash)
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 0.4
 """Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
 which TCP retransmits a lost SYN."""
-TRUSTED_S = 0.15
+MAX_UNREPEATABLE_IDLE_S = 0.15
 """Longest time since a connection received bytes for it to carry a call that must not be repeated,
 seconds. Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives
 no sign of it: such a call would be lost with its connection, whereas a new connection costs a few
@@ -69,7 +69,7 @@
         """The number of connections, including those being opened."""
         return len(self._open) + len(self._connect_tasks)
 
-    def has_connection_from_before(self, moment: float) -> bool:
+    def has_connection_older_than(self, moment: float) -> bool:
         """Whether a connection is open that was opened before ``moment``."""
         return any(
             connection.is_open and connection.opened_at < moment for connection in self._open
@@ -165,13 +165,14 @@
         return None
 
     def _take_recently_active(self) -> UpstreamConnection | None:
-        """Return an idle connection that received bytes within :data:`TRUSTED_S`; else make room
-        for a new one.
+        """Return an idle connection that received bytes within :data:`MAX_UNREPEATABLE_IDLE_S`.
+
+        If there is none, make room for a new one.
         """
         connection = self._take_idle()
         if connection is None:
             return None
-        if self._loop.time() - connection.last_received_at <= TRUSTED_S:
+        if self._loop.time() - connection.last_received_at <= MAX_UNREPEATABLE_IDLE_S:
             return connection
         if self.connections < self.max_connections:
             self._idle.append(connection)
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -68,7 +68,7 @@
     @property
     def fill(self) -> float:
         """The held fraction of the bound; at 1 or more there is no room."""
-        self.look()
+        self.refresh_peers()
         if self.bound <= 0.0:
             return 1.0
         return (self.clients + self.backends + self.peers) / self.bound
@@ -93,7 +93,7 @@
         """The size limit of one answer, bytes."""
         return self.bound * MAX_ANSWER_SHARE
 
-    def look(self) -> None:
+    def refresh_peers(self) -> None:
         """Refresh the count for peers; the node's housekeeping also calls this every second."""
         self.peers = self._count_peers()
 
--- a/tinrudder/gateway/clients/plain_answers.py
+++ b/tinrudder/gateway/clients/plain_answers.py
@@ -16,7 +16,7 @@
 """HTTP status (RFC 9110)."""
 
 
-class PlainHandler:
+class FixedAnswerHandler:
     """Answers every request immediately with a function's result."""
 
     closing = False
@@ -26,7 +26,7 @@
         self.limits = ClientLimits()
         self._answer = answer
 
-    def handle(self, request: HttpRequest, connection: ClientConnection) -> PlainHandler:
+    def handle(self, request: HttpRequest, connection: ClientConnection) -> FixedAnswerHandler:
         """Answer one request."""
         connection.answer(self._answer())
         return self
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -66,7 +66,7 @@
 
     :param since: when it entered its state.
     :param doubted_at: when it last became suspect.
-    :param by_hearsay: it is suspect only because other gateways reported doubts.
+    :param reported_by_peer: it is suspect only because other gateways reported doubts.
     :param heard_at: when any message last came from the zone, requested or not.
     :param answered_at: when the zone last answered something that was sent there.
     :param rounds: rounds of probes sent since it entered its state.
@@ -77,7 +77,7 @@
     state: PathState = PathState.OPEN
     since: float = 0.0
     doubted_at: float = float("-inf")
-    by_hearsay: bool = False
+    reported_by_peer: bool = False
     heard_at: float = float("-inf")
     answered_at: float = float("-inf")
     rounds: int = 0
@@ -123,7 +123,7 @@
         simulated fleet of 113 gateways whose datagrams took 0.1 to 0.3 s still made each gateway
         send 11 probes a second 8 s later.
         """
-        return tuple(zone for zone in self.doubtful if not self.paths[zone].by_hearsay)
+        return tuple(zone for zone in self.doubtful if not self.paths[zone].reported_by_peer)
 
     def heard(self, zone: str, now: float) -> None:
         """Record a message from a zone; it does not show that the zone receives messages."""
@@ -140,7 +140,9 @@
             self._set_state(path, PathState.OPEN, now)
         return was_unreachable
 
-    def doubt(self, zone: str, sent_at: float, now: float, *, by_hearsay: bool = False) -> bool:
+    def doubt(
+        self, zone: str, sent_at: float, now: float, *, reported_by_peer: bool = False
+    ) -> bool:
         """Record that a call or message has no answer yet; return whether the state changed.
 
         An open path becomes suspect and a trial ends, unless the zone has answered anything since.
@@ -148,17 +150,17 @@
         each digest.
 
         :param sent_at: when the unanswered call or message was sent.
-        :param by_hearsay: the doubt was reported by another gateway.
+        :param reported_by_peer: the doubt was reported by another gateway.
         """
         path = self.path(zone)
         if path.answered_at >= sent_at:
             return False
-        if path.state is PathState.TRIAL and not by_hearsay:
+        if path.state is PathState.TRIAL and not reported_by_peer:
             self._close(path, now)
         elif path.state is PathState.OPEN:
-            self._suspect(path, now, by_hearsay=by_hearsay)
+            self._suspect(path, now, reported_by_peer=reported_by_peer)
         else:
-            path.by_hearsay &= by_hearsay
+            path.reported_by_peer &= reported_by_peer
             return False
         return True
 
@@ -170,7 +172,7 @@
         changed = False
         for path in paths:
             if path.state is PathState.OPEN:
-                self._suspect(path, now, by_hearsay=False)
+                self._suspect(path, now, reported_by_peer=False)
                 changed = True
         return changed
 
@@ -194,14 +196,14 @@
             return True
         return False
 
-    def _suspect(self, path: ZonePath, now: float, *, by_hearsay: bool) -> None:
+    def _suspect(self, path: ZonePath, now: float, *, reported_by_peer: bool) -> None:
         self._set_state(path, PathState.SUSPECT, now)
         path.doubted_at = now
-        path.by_hearsay = by_hearsay
+        path.reported_by_peer = reported_by_peer
 
     def _close(self, path: ZonePath, now: float) -> None:
         self._set_state(path, PathState.CLOSED, now)
-        path.by_hearsay = False
+        path.reported_by_peer = False
         path.trial_at = now + path.closed_s
         path.closed_s = min(MAX_CLOSED_S, path.closed_s * 2)
 
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -15,7 +15,11 @@
 from tinrudder.common.address import Address
 from tinrudder.common.logs import log_event
 from tinrudder.gateway.clients.client_connection import ClientConnection, HttpRequestHandler
-from tinrudder.gateway.clients.plain_answers import PlainHandler, readiness_answer, text_answer
+from tinrudder.gateway.clients.plain_answers import (
+    FixedAnswerHandler,
+    readiness_answer,
+    text_answer,
+)
 from tinrudder.gateway.decisions.fleet.process_pause import RECORD_INTERVAL_S
 from tinrudder.gateway.model.configuration import GatewaySettings, HeaderNames
 from tinrudder.gateway.model.outcomes import FinalAnswer
@@ -25,7 +29,7 @@
 
 if TYPE_CHECKING:
     from tinrudder.gateway.observability.gateway_metrics import GatewayMetrics
-    from tinrudder.gateway.observability.metric_figures import MetricSources
+    from tinrudder.gateway.observability.metric_definitions import MetricSources
 
 HOUSEKEEPING_INTERVAL_S = RECORD_INTERVAL_S
 """Seconds between two rounds of housekeeping: the interval that pause detection requires."""
@@ -95,7 +99,7 @@
 
     def is_ready(self) -> bool:
         """Return whether this gateway should receive client requests."""
-        return self.process.lifecycle.is_ready() and not self.requests.reachability.is_cut_off
+        return self.process.lifecycle.is_ready() and not self.requests.reachability.is_partitioned
 
     def request_stop(self) -> None:
         """Begin a graceful shutdown; :meth:`run` returns when it is complete."""
@@ -119,11 +123,13 @@
     async def _start(self) -> None:
         """Listen on every address and start the background tasks."""
         settings = self.settings
-        ready = PlainHandler(lambda: readiness_answer(self.is_ready()))
+        ready = FixedAnswerHandler(lambda: readiness_answer(self.is_ready()))
         await self._listen(settings.health, ready, set())
         await self._listen(settings.clients, self.requests.handler, self._connections)
         if self._metrics_address is not None:
-            await self._listen(self._metrics_address, PlainHandler(self._metrics_answer), set())
+            await self._listen(
+                self._metrics_address, FixedAnswerHandler(self._metrics_answer), set()
+            )
         if self._peer_exchange is not None:
             await self._peer_exchange.start()
         coroutines = (
@@ -208,7 +214,7 @@
         while True:
             await asyncio.sleep(HOUSEKEEPING_INTERVAL_S)
             self.process.pause.note(self._loop.time())
-            self.process.memory.look()
+            self.process.memory.refresh_peers()
             self.knowledge.state.settle()
             self.backends.directory.trim()
 
@@ -241,7 +247,7 @@
 
     def _metric_sources(self) -> MetricSources:
         """Return the components that metrics are read from."""
-        from tinrudder.gateway.observability.metric_figures import MetricSources
+        from tinrudder.gateway.observability.metric_definitions import MetricSources
 
         return MetricSources(
             nodes=self.nodes,
@@ -256,9 +262,9 @@
             zone_monitor=self.fleet.zone_monitor,
             directory=self.backends.directory,
             load_reports=self.backends.call_context.load_reports,
-            load_news_exchange=self.backends.load_news_exchange,
+            load_report_exchange=self.backends.load_report_exchange,
             poison_watch=self.backends.poison_watch,
-            requests=self.requests.figures,
+            requests=self.requests.metrics,
             handler=self.requests.handler,
             quotas=self.requests.quotas,
             scatter_admissions=self.requests.scatter_admissions,
--- a/tinrudder/gateway/observability/gateway_metrics.py
+++ b/tinrudder/gateway/observability/gateway_metrics.py
@@ -12,13 +12,13 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.observability.metric_figures import (
+from tinrudder.gateway.observability.latency_histograms import LatencyCounts, LatencyLabels
+from tinrudder.gateway.observability.metric_definitions import (
     COUNTERS,
     GAUGES,
     MetricDefinition,
     MetricSources,
 )
-from tinrudder.gateway.observability.request_latencies import LatencyCounts, LatencyLabels
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 
 PREFIX = "tinrudder_gateway"
--- a/tinrudder/gateway/observability/metric_figures.py
+++ b/tinrudder/gateway/observability/metric_definitions.py
@@ -10,11 +10,11 @@
 from msgspec import Struct
 
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
-from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.backends.load_report_exchange import LoadReportExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.observability.gateway_log import finite_age_s
-from tinrudder.gateway.observability.request_figures import RequestFigures
+from tinrudder.gateway.observability.request_metrics import RequestMetrics
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.poison_watch import PoisonWatch
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
@@ -49,9 +49,9 @@
     zone_monitor: ZoneMonitor
     directory: BackendDirectory
     load_reports: LoadReports
-    load_news_exchange: LoadNewsExchange
+    load_report_exchange: LoadReportExchange
     poison_watch: PoisonWatch
-    requests: RequestFigures
+    requests: RequestMetrics
     handler: RequestHandler
     quotas: Quotas
     scatter_admissions: ScatterAdmissions
@@ -185,17 +185,17 @@
     MetricDefinition(
         "load_news_sent",
         "Datagrams that told other gateways of long queues, each receiver counted.",
-        lambda sources: sources.load_news_exchange.sent,
+        lambda sources: sources.load_report_exchange.sent,
     ),
     MetricDefinition(
         "load_news_taken",
         "Loads of back ends told by other gateways and newer than what was known.",
-        lambda sources: sources.load_news_exchange.taken,
+        lambda sources: sources.load_report_exchange.taken,
     ),
     MetricDefinition(
         "load_news_ignored",
         "Loads told of back ends that are not known, or that cannot be true.",
-        lambda sources: sources.load_news_exchange.ignored,
+        lambda sources: sources.load_report_exchange.ignored,
     ),
     MetricDefinition(
         "missing_shards",
--- a/tinrudder/gateway/observability/metrics_text.py
+++ b/tinrudder/gateway/observability/metrics_text.py
@@ -18,7 +18,7 @@
 from prometheus_client.registry import Collector
 
 from tinrudder.gateway.observability.gateway_metrics import PREFIX, GatewayMetrics, TenantSample
-from tinrudder.gateway.observability.request_latencies import (
+from tinrudder.gateway.observability.latency_histograms import (
     LATENCY_BUCKETS_S,
     LatencyCounts,
     LatencyLabels,
--- a/tinrudder/gateway/observability/request_figures.py
+++ b/tinrudder/gateway/observability/request_metrics.py
@@ -10,11 +10,11 @@
 
 from msgspec import Struct, field
 
-from tinrudder.gateway.observability.request_latencies import LatencyCounts, LatencyLabels
+from tinrudder.gateway.observability.latency_histograms import LatencyCounts, LatencyLabels
 from tinrudder.gateway.observability.request_log import FinishedRequest
 
 
-class RequestFigures(Struct):
+class RequestMetrics(Struct):
     """Metrics of finished requests.
 
     :ivar missing_shards: shards left out of merged answers since the process started.
--- a/tinrudder/gateway/parts.py
+++ b/tinrudder/gateway/parts.py
@@ -11,12 +11,12 @@
 from tinrudder.common.lifecycle import NodeLifecycle
 from tinrudder.common.transport.peer_client import PeerClient
 from tinrudder.gateway.backends.backend_directory import BackendDirectory
-from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.backends.load_report_exchange import LoadReportExchange
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.fleet.process_pause import ProcessPause
-from tinrudder.gateway.observability.request_figures import RequestFigures
-from tinrudder.gateway.peers.held_for_peers import HeldForPeers
+from tinrudder.gateway.observability.request_metrics import RequestMetrics
 from tinrudder.gateway.peers.own_member import OwnMember
+from tinrudder.gateway.peers.peer_buffer_bytes import PeerBufferBytes
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_exchange import PeerExchange
 from tinrudder.gateway.peers.peer_list import PeerList
@@ -45,7 +45,7 @@
 
     lifecycle: NodeLifecycle
     pause: ProcessPause
-    held_for_peers: HeldForPeers
+    peer_buffer_bytes: PeerBufferBytes
     memory: MemoryAccount
     counters: CallCounters
 
@@ -76,14 +76,14 @@
     coordinators: Coordinators
     directory: BackendDirectory
     poison_watch: PoisonWatch
-    load_news_exchange: LoadNewsExchange
+    load_report_exchange: LoadReportExchange
     call_context: CallContext
 
 
 class RequestParts(Struct, frozen=True):
     """Components that serve requests of clients and scatters of other gateways."""
 
-    figures: RequestFigures
+    metrics: RequestMetrics
     freshness: ConfigurationFreshness
     reachability: Reachability
     quotas: Quotas
--- a/tinrudder/gateway/peers/correlation_ids.py
+++ b/tinrudder/gateway/peers/correlation_ids.py
@@ -12,7 +12,7 @@
 before an ID exceeds 64 bits."""
 
 
-def first_number() -> int:
+def first_correlation_id() -> int:
     """Return the random number, at least 2, from which a process numbers its requests.
 
     The operating system supplies the randomness, so that each process starts at another number and
--- a/tinrudder/gateway/peers/held_for_peers.py
+++ b/tinrudder/gateway/peers/peer_buffer_bytes.py
@@ -16,7 +16,7 @@
         """Return the number of buffered bytes."""
 
 
-class HeldForPeers:
+class PeerBufferBytes:
     """Sums the bytes that all registered components buffer for peers."""
 
     def __init__(self) -> None:
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -90,15 +90,15 @@
         await self._service.close()
         await self._pulls.close()
 
-    def send_digests(self, *, zone_only: bool = False) -> None:
+    def send_digests(self, *, same_zone_only: bool = False) -> None:
         """Send a digest to some peers.
 
-        :param zone_only: in a small fleet, leave out peers in other zones.
+        :param same_zone_only: in a small fleet, leave out peers in other zones.
         """
         if not self._datagrams.is_open:
             return
         self._announced_positions = self._positions()
-        receivers = self._peers.receivers(self._loop.time(), zone_only=zone_only)
+        receivers = self._peers.receivers(self._loop.time(), same_zone_only=same_zone_only)
         other_zone = [peer for peer in receivers if self._peers.is_in_other_zone(peer)]
         same_zone = [peer for peer in receivers if peer not in other_zone]
         if same_zone:
@@ -106,12 +106,12 @@
         if other_zone:
             self._datagrams.send(self._digest(to_other_zone=True), *other_zone)
 
-    def tell(self, receivers: list[Address]) -> None:
+    def send_digests_without_members(self, receivers: list[Address]) -> None:
         """Send a digest without the member list to the given peers."""
         if self._datagrams.is_open and receivers:
             self._datagrams.send(self._digest(with_members=False), *receivers)
 
-    def send_to_zone(self) -> None:
+    def send_digests_to_own_zone(self) -> None:
         """Send a digest to all peers in the own zone, where traffic is free of charge."""
         zone = self._own_member.describe().zone
         self._datagrams.send(self._digest(), *self._peers.members_in(zone, self._loop.time()))
@@ -119,9 +119,9 @@
     def _on_digest(self, digest: Digest, _peer: Address) -> None:
         """Apply a peer's digest to the member list, the zone paths and the pulls."""
         now = self._loop.time()
-        self._peers.heard_from(digest.sender, now)
+        self._peers.record_message(digest.sender, now)
         self._zone_monitor.heard(digest)
-        self._peers.heard_of(digest.members, now)
+        self._peers.merge_reported(digest.members, now)
         if digest.sender.starting:
             self._starting_peers.add(digest.sender.address)
             self._answer_starting_peers()
@@ -147,7 +147,9 @@
             sender=self._own_member.describe(),
             operator=state.history(Topic.OPERATOR).position(),
             backends=state.history(Topic.BACKENDS).position(),
-            members=self._peers.to_tell(now, to_other_zone=to_other_zone) if with_members else (),
+            members=self._peers.sample_members(now, to_other_zone=to_other_zone)
+            if with_members
+            else (),
             operator_unconfirmed_s=self._unconfirmed_s(Topic.OPERATOR),
             backends_unconfirmed_s=self._unconfirmed_s(Topic.BACKENDS),
             silent_zones=self._zone_monitor.paths.own_suspicions,
@@ -176,7 +178,7 @@
         incomplete = 0
         while True:
             # Peers in other zones get every second digest: traffic between zones is paid for.
-            self.send_digests(zone_only=sent > FIRST_DIGESTS and sent % 2 == 1)
+            self.send_digests(same_zone_only=sent > FIRST_DIGESTS and sent % 2 == 1)
             if not self._state.complete and incomplete < INCOMPLETE_DIGESTS:
                 incomplete += 1
                 await asyncio.sleep(INCOMPLETE_INTERVAL_S)
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -83,7 +83,7 @@
         self._last_message_at: float | None = None
 
     @property
-    def heard_of_in_all(self) -> int:
+    def known_count(self) -> int:
         """Return the number of known peers, silent ones included."""
         return len(self._known)
 
@@ -91,13 +91,13 @@
         """Replace the seeds."""
         self._seeds = {seed for seed in seeds if seed != self._own}
 
-    def heard_from(self, member: Member, now: float) -> None:
+    def record_message(self, member: Member, now: float) -> None:
         """Record a message that came from the peer itself."""
         if member.address != self._own:
             self._known[member.address] = _KnownMember(member, now)
             self._last_message_at = now
 
-    def heard_of(self, reported: Iterable[ReportedMember], now: float) -> None:
+    def merge_reported(self, reported: Iterable[ReportedMember], now: float) -> None:
         """Merge members reported by a peer, where its information is newer."""
         for one in reported:
             address = one.member.address
@@ -141,7 +141,7 @@
             if known.member.zone == zone and known.heard_at >= horizon
         ]
 
-    def everybody(self, now: float, limit: int) -> list[Address]:
+    def sample_counted(self, now: float, limit: int) -> list[Address]:
         """Return the addresses of all counted peers, or a random sample of ``limit`` of them."""
         horizon = now - COUNTED_WITHIN_S
         counted = [address for address, known in self._known.items() if known.heard_at >= horizon]
@@ -161,23 +161,25 @@
         """Return the seconds since the latest message from any peer."""
         return now - self._last_message_at if self._last_message_at is not None else float("inf")
 
-    def receivers(self, now: float, *, zone_only: bool = False) -> list[Address]:
+    def receivers(self, now: float, *, same_zone_only: bool = False) -> list[Address]:
         """Return the peers that the next digest goes to.
 
-        :param zone_only: in a small fleet, leave out peers in other zones.
+        :param same_zone_only: in a small fleet, leave out peers in other zones.
         """
         self._drop_silent(now)
         addresses = sorted(self._seeds | self._known.keys(), key=str)
         other_zone = [address for address in addresses if self.is_in_other_zone(address)]
         same_zone = [address for address in addresses if not self.is_in_other_zone(address)]
         if len(addresses) <= SMALL_FLEET_PEERS:
-            return same_zone if zone_only else addresses
+            return same_zone if same_zone_only else addresses
         other_zone_count = min(DIGEST_FANOUT_OTHER_ZONE, len(other_zone))
         same_zone_count = min(DIGEST_FANOUT - other_zone_count, len(same_zone))
         sampled = self._random.sample(same_zone, same_zone_count)
         return sampled + self._random.sample(other_zone, DIGEST_FANOUT - same_zone_count)
 
-    def to_tell(self, now: float, *, to_other_zone: bool = False) -> tuple[ReportedMember, ...]:
+    def sample_members(
+        self, now: float, *, to_other_zone: bool = False
+    ) -> tuple[ReportedMember, ...]:
         """Return a new random sample of members to list in a digest.
 
         :param to_other_zone: the digest goes to another zone.
@@ -204,7 +206,7 @@
         """Return whether this process has just started and may not know its peers yet."""
         return now < self._settled_at
 
-    def teacher(self, *, seeds_only: bool) -> Address | None:
+    def random_peer(self, *, seeds_only: bool) -> Address | None:
         """Return a random peer to request state from; ``None`` if no peer is known.
 
         :param seeds_only: only seeds, which every gateway contacts when it starts.
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -265,9 +265,9 @@
         changes, self._pending = self._pending, set()
         forwarded, self._to_forward = self._to_forward - changes, set()
         now = self._clock()
-        self._send(changes, self._peers.everybody(now, DIRECT_RECEIVERS), self._budget)
+        self._send(changes, self._peers.sample_counted(now, DIRECT_RECEIVERS), self._budget)
         if forwarded:
-            self._send(forwarded, self._peers.everybody(now, FORWARD_RECEIVERS), self._budget)
+            self._send(forwarded, self._peers.sample_counted(now, FORWARD_RECEIVERS), self._budget)
 
     def _send(
         self, fingerprints: Iterable[bytes], peers: list[Address], budget: SendBudget
@@ -305,7 +305,7 @@
         before = self.requests.judge(reported.fingerprint, reported.origin, now)
         self.requests.merge(reported.fingerprint, evidence)
         after = self.requests.judge(reported.fingerprint, reported.origin, now)
-        if after.standing is not before.standing and self._peers.heard_of_in_all > DIRECT_RECEIVERS:
+        if after.standing is not before.standing and self._peers.known_count > DIRECT_RECEIVERS:
             self._to_forward.add(reported.fingerprint)
 
     def _send_all(self, peer: Address) -> None:
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -14,7 +14,7 @@
 from msgspec import Struct
 
 from tinrudder.common.address import Address
-from tinrudder.gateway.peers.correlation_ids import first_number
+from tinrudder.gateway.peers.correlation_ids import first_correlation_id
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_messages import Probe, ProbeAnswer
 
@@ -45,7 +45,7 @@
         self._datagrams = datagrams
         self._describe = describe
         self._clock = clock
-        self._number = first_number()
+        self._number = first_correlation_id()
         self._sent: dict[int, SentProbe] = {}
         self._listeners: list[AnswerListener] = []
         datagrams.handle(Probe, self._on_probe)
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -41,9 +41,9 @@
     _counted: dict[tuple[str, ...], _Reachable] = field(default_factory=dict)
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Return whether this gateway is partitioned from most of the fleet."""
-        return self.zone_monitor.is_cut_off
+        return self.zone_monitor.is_partitioned
 
     def refusal(self, route: Route) -> NotRun | None:
         """Return the refusal of a request for which too few shards, or no back end, are reachable.
@@ -55,7 +55,7 @@
             self._counted.clear()
             return None
         if not route.shards:
-            if any(self.directory.reachable(part.service) for part in route.services):
+            if any(self.directory.has_callable_backend(part.service) for part in route.services):
                 return None
             return self._not_run("no back end is in reach", closed)
         share = self._share(route.shards)
@@ -74,7 +74,7 @@
         now = self.clock()
         known = self._counted.get(index)
         if known is None or now - known.counted_at >= CACHE_TTL_S:
-            reachable = sum(1 for service in index if self.directory.reachable(service))
+            reachable = sum(1 for service in index if self.directory.has_callable_backend(service))
             known = _Reachable(reachable / len(index), now)
             self._counted[index] = known
         return known.share
--- a/tinrudder/gateway/peers/snapshot_pulls.py
+++ b/tinrudder/gateway/peers/snapshot_pulls.py
@@ -16,9 +16,9 @@
 from tinrudder.gateway.peers.peer_traffic import PeerTraffic
 from tinrudder.gateway.peers.snapshots import (
     apply_confirmations,
+    apply_snapshot,
     is_behind,
     snapshot_request,
-    take_snapshot,
 )
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.staleness_bound import StalenessBound
@@ -72,7 +72,7 @@
         """Close the connections to peers."""
         await self._client.close()
 
-    def catch_up(self, peer: Address) -> None:
+    def start_pull(self, peer: Address) -> None:
         """Start a pull from a peer, unless one is in progress."""
         if self._pulling is None:
             self._pulling = self._loop.create_task(self._pull(peer))
@@ -91,7 +91,7 @@
 
     def request_members(self, *, seeds_only: bool) -> None:
         """Request the member list, with the state, from a random peer."""
-        peer = self._peers.teacher(seeds_only=seeds_only)
+        peer = self._peers.random_peer(seeds_only=seeds_only)
         if peer is not None:
             task = self._loop.create_task(self._request_members(peer))
             self._member_requests.add(task)
@@ -100,7 +100,7 @@
     def _pull_if_behind(self, digest: Digest) -> None:
         """Start a pull if the state is still older than the digest shows."""
         if is_behind(self._state, digest):
-            self.catch_up(digest.sender.address)
+            self.start_pull(digest.sender.address)
         else:
             self._behind_since = None
 
@@ -126,8 +126,8 @@
         """
         sent_at = self._loop.time()
         snapshot = await self._request_snapshot(peer)
-        self._peers.heard_of(snapshot.members, self._loop.time())
-        take_snapshot(self._state, snapshot, str(peer))
+        self._peers.merge_reported(snapshot.members, self._loop.time())
+        apply_snapshot(self._state, snapshot, str(peer))
         if snapshot.knowledge_age_s is not None:
             self._staleness_bound.prove(sent_at - snapshot.knowledge_age_s)
 
--- a/tinrudder/gateway/peers/snapshots.py
+++ b/tinrudder/gateway/peers/snapshots.py
@@ -59,7 +59,7 @@
     )
 
 
-def take_snapshot(state: SharedState, snapshot: Snapshot, source: str) -> None:
+def apply_snapshot(state: SharedState, snapshot: Snapshot, source: str) -> None:
     """Apply the values of a snapshot that are newer than the shared state.
 
     :param source: the address of the peer that sent it.
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -79,7 +79,7 @@
         return reached / total
 
     @property
-    def is_cut_off(self) -> bool:
+    def is_partitioned(self) -> bool:
         """Return whether this gateway is on the smaller side of a network partition.
 
         If the sides are equal, neither counts as cut off.
@@ -95,7 +95,7 @@
         now = self._loop.time()
         self.paths.heard(digest.sender.zone, now)
         for zone in digest.silent_zones:
-            self.doubt(zone, now - REPORTED_SUSPICION_AGE_S, by_hearsay=True)
+            self.doubt(zone, now - REPORTED_SUSPICION_AGE_S, reported_by_peer=True)
 
     def answered(self, zone: str) -> None:
         """Record an answer of a back end or a gateway in a zone."""
@@ -109,13 +109,15 @@
         if zone is not None:
             self.answered(zone)
 
-    def doubt(self, zone: str, sent_at: float, *, by_hearsay: bool = False) -> None:
+    def doubt(self, zone: str, sent_at: float, *, reported_by_peer: bool = False) -> None:
         """Record that a message sent to a zone has no answer yet.
 
         :param sent_at: when it was sent.
-        :param by_hearsay: another gateway sent it and reported the suspicion.
+        :param reported_by_peer: another gateway sent it and reported the suspicion.
         """
-        if not self.paths.doubt(zone, sent_at, self._loop.time(), by_hearsay=by_hearsay):
+        if not self.paths.doubt(
+            zone, sent_at, self._loop.time(), reported_by_peer=reported_by_peer
+        ):
             return
         if self.paths.is_closed(zone):
             self._on_closing(zone)
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
 from tinrudder.gateway.model.configuration import QuotaBounds, Tenant
 from tinrudder.gateway.model.outcomes import NotRun, OverQuota
-from tinrudder.gateway.peers.correlation_ids import first_number
+from tinrudder.gateway.peers.correlation_ids import first_correlation_id
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
@@ -119,7 +119,7 @@
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
         self._owner_choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
-        self._last_number = first_number()
+        self._last_number = first_correlation_id()
         self._pressed_until: dict[str, float] = {}
         self._reported_tokens: dict[str, _ReportedTokens] = {}
         self._pending: dict[int, _Pending] = {}
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -50,7 +50,7 @@
     @property
     def closing(self) -> bool:
         """Tell whether clients should use other gateways: on a planned stop or in a partition."""
-        return self._stopping or self._checks.reachability.is_cut_off
+        return self._stopping or self._checks.reachability.is_partitioned
 
     def stop(self) -> None:
         """From now on, tell clients with their next answer to use another gateway."""
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -47,7 +47,7 @@
             _observe_answer(call_context, route, backend, running, answer, now)
         case Rejected(status=status, wrong_backend=wrong_backend, load=load):
             call_context.counters.rejections += 1
-            backend.readdressed |= wrong_backend
+            backend.address_reused |= wrong_backend
             observations.failed(running, now)
             if status in SHED_STATUSES and not route.shards:
                 _observe_shed(call_context, route, backend, load, now)
--- a/tinrudder/gateway/runs/lost_calls.py
+++ b/tinrudder/gateway/runs/lost_calls.py
@@ -44,6 +44,6 @@
 
 def _check_survival(run: RunContext, backend: Backend, lost_at: float) -> None:
     """Revoke a crash if the back end still has a connection from before the loss."""
-    if backend.pool.has_connection_from_before(lost_at):
+    if backend.pool.has_connection_older_than(lost_at):
         evidence = run.call_context.evidence
         evidence.withdraw_crash(run.request.fingerprint, backend.entry.incarnation_id)
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -258,7 +258,7 @@
         """
         if self._run.guard.permission(now) is not Permission.SEND:
             return False
-        if not self._run.call_context.directory.may_receive(attempt.backend):
+        if not self._run.call_context.directory.may_send_to(attempt.backend):
             return False
         if self.sends >= MAX_SENDS or not self._replicas.within_attempt_limit(attempt.backend):
             return False
--- a/tinrudder/gateway/scatters/typical_shard.py
+++ b/tinrudder/gateway/scatters/typical_shard.py
@@ -36,7 +36,7 @@
     def own_slots(self) -> float:
         """Return this gateway's part of the median shard's slots; 0 if none are known."""
         slots = [
-            sum(backend.observations.slots for backend in self._directory.staying(shard))
+            sum(backend.observations.slots for backend in self._directory.active_backends(shard))
             for shard in self._sample(self._index)
         ]
         callers = self._coordinators.of_service(self._index[0]).callers
@@ -52,7 +52,7 @@
         for shard in self._sample(coordination.own_shards(self._index)):
             reported = [
                 queue
-                for backend in self._directory.staying(shard)
+                for backend in self._directory.active_backends(shard)
                 if (queue := backend.observations.reported_queue(now)) is not None
             ]
             if reported:
--- a/tinrudder/gateway/store/backend_entries.py
+++ b/tinrudder/gateway/store/backend_entries.py
@@ -54,14 +54,14 @@
     :param entry: the newest one that was in force.
     :param value: the winning value of its key, whether or not it is in force.
     :param since: when the present state was learned.
-    :param said_at: when this process learned that the back end wrote ``entry``. Unchanged if a
-        store restored from a copy returns the same entry again.
+    :param write_observed_at: when this process learned that the back end wrote ``entry``. Unchanged
+        if a store restored from a copy returns the same entry again.
     """
 
     entry: BackendEntry
     value: StoredValue
     since: float
-    said_at: float
+    write_observed_at: float
     standing: EntryStatus = EntryStatus.IN_FORCE
 
     @property
@@ -187,11 +187,13 @@
         """Put an entry in force; repeated writes keep the time of the first leaving state."""
         known = self.known.get(value.key)
         now = self._clock()
-        since = said_at = now
+        since = write_observed_at = now
         if known is not None and known.in_force and known.entry.is_same_process(entry):
             since = known.since if known.entry.leaving == entry.leaving else now
-            said_at = known.said_at if self._is_restored_copy(known, entry) else now
-        self.known[value.key] = KnownBackend(entry, value, since, said_at)
+            write_observed_at = (
+                known.write_observed_at if self._is_restored_copy(known, entry) else now
+            )
+        self.known[value.key] = KnownBackend(entry, value, since, write_observed_at)
 
     def _is_restored_copy(self, known: KnownBackend, entry: BackendEntry) -> bool:
         """Tell whether an entry is the known one, returned again by a restored store.
@@ -208,5 +210,7 @@
         if known is None:
             return False
         since = known.since if known.leaving else self._clock()
-        self.known[value.key] = KnownBackend(known.entry, value, since, known.said_at, standing)
+        self.known[value.key] = KnownBackend(
+            known.entry, value, since, known.write_observed_at, standing
+        )
         return True
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -114,7 +114,7 @@
         if first_readers:
             self._probes.ask(self._random.choice(first_readers))
             return
-        peer = self._peers.teacher(seeds_only=False)
+        peer = self._peers.random_peer(seeds_only=False)
         if peer is not None:
             self._probes.ask(peer)
 
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -22,7 +22,7 @@
     ConnectionHooks,
     DirectorySettings,
 )
-from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.backends.load_report_exchange import LoadReportExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
@@ -37,8 +37,8 @@
     log_store_reading,
     log_store_restored,
 )
-from tinrudder.gateway.observability.request_figures import RequestFigures
 from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
+from tinrudder.gateway.observability.request_metrics import RequestMetrics
 from tinrudder.gateway.parts import (
     BackendParts,
     FleetParts,
@@ -48,8 +48,8 @@
     RequestParts,
     StoreParts,
 )
-from tinrudder.gateway.peers.held_for_peers import HeldForPeers
 from tinrudder.gateway.peers.own_member import OwnMember
+from tinrudder.gateway.peers.peer_buffer_bytes import PeerBufferBytes
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_exchange import PeerExchange
 from tinrudder.gateway.peers.peer_list import PeerList
@@ -150,13 +150,13 @@
 
 def _build_process(context: BuildContext) -> ProcessParts:
     clock = context.loop.time
-    held_for_peers = HeldForPeers()
+    peer_buffer_bytes = PeerBufferBytes()
     return ProcessParts(
         lifecycle=NodeLifecycle(),
         pause=ProcessPause(clock()),
-        held_for_peers=held_for_peers,
+        peer_buffer_bytes=peer_buffer_bytes,
         memory=MemoryAccount(
-            account_bytes(context.settings.memory_mb), clock, held_for_peers.total
+            account_bytes(context.settings.memory_mb), clock, peer_buffer_bytes.total
         ),
         counters=CallCounters(),
     )
@@ -193,7 +193,7 @@
 
     probes = Probes(datagrams, answer_probe, clock)
     client = PeerClient(lambda: None, UNACKNOWLEDGED_TIMEOUT_S)
-    process.held_for_peers.add(client)
+    process.peer_buffer_bytes.add(client)
     zone_monitor = ZoneMonitor(settings.zone, peers, probes, context.random)
     return FleetParts(peers, datagrams, probes, client, zone_monitor)
 
@@ -207,7 +207,7 @@
     fleet.zone_monitor.subscribe(coordinators.discard_decisions)
     directory = _build_directory(context, process, state, fleet, coordinators)
     poison_watch = _build_poison_watch(context, state, fleet)
-    load_news = LoadNewsExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
+    load_news = LoadReportExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
     state.subscribe(load_news.refresh)
     call_context = CallContext(
         loop=context.loop,
@@ -319,7 +319,7 @@
     )
     planner = ScatterPlanner(call_context, delegation_context, context.random)
     admissions = ScatterAdmissions(delegation_context, context.random)
-    request_metrics = RequestFigures()
+    request_metrics = RequestMetrics()
 
     def finish(request: FinishedRequest) -> None:
         request_metrics.observe(request)
@@ -492,9 +492,11 @@
         context.random,
     )
     for follower in store.followers:
-        follower.subscribe_to_confirmed(lambda: exchange.tell(store.readers.addresses()))
-    knowledge.store_status.subscribe(exchange.send_to_zone)
-    process.held_for_peers.add(service)
-    fleet.zone_monitor.subscribe(exchange.send_to_zone)
-    store.staleness_keeper.subscribe_to_newer(pulls.catch_up)
+        follower.subscribe_to_confirmed(
+            lambda: exchange.send_digests_without_members(store.readers.addresses())
+        )
+    knowledge.store_status.subscribe(exchange.send_digests_to_own_zone)
+    process.peer_buffer_bytes.add(service)
+    fleet.zone_monitor.subscribe(exchange.send_digests_to_own_zone)
+    store.staleness_keeper.subscribe_to_newer(pulls.start_pull)
     return exchange
