--- a/tests/functional/gateway/test_delegation.py
+++ b/tests/functional/gateway/test_delegation.py
@@ -73,7 +73,7 @@
         await site.traffic(2.0, 40.0, ("scatter",))
         entry = site.nodes[0]
         assert entry.gateway is not None
-        path = entry.gateway.requests.handler._planner._delegation_context._path_elsewhere
+        path = entry.gateway.requests.handler._planner._delegation_context._other_zone_round_trip
         path.mean_s, path.deviation_s = 0.18, 0.0
         before = counted(site, "delegated")
         results = await send_from(site, [entry], 5)
--- a/tests/unit/gateway/test_gateway_metrics.py
+++ b/tests/unit/gateway/test_gateway_metrics.py
@@ -34,7 +34,7 @@
         await site.send("scatter")
         missing = (MissingShard("shard-0", "late"), MissingShard("shard-1", "late"))
         timed_out = FinishedRequest(b"1", None, b"/", 1, TimedOut("late"), 0.25, missing)
-        gateway.requests.metrics.observe(timed_out)
+        gateway.requests.request_metrics.observe(timed_out)
         return text_of(gateway.metrics)
 
     lines = run_site(scenario).splitlines()
--- a/tests/unit/gateway/test_zone_doubts_end.py
+++ b/tests/unit/gateway/test_zone_doubts_end.py
@@ -44,7 +44,7 @@
         datagrams = network.socket(own.address)
         self.probes = Probes(datagrams, lambda number: ProbeAnswer(number, at(1)), loop.time)
         self.zone_monitor = ZoneMonitor(own.zone, self.peers, self.probes, source)
-        datagrams.handle(Digest, lambda digest, _: self.zone_monitor.heard(digest))
+        datagrams.handle(Digest, lambda digest, _: self.zone_monitor.apply_digest(digest))
         self.datagrams = datagrams
 
     async def send_digests(self) -> None:
@@ -106,7 +106,7 @@
     tasks = [asyncio.create_task(gateway.send_digests()) for gateway in network.gateways]
     await asyncio.sleep(1.0)
     for gateway in network.gateways[:SUSPECTING_GATEWAYS]:
-        gateway.zone_monitor.doubt("b", network.loop.time())
+        gateway.zone_monitor.note_unanswered("b", network.loop.time())
     await asyncio.sleep(SETTLED_AFTER_S)
     settled = network.probes_sent
     await asyncio.sleep(MEASURED_S)
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -65,7 +65,7 @@
     """The path to one zone.
 
     :param since: when it entered its state.
-    :param doubted_at: when it last became suspect.
+    :param suspected_at: when it last became suspect.
     :param reported_by_peer: it is suspect only because other gateways reported doubts.
     :param heard_at: when any message last came from the zone, requested or not.
     :param answered_at: when the zone last answered something that was sent there.
@@ -76,7 +76,7 @@
 
     state: PathState = PathState.OPEN
     since: float = 0.0
-    doubted_at: float = float("-inf")
+    suspected_at: float = float("-inf")
     reported_by_peer: bool = False
     heard_at: float = float("-inf")
     answered_at: float = float("-inf")
@@ -110,22 +110,22 @@
         return tuple(zone for zone, path in self.paths.items() if path.state in UNREACHABLE_STATES)
 
     @property
-    def doubtful(self) -> tuple[str, ...]:
+    def not_open(self) -> tuple[str, ...]:
         """Return the zones whose path is not open."""
         return tuple(zone for zone, path in self.paths.items() if path.state is not PathState.OPEN)
 
     @property
     def own_suspicions(self) -> tuple[str, ...]:
-        """Return the doubtful zones to report to peers: those that this gateway itself doubts.
+        """Return the suspect zones to report to peers: those that this gateway itself suspects.
 
         Doubts received from peers are not forwarded: they would keep each other alive wherever an
         answer takes longer than the interval between two digests.  Six forwarded doubts in a
         simulated fleet of 113 gateways whose datagrams took 0.1 to 0.3 s still made each gateway
         send 11 probes a second 8 s later.
         """
-        return tuple(zone for zone in self.doubtful if not self.paths[zone].reported_by_peer)
+        return tuple(zone for zone in self.not_open if not self.paths[zone].reported_by_peer)
 
-    def heard(self, zone: str, now: float) -> None:
+    def record_message(self, zone: str, now: float) -> None:
         """Record a message from a zone; it does not show that the zone receives messages."""
         self.path(zone).heard_at = now
 
@@ -140,7 +140,7 @@
             self._set_state(path, PathState.OPEN, now)
         return was_unreachable
 
-    def doubt(
+    def note_unanswered(
         self, zone: str, sent_at: float, now: float, *, reported_by_peer: bool = False
     ) -> bool:
         """Record that a call or message has no answer yet; return whether the state changed.
@@ -198,7 +198,7 @@
 
     def _suspect(self, path: ZonePath, now: float, *, reported_by_peer: bool) -> None:
         self._set_state(path, PathState.SUSPECT, now)
-        path.doubted_at = now
+        path.suspected_at = now
         path.reported_by_peer = reported_by_peer
 
     def _close(self, path: ZonePath, now: float) -> None:
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -264,7 +264,7 @@
             load_reports=self.backends.call_context.load_reports,
             load_report_exchange=self.backends.load_report_exchange,
             poison_watch=self.backends.poison_watch,
-            requests=self.requests.metrics,
+            requests=self.requests.request_metrics,
             handler=self.requests.handler,
             quotas=self.requests.quotas,
             scatter_admissions=self.requests.scatter_admissions,
--- a/tinrudder/gateway/parts.py
+++ b/tinrudder/gateway/parts.py
@@ -83,7 +83,7 @@
 class RequestParts(Struct, frozen=True):
     """Components that serve requests of clients and scatters of other gateways."""
 
-    metrics: RequestMetrics
+    request_metrics: RequestMetrics
     freshness: ConfigurationFreshness
     reachability: Reachability
     quotas: Quotas
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -120,7 +120,7 @@
         """Apply a peer's digest to the member list, the zone paths and the pulls."""
         now = self._loop.time()
         self._peers.record_message(digest.sender, now)
-        self._zone_monitor.heard(digest)
+        self._zone_monitor.apply_digest(digest)
         self._peers.merge_reported(digest.members, now)
         if digest.sender.starting:
             self._starting_peers.add(digest.sender.address)
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -70,7 +70,7 @@
     @property
     def heard_share(self) -> float:
         """Return the reachable share of the known gateways, this one included."""
-        if not self.paths.doubtful:
+        if not self.paths.not_open:
             return 1.0
         zones = Counter(self._peers.zones(self._loop.time()))
         total = 1 + sum(zones.values())
@@ -90,12 +90,12 @@
         """Return whether the path to a zone is closed, so that calls to it would hang."""
         return self.paths.is_closed(zone)
 
-    def heard(self, digest: Digest) -> None:
+    def apply_digest(self, digest: Digest) -> None:
         """Process a peer's digest: it shows that the peer is up, and which zones it suspects."""
         now = self._loop.time()
-        self.paths.heard(digest.sender.zone, now)
+        self.paths.record_message(digest.sender.zone, now)
         for zone in digest.silent_zones:
-            self.doubt(zone, now - REPORTED_SUSPICION_AGE_S, reported_by_peer=True)
+            self.note_unanswered(zone, now - REPORTED_SUSPICION_AGE_S, reported_by_peer=True)
 
     def answered(self, zone: str) -> None:
         """Record an answer of a back end or a gateway in a zone."""
@@ -109,13 +109,13 @@
         if zone is not None:
             self.answered(zone)
 
-    def doubt(self, zone: str, sent_at: float, *, reported_by_peer: bool = False) -> None:
+    def note_unanswered(self, zone: str, sent_at: float, *, reported_by_peer: bool = False) -> None:
         """Record that a message sent to a zone has no answer yet.
 
         :param sent_at: when it was sent.
         :param reported_by_peer: another gateway sent it and reported the suspicion.
         """
-        if not self.paths.doubt(
+        if not self.paths.note_unanswered(
             zone, sent_at, self._loop.time(), reported_by_peer=reported_by_peer
         ):
             return
@@ -125,11 +125,11 @@
             self._log(zone)
         self._start_rounds(zone)
 
-    def suspect_path_to(self, peer: Address, sent_at: float) -> None:
+    def note_unanswered_by(self, peer: Address, sent_at: float) -> None:
         """Record that a message sent to a gateway has no answer yet."""
         zone = self._peers.zone_of(peer)
         if zone is not None:
-            self.doubt(zone, sent_at)
+            self.note_unanswered(zone, sent_at)
 
     async def run(self) -> None:
         """Check for silence of all other zones until cancelled."""
@@ -175,7 +175,7 @@
     def _on_answer(self, sent: SentProbe, _answer: ProbeAnswer) -> None:
         """Process a probe's answer, unless the probe was sent before the path became suspect."""
         zone = self._peers.zone_of(sent.peer)
-        if zone is not None and sent.sent_at >= self.paths.path(zone).doubted_at:
+        if zone is not None and sent.sent_at >= self.paths.path(zone).suspected_at:
             self.answered(zone)
 
     def _announce(self) -> None:
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -236,7 +236,7 @@
         pending = self._pending.pop(number)
         now = self._loop.time()
         self._owner_choice.note_failure(pending.owner)
-        self._zone_monitor.suspect_path_to(pending.owner, pending.sent_at)
+        self._zone_monitor.note_unanswered_by(pending.owner, pending.sent_at)
         fields: dict[str, LogValue] = {
             "tenant": pending.tenant.name,
             "home": str(pending.owner),
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -113,7 +113,8 @@
     :param load_listener: receives the load reports of back ends that many gateways call.
     :param memory: counts the buffered bytes, and refuses requests when they exceed the bound.
     :param zone_answered: called with the zone of each answer.
-    :param zone_doubted: called with the zone of an overdue call and the time at which it was sent.
+    :param zone_unanswered: called with the zone of an overdue call and the time at which it was
+        sent.
     :param latest_advantage: cached, as it is the same for all shards that a scatter calls at once.
     """
 
@@ -132,7 +133,7 @@
     random: random.Random = field(default_factory=lambda: random.Random(0))
     memory: MemoryAccount = field(default_factory=MemoryAccount)
     zone_answered: Callable[[str], None] = lambda zone: None
-    zone_doubted: Callable[[str, float], None] = lambda zone, sent_at: None
+    zone_unanswered: Callable[[str, float], None] = lambda zone, sent_at: None
     _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     _latencies: dict[str, LatencyWindow] = field(default_factory=dict)
     _unloaded: dict[str, LatencyWindow] = field(default_factory=dict)
@@ -159,11 +160,11 @@
 
     def hedge_ages(self, route: Route) -> HedgeAges:
         """Return the statistics that give the ages at which calls of a route are hedged."""
-        hedge_ages = self._hedges.get(route.name)
-        if hedge_ages is None:
-            hedge_ages = HedgeAges(self.latency(route))
-            self._hedges[route.name] = hedge_ages
-        return hedge_ages
+        ages = self._hedges.get(route.name)
+        if ages is None:
+            ages = HedgeAges(self.latency(route))
+            self._hedges[route.name] = ages
+        return ages
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
         """Return the latencies of a route's calls after which the back end reported no queue."""
--- a/tinrudder/gateway/runs/hedge_timing.py
+++ b/tinrudder/gateway/runs/hedge_timing.py
@@ -42,10 +42,10 @@
     """Return when a hedge is worth sending for a call that is sent now."""
     objective_at = run.deadlines.objective_at
     left_s = objective_at - now
-    hedge_ages = run.call_context.hedge_ages(run.route)
-    if left_s <= 0.0 or not hedge_ages.is_known:
+    ages = run.call_context.hedge_ages(run.route)
+    if left_s <= 0.0 or not ages.is_known:
         return overdue_at
-    age_s = hedge_ages.age_s(left_s, budget_fill)
+    age_s = ages.age_s(left_s, budget_fill)
     if age_s is not None:
         # The latencies do not show yet that a back end has just vanished.
         return min(overdue_at, now + age_s)
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -238,7 +238,7 @@
         for attempt in self._attempts:
             if attempt.running is not None:
                 zone = attempt.backend.entry.zone
-                self._run.call_context.zone_doubted(zone, attempt.running.sent_at)
+                self._run.call_context.zone_unanswered(zone, attempt.running.sent_at)
 
     def _is_blocked(self, now: float) -> bool:
         """Return whether the guard forbids sending now; schedule the next check, if any."""
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -71,7 +71,7 @@
     """Return the request to a gateway for all shards, with the time now left to it."""
     now = delegation_context.call_context.loop.time()
     accepted = delegation_context.configuration()
-    path_s = delegation_context.path_time(coordinator).allowance_s
+    path_s = delegation_context.round_trip(coordinator).allowance_s
     return ScatterRequest(
         request=request,
         request_id=request_id,
@@ -101,7 +101,7 @@
         delegation_context.coordinators.succeeded(coordinator)
         delegation_context.zone_monitor.answered_by(coordinator)
         return outcome
-    delegation_context.zone_monitor.suspect_path_to(coordinator, asked_at)
+    delegation_context.zone_monitor.note_unanswered_by(coordinator, asked_at)
     log_coordinator_failed(scatter.request_id, coordinator, outcome.detail)
     delegation_context.call_context.counters.relays_failed += 1
     delegation_context.coordinators.failed(coordinator)
@@ -151,7 +151,7 @@
     if isinstance(answer, Declined):
         return NotStarted(f"{coordinator}: {answer.detail}")
     round_trip_s = delegation_context.call_context.loop.time() - now
-    delegation_context.path_time(coordinator).observe(round_trip_s - answer.elapsed_s)
+    delegation_context.round_trip(coordinator).observe(round_trip_s - answer.elapsed_s)
     return answer
 
 
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -34,10 +34,10 @@
     configuration: Callable[[], AcceptedConfiguration | None]
     traffic: PeerTraffic
     # Round trips to gateways in this zone and in other zones.
-    _path_beside: PeerRoundTrip = field(default_factory=PeerRoundTrip)
-    _path_elsewhere: PeerRoundTrip = field(default_factory=PeerRoundTrip)
+    _same_zone_round_trip: PeerRoundTrip = field(default_factory=PeerRoundTrip)
+    _other_zone_round_trip: PeerRoundTrip = field(default_factory=PeerRoundTrip)
 
-    def path_time(self, gateway: Address) -> PeerRoundTrip:
+    def round_trip(self, gateway: Address) -> PeerRoundTrip:
         """Return the round-trip estimate for a gateway: one for this zone, one for all others."""
         elsewhere = self.coordinators.peers.is_in_other_zone(gateway)
-        return self._path_elsewhere if elsewhere else self._path_beside
+        return self._other_zone_round_trip if elsewhere else self._same_zone_round_trip
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -135,7 +135,7 @@
         """Call ``listener`` on the store's first confirmation after a time without any."""
         self._on_confirmed.append(listener)
 
-    def doubt(self) -> None:
+    def restart_watch(self) -> None:
         """Cancel the waiting watch, if any, and query the store over a new connection.
 
         A query that only probes the store is not cancelled, as it ends soon.
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -225,7 +225,7 @@
         random=random.Random(f"forwarding {context.settings.name}"),
         memory=process.memory,
         zone_answered=fleet.zone_monitor.answered,
-        zone_doubted=fleet.zone_monitor.doubt,
+        zone_unanswered=fleet.zone_monitor.note_unanswered,
     )
     coordinators.connect(directory.replica_zones, call_context.sizes)
     return BackendParts(coordinators, directory, poison_watch, load_news, call_context)
@@ -325,15 +325,15 @@
         request_metrics.observe(request)
         log_request(request)
 
-    is_fresh = freshness.is_fresh
+    configuration_is_fresh = freshness.is_fresh
     service_admission = ServiceAdmission(call_context)
     handler = RequestHandler(
         RequestChecks(
             call_context=call_context,
             state=state,
-            is_fresh=is_fresh,
+            is_fresh=configuration_is_fresh,
             authentication=Authentication(
-                context.names, freshness.is_too_old, is_fresh, context.random
+                context.names, freshness.is_too_old, configuration_is_fresh, context.random
             ),
             quotas=quotas,
             reachability=reachability,
@@ -385,7 +385,7 @@
         log_missed_change(topic)
         for follower in followers:
             if follower.topic is not topic:
-                follower.doubt()
+                follower.restart_watch()
 
     follower_parts = _follower_parts(context, store, knowledge, readers, on_silent)
     followers.extend(StoreFollower(topic, follower_parts) for topic in Topic)
