--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -22,10 +22,10 @@
 from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import (
     AdmittedShare,
+    decide_admission,
     draw_candidates,
     extra_cost,
     has_room,
-    judge,
     mean_work_s,
     min_work_s,
 )
@@ -146,10 +146,12 @@
         guess_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
         return mean_work_s(self.known) or guess_s
 
-    def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
+    def decide_admission(
+        self, now: float, left_s: float, *, returning: bool, late: bool
+    ) -> AdmittedShare:
         """Judge a request."""
         usual_s = self.usual_s()
-        return judge(
+        return decide_admission(
             self.known,
             now,
             usual_s,
@@ -279,14 +281,14 @@
         late = left_s <= 0.0
         if late:
             left_s = self.objective_s - ANSWER_MARGIN_S
-        judgement = gateway.judge(now, left_s, returning=request.tries > 1, late=late)
-        if self.source.random() >= judgement.share:
-            self.refuse(request, judgement)
+        admitted = gateway.decide_admission(now, left_s, returning=request.tries > 1, late=late)
+        if self.source.random() >= admitted.share:
+            self.refuse(request, admitted)
             return
         gateway.budget.note_request(now)
         Call(self, gateway, request, now + left_s).send()
 
-    def refuse(self, request: Request, judgement: AdmittedShare) -> None:
+    def refuse(self, request: Request, admitted: AdmittedShare) -> None:
         """Answer that a request has not run; its client comes back once."""
         now = self.clock.now
         left_s = request.sent_at + DEADLINE_S - now
@@ -295,7 +297,7 @@
             self.count["refused twice"] += request.counted
             return
         chance = self.source.random()
-        pause_s = retry_after_by_share_s(judgement.wait_s, judgement.share, left_s, chance)
+        pause_s = retry_after_by_share_s(admitted.wait_s, admitted.share, left_s, chance)
         self.clock.call_at(now + min(pause_s, left_s / 3), lambda: self._enter(request))
 
     def served(self, request: Request) -> None:
@@ -369,8 +371,8 @@
         left_s = self.objective_at - now
         room = has_room(gateway.known, now, usual_s, left_s)
         if not room or self.tries >= MOST_SENDS:
-            judgement = gateway.judge(now, left_s, returning=True, late=False)
-            fleet.refuse(self.request, judgement)
+            admitted = gateway.decide_admission(now, left_s, returning=True, late=False)
+            fleet.refuse(self.request, admitted)
         elif self.tries < 2:
             self.send()
         else:
--- a/tests/unit/gateway/decisions/test_backend_observations.py
+++ b/tests/unit/gateway/decisions/test_backend_observations.py
@@ -48,7 +48,7 @@
     observations = BackendObservations()
     for number in range(50):
         observations.reported(0, 0, 2, number * 0.1, 1.3)
-    assert observations.momentary_slowdown(4.9) == pytest.approx(1.0)
+    assert observations.current_slowdown(4.9) == pytest.approx(1.0)
 
 
 def test_a_reported_momentary_slowdown_is_not_learned_as_lasting() -> None:
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -34,7 +34,7 @@
 
 
 def standing(table: PoisonRequests, now: float, asked: bytes = FINGERPRINT) -> Standing:
-    return table.judge(asked, ORIGIN, now).standing
+    return table.assess(asked, ORIGIN, now).standing
 
 
 def test_a_victim_of_crashes_is_suspect_until_any_back_end_answers() -> None:
@@ -61,10 +61,10 @@
     bar_request(table, 0.0)
     now, trials, backend = 0.0, 0, 100
     while now < 86_400.0:
-        judgement = table.judge(FINGERPRINT, ORIGIN, now)
-        if judgement.standing is Standing.BARRED:
-            assert judgement.barred_s <= MAX_BAR_S + 1e-6
-            now += judgement.barred_s
+        assessment = table.assess(FINGERPRINT, ORIGIN, now)
+        if assessment.standing is Standing.BARRED:
+            assert assessment.barred_s <= MAX_BAR_S + 1e-6
+            now += assessment.barred_s
             continue
         trials += 1
         backend += 1
@@ -85,7 +85,7 @@
     assert standing(table, 1.0, OTHER) is Standing.FREE
     lose_in_trial(table, b"second", 2.0)
     assert standing(table, 3.0, OTHER) is Standing.SUSPECT
-    assert table.judge(OTHER, b"other caller", 3.0).standing is Standing.FREE
+    assert table.assess(OTHER, b"other caller", 3.0).standing is Standing.FREE
     assert standing(table, ALERT_S + 0.1, OTHER) is Standing.FREE
 
 
--- a/tests/unit/gateway/decisions/test_retry_after.py
+++ b/tests/unit/gateway/decisions/test_retry_after.py
@@ -9,7 +9,7 @@
     MAX_RESERVED_WAIT_SHARE,
     MAX_WAIT_SHARE,
     is_retry_in_time,
-    retry_after_by_place_s,
+    retry_after_by_position_s,
     retry_after_by_share_s,
 )
 
@@ -18,7 +18,7 @@
 def test_an_announced_retry_time_is_one_that_the_caller_waits_for(
     room_in_s: float, left_s: float, draw: float
 ) -> None:
-    announced_s = retry_after_by_place_s(room_in_s, left_s, draw)
+    announced_s = retry_after_by_position_s(room_in_s, left_s, draw)
     assert 0.0 <= announced_s <= left_s
     if is_retry_in_time(room_in_s, left_s):
         assert room_in_s <= announced_s <= MAX_RESERVED_WAIT_SHARE * left_s + 1e-9
--- a/tests/unit/gateway/decisions/test_scatter_concurrency.py
+++ b/tests/unit/gateway/decisions/test_scatter_concurrency.py
@@ -16,7 +16,7 @@
 
 def test_the_room_follows_reports_and_stays_at_or_above_the_own_part() -> None:
     room = ScatterConcurrency(hold_s=HOLD_S)
-    room.set_slot_share(4.0)
+    room.set_own_slots(4.0)
     begun = room.limit
     assert begun == room.initial_limit == 4.0 * OVER_COMMITMENT
     for step in range(40):
--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -30,7 +30,7 @@
 
 
 def make_queue(limit: float = FULL) -> ScatterQueue:
-    return ScatterQueue(ScatterConcurrency(part=limit, limit=limit, hold_s=HOLD_S))
+    return ScatterQueue(ScatterConcurrency(own_slots=limit, limit=limit, hold_s=HOLD_S))
 
 
 def scatter(
@@ -175,7 +175,7 @@
         assert queue.arrive(scatter(usual_s=USUAL_S), FULL, 0.0) is False
     verdict = queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S)
     assert isinstance(verdict, ScatterRefusal)
-    assert verdict.bearable_s == pytest.approx(MAX_OVERLOAD_WAIT * USUAL_S)
+    assert verdict.max_wait_s == pytest.approx(MAX_OVERLOAD_WAIT * USUAL_S)
     started(queue)
     # After being empty briefly the queue still counts as overloaded; a second later it does not.
     assert queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1) is False
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -4,7 +4,11 @@
 
 import random
 
-from tinrudder.gateway.decisions.admission.shared_service import draw_candidates, has_room, judge
+from tinrudder.gateway.decisions.admission.shared_service import (
+    decide_admission,
+    draw_candidates,
+    has_room,
+)
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
 )
@@ -24,8 +28,10 @@
 
 
 def share(backends: list[BackendObservations], left_s: float = 0.9, *, late: bool = False) -> float:
-    judgement = judge(backends, NOW, 0.25, left_s, priority_steps=0, returning=late, late=late)
-    return judgement.share
+    admitted = decide_admission(
+        backends, NOW, 0.25, left_s, priority_steps=0, returning=late, late=late
+    )
+    return admitted.share
 
 
 def test_the_admitted_share_follows_from_the_reports_of_all_back_ends() -> None:
--- a/tests/unit/gateway/decisions/test_tenant_turns.py
+++ b/tests/unit/gateway/decisions/test_tenant_turns.py
@@ -37,12 +37,12 @@
 def test_only_the_latest_turn_of_a_tenant_can_be_given_back() -> None:
     turns = TenantTurns()
     first, second = arrive(turns, "a"), arrive(turns, "a")
-    turns.give_back(first)
+    turns.release(first)
     assert arrive(turns, "a").turn == 2
-    turns.give_back(second)
+    turns.release(second)
     latest = arrive(turns, "a")
     assert latest.turn == 3
-    turns.give_back(latest)
+    turns.release(latest)
     assert arrive(turns, "a").turn == 3
 
 
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -136,7 +136,7 @@
     def barred_share(self) -> float:
         """Return the share of the gateways that bar the request."""
         barred = [
-            watch.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
+            watch.assess(FINGERPRINT, ORIGIN).standing is Standing.BARRED
             for watch in self.watches.values()
         ]
         return sum(barred) / len(barred)
@@ -208,7 +208,7 @@
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-2", trial=False)
         first.note_answer(FINGERPRINT)
         network.deliver()
-        return second.judge(FINGERPRINT, ORIGIN).standing
+        return second.assess(FINGERPRINT, ORIGIN).standing
 
     assert run_in_virtual_time(play()) is Standing.FREE
 
@@ -222,7 +222,7 @@
         first.withdraw_crash(FINGERPRINT, "back-end-1")
         await asyncio.sleep(2 * BATCH_DELAY_S)
         network.deliver()
-        return second.judge(FINGERPRINT, ORIGIN).standing
+        return second.assess(FINGERPRINT, ORIGIN).standing
 
     assert run_in_virtual_time(play()) is Standing.SUSPECT
 
@@ -250,4 +250,4 @@
     assert network.sent.total() <= BURST_DATAGRAMS
     bar_request(first)
     network.deliver()
-    assert second.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
+    assert second.assess(FINGERPRINT, ORIGIN).standing is Standing.BARRED
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -120,8 +120,8 @@
     def has_no_evidence(self) -> bool:
         return not len(self.requests)
 
-    def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
-        return self.requests.judge(fingerprint, origin, self.loop.now)
+    def assess(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
+        return self.requests.assess(fingerprint, origin, self.loop.now)
 
     def note_crash(
         self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -90,7 +90,7 @@
 class Evidence(Struct, frozen=True):
     """The evidence on one request.
 
-    :param origin: the route and the caller; see :meth:`PoisonRequests.judge`.
+    :param origin: the route and the caller; see :meth:`PoisonRequests.assess`.
     :param crashes: crashes not cleared by an answer, including those marked as survived.
     :param cleared: how often the evidence has been cleared. When two records differ in this, the
         higher one wins, and only the trial time of the other is kept.
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -98,14 +98,14 @@
     >>> table = PoisonRequests()
     >>> for number in range(2):
     ...     _ = table.note_crash(b"f", b"route", number, at=0.0, trial=False)
-    >>> table.judge(b"f", b"route", 0.1).standing
+    >>> table.assess(b"f", b"route", 0.1).standing
     <Standing.SUSPECT: 2>
     >>> _ = table.note_crash(b"f", b"route", 2, at=0.2, trial=True)
-    >>> table.judge(b"f", b"route", 0.2).standing
+    >>> table.assess(b"f", b"route", 0.2).standing
     <Standing.BARRED: 4>
     >>> table.note_answer(b"f", at=0.3)
     True
-    >>> table.judge(b"f", b"route", 0.4).standing
+    >>> table.assess(b"f", b"route", 0.4).standing
     <Standing.FREE: 1>
     """
 
@@ -137,7 +137,7 @@
         """Return all evidence, the most recently changed last."""
         return list(self._evidence.items())
 
-    def judge(self, fingerprint: bytes, origin: bytes, now: float) -> RequestStanding:
+    def assess(self, fingerprint: bytes, origin: bytes, now: float) -> RequestStanding:
         """Decide what may be done with a request.
 
         :param origin: its route and caller. All requests of an origin are suspect for a while after
--- a/tinrudder/gateway/decisions/admission/queued_scatter.py
+++ b/tinrudder/gateway/decisions/admission/queued_scatter.py
@@ -57,7 +57,7 @@
 
     :param ahead: number of scatters queued before it.
     :param expected_s: expected wait until it could start.
-    :param bearable_s: longest acceptable wait.
+    :param max_wait_s: longest acceptable wait.
     :param held: capacity held by running scatters; ``limit``: the maximum.
     :param waiting: number of scatters in the queue.
     """
@@ -65,7 +65,7 @@
     priority: int
     ahead: int
     expected_s: float
-    bearable_s: float
+    max_wait_s: float
     held: float
     limit: float
     waiting: int
@@ -74,6 +74,6 @@
         """Return the detail of the log line."""
         return (
             f"overload: place {self.ahead + 1} of {self.waiting + 1}, "
-            f"wait {self.expected_s:.3f} s, bearable {self.bearable_s:.3f} s, "
+            f"wait {self.expected_s:.3f} s, bearable {self.max_wait_s:.3f} s, "
             f"room {self.held:.1f} of {self.limit:.1f}, priority {self.priority}"
         )
--- a/tinrudder/gateway/decisions/admission/retry_after.py
+++ b/tinrudder/gateway/decisions/admission/retry_after.py
@@ -51,7 +51,7 @@
     return room_in_s * POSITION_JITTER <= left_s * MAX_RESERVED_WAIT_SHARE
 
 
-def retry_after_by_place_s(
+def retry_after_by_position_s(
     room_in_s: float, left_s: float, draw: float, spread: float = POSITION_JITTER
 ) -> float:
     """Return when to come back, seconds from now, where the time of free room is known.
@@ -62,9 +62,9 @@
     :param left_s: time until its deadline.
     :param draw: random number, 0 to 1, so that callers do not come back together.
 
-    >>> retry_after_by_place_s(0.2, 2.0, draw=0.0), retry_after_by_place_s(0.2, 2.0, draw=1.0)
+    >>> retry_after_by_position_s(0.2, 2.0, draw=0.0), retry_after_by_position_s(0.2, 2.0, draw=1.0)
     (0.2, 0.25)
-    >>> retry_after_by_place_s(0.9, 2.0, draw=1.0), retry_after_by_place_s(9.0, 2.0, draw=1.0)
+    >>> retry_after_by_position_s(0.9, 2.0, draw=1.0), retry_after_by_position_s(9.0, 2.0, draw=1.0)
     (1.125, 2.0)
     """
     return min(max(0.0, left_s), room_in_s * (1.0 + (spread - 1.0) * draw))
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -62,12 +62,12 @@
 class ScatterConcurrency(Struct):
     """The concurrency limit of one index at one gateway, in scatters.
 
-    :param part: this gateway's share of the slots of the typical shard.
+    :param own_slots: this gateway's share of the slots of the typical shard.
     :param limit: how much may be in use now.
     :param hold_s: mean time for which a scatter holds a shard's slot; 0: not known.
     """
 
-    part: float = MIN_LIMIT
+    own_slots: float = MIN_LIMIT
     limit: float = MIN_INITIAL_LIMIT
     hold_s: float = 0.0
     _adjusted_at: float = 0.0
@@ -75,24 +75,24 @@
     @property
     def initial_limit(self) -> float:
         """Return the limit that applies while no queue is known."""
-        return max(MIN_INITIAL_LIMIT, self.part * OVER_COMMITMENT)
+        return max(MIN_INITIAL_LIMIT, self.own_slots * OVER_COMMITMENT)
 
     @property
     def floor(self) -> float:
         """Return the smallest value of the limit."""
-        return max(MIN_LIMIT, self.part)
+        return max(MIN_LIMIT, self.own_slots)
 
     @property
     def is_adjusted(self) -> bool:
         """Return whether the limit differs from its initial value."""
         return abs(self.limit - self.initial_limit) > UNCHANGED_TOLERANCE * self.initial_limit
 
-    def set_slot_share(self, part: float) -> None:
+    def set_own_slots(self, own_slots: float) -> None:
         """Set the gateway's share of the slots; the learned limit is scaled in proportion."""
-        if part == self.part:
+        if own_slots == self.own_slots:
             return
         learned = self.limit / self.initial_limit
-        self.part = part
+        self.own_slots = own_slots
         self.limit = max(self.floor, learned * self.initial_limit)
 
     def has_room_for_another(self, held: float) -> bool:
@@ -100,20 +100,20 @@
         return held <= 0.0 or held + MIN_FREE_ROOM <= self.limit
 
     @property
-    def pace(self) -> float:
+    def start_rate_per_s(self) -> float:
         """Return how many scatters can start per second; 0: not known."""
         return self.limit / self.hold_s if self.hold_s else 0.0
 
     def wait_s(self, held: float, ahead: int) -> float:
         """Return how long a scatter behind ``ahead`` others waits until it may start.
 
-        >>> ScatterConcurrency(part=2.0, limit=2.0, hold_s=0.05).wait_s(held=2.5, ahead=3)
+        >>> ScatterConcurrency(own_slots=2.0, limit=2.0, hold_s=0.05).wait_s(held=2.5, ahead=3)
         0.1
         """
         excess = held + ahead + MIN_FREE_ROOM - self.limit
         if excess <= 0.0 or not self.hold_s:
             return 0.0
-        return excess / self.pace
+        return excess / self.start_rate_per_s
 
     def note_hold(self, seconds: float) -> None:
         """Update the mean hold time with that of a scatter that has ended."""
@@ -135,6 +135,6 @@
         if queue > QUEUE_HIGH:
             self.limit = max(self.floor, self.limit * DECREASE)
         elif in_use and queue < QUEUE_LOW:
-            self.limit += INCREASE * max(MIN_LIMIT, self.part)
+            self.limit += INCREASE * max(MIN_LIMIT, self.own_slots)
         elif not in_use:
             self.limit += RESET_GAIN * (self.initial_limit - self.limit)
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -152,7 +152,7 @@
                 refused.append((scatter, refusal))
         self._waiting[:] = sorted(kept, key=_order)
         for scatter, _ in reversed(refused):
-            self._turns.give_back(scatter)
+            self._turns.release(scatter)
         return refused
 
     def _defer(self, scatter: QueuedScatter, now: float) -> None:
@@ -165,7 +165,7 @@
         """Remove a scatter whose caller has disconnected, if it still waits."""
         if scatter in self._waiting:
             self._waiting.remove(scatter)
-            self._turns.give_back(scatter)
+            self._turns.release(scatter)
 
     @property
     def next_latest_start_at(self) -> float | None:
@@ -187,8 +187,8 @@
         self, scatter: QueuedScatter, ahead: int, held: float, now: float
     ) -> ScatterRefusal | None:
         """Return a refusal for a new scatter that would wait too long."""
-        bearable_s = ACCEPTABLE_WAIT_SHARE * (scatter.latest_start_at - now)
-        overload_wait_s = min(bearable_s, MAX_OVERLOAD_WAIT * scatter.usual_s)
+        max_wait_s = ACCEPTABLE_WAIT_SHARE * (scatter.latest_start_at - now)
+        overload_wait_s = min(max_wait_s, MAX_OVERLOAD_WAIT * scatter.usual_s)
         if (
             not scatter.late
             and ahead
@@ -196,8 +196,8 @@
             and self.room.wait_s(held, ahead) > overload_wait_s
         ):
             self._overload_until = now + OVERLOAD_HOLD_S
-            bearable_s = overload_wait_s
-        return self._refusal(scatter, ahead, held, bearable_s)
+            max_wait_s = overload_wait_s
+        return self._refusal(scatter, ahead, held, max_wait_s)
 
     def _is_overloaded(self, now: float) -> bool:
         """Return whether the queue is in sustained overload, as opposed to a short burst."""
@@ -212,25 +212,25 @@
 
         The first one in the queue is still served if it can start in time.
         """
-        bearable_s = scatter.latest_start_at - now
-        if bearable_s > 0.0 and not ahead:
+        max_wait_s = scatter.latest_start_at - now
+        if max_wait_s > 0.0 and not ahead:
             return None
         if now < self._overload_until and not scatter.late:
-            bearable_s = min(bearable_s, MAX_OVERTAKEN_WAIT * scatter.usual_s)
-        return self._refusal(scatter, ahead, held, bearable_s)
+            max_wait_s = min(max_wait_s, MAX_OVERTAKEN_WAIT * scatter.usual_s)
+        return self._refusal(scatter, ahead, held, max_wait_s)
 
     def _refusal(
-        self, scatter: QueuedScatter, ahead: int, held: float, bearable_s: float
+        self, scatter: QueuedScatter, ahead: int, held: float, max_wait_s: float
     ) -> ScatterRefusal | None:
         """Return a refusal if the expected wait exceeds the acceptable one."""
         expected_s = self.room.wait_s(held, ahead)
-        if bearable_s > 0.0 and expected_s <= bearable_s:
+        if max_wait_s > 0.0 and expected_s <= max_wait_s:
             return None
         return ScatterRefusal(
             scatter.priority,
             ahead,
             expected_s,
-            max(0.0, bearable_s),
+            max(0.0, max_wait_s),
             held,
             self.room.limit,
             len(self._waiting),
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -81,7 +81,7 @@
 
 def mean_work_s(backends: Sequence[BackendObservations]) -> float:
     """Return the mean time for which calls hold a slot of a service, seconds; 0: not known."""
-    known = [one.work_s for one in backends if one.work_seen]
+    known = [one.work_s for one in backends if one.service_time_count]
     return sum(known) / len(known) if known else 0.0
 
 
@@ -102,7 +102,7 @@
     return total / weights if weights else 0.0
 
 
-def judge(
+def decide_admission(
     backends: Sequence[BackendObservations],
     now: float,
     usual_s: float,
@@ -179,12 +179,15 @@
 
 def min_work_s(backends: Sequence[BackendObservations]) -> float:
     """Return how long calls hold a slot at the fastest back end, seconds; 0: not known."""
-    return min((one.work_s for one in backends if one.work_seen >= MIN_OBSERVED_CALLS), default=0.0)
+    return min(
+        (one.work_s for one in backends if one.service_time_count >= MIN_OBSERVED_CALLS),
+        default=0.0,
+    )
 
 
 def _work_s(one: BackendObservations, usual_s: float) -> float:
     """Return how long calls hold a slot of one back end, ``usual_s`` while not known."""
-    return one.work_s if one.work_seen >= MIN_OBSERVED_CALLS else usual_s
+    return one.work_s if one.service_time_count >= MIN_OBSERVED_CALLS else usual_s
 
 
 def _queue(one: BackendObservations, now: float, work_s: float) -> _Queue:
--- a/tinrudder/gateway/decisions/admission/tenant_turns.py
+++ b/tinrudder/gateway/decisions/admission/tenant_turns.py
@@ -55,7 +55,7 @@
         if len(self._next) > MAX_IDLE_LANES + len(waiting):
             self._evict_idle(waiting)
 
-    def give_back(self, scatter: QueuedScatter) -> None:
+    def release(self, scatter: QueuedScatter) -> None:
         """Release the turn of a scatter that has not run, for the tenant's next scatter."""
         lane = scatter.priority, scatter.tenant
         if self._next.get(lane) == scatter.turn + 1:
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -77,7 +77,7 @@
 """For how long the backlog at a back end's latest shed is taken as its queue limit, seconds: longer
 than the queue takes to fill again, but limited, since that backlog may have been exceptional."""
 
-MOST_SENT = 256
+MAX_TRACKED_SENDS = 256
 """Maximum number of send times kept until the next report: many times what a back end queues."""
 
 
@@ -100,9 +100,10 @@
     :param reported_slowdown: factor on the duration of work there by its newest report; 1 is usual.
     :param typical_slowdown: moving average of the reported slowdowns; 0 before the first report.
     :param reported_at: time of the newest report, received directly or from another gateway.
-    :param most_backlog: the largest backlog that was reported.
+    :param max_backlog: the largest backlog that was reported.
     :param full_backlog: calls that it held when it last shed one, at ``full_at``.
-    :param work_s: mean time that a call holds a slot there, over ``work_seen`` calls; 0: unknown.
+    :param work_s: mean time that a call holds a slot there, over ``service_time_count`` calls; 0:
+        unknown.
     """
 
     slots: int = 1
@@ -117,13 +118,13 @@
     reported_slowdown: float = 1.0
     typical_slowdown: float = 0.0
     running: set[RunningCall] = field(default_factory=set)
-    most_backlog: int = 0
+    max_backlog: int = 0
     full_backlog: int = 0
     full_at: float = -FULL_FOR_S
     work_s: float = 0.0
-    work_seen: int = 0
+    service_time_count: int = 0
     # Send times of calls that the newest report does not include.
-    _sent: deque[float] = field(default_factory=lambda: deque(maxlen=MOST_SENT))
+    _sent: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_TRACKED_SENDS))
 
     def begin(self, now: float, usual_s: float) -> RunningCall:
         """Record a call that is sent now."""
@@ -145,7 +146,7 @@
         if call.usual_s > 0:
             # A reported momentary slowdown is divided out: it passes, so it must not be learned as
             # the back end's lasting latency.
-            relative = (now - call.sent_at) / call.usual_s / self.momentary_slowdown(now)
+            relative = (now - call.sent_at) / call.usual_s / self.current_slowdown(now)
             relative = min(MAX_RELATIVE_LATENCY, relative)
             decayed = self._decayed_latency(now)
             self.relative_latency = decayed + LATENCY_GAIN * (relative - decayed)
@@ -183,7 +184,7 @@
         self.typical_slowdown = typical + TYPICAL_SLOWDOWN_GAIN * (slowdown - typical)
         self.reported_slowdown = slowdown
         self.reported_backlog = running + waiting
-        self.most_backlog = max(self.most_backlog, self.reported_backlog)
+        self.max_backlog = max(self.max_backlog, self.reported_backlog)
         self.reported_at = report_time
         if age_s:
             while self._sent and self._sent[0] <= report_time:
@@ -207,7 +208,7 @@
         slots = max(1, self.slots)
         if not (self.had_recent_queue(now) or backlog > slots):
             return False
-        most = max(self.most_backlog, int(MIN_FULL_BACKLOG_PER_SLOT * slots))
+        most = max(self.max_backlog, int(MIN_FULL_BACKLOG_PER_SLOT * slots))
         backlog = backlog or most
         if now - age_s > self.full_at:
             self.full_backlog = backlog
@@ -226,15 +227,15 @@
 
     def record_service_time(self, seconds: float) -> None:
         """Record how long a call held a slot, as observed here or by another gateway."""
-        self.work_seen += 1
-        gain = max(SERVICE_TIME_GAIN, 1.0 / self.work_seen)
+        self.service_time_count += 1
+        gain = max(SERVICE_TIME_GAIN, 1.0 / self.service_time_count)
         self.work_s += gain * (seconds - self.work_s)
 
     def expected_relative_latency(self, now: float) -> float:
         """Return the expected latency of the next call, relative to its route's usual latency."""
-        return self._decayed_latency(now) * self.momentary_slowdown(now)
+        return self._decayed_latency(now) * self.current_slowdown(now)
 
-    def momentary_slowdown(self, now: float) -> float:
+    def current_slowdown(self, now: float) -> float:
         """Return the currently reported slowdown relative to the typical one, weighted by age."""
         age = now - self.reported_at
         if age >= SLOWDOWN_LIFETIME_S or not self.typical_slowdown:
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -5,7 +5,7 @@
 two from the reports that are repeated.
 
 Owns this gateway's evidence and the send budgets of its reports; relies on the rule for poison
-requests to judge, and on the calls to report lost back ends.
+requests to assess, and on the calls to report lost back ends.
 """
 
 from __future__ import annotations
@@ -123,9 +123,9 @@
         """Return the number of routes and callers whose requests all start as canaries now."""
         return self.requests.alerts(self._clock())
 
-    def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
+    def assess(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
         """Return whether a request may run now, and under which restrictions."""
-        return self.requests.judge(fingerprint, origin, self._clock())
+        return self.requests.assess(fingerprint, origin, self._clock())
 
     def refusal(self, route: Route, request: HttpRequest) -> NotRun | None:
         """Return the refusal of a barred request; ``None`` if the request may run.
@@ -135,12 +135,12 @@
         if self.has_no_evidence:
             return None
         fingerprint = fingerprint_of(request, self._names)
-        judgement = self.judge(fingerprint, origin_of(route.name, request, self._names))
-        if judgement.standing is not Standing.BARRED:
+        assessment = self.assess(fingerprint, origin_of(route.name, request, self._names))
+        if assessment.standing is not Standing.BARRED:
             return None
         self.refused += 1
         detail = f"poison: back ends crashed under this request ({fingerprint.hex()})"
-        return NotRun(detail, judgement.barred_s)
+        return NotRun(detail, assessment.barred_s)
 
     def note_crash(
         self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
@@ -296,15 +296,15 @@
             self._send_changes()
 
     def _merge_reported(self, reported: ReportedEvidence) -> None:
-        """Merge a peer's evidence about a request; forward it if it changes the judgement here."""
+        """Merge a peer's evidence about a request; forward it if it changes the assessment here."""
         now = self._clock()
         evidence = _evidence_of(reported, now)
         if not self.requests.should_accept(reported.fingerprint, evidence, now):
             return
         self._unreported.discard(reported.fingerprint)
-        before = self.requests.judge(reported.fingerprint, reported.origin, now)
+        before = self.requests.assess(reported.fingerprint, reported.origin, now)
         self.requests.merge(reported.fingerprint, evidence)
-        after = self.requests.judge(reported.fingerprint, reported.origin, now)
+        after = self.requests.assess(reported.fingerprint, reported.origin, now)
         if after.standing is not before.standing and self._peers.known_count > DIRECT_RECEIVERS:
             self._to_forward.add(reported.fingerprint)
 
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -62,7 +62,7 @@
         self._broadcast_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
 
-    def judge(self, report: QuotaReport) -> QuotaVerdict:
+    def answer_report(self, report: QuotaReport) -> QuotaVerdict:
         """Answer a report as the owner of the tenant's bucket."""
         share = grantable_share(self._zone_monitor.heard_share, self._bounds.excess)
         verdict = self._grant(self.buckets, report, share)
@@ -70,7 +70,7 @@
             self._broadcast_pressed(verdict)
         return verdict
 
-    def judge_isolated(self, report: QuotaReport) -> QuotaVerdict:
+    def answer_report_isolated(self, report: QuotaReport) -> QuotaVerdict:
         """Answer this gateway's own report while no owner answers.
 
         Other gateways may do the same, so each grants only its share of the rate.
@@ -90,7 +90,7 @@
 
     def _on_report(self, report: QuotaReport, entry: Address) -> None:
         """Send the verdict on a report to its entry gateway."""
-        self._datagrams.send(self.judge(report), entry)
+        self._datagrams.send(self.answer_report(report), entry)
 
     def _grant(self, buckets: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
         """Take tokens from a tenant's bucket; a tenant without a limit is always granted."""
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -151,7 +151,7 @@
         unacknowledged = self._unreported[tenant.name] + self._unacknowledged[tenant.name]
         return unacknowledged >= max(UNACKNOWLEDGED_REQUESTS, tenant.rate_per_s * UNACKNOWLEDGED_S)
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund_token(self, tenant: Tenant) -> None:
         """Return the token of an admitted request that has not run and never will."""
         if tenant.rate_per_s > 0.0:
             self._add_to_report(tenant.name, -1)
@@ -253,9 +253,9 @@
         self._note_acknowledged(pending)
         report = self._make_report(pending, LOCAL_REPORT_NUMBER)
         verdict = (
-            self.bucket_owner.judge_isolated(report)
+            self.bucket_owner.answer_report_isolated(report)
             if isolated
-            else self.bucket_owner.judge(report)
+            else self.bucket_owner.answer_report(report)
         )
         self._apply_verdict(verdict)
         if pending.decide is None:
--- a/tinrudder/gateway/requests/client_request.py
+++ b/tinrudder/gateway/requests/client_request.py
@@ -51,7 +51,7 @@
     in_progress: int
     call_context: CallContext
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund_token(self, tenant: Tenant) -> None:
         """Return a granted request that has not run to its tenant's quota."""
 
     def finished(self, request: FinishedRequest) -> None:
@@ -135,7 +135,7 @@
         if self.run is not None:
             owner.in_progress -= 1
         if isinstance(outcome, NotRun):
-            self.give_back()
+            self.refund_token()
         answer = build_answer(outcome, owner.call_context.names, self.request_id or None)
         self._connection.answer(answer)
         owner.finished(self._finished(outcome))
@@ -151,11 +151,11 @@
             self.run.abandon()
             self._owner.finished(self._finished(None))
 
-    def give_back(self) -> None:
+    def refund_token(self) -> None:
         """Return the request to its tenant's quota, if the quota counts it."""
         if self.granted and self.tenant is not None:
             self.granted = False
-            self._owner.give_back(self.tenant)
+            self._owner.refund_token(self.tenant)
 
     def _finished(self, outcome: RequestOutcome | None) -> FinishedRequest:
         """Return the request's record for logs and metrics."""
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -89,7 +89,7 @@
             request.granted = True
             # The client may disconnect while another gateway checks the quota: nothing runs then.
             if request.abandoned:
-                request.give_back()
+                request.refund_token()
             else:
                 self._start(request)
         elif not request.abandoned:
@@ -113,9 +113,9 @@
         request.run = run
         run.start()
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund_token(self, tenant: Tenant) -> None:
         """Return a granted request that has not run to its tenant's quota."""
-        self._checks.quotas.give_back(tenant)
+        self._checks.quotas.refund_token(tenant)
 
     def finished(self, request: FinishedRequest) -> None:
         """Report the end of one request to the observer."""
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -10,7 +10,7 @@
 
 from tinrudder.gateway.clients.client_deadlines import Deadlines
 from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
-from tinrudder.gateway.decisions.admission.shared_service import AdmittedShare, judge
+from tinrudder.gateway.decisions.admission.shared_service import AdmittedShare, decide_admission
 from tinrudder.gateway.decisions.admission.tenant_shares import TenantShares
 from tinrudder.gateway.model.configuration import Route
 from tinrudder.gateway.model.outcomes import NotRun
@@ -74,7 +74,7 @@
     ) -> AdmittedShare:
         """Return the share of such requests to admit, from the latest reports."""
         backends = self._call_context.observations(service)
-        return judge(
+        return decide_admission(
             backends,
             now,
             self._call_context.usual_s(route, backends),
--- a/tinrudder/gateway/runs/run_context.py
+++ b/tinrudder/gateway/runs/run_context.py
@@ -51,13 +51,14 @@
 class Attempt(Struct, eq=False):
     """One call of a shard that has not ended.
 
-    :param is_paid: whether it was charged to the retry budget; the first call sent is free.
+    :param uses_retry_budget: whether it was charged to the retry budget; the first call sent is
+        free.
     :param is_canary: whether it was sent alone, to learn whether the request crashes back ends.
     :param running: the call as it was sent; ``None`` while no byte was sent.
     """
 
     backend: Backend
     call: UpstreamCall
-    is_paid: bool = False
+    uses_retry_budget: bool = False
     is_canary: bool = False
     running: RunningCall | None = None
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -36,7 +36,7 @@
     def has_no_evidence(self) -> bool:
         """Whether there is no evidence against any request."""
 
-    def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
+    def assess(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
         """Return whether a request may be sent now, and how."""
 
     def note_crash(
@@ -164,11 +164,11 @@
         """Seconds for which every gateway refuses the request; 0 if it is not barred."""
         if self._evidence.has_no_evidence:
             return 0.0
-        return self._evidence.judge(self._request.fingerprint, self._origin).barred_s
+        return self._evidence.assess(self._request.fingerprint, self._origin).barred_s
 
     @property
     def _origin(self) -> bytes:
         return self._request.origin(self._route.name)
 
     def _standing(self) -> Standing:
-        return self._evidence.judge(self._request.fingerprint, self._origin).standing
+        return self._evidence.assess(self._request.fingerprint, self._origin).standing
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -224,14 +224,14 @@
 
     def _call_best_of(self, candidates: list[Backend], now: float, *, hedge: bool) -> None:
         """Send a call to the best candidate, unless the retry budget denies it."""
-        is_paid = self._next_is_repeat
-        if is_paid and not self._may_repeat(now, hedge=hedge):
+        uses_retry_budget = self._next_is_repeat
+        if uses_retry_budget and not self._may_repeat(now, hedge=hedge):
             self.next_at = now + DENIED_RETRY_DELAY_S
             return
         if hedge:
             self._run.call_context.counters.hedges += 1
         backend = choose_replica(self._run.call_context, candidates, self._run.route, now)
-        self._send(backend, now, is_paid=is_paid)
+        self._send(backend, now, uses_retry_budget=uses_retry_budget)
 
     def _report_overdue(self) -> None:
         """Report overdue calls to the zone monitor."""
@@ -262,7 +262,7 @@
             return False
         if self.sends >= MAX_SENDS or not self._replicas.within_attempt_limit(attempt.backend):
             return False
-        if attempt.is_paid or not self._next_is_repeat:
+        if attempt.uses_retry_budget or not self._next_is_repeat:
             return True
         # It was prepared as the first call, but another one was sent meanwhile: it is a hedge now.
         return self._may_repeat(now, hedge=True)
@@ -275,10 +275,10 @@
         call_context.counters.repeats_denied += 1
         return False
 
-    def _send(self, backend: Backend, now: float, *, is_paid: bool) -> None:
+    def _send(self, backend: Backend, now: float, *, uses_retry_budget: bool) -> None:
         """Start one call."""
         self._replicas.note_chosen(backend)
-        attempt = Attempt(backend, self._new_call(), is_paid)
+        attempt = Attempt(backend, self._new_call(), uses_retry_budget)
         attempt.call.listener = lambda outcome: self._on_outcome(attempt, outcome)
         attempt.call.make_bytes = lambda: self._encode_if_allowed(attempt)
         self._attempts.append(attempt)
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -14,7 +14,7 @@
 from tinrudder.gateway.decisions.admission.queued_scatter import QueuedScatter, ScatterRefusal
 from tinrudder.gateway.decisions.admission.retry_after import (
     is_retry_in_time,
-    retry_after_by_place_s,
+    retry_after_by_position_s,
 )
 from tinrudder.gateway.decisions.admission.scatter_queue import (
     ScatterQueue,
@@ -160,9 +160,11 @@
         if room_in_s + scatter.usual_s > left_s:
             return left_s
         if is_retry_in_time(room_in_s, left_s):
-            pace = self.queue.room.pace
-            self._reserved_until[refusal.priority] = room_at + (1.0 / pace if pace else 0.0)
-        return retry_after_by_place_s(room_in_s, left_s, self._random.random())
+            start_rate_per_s = self.queue.room.start_rate_per_s
+            self._reserved_until[refusal.priority] = room_at + (
+                1.0 / start_rate_per_s if start_rate_per_s else 0.0
+            )
+        return retry_after_by_position_s(room_in_s, left_s, self._random.random())
 
     def _describe(self, waiting: WaitingScatter) -> QueuedScatter:
         """Return the values that determine a scatter's position in the queue."""
@@ -190,7 +192,7 @@
             self._slots_updated_at = now
             slots = self._typical_shard.own_slots()
             if slots:
-                room.set_slot_share(slots)
+                room.set_own_slots(slots)
         in_use = bool(self.queue) or not room.has_room_for_another(self.held)
         if not room.may_adjust(now) or not (in_use or room.is_adjusted):
             return
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -53,7 +53,7 @@
     PULL_FAILED = "a pull from a peer failed"
     STARTING = "peers did not teach a start in time"
     NO_PEER = "no peer was heard"
-    NO_WORD = "nobody told of the store's word lately"
+    NO_CONFIRMATION = "nobody told of the store's word lately"
 
 
 class StoreReaders(Struct):
@@ -65,8 +65,8 @@
     :param own: this gateway's address.
     :param describe_own: returns this gateway's current description of itself.
     :param stale_after_s: maximum age of the store's latest confirmation; differs between gateways.
-    :param patience: factor on :data:`NO_PEER_START_WAIT_S` and :data:`START_WAIT_S`; differs
-        between gateways.
+    :param startup_wait_factor: factor on :data:`NO_PEER_START_WAIT_S` and
+        :data:`START_WAIT_S`; differs between gateways.
     :ivar seeds: the gateways that all others know from the start.
     """
 
@@ -77,7 +77,7 @@
     describe_own: Callable[[], Member]
     started_at: float
     stale_after_s: float
-    patience: float = 1.0
+    startup_wait_factor: float = 1.0
     seeds: tuple[Address, ...] = ()
     _pull_failed_at: float = field(default=float("-inf"))
     _chosen_at: float | None = None
@@ -100,7 +100,7 @@
         if self.peers.silent_s(now) > PEER_SILENCE_S:
             return ReadReason.NO_PEER
         is_unconfirmed = self.state.unconfirmed_s(topic) > self.stale_after_s
-        return ReadReason.NO_WORD if is_unconfirmed else None
+        return ReadReason.NO_CONFIRMATION if is_unconfirmed else None
 
     def retry_pause_s(self, own_pause_s: float) -> float:
         """Return how long to pause after a call that the store did not answer.
@@ -116,7 +116,7 @@
     def _start_wait_s(self) -> float:
         """Return how long after the start this gateway waits for peers to send the state."""
         usual_s = START_WAIT_S if self.peers.has_peers else NO_PEER_START_WAIT_S
-        return usual_s * self.patience
+        return usual_s * self.startup_wait_factor
 
     def is_reader(self) -> bool:
         """Tell whether this gateway is one of those that follow the store for all.
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -406,7 +406,7 @@
 ) -> StoreReaders:
     # The order of these two draws determines the outcome of a seeded run.
     stale_after_s = STALE_AFTER_S + context.random.uniform(0.0, STALE_JITTER_S)
-    patience = context.random.uniform(MIN_STARTUP_WAIT_FACTOR, MAX_STARTUP_WAIT_FACTOR)
+    startup_wait_factor = context.random.uniform(MIN_STARTUP_WAIT_FACTOR, MAX_STARTUP_WAIT_FACTOR)
     return StoreReaders(
         context.own,
         fleet.peers,
@@ -415,7 +415,7 @@
         knowledge.own_member.describe,
         started_at=context.loop.time(),
         stale_after_s=stale_after_s,
-        patience=patience,
+        startup_wait_factor=startup_wait_factor,
         seeds=context.settings.seeds,
     )
 
