--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -94,7 +94,7 @@
                 seen.extend(value for _, value in scatter.request.headers)
                 return await serve(scatter)
 
-            exchange = gateway_of(node)._exchange
+            exchange = gateway_of(node)._peer_exchange
             assert exchange is not None
             exchange._service._serve_scatter = record_headers
         for index in range(len(site.nodes)):
