--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -99,7 +99,7 @@
     def cancel(self, call: UpstreamCall) -> None:
         """Cancel a call: dequeue it, or close its connection if it was sent."""
         carrier = call.carrier
-        call.forget()
+        call.detach()
         if isinstance(carrier, UpstreamConnection):
             carrier.abort()
         self._release_body_bytes(call)
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -199,10 +199,10 @@
         if self.finished:
             return
         listener = self.listener
-        self.forget()
+        self.detach()
         listener(outcome)
 
-    def forget(self) -> None:
+    def detach(self) -> None:
         """Report no outcome, and drop references to the caller, which also refers to this call."""
         self.finished = True
         self.carrier = None
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -82,8 +82,8 @@
         "epoch_before": change.known.epoch,
         "shown": change.shown.number,
         "known": change.known.number,
-        "kept": len(change.kept),
-        "detail": " ".join(change.kept[:MAX_KEYS_LOGGED]),
+        "kept": len(change.retained_keys),
+        "detail": " ".join(change.retained_keys[:MAX_KEYS_LOGGED]),
     }
     log_problem("store_restored", fields)
 
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -75,12 +75,15 @@
         self.shards = self._calls(services)
 
     def _calls(
-        self, services: Sequence[str], *, called_elsewhere: bool = False
+        self, services: Sequence[str], *, called_by_other_gateway: bool = False
     ) -> list[ShardCalls]:
         """Return the calls of some shards, not started yet."""
         return [
             ShardCalls(
-                service, self._context, self._on_shard_change, called_elsewhere=called_elsewhere
+                service,
+                self._context,
+                self._on_shard_change,
+                called_by_other_gateway=called_by_other_gateway,
             )
             for service in services
         ]
@@ -221,7 +224,7 @@
             if one.service not in called_here
             and attempts_cover_all_replicas(one.service, self._context.route.attempts)
         ]
-        self._start_calls(self._calls(missing, called_elsewhere=True), now)
+        self._start_calls(self._calls(missing, called_by_other_gateway=True), now)
         return bool(missing)
 
     def _start_calls(self, calls: list[ShardCalls], now: float) -> None:
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -76,13 +76,13 @@
         run: RunContext,
         on_change: Callable[[ShardCalls], None],
         *,
-        called_elsewhere: bool = False,
+        called_by_other_gateway: bool = False,
     ) -> None:
         """Prepare the calls of ``service``; :meth:`start` sends the first one.
 
         :param on_change: called whenever a call has ended, until the run ends.
-        :param called_elsewhere: whether another gateway has called the shard's back ends for this
-            request, so that every call from here is a repeat.
+        :param called_by_other_gateway: whether another gateway has called the shard's back ends
+            for this request, so that every call from here is a repeat.
         """
         self.service = service
         self.part: HttpAnswer | None = None
@@ -92,7 +92,7 @@
         self.sends = 0
         self._run = run
         self._on_change = on_change
-        self._called_elsewhere = called_elsewhere
+        self._called_by_other_gateway = called_by_other_gateway
         self._ended = False
         self._attempts: list[Attempt] = []
         self._tries = 0
@@ -125,7 +125,7 @@
 
     def start(self, now: float) -> None:
         """Send the first call."""
-        if not self._called_elsewhere:
+        if not self._called_by_other_gateway:
             self._budget.note_request(now)
         self._try_next(now)
 
@@ -182,12 +182,12 @@
     @property
     def _next_is_repeat(self) -> bool:
         """Whether the next call sent would be a repeat, not the first of this request."""
-        return self._called_elsewhere or self.sends > 0
+        return self._called_by_other_gateway or self.sends > 0
 
     @property
     def repeats(self) -> int:
         """Number of hedges and retries sent."""
-        return self.sends if self._called_elsewhere else max(0, self.sends - 1)
+        return self.sends if self._called_by_other_gateway else max(0, self.sends - 1)
 
     def _try_next(self, now: float) -> None:
         """Send a call, or schedule the next check, or give up if nothing is left to try."""
--- a/tinrudder/gateway/runs/shard_tally.py
+++ b/tinrudder/gateway/runs/shard_tally.py
@@ -17,20 +17,20 @@
     :ivar included: number of shards that have answered.
     """
 
-    __slots__ = ("_answered", "_hopeless", "_memory", "_part_bytes", "included")
+    __slots__ = ("_answered", "_failed", "_memory", "_part_bytes", "included")
 
     def __init__(self, memory: HeldBytes) -> None:
         """Charge the bytes of answers to ``memory``."""
         self.included = 0
         self._answered: set[ShardCalls] = set()
-        self._hopeless: set[ShardCalls] = set()
+        self._failed: set[ShardCalls] = set()
         self._part_bytes = 0
         self._memory = memory
 
     @property
     def settled(self) -> int:
         """Number of shards that have answered or can no longer get an answer."""
-        return self.included + len(self._hopeless)
+        return self.included + len(self._failed)
 
     def update(self, shard: ShardCalls) -> None:
         """Update the counts after a change of one shard."""
@@ -41,9 +41,9 @@
             self.included += 1
             self._hold(len(shard.part.body))
         if shard.may_be_answered or shard.part is not None:
-            self._hopeless.discard(shard)
+            self._failed.discard(shard)
         else:
-            self._hopeless.add(shard)
+            self._failed.add(shard)
 
     def release(self) -> None:
         """Release the bytes of all answers, which are merged or dropped."""
--- a/tinrudder/gateway/store/configuration_freshness.py
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -49,7 +49,7 @@
         """Tell whether this gateway may still accept a key that has been revoked."""
         return self.bound_s is not None and self.staleness_bound.age_s > self.bound_s
 
-    def is_fresh(self) -> bool:
+    def is_up_to_date(self) -> bool:
         """Tell whether every configuration that must be in force by now would be known here.
 
         A message from a peer or the store is not sufficient, since its content may be stale too. A
--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -19,14 +19,14 @@
 
     :param known: revision up to which this process knew the previous epoch.
     :param shown: revision up to which the new epoch was read.
-    :param kept: keys whose known value takes precedence over the store's value, or over its lack of
-        one.
+    :param retained_keys: keys whose known value takes precedence over the store's value, or over
+        its lack of one.
     """
 
     topic: Topic
     known: StoreRevision
     shown: StoreRevision
-    kept: tuple[str, ...]
+    retained_keys: tuple[str, ...]
 
 
 class HistoryListener(Struct, frozen=True):
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -249,8 +249,8 @@
 
     def _report_epoch(self, topic: Topic, known: StoreRevision, shown: StoreRevision) -> None:
         """Report that a later epoch is followed: peers must learn it even if no value changed."""
-        kept = tuple(self._retained_keys(topic))
-        self._history_listener.on_epoch(EpochChange(topic, known, shown, kept))
+        retained_keys = tuple(self._retained_keys(topic))
+        self._history_listener.on_epoch(EpochChange(topic, known, shown, retained_keys))
         self._notify()
 
     def _apply_operator_value(self, value: StoredValue, source: str) -> bool:
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -325,7 +325,7 @@
         request_metrics.observe(request)
         log_request(request)
 
-    configuration_is_fresh = freshness.is_fresh
+    configuration_is_fresh = freshness.is_up_to_date
     service_admission = ServiceAdmission(call_context)
     handler = RequestHandler(
         RequestChecks(
