--- a/bench/key_lookup.py
+++ b/bench/key_lookup.py
@@ -10,7 +10,7 @@
 import timeit
 
 from tinrudder.gateway.model.http_messages import HttpRequest
-from tinrudder.gateway.requests.api_keys import KeyRing, Known, without_credentials
+from tinrudder.gateway.requests.api_keys import KeyIndex, Known, without_credentials
 from tinrudder.platform.documents import decode_configuration
 from tinrudder.platform.headers import HEADERS
 
@@ -19,14 +19,14 @@
 TENANT_COUNTS = (79, 1000)
 
 
-def make_key_ring(tenants: int) -> KeyRing:
+def make_key_ring(tenants: int) -> KeyIndex:
     """Return the key ring of a configuration with ``tenants`` tenants."""
     entries = [
         {"name": f"tenant-{number}", "api_keys": [f"{number:020d}", f"x{number:019d}"]}
         for number in range(tenants)
     ]
     document = {"version": 1, "routes": [], "tenants": entries}
-    return KeyRing.of(decode_configuration(json.dumps(document).encode()))
+    return KeyIndex.of(decode_configuration(json.dumps(document).encode()))
 
 
 def make_request(key: str) -> HttpRequest:
@@ -46,7 +46,7 @@
         ring = make_key_ring(tenants)
         request = make_request(f"{tenants // 2:020d}")
 
-        def serve(ring: KeyRing = ring, request: HttpRequest = request) -> None:
+        def serve(ring: KeyIndex = ring, request: HttpRequest = request) -> None:
             identity = ring.identify(request)
             assert isinstance(identity, Known)
             without_credentials(request, identity.tenant, HEADERS)
--- a/bench/scatter_cost.py
+++ b/bench/scatter_cost.py
@@ -101,12 +101,14 @@
             zone=ZONES[0],
             directory=self.directory,
             bounds=RepeatBounds(0.2, 188.0, 10.0),
-            sharers=lambda service: 8.0,
+            budget_parts=lambda service: 8.0,
             started_at=loop.time() - 100.0,
             load_reports=LoadReports(DECODERS.load_report, loop.time),
             evidence=self._quiet_poison_watch(),
         )
-        for backend in (one for group in self.directory._services.values() for one in group):
+        for backend in (
+            one for group in self.directory._backends_by_service.values() for one in group
+        ):
             connection = backend.pool._new_connection()
             connection.connection_made(NullTransport())
             backend.pool._open.add(connection)
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -23,27 +23,27 @@
 from tinrudder.gateway.decisions.admission.retry_after import retry_after_by_share_s
 from tinrudder.gateway.decisions.admission.shared_service import (
     AdmittedShare,
+    decide_admission,
+    draw_candidates,
     extra_cost,
     has_room,
-    judge,
-    least_work_s,
-    two_of,
-    work_s_of,
+    mean_work_s,
+    min_work_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
-from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, usual_latency_s
+from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, typical_latency_s
 from tinrudder.gateway.decisions.fleet.load_news import (
+    BATCH_DELAY_S,
     DATAGRAM_BYTES,
-    GATHER_S,
     LOAD_BYTES,
-    MOST_AGE_S,
-    NEXT_S,
-    Noted,
-    PendingNews,
+    MAX_REPORT_AGE_S,
+    RETRY_INTERVAL_S,
+    PendingReport,
+    PendingReports,
     ReportedLoad,
+    apply_report,
     is_long,
-    take_load,
-    tell_load,
+    prepare_report,
 )
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
@@ -133,9 +133,9 @@
 
     fleet: Fleet
     budget: FleetRetryBudget
-    pending: PendingNews
+    pending: PendingReports
     unloaded: LatencyWindow = field(default_factory=LatencyWindow)
-    pressure_at: float = -MOST_AGE_S
+    pressure_at: float = -MAX_REPORT_AGE_S
     timer_set: bool = False
 
     def __post_init__(self) -> None:
@@ -147,13 +147,15 @@
         """Return the usual service time of a call, in seconds."""
         if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
             return self.unloaded.quantile(0.5)
-        guess_s = usual_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return work_s_of(self.observations) or guess_s
+        guess_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
+        return mean_work_s(self.observations) or guess_s
 
-    def judge(self, now: float, left_s: float, *, returning: bool, late: bool) -> AdmittedShare:
+    def decide_admission(
+        self, now: float, left_s: float, *, returning: bool, late: bool
+    ) -> AdmittedShare:
         """Return the share of such requests to admit."""
         usual_s = self.usual_s()
-        return judge(
+        return decide_admission(
             self.observations,
             now,
             usual_s,
@@ -167,10 +169,12 @@
         """Return the index of the back end for the next call."""
         fresh = [index for index in range(BACKENDS) if index not in avoided]
         candidates: Sequence[int] = fresh or list(range(BACKENDS))
-        candidates = two_of(candidates, self.observations.__getitem__, now, self.fleet.source)
+        candidates = draw_candidates(
+            candidates, self.observations.__getitem__, now, self.fleet.source
+        )
         extra = {index: 0.0 for index in candidates}
         if len(candidates) == 2:
-            least_s = least_work_s(self.observations)
+            least_s = min_work_s(self.observations)
             extra = {
                 index: extra_cost(self.observations[index], least_s, now) for index in candidates
             }
@@ -187,10 +191,10 @@
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
             self.pressure_at = now
-        if now - self.pressure_at < MOST_AGE_S:
+        if now - self.pressure_at < MAX_REPORT_AGE_S:
             heard_at = self.observations[index].reported_at
-            self.pending.note(Noted(index, shed, self.unloaded.quantile(0.5), heard_at))
-            self._schedule_announcement(GATHER_S)
+            self.pending.note(PendingReport(index, shed, self.unloaded.quantile(0.5), heard_at))
+            self._schedule_announcement(BATCH_DELAY_S)
 
     def _schedule_announcement(self, seconds: float) -> None:
         if not self.timer_set:
@@ -202,21 +206,21 @@
         now = self.fleet.clock.now
         peers = [one for one in self.fleet.gateways if one is not self]
         noted, copies = self.pending.take(now, len(peers))
-        loads = (tell_load(one, self.observations[one.backend], now) for one in noted)
+        loads = (prepare_report(one, self.observations[one.backend], now) for one in noted)
         reported_loads = tuple(one for one in loads if one is not None)
         self.fleet.count["copies"] += copies
         self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(reported_loads))
         for peer in self.fleet.source.sample(peers, copies):
             self.fleet.clock.call_at(now + ONE_WAY_DELAY_S, partial(peer.take, reported_loads))
         if self.pending:
-            self._schedule_announcement(NEXT_S)
+            self._schedule_announcement(RETRY_INTERVAL_S)
 
     def take(self, reported_loads: tuple[ReportedLoad, ...]) -> None:
         """Apply the load reports of another gateway."""
         now = self.fleet.clock.now
         for one in reported_loads:
             if one.is_credible:
-                take_load(one, self.observations[one.backend], now)
+                apply_report(one, self.observations[one.backend], now)
                 if one.is_long:
                     self.pressure_at = max(self.pressure_at, now - one.age_s)
 
@@ -241,7 +245,7 @@
         self.backends = [ModelBackend(self.clock, self.source) for _ in range(BACKENDS)]
         self.backends[0].slowdown = self.slowdown
         self.gateways = [
-            ModelGateway(self, FleetRetryBudget(0.2, 290.0, 10.0, 0.0), PendingNews())
+            ModelGateway(self, FleetRetryBudget(0.2, 290.0, 10.0, 0.0), PendingReports())
             for _ in range(self.size)
         ]
 
@@ -288,14 +292,14 @@
         late = left_s <= 0.0
         if late:
             left_s = self.objective_s - ANSWER_MARGIN_S
-        judgement = gateway.judge(now, left_s, returning=request.tries > 1, late=late)
-        if self.source.random() >= judgement.share:
-            self.refuse(request, judgement)
+        admitted = gateway.decide_admission(now, left_s, returning=request.tries > 1, late=late)
+        if self.source.random() >= admitted.share:
+            self.refuse(request, admitted)
             return
         gateway.budget.note_request(now)
         Call(self, gateway, request, now + left_s).send()
 
-    def refuse(self, request: Request, judgement: AdmittedShare) -> None:
+    def refuse(self, request: Request, admitted: AdmittedShare) -> None:
         """Refuse a request; its client retries once."""
         now = self.clock.now
         left_s = request.sent_at + DEADLINE_S - now
@@ -304,7 +308,7 @@
             self.count["refused twice"] += request.counted
             return
         chance = self.source.random()
-        pause_s = retry_after_by_share_s(judgement.wait_s, judgement.share, left_s, chance)
+        pause_s = retry_after_by_share_s(admitted.wait_s, admitted.share, left_s, chance)
         self.clock.call_at(now + min(pause_s, left_s / 3), lambda: self._enter(request))
 
     def served(self, request: Request) -> None:
@@ -367,7 +371,7 @@
         observations.reported(busy, waiting, SLOTS, now)
         if not waiting:
             gateway.unloaded.observe(latency_s)
-            observations.worked(latency_s)
+            observations.record_service_time(latency_s)
         observations.answered(running, now)
         gateway.announce_load(index, waiting, shed=False)
         fleet.served(self.request)
@@ -378,8 +382,8 @@
         left_s = self.objective_at - now
         room = has_room(gateway.observations, now, usual_s, left_s)
         if not room or self.tries >= MAX_CALLS:
-            judgement = gateway.judge(now, left_s, returning=True, late=False)
-            fleet.refuse(self.request, judgement)
+            admitted = gateway.decide_admission(now, left_s, returning=True, late=False)
+            fleet.refuse(self.request, admitted)
         elif self.tries < 2:
             self.send()
         else:
--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -59,7 +59,7 @@
     """Silence the store's connections, and kill the gateway that is the first reader."""
     silence_store(site)
     for node in site.nodes:
-        if node.gateway is not None and node.gateway.store.readers.place() == 0:
+        if node.gateway is not None and node.gateway.store.readers.rank() == 0:
             site.kill_node(node)
 
 
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -4,7 +4,11 @@
 
 import random
 
-from tinrudder.gateway.decisions.admission.shared_service import has_room, judge, two_of
+from tinrudder.gateway.decisions.admission.shared_service import (
+    decide_admission,
+    draw_candidates,
+    has_room,
+)
 from tinrudder.gateway.decisions.placement.backend_observations import (
     BackendObservations,
 )
@@ -19,13 +23,15 @@
     backends = [BackendObservations(slots=SLOTS) for _ in range(4)]
     for known, calls in zip(backends, waiting, strict=False):
         known.reported(SLOTS, calls, SLOTS, NOW, age_s=age_s)
-        known.worked(0.25)
+        known.record_service_time(0.25)
     return backends
 
 
 def share(backends: list[BackendObservations], left_s: float = 0.9, *, late: bool = False) -> float:
-    judgement = judge(backends, NOW, 0.25, left_s, priority_steps=0, returning=late, late=late)
-    return judgement.share
+    admitted = decide_admission(
+        backends, NOW, 0.25, left_s, priority_steps=0, returning=late, late=late
+    )
+    return admitted.share
 
 
 def test_the_admitted_share_follows_from_the_reports_of_all_back_ends() -> None:
@@ -66,9 +72,9 @@
     backends = service()
     for known in backends:
         known.reported(SLOTS - 1, 0, SLOTS, NOW)
-    assert two_of(backends, lambda one: one, NOW, random.Random(1)) is backends
+    assert draw_candidates(backends, lambda one: one, NOW, random.Random(1)) is backends
     busy = service(9, 0, 0, 0)
-    drawn = [two_of(busy, lambda one: one, NOW, random.Random(seed)) for seed in range(30)]
+    drawn = [draw_candidates(busy, lambda one: one, NOW, random.Random(seed)) for seed in range(30)]
     assert all(len(set(map(id, two))) == 2 for two in drawn)
 
 
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -15,7 +15,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.common.crash_limit import ENOUGH_CRASHES
-from tinrudder.gateway.decisions.admission.poison_requests import MOST_REQUESTS, Standing
+from tinrudder.gateway.decisions.admission.poison_requests import MAX_REQUESTS, Standing
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import (
@@ -101,7 +101,7 @@
         for own in addresses:
             peers = PeerList(own, random.Random(own.port), 0.0)
             for other in addresses:
-                peers.heard_from(Member(other), self.now)
+                peers.record_message(Member(other), self.now)
             self.watches[own] = PoisonWatch(
                 peers,
                 self._socket(own),
@@ -136,7 +136,7 @@
     def barred_share(self) -> float:
         """Return the share of the gateways that bar the request."""
         barred = [
-            watch.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
+            watch.assess(FINGERPRINT, ORIGIN).standing is Standing.BARRED
             for watch in self.watches.values()
         ]
         return sum(barred) / len(barred)
@@ -208,7 +208,7 @@
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-2", trial=False)
         first.note_answer(FINGERPRINT)
         network.deliver()
-        return second.judge(FINGERPRINT, ORIGIN).standing
+        return second.assess(FINGERPRINT, ORIGIN).standing
 
     assert run_in_virtual_time(play()) is Standing.FREE
 
@@ -219,10 +219,10 @@
         first, second, _ = network.watches.values()
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-1", trial=False)
         first.note_crash(FINGERPRINT, ORIGIN, "back-end-2", trial=False)
-        first.note_survivor(FINGERPRINT, "back-end-1")
+        first.withdraw_crash(FINGERPRINT, "back-end-1")
         await asyncio.sleep(2 * BATCH_DELAY_S)
         network.deliver()
-        return second.judge(FINGERPRINT, ORIGIN).standing
+        return second.assess(FINGERPRINT, ORIGIN).standing
 
     assert run_in_virtual_time(play()) is Standing.SUSPECT
 
@@ -242,7 +242,7 @@
 def test_requests_for_all_evidence_do_not_delay_new_changes() -> None:
     network = Network(3)
     first, second, _ = network.watches.values()
-    for number in range(MOST_REQUESTS):
+    for number in range(MAX_REQUESTS):
         fingerprint = number.to_bytes(FINGERPRINT_BYTES, "little")
         first.requests.note_crash(fingerprint, ORIGIN, number, 99.0, trial=False)
     for _ in range(2):
@@ -250,4 +250,4 @@
     assert network.sent.total() <= BURST_DATAGRAMS
     bar_request(first)
     network.deliver()
-    assert second.judge(FINGERPRINT, ORIGIN).standing is Standing.BARRED
+    assert second.assess(FINGERPRINT, ORIGIN).standing is Standing.BARRED
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -67,7 +67,7 @@
     arrivals: int = 0
     keeps_connection: bool = False
 
-    def has_connection_from_before(self, _moment: float) -> bool:
+    def has_connection_older_than(self, _moment: float) -> bool:
         return self.keeps_connection
 
     def start(self, call: UpstreamCall) -> None:
@@ -97,13 +97,13 @@
             self.replicas.append(Backend(entry, FakePool(connected[index])))  # type: ignore[arg-type]
 
     def usable(self, _: str) -> list[Backend]:
-        return [one for one in self.replicas if not one.readdressed]
+        return [one for one in self.replicas if not one.address_reused]
 
-    def may_receive(self, backend: Backend) -> bool:
-        return not backend.readdressed
+    def may_send_to(self, backend: Backend) -> bool:
+        return not backend.address_reused
 
     def note_call(self, backend: Backend) -> None:
-        assert self.may_receive(backend)
+        assert self.may_send_to(backend)
 
     def reason_for_none(self, _: str) -> str:
         return "none is left"
@@ -117,22 +117,26 @@
         self.requests = PoisonRequests()
 
     @property
-    def is_calm(self) -> bool:
+    def has_no_evidence(self) -> bool:
         return not len(self.requests)
 
-    def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
-        return self.requests.judge(fingerprint, origin, self.loop.now)
+    def assess(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
+        return self.requests.assess(fingerprint, origin, self.loop.now)
 
-    def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
-        number = crc32(life.encode())
+    def note_crash(
+        self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
+    ) -> None:
+        number = crc32(incarnation_id.encode())
         self.requests.note_crash(fingerprint, origin, number, self.loop.now, trial=trial)
 
-    def note_survivor(self, fingerprint: bytes, life: str) -> None:
-        self.requests.note_survivor(fingerprint, crc32(life.encode()))
+    def withdraw_crash(self, fingerprint: bytes, incarnation_id: str) -> None:
+        self.requests.withdraw_crash(fingerprint, crc32(incarnation_id.encode()))
 
-    def note_alive(self, life: str, sent_at: float) -> None:
-        for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at):
-            self.note_survivor(fingerprint, life)
+    def note_alive(self, incarnation_id: str, sent_at: float) -> None:
+        for fingerprint in self.requests.requests_cleared_by(
+            crc32(incarnation_id.encode()), sent_at
+        ):
+            self.withdraw_crash(fingerprint, incarnation_id)
 
     def note_answer(self, fingerprint: bytes) -> None:
         self.requests.note_answer(fingerprint, self.loop.now)
@@ -170,7 +174,7 @@
             zone="zone",
             directory=self.directory,  # type: ignore[arg-type]
             bounds=RepeatBounds(1.0, 1000.0, 10.0),
-            sharers=lambda service: 1.0,
+            budget_parts=lambda service: 1.0,
             started_at=0.0,
             evidence=LocalEvidence(self.loop),
         )
--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -17,20 +17,20 @@
 from tinrudder.gateway.backends.answer_check import AnswerCheck
 from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.backends.cold_start_limits import ColdStartLimits
-from tinrudder.gateway.backends.upstream_connection import never_stood_still
+from tinrudder.gateway.backends.upstream_connection import never_paused
 from tinrudder.gateway.backends.upstream_pool import UpstreamPool
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.decisions.admission.memory_bound import body_bytes_on_the_way
+from tinrudder.gateway.decisions.admission.memory_bound import max_body_bytes_in_flight
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
-from tinrudder.gateway.decisions.placement.coordinator_choice import CONNECTION_SAFETY
+from tinrudder.gateway.decisions.placement.coordinator_choice import DIVIDED_CONNECTION_SHARE
 from tinrudder.gateway.model.configuration import (
     BackendEntry,
     ClientLimits,
     ColdBounds,
     HeaderNames,
 )
-from tinrudder.gateway.store.backend_entries import EntryStanding, KnownBackend
+from tinrudder.gateway.store.backend_entries import EntryStatus, KnownBackend
 from tinrudder.gateway.store.shared_state import SharedState
 
 MIN_REPLICAS = 2
@@ -65,12 +65,12 @@
 
     :param count_opened: called for each connection opened.
     :param memory: counts bytes held for back ends; ``None`` if nothing reads that count.
-    :param stood_still: tells whether this process has been paused since a given time.
+    :param was_paused: tells whether this process has been paused since a given time.
     """
 
     count_opened: Callable[[], None]
     memory: HeldBytes | None = None
-    stood_still: Callable[[float], bool] = never_stood_still
+    was_paused: Callable[[float], bool] = never_paused
 
 
 class BackendDirectory:
@@ -104,7 +104,7 @@
         self._own_name = settings.own_name
         self._cold_starts = ColdStartLimits(state, settings.own_name, callers, settings.cold)
         self._backends: dict[str, Backend] = {}
-        self._services: dict[str, list[Backend]] = {}
+        self._backends_by_service: dict[str, list[Backend]] = {}
         self._connection_limits: dict[str, float] = {}
         state.subscribe(self.refresh)
 
@@ -128,7 +128,7 @@
             self._apply_entry(backend, known)
             backend.leaving_since = known.since if known.leaving else None
             backend.lapsed = not known.in_force and not known.entry.leaving
-            backend.unreadable = known.standing is EntryStanding.UNREADABLE
+            backend.unreadable = known.standing is EntryStatus.UNREADABLE
             self._set_evacuated(backend, known.entry.zone in evacuated)
         for key in removed_keys:
             self._remove(key)
@@ -146,7 +146,7 @@
         calls.
         """
         now = self._clock()
-        known = self._services.get(service, [])
+        known = self._backends_by_service.get(service, [])
         backends = [
             one
             for one in known
@@ -155,15 +155,15 @@
         not_leaving = [
             backend
             for backend in backends
-            if backend.leaving_since is None and not backend.readdressed
+            if backend.leaving_since is None and not backend.address_reused
         ]
         if not_leaving:
             return self._own_replicas(service, not_leaving)
-        return [backend for backend in backends if self.may_receive(backend)]
+        return [backend for backend in backends if self.may_send_to(backend)]
 
     def reason_for_none(self, service: str) -> str:
         """Explain why no back end of a service may get new work, for logs and callers."""
-        backends = self._services.get(service, [])
+        backends = self._backends_by_service.get(service, [])
         if any(backend.evacuated for backend in backends):
             return "every back end left is in an evacuated zone"
         if any(self._is_zone_closed(backend.entry.zone) for backend in backends):
@@ -175,24 +175,26 @@
             return "every back end left is cold and has had this gateway's part of calls"
         return "every back end is leaving" if backends else "no back end is known"
 
-    def reachable(self, service: str) -> bool:
+    def has_callable_backend(self, service: str) -> bool:
         """Whether this gateway may call any back end of a service, ignoring cold-start limits."""
-        return any(self._is_callable(backend) for backend in self._services.get(service, ()))
+        return any(
+            self._is_callable(backend) for backend in self._backends_by_service.get(service, ())
+        )
 
     def _is_callable(self, backend: Backend) -> bool:
         """Whether calls to a back end are allowed and its zone is within reach."""
         forbidden = backend.evacuated or backend.unreadable
         return not forbidden and not self._is_zone_closed(backend.entry.zone)
 
-    def staying(self, service: str) -> list[Backend]:
+    def active_backends(self, service: str) -> list[Backend]:
         """Return the back ends of a service that are neither leaving nor evacuated."""
         return [backend for backend in self._not_leaving(service) if not backend.evacuated]
 
     def replica_zones(self, service: str) -> tuple[str, ...]:
         """Return the zone of each back end of a service that is neither leaving nor evacuated."""
-        return tuple(backend.entry.zone for backend in self.staying(service))
+        return tuple(backend.entry.zone for backend in self.active_backends(service))
 
-    def fits_attempts(self, service: str, attempts: int) -> bool:
+    def attempts_cover_all_replicas(self, service: str, attempts: int) -> bool:
         """Whether two gateways may call the back ends of a service for the same request.
 
         Neither gateway knows which back ends the other calls, so the service may have no more back
@@ -203,7 +205,7 @@
 
     def _not_leaving(self, service: str) -> list[Backend]:
         """Return the back ends of a service that are not leaving."""
-        backends = self._services.get(service, [])
+        backends = self._backends_by_service.get(service, [])
         return [backend for backend in backends if backend.leaving_since is None]
 
     def _own_replicas(self, service: str, not_leaving: list[Backend]) -> list[Backend]:
@@ -228,12 +230,14 @@
         spec = accepted.configuration.services.get(service) if accepted is not None else None
         if spec is None:
             return 1.0
-        return spec.max_connections * CONNECTION_SAFETY / max(1, self._callers(service).count)
+        return (
+            spec.max_connections * DIVIDED_CONNECTION_SHARE / max(1, self._callers(service).count)
+        )
 
-    def may_receive(self, backend: Backend) -> bool:
+    def may_send_to(self, backend: Backend) -> bool:
         """Whether a call may still be sent to a back end that was selected earlier."""
         now = self._clock()
-        if backend.ended or backend.unreadable or backend.readdressed or backend.evacuated:
+        if backend.ended or backend.unreadable or backend.address_reused or backend.evacuated:
             return False
         if not self._cold_starts.allows_call(backend, now):
             return False
@@ -255,16 +259,16 @@
     def _apply_entry(self, backend: Backend, known: KnownBackend) -> None:
         """Apply a back end's entry; any new entry may declare the back end cold again."""
         backend.entry = known.entry
-        if known.said_at != backend.entry_said_at and known.in_force:
-            backend.entry_said_at = known.said_at
-            backend.observations.cold_until = known.said_at + known.entry.cold_left_s
+        if known.write_observed_at != backend.entry_write_observed_at and known.in_force:
+            backend.entry_write_observed_at = known.write_observed_at
+            backend.observations.cold_until = known.write_observed_at + known.entry.cold_left_s
 
     def _backend_for(self, key: str, known: KnownBackend) -> Backend | None:
         """Return the back end for an entry, created if its instance is new; ``None`` for a new
         instance whose entry is not in force.
         """
         backend = self._backends.get(key)
-        if backend is not None and backend.entry.is_same_start(known.entry):
+        if backend is not None and backend.entry.is_same_process(known.entry):
             return backend
         if backend is not None:
             self._remove(key)
@@ -275,12 +279,12 @@
         address = Address(entry.host, entry.port)
         hooks = self._connection_hooks
         pool = UpstreamPool(
-            address, self._answer_check.check, hooks.count_opened, hooks.memory, hooks.stood_still
+            address, self._answer_check.check, hooks.count_opened, hooks.memory, hooks.was_paused
         )
         observations = BackendObservations(slots=entry.slots)
         backend = Backend(entry, pool, observations)
         self._backends[key] = backend
-        self._services.setdefault(entry.service, []).append(backend)
+        self._backends_by_service.setdefault(entry.service, []).append(backend)
         return backend
 
     def _set_evacuated(self, backend: Backend, evacuated: bool) -> None:
@@ -293,10 +297,10 @@
         """Remove a back end; its calls in progress run to their end, and may have been executed."""
         backend = self._backends.pop(key)
         backend.ended = True
-        of_service = self._services[backend.entry.service]
+        of_service = self._backends_by_service[backend.entry.service]
         of_service.remove(backend)
         if not of_service:
-            del self._services[backend.entry.service]
+            del self._backends_by_service[backend.entry.service]
         backend.pool.close()
 
     def _set_connection_limits(self) -> None:
@@ -306,13 +310,13 @@
         accepted = self._state.accepted
         limits = accepted.configuration.limits if accepted is not None else ClientLimits()
         self._connection_limits = {
-            service: self._connection_share(service) for service in self._services
+            service: self._connection_share(service) for service in self._backends_by_service
         }
-        for service, backends in self._services.items():
+        for service, backends in self._backends_by_service.items():
             limit = max(1, int(self._connection_limits[service]))
             callers = self._callers(service).count
             for backend in backends:
                 backend.pool.max_connections = limit
-                backend.pool.max_body_bytes = body_bytes_on_the_way(
+                backend.pool.max_body_bytes = max_body_bytes_in_flight(
                     backend.observations.slots, callers, limits.max_body_bytes
                 )
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -16,7 +16,7 @@
 from tinrudder.gateway.backends.upstream_connection import (
     AnswerCheck,
     UpstreamConnection,
-    never_stood_still,
+    never_paused,
 )
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
@@ -24,7 +24,7 @@
 CONNECT_TIMEOUT_S = 0.4
 """Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
 which TCP retransmits a lost SYN."""
-TRUSTED_S = 0.15
+MAX_UNREPEATABLE_IDLE_S = 0.15
 """Longest time since a connection received bytes for it to carry a call that must not be repeated,
 seconds. Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives
 no sign of it: such a call would be lost with its connection, whereas a new connection costs a few
@@ -40,7 +40,7 @@
         check: AnswerCheck,
         on_opened: Callable[[], None],
         memory: HeldBytes | None = None,
-        was_paused: Callable[[float], bool] = never_stood_still,
+        was_paused: Callable[[float], bool] = never_paused,
     ) -> None:
         """Create an empty pool; ``on_opened`` is called for each connection opened.
 
@@ -69,7 +69,7 @@
         """The number of connections, including those being opened."""
         return len(self._open) + len(self._connect_tasks)
 
-    def has_connection_from_before(self, moment: float) -> bool:
+    def has_connection_older_than(self, moment: float) -> bool:
         """Whether a connection is open that was opened before ``moment``."""
         return any(
             connection.is_open and connection.opened_at < moment for connection in self._open
@@ -99,7 +99,7 @@
     def cancel(self, call: UpstreamCall) -> None:
         """Cancel a call: dequeue it, or close its connection if it was sent."""
         carrier = call.carrier
-        call.forget()
+        call.detach()
         if isinstance(carrier, UpstreamConnection):
             carrier.abort()
         self._release_body_bytes(call)
@@ -165,13 +165,14 @@
         return None
 
     def _take_recently_active(self) -> UpstreamConnection | None:
-        """Return an idle connection that received bytes within :data:`TRUSTED_S`; else make room
-        for a new one.
+        """Return an idle connection that received bytes within :data:`MAX_UNREPEATABLE_IDLE_S`.
+
+        If there is none, make room for a new one.
         """
         connection = self._take_idle()
         if connection is None:
             return None
-        if self._loop.time() - connection.last_received_at <= TRUSTED_S:
+        if self._loop.time() - connection.last_received_at <= MAX_UNREPEATABLE_IDLE_S:
             return connection
         if self.connections < self.max_connections:
             self._idle.append(connection)
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -65,8 +65,8 @@
     """The path to one zone.
 
     :param since: when it entered its state.
-    :param doubted_at: when it last became suspect.
-    :param by_hearsay: it is suspect only because other gateways reported doubts.
+    :param suspected_at: when it last became suspect.
+    :param reported_by_peer: it is suspect only because other gateways reported doubts.
     :param heard_at: when any message last came from the zone, requested or not.
     :param answered_at: when the zone last answered something that was sent there.
     :param rounds: rounds of probes sent since it entered its state.
@@ -76,8 +76,8 @@
 
     state: PathState = PathState.OPEN
     since: float = 0.0
-    doubted_at: float = float("-inf")
-    by_hearsay: bool = False
+    suspected_at: float = float("-inf")
+    reported_by_peer: bool = False
     heard_at: float = float("-inf")
     answered_at: float = float("-inf")
     rounds: int = 0
@@ -110,22 +110,22 @@
         return tuple(zone for zone, path in self.paths.items() if path.state in UNREACHABLE_STATES)
 
     @property
-    def doubtful(self) -> tuple[str, ...]:
+    def not_open(self) -> tuple[str, ...]:
         """Return the zones whose path is not open."""
         return tuple(zone for zone, path in self.paths.items() if path.state is not PathState.OPEN)
 
     @property
-    def told_doubts(self) -> tuple[str, ...]:
-        """Return the doubtful zones to report to peers: those that this gateway itself doubts.
+    def own_suspicions(self) -> tuple[str, ...]:
+        """Return the suspect zones to report to peers: those that this gateway itself suspects.
 
         Doubts received from peers are not forwarded: they would keep each other alive wherever an
         answer takes longer than the interval between two digests.  Six forwarded doubts in a
         simulated fleet of 113 gateways whose datagrams took 0.1 to 0.3 s still made each gateway
         send 11 probes a second 8 s later.
         """
-        return tuple(zone for zone in self.doubtful if not self.paths[zone].by_hearsay)
+        return tuple(zone for zone in self.not_open if not self.paths[zone].reported_by_peer)
 
-    def heard(self, zone: str, now: float) -> None:
+    def record_message(self, zone: str, now: float) -> None:
         """Record a message from a zone; it does not show that the zone receives messages."""
         self.path(zone).heard_at = now
 
@@ -140,7 +140,9 @@
             self._set_state(path, PathState.OPEN, now)
         return was_unreachable
 
-    def doubt(self, zone: str, sent_at: float, now: float, *, by_hearsay: bool = False) -> bool:
+    def note_unanswered(
+        self, zone: str, sent_at: float, now: float, *, reported_by_peer: bool = False
+    ) -> bool:
         """Record that a call or message has no answer yet; return whether the state changed.
 
         An open path becomes suspect and a trial ends, unless the zone has answered anything since.
@@ -148,21 +150,21 @@
         each digest.
 
         :param sent_at: when the unanswered call or message was sent.
-        :param by_hearsay: the doubt was reported by another gateway.
+        :param reported_by_peer: the doubt was reported by another gateway.
         """
         path = self.path(zone)
         if path.answered_at >= sent_at:
             return False
-        if path.state is PathState.TRIAL and not by_hearsay:
+        if path.state is PathState.TRIAL and not reported_by_peer:
             self._close(path, now)
         elif path.state is PathState.OPEN:
-            self._suspect(path, now, by_hearsay=by_hearsay)
+            self._suspect(path, now, reported_by_peer=reported_by_peer)
         else:
-            path.by_hearsay &= by_hearsay
+            path.reported_by_peer &= reported_by_peer
             return False
         return True
 
-    def doubt_silent(self, others: tuple[str, ...], now: float) -> bool:
+    def suspect_silent_zones(self, others: tuple[str, ...], now: float) -> bool:
         """Make all open paths suspect if no zone sent anything; return whether any changed."""
         paths = [self.path(zone) for zone in others]
         if not paths or max(path.heard_at for path in paths) > now - SILENCE_TIMEOUT_S:
@@ -170,11 +172,11 @@
         changed = False
         for path in paths:
             if path.state is PathState.OPEN:
-                self._suspect(path, now, by_hearsay=False)
+                self._suspect(path, now, reported_by_peer=False)
                 changed = True
         return changed
 
-    def note_round(self, zone: str) -> None:
+    def count_probe_round(self, zone: str) -> None:
         """Count a round of probes to gateways of a zone."""
         self.path(zone).rounds += 1
 
@@ -194,14 +196,14 @@
             return True
         return False
 
-    def _suspect(self, path: ZonePath, now: float, *, by_hearsay: bool) -> None:
+    def _suspect(self, path: ZonePath, now: float, *, reported_by_peer: bool) -> None:
         self._set_state(path, PathState.SUSPECT, now)
-        path.doubted_at = now
-        path.by_hearsay = by_hearsay
+        path.suspected_at = now
+        path.reported_by_peer = reported_by_peer
 
     def _close(self, path: ZonePath, now: float) -> None:
         self._set_state(path, PathState.CLOSED, now)
-        path.by_hearsay = False
+        path.reported_by_peer = False
         path.trial_at = now + path.closed_s
         path.closed_s = min(MAX_CLOSED_S, path.closed_s * 2)
 
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -5,7 +5,7 @@
 two from the reports that are repeated.
 
 Owns this gateway's evidence and the send budgets of its reports; relies on the rule for poison
-requests to judge, and on the calls to report lost back ends.
+requests to assess, and on the calls to report lost back ends.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
 from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.decisions.admission.crash_evidence import (
-    MOST_CRASHES_OF_A_KIND,
+    MAX_CRASHES_PER_KIND,
     NEVER,
     Crash,
     Evidence,
@@ -111,7 +111,7 @@
         datagrams.handle(PoisonReport, self._on_report)
 
     @property
-    def is_calm(self) -> bool:
+    def has_no_evidence(self) -> bool:
         """Return whether there is no evidence, so that no request needs to be judged."""
         return self.requests.is_empty
 
@@ -123,39 +123,41 @@
         """Return the number of routes and callers whose requests all start as canaries now."""
         return self.requests.alerts(self._clock())
 
-    def judge(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
+    def assess(self, fingerprint: bytes, origin: bytes) -> RequestStanding:
         """Return whether a request may run now, and under which restrictions."""
-        return self.requests.judge(fingerprint, origin, self._clock())
+        return self.requests.assess(fingerprint, origin, self._clock())
 
     def refusal(self, route: Route, request: HttpRequest) -> NotRun | None:
         """Return the refusal of a barred request; ``None`` if the request may run.
 
         The client may retry once the next trial is allowed; until then no gateway runs the request.
         """
-        if self.is_calm:
+        if self.has_no_evidence:
             return None
         fingerprint = fingerprint_of(request, self._names)
-        judgement = self.judge(fingerprint, origin_of(route.name, request, self._names))
-        if judgement.standing is not Standing.BARRED:
+        assessment = self.assess(fingerprint, origin_of(route.name, request, self._names))
+        if assessment.standing is not Standing.BARRED:
             return None
         self.refused += 1
         detail = f"poison: back ends crashed under this request ({fingerprint.hex()})"
-        return NotRun(detail, judgement.barred_s)
+        return NotRun(detail, assessment.barred_s)
 
-    def note_crash(self, fingerprint: bytes, origin: bytes, life: str, *, trial: bool) -> None:
+    def note_crash(
+        self, fingerprint: bytes, origin: bytes, incarnation_id: str, *, trial: bool
+    ) -> None:
         """Record a back end that was lost while it ran a request.
 
-        :param life: identifies the instance of the back end by its start.
+        :param incarnation_id: identifies the instance of the back end by its start.
         """
         now = self._clock()
-        backend = crc32(life.encode())
+        backend = crc32(incarnation_id.encode())
         if self.requests.find(fingerprint) is None:
             self._unreported.add(fingerprint)
         evidence = self.requests.note_crash(fingerprint, origin, backend, now, trial=trial)
         if evidence.barred_until > now:
             fields: dict[str, LogValue] = {
                 "fingerprint": fingerprint.hex(),
-                "backend": life,
+                "backend": incarnation_id,
                 "crashes": len(evidence.held),
                 "failed_trials": evidence.failed_trials,
                 "barred_s": round(evidence.barred_until - now, 3),
@@ -175,21 +177,25 @@
         log_event("request_cleared", {"fingerprint": fingerprint.hex()})
         self._report_dropped(fingerprint)
 
-    def note_survivor(self, fingerprint: bytes, life: str) -> None:
+    def withdraw_crash(self, fingerprint: bytes, incarnation_id: str) -> None:
         """Drop a crash from the evidence against a request: the back end did not crash."""
-        if not self.requests.note_survivor(fingerprint, crc32(life.encode())):
+        if not self.requests.withdraw_crash(fingerprint, crc32(incarnation_id.encode())):
             return
-        log_event("back_end_survived", {"fingerprint": fingerprint.hex(), "backend": life})
+        log_event(
+            "back_end_survived", {"fingerprint": fingerprint.hex(), "backend": incarnation_id}
+        )
         self._report_dropped(fingerprint)
 
-    def note_alive(self, life: str, sent_at: float) -> None:
+    def note_alive(self, incarnation_id: str, sent_at: float) -> None:
         """Drop a back end's crash from the requests for which its answer disproves the crash.
 
         :param sent_at: when the call was sent that the back end has answered.
         """
         known_at = self._starts_known_at()
-        for fingerprint in self.requests.lost_under(crc32(life.encode()), sent_at, known_at):
-            self.note_survivor(fingerprint, life)
+        for fingerprint in self.requests.requests_cleared_by(
+            crc32(incarnation_id.encode()), sent_at, known_at
+        ):
+            self.withdraw_crash(fingerprint, incarnation_id)
 
     def _report_dropped(self, fingerprint: bytes) -> None:
         """Report dropped evidence to peers, unless the request was never reported to them."""
@@ -259,9 +265,9 @@
         changes, self._pending = self._pending, set()
         forwarded, self._to_forward = self._to_forward - changes, set()
         now = self._clock()
-        self._send(changes, self._peers.everybody(now, DIRECT_RECEIVERS), self._budget)
+        self._send(changes, self._peers.sample_counted(now, DIRECT_RECEIVERS), self._budget)
         if forwarded:
-            self._send(forwarded, self._peers.everybody(now, FORWARD_RECEIVERS), self._budget)
+            self._send(forwarded, self._peers.sample_counted(now, FORWARD_RECEIVERS), self._budget)
 
     def _send(
         self, fingerprints: Iterable[bytes], peers: list[Address], budget: SendBudget
@@ -290,16 +296,16 @@
             self._send_changes()
 
     def _merge_reported(self, reported: ReportedEvidence) -> None:
-        """Merge a peer's evidence about a request; forward it if it changes the judgement here."""
+        """Merge a peer's evidence about a request; forward it if it changes the assessment here."""
         now = self._clock()
         evidence = _evidence_of(reported, now)
-        if not self.requests.is_worth_taking(reported.fingerprint, evidence, now):
+        if not self.requests.should_accept(reported.fingerprint, evidence, now):
             return
         self._unreported.discard(reported.fingerprint)
-        before = self.requests.judge(reported.fingerprint, reported.origin, now)
+        before = self.requests.assess(reported.fingerprint, reported.origin, now)
         self.requests.merge(reported.fingerprint, evidence)
-        after = self.requests.judge(reported.fingerprint, reported.origin, now)
-        if after.standing is not before.standing and self._peers.heard_of_in_all > DIRECT_RECEIVERS:
+        after = self.requests.assess(reported.fingerprint, reported.origin, now)
+        if after.standing is not before.standing and self._peers.known_count > DIRECT_RECEIVERS:
             self._to_forward.add(reported.fingerprint)
 
     def _send_all(self, peer: Address) -> None:
@@ -337,7 +343,7 @@
 
 def _evidence_of(reported: ReportedEvidence, now: float) -> Evidence:
     """Return reported evidence with ages converted to times of the local clock."""
-    crashes = reported.crashes[: 2 * MOST_CRASHES_OF_A_KIND]
+    crashes = reported.crashes[: 2 * MAX_CRASHES_PER_KIND]
     return Evidence(
         reported.origin,
         tuple(Crash(one.backend, now - one.age_s, one.trial, one.survived) for one in crashes),
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -14,7 +14,7 @@
 from tinrudder.gateway.decisions.admission.token_buckets import (
     QuotaLimit,
     TokenBuckets,
-    part_of_rate,
+    grantable_share,
 )
 from tinrudder.gateway.model.configuration import QuotaBounds, Tenant
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
@@ -62,21 +62,21 @@
         self._broadcast_at: dict[str, float] = {}
         datagrams.handle(QuotaReport, self._on_report)
 
-    def judge(self, report: QuotaReport) -> QuotaVerdict:
+    def answer_report(self, report: QuotaReport) -> QuotaVerdict:
         """Answer a report as the owner of the tenant's bucket."""
-        share = part_of_rate(self._zone_monitor.heard_share, self._bounds.excess)
+        share = grantable_share(self._zone_monitor.heard_share, self._bounds.excess)
         verdict = self._grant(self.buckets, report, share)
         if verdict.pressed_s > 0.0:
             self._broadcast_pressed(verdict)
         return verdict
 
-    def judge_isolated(self, report: QuotaReport) -> QuotaVerdict:
+    def answer_report_isolated(self, report: QuotaReport) -> QuotaVerdict:
         """Answer this gateway's own report while no owner answers.
 
         Other gateways may do the same, so each grants only its share of the rate.
         """
         nodes = self._peers.nodes(self._loop.time())
-        share = part_of_rate(min(1.0 / nodes, MAX_ISOLATED_SHARE), self._bounds.excess)
+        share = grantable_share(min(1.0 / nodes, MAX_ISOLATED_SHARE), self._bounds.excess)
         return self._grant(self._isolated_buckets, report, share)
 
     def forget_unused(self, tenants: frozenset[str]) -> None:
@@ -85,12 +85,12 @@
             name: at for name, at in self._broadcast_at.items() if name in tenants
         }
         now = self._loop.time()
-        self.buckets.forget_idle(now)
-        self._isolated_buckets.forget_idle(now)
+        self.buckets.evict_idle(now)
+        self._isolated_buckets.evict_idle(now)
 
     def _on_report(self, report: QuotaReport, entry: Address) -> None:
         """Send the verdict on a report to its entry gateway."""
-        self._datagrams.send(self.judge(report), entry)
+        self._datagrams.send(self.answer_report(report), entry)
 
     def _grant(self, buckets: TokenBuckets, report: QuotaReport, share: float) -> QuotaVerdict:
         """Take tokens from a tenant's bucket; a tenant without a limit is always granted."""
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
 from tinrudder.gateway.model.configuration import QuotaBounds, Tenant
 from tinrudder.gateway.model.outcomes import NotRun, OverQuota
-from tinrudder.gateway.peers.correlation_ids import first_number
+from tinrudder.gateway.peers.correlation_ids import first_correlation_id
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import QuotaReport, QuotaVerdict
@@ -119,7 +119,7 @@
         self._find_tenant = find_tenant
         self._loop = asyncio.get_running_loop()
         self._owner_choice = BucketOwnerChoice(own, peers, zone_monitor, self._loop.time)
-        self._last_number = first_number()
+        self._last_number = first_correlation_id()
         self._pressed_until: dict[str, float] = {}
         self._reported_tokens: dict[str, _ReportedTokens] = {}
         self._pending: dict[int, _Pending] = {}
@@ -151,7 +151,7 @@
         unacknowledged = self._unreported[tenant.name] + self._unacknowledged[tenant.name]
         return unacknowledged >= max(UNACKNOWLEDGED_REQUESTS, tenant.rate_per_s * UNACKNOWLEDGED_S)
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund_token(self, tenant: Tenant) -> None:
         """Return the token of an admitted request that has not run and never will."""
         if tenant.rate_per_s > 0.0:
             self._add_to_report(tenant.name, -1)
@@ -236,7 +236,7 @@
         pending = self._pending.pop(number)
         now = self._loop.time()
         self._owner_choice.note_failure(pending.owner)
-        self._zone_monitor.doubt_way_to(pending.owner, pending.sent_at)
+        self._zone_monitor.note_unanswered_by(pending.owner, pending.sent_at)
         fields: dict[str, LogValue] = {
             "tenant": pending.tenant.name,
             "home": str(pending.owner),
@@ -253,9 +253,9 @@
         self._note_acknowledged(pending)
         report = self._make_report(pending, LOCAL_REPORT_NUMBER)
         verdict = (
-            self.bucket_owner.judge_isolated(report)
+            self.bucket_owner.answer_report_isolated(report)
             if isolated
-            else self.bucket_owner.judge(report)
+            else self.bucket_owner.answer_report(report)
         )
         self._apply_verdict(verdict)
         if pending.decide is None:
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -17,7 +17,7 @@
 from tinrudder.gateway.observability.request_log import FinishedRequest, RequestObserver
 from tinrudder.gateway.requests.client_request import ClientRequest
 from tinrudder.gateway.requests.refusals import (
-    Judges,
+    RequestChecks,
     check_quota,
     refusal_at_start,
     refusal_on_arrival,
@@ -29,7 +29,9 @@
 class RequestHandler:
     """Serves clients' requests by the configuration in force."""
 
-    def __init__(self, checks: Judges, planner: RunPlanner, observer: RequestObserver) -> None:
+    def __init__(
+        self, checks: RequestChecks, planner: RunPlanner, observer: RequestObserver
+    ) -> None:
         """Report every finished request to ``observer``.
 
         :param checks: the components that decide whether a request may run.
@@ -48,7 +50,7 @@
     @property
     def closing(self) -> bool:
         """Tell whether clients should use other gateways: on a planned stop or in a partition."""
-        return self._stopping or self._checks.reachability.is_cut_off
+        return self._stopping or self._checks.reachability.is_partitioned
 
     def stop(self) -> None:
         """From now on, tell clients with their next answer to use another gateway."""
@@ -87,7 +89,7 @@
             request.granted = True
             # The client may disconnect while another gateway checks the quota: nothing runs then.
             if request.abandoned:
-                request.give_back()
+                request.refund_token()
             else:
                 self._start(request)
         elif not request.abandoned:
@@ -111,9 +113,9 @@
         request.run = run
         run.start()
 
-    def give_back(self, tenant: Tenant) -> None:
+    def refund_token(self, tenant: Tenant) -> None:
         """Return a granted request that has not run to its tenant's quota."""
-        self._checks.quotas.give_back(tenant)
+        self._checks.quotas.refund_token(tenant)
 
     def finished(self, request: FinishedRequest) -> None:
         """Report the end of one request to the observer."""
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -20,14 +20,14 @@
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
     has_room,
-    work_s_of,
+    mean_work_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
     MINIMUM_OBSERVATIONS,
-    usual_latency_s,
+    typical_latency_s,
 )
-from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeMoments
+from tinrudder.gateway.decisions.attempts.hedge_gain import HedgeAges
 from tinrudder.gateway.decisions.placement.backend_observations import BackendObservations
 from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes
 from tinrudder.gateway.model.configuration import HeaderNames, RepeatBounds, Route
@@ -85,7 +85,7 @@
 class LoadListener(Protocol):
     """Receives the load reports of back ends that many gateways call."""
 
-    def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Handle an answer or a shed call, after the back end's observations were updated.
 
         :param shed: the back end rejected the call because its queue was full.
@@ -96,14 +96,14 @@
 class NoLoadListener:
     """Ignores load reports, for a gateway without peers."""
 
-    def heard(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
         """Do nothing."""
 
 
 class CallContext(Struct):
     """Shared state and dependencies of all requests.
 
-    :param sharers: returns the number of equal parts into which the fleet's retry budget of a
+    :param budget_parts: returns the number of equal parts into which the fleet's retry budget of a
         service is divided.
     :param started_at: when the process started, by the loop's clock.
     :param evidence: crashes of back ends, by the request that they were running.
@@ -113,7 +113,8 @@
     :param load_listener: receives the load reports of back ends that many gateways call.
     :param memory: counts the buffered bytes, and refuses requests when they exceed the bound.
     :param zone_answered: called with the zone of each answer.
-    :param zone_doubted: called with the zone of an overdue call and the time at which it was sent.
+    :param zone_unanswered: called with the zone of an overdue call and the time at which it was
+        sent.
     :param latest_advantage: cached, as it is the same for all shards that a scatter calls at once.
     """
 
@@ -122,7 +123,7 @@
     zone: str
     directory: BackendDirectory
     bounds: RepeatBounds
-    sharers: Callable[[str], float]
+    budget_parts: Callable[[str], float]
     started_at: float
     load_reports: LoadReports
     evidence: CrashEvidence
@@ -132,11 +133,11 @@
     random: random.Random = field(default_factory=lambda: random.Random(0))
     memory: MemoryAccount = field(default_factory=MemoryAccount)
     zone_answered: Callable[[str], None] = lambda zone: None
-    zone_doubted: Callable[[str, float], None] = lambda zone, sent_at: None
+    zone_unanswered: Callable[[str, float], None] = lambda zone, sent_at: None
     _budgets: dict[str, FleetRetryBudget] = field(default_factory=dict)
     _latencies: dict[str, LatencyWindow] = field(default_factory=dict)
     _unloaded: dict[str, LatencyWindow] = field(default_factory=dict)
-    _hedges: dict[str, HedgeMoments] = field(default_factory=dict)
+    _hedges: dict[str, HedgeAges] = field(default_factory=dict)
     _sizes: dict[tuple[str, ...], ScatterSizes] = field(default_factory=dict)
     latest_advantage: ZoneAdvantage | None = None
 
@@ -157,13 +158,13 @@
             self._latencies[route.name] = window
         return window
 
-    def hedge_moments(self, route: Route) -> HedgeMoments:
+    def hedge_ages(self, route: Route) -> HedgeAges:
         """Return the statistics that give the ages at which calls of a route are hedged."""
-        moments = self._hedges.get(route.name)
-        if moments is None:
-            moments = HedgeMoments(self.latency(route))
-            self._hedges[route.name] = moments
-        return moments
+        ages = self._hedges.get(route.name)
+        if ages is None:
+            ages = HedgeAges(self.latency(route))
+            self._hedges[route.name] = ages
+        return ages
 
     def unloaded_latency(self, route: Route) -> LatencyWindow:
         """Return the latencies of a route's calls after which the back end reported no queue."""
@@ -224,7 +225,7 @@
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
             return unloaded.quantile(MEDIAN_QUANTILE)
-        return work_s_of(backends) or usual_latency_s(self.latency(route), route.objective_s)
+        return mean_work_s(backends) or typical_latency_s(self.latency(route), route.objective_s)
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
         """Return whether some back end of a service is expected to answer within ``left_s``."""
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -47,7 +47,7 @@
             _observe_answer(call_context, route, backend, running, answer, now)
         case Rejected(status=status, wrong_backend=wrong_backend, load=load):
             call_context.counters.rejections += 1
-            backend.readdressed |= wrong_backend
+            backend.address_reused |= wrong_backend
             observations.failed(running, now)
             if status in SHED_STATUSES and not route.shards:
                 _observe_shed(call_context, route, backend, load, now)
@@ -102,10 +102,10 @@
     if report.waiting == 0 and latency_s is not None:
         call_context.unloaded_latency(route).observe(latency_s)
         if not route.shards:
-            observations.worked(latency_s)
+            observations.record_service_time(latency_s)
     if not route.shards:
         work_s = call_context.unloaded_median_s(route)
-        call_context.load_listener.heard(backend, shed=False, work_s=work_s)
+        call_context.load_listener.on_load(backend, shed=False, work_s=work_s)
 
 
 def _observe_shed(
@@ -116,4 +116,4 @@
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
         work_s = call_context.unloaded_median_s(route)
-        call_context.load_listener.heard(backend, shed=True, work_s=work_s)
+        call_context.load_listener.on_load(backend, shed=True, work_s=work_s)
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -19,7 +19,7 @@
 
 from tinrudder.gateway.backends.backend import Backend
 from tinrudder.gateway.decisions.admission.memory_bound import large_body_bytes
-from tinrudder.gateway.decisions.attempts.hedge_delay import usual_latency_s
+from tinrudder.gateway.decisions.attempts.hedge_delay import typical_latency_s
 from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
@@ -43,7 +43,7 @@
     retry_backoff_s,
 )
 from tinrudder.gateway.runs.run_context import NEVER, Attempt, RunContext
-from tinrudder.gateway.runs.run_guard import POISON, Permission
+from tinrudder.gateway.runs.run_guard import POISON_REFUSAL, Permission
 from tinrudder.gateway.runs.shard_replicas import ShardReplicas
 
 DENIED_RETRY_DELAY_S = 0.02
@@ -76,13 +76,13 @@
         run: RunContext,
         on_change: Callable[[ShardCalls], None],
         *,
-        called_elsewhere: bool = False,
+        called_by_other_gateway: bool = False,
     ) -> None:
         """Prepare the calls of ``service``; :meth:`start` sends the first one.
 
         :param on_change: called whenever a call has ended, until the run ends.
-        :param called_elsewhere: whether another gateway has called the shard's back ends for this
-            request, so that every call from here is a repeat.
+        :param called_by_other_gateway: whether another gateway has called the shard's back ends
+            for this request, so that every call from here is a repeat.
         """
         self.service = service
         self.part: HttpAnswer | None = None
@@ -92,7 +92,7 @@
         self.sends = 0
         self._run = run
         self._on_change = on_change
-        self._called_elsewhere = called_elsewhere
+        self._called_by_other_gateway = called_by_other_gateway
         self._ended = False
         self._attempts: list[Attempt] = []
         self._tries = 0
@@ -125,7 +125,7 @@
 
     def start(self, now: float) -> None:
         """Send the first call."""
-        if not self._called_elsewhere:
+        if not self._called_by_other_gateway:
             self._budget.note_request(now)
         self._try_next(now)
 
@@ -149,7 +149,7 @@
     def stop_sending(self) -> None:
         """Stop sending, since the request crashes back ends; calls in progress go on."""
         self.next_at = NEVER
-        self.last_error = POISON
+        self.last_error = POISON_REFUSAL
 
     def withdraw_unsent(self) -> None:
         """Cancel the calls that wait for a connection, so that they are never sent."""
@@ -182,12 +182,12 @@
     @property
     def _next_is_repeat(self) -> bool:
         """Whether the next call sent would be a repeat, not the first of this request."""
-        return self._called_elsewhere or self.sends > 0
+        return self._called_by_other_gateway or self.sends > 0
 
     @property
     def repeats(self) -> int:
         """Number of hedges and retries sent."""
-        return self.sends if self._called_elsewhere else max(0, self.sends - 1)
+        return self.sends if self._called_by_other_gateway else max(0, self.sends - 1)
 
     def _try_next(self, now: float) -> None:
         """Send a call, or schedule the next check, or give up if nothing is left to try."""
@@ -215,7 +215,7 @@
         if self._is_blocked(now):
             return
         running = {attempt.backend.backend_id for attempt in self._attempts}
-        usual_s = usual_latency_s(self._latency, self._run.route.objective_s)
+        usual_s = typical_latency_s(self._latency, self._run.route.objective_s)
         candidates = self._replicas.for_hedge(running, usual_s, now)
         if candidates:
             self._call_best_of(candidates, now, hedge=True)
@@ -224,21 +224,21 @@
 
     def _call_best_of(self, candidates: list[Backend], now: float, *, hedge: bool) -> None:
         """Send a call to the best candidate, unless the retry budget denies it."""
-        is_paid = self._next_is_repeat
-        if is_paid and not self._may_repeat(now, hedge=hedge):
+        uses_retry_budget = self._next_is_repeat
+        if uses_retry_budget and not self._may_repeat(now, hedge=hedge):
             self.next_at = now + DENIED_RETRY_DELAY_S
             return
         if hedge:
             self._run.call_context.counters.hedges += 1
         backend = choose_replica(self._run.call_context, candidates, self._run.route, now)
-        self._send(backend, now, is_paid=is_paid)
+        self._send(backend, now, uses_retry_budget=uses_retry_budget)
 
     def _report_overdue(self) -> None:
         """Report overdue calls to the zone monitor."""
         for attempt in self._attempts:
             if attempt.running is not None:
                 zone = attempt.backend.entry.zone
-                self._run.call_context.zone_doubted(zone, attempt.running.sent_at)
+                self._run.call_context.zone_unanswered(zone, attempt.running.sent_at)
 
     def _is_blocked(self, now: float) -> bool:
         """Return whether the guard forbids sending now; schedule the next check, if any."""
@@ -258,11 +258,11 @@
         """
         if self._run.guard.permission(now) is not Permission.SEND:
             return False
-        if not self._run.call_context.directory.may_receive(attempt.backend):
+        if not self._run.call_context.directory.may_send_to(attempt.backend):
             return False
         if self.sends >= MAX_SENDS or not self._replicas.within_attempt_limit(attempt.backend):
             return False
-        if attempt.is_paid or not self._next_is_repeat:
+        if attempt.uses_retry_budget or not self._next_is_repeat:
             return True
         # It was prepared as the first call, but another one was sent meanwhile: it is a hedge now.
         return self._may_repeat(now, hedge=True)
@@ -270,19 +270,19 @@
     def _may_repeat(self, now: float, *, hedge: bool) -> bool:
         """Charge a repeat to the service's retry budget; return whether the budget allows it."""
         call_context = self._run.call_context
-        if self._budget.may_repeat(now, call_context.sharers(self.service), hedge=hedge):
+        if self._budget.may_repeat(now, call_context.budget_parts(self.service), hedge=hedge):
             return True
         call_context.counters.repeats_denied += 1
         return False
 
-    def _send(self, backend: Backend, now: float, *, is_paid: bool) -> None:
+    def _send(self, backend: Backend, now: float, *, uses_retry_budget: bool) -> None:
         """Start one call."""
         self._replicas.note_chosen(backend)
-        attempt = Attempt(backend, self._new_call(), is_paid)
+        attempt = Attempt(backend, self._new_call(), uses_retry_budget)
         attempt.call.listener = lambda outcome: self._on_outcome(attempt, outcome)
         attempt.call.make_bytes = lambda: self._encode_if_allowed(attempt)
         self._attempts.append(attempt)
-        budget_fill = self._budget.fill(now, self._run.call_context.sharers(self.service))
+        budget_fill = self._budget.fill(now, self._run.call_context.budget_parts(self.service))
         self._hedge_times = hedge_times(self._run, self._latency, budget_fill, now)
         self.next_at = min(self._hedge_times.overdue_at, self._hedge_times.hedge_at)
         backend.pool.start(attempt.call)
@@ -309,7 +309,7 @@
         self._replicas.note_sent(attempt.backend)
         call_context.directory.note_call(attempt.backend)
         call_context.counters.calls += 1
-        usual_s = usual_latency_s(self._latency, self._run.route.objective_s)
+        usual_s = typical_latency_s(self._latency, self._run.route.objective_s)
         attempt.running = attempt.backend.observations.begin(now, usual_s)
         attempt.is_canary = self._run.guard.note_sent(now)
         return self._run.request.encode(attempt.backend.backend_id, now)
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -20,10 +20,13 @@
     IndexDemand,
     choose_coordinators,
     coordinators_needed,
-    preference,
-    strong_ones,
+    order_coordinators,
+    strong_candidates,
+)
+from tinrudder.gateway.decisions.placement.shard_placement import (
+    ScatterSizes,
+    group_shards_by_zones,
 )
-from tinrudder.gateway.decisions.placement.shard_placement import ScatterSizes, group_by_place
 from tinrudder.gateway.model.configuration import GatewayConfiguration, Route
 from tinrudder.gateway.peers.peer_list import PeerList
 from tinrudder.gateway.peers.peer_messages import Member
@@ -120,7 +123,7 @@
         """Reset a coordinator's back-off."""
         self._backoff.succeeded(coordinator)
 
-    def reconsider(self) -> None:
+    def discard_decisions(self) -> None:
         """Discard all decisions: a zone has become unreachable, or reachable again."""
         self._by_index.clear()
 
@@ -158,14 +161,14 @@
         if any(one.name == str(own.address) for one in chosen):
             others_chosen = [by_name[one.name] for one in chosen if one.name != str(own.address)]
             delegated = self._delegated(index, zones, others_chosen, now)
-            sharers = callers / COORDINATORS_BUDGET_SHARE
+            budget_parts = callers / COORDINATORS_BUDGET_SHARE
             names = frozenset(one.name for one in chosen)
-            return Coordination(True, (), callers, sharers, now, delegated, names)
-        order = preference(str(own.address), own.zone, chosen)
+            return Coordination(True, (), callers, budget_parts, now, delegated, names)
+        order = order_coordinators(str(own.address), own.zone, chosen)
         addresses = [by_name[one.name].address for one in order]
         asked = tuple(one for one in addresses if not self._backoff.avoids(one, now))
-        sharers = self.peers.nodes(now) / (1.0 - COORDINATORS_BUDGET_SHARE)
-        return Coordination(False, asked[:MAX_COORDINATORS_ASKED], callers, sharers, now)
+        budget_parts = self.peers.nodes(now) / (1.0 - COORDINATORS_BUDGET_SHARE)
+        return Coordination(False, asked[:MAX_COORDINATORS_ASKED], callers, budget_parts, now)
 
     def _delegated(
         self,
@@ -177,7 +180,7 @@
         """Return the shards that some of ``members`` should call for this gateway."""
         available = [one for one in members if not self._backoff.avoids(one.address, now)]
         own_zone = self.describe_own().zone
-        groups = group_by_place(
+        groups = group_shards_by_zones(
             own_zone,
             {member.zone for member in available},
             dict(zip(index, zones, strict=True)),
@@ -216,7 +219,7 @@
 def _strong_member_addresses(zones: Collection[str], members: list[Member]) -> tuple[Address, ...]:
     """Return the addresses of the members in ``zones`` with enough capacity."""
     in_zones = {str(one.address): one for one in members if one.zone in zones}
-    strong = strong_ones(_candidate(one) for one in in_zones.values())
+    strong = strong_candidates(_candidate(one) for one in in_zones.values())
     return tuple(in_zones[one.name].address for one in strong)
 
 
--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -9,7 +9,7 @@
 
 from msgspec import Struct
 
-from tinrudder.gateway.store.epoch_rules import HeardValue
+from tinrudder.gateway.store.epoch_rules import ObservedValue
 from tinrudder.gateway.store.store_revision import StoreRevision
 from tinrudder.gateway.store.stored_values import Topic
 
@@ -19,14 +19,14 @@
 
     :param known: revision up to which this process knew the previous epoch.
     :param shown: revision up to which the new epoch was read.
-    :param kept: keys whose known value takes precedence over the store's value, or over its lack of
-        one.
+    :param retained_keys: keys whose known value takes precedence over the store's value, or over
+        its lack of one.
     """
 
     topic: Topic
     known: StoreRevision
     shown: StoreRevision
-    kept: tuple[str, ...]
+    retained_keys: tuple[str, ...]
 
 
 class HistoryListener(Struct, frozen=True):
@@ -38,7 +38,7 @@
     """
 
     on_epoch: Callable[[EpochChange], None] = lambda change: None
-    on_settled: Callable[[list[HeardValue]], None] = lambda _winning_values: None
+    on_settled: Callable[[list[ObservedValue]], None] = lambda _winning_values: None
 
 
 IGNORE_HISTORY = HistoryListener()
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -22,7 +22,7 @@
     ConnectionHooks,
     DirectorySettings,
 )
-from tinrudder.gateway.backends.load_news_exchange import LoadNewsExchange
+from tinrudder.gateway.backends.load_report_exchange import LoadReportExchange
 from tinrudder.gateway.backends.load_reports import LoadReports
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.memory_bound import account_bytes
@@ -37,8 +37,8 @@
     log_store_reading,
     log_store_restored,
 )
-from tinrudder.gateway.observability.request_figures import RequestFigures
 from tinrudder.gateway.observability.request_log import FinishedRequest, log_request
+from tinrudder.gateway.observability.request_metrics import RequestMetrics
 from tinrudder.gateway.parts import (
     BackendParts,
     FleetParts,
@@ -48,8 +48,8 @@
     RequestParts,
     StoreParts,
 )
-from tinrudder.gateway.peers.held_for_peers import HeldForPeers
 from tinrudder.gateway.peers.own_member import OwnMember
+from tinrudder.gateway.peers.peer_buffer_bytes import PeerBufferBytes
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_exchange import PeerExchange
 from tinrudder.gateway.peers.peer_list import PeerList
@@ -63,7 +63,7 @@
 from tinrudder.gateway.quotas.quotas import Quotas
 from tinrudder.gateway.quotas.tenants_in_force import TenantsInForce
 from tinrudder.gateway.requests.authentication import Authentication
-from tinrudder.gateway.requests.refusals import Judges
+from tinrudder.gateway.requests.refusals import RequestChecks
 from tinrudder.gateway.requests.request_handler import RequestHandler
 from tinrudder.gateway.requests.run_planner import RunPlanner
 from tinrudder.gateway.requests.service_admission import ServiceAdmission
@@ -79,7 +79,7 @@
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.staleness_bound import StalenessBound
 from tinrudder.gateway.store.staleness_keeper import StalenessKeeper
-from tinrudder.gateway.store.store_follower import FollowerParts, StoreFollower
+from tinrudder.gateway.store.store_follower import FollowerDependencies, StoreFollower
 from tinrudder.gateway.store.store_readers import ReadReason, StoreReaders
 from tinrudder.gateway.store.store_status import StoreStatus
 from tinrudder.gateway.store.stored_values import MetadataStore, Topic, ValueDecoders
@@ -150,13 +150,13 @@
 
 def _build_process(context: BuildContext) -> ProcessParts:
     clock = context.loop.time
-    held_for_peers = HeldForPeers()
+    peer_buffer_bytes = PeerBufferBytes()
     return ProcessParts(
         lifecycle=NodeLifecycle(),
         pause=ProcessPause(clock()),
-        held_for_peers=held_for_peers,
+        peer_buffer_bytes=peer_buffer_bytes,
         memory=MemoryAccount(
-            account_bytes(context.settings.memory_mb), clock, held_for_peers.total
+            account_bytes(context.settings.memory_mb), clock, peer_buffer_bytes.total
         ),
         counters=CallCounters(),
     )
@@ -188,12 +188,12 @@
     datagrams = PeerDatagrams()
 
     def answer_probe(number: int) -> ProbeAnswer:
-        age_s = knowledge.staleness_bound.told_age_s
+        age_s = knowledge.staleness_bound.proven_age_s
         return ProbeAnswer(number, knowledge.state.revision(Topic.OPERATOR), age_s)
 
     probes = Probes(datagrams, answer_probe, clock)
     client = PeerClient(lambda: None, UNACKNOWLEDGED_TIMEOUT_S)
-    process.held_for_peers.add(client)
+    process.peer_buffer_bytes.add(client)
     zone_monitor = ZoneMonitor(settings.zone, peers, probes, context.random)
     return FleetParts(peers, datagrams, probes, client, zone_monitor)
 
@@ -204,10 +204,10 @@
     state = knowledge.state
     coordinators = _build_coordinators(context, knowledge, fleet)
     state.subscribe(coordinators.refresh)
-    fleet.zone_monitor.subscribe(coordinators.reconsider)
+    fleet.zone_monitor.subscribe(coordinators.discard_decisions)
     directory = _build_directory(context, process, state, fleet, coordinators)
     poison_watch = _build_poison_watch(context, state, fleet)
-    load_news = LoadNewsExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
+    load_news = LoadReportExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
     state.subscribe(load_news.refresh)
     call_context = CallContext(
         loop=context.loop,
@@ -215,7 +215,7 @@
         zone=context.settings.zone,
         directory=directory,
         bounds=context.settings.repeats,
-        sharers=lambda service: coordinators.of_service(service).sharers,
+        budget_parts=lambda service: coordinators.of_service(service).budget_parts,
         started_at=context.loop.time(),
         load_reports=LoadReports(context.decoders.load_report, context.loop.time),
         evidence=poison_watch,
@@ -225,7 +225,7 @@
         random=random.Random(f"forwarding {context.settings.name}"),
         memory=process.memory,
         zone_answered=fleet.zone_monitor.answered,
-        zone_doubted=fleet.zone_monitor.doubt,
+        zone_unanswered=fleet.zone_monitor.note_unanswered,
     )
     coordinators.connect(directory.replica_zones, call_context.sizes)
     return BackendParts(coordinators, directory, poison_watch, load_news, call_context)
@@ -319,21 +319,21 @@
     )
     planner = ScatterPlanner(call_context, delegation_context, context.random)
     admissions = ScatterAdmissions(delegation_context, context.random)
-    request_metrics = RequestFigures()
+    request_metrics = RequestMetrics()
 
     def finish(request: FinishedRequest) -> None:
         request_metrics.observe(request)
         log_request(request)
 
-    knows_newer = freshness.would_know_newer
+    configuration_is_fresh = freshness.is_up_to_date
     service_admission = ServiceAdmission(call_context)
     handler = RequestHandler(
-        Judges(
+        RequestChecks(
             call_context=call_context,
             state=state,
-            is_fresh=knows_newer,
+            is_fresh=configuration_is_fresh,
             authentication=Authentication(
-                context.names, freshness.is_too_old, knows_newer, context.random
+                context.names, freshness.is_too_old, configuration_is_fresh, context.random
             ),
             quotas=quotas,
             reachability=reachability,
@@ -366,10 +366,10 @@
         context.settings.revocation_s,
         context.settings.change_in_force_s,
         lambda: knowledge.state.unconfirmed_s(Topic.OPERATOR),
-        tenants.are_there_any,
+        tenants.has_tenants,
         fleet.peers,
         knowledge.store_status,
-        lambda: knowledge.state.may_lack_lost_words,
+        lambda: knowledge.state.may_lack_lost_writes,
         context.loop.time,
     )
 
@@ -385,7 +385,7 @@
         log_missed_change(topic)
         for follower in followers:
             if follower.topic is not topic:
-                follower.doubt()
+                follower.restart_watch()
 
     follower_parts = _follower_parts(context, store, knowledge, readers, on_silent)
     followers.extend(StoreFollower(topic, follower_parts) for topic in Topic)
@@ -406,7 +406,7 @@
 ) -> StoreReaders:
     # The order of these two draws determines the outcome of a seeded run.
     stale_after_s = STALE_AFTER_S + context.random.uniform(0.0, STALE_JITTER_S)
-    patience = context.random.uniform(MIN_STARTUP_WAIT_FACTOR, MAX_STARTUP_WAIT_FACTOR)
+    startup_wait_factor = context.random.uniform(MIN_STARTUP_WAIT_FACTOR, MAX_STARTUP_WAIT_FACTOR)
     return StoreReaders(
         context.own,
         fleet.peers,
@@ -415,7 +415,7 @@
         knowledge.own_member.describe,
         started_at=context.loop.time(),
         stale_after_s=stale_after_s,
-        patience=patience,
+        startup_wait_factor=startup_wait_factor,
         seeds=context.settings.seeds,
     )
 
@@ -426,25 +426,25 @@
     knowledge: KnowledgeParts,
     readers: StoreReaders,
     on_silent: Callable[[Topic], None],
-) -> FollowerParts:
+) -> FollowerDependencies:
     def on_complete_read(topic: Topic, asked_at: float) -> None:
         # Lets a starting gateway serve keyed requests after its first complete read, without
         # another read that confirms it.
         if topic is Topic.OPERATOR:
             knowledge.staleness_bound.prove(asked_at)
 
-    def on_asking(topic: Topic, reason: ReadReason | None) -> None:
+    def on_reading(topic: Topic, reason: ReadReason | None) -> None:
         reason_text = "" if reason is None else reason.value
         log_store_reading(topic, reason_text, knowledge.state.unconfirmed_s(topic))
 
-    return FollowerParts(
+    return FollowerDependencies(
         store,
         knowledge.state,
         knowledge.store_status,
         readers,
         context.random,
         on_complete_read,
-        on_asking,
+        on_reading,
         on_silent,
     )
 
@@ -492,9 +492,11 @@
         context.random,
     )
     for follower in store.followers:
-        follower.subscribe_to_confirmed(lambda: exchange.tell(store.readers.addresses()))
-    knowledge.store_status.subscribe(exchange.send_to_zone)
-    process.held_for_peers.add(service)
-    fleet.zone_monitor.subscribe(exchange.send_to_zone)
-    store.staleness_keeper.subscribe_to_newer(pulls.catch_up)
+        follower.subscribe_to_confirmed(
+            lambda: exchange.send_digests_without_members(store.readers.addresses())
+        )
+    knowledge.store_status.subscribe(exchange.send_digests_to_own_zone)
+    process.peer_buffer_bytes.add(service)
+    fleet.zone_monitor.subscribe(exchange.send_digests_to_own_zone)
+    store.staleness_keeper.subscribe_to_newer(pulls.start_pull)
     return exchange
