--- a/tests/functional/lab/test_lab_scenarios.py
+++ b/tests/functional/lab/test_lab_scenarios.py
@@ -1,4 +1,4 @@
-"""A few short runs: true code passes every checker, planted defects do not."""
+"""Short runs: unmodified code passes every checker, and checkers report planted defects."""
 
 from __future__ import annotations
 
--- a/tests/functional/lab/test_link_proxy.py
+++ b/tests/functional/lab/test_link_proxy.py
@@ -1,4 +1,4 @@
-"""The soak's proxy on loopback: it passes, resets, and cuts one way."""
+"""The soak test's proxy on loopback: it forwards, resets and cuts off one direction."""
 
 from __future__ import annotations
 
--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -1,7 +1,8 @@
-"""Lets tests fail that KNOWN-RED.txt lists, prints them, and fails those that pass again.
+"""Tolerates failures of the tests listed in KNOWN-RED.txt and prints the list.
 
-One line a test: its id, the cause and the issue, separated by ``|``.  Empty lines and lines that
-begin with ``#`` are skipped.  A listed test that passes fails the run, so that the list stays true.
+Each line holds the id of a test, the cause and the issue, separated by ``|``.  Empty lines and
+lines that begin with ``#`` are skipped.  A listed test that passes fails the run, so that the list
+stays current.
 """
 
 from __future__ import annotations
@@ -15,7 +16,7 @@
 
 
 class KnownRedError(Exception):
-    """The list breaks its form; the text names the line."""
+    """A line of the list is malformed; the message names the line."""
 
 
 @dataclass(frozen=True)
@@ -28,7 +29,7 @@
 
 
 def read_list(path: Path) -> dict[str, KnownRed]:
-    """Read the list; a missing file lists nothing."""
+    """Read the list; a missing file is an empty list."""
     if not path.exists():
         return {}
     listed = {}
@@ -37,13 +38,15 @@
             continue
         fields = [field.strip() for field in line.split("|")]
         if len(fields) != 3 or not all(fields):
-            raise KnownRedError(f"{path.name}:{number}: want TEST | CAUSE | ISSUE")
+            raise KnownRedError(
+                f"{path.name}:{number}: expected TEST | CAUSE | ISSUE, got {line!r}"
+            )
         listed[fields[0]] = KnownRed(*fields)
     return listed
 
 
 class KnownRedPlugin:
-    """Marks listed tests as expected failures, strictly, and prints the list at the end."""
+    """Marks listed tests as strict expected failures and prints the list at the end."""
 
     def __init__(self, listed: dict[str, KnownRed]) -> None:
         self._listed = listed
--- a/tests/unit/lab/test_known_red.py
+++ b/tests/unit/lab/test_known_red.py
@@ -1,4 +1,4 @@
-"""The list of tests that are known to fail: read strictly, and never out of date."""
+"""KNOWN-RED.txt: malformed lines are rejected, and a listed test that passes fails the run."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     return subprocess.run(command, cwd=tmp_path, capture_output=True, text=True, check=False)
 
 
-LISTED = "test_it.py::test_red | the store forgets | issue 10\n"
+LISTED = "test_it.py::test_red | the store loses a write | issue 10\n"
 
 
 def test_a_listed_test_that_fails_is_printed_and_let_pass(tmp_path: Path) -> None:
     result = run_suite(tmp_path, "def test_red():\n    assert False\n", LISTED)
     assert result.returncode == 0
-    assert "KNOWN RED test_it.py::test_red: the store forgets (issue 10)" in result.stdout
+    assert "KNOWN RED test_it.py::test_red: the store loses a write (issue 10)" in result.stdout
 
 
 def test_a_listed_test_that_passes_fails_the_run(tmp_path: Path) -> None:
@@ -51,7 +51,9 @@
     path = tmp_path / "KNOWN-RED.txt"
     path.write_text("# a comment\n\n" + LISTED)
     assert read_list(path) == {
-        "test_it.py::test_red": KnownRed("test_it.py::test_red", "the store forgets", "issue 10")
+        "test_it.py::test_red": KnownRed(
+            "test_it.py::test_red", "the store loses a write", "issue 10"
+        )
     }
     path.write_text("test_it.py::test_red | no issue\n")
     with pytest.raises(KnownRedError, match=r"KNOWN-RED\.txt:1"):
--- a/tests/unit/lab/test_worth.py
+++ b/tests/unit/lab/test_worth.py
@@ -1,4 +1,4 @@
-"""Where the worth of a played day was lost."""
+"""The losses of a day's score: their sum, the printed table and malformed reports."""
 
 from __future__ import annotations
 
--- a/tinrudder_lab/__init__.py
+++ b/tinrudder_lab/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins, simulator, load, experiments and checkers for tinrudder."""
+"""Stub servers, simulator, load generators, experiments and checkers for tinrudder."""
--- a/tinrudder_lab/backend_model.py
+++ b/tinrudder_lab/backend_model.py
@@ -1,6 +1,6 @@
-"""How a back end behaves: slots, a short queue, service times, shedding, draining.
+"""A model of a back end: slots, a bounded queue, service times, shedding and draining.
 
-The model knows no transport; the HTTP stand-in and the simulator both run it.
+The model is independent of the transport; the HTTP stub server and the simulator both run it.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 @dataclass(slots=True)
 class BackendBehaviour:
-    """Knobs that faults turn while the model runs.
+    """Parameters of the model, which faults change while it runs.
 
-    :param service_median_s: median time in a slot, seconds.
+    :param service_median_s: median time that a call spends in a slot, seconds.
     :param service_sigma: spread of the log-normal service time.
     :param slowdown: factor on every service time.
     :param tail_share: share of calls that take ``tail_factor`` times longer.
-    :param warm_at: until then a cold start makes calls up to ``cold_factor`` times slower.
-    :param cancel_delay_s: how long a cancelled call goes on holding its slot.
-    :param reported_load: what the load report says whatever the truth, ``None`` for the truth.
-    :param load_lag_s: how old the reported load is.
+    :param warm_at: when the warm-up ends; until then calls are up to ``cold_factor`` times slower.
+    :param cancel_delay_s: how long a cancelled call keeps its slot, seconds.
+    :param reported_load: fixed value of the load report, ``None`` to report the actual load.
+    :param load_lag_s: age of the reported load, seconds.
     """
 
     slots: int = 5
@@ -62,10 +62,10 @@
 
 @dataclass(slots=True, eq=False)
 class ModelCall:
-    """One call inside the back end.
+    """One call to the back end.
 
-    :param deadline: monotonic time after which it is not started any more.
-    :param node: who sent it, where that is known.
+    :param deadline: monotonic time after which the call is no longer started.
+    :param node: name of the node that sent the call, empty if unknown.
     """
 
     request: SearchRequest
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class BackendCounters:
-    """What the back end has seen; a checker compares it with what callers were told."""
+    """Numbers of calls by event; the demo compares them with the outcomes that callers got."""
 
     received: int = 0
     started: int = 0
@@ -103,9 +103,9 @@
     _load_seen: deque[tuple[float, int]] = field(default_factory=deque)
 
     def receive(self, request: SearchRequest, respond: Respond, node: str = "") -> ModelCall:
-        """Take one call; ``respond`` is called once unless it is cancelled.
+        """Accept one call; ``respond`` is called exactly once unless the call is cancelled.
 
-        :param node: who sent it, where that is known.
+        :param node: name of the node that sent the call, empty if unknown.
         """
         self.counters.received += 1
         deadline = self.timers.time() + request.deadline_ms / 1000
@@ -121,7 +121,7 @@
         return call
 
     def cancel(self, call: ModelCall) -> None:
-        """Stop a call, running or waiting; a running one may hold its slot a while longer."""
+        """Cancel a running or queued call; a running one keeps its slot for ``cancel_delay_s``."""
         if call.done:
             return
         call.done = True
@@ -138,7 +138,7 @@
             self._free_slot(call)
 
     def cancel_all(self) -> None:
-        """Drop everything, as a crash does."""
+        """Drop all calls without a reply, as a crash does."""
         for call in (*self.running, *self.queue):
             call.done = True
             if call.timer is not None:
@@ -163,7 +163,7 @@
         return None
 
     def _refuse(self, call: ModelCall, refusal: BackendReply) -> None:
-        """Answer without starting."""
+        """Reply to a call without starting it."""
         call.done = True
         if isinstance(refusal, Shed):
             self.counters.shed += 1
@@ -186,7 +186,7 @@
         return behaviour.service_median_s * factor * behaviour.slowdown * self._cold_factor()
 
     def _cold_factor(self) -> float:
-        """Return how much slower calls are while warming up; falls linearly to 1."""
+        """Return the slowdown factor of the warm-up, which falls linearly to 1."""
         behaviour = self.behaviour
         left = behaviour.warm_at - self.timers.time()
         if left <= 0:
@@ -205,7 +205,7 @@
         self._run_next()
 
     def _reported_load(self) -> int:
-        """Return the load as reported: true, late or invented."""
+        """Return the load to report: the actual, a delayed or a fixed value."""
         behaviour = self.behaviour
         if behaviour.reported_load is not None:
             return behaviour.reported_load
--- a/tinrudder_lab/backend_server.py
+++ b/tinrudder_lab/backend_server.py
@@ -1,7 +1,8 @@
-"""A stand-in back end over HTTP/1.1: the model behind a light asyncio server.
+"""A stub back end over HTTP/1.1: the back-end model behind a small asyncio server.
 
 ``python -m tinrudder_lab.backend_server --host H --backend NAME:PORT:SLOTS ...`` hosts several
-back ends in one process, each on its own port.  ``POST /control`` sets a behaviour field.
+back ends in one process, each on its own port.  ``POST /control`` changes
+fields of the behaviour.
 """
 
 from __future__ import annotations
@@ -32,7 +33,7 @@
 
 
 class ControlMessage(msgspec.Struct, frozen=True):
-    """A fault set from outside."""
+    """A change of the back end's behaviour; fields that are ``None`` stay unchanged."""
 
     draining: bool | None = None
     slowdown: float | None = None
@@ -40,7 +41,7 @@
 
 
 class RefusalBody(msgspec.Struct, frozen=True):
-    """Why a call was not started."""
+    """The reason why a call was not started."""
 
     reason: str
     versions: tuple[int, ...] = ()
@@ -59,18 +60,18 @@
         self._body: list[bytes] = []
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Treat a closed connection as a cancellation."""
+        """Cancel the connection's call."""
         self._transport = None
         if self._call is not None:
             self._model.cancel(self._call)
 
     def data_received(self, data: bytes) -> None:
-        """Parse what arrived."""
+        """Feed received bytes to the parser; abort the connection on a parse error."""
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError:
@@ -78,16 +79,16 @@
                 self._transport.abort()
 
     def on_url(self, url: bytes) -> None:
-        """Begin a request."""
+        """Start a new request."""
         self._url = url
         self._body = []
 
     def on_body(self, body: bytes) -> None:
-        """Collect the body."""
+        """Collect a part of the body."""
         self._body.append(body)
 
     def on_message_complete(self) -> None:
-        """Handle a whole request."""
+        """Handle a complete request."""
         body = b"".join(self._body)
         if self._url == CONTROL_PATH:
             self._control(msgspec.json.decode(body, type=ControlMessage))
@@ -137,7 +138,7 @@
 
 
 async def serve_model(model: BackendModel, host: str, port: int) -> asyncio.Server:
-    """Listen for one model."""
+    """Start a server for one model."""
     loop = asyncio.get_running_loop()
     return await loop.create_server(lambda: BackendProtocol(model), host, port)
 
--- a/tinrudder_lab/claim_model.py
+++ b/tinrudder_lab/claim_model.py
@@ -1,10 +1,10 @@
 """Exhaustive model of claims: every interleaving of a few voters and two submissions of one key.
 
-The decisions are the product's own classes (voter, proposer, electorate history); the model
-supplies what surrounds them: a network that loses, doubles and reorders, clocks, restarts,
-sleeping proposers, and a member list that changes under way.  States are hashed, and states
-that differ only in the names of interchangeable voters or submissions count once; the names
-in a printed history may therefore change places from one step to the next.
+The decisions are made by the product's own classes (voter, proposer, electorate history).  The
+model simulates their environment: a network that loses, duplicates and reorders messages, clocks,
+restarts, suspended proposers, and a member list that changes during the run.  States are hashed,
+and states that differ only by a permutation of interchangeable voters or submissions count once;
+the names in a printed history may therefore be swapped from one step to the next.
 
     python -m tinrudder_lab.claim_model --json
 """
@@ -37,14 +37,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A broken promise and the steps that led to it."""
+    """A broken promise and the sequence of steps that leads to it."""
 
     promise: str
     history: tuple[str, ...]
 
 
 class ModelReport(msgspec.Struct, frozen=True):
-    """What one exploration found."""
+    """The result of one exploration."""
 
     setup: str
     plant: str
@@ -56,7 +56,7 @@
 
 
 def standard_setups() -> dict[str, ModelSetup]:
-    """Return the model's configurations by name.
+    """Return the setups of the model by name.
 
     Times are in ticks; every request is valid until ``valid_until`` and may be accepted from
     ``window`` ticks before that.
@@ -80,10 +80,10 @@
 
 
 class Exploration:
-    """Walks all reachable states of one setup."""
+    """Explores all reachable states of one setup."""
 
     def __init__(self, setup: ModelSetup, plant: Plant = Plant.NONE) -> None:
-        """Prepare; nothing is explored before :meth:`run`."""
+        """Prepare the exploration; :meth:`run` performs it."""
         self.setup = setup
         self.actors = Actors(setup, plant)
         self.transitions = 0
@@ -134,7 +134,7 @@
                 yield State(0, self.setup.restarts, (first, second), columns)
 
     def _steps(self, state: State) -> Iterator[tuple[str, State]]:
-        """Yield every step that can be taken next."""
+        """Yield the name and the resulting state of every possible next step."""
         if state.now < self.setup.last_tick:
             yield f"tick to {state.now + 1}", state._replace(now=state.now + 1)
         for number, submission in enumerate(state.submissions):
@@ -203,14 +203,14 @@
         return "a request that must not be repeated runs at most once"
     for submission in state.submissions:
         if submission.ran and submission.phase == ClaimPhase.GIVEN_UP:
-            return "a request told as not run did not run"
+            return "a request reported as not run did not run"
         if submission.ran_late:
-            return "nothing is sent once its request has expired"
+            return "nothing is sent after its request has expired"
     return None
 
 
 def explore(name: str, plant: Plant, max_states: int) -> ModelReport:
-    """Explore one setup and report."""
+    """Explore one setup and return a report."""
     started = time.perf_counter()
     exploration = Exploration(standard_setups()[name], plant)
     violation = exploration.run(max_states)
@@ -226,10 +226,12 @@
 
 
 def main() -> int:
-    """Explore the setups asked for; exit with 1 if a promise is broken."""
+    """Explore the selected setups; return 1 if a promise is broken."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--setup", action="append", choices=sorted(standard_setups()))
-    parser.add_argument("--small", action="store_true", help="only what CI explores")
+    parser.add_argument(
+        "--small", action="store_true", help="explore only the setups of the CI run"
+    )
     parser.add_argument("--plant", type=Plant, default=Plant.NONE, choices=list(Plant))
     parser.add_argument("--max-states", type=int, default=5_000_000)
     parser.add_argument("--json", action="store_true", help="one JSON line per setup")
--- a/tinrudder_lab/claim_model_actors.py
+++ b/tinrudder_lab/claim_model_actors.py
@@ -1,4 +1,4 @@
-"""Runs the product's claim classes on states of the claim model, and plants defects in them."""
+"""Runs the product's claim classes, or planted defects of them, on states of the claim model."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
 
 
 class ProposerMemory(NamedTuple):
-    """All that a proposer's next decision depends on.
+    """The part of a proposer's state on which its next decision depends.
 
-    :param records: for each voter its vote and how many electorates it was last cited.
+    :param records: for each voter, its vote and how many electorates the last request to it cited.
     """
 
     number: int
@@ -53,7 +53,7 @@
 
 
 class Plant(enum.StrEnum):
-    """Defects that the model must find."""
+    """Planted defects that the model must find."""
 
     NONE = "none"
     VOTER_FORGETS_START = "voter-forgets-start"
@@ -64,7 +64,7 @@
 
 
 class Actors:
-    """Every step of the model that runs product code."""
+    """Performs the steps of the model that run product code."""
 
     def __init__(self, setup: ModelSetup, plant: Plant) -> None:
         """Use the product's classes, or a planted defect in place of one."""
@@ -83,7 +83,7 @@
         self._reply_cache: dict[object, tuple[ProposerMemory, tuple[tuple[int, int], ...]]] = {}
 
     def start(self, state: State, number: int) -> State | None:
-        """Accept a submission, if its time window allows, and ask every voter it knows of."""
+        """Accept a submission if it is within its time window, and ask its voters for votes."""
         submission = state.submissions[number]
         now = state.now + submission.offset
         if not now < self._setup.valid_until <= now + self._setup.window:
@@ -95,7 +95,7 @@
         return self._put_under_way(state, number, self._requests(proposer, proposer.voters()))
 
     def dispatch(self, state: State, number: int) -> State | None:
-        """Send if the product permits it with both clocks right or with one standing still."""
+        """Dispatch if the product permits it with both clocks right or with one of them frozen."""
         submission = state.submissions[number]
         if submission.phase != ClaimPhase.WON:
             return None
@@ -111,7 +111,7 @@
         return None
 
     def give_up(self, state: State, number: int) -> State | None:
-        """Let a proposer renounce, if it may; its votes may be released from then on."""
+        """Let a proposer give up, if it may; its votes may be released from then on."""
         memory = self._memory(state, number)
         if memory not in self._give_up_cache:
             proposer = self._proposer(memory)
@@ -121,7 +121,7 @@
         return None if after is None else self._write_back(state, number, after)
 
     def restart(self, state: State, position: int) -> State:
-        """Restart a voter: it forgets its votes, and what lists it knew only if planted."""
+        """Restart a voter: it loses its votes, and the second list only with a planted defect."""
         column = state.columns[position]
         knows = column.knows and self._plant is not Plant.LIST_LOST_AT_RESTART
         fresh = column._replace(
@@ -133,7 +133,7 @@
         return restarted._replace(restarts_left=state.restarts_left - 1)
 
     def vote(self, state: State, position: int, number: int, cited: int) -> tuple[State, str]:
-        """Deliver a request to a voter, return its reply; the request may be delivered again."""
+        """Deliver a request to a voter and return its reply; the request may be delivered again."""
         column = state.columns[position]
         now = state.now + column.offset
         required = self._required(state, column.learned_at if column.knows else NOT_YET)
@@ -146,7 +146,7 @@
         return state.with_column(position, column._replace(holder=holder)), reply
 
     def send_reply(self, state: State, position: int, number: int, reply: str) -> State:
-        """Put a reply under way."""
+        """Add a reply to the messages in flight."""
         exchange = state.columns[position].exchanges[number]
         replies = tuple(sorted({*exchange.replies, reply}))
         return state.with_exchange(position, number, exchange._replace(replies=replies))
@@ -186,7 +186,7 @@
         return holder, self._name(reply)
 
     def _restore_voter(self, column: Column) -> ClaimVoter:
-        """Return a voter that holds what the column says; its grant is made by voting."""
+        """Return a voter in the state of a column; its grant is recreated by a vote."""
         voter = self._voter_class(self._limits, -100)
         if column.holder != NOBODY:
             holder = _proposer_id(column.holder)
@@ -197,14 +197,14 @@
         return voter
 
     def _memory(self, state: State, number: int) -> ProposerMemory:
-        """Read a proposer out of a state."""
+        """Return a proposer's memory from a state."""
         submission = state.submissions[number]
         exchanges = [column.exchanges[number] for column in state.columns]
         records = tuple((exchange.record, exchange.cited_to) for exchange in exchanges)
         return ProposerMemory(number, submission.phase, submission.cited, records)
 
     def _proposer(self, memory: ProposerMemory) -> ClaimProposer:
-        """Return a proposer of the product that remembers just this."""
+        """Return a proposer of the product with the given memory."""
         window_class = DispatchWindow
         if self._plant is Plant.HONOURED_AFTER_PAUSE:
             window_class = AlwaysOpenWindow
@@ -227,7 +227,7 @@
         return proposer
 
     def _remembered(self, proposer: ClaimProposer) -> ProposerMemory:
-        """Read a proposer of the product."""
+        """Return the memory of a proposer of the product."""
         cited = sum(self._bits[fingerprint] for fingerprint in proposer.electorates)
         records = []
         for voter in self._voters:
@@ -250,7 +250,7 @@
         return tuple(requests)
 
     def _write_back(self, state: State, number: int, memory: ProposerMemory) -> State:
-        """Write a proposer into a state."""
+        """Return the state with a proposer's memory written to it."""
         submission = state.submissions[number]
         submission = submission._replace(phase=memory.phase, cited=memory.cited)
         state = state.with_submission(number, submission)
@@ -264,7 +264,7 @@
     def _put_under_way(
         self, state: State, number: int, requests: tuple[tuple[int, int], ...]
     ) -> State:
-        """Put requests under way."""
+        """Add requests to the messages in flight."""
         for position, cited in requests:
             exchange = state.columns[position].exchanges[number]
             under_way = tuple(sorted({*exchange.requests, cited}))
@@ -276,7 +276,8 @@
     def _required(self, state: State, learned_at: int) -> int:
         """Return the electorates that a node requires.
 
-        The node is taken to hear of every voter's list at once: most is sealed then.
+        The model assumes that the node learns at once which lists each voter knows, so that as many
+        lists as possible are sealed.
         """
         cache_key = (learned_at, tuple(column.learned_at for column in state.columns))
         if learned_at == NOT_YET:
--- a/tinrudder_lab/claim_model_state.py
+++ b/tinrudder_lab/claim_model_state.py
@@ -1,7 +1,7 @@
 """States of the claim model: small, immutable and hashable.
 
-Whatever belongs to one voter stands in that voter's column, so that renaming interchangeable
-voters is sorting columns.
+Everything that belongs to one voter is in that voter's column, so that sorting the columns makes
+states equal that differ only by a permutation of interchangeable voters.
 """
 
 from __future__ import annotations
@@ -22,17 +22,17 @@
 
 @dataclass(frozen=True, slots=True)
 class ModelSetup:
-    """One configuration.
+    """One setup of the model.
 
     :param memberships: for each voter a bit set of the lists (0b01 first, 0b10 second) whose
         electorate it belongs to.
-    :param restarts: how many times a voter may restart, in all.
-    :param learns: whether a second list appears.
-    :param reduced: leave out steps that only stand in the way of a later one, and so cannot
-        break a promise: a lost or late reply (like a vote not asked for, or a later dispatch),
-        a refusal (a proposer may give up at any time), a vote for a submission that no longer
-        asks, a lost release, a request that cites less than another one under way.
-        ``three-voters-all-steps`` and ``list-moves`` have them all.
+    :param restarts: total number of restarts over all voters.
+    :param learns: whether a second member list is published.
+    :param reduced: leave out steps that can only prevent a later step, and so cannot break a
+        promise: a lost or late reply (equivalent to a vote not requested, or to a later
+        dispatch), a refusal (a proposer may give up at any time), a vote for a submission that
+        no longer asks, a lost release, and a request that cites a subset of another one in
+        flight.  ``three-voters-all-steps`` and ``list-moves`` include all steps.
     :param window: ticks from the earliest acceptance to ``valid_until``.
     """
 
@@ -45,31 +45,31 @@
 
     @property
     def valid_until(self) -> int:
-        """Return the request's limit: a tick passes before anything can touch the request."""
+        """Return when the request expires; no node can act on it before the first tick."""
         return self.window + 1 + 2 * self.skew
 
     def learned_class(self, learned_at: int) -> int:
-        """Return the one representative of all moments of learning with the same effect."""
+        """Return the representative of all learning times with the same effect."""
         early = learned_at < self.valid_until - self.window - 2 * self.skew
         return EARLY if early else LATE
 
     def started_class(self, started_at: int) -> int:
-        """Return the one representative of all moments of starting with the same effect."""
+        """Return the representative of all start times with the same effect."""
         early = started_at + self.skew < self.valid_until - self.window
         return EARLY if early else LATE
 
     @property
     def last_tick(self) -> int:
-        """Return the last tick: every voter has forgotten by then."""
+        """Return the last tick; by then every voter has dropped its vote."""
         return self.valid_until + self.skew + 1
 
 
 class Exchange(NamedTuple):
-    """What is between one voter and one submission.
+    """Messages in flight between a voter and a submission, and the proposer's view of the voter.
 
-    :param requests: for each request under way, the electorates it cites, as a bit set.
-    :param replies: names of the replies under way.
-    :param record: what the proposer holds of the voter: ``""``, ``granted`` or ``refused``.
+    :param requests: for each request in flight, the electorates it cites, as a bit set.
+    :param replies: names of the replies in flight.
+    :param record: the voter's vote as the proposer knows it: ``""``, ``granted`` or ``refused``.
     :param cited_to: how many electorates the proposer's last request cited.
     """
 
@@ -80,11 +80,11 @@
 
 
 class Column(NamedTuple):
-    """One voter and everything between it and the submissions.
+    """One voter and its exchanges with the submissions.
 
-    :param holder: the submission that has its vote.
-    :param learned_at: when it first learned the second list, by its own clock.
-    :param knows: whether it knows the second list now.
+    :param holder: the submission that holds the voter's vote.
+    :param learned_at: when the voter first learned the second list, by its own clock.
+    :param knows: whether the voter knows the second list now.
     """
 
     offset: int = 0
@@ -99,8 +99,8 @@
     """One submission of the request and the proposer that handles it.
 
     :param phase: a :class:`ClaimPhase`, or ``NOT_ACCEPTED``.
-    :param accepted_at: by its own clock.
-    :param cited: the electorates it wants majorities in, as a bit set.
+    :param accepted_at: time of acceptance by the proposer's own clock.
+    :param cited: the electorates in which it needs a majority, as a bit set.
     """
 
     offset: int = 0
@@ -113,7 +113,7 @@
 
 
 class State(NamedTuple):
-    """The whole model at one moment; ``now`` is true time in ticks."""
+    """The state of the whole model; ``now`` is true time in ticks."""
 
     now: int
     restarts_left: int
@@ -139,12 +139,12 @@
         return self.with_column(position, _with_exchanges(column, pair))
 
     def canonical(self, setup: ModelSetup) -> State:
-        """Return the representative of all states that differ only in names."""
+        """Return the representative of all states that differ only by a permutation of names."""
         tidy = self._tidied(setup)
         return min(tidy._sorted(setup), tidy._swapped()._sorted(setup))
 
     def _tidied(self, setup: ModelSetup) -> State:
-        """Drop what can no longer have an effect."""
+        """Drop everything that can no longer have an effect."""
         first, second = self.submissions
         if first.phase in FINAL_PHASES and second.phase in FINAL_PHASES:
             columns: tuple[Column, ...] = tuple(Column() for _ in self.columns)
@@ -169,7 +169,7 @@
         return State(self.now, self.restarts_left, self.submissions, columns)
 
     def _swapped(self) -> State:
-        """Return the state with the two submissions' names exchanged."""
+        """Return the state with the two submissions swapped."""
         first, second = self.submissions
         columns = tuple(map(_swapped_column, self.columns))
         return State(self.now, self.restarts_left, (second, first), columns)
@@ -177,14 +177,14 @@
 
 @cache
 def _released(column: Column, gave_up: tuple[bool, ...]) -> Column:
-    """Give a vote back that a submission without hope holds."""
+    """Release the voter's vote if it is held by a submission that has given up."""
     if column.holder != NOBODY and gave_up[column.holder]:
         return column._replace(holder=NOBODY)
     return column
 
 
 def _without_hope(submission: Submission) -> Submission:
-    """End a submission that asks voters which can only abstain."""
+    """Give up a submission that is still asking although every voter can only abstain."""
     if submission.phase != ClaimPhase.ASKING:
         return submission
     return submission._replace(phase=ClaimPhase.GIVEN_UP.value)
@@ -204,7 +204,7 @@
 
 @cache
 def _tidy(column: Column, asking: tuple[bool, bool], expired: bool, reduced: bool) -> Column:
-    """Forget replies nobody waits for, and requests once the voter can only abstain."""
+    """Drop replies that no proposer awaits, and requests once the voter can only abstain."""
     first, second = column.exchanges
     if reduced:
         first = first._replace(requests=_undominated(first.requests) if asking[0] else ())
@@ -214,7 +214,7 @@
 
 
 def _undominated(requests: tuple[int, ...]) -> tuple[int, ...]:
-    """Drop requests that cite a part of what another cites."""
+    """Drop requests that cite a subset of another request's electorates."""
     return tuple(
         one
         for one in requests
--- a/tinrudder_lab/claim_plants.py
+++ b/tinrudder_lab/claim_plants.py
@@ -1,6 +1,6 @@
 """Planted defects in claims, for the model and for whole nodes.
 
-A whole node gets one by patching the name where the product looks it up:
+In a whole node, a defect is planted by patching the name in the module that uses it:
 ``tinrudder.cluster.claims.claims_service.ClaimVoter`` and ``.ClaimProposer``, and
 ``tinrudder.node.query.operations.at_most_once.DispatchWindow``.
 """
@@ -15,7 +15,7 @@
 
 
 class ForgetfulVoter(ClaimVoter):
-    """Votes as if it remembered what it granted before it started."""
+    """Votes right after a start, as if it remembered the votes it granted before."""
 
     def _cannot_know(self, valid_until: float, now: float) -> AbstainReason | None:
         reason = super()._cannot_know(valid_until, now)
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AlwaysOpenWindow(DispatchWindow):
-    """Honours a claim however long the proposer has slept."""
+    """Permits the dispatch of a claim however long the proposer was suspended."""
 
     def is_open(self, monotonic: float, wall: float) -> bool:
         """Return ``True``."""
@@ -32,7 +32,7 @@
 
 
 class HastyProposer(ClaimProposer):
-    """Gives up although the request may have left."""
+    """Gives up although the request may have been sent."""
 
     def give_up(self) -> bool:
         """Give up in any phase."""
--- a/tinrudder_lab/datasets.py
+++ b/tinrudder_lab/datasets.py
@@ -1,4 +1,4 @@
-"""Generated rows of both deployments: machine stock, faults, ledger; seats, orders, events."""
+"""Generated rows of both deployments: stock, faults and ledger; seats, orders and events."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class DataRow(msgspec.Struct, frozen=True):
-    """One generated row; ``version`` lets a checker see a mix of snapshots."""
+    """One generated row; ``version`` lets a checker detect a mix of snapshots."""
 
     row_id: str
     time: float
@@ -74,7 +74,7 @@
 
 
 class FirstPage(NamedTuple):
-    """Everything a shard's first page depends on."""
+    """Cache key of a shard's first page: all parameters that determine its rows."""
 
     index_name: str
     version: int
@@ -85,7 +85,7 @@
 
 
 class ShardStore:
-    """Rows of the shards one back end serves, generated on first use."""
+    """Rows of shards, generated on first use and cached."""
 
     def __init__(self) -> None:
         """Start empty."""
@@ -93,13 +93,13 @@
         self._first_pages: dict[FirstPage, ShardRows] = {}
 
     def search(self, request: SearchRequest) -> tuple[ShardRows, ...]:
-        """Return the matching rows of every asked shard."""
+        """Return the matching rows of every requested shard."""
         if request.after is not None:
             return tuple(self._search_shard(request, shard) for shard in request.shards)
         return tuple(self._first_page(request, shard) for shard in request.shards)
 
     def _first_page(self, request: SearchRequest, shard: str) -> ShardRows:
-        """Return a first page, kept because callers ask for few different ones."""
+        """Return a first page from the cache; callers request few distinct first pages."""
         match = tuple(sorted(request.match.items()))
         page = FirstPage(
             request.index, request.version, shard, match, request.descending, request.limit
--- a/tinrudder_lab/day_report.py
+++ b/tinrudder_lab/day_report.py
@@ -1,4 +1,4 @@
-"""Reads the report that the users' bench writes of one played day."""
+"""Reads the JSON report that the users' benchmark writes for one day."""
 
 from __future__ import annotations
 
@@ -9,11 +9,11 @@
 
 
 class DayReportError(Exception):
-    """A file is no report of a day; the text names the file and the field."""
+    """A file is not a valid day report; the message names the file and the field."""
 
 
 class Component(Struct, frozen=True, array_like=True):
-    """One part of a day's worth: its weight and the share of the credit that it earned."""
+    """One component of a day's score: its weight and the share of its credit that was earned."""
 
     name: str
     weight: float
@@ -21,12 +21,12 @@
 
     @property
     def lost(self) -> float:
-        """Return what it takes from the day's worth."""
+        """Return how much the component lowers the day's score."""
         return self.weight * (1.0 - self.earned)
 
 
 class Price(Struct, frozen=True, array_like=True):
-    """What a resource took from the day's worth, and how much of it was used."""
+    """The cost of a resource: the amount used and how much it lowers the day's score."""
 
     name: str
     amount: float
@@ -34,9 +34,9 @@
 
 
 class RequestCounts(Struct, frozen=True, rename={"total": "n", "in_time": "in_aim"}):
-    """Requests of one kind, zone or span, by how they ended.
+    """Requests of one kind, zone or time span, counted by result.
 
-    :param worth: share of their credit that they earned.
+    :param worth: share of the requests' credit that was earned.
     """
 
     name: str
@@ -49,7 +49,7 @@
 
     @property
     def lost_in_time(self) -> float:
-        """Return the least share of the credit that answers in time lost by missing parts."""
+        """Return the least share of the credit that in-time answers lost by missing parts."""
         if not self.total:
             return 0.0
         return max(0.0, self.in_time / self.total - self.worth)
@@ -59,9 +59,10 @@
 
 
 class DayReport(Struct, frozen=True, rename=_NAMES):
-    """One played day.
+    """The report of one day.
 
-    :param breaks: how often each rule was broken.
+    :param worth: score of the day.
+    :param breaks: for each broken rule, how often it was broken.
     """
 
     worth: float
@@ -80,7 +81,7 @@
 def read_day_report(path: Path) -> DayReport:
     """Read a report.
 
-    :raises DayReportError: the file cannot be read, or a field is missing or of another form.
+    :raises DayReportError: the file cannot be read, or a field is missing or has another type.
     """
     try:
         return msgspec.json.decode(path.read_bytes(), type=DayReport)
--- a/tinrudder_lab/decisions_page.py
+++ b/tinrudder_lab/decisions_page.py
@@ -1,7 +1,7 @@
-"""Writes docs/DECISIONS.md, the gateway's rules in the order in which a request meets them.
+"""Generates docs/DECISIONS.md: the gateway's rules in the order in which they apply to a request.
 
-Owns the order of the rules and the words between them; questions, inputs and constants come from
-the docstrings of the rules themselves, so that nothing is told twice.
+Owns the order of the rules and the text between them; questions, inputs and constants come from
+the rules' docstrings, so that nothing is documented twice.
 
     python -m tinrudder_lab.decisions_page
 """
@@ -28,7 +28,7 @@
 
 
 class Constant(Struct, frozen=True):
-    """A named number of a rule, as written, and what its docstring says."""
+    """A named constant of a rule: its source expression and its docstring."""
 
     name: str
     value: str
@@ -38,7 +38,7 @@
 class Rule(Struct, frozen=True):
     """One rule module.
 
-    :param paragraphs: of its docstring after the question.
+    :param paragraphs: paragraphs of the docstring after the question.
     """
 
     path: str
@@ -48,9 +48,9 @@
 
 
 class Chapter(Struct, frozen=True):
-    """Rules that a request meets together.
+    """Rules that apply at the same stage of a request.
 
-    :param words: what no rule says by itself: the order in the code, and what stands beside it.
+    :param words: introduction: the modules that apply the rules, and in which order.
     """
 
     title: str
@@ -59,10 +59,10 @@
 
 
 class Refusal(Struct, frozen=True):
-    """What the log says of a request that was refused, and which rule decided it.
+    """A log message of refused requests and the rule that decided.
 
-    :param detail: a part of the field ``detail`` that never changes.
-    :param rule: its path; empty where no rule of the package decides.
+    :param detail: constant part of the log field ``detail``.
+    :param rule: path of the rule; empty if no rule of the package decides.
     """
 
     detail: str
@@ -73,76 +73,84 @@
 INTRODUCTION = """\
 # Decisions of a gateway
 
-Which rule decides what, in the order in which a request meets them.  Each rule is one module of
-`tinrudder/gateway/decisions`, pure, without clock, network or configuration of its own; its
-docstring also gives the reason.  `python -m tinrudder_lab.decisions_page` writes this page from the
-docstrings of the rules, and a test says when it is not current.
+The decision rules, in the order in which they apply to a request.  Each rule is one pure module of
+`tinrudder/gateway/decisions`, without clock, network or configuration of its own; its docstring
+also gives the reason.  `python -m tinrudder_lab.decisions_page` generates this page from the rules'
+docstrings, and a test fails when the page is out of date.
 
-Log lines are JSON with their name in the field `event`.  A refused request is one line `request`
-with outcome `NotRun` and a `detail` that says what refused it.
+Log lines are JSON with the name of the event in the field `event`.  A refused request logs one line
+`request` with outcome `NotRun` and a `detail` that says what refused it.
 """
 
 REFUSALS = (
     Refusal(
         "no configuration is known yet",
         "",
-        "a process that has just started; neither the store nor a peer has answered",
+        "the process has just started, and neither the store nor a peer has answered yet",
     ),
     Refusal(
         "no word from store or peers lately",
         "placement/route_table",
-        "no such route or key here, and a newer configuration may be in force elsewhere",
+        "this gateway does not know the route or key, and other gateways may enforce a newer "
+        "configuration",
     ),
     Refusal(
         "quota: no home of the tenant answers",
         "admission/token_buckets",
-        "the owner of the tenant's token bucket is silent, and so are those asked after it",
+        "neither the owner of the tenant's token bucket nor the gateways asked after it answer",
     ),
     Refusal(
         " a second and ", "admission/token_buckets", "outcome `OverQuota`: the limit is used up"
     ),
-    Refusal("no back end is in reach", "fleet/zone_paths", "all are in zones out of reach"),
     Refusal(
-        "of the shards are in reach", "fleet/zone_paths", "too few shards can be had from here"
+        "no back end is in reach", "fleet/zone_paths", "all back ends are in unreachable zones"
     ),
     Refusal(
-        "of what may be held", "admission/memory_bound", "the account of memory is nearly full"
+        "of the shards are in reach",
+        "fleet/zone_paths",
+        "too few shards are reachable from this gateway",
     ),
+    Refusal("of what may be held", "admission/memory_bound", "the memory account is nearly full"),
     Refusal(
         "poison: back ends crashed under this request",
         "admission/poison_requests",
-        "barred before it began",
+        "the request was barred before it started",
     ),
     Refusal(
         "back ends crashed under this request: it is not sent again",
         "admission/poison_requests",
-        "barred while it was at work, or its canary was lost",
+        "the request was barred while it ran, or its canary was lost",
     ),
     Refusal(
         "overload: wait ",
         "admission/shared_service",
-        "the queues of one service's back ends: the least of the shares by the wait "
-        "(load_forecast), by what fits into the queues, and the tenant's (tenant_shares)",
+        "the queues of one service's back ends: the smallest of the shares by expected wait "
+        "(load_forecast), by free queue places and by tenant (tenant_shares)",
     ),
     Refusal("overload: place ", "admission/scatter_queue", "the queue of an index at one gateway"),
     Refusal(
         "every back end left is cold and has had this gateway's part of calls",
         "placement/cold_start_rate",
-        "all have just started",
+        "all remaining back ends have just started",
+    ),
+    Refusal("every back end left is in an evacuated zone", "", "an operator evacuates zones"),
+    Refusal(
+        "every back end left is in a zone out of reach",
+        "fleet/zone_paths",
+        "all remaining back ends are in unreachable zones",
     ),
-    Refusal("every back end left is in an evacuated zone", "", "the operator evacuates zones"),
-    Refusal("every back end left is in a zone out of reach", "fleet/zone_paths", "as above"),
     Refusal("no back end is known", "", "the store has no entry for the service"),
 )
 
 CHAPTERS = (
     Chapter(
         "May it be served here?",
-        "`gateway/requests/refusals.py` asks in this order: a configuration is known; "
-        "the request has a route; its key is good (`gateway/requests/authentication.py`, with"
-        " the bound of `gateway/store/staleness_bound.py` on how old that knowledge may be); "
-        "its tenant's quota; a way to enough back ends (`gateway/peers/reachability.py`); "
-        "memory; no crashes under it; and last the queues. The first that refuses ends it.",
+        "`gateway/requests/refusals.py` checks in this order: a configuration is known; "
+        "the request has a route; its key is valid (`gateway/requests/authentication.py`; "
+        "`gateway/store/staleness_bound.py` bounds the staleness of the known keys); "
+        "the tenant's quota; enough back ends are reachable (`gateway/peers/reachability.py`); "
+        "memory; no back ends crashed under the request; and last the queues. The first check "
+        "that fails refuses the request.",
         (
             "placement/route_table",
             "admission/token_buckets",
@@ -154,8 +162,8 @@
     ),
     Chapter(
         "Would it be answered in time?",
-        "A request for one back end is judged by `gateway/requests/service_admission.py` when"
-        " it comes. A scatter enters the queue of its index, "
+        "A request for one back end is admitted or refused on arrival by "
+        "`gateway/requests/service_admission.py`. A scatter enters the queue of its index, "
         "`gateway/scatters/scatter_admission.py`, at the gateway that runs it.",
         (
             "admission/load_forecast",
@@ -168,13 +176,13 @@
     ),
     Chapter(
         "Where does it run?",
-        "Here, at a coordinator (`gateway/scatters/delegated_scatter.py`), or in part at "
-        "gateways beside the replicas (`gateway/scatters/scatter_planner.py`).",
+        "On this gateway, on a coordinator (`gateway/scatters/delegated_scatter.py`), or in part "
+        "on gateways near the replicas (`gateway/scatters/scatter_planner.py`).",
         ("placement/coordinator_choice", "placement/shard_placement", "attempts/peer_round_trip"),
     ),
     Chapter(
         "Which back end?",
-        "`gateway/backends/backend_directory.py` leaves those that may get a call, "
+        "`gateway/backends/backend_directory.py` selects the back ends that may receive a call; "
         "`gateway/runs/replica_choice.py` chooses the cheapest of them by the rules below.",
         (
             "placement/weighted_rotation",
@@ -185,30 +193,31 @@
     ),
     Chapter(
         "When a second call, and when a retry?",
-        "`gateway/runs/shard_calls.py` asks for each shard. Before any call "
-        "`gateway/runs/run_guard.py` says whether it may leave after back ends were lost."
-        " A retry needs no age: it leaves when a call has failed and was provably not run, or"
-        " may be repeated, at most `MAX_SENDS` times a shard.",
+        "`gateway/runs/shard_calls.py` sends the calls for each shard. Before any call "
+        "`gateway/runs/run_guard.py` decides whether it may be sent after back ends were lost."
+        " A retry has no minimum delay: it is sent when a call has failed and either provably did"
+        " not run or may be repeated, with at most `MAX_SENDS` sends per shard.",
         ("attempts/hedge_gain", "attempts/hedge_delay", "attempts/fleet_retry_budget"),
     ),
     Chapter(
         "When does the answer leave, and when is it given up?",
-        "`gateway/runs/request_run.py` decides after each part and when a moment comes.",
+        "`gateway/runs/request_run.py` decides after each partial answer and at each "
+        "scheduled time.",
         ("attempts/answer_time",),
     ),
     Chapter(
         "What does a refusal say?",
         "Outcome `NotRun` means that nothing has run. Its `detail` goes to the log, with the "
-        "figures that decided; the caller gets the moment to come back. That is a constant "
-        "of the rule that refused, or for load:",
+        "figures that decided; the caller gets the time after which to retry. That time is a "
+        "constant of the rule that refused, or for load:",
         ("admission/retry_after",),
     ),
     Chapter(
         "What do gateways decide for the fleet?",
-        "Beside requests: whether this gateway is ready or cut off "
-        "(`gateway/peers/zone_monitor.py`, on the zone paths above), who reads the store "
-        "(`gateway/store/store_readers.py`) and who coordinates, both on the choice of "
-        "coordinators above, and who owns a tenant's token bucket "
+        "Apart from requests: whether this gateway is ready or isolated "
+        "(`gateway/peers/zone_monitor.py`, by the zone paths above), which gateways read the store "
+        "(`gateway/store/store_readers.py`) and which coordinate, both by the choice of "
+        "coordinators above, and which gateway owns a tenant's token bucket "
         "(`gateway/quotas/bucket_owner_choice.py`).",
         ("fleet/process_pause", "fleet/load_news", "fleet/send_budget"),
     ),
@@ -216,7 +225,7 @@
 
 
 def rule_paths() -> list[str]:
-    """Return the rule modules that the page names, in its order."""
+    """Return the paths of the rule modules, in the order of the page."""
     return [path for chapter in CHAPTERS for path in chapter.rules]
 
 
@@ -267,13 +276,13 @@
 
 
 def _anchor(heading: str) -> str:
-    """Return the anchor that a heading gets."""
+    """Return the Markdown anchor of a heading."""
     kept = "".join(one for one in heading.lower() if one.isalnum() or one in " -")
     return kept.replace(" ", "-")
 
 
 def _render_rule(rule: Rule) -> Iterator[str]:
-    """Yield the lines of one rule."""
+    """Yield the Markdown lines of one rule."""
     yield from ("", f"### {rule.question}", "", f"`gateway/decisions/{rule.path}.py`", "")
     for paragraph in rule.paragraphs:
         label, _, text = paragraph.partition(": ")
@@ -284,7 +293,7 @@
 
 
 def _as_markdown(text: str) -> str:
-    """Turn the marks of docstrings into those of the page."""
+    """Convert docstring markup to Markdown."""
     for role in (":data:", ":class:", ":meth:", ":mod:"):
         text = text.replace(role, "")
     return text.replace("``", "`")
--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -1,7 +1,7 @@
-"""``make demo``: both deployments on this machine, with failures while callers query.
+"""``make demo``: runs both deployments on this machine and injects failures while callers query.
 
-Fourteen nodes in seven zones, all back ends of both deployments, the platform's stand-in; a
-back end drained, one killed, one configuration change and one planned node stop.
+Fourteen nodes in seven zones, all back ends of both deployments and a stub platform; one back end
+is drained, one is killed, one configuration change is made and one node is stopped as planned.
 """
 
 from __future__ import annotations
@@ -39,7 +39,7 @@
 
 @dataclass(slots=True)
 class Timings:
-    """How long things took to be in force everywhere, seconds."""
+    """How long the drain, the configuration change and the node stop took, seconds."""
 
     drain_s: float = 0.0
     config_in_force_s: float = 0.0
@@ -47,7 +47,7 @@
 
 
 class DemoResult(msgspec.Struct, frozen=True):
-    """The last line of the demo."""
+    """The demo's result, which is printed as its last line."""
 
     queries: int
     complete: int
@@ -68,10 +68,10 @@
 
 
 class Demo:
-    """One run."""
+    """One run of the demo."""
 
     def __init__(self, cluster: DemoCluster) -> None:
-        """Run against a cluster, which is to be started before :meth:`run`."""
+        """Use a cluster, which must be started before :meth:`run`."""
         self.cluster = cluster
         kinds = cluster.deployment.query_kinds
         self.callers = DemoCallers(cluster.nodes, kinds)
@@ -85,11 +85,11 @@
 
     @property
     def tally(self) -> Tally:
-        """Return what callers saw."""
+        """Return the statistics of the callers."""
         return self.callers.tally
 
     async def run(self) -> float:
-        """Query while things break; return the extra load on back ends."""
+        """Send queries while failures are injected; return the relative extra load on back ends."""
         await self.callers.wait_until_ready(START_TIMEOUT_S)
         following = asyncio.create_task(self.callers.follow_readiness())
         before = await self._received_calls()
@@ -106,7 +106,7 @@
         return received / max(1, self.tally.needed_shards) - 1
 
     async def _break_things(self) -> None:
-        """The demo's failures, spread over the run."""
+        """Inject the demo's failures, spread over the run."""
         step = RUN_SECONDS / 5
         for break_one in (self._drain, self._kill, self._change_configuration, self._stop_node):
             started = time.monotonic()
@@ -115,7 +115,7 @@
             await asyncio.sleep(max(0.0, started + step - time.monotonic()))
 
     async def _drain(self) -> None:
-        """Drain a back end; measure until the last call that reached it."""
+        """Drain a back end; measure the time until the last call that reached it."""
         spec = self.cluster.deployment.backends[DRAINED]
         message = msgspec.json.encode(ControlMessage(draining=True))
         started = time.monotonic()
@@ -132,7 +132,7 @@
         )
 
     async def _kill(self) -> None:
-        """End a back end without warning."""
+        """Kill a back end."""
         counters = await self._counters(self.cluster.deployment.backends[VICTIM])
         self._received_by_dead += counters.received
         self._dead_backends.add(VICTIM)
@@ -140,7 +140,7 @@
         self.events.append(f"killed back end {VICTIM}")
 
     async def _change_configuration(self) -> None:
-        """Change a back end's slots; measure until every node enforces it."""
+        """Change a back end's slots; measure the time until every node enforces it."""
         old: BackendSpec = self.cluster.deployment.backends[CHANGED]
         spec = msgspec.structs.replace(old, slots=old.slots + 1)
         write = ResourceWrite(Kind.BACKEND.value, CHANGED, msgspec.Raw(msgspec.json.encode(spec)))
@@ -160,7 +160,7 @@
         self.events.append(f"changed slots of {CHANGED}: in force on every node after {took} s")
 
     async def _stop_node(self) -> None:
-        """Stop a node as planned; callers learn of it from its readiness alone."""
+        """Stop a node as planned; callers learn of the stop only from its readiness."""
         node: DemoNode = self.cluster.nodes[STOPPED_NODE]
         started = time.monotonic()
         code = await self.cluster.stop_node(node)
@@ -172,7 +172,7 @@
             self.tally.violations.append(f"{node.name}: planned stop ended with exit code {code}")
 
     async def _received_calls(self) -> int:
-        """Return how many calls the back ends that still run have received."""
+        """Return how many calls the running back ends have received."""
         received = 0
         for name, spec in self.cluster.deployment.backends.items():
             if name not in self._dead_backends:
@@ -180,7 +180,7 @@
         return received
 
     async def _started_operations(self) -> int:
-        """Return how many operations the back ends that still run have started."""
+        """Return how many operations the running back ends have started."""
         started = 0
         for name, spec in self.cluster.deployment.backends.items():
             if name not in self._dead_backends:
@@ -194,7 +194,7 @@
 
 
 def percentile(values: list[float], share: float) -> float:
-    """Return the value below which ``share`` of the values lie, 0.0 for none."""
+    """Return the value below which ``share`` of the values lie, 0.0 if there are none."""
     if not values:
         return 0.0
     ordered = sorted(values)
@@ -202,7 +202,7 @@
 
 
 def result_of(demo: Demo, extra_load: float) -> DemoResult:
-    """Return the last line; the nodes have ended and written their last log line."""
+    """Return the result; all nodes must have stopped and written their last log line."""
     tally = demo.tally
     count = tally.outcomes.get
     stopped = demo.cluster.stopped_fields()
@@ -229,7 +229,7 @@
 
 
 def print_table(demo: Demo) -> None:
-    """Print what happened and the latency of each kind of query."""
+    """Print the injected failures, the latency of each kind of query and the violations."""
     for event in demo.events:
         print(f"  - {event}")
     print(f"{'query kind':<20}{'queries':>9}{'p50 ms':>10}{'p99 ms':>10}")
@@ -246,7 +246,7 @@
 
 
 def main() -> int:
-    """Run the demo; non-zero on any violation."""
+    """Run the demo; return 1 if it has not passed."""
     with tempfile.TemporaryDirectory(prefix="tinrudder-demo-") as directory:
         demo = Demo(DemoCluster(Path(directory), VICTIM))
         extra_load = asyncio.run(_play(demo))
@@ -257,7 +257,7 @@
 
 
 async def _play(demo: Demo) -> float:
-    """Start the processes, run, and end every process whatever happened."""
+    """Start the cluster and run the demo; always stop every process."""
     try:
         await demo.cluster.start()
         return await demo.run()
@@ -266,9 +266,9 @@
 
 
 def _has_passed(result: DemoResult) -> bool:
-    """Tell whether nothing was broken and callers were really served.
+    """Return whether there were no violations and most queries were answered.
 
-    Without the second part a demo whose every query was refused, truthfully, would pass.
+    Without the second condition a demo in which every query was correctly refused would pass.
     """
     answered = result.complete + result.partial
     return result.violations == 0 and answered > MINIMUM_ANSWERED * result.queries
--- a/tinrudder_lab/demo_callers.py
+++ b/tinrudder_lab/demo_callers.py
@@ -1,4 +1,4 @@
-"""The demo's callers: they follow readiness, query over HTTP and check what they are told."""
+"""The demo's callers: they poll readiness, send queries over HTTP and check the answers."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 @dataclass(slots=True)
 class Tally:
-    """What callers saw."""
+    """Statistics of the callers' queries."""
 
     queries: int = 0
     outcomes: dict[str, int] = field(default_factory=dict)
@@ -39,7 +39,7 @@
     unanswered: dict[str, int] = field(default_factory=dict)
 
     def record(self, kind: QueryKind, body: OutcomeBody, elapsed_ms: float) -> None:
-        """Count one answer and check what it promises."""
+        """Count one answer and check its rows against its version and coverage."""
         self.queries += 1
         self.outcomes[body.outcome] = self.outcomes.get(body.outcome, 0) + 1
         if body.outcome not in ANSWERED:
@@ -61,10 +61,10 @@
 
 
 class DemoCallers:
-    """All callers of the demo; each chooses among the nodes that are ready."""
+    """All callers of the demo; each query goes to a random ready node of the kind's region."""
 
     def __init__(self, nodes: list[DemoNode], kinds: list[QueryKind]) -> None:
-        """Query ``nodes`` for ``kinds``."""
+        """Send queries of ``kinds`` to ``nodes``."""
         self.tally = Tally()
         self.client = aiosonic.HTTPClient()
         self.revisions: dict[str, int] = {}
@@ -74,13 +74,13 @@
 
     @property
     def ready_nodes(self) -> list[DemoNode]:
-        """Return the nodes that were ready when last asked."""
+        """Return the nodes that were ready at the last check."""
         return self._ready
 
     async def wait_until_ready(self, seconds: float) -> None:
         """Wait until every node is ready.
 
-        :raises TimeoutError: some node is not.
+        :raises TimeoutError: some node is not ready in time.
         """
         async with asyncio.timeout(seconds):
             while len(self._ready) < len(self._nodes):
@@ -88,13 +88,13 @@
                 await asyncio.sleep(READINESS_CHECK_S)
 
     async def follow_readiness(self) -> None:
-        """Keep the list of ready nodes fresh, as a load balancer does."""
+        """Poll the readiness of all nodes, as a load balancer does."""
         while True:
             await self._check_readiness()
             await asyncio.sleep(READINESS_CHECK_S)
 
     async def run(self, seconds: float) -> None:
-        """Let all callers query for a while."""
+        """Run all callers for some seconds."""
         end = time.monotonic() + seconds
         await asyncio.gather(*(self._work(end, number) for number in range(WORKERS)))
 
@@ -103,7 +103,7 @@
         self._ready = [node for node, ready in zip(self._nodes, answers, strict=True) if ready]
 
     async def _is_ready(self, node: DemoNode) -> bool:
-        """Ask one node; note the revision it enforces."""
+        """Return whether a node is ready; record the revision that it enforces."""
         try:
             response = await self.client.get(f"{node.url}/readyz")
             body = msgspec.json.decode(await response.content(), type=HealthBody)
@@ -114,7 +114,7 @@
         return bool(response.status_code == OK)
 
     async def _work(self, end: float, number: int) -> None:
-        """One caller: query, check, pause, again."""
+        """Run one caller: query, check the answer, pause, repeat."""
         source = random.Random(number)
         while time.monotonic() < end:
             kind = source.choice(self._kinds)
@@ -123,7 +123,9 @@
             try:
                 body = await self._query(node, kind)
             except CONNECTION_ERRORS as error:
-                self.tally.violations.append(f"{node.name}: request cut off: {error!r}")
+                self.tally.violations.append(
+                    f"{node.name}: connection failed during a request: {error!r}"
+                )
                 continue
             self.tally.record(kind, body, (time.monotonic() - started) * 1000)
             await asyncio.sleep(PAUSE_S * source.random() * 2)
--- a/tinrudder_lab/demo_cluster.py
+++ b/tinrudder_lab/demo_cluster.py
@@ -55,7 +55,7 @@
 
 
 class StoppedFields(msgspec.Struct, frozen=True):
-    """The fields of a node's last log line that the demo sums up."""
+    """Fields of a node's last log line that the demo sums up."""
 
     event: str
     local: int = 0
@@ -64,9 +64,9 @@
 
 
 class DemoCluster:
-    """Starts and ends the demo's processes.
+    """Starts and stops the demo's processes.
 
-    :param victim: the back end that will be killed; it gets a process of its own.
+    :param victim: the back end that will be killed; it runs in a process of its own.
     """
 
     def __init__(self, directory: Path, victim: str) -> None:
@@ -81,24 +81,24 @@
         self.deployment: Deployment = build_deployment(first_port + BACKEND_OFFSET)
 
     async def start(self) -> None:
-        """Start everything."""
+        """Start the platform, the back ends and the nodes."""
         await self._start_platform()
         await self._start_backends()
         for node in self.nodes:
             await self._start_node(node)
 
     async def kill_victim(self) -> None:
-        """End the victim without warning."""
+        """Kill the victim."""
         self.processes.send_signal("victim", signal.SIGKILL)
         await self.processes.wait("victim")
 
     async def stop_node(self, node: DemoNode) -> int | None:
-        """Stop a node as planned; return its exit code, ``None`` if it did not end."""
+        """Stop a node as planned; return its exit code, ``None`` if it did not exit in time."""
         self.processes.send_signal(node.name, signal.SIGTERM)
         return await self.processes.wait(node.name)
 
     def stopped_fields(self) -> list[StoppedFields]:
-        """Return what every node logged at its end."""
+        """Return the last log line of every stopped node."""
         found = []
         for node in self.nodes:
             for line in self.processes.log_of(node.name).read_bytes().splitlines():
@@ -147,14 +147,14 @@
 
 
 def find_free_block() -> int:
-    """Return the first of ``BLOCK_SIZE`` ports that nothing listens on.
+    """Return the first port of a block of ``BLOCK_SIZE`` free ports.
 
     :raises OSError: there is no such block.
     """
     for first in range(FIRST_PORT, LAST_PORT, BLOCK_SIZE):
         if all(_is_free(port) for port in range(first, first + BLOCK_SIZE)):
             return first
-    raise OSError("no block of free ports")
+    raise OSError(f"no block of {BLOCK_SIZE} free ports between {FIRST_PORT} and {LAST_PORT}")
 
 
 def _is_free(port: int) -> bool:
@@ -168,7 +168,7 @@
 
 
 def make_nodes(first_port: int) -> list[DemoNode]:
-    """Return two nodes a zone."""
+    """Return ``NODES_PER_ZONE`` nodes for each zone."""
     zones = [(PLATA_REGION, zone) for zone in PLATA_ZONES]
     zones += [(ARENA_REGION, zone) for zone in ARENA_ZONES]
     nodes = []
@@ -182,7 +182,7 @@
 
 
 def _stopped_fields(line: bytes) -> StoppedFields | None:
-    """Read a log line, ``None`` unless it is a node's last."""
+    """Parse a log line; return ``None`` unless it is the last line of a node."""
     try:
         fields = msgspec.json.decode(line, type=StoppedFields)
     except msgspec.MsgspecError:
--- a/tinrudder_lab/demo_operations.py
+++ b/tinrudder_lab/demo_operations.py
@@ -1,4 +1,4 @@
-"""The demo's purchases and ledger entries: each is sent twice at once, through two nodes."""
+"""The demo's purchases and ledger entries: each is sent to two nodes at the same time."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 @dataclass(slots=True)
 class OperationTally:
-    """What the senders of operations were told."""
+    """Numbers of operations by the outcomes of their submissions."""
 
     sent: int = 0
     ran: int = 0
@@ -34,7 +34,7 @@
     cut_off: list[str] = field(default_factory=list)
 
     def record(self, told: Sequence[OutcomeBody]) -> None:
-        """Count one operation by what its submissions were told."""
+        """Count one operation by the outcomes of its submissions."""
         self.sent += 1
         for body in told:
             name = f"{body.outcome} {body.reason}".strip()
@@ -48,16 +48,16 @@
             self.unknown += 1
 
     def violations(self, started: int) -> list[str]:
-        """Compare with how many operations the back ends started."""
+        """Return the violations, given how many operations the back ends started."""
         if self.ran <= started <= self.ran + self.unknown:
             return self.cut_off
-        told = f"{self.ran} told as run, {self.unknown} unknown, {self.not_run} not run"
+        told = f"{self.ran} reported as run, {self.unknown} unknown, {self.not_run} not run"
         detail = f"back ends started {started} operations of {self.sent}: {told}"
         return [*self.cut_off, detail]
 
 
 class DemoOperations:
-    """Sends operations of every kind, one after the other."""
+    """Sends operations of random kinds, one at a time."""
 
     def __init__(
         self,
@@ -72,7 +72,7 @@
         self._ready = ready
 
     async def run(self, seconds: float) -> None:
-        """Send for a while."""
+        """Send operations for some seconds."""
         end = time.monotonic() + seconds
         source = random.Random("operations")
         while time.monotonic() < end:
@@ -83,7 +83,7 @@
             try:
                 told = await asyncio.gather(*(self._post(node, kind, content) for node in two))
             except CONNECTION_ERRORS as error:
-                self.tally.cut_off.append(f"operation cut off: {error!r}")
+                self.tally.cut_off.append(f"connection failed during an operation: {error!r}")
                 continue
             self.tally.record(told)
             await asyncio.sleep(PAUSE_S)
--- a/tinrudder_lab/deployment.py
+++ b/tinrudder_lab/deployment.py
@@ -1,4 +1,4 @@
-"""Both users' deployments at today's sizes, as resources, members and caller credentials."""
+"""Both users' deployments at their current sizes: resources, members and caller credentials."""
 
 from __future__ import annotations
 
@@ -31,17 +31,17 @@
 PLATA_OWNERS = ("centro", "pocitos", "cordon", "prado")
 OPERATION_DATASETS = ("ledger", "seats")
 OPERATION_RULE_SUFFIX = "-post"
-"""Ledgers and seat sales also take operations, by the rule ``SERVICE-post``."""
+"""Ledgers and seat sales also accept operations, under the rule ``SERVICE-post``."""
 
 ARENA_OWNERS = ("alpen-tickets", "limmat-seats", "aare-events", "rhein-pass")
 
 
 @dataclass(frozen=True, slots=True)
 class ServiceShape:
-    """A group of like services.
+    """A group of identical services.
 
-    :param count: how many services; :param backends: back ends of each.
-    :param shards: shards of its index; every shard has two replicas where there are two.
+    :param count: number of services; :param backends: number of back ends of each.
+    :param shards: shards of each index; every shard has two replicas if there are two back ends.
     """
 
     name: str
@@ -57,7 +57,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Caller:
-    """A tenant's key in clear, as its clients hold it."""
+    """A tenant's plain-text key, as its clients store it."""
 
     tenant: str
     key_id: str
@@ -81,7 +81,7 @@
 
 @dataclass(slots=True)
 class Deployment:
-    """Everything a run needs to know of what is deployed."""
+    """The deployed resources, back ends, members and kinds of queries of a run."""
 
     resources: list[RawResource] = field(default_factory=list)
     backends: dict[str, BackendSpec] = field(default_factory=dict)
@@ -94,7 +94,7 @@
         self.resources.append(RawResource(kind.value, name, 1, raw))
 
     def replace(self, kind: Kind, name: str, spec: AnySpec) -> None:
-        """Set another specification of a resource before anything runs."""
+        """Replace the specification of a resource; only valid before a run."""
         self.resources = [raw for raw in self.resources if (raw.kind, raw.name) != (kind, name)]
         self.add(kind, name, spec)
 
@@ -143,7 +143,7 @@
 def build_deployment(first_backend_port: int, *, services_per_shape: int = 12) -> Deployment:
     """Return both deployments.
 
-    :param services_per_shape: caps how many like services are built.
+    :param services_per_shape: upper limit of the services built for each shape.
     """
     deployment = Deployment()
     port = first_backend_port
--- a/tinrudder_lab/everything.py
+++ b/tinrudder_lab/everything.py
@@ -24,7 +24,7 @@
 
 
 def random_steps(source: random.Random) -> list[Step]:
-    """Return a few faults at random times; some strike together or twice."""
+    """Return a few faults at random times; about one in ten is injected again 0.5 s later."""
     steps = []
     for _ in range(source.randint(FEWEST_FAULTS, MOST_FAULTS)):
         at = round(source.uniform(0.0, LATEST_S), 1)
@@ -37,7 +37,7 @@
 
 
 def _draw(source: random.Random) -> Fault:
-    """Return one fault with its parameters."""
+    """Return one random fault with random parameters."""
     node = source.choice(NODES)
     backend = source.choice(BACKENDS)
     index = source.choice(INDEXES)
--- a/tinrudder_lab/experiment.py
+++ b/tinrudder_lab/experiment.py
@@ -1,4 +1,4 @@
-"""One run of a scenario in virtual time: simulate, check, measure."""
+"""Runs a scenario once in virtual time: simulates, checks and measures it."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class LabError(Exception):
-    """The lab itself, or the product's code, raised something nobody caught."""
+    """The lab or the product's code raised an exception that was not caught."""
 
 
 def run_scenario(scenario: Scenario, seed: int, plant: Plant | None = None) -> RunResult:
--- a/tinrudder_lab/faults.py
+++ b/tinrudder_lab/faults.py
@@ -1,7 +1,7 @@
-"""Fault primitives: what scenarios are composed of.
+"""Fault primitives, of which scenarios are composed.
 
-Each returns a function of the world that turns the fault on; those that end by themselves set
-their own end.  Times are virtual seconds.
+Each returns a function that injects the fault into a world; the function of a temporary fault also
+schedules its end.  Times are virtual seconds.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Step:
-    """A fault and when it strikes."""
+    """A fault and the time of its injection."""
 
     at: float
     fault: Fault
@@ -54,7 +54,7 @@
 
 
 def slow_everything(factor: float, seconds: float) -> Fault:
-    """Make all back ends slower at the same time."""
+    """Make all back ends slower for some seconds."""
 
     def strike(world: World) -> None:
         for name in world.backends:
@@ -76,7 +76,7 @@
 
 
 def kill_backend(name: str, restart_after_s: float | None = None) -> Fault:
-    """End a back end's process; after ``restart_after_s`` it comes back cold."""
+    """Kill a back end's process; it restarts cold after ``restart_after_s``."""
 
     def strike(world: World) -> None:
         world.backends[name].kill()
@@ -88,7 +88,7 @@
 
 
 def cold_start(name: str, seconds: float = 2.0, factor: float = 10.0) -> Fault:
-    """Start a back end's process: its first calls are slow."""
+    """Start a back end's process; its calls are slow during the warm-up."""
 
     def strike(world: World) -> None:
         backend = world.backends[name]
@@ -103,7 +103,7 @@
 
 
 def lie_about_load(name: str, reported: int, slowdown: float) -> Fault:
-    """Let a slow back end report an invented load."""
+    """Make a back end slow and let it report a false load."""
 
     def strike(world: World) -> None:
         behaviour = world.backends[name].model.behaviour
@@ -115,7 +115,7 @@
 
 
 def lag_load(seconds: float) -> Fault:
-    """Let every back end report the load it had a while ago."""
+    """Let every back end report the load of some seconds ago."""
 
     def strike(world: World) -> None:
         for backend in world.backends.values():
@@ -126,29 +126,29 @@
 
 
 def late_cancellation(seconds: float) -> Fault:
-    """Let every back end honour a cancellation late."""
+    """Let every back end free the slot of a cancelled call late."""
 
     def strike(world: World) -> None:
         for backend in world.backends.values():
             backend.model.behaviour.cancel_delay_s = seconds
-        world.note(f"cancellations are honoured {seconds} s late")
+        world.note(f"slots of cancelled calls are freed {seconds} s late")
 
     return strike
 
 
 def drain_by_answer(name: str) -> Fault:
-    """Let a back end say in its own answers that it leaves."""
+    """Let a back end report in its answers that it is draining."""
 
     def strike(world: World) -> None:
         world.backends[name].model.behaviour.draining = True
         world.sign_drain(name)
-        world.note(f"{name} drains and says so in its answers")
+        world.note(f"{name} drains and reports it in its answers")
 
     return strike
 
 
 def drain_by_configuration(name: str) -> Fault:
-    """Let an operator declare a back end draining; the back end itself goes on answering."""
+    """Declare a back end draining in the configuration; the back end itself continues to answer."""
 
     def strike(world: World) -> None:
         spec = _current_spec(world, Kind.BACKEND, name, BackendSpec)
@@ -161,7 +161,7 @@
 
 
 def change_configuration(name: str) -> Fault:
-    """Change a back end's slots, so that a new revision has to get into force."""
+    """Change a back end's slots, which creates a new revision that has to propagate."""
 
     def strike(world: World) -> None:
         spec = _current_spec(world, Kind.BACKEND, name, BackendSpec)
@@ -174,9 +174,9 @@
 
 
 def new_version(index: str, old_gone_after_s: float, *, move_shards: bool) -> Fault:
-    """Publish the next index version; back ends load it one by one, then drop the old ones.
+    """Publish the next index version; back ends load it at random times, then drop the old ones.
 
-    :param move_shards: whether the shard map moves too (repartition).
+    :param move_shards: whether shards also move to other back ends (repartition).
     """
 
     def strike(world: World) -> None:
@@ -209,16 +209,16 @@
 
 
 def pause_node(name: str, seconds: float, *, clock_stands: bool = False) -> Fault:
-    """Stop a node's process for a while; it wakes believing what it last saw.
+    """Pause a node's process; it resumes with the state that it had before the pause.
 
-    :param clock_stands: whether its monotonic clock stands still meanwhile, as that of a
-        suspended machine does.
+    :param clock_stands: whether its monotonic clock is frozen during the pause, as on a suspended
+        machine.
     """
     return lambda world: world.pause_node(name, seconds, clock_stands=clock_stands)
 
 
 def crash_node(name: str, restart_after_s: float | None = DEFAULT_RESTART_S) -> Fault:
-    """Kill a node; a new process under the same name starts later."""
+    """Kill a node; a new process with the same name starts after ``restart_after_s``."""
 
     def strike(world: World) -> None:
         if world.hosts[name].machine.gone:
@@ -231,7 +231,7 @@
 
 
 def stop_node(name: str, restart_after_s: float | None = DEFAULT_RESTART_S) -> Fault:
-    """Stop a node as planned; a new one may take its place."""
+    """Stop a node as planned; a new process replaces it after ``restart_after_s``."""
 
     async def stop_and_replace(world: World) -> None:
         await world.stop_node(name)
@@ -249,7 +249,7 @@
 
 
 def cut(first: frozenset[str], second: frozenset[str], seconds: float, *, both: bool) -> Fault:
-    """Cut zones or regions off from others, in one or both ways, for a while."""
+    """Partition zones or regions from others, in one or both directions, for some seconds."""
 
     def strike(world: World) -> None:
         world.cut(first, second, seconds)
@@ -261,7 +261,7 @@
 
 
 def slow_network(delay_s: float, seconds: float) -> Fault:
-    """Add to every message's delay for a while."""
+    """Add ``delay_s`` to the delay of every message for some seconds."""
 
     def strike(world: World) -> None:
         world.network.extra_delay_s = delay_s
@@ -272,18 +272,18 @@
 
 
 def lossy_datagrams(loss: float, doubling: float) -> Fault:
-    """Lose and double a share of the datagrams between nodes."""
+    """Lose and duplicate shares of the datagrams between nodes."""
 
     def strike(world: World) -> None:
         world.network.datagram_loss = loss
         world.network.datagram_doubling = doubling
-        world.note(f"datagrams: {loss} lost, {doubling} doubled")
+        world.note(f"datagrams: {loss} lost, {doubling} duplicated")
 
     return strike
 
 
 def platform_down(zones: frozenset[str] | None, seconds: float) -> Fault:
-    """Let the platform answer nobody, or nobody in some zones, for a while."""
+    """Make the platform unavailable in some zones, or in all, for some seconds."""
 
     def strike(world: World) -> None:
         names = frozenset(world.zone_of) if zones is None else zones
@@ -296,7 +296,7 @@
 
 
 def platform_stale(zones: frozenset[str] | None, revision: int, seconds: float) -> Fault:
-    """Let the platform serve a former revision, as after a restore from an old copy."""
+    """Let the platform serve an older revision, as after a restore from an old copy."""
 
     def strike(world: World) -> None:
         document = world.platform.documents[revision]
@@ -317,7 +317,7 @@
 
 
 def _current_spec(world: World, kind: Kind, name: str, spec_type: type[SpecType]) -> SpecType:
-    """Return a resource's specification as the platform holds it."""
+    """Return a resource's current specification in the platform."""
     document = world.platform.state.document
     raw = next(raw for raw in document.resources if (raw.kind, raw.name) == (kind.value, name))
     return msgspec.json.decode(raw.spec, type=spec_type)
--- a/tinrudder_lab/history.py
+++ b/tinrudder_lab/history.py
@@ -1,4 +1,4 @@
-"""What a run recorded: typed events that the checkers read, whichever mode wrote them.
+"""The recorded history of a run: typed events for the checkers, independent of the recording mode.
 
 All times are seconds since the start of the run.
 """
@@ -18,7 +18,7 @@
 
 
 class CallStage(enum.StrEnum):
-    """How far a back end came with a call."""
+    """Stages of a call at a back end."""
 
     RECEIVED = "received"
     STARTED = "started"
@@ -28,7 +28,7 @@
 
 
 class NodeStage(enum.StrEnum):
-    """What happened to a node."""
+    """Events in the life of a node."""
 
     STARTED = "started"
     STOP_BEGUN = "stop_begun"
@@ -43,9 +43,10 @@
 class QuerySent(msgspec.Struct, frozen=True, tag=True):
     """A caller sent a query.
 
-    :param query: the lab's own number of it; :param session: queries that page one listing.
+    :param query: number assigned by the lab; :param session: shared by the queries that page
+        through one listing.
     :param request_key: set for a request that must run at most once.
-    :param valid_until: nothing of it may be sent from then on, seconds.
+    :param valid_until: time from which no part of the request may be sent, seconds.
     """
 
     at: float
@@ -64,7 +65,7 @@
 
 
 class QueryEnded(msgspec.Struct, frozen=True, tag=True):
-    """A caller got an outcome, ``LOST`` when its connection broke, ``LEFT`` when it went away."""
+    """A caller got an outcome, ``LOST`` if its connection broke, ``LEFT`` if it disconnected."""
 
     at: float
     query: int
@@ -79,9 +80,9 @@
 
 
 class CallSeen(msgspec.Struct, frozen=True, tag=True, gc=False):
-    """A back end's view of one call.
+    """A stage of one call as a back end observed it.
 
-    :param node: which node sent it, empty where the back end cannot know.
+    :param node: name of the node that sent the call, empty if the back end cannot know.
     """
 
     at: float
@@ -96,21 +97,21 @@
 
 
 def operation_name(request: SearchRequest) -> str | None:
-    """Return what identifies an operation over all its submissions, ``None`` for a search."""
+    """Return a name that all submissions of an operation share, ``None`` for a search."""
     if request.operation is None:
         return None
     return f"{request.operation}/{request.request_key}"
 
 
 class DrainSigned(msgspec.Struct, frozen=True, tag=True):
-    """The first sign that a back end leaves, from whatever source."""
+    """The first signal that a back end is draining, from any source."""
 
     at: float
     backend: str
 
 
 class RevisionSeen(msgspec.Struct, frozen=True, tag=True):
-    """A node enforces a revision from now on; ``start`` numbers the node's starts."""
+    """A node has begun to enforce a revision; ``start`` is the number of the node's start."""
 
     at: float
     node: str
@@ -119,11 +120,10 @@
 
 
 class NodeSeen(msgspec.Struct, frozen=True, tag=True):
-    """Something happened to a node.
+    """An event in the life of a node.
 
     :param unfinished: requests that were still open when its process ended.
-    :param address: where it listens for other nodes, as their errors name it; empty where it is
-        not known.
+    :param address: its peer address as it appears in other nodes' errors; empty if unknown.
     """
 
     at: float
@@ -164,7 +164,7 @@
 
 @dataclass(slots=True)
 class History:
-    """Every event of one run, by kind, in the order of time."""
+    """All events of one run, by kind, in time order."""
 
     sent: dict[int, QuerySent] = field(default_factory=dict)
     ended: dict[int, QueryEnded] = field(default_factory=dict)
@@ -178,7 +178,7 @@
     finished_at: float = 0.0
 
     def end_query(self, event: QueryEnded) -> None:
-        """Record an outcome; a second one for the same query is kept apart."""
+        """Record an outcome; a second one for the same query goes to ``doubled``."""
         if event.query in self.ended:
             self.doubled.append(event)
             return
--- a/tinrudder_lab/jobs.py
+++ b/tinrudder_lab/jobs.py
@@ -1,4 +1,4 @@
-"""Many runs side by side in a few worker processes, with progress and saved results."""
+"""Executes many runs in parallel worker processes, prints progress and saves results."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Job:
-    """One run to do.
+    """One run to execute.
 
     :param plant: the planted defect, empty for none.
     """
@@ -34,9 +34,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Done:
-    """What became of a job.
+    """The outcome of a job.
 
-    :param seconds: wall time; :param error: why there is no result, else empty.
+    :param seconds: wall time; :param error: why there is no result, empty if there is one.
     """
 
     job: Job
@@ -58,7 +58,7 @@
 
 
 def run_jobs(jobs: Sequence[Job], workers: int = MAX_WORKERS) -> Iterator[Done]:
-    """Yield finished jobs as they end; progress goes to standard error."""
+    """Yield outcomes as jobs finish; print progress to standard error."""
     with ProcessPoolExecutor(max_workers=workers) as pool:
         futures = [pool.submit(run_job, job) for job in jobs]
         for number, future in enumerate(as_completed(futures), start=1):
--- a/tinrudder_lab/main.py
+++ b/tinrudder_lab/main.py
@@ -1,4 +1,4 @@
-"""``tinrudder-lab``: list, faults, run and soak."""
+"""The command ``tinrudder-lab``: list, faults, run and soak."""
 
 from __future__ import annotations
 
@@ -22,13 +22,13 @@
 
 
 class ScenarioRow(msgspec.Struct, frozen=True):
-    """One scenario as listed."""
+    """One scenario in the output of ``list``."""
 
     what: str
 
 
 class PlantRow(msgspec.Struct, frozen=True):
-    """One planted defect as listed."""
+    """One planted defect in the output of ``faults``."""
 
     name: str
     promise: Promise
@@ -37,7 +37,7 @@
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run one command; exit 1 on violations."""
+    """Run one command; return 1 on violations."""
     parser = argparse.ArgumentParser(prog="tinrudder-lab", description=__doc__)
     commands = parser.add_subparsers(required=True)
     _add_list(commands)
@@ -100,18 +100,20 @@
 
 
 def _add_soak(commands: Commands) -> None:
-    soak_parser = commands.add_parser("soak", help="real gateways on loopback, faults at random")
+    soak_parser = commands.add_parser(
+        "soak", help="run real gateways on loopback and inject random faults"
+    )
     soak_parser.add_argument("--seed", type=int, default=1)
     soak_parser.add_argument("--seconds", type=float, default=30.0)
-    soak_parser.add_argument("--gateways", type=int, default=3, help="processes to run")
-    soak_parser.add_argument("--folder", type=Path, help="for settings and logs")
+    soak_parser.add_argument("--gateways", type=int, default=3, help="number of gateway processes")
+    soak_parser.add_argument("--folder", type=Path, help="folder for settings and logs")
     soak_parser.add_argument(
         "--no-restores",
         action="store_true",
-        help="the store never comes back from a copy, which resets connections that fell silent",
+        help="never restore the store from a copy (a restore also resets silent connections)",
     )
     soak_parser.add_argument(
-        "--regressions", action="store_true", help="run every seed that ever failed instead"
+        "--regressions", action="store_true", help="run all recorded regression seeds instead"
     )
     soak_parser.set_defaults(run=_soak)
 
--- a/tinrudder_lab/measures.py
+++ b/tinrudder_lab/measures.py
@@ -1,4 +1,4 @@
-"""Figures worked out from a run's history."""
+"""Computes the figures of a run from its history."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def percentile(ordered: Sequence[float], share: float) -> float:
-    """Return the value at a rank of sorted values, 0.0 for none.
+    """Return the value at rank ``share`` of sorted values, 0.0 if there are none.
 
     >>> percentile([1.0, 2.0, 3.0, 4.0], 0.5)
     3.0
@@ -38,7 +38,7 @@
 
 
 def latencies_ms(history: History, tenant: str | None = None) -> list[float]:
-    """Return the sorted latencies of answered queries as callers saw them."""
+    """Return the sorted latencies of answered queries, measured at the callers."""
     values = []
     for ended in history.ended.values():
         sent = history.sent[ended.query]
@@ -49,7 +49,10 @@
 
 
 def extra_load(history: History, sent_calls: int) -> float:
-    """Return calls sent over calls needed, minus 1; an operation needs one for all submissions."""
+    """Return the ratio of sent to needed calls, minus 1.
+
+    An operation needs one call for all its submissions.
+    """
     needed = 0
     operations = set()
     for ended in history.ended.values():
@@ -63,7 +66,7 @@
 
 
 def coverage_of(ended: QueryEnded) -> float:
-    """Return the stated coverage."""
+    """Return the coverage that an answer reports."""
     total = len(ended.included) + len(ended.missing)
     return len(ended.included) / total if total else 1.0
 
@@ -97,13 +100,13 @@
 
 
 def goodput(scenario: Scenario, world: World) -> float:
-    """Return answered queries over what the shared service could answer in the time."""
+    """Return answered queries as a share of the shared service's capacity during the run."""
     capacity = world.topology.capacity(SHARED_SERVICE) * scenario.duration_s
     return round(len(latencies_ms(world.history)) / capacity, ROUND_RATIO)
 
 
 def calls_per_accepted(world: World) -> float:
-    """Return calls sent over calls needed by the queries that were answered."""
+    """Return the ratio of sent calls to the calls that the answered queries needed."""
     answered = (e for e in world.history.ended.values() if e.outcome in ANSWERED)
     needed = sum(len(ended.included) + len(ended.missing) for ended in answered)
     return round(world.sent_calls / max(1, needed), ROUND_RATIO)
@@ -112,7 +115,7 @@
 def result_of(
     scenario: Scenario, seed: int, world: World, violations: tuple[Violation, ...]
 ) -> RunResult:
-    """Return the last line of a run."""
+    """Return the result of a run."""
     plain = _plain_result(scenario, seed, world, violations)
     if world.topology.shards == 1:
         return plain
@@ -127,7 +130,7 @@
 def _plain_result(
     scenario: Scenario, seed: int, world: World, violations: tuple[Violation, ...]
 ) -> RunResult:
-    """Return what a run on any topology reports."""
+    """Return the figures that runs on every topology report."""
     history = world.history
     latencies = latencies_ms(history)
     covered = [coverage_of(e) for e in history.ended.values() if e.included or e.missing]
@@ -156,7 +159,7 @@
 
 
 def peak_calls(history: History) -> int:
-    """Return the most calls that were in one back end at once."""
+    """Return the maximum number of concurrent calls in one back end."""
     inside: dict[str, int] = {}
     peak = 0
     for call in history.calls:
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -1,6 +1,6 @@
-"""Planted defects: each switched on by substitution from the lab, never by a flag in the product.
+"""Planted defects, which the lab enables by patching the product, never by a flag in the product.
 
-A plant names the promise it breaks and a scenario in which the checker must report it.
+A plant names the promise that it breaks and a scenario in which the checker must report it.
 """
 
 from __future__ import annotations
@@ -36,7 +36,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Substitution:
-    """One attribute of an object and what takes its place."""
+    """One attribute of an object and its replacement."""
 
     owner: object
     name: str
@@ -47,7 +47,7 @@
 class Plant:
     """A planted defect.
 
-    :param make: returns its substitutions; called anew for every run.
+    :param make: returns the substitutions; called once for each run.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
     @contextmanager
     def switch_on(self) -> Iterator[None]:
-        """Put the defect in place for a while."""
+        """Apply the defect while the context is open."""
         with ExitStack() as stack:
             for one in self.make():
                 stack.enter_context(mock.patch.object(one.owner, one.name, one.value))
@@ -90,7 +90,7 @@
 
 
 class _ReusingTransport(SimBackendTransport):
-    """Leaves a cancelled call's connection in use: the next call there reads its answer."""
+    """Keeps a cancelled call's connection in use, so that the next call on it reads its answer."""
 
     def __init__(self, *arguments: Any) -> None:
         """Start without stale exchanges."""
@@ -98,14 +98,14 @@
         self._stale: dict[str, list[Exchange]] = {}
 
     def cancel(self, call: BackendCall) -> None:
-        """Forget the call, but not its connection."""
+        """Drop the call, but keep its connection."""
         exchange = self._open.pop(call.call_id, None)
         if exchange is not None:
             exchange.listener = None
             self._stale.setdefault(call.backend, []).append(exchange)
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Let a stale exchange's answer go to the new call."""
+        """Start a call, which gets the answer of a stale exchange if there is one."""
         stale = self._stale.get(call.backend)
         super().start(call, listener)
         if stale:
@@ -228,49 +228,49 @@
 PLANTS = (
     Plant(
         "mixed-snapshots",
-        "a replan keeps the rows of the former version",
+        "a replan keeps the rows of the previous version",
         Promise.SINGLE_SNAPSHOT,
         "version-change",
         _mixed_snapshots,
     ),
     Plant(
         "page-on-newest",
-        "a later page forgets the version its listing is pinned to",
+        "a later page ignores the version to which its listing is pinned",
         Promise.SINGLE_SNAPSHOT,
         "version-change",
         _page_on_newest,
     ),
     Plant(
         "reused-connection",
-        "a cancelled call's connection is used again and its answer given to the next call",
+        "a cancelled call's connection is reused and its answer is delivered to the next call",
         Promise.OWN_ANSWER,
         "rolling-stop",
         _reused_connection,
     ),
     Plant(
         "doubled-rows",
-        "an answer that came twice is merged twice",
+        "a duplicate answer is merged twice",
         Promise.OWN_ANSWER,
         "replica-loss",
         _doubled_rows,
     ),
     Plant(
         "tenant-from-index",
-        "the tenant is taken from the index asked for, not from the credential",
+        "the tenant is taken from the requested index, not from the credential",
         Promise.OWN_ANSWER,
         "drain",
         _tenant_from_index,
     ),
     Plant(
         "coverage-at-send",
-        "a shard counts as included once its call was sent",
+        "a shard counts as included as soon as its call has been sent",
         Promise.TRUE_COVERAGE,
         "zone-cut",
         _coverage_at_send,
     ),
     Plant(
         "not-run-after-send",
-        "a query whose relay was lost is told not run",
+        "a query whose relay was lost is reported as not run",
         Promise.TRUE_NOT_RUN,
         "zone-cut",
         _not_run_after_send,
@@ -284,42 +284,42 @@
     ),
     Plant(
         "no-dissemination",
-        "nodes do not tell each other of a new revision",
+        "nodes do not propagate a new revision to each other",
         Promise.CONFIGURATION_HOLDS,
         "config-down",
         _no_dissemination,
     ),
     Plant(
         "work-to-draining",
-        "a leaving back end stays a candidate",
+        "a draining back end stays a candidate",
         Promise.NO_WORK_TO_LEAVING,
         "drain",
         _work_to_draining,
     ),
     Plant(
         "stop-drops-relayed",
-        "a planned stop waits neither for relayed queries nor for the others to notice",
+        "a planned stop waits neither for relayed queries nor until other nodes have noticed it",
         Promise.STOP_CUTS_NOTHING,
         "rolling-stop",
         _stop_drops_relayed,
     ),
     Plant(
         "claim-after-pause",
-        "a claim is honoured by a process that slept past its validity",
+        "a process that was suspended past the validity of a claim still acts on it",
         Promise.AT_MOST_ONCE,
         "duplicate-purchase",
         _claim_after_pause,
     ),
     Plant(
         "forgetful-voter",
-        "a voter votes right after its start as if it remembered",
+        "a voter votes right after its start as if it remembered its earlier votes",
         Promise.AT_MOST_ONCE,
         "duplicate-purchase",
         _forgetful_voter,
     ),
     Plant(
         "operation-resent",
-        "an operation whose call broke is sent to another replica",
+        "an operation whose call failed after sending is sent to another replica",
         Promise.AT_MOST_ONCE,
         "duplicate-purchase",
         _operation_resent,
--- a/tinrudder_lab/platform_server.py
+++ b/tinrudder_lab/platform_server.py
@@ -1,4 +1,4 @@
-"""A stand-in of the platform: nodes only read it, operators and the lab write it."""
+"""A stub of the platform: nodes only read it, operators and the lab write to it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class PlatformState(msgspec.Struct):
-    """Everything the platform holds."""
+    """The state of the platform: resources and the member list."""
 
     document: ResourceDocument
     members: MemberList
@@ -51,7 +51,7 @@
         return revision
 
     def write_batch(self, batch: ResourceBatch) -> int:
-        """Store and delete several resources in one revision; what changes nothing is no write."""
+        """Store and delete resources in one revision; keep the revision if nothing changes."""
         held = {(raw.kind, raw.name): raw for raw in self.document.resources}
         before = dict(held)
         for write in batch.resources:
@@ -68,7 +68,7 @@
         return self.document.revision
 
     def set_member_state(self, name: str, state: MemberState) -> None:
-        """Change what the list says of one machine."""
+        """Change the state of one machine in the member list."""
         members = tuple(
             msgspec.structs.replace(member, state=state) if member.name == name else member
             for member in self.members.members
@@ -76,7 +76,7 @@
         self.members = MemberList(self.members.revision + 1, members)
 
     def replace_members(self, members: tuple[PlatformMember, ...]) -> None:
-        """Set the whole list."""
+        """Replace the member list."""
         self.members = MemberList(self.members.revision + 1, members)
 
 
--- a/tinrudder_lab/processes.py
+++ b/tinrudder_lab/processes.py
@@ -1,7 +1,7 @@
-"""Starts, watches and ends the lab's own processes; the demo and the soak use it.
+"""Starts, monitors and stops the lab's processes for the demo and the soak test.
 
-Owns the processes of one run, each by its name, and their log files.  Relies on the running event
-loop to notice that one has ended.
+Owns the processes of one run, by name, and their log files.  Relies on the running event loop to
+detect that a process has exited.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 from pathlib import Path
 
 STOP_TIMEOUT_S = 20.0
-"""Seconds for a process to end after it was asked to, before it is killed: above the longest grace
-of a planned stop."""
+"""Seconds that a process has to exit after SIGTERM before it is killed: above the longest grace
+of any planned stop."""
 
 
 @dataclass
 class ProcessGroup:
     """Processes of one run.
 
-    :param log_directory: where each has a log file, which goes on when it is started again.
+    :param log_directory: directory of the log files, one for each name; a restart appends to it.
     """
 
     log_directory: Path
@@ -40,7 +40,7 @@
             )
 
     def pid_of(self, name: str) -> int | None:
-        """Return the id of a process, ``None`` unless it runs."""
+        """Return the id of a running process, ``None`` if it does not run."""
         process = self._processes.get(name)
         return process.pid if process is not None and process.returncode is None else None
 
@@ -50,7 +50,7 @@
             self._processes[name].send_signal(number)
 
     async def wait(self, name: str, timeout_s: float = STOP_TIMEOUT_S) -> int | None:
-        """Wait until a process has ended; return its exit code, ``None`` if it has not."""
+        """Wait until a process has exited; return its exit code, ``None`` after the timeout."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._processes[name].wait()
@@ -58,7 +58,7 @@
             return None
 
     def ended(self) -> dict[str, int]:
-        """Return the exit codes of the processes that have ended and were not started again."""
+        """Return the exit codes of the processes that have exited and were not restarted."""
         return {
             name: process.returncode
             for name, process in self._processes.items()
@@ -66,7 +66,7 @@
         }
 
     async def stop_all(self) -> None:
-        """Ask everything that still runs to stop, also what sleeps; kill what does not."""
+        """Stop all running processes, also suspended ones; kill those that do not exit in time."""
         for name in self._processes:
             self.send_signal(name, signal.SIGCONT)
             self.send_signal(name, signal.SIGTERM)
@@ -75,7 +75,7 @@
         await self.kill_all()
 
     async def kill_all(self) -> None:
-        """End everything that still runs without warning."""
+        """Kill all running processes."""
         for name in self._processes:
             self.send_signal(name, signal.SIGKILL)
         for process in self._processes.values():
--- a/tinrudder_lab/proof.py
+++ b/tinrudder_lab/proof.py
@@ -1,7 +1,7 @@
-"""``make proof``: all scenarios over seeds, every planted defect, one summary.
+"""``make proof``: runs all scenarios over many seeds and every planted defect, prints a summary.
 
-The summary says of each scenario how many runs kept every promise, lists the seeds that did not,
-and of each plant the first seed in which its own promise's checker reported it.
+For each scenario, the summary gives the number of runs and the seeds that broke a promise; for each
+planted defect, the seeds in which the checker of its promise reported it.
 """
 
 from __future__ import annotations
@@ -23,10 +23,10 @@
 
 
 class ScenarioSummary(msgspec.Struct, frozen=True):
-    """One scenario over its seeds; times are medians, milliseconds.
+    """One scenario over its seeds; latencies are medians, milliseconds.
 
-    :param broken: seeds with violations or errors, and the promises.
-    :param queries_per_second: simulated queries per second of one core's wall time.
+    :param broken: for each seed with violations or an error, the promises or the error.
+    :param queries_per_second: simulated queries per second of wall time on one core.
     """
 
     scenario: str
@@ -51,7 +51,7 @@
 
 
 class ProofSummary(msgspec.Struct, frozen=True):
-    """The whole proof."""
+    """The summary of the proof."""
 
     seconds: float
     runs: int
@@ -61,7 +61,7 @@
 
 
 def proof_jobs(everything_seeds: int) -> list[Job]:
-    """Return all runs; the long ones come first, so that no worker ends late."""
+    """Return all jobs; long ones come first, so that no worker finishes late."""
     jobs = []
     for scenario in SCENARIOS:
         seeds = everything_seeds if scenario.name == EVERYTHING else scenario.proof_seeds
@@ -137,7 +137,7 @@
 
 
 def main() -> int:
-    """Run the proof; exit 1 when a promise was broken or a plant not found."""
+    """Run the proof; return 1 if a promise was broken or a planted defect was not found."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--everything-seeds", type=int, default=EVERYTHING_SEEDS)
     parser.add_argument("--workers", type=int, default=MAX_WORKERS)
--- a/tinrudder_lab/report.py
+++ b/tinrudder_lab/report.py
@@ -1,4 +1,4 @@
-"""What a run measured, as the last line that others script against."""
+"""The results of a run, printed as the last line for scripts to parse."""
 
 from __future__ import annotations
 
@@ -15,8 +15,8 @@
 class TenantFigures(msgspec.Struct, frozen=True):
     """One tenant's figures.
 
-    :param served: its answered queries over those it sent.
-    :param share: its answered queries over everybody's.
+    :param served: share of its queries that were answered.
+    :param share: its share of the answered queries of all tenants.
     """
 
     queries: int
@@ -29,8 +29,8 @@
 class RunResult(msgspec.Struct, frozen=True, omit_defaults=True):
     """The last line of ``tinrudder-lab run``.
 
-    :param goodput: answered queries a second over the capacity, where one service is shared.
-    :param calls_per_accepted: calls sent over calls needed by the answered queries.
+    :param goodput: answered queries as a share of the capacity, if one service is shared.
+    :param calls_per_accepted: ratio of sent calls to the calls that answered queries needed.
     """
 
     scenario: str
--- a/tinrudder_lab/scenarios.py
+++ b/tinrudder_lab/scenarios.py
@@ -1,7 +1,7 @@
-"""The scenarios: each a topology, arrivals and a few fault primitives.
+"""The scenarios, each composed of a topology, arrivals and a few fault primitives.
 
 Node names are ``ZONE-nNUMBER``, back ends ``SERVICE-bNUMBER``.  Times are seconds after the
-nodes have warmed up.
+nodes' warm-up.
 """
 
 from __future__ import annotations
@@ -34,7 +34,7 @@
 NOISY = "bronze"
 FAULT_SEEDS = 5
 LOAD_SEEDS = 2
-"""Scenarios with many queries take longest and have few faults that a seed can move."""
+"""Scenarios with many queries take longest and have few faults that vary with the seed."""
 EVERYTHING_SEEDS = 200
 
 
@@ -46,7 +46,7 @@
 class Scenario:
     """One experiment.
 
-    :param proof_seeds: how many seeds ``make proof`` plays.
+    :param proof_seeds: number of seeds that ``make proof`` runs.
     """
 
     name: str
@@ -58,7 +58,7 @@
 
 
 def _tenants(total: float, noisy_factor: float) -> tuple[TenantLoad, ...]:
-    """Return tenants at their shares of ``total`` load, one of them at a multiple of it."""
+    """Return tenants with their shares of the ``total`` load; one has a multiple of its share."""
     loads = {name: total * weight / ALL_WEIGHTS for name, weight in WEIGHTS.items()}
     loads[NOISY] *= noisy_factor
     return tuple(TenantLoad(name, weight, loads[name]) for name, weight in WEIGHTS.items())
@@ -219,7 +219,7 @@
     ),
     Scenario(
         "cold-start",
-        "three back ends die and come back cold two seconds later",
+        "three back ends die and restart cold two seconds later",
         lambda: both_deployments(rate=20.0),
         10.0,
         _cold_start,
@@ -256,7 +256,7 @@
     ),
     Scenario(
         "fair-shares",
-        "four tenants with weights 1:2:4:8, each of them alone at twice the capacity",
+        "four tenants with weights 1:2:4:8, each alone at twice the capacity",
         lambda: shared_service(
             tuple(TenantLoad(name, weight, 2.0) for name, weight in WEIGHTS.items()), 1000
         ),
@@ -272,7 +272,7 @@
     ),
     Scenario(
         "retry-storm",
-        "1.2 times the capacity, callers ask again up to 3 times, all back ends slow for 2 s",
+        "1.2 times the capacity, callers retry up to 3 times, all back ends slow for 2 s",
         lambda: _overload(retries=3, load=1.2),
         10.0,
         lambda _: [Step(3.0, faults.slow_everything(3.0, 2.0))],
@@ -308,7 +308,7 @@
     ),
     Scenario(
         "zone-cut",
-        "a zone is cut off both ways, platform included; later one way between two zones",
+        "a zone is cut off both ways, also from the platform; later one way between two zones",
         lambda: both_deployments(rate=10.0),
         13.0,
         _zone_cut,
@@ -322,21 +322,21 @@
     ),
     Scenario(
         "paused-node",
-        "three nodes sleep 1, 8 and 20 s while a back end drains and the configuration changes",
+        "three nodes pause for 1, 8 and 20 s while a back end drains and the configuration changes",
         lambda: both_deployments(rate=5.0),
         26.0,
         _paused_node,
     ),
     Scenario(
         "duplicate-purchase",
-        "purchases sent twice and again, while nodes sleep, are cut off and start anew",
+        "purchases submitted twice and retried while nodes are paused, cut off and restarted",
         lambda: with_purchases(rate=2.0, purchases=20.0),
         27.0,
         _duplicate_purchase,
     ),
     Scenario(
         "everything",
-        "faults drawn from the seed, together or twice, with purchases among the queries",
+        "random faults by seed, some concurrent or repeated, with purchases among the queries",
         lambda: with_purchases(rate=5.0, purchases=5.0),
         12.0,
         random_steps,
--- a/tinrudder_lab/sightings.py
+++ b/tinrudder_lab/sightings.py
@@ -1,4 +1,4 @@
-"""Turns what back ends and the platform see into events."""
+"""Converts calls at back ends and index versions of the platform into history events."""
 
 from __future__ import annotations
 
--- a/tinrudder_lab/sim/__init__.py
+++ b/tinrudder_lab/sim/__init__.py
@@ -1,1 +1,1 @@
-"""The virtual-time simulator: the product's node code on simulated machines."""
+"""The virtual-time simulator, which runs the product's node code on simulated machines."""
--- a/tinrudder_lab/sim/backends.py
+++ b/tinrudder_lab/sim/backends.py
@@ -17,7 +17,7 @@
 
 @dataclass(eq=False)
 class Exchange:
-    """One call on its connection."""
+    """One call and its connection state."""
 
     transport: SimBackendTransport
     call: BackendCall
@@ -27,7 +27,7 @@
 
 @dataclass(eq=False)
 class SimBackend:
-    """A back end in its place; ``up`` is whether its process runs."""
+    """A simulated back end at its location; ``up`` tells whether its process runs."""
 
     model: BackendModel
     place: Place
@@ -35,7 +35,7 @@
     open: dict[int, Exchange] = field(default_factory=dict)
 
     def kill(self) -> None:
-        """End the process: calls in it break, later ones are refused a connection."""
+        """Kill the process: its calls break, later connections are refused."""
         self.up = False
         self.model.cancel_all()
         exchanges, self.open = list(self.open.values()), {}
@@ -43,7 +43,7 @@
             exchange.transport.reply_later(self.place, exchange, Broken("connection reset"))
 
     def receive(self, exchange: Exchange) -> None:
-        """Take a call that has arrived."""
+        """Handle the arrival of a call."""
         if not self.up:
             reply = NotSent("connection refused")
             exchange.transport.reply_later(self.place, exchange, reply)
@@ -59,7 +59,7 @@
         )
 
     def cancel(self, exchange: Exchange) -> None:
-        """Take a cancellation that has arrived."""
+        """Handle the arrival of a cancellation."""
         self.open.pop(id(exchange), None)
         if exchange.model_call is not None:
             self.model.cancel(exchange.model_call)
@@ -72,12 +72,12 @@
 class SimBackendTransport:
     """One machine's connections to back ends.
 
-    A call on a new connection pays for connecting.  A call into a cut is lost in silence when
-    its connection stood before, and fails as not sent when it would have needed a new one.
+    A call on a new connection also takes the time to connect.  During a network cut, a call on an
+    existing connection is lost silently; one that needs a new connection fails as not sent.
     """
 
     def __init__(self, machine: Machine, network: Network, backends: dict[str, SimBackend]) -> None:
-        """Reach ``backends`` from ``machine``."""
+        """Connect ``machine`` to ``backends``."""
         self.machine = machine
         self.place = Place(machine.zone, machine.region)
         self._network = network
@@ -89,7 +89,7 @@
         self.sent = 0
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        """Send a call."""
+        """Send a call on an idle connection, or connect first."""
         exchange = Exchange(self, call, listener)
         self._open[call.call_id] = exchange
         backend = self._backends[call.backend]
@@ -106,7 +106,7 @@
             self._call_later(CONNECT_S, self._connected, exchange, backend)
 
     def _connected(self, exchange: Exchange, backend: SimBackend) -> None:
-        """Send over a connection that has just opened, if the call is still wanted."""
+        """Send on a connection that has just opened, unless the call was cancelled or expired."""
         call = exchange.call
         if exchange.listener is None:
             return
@@ -120,12 +120,12 @@
         self._reply_at(0.0, exchange, NotSent("not sent in time"))
 
     def _transmit(self, exchange: Exchange, backend: SimBackend) -> None:
-        """Let the bytes leave."""
+        """Send the call to the back end."""
         self.sent += 1
         self._network.deliver(self.place, backend.place, None, backend.receive, exchange)
 
     def cancel(self, call: BackendCall) -> None:
-        """Close the connection the call is on: its answer reaches nobody."""
+        """Close the call's connection and discard its answer."""
         exchange = self._open.pop(call.call_id, None)
         if exchange is None:
             return
@@ -140,29 +140,29 @@
         self.abort()
 
     def abort(self) -> None:
-        """Close every connection, as the end of the process does."""
+        """Cancel every call, as the exit of the process does."""
         for exchange in tuple(self._open.values()):
             self.cancel(exchange.call)
 
     def reply_later(self, source: Place, exchange: Exchange, reply: BackendReply) -> None:
-        """Bring a reply from ``source`` to this machine."""
+        """Deliver a reply from ``source`` to this machine."""
         self._network.deliver(
             source, self.place, self.machine.context, self._on_reply, exchange, reply
         )
 
     def _reply_at(self, delay_s: float, exchange: Exchange, reply: BackendReply) -> None:
-        """Report something this machine finds out by itself."""
+        """Report a result that this machine detects by itself."""
         self._call_later(delay_s, self._on_reply, exchange, reply)
 
     def _call_later(
         self, delay_s: float, callback: Callable[..., None], *arguments: object
     ) -> None:
-        """Call something on this machine."""
+        """Schedule a callback on this machine."""
         when = self._loop.time() + delay_s
         self._loop.call_at(when, callback, *arguments, context=self.machine.context)
 
     def _on_reply(self, exchange: Exchange, reply: BackendReply) -> None:
-        """Hand a reply to the node unless the call was cancelled."""
+        """Pass a reply to the node unless the call was cancelled."""
         listener, exchange.listener = exchange.listener, None
         if listener is None:
             return
--- a/tinrudder_lab/sim/caller_pool.py
+++ b/tinrudder_lab/sim/caller_pool.py
@@ -1,4 +1,4 @@
-"""Simulated callers: open-loop arrivals that page, retry, go away and repeat submissions."""
+"""Simulated callers: open-loop arrivals that page, retry, disconnect and resubmit."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
     """All callers of one run."""
 
     def __init__(self, world: World) -> None:
-        """Ask the nodes of ``world`` and record in its history."""
+        """Send requests to the nodes of ``world`` and record them in its history."""
         self._world = world
         self._history = world.history
         self._queries = 0
 
     def ask(self, arrival: Arrival) -> None:
-        """Let one caller act."""
+        """Start one caller."""
         act = self._purchase(arrival) if arrival.copies else self._read_pages(arrival)
         self._world.spawn(act)
 
@@ -58,7 +58,7 @@
             after = (ended.rows[-1].time, ended.rows[-1].row_id)
 
     async def _purchase(self, arrival: Arrival) -> None:
-        """Submit one request, some of them twice, then again until settled."""
+        """Submit one purchase, in some cases twice, and resubmit it until it is settled."""
         key = f"purchase-{self._queries + 1:08d}"
         valid_until = self._world.now() + VALIDITY_S
         submissions = [
@@ -83,7 +83,7 @@
         again: bool,
         delay_s: float = 0.0,
     ) -> QueryEnded:
-        """Submit one request once, through any node."""
+        """Submit one request once, through a random node."""
         await asyncio.sleep(delay_s)
         draw = self._world.random.random()
         sent = self._sent(
@@ -111,7 +111,7 @@
         valid_until: float | None = None,
         resubmission: bool = False,
     ) -> QuerySent:
-        """Record that a caller sends something now, and to which node."""
+        """Choose a node and record that a caller sends a request to it now."""
         self._queries += 1
         kind = arrival.kind
         host = self._pick_node(kind.region, arrival.node_draw if draw is None else draw)
@@ -136,7 +136,7 @@
     async def _send(
         self, arrival: Arrival, sent: QuerySent, path: str, content: dict[str, object]
     ) -> tuple[QueryEnded, str | None]:
-        """Send one request; record and return its end and the cursor of the next page."""
+        """Send one request; record its outcome and return it with the cursor of the next page."""
         host = self._world.hosts[sent.node]
         authorization = arrival.kind.caller.authorization
         exchange = HttpExchange(path, msgspec.json.encode(content), authorization)
@@ -154,7 +154,7 @@
         return event, cursor
 
     def _pick_node(self, region: str, draw: float) -> NodeHost:
-        """Return the node a caller of a region reaches; a refused connection means the next."""
+        """Return the node that a caller of a region reaches; a healthy one if there is any."""
         nearby = [host for host in self._world.hosts.values() if host.machine.region == region]
         now = self._world.now()
         healthy = [host for host in nearby if host.accepting and host.unhealthy_at > now]
@@ -164,7 +164,7 @@
     async def _run_at(
         self, host: NodeHost, exchange: HttpExchange, patience_s: float
     ) -> str | None:
-        """Run one exchange at a node; return why there is no answer, if there is none."""
+        """Run one exchange at a node; return ``LOST`` or ``LEFT`` if there is no answer."""
         if host.machine.gone:
             return LOST
         loop = self._world.loop
--- a/tinrudder_lab/sim/callers.py
+++ b/tinrudder_lab/sim/callers.py
@@ -1,4 +1,4 @@
-"""Simulated callers: they speak the caller API to a node's own ASGI application."""
+"""HTTP requests of simulated callers to a node's own ASGI application."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(eq=False)
 class HttpExchange:
-    """One request to an ASGI application and what came back."""
+    """One request to an ASGI application and its response."""
 
     path: str
     body: bytes
@@ -31,7 +31,7 @@
     body_read: bool = False
 
     async def run(self, app: Callable[..., Any]) -> None:
-        """Call the application."""
+        """Pass the request to the application."""
         scope: Message = {
             "type": "http",
             "asgi": {"version": "3.0"},
@@ -66,7 +66,7 @@
 
 
 def read_outcome(at: float, query: int, body: bytes) -> tuple[QueryEnded, str | None]:
-    """Decode a node's answer into an event, and the cursor of the next page."""
+    """Decode a node's answer into an event and the cursor of the next page."""
     outcome = _body_decoder.decode(body)
     included: tuple[str, ...] = ()
     missing: tuple[str, ...] = ()
--- a/tinrudder_lab/sim/loop.py
+++ b/tinrudder_lab/sim/loop.py
@@ -1,8 +1,8 @@
 """A virtual-time event loop in which every callback belongs to a machine.
 
-async-solipsism gives the virtual clock.  On top of it each callback carries the machine that
-scheduled it in its context: a paused machine's callbacks are held until it wakes, a crashed
-machine's are dropped.  That is how unchanged node code gets paused and killed.
+async-solipsism provides the virtual clock.  In addition, each callback carries the machine that
+scheduled it in its context: a paused machine's callbacks are held until it resumes, a crashed
+machine's are dropped.  Unmodified node code can thus be paused and killed.
 """
 
 from __future__ import annotations
@@ -24,7 +24,7 @@
     __slots__ = ("callback", "handle", "machine")
 
     def __init__(self, machine: Machine, callback: Callable[..., object]) -> None:
-        """Guard ``callback``."""
+        """Wrap ``callback``."""
         self.machine = machine
         self.callback = callback
         self.handle: asyncio.Handle | None = None
@@ -39,26 +39,26 @@
         self.callback(*arguments)
 
     def resumed(self, *arguments: object) -> None:
-        """Run what was held unless it was cancelled since."""
+        """Run a held callback unless it has been cancelled since."""
         if self.handle is None or not self.handle.cancelled():
             self(*arguments)
 
 
 class MachineTimer(MachineCallback):
-    """A timer by its machine's monotonic clock, which may have stood still meanwhile."""
+    """A timer by its machine's monotonic clock, which may be frozen while the timer is pending."""
 
     __slots__ = ("loop", "stood_s")
 
     def __init__(
         self, machine: Machine, callback: Callable[..., object], loop: MachineLoop
     ) -> None:
-        """Guard ``callback``."""
+        """Wrap ``callback``."""
         super().__init__(machine, callback)
         self.loop = loop
         self.stood_s = loop.stood_s(machine)
 
     def __call__(self, *arguments: object) -> None:
-        """Run, hold or drop the callback, or wait for the time the clock stood still."""
+        """Run, hold or drop the callback, or delay it by the time that the clock was frozen."""
         machine = self.machine
         if self.handle is not None and self.handle.cancelled():
             return
@@ -72,10 +72,10 @@
 
 @dataclass(eq=False)
 class Machine:
-    """One simulated machine, that is one start of one process.
+    """One simulated machine; each start of a process gets a new one.
 
-    :param wall_offset_s: how far its calendar clock is from the true one.
-    :param stood_s: how long its monotonic clock has stood still so far.
+    :param wall_offset_s: offset of its wall clock from true time, seconds.
+    :param stood_s: total time for which its monotonic clock has been frozen, seconds.
     """
 
     name: str
@@ -92,17 +92,17 @@
     context: contextvars.Context = field(default_factory=contextvars.copy_context)
 
     def __post_init__(self) -> None:
-        """Make everything started in the context belong to this machine."""
+        """Bind everything started in the context to this machine."""
         self.context.run(MACHINE.set, self)
 
     def pause(self) -> None:
-        """Hold everything, as SIGSTOP does."""
+        """Hold all callbacks, as SIGSTOP does."""
         self.paused = True
 
     def resume(self, loop: asyncio.AbstractEventLoop, stands_s: float = 0.0) -> None:
-        """Run what was held, in the order it came.
+        """Run the held callbacks, in the order in which they were held.
 
-        :param stands_s: how long the monotonic clock stood still.
+        :param stands_s: for how long the monotonic clock was frozen, seconds.
         """
         self.paused = False
         self.stood_s += stands_s
@@ -112,7 +112,7 @@
                 loop.call_soon(callback.resumed, *arguments, context=context)
 
     def crash(self) -> None:
-        """Drop everything; tasks are kept so that none of their clean-up runs."""
+        """Drop all callbacks; tasks stay referenced so that none of their clean-up code runs."""
         self.gone = True
         self.held.clear()
 
@@ -120,30 +120,31 @@
 class MachineLoop(async_solipsism.EventLoop):  # type: ignore[misc]
     """Virtual time; callbacks are bound to the machine of their context.
 
-    :cvar counts_suspensions: a machine's clock goes on while it is suspended, as that of the
-        product's own event loop does; without, it is the kernel's steady clock, which stands still.
+    :cvar counts_suspensions: whether a machine's clock advances while the machine is suspended, as
+        that of the product's own event loop does; if not, it is frozen, as the kernel's monotonic
+        clock is.
     """
 
     counts_suspensions = False
 
     def time(self) -> float:
-        """Return monotonic seconds as the machine of the caller counts them."""
+        """Return the monotonic time of the calling machine, seconds."""
         machine = MACHINE.get()
         now: float = super().time()
         return now if machine is None else now - self.stood_s(machine)
 
     def stood_s(self, machine: Machine) -> float:
-        """Return for how long a machine's clock has stood still."""
+        """Return for how long a machine's clock has been frozen, seconds."""
         return 0.0 if self.counts_suspensions else machine.stood_s
 
     def true_time(self) -> float:
-        """Return seconds since the start of the run, whoever asks."""
+        """Return seconds since the start of the run, independent of the calling machine."""
         return float(super().time())
 
     def call_at_true_time(
         self, delay_s: float, callback: MachineCallback, arguments: tuple[object, ...]
     ) -> None:
-        """Call a guarded callback after a delay that no machine's clock changes."""
+        """Schedule a wrapped callback after a delay that does not depend on any machine's clock."""
         super().call_at(super().time() + delay_s, callback, *arguments)
 
     def deliver(
@@ -153,7 +154,7 @@
         callback: Callable[..., object],
         *args: object,
     ) -> None:
-        """Let something arrive from outside: on a paused machine it waits, by no clock of its."""
+        """Schedule an external arrival in true time; a paused machine holds it."""
         if self.is_closed():
             return
         machine = context.get(MACHINE)
@@ -166,9 +167,9 @@
         *args: object,
         context: contextvars.Context | None = None,
     ) -> asyncio.Handle:
-        """Schedule for the machine of ``context``, or of the caller."""
+        """Schedule for the machine of ``context``, by default for the calling machine."""
         if self.is_closed():
-            # Tasks of ended machines are collected after the run; nothing they do counts.
+            # Tasks of ended machines are garbage-collected after the run; their calls are ignored.
             return asyncio.Handle(callback, args, self, context)
         machine = MACHINE.get() if context is None else context.get(MACHINE)
         if machine is None:
@@ -185,7 +186,7 @@
         *args: object,
         context: contextvars.Context | None = None,
     ) -> asyncio.TimerHandle:
-        """Schedule for the machine of ``context``, or of the caller."""
+        """Schedule for the machine of ``context``, by default for the calling machine."""
         if self.is_closed():
             return asyncio.TimerHandle(when, callback, args, self, context)
         machine = MACHINE.get() if context is None else context.get(MACHINE)
@@ -199,7 +200,7 @@
         return handle
 
     def create_task(self, coro: Coroutine[Any, Any, Any], **options: Any) -> asyncio.Task[Any]:
-        """Create a task and let its machine keep it."""
+        """Create a task to which its machine keeps a reference."""
         context: contextvars.Context | None = options.get("context")
         machine = MACHINE.get() if context is None else context.get(MACHINE)
         task: asyncio.Task[Any] = super().create_task(coro, **options)
--- a/tinrudder_lab/sim/network.py
+++ b/tinrudder_lab/sim/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: delay per zone and region pair, cuts, loss, doubling, reordering."""
+"""The simulated network: delay by zone and region, cuts, loss, duplication and reordering."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Place:
-    """Where a machine stands."""
+    """The location of a machine."""
 
     zone: str
     region: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Places that cannot send to other places; one way unless both ways are cut.
+    """A one-way partition: places that cannot send to other places.
 
     :param sources: zones or regions; :param destinations: zones or regions.
     """
@@ -35,7 +35,7 @@
     destinations: frozenset[str]
 
     def blocks(self, source: Place, destination: Place) -> bool:
-        """Tell whether a message is lost."""
+        """Return whether a message is lost."""
         leaves = source.zone in self.sources or source.region in self.sources
         enters = destination.zone in self.destinations or destination.region in self.destinations
         return leaves and enters
@@ -43,9 +43,9 @@
 
 @dataclass(eq=False)
 class Network:
-    """Delivers callbacks after a delay, or not at all.
+    """Delivers messages, which are callbacks, after a delay or loses them.
 
-    :param datagram_loss: share of datagrams lost; :param datagram_doubling: share doubled.
+    :param datagram_loss: share of datagrams lost; :param datagram_doubling: share duplicated.
     :param extra_delay_s: added to every message, seconds.
     """
 
@@ -69,7 +69,7 @@
         return base + self.extra_delay_s + JITTER_S * self.random.random()
 
     def blocked(self, source: Place, destination: Place) -> bool:
-        """Tell whether a cut is in the way."""
+        """Return whether a cut blocks messages."""
         return any(cut.blocks(source, destination) for cut in self.cuts)
 
     def deliver(
@@ -82,7 +82,7 @@
     ) -> bool:
         """Run ``callback`` at the destination after the delay; return False when cut off.
 
-        :param context: the receiving machine's, ``None`` for what is no node.
+        :param context: context of the receiving machine, ``None`` if the receiver is not a node.
         """
         if self.cuts and self.blocked(source, destination):
             return False
@@ -99,7 +99,7 @@
         callback: Callable[..., object],
         *arguments: object,
     ) -> None:
-        """Deliver zero, one or two times."""
+        """Deliver a datagram zero, one or two times."""
         if self.random.random() < self.datagram_loss:
             return
         self.deliver(source, destination, context, callback, *arguments)
--- a/tinrudder_lab/sim/node_host.py
+++ b/tinrudder_lab/sim/node_host.py
@@ -29,7 +29,7 @@
 class NodeHost:
     """One start of one node.
 
-    :param unhealthy_at: when callers' load balancer has noticed that it does not answer.
+    :param unhealthy_at: when the callers' load balancer detects that the node does not answer.
     """
 
     machine: Machine
@@ -51,7 +51,7 @@
         self.accepting = True
 
     async def stop(self) -> None:
-        """Leave, finish the callers' requests, then end, as ``tinrudder serve`` does."""
+        """Leave the cluster, finish callers' requests, then stop, as ``tinrudder serve`` does."""
         await self.node.leave()
         self.accepting = False
         while self.in_flight:
@@ -69,7 +69,7 @@
     source: random.Random,
     start_number: int,
 ) -> NodeHost:
-    """Build a node on its machine; nothing runs before :meth:`NodeHost.serve`."""
+    """Build a node on its machine; :meth:`NodeHost.serve` starts it."""
     settings = NodeSettings(
         name=machine.name,
         zone=machine.zone,
--- a/tinrudder_lab/sim/peers.py
+++ b/tinrudder_lab/sim/peers.py
@@ -1,4 +1,4 @@
-"""Messages between simulated nodes: the :class:`tinrudder.peers.PeerTransport` of the lab."""
+"""Simulated messages between nodes: the lab's :class:`tinrudder.peers.PeerTransport`."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(eq=False)
 class _Request:
-    """One request on its way; ``task`` is the handler's at the peer."""
+    """One request in flight; ``task`` runs its handler at the peer."""
 
     caller: SimPeerTransport
     future: asyncio.Future[bytes]
@@ -32,7 +32,7 @@
 
 @dataclass(eq=False)
 class PeerSwitchboard:
-    """Which transport listens at which address."""
+    """The transports by the address at which they listen."""
 
     transports: dict[PeerAddress, SimPeerTransport] = field(default_factory=dict)
 
@@ -43,7 +43,7 @@
     def __init__(
         self, address: PeerAddress, machine: Machine, network: Network, board: PeerSwitchboard
     ) -> None:
-        """Listen at ``address`` at once."""
+        """Listen at ``address`` immediately."""
         self.address = address
         self.machine = machine
         self.place = Place(machine.zone, machine.region)
@@ -60,12 +60,12 @@
         board.transports[address] = self
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
-        """Set who handles what arrives."""
+        """Set the handlers of incoming datagrams and requests."""
         self._on_datagram = on_datagram
         self._on_request = on_request
 
     def send_datagram(self, destination: PeerAddress, payload: bytes) -> None:
-        """Send one datagram; it may be lost, doubled or overtaken."""
+        """Send one datagram; it may be lost, duplicated or reordered."""
         if len(payload) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram: {len(payload)} bytes, at most {MAX_DATAGRAM_BYTES}")
         peer = self._board.transports.get(destination)
@@ -76,7 +76,7 @@
         )
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
-        """Send a request and return its answer; see the interface."""
+        """Send a request and return its answer, as the interface specifies."""
         peer = await self._connect(destination, timeout_s)
         self._last_request += 1
         number = self._last_request
@@ -99,7 +99,7 @@
                 )
 
     async def close(self) -> None:
-        """Stop listening; requests that are still served are cut off."""
+        """Stop listening; requests still being served are cancelled."""
         self.unfinished_at_close = len(self._serving)
         serving = tuple(self._serving.values())
         self.disconnect()
@@ -107,7 +107,7 @@
             self._cancel(request)
 
     def disconnect(self) -> None:
-        """Close every connection, as the end of a process does."""
+        """Close every connection, as the exit of a process does."""
         if self._board.transports.get(self.address) is self:
             del self._board.transports[self.address]
         for peer in tuple(self._board.transports.values()):
@@ -117,7 +117,7 @@
             self._break(request)
 
     async def _connect(self, destination: PeerAddress, timeout_s: float) -> SimPeerTransport:
-        """Return the peer, paying for a new connection where there is none."""
+        """Return the peer, after the time to connect if there is no connection yet."""
         peer = self._board.transports.get(destination)
         known = self._connected.get(destination)
         if known is not None and known is peer:
@@ -135,12 +135,12 @@
         return peer
 
     def _receive(self, source: PeerAddress, payload: bytes) -> None:
-        """Take a datagram."""
+        """Handle the arrival of a datagram."""
         if self._on_datagram is not None and self.address in self._board.transports:
             self._on_datagram(source, payload)
 
     def _serve(self, request: _Request, payload: bytes) -> None:
-        """Take a request."""
+        """Handle the arrival of a request."""
         if request.cancelled or self._on_request is None:
             return
         if self._board.transports.get(self.address) is not self:
@@ -170,7 +170,7 @@
             request.task.cancel()
 
     def _break(self, request: _Request) -> None:
-        """Tell the caller of a request that its connection was closed."""
+        """Notify the caller of a request that its connection was closed."""
         caller = request.caller
         error = PeerLostError(f"{self.address}: connection closed")
         self._network.deliver(
@@ -179,12 +179,12 @@
 
 
 def _fail(request: _Request, error: PeerLostError) -> None:
-    """Fail a request somebody still waits for."""
+    """Fail a request unless it is already done."""
     if not request.future.done():
         request.future.set_exception(error)
 
 
 def _resolve(request: _Request, answer: bytes) -> None:
-    """Hand an answer to whoever still waits."""
+    """Set the answer of a request unless it is already done."""
     if not request.future.done():
         request.future.set_result(answer)
--- a/tinrudder_lab/sim/platform.py
+++ b/tinrudder_lab/sim/platform.py
@@ -1,4 +1,4 @@
-"""The platform as a simulated node sees it: lagging, stale, down or restored."""
+"""The platform as simulated nodes see it: delayed, stale, down or restored."""
 
 from __future__ import annotations
 
@@ -21,9 +21,9 @@
 class SimPlatformService:
     """The platform's service and its faults.
 
-    :param down: names of zones that get no answer, or all zones when ``down_everywhere``.
-    :param stale: a former document served instead of the true one, by zone.
-    :param member_lag_s: how far the list of machines lags behind the truth.
+    :param down: names of zones that get no answer; ``down_everywhere`` affects all zones.
+    :param stale: an older document served instead of the current one, by zone.
+    :param member_lag_s: delay of the member list, seconds.
     """
 
     state: PlatformState
@@ -35,12 +35,12 @@
     documents: dict[int, ResourceDocument] = field(default_factory=dict)
 
     def remember(self, now: float) -> None:
-        """Record the present state, so that it can be served late or restored."""
+        """Record the current state, so that it can be served late or restored."""
         self.documents[self.state.document.revision] = self.state.document
         self.member_history.append((now, self.state.members))
 
     def members_at(self, now: float) -> MemberList:
-        """Return the list of machines as it was ``member_lag_s`` ago."""
+        """Return the member list of ``member_lag_s`` ago."""
         seen = [members for when, members in self.member_history if when <= now - self.member_lag_s]
         return seen[-1] if seen else self.member_history[0][1]
 
@@ -55,18 +55,18 @@
         self._network = network
 
     async def fetch_resources(self, known_revision: int) -> ResourceDocument | None:
-        """Return the document this machine's zone is served."""
+        """Return the document served to this machine's zone, ``None`` if it is the known one."""
         await self._travel()
         document = self._service.stale.get(self._machine.zone, self._service.state.document)
         return None if document.revision == known_revision else document
 
     async def fetch_members(self) -> MemberList:
-        """Return the lagging list."""
+        """Return the delayed member list."""
         await self._travel()
         return self._service.members_at(asyncio.get_running_loop().time())
 
     async def _travel(self) -> None:
-        """Take the round trip, or fail as a client's time-out would."""
+        """Wait for the round trip, or fail as a client's timeout would."""
         if self._service.down_everywhere or self._machine.zone in self._service.down:
             await asyncio.sleep(DOWN_TIMEOUT_S)
             raise PlatformUnavailableError("no answer")
--- a/tinrudder_lab/sim/run.py
+++ b/tinrudder_lab/sim/run.py
@@ -1,4 +1,4 @@
-"""Runs one scenario in virtual time and returns its world with the recorded history."""
+"""Simulates one scenario in virtual time and returns its world with the recorded history."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 def simulate(scenario: Scenario, topology: Topology, seed: int) -> World:
     """Run a scenario on a topology; the same arguments give the same history.
 
-    The loop stays open: tasks of ended machines still refer to it when they are collected.
+    The loop stays open: tasks of ended machines still refer to it when they are garbage-collected.
     """
     warnings.simplefilter("ignore", async_solipsism.ResolutionWarning)
     warnings.filterwarnings("ignore", message="coroutine .* was never awaited")
@@ -42,7 +42,7 @@
 
 
 async def _run(scenario: Scenario, world: World) -> None:
-    """Warm up, strike the faults, let the callers finish, settle."""
+    """Warm up, inject the faults, let the callers finish, settle."""
     stagger = random.Random(f"starts/{world.seed}")
     for member in world.members:
         world.loop.call_later(stagger.random() * STAGGER_S, world.start_node, member.name)
@@ -70,14 +70,14 @@
 
 
 async def _sample(world: World) -> None:
-    """Watch which revision each node enforces."""
+    """Record periodically which revision each node enforces."""
     while True:
         world.sample_revisions()
         await asyncio.sleep(SAMPLE_S)
 
 
 def _on_error(world: World, context: dict[str, object]) -> None:
-    """Record an exception nobody caught; tasks of ended machines are no errors."""
+    """Record an uncaught exception; after the run, tasks of ended machines may raise any."""
     error = context.get("exception")
     if world.closed or error is None:
         return
--- a/tinrudder_lab/sim/world.py
+++ b/tinrudder_lab/sim/world.py
@@ -42,10 +42,10 @@
 
 
 class World:
-    """Everything of one simulated run."""
+    """The state of one simulated run."""
 
     def __init__(self, topology: Topology, seed: int, loop: MachineLoop) -> None:
-        """Build back ends and platform; nodes start with :meth:`start`."""
+        """Build back ends and platform; :meth:`start_node` starts nodes."""
         self.topology = topology
         self.loop = loop
         self.random = random.Random(f"world/{seed}")
@@ -77,7 +77,7 @@
         await asyncio.sleep(seconds)
 
     def spawn(self, coroutine: Coroutine[Any, Any, None]) -> None:
-        """Run something of the lab's own beside the run."""
+        """Run a task of the lab concurrently with the nodes."""
         task = self.loop.create_task(coroutine)
         self._running.add(task)
         task.add_done_callback(self._running.discard)
@@ -111,7 +111,7 @@
         self.history.calls.extend(calls_seen(at, backend, stage, request, node))
 
     def _see_versions(self, document: ResourceDocument) -> None:
-        """Record index versions that were not there before."""
+        """Record index versions that are new in a document."""
         known = {(event.index, event.version) for event in self.history.versions}
         for event in versions_seen(round(self.now(), 6), document):
             if (event.index, event.version) not in known:
@@ -122,7 +122,7 @@
         self.history.faults.append(FaultSet(round(self.now(), 6), text))
 
     def see_node(self, name: str, stage: NodeStage, unfinished: int = 0) -> None:
-        """Record something that happened to a node."""
+        """Record an event in the life of a node."""
         member = next(member for member in self.members if member.name == name)
         address = f"{member.host}:{member.port}"
         self.history.nodes.append(NodeSeen(round(self.now(), 6), name, stage, unfinished, address))
@@ -130,7 +130,7 @@
     # Nodes ---------------------------------------------------------------------------------
 
     def start_node(self, name: str) -> NodeHost:
-        """Start a node's process on a new machine under an old name."""
+        """Start a node's process on a new machine."""
         member = next(member for member in self.members if member.name == name)
         offset_s = self.random.uniform(-MAX_CLOCK_OFFSET_S, MAX_CLOCK_OFFSET_S)
         machine = Machine(name, member.zone, member.region, offset_s)
@@ -161,7 +161,7 @@
         host.ended.set()
 
     def pause_node(self, name: str, seconds: float, *, clock_stands: bool = False) -> None:
-        """Stop a node's process for a while, and maybe its monotonic clock."""
+        """Pause a node's process for some seconds, and its monotonic clock if ``clock_stands``."""
         host = self.hosts[name]
         if host.machine.paused or host.machine.gone:
             return
@@ -179,7 +179,7 @@
         host.unhealthy_at = NEVER
 
     async def stop_node(self, name: str) -> None:
-        """Stop a node as planned: it accepts no more, finishes, then its process ends."""
+        """Stop a node as planned: it accepts no new requests, finishes open ones, then exits."""
         host = self.hosts[name]
         if host.stopping:
             await host.ended.wait()
@@ -197,11 +197,11 @@
     # Back ends and platform ----------------------------------------------------------------
 
     def sign_drain(self, backend: str) -> None:
-        """Record the first sign that a back end leaves."""
+        """Record the first signal that a back end is draining."""
         self.history.drains.append(DrainSigned(round(self.now(), 6), backend))
 
     def expect_drain(self, revision: int, backend: str) -> None:
-        """Count a drain as signed once some node enforces the revision that declares it."""
+        """Record a drain once some node enforces the revision that declares it."""
         self._declared_drains[revision] = backend
 
     def write_resource(self, write: ResourceWrite) -> int:
@@ -212,14 +212,14 @@
         return revision
 
     def set_member_state(self, name: str, state: MemberState) -> None:
-        """Change the platform's list."""
+        """Change a node's state in the platform's member list."""
         self.platform.state.set_member_state(name, state)
         self.platform.remember(self.now())
 
     def cut(self, sources: frozenset[str], destinations: frozenset[str], seconds: float) -> None:
-        """Cut places off from others, one way, for a while.
+        """Partition places from others, one way, for some seconds.
 
-        Nodes on both sides count as isolated: none of them can know all that others know.
+        Nodes on both sides count as isolated, because none of them can know all that others know.
         """
         cut = Cut(sources, destinations)
         self.network.cuts.append(cut)
@@ -234,12 +234,12 @@
             self.see_node(name, NodeStage.REJOINED)
 
     async def finish_running(self) -> None:
-        """Wait for everything that was spawned, callers included."""
+        """Wait for all spawned tasks, including callers."""
         while self._running:
             await asyncio.wait(tuple(self._running))
 
     def sample_revisions(self) -> None:
-        """Record which revision each running node enforces, where it changed."""
+        """Record the revision that each running node enforces if it has changed."""
         for name, host in self.hosts.items():
             if host.machine.gone or host.machine.paused:
                 continue
--- a/tinrudder_lab/timeline.py
+++ b/tinrudder_lab/timeline.py
@@ -1,8 +1,8 @@
-"""Prints from the logs of a fleet what its requests got, a few seconds a line.
+"""Prints the results of a fleet's requests over time from its logs, a few seconds per line.
 
-``python -m tinrudder_lab.timeline LOG``: lines of all gateways together, in any order.  It shows
-what the seconds after a start of all cost: how many processes started and became ready, and in
-merged answers how many shards were missing, how many calls were repeats and how long they took.
+``python -m tinrudder_lab.timeline LOG``: the file contains the lines of all gateways, in any order.
+The table shows the cost of starting the whole fleet: how many processes started and became ready,
+and for merged answers how many shards were missing, how many calls were repeats and the latency.
 """
 
 from __future__ import annotations
@@ -26,9 +26,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """What the lines of a few seconds tell; means are of merged answers, 0 without any.
+    """Figures of a few seconds of the log; means cover merged answers, 0 without any.
 
-    :param from_s: since the first line of the log.
+    :param from_s: start of the span, seconds since the first line of the log.
     """
 
     from_s: float
@@ -43,7 +43,7 @@
 
 
 def spans(lines: Iterable[LogLine], width_s: float = USUAL_WIDTH_S) -> list[Span]:
-    """Return the spans that hold any line, in order.
+    """Return the spans that contain a line, in time order.
 
     :raises ValueError: ``width_s`` is not above zero.
     """
@@ -60,7 +60,7 @@
 
 
 def _span(from_s: float, lines: list[LogLine]) -> Span:
-    """Count one span."""
+    """Compute the figures of one span."""
     events = [line.event for line in lines]
     requests = [line for line in lines if line.event == REQUEST_EVENT]
     merged = [line for line in requests if line.outcome == MERGED]
@@ -83,7 +83,7 @@
 
 
 def table(found: Iterable[Span]) -> list[str]:
-    """Return the spans as lines of text, the names of the columns first."""
+    """Return the spans as lines of text, after a line with the names of the columns."""
     names = (
         "from s",
         "started",
@@ -108,7 +108,9 @@
     """Run the command."""
     parser = argparse.ArgumentParser(prog="tinrudder_lab.timeline", description=__doc__)
     parser.add_argument("log", type=Path)
-    parser.add_argument("--seconds", type=float, default=USUAL_WIDTH_S, help="a line's time")
+    parser.add_argument(
+        "--seconds", type=float, default=USUAL_WIDTH_S, help="seconds covered by one line"
+    )
     parsed = parser.parse_args(arguments)
     try:
         text = parsed.log.read_text(errors="replace")
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -1,4 +1,4 @@
-"""Small deployments for experiments, and the queries that arrive there."""
+"""Small deployments for experiments and the arrivals of their queries."""
 
 from __future__ import annotations
 
@@ -37,6 +37,7 @@
 PATIENCE_S = 6.0
 IMPATIENT_S = 0.02
 SIGMA_SQUARED_HALF = 0.08
+"""Half the squared sigma of the log-normal service time; mean = median * exp(this)."""
 TRESPASS_RATE = 0.5
 PURCHASE_DEADLINE_MS = 600
 LONGEST_COPY_DELAY_S = 2.5
@@ -54,12 +55,12 @@
 class Stream:
     """Open-loop arrivals of one kind of query.
 
-    :param rate: queries a second, Poisson; :param start_s: when it begins.
-    :param end_s: when it ends, ``None`` for the end of the run.
-    :param pages: how many pages of a listing a caller reads, one after the other.
-    :param retries: how often a caller asks again at once when it got no answer.
-    :param impatient: share of callers that go away after ``IMPATIENT_S``.
-    :param duplicated: for purchases, the share submitted twice; else ``None``.
+    :param rate: queries per second, Poisson; :param start_s: when the stream starts.
+    :param end_s: when the stream ends, ``None`` for the end of the run.
+    :param pages: number of pages of a listing that a caller reads in sequence.
+    :param retries: how often a caller retries a query that got no answer.
+    :param impatient: share of callers that disconnect after ``IMPATIENT_S``.
+    :param duplicated: for purchases, the share submitted twice; otherwise ``None``.
     """
 
     kind: QueryKind
@@ -74,11 +75,11 @@
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One query of the trace, drawn before the run so that policies meet the same one.
+    """One query of the trace, drawn before the run so that all policies get the same trace.
 
-    :param node_draw: picks the node among those open then, 0 to 1.
+    :param node_draw: random number, 0 to 1, that selects one of the nodes available at the time.
     :param copies: submissions of a request that must run at most once, 0 for a query.
-    :param copy_delay_s: how long after the first the second copy comes.
+    :param copy_delay_s: delay of the second copy after the first, seconds.
     """
 
     at: float
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class Topology:
-    """What a scenario runs on."""
+    """The zones, deployment and arrivals of a scenario."""
 
     zones: tuple[Zone, ...]
     nodes_per_zone: int
@@ -104,20 +105,20 @@
     shards: int = 1
 
     def all_streams(self, rate: float, *, pages: int = 1, impatient: float = 0.0) -> None:
-        """Let every kind of query arrive at ``rate`` queries a second."""
+        """Set one stream of ``rate`` queries per second for each kind of query."""
         self.streams = [
             Stream(kind, rate, pages=pages, impatient=impatient)
             for kind in self.deployment.query_kinds
         ]
 
     def trespass(self) -> None:
-        """Let one tenant also ask for what belongs to another."""
+        """Add a stream in which one tenant queries the index of another."""
         kinds = self.deployment.query_kinds
         kind = replace(kinds[0], caller=kinds[1].caller)
         self.streams.append(Stream(kind, TRESPASS_RATE))
 
     def capacity(self, service: str) -> float:
-        """Return how many queries a second a service's back ends can answer."""
+        """Return how many queries per second a service's back ends can answer."""
         specs = self.deployment.backends.values()
         slots = sum(spec.slots for spec in specs if spec.service == service)
         mean_s = self.service_median_s * math.exp(SIGMA_SQUARED_HALF)
@@ -125,7 +126,7 @@
 
 
 def draw_trace(streams: list[Stream], duration_s: float, source: random.Random) -> list[Arrival]:
-    """Return the arrivals of all streams in the order of time."""
+    """Return the arrivals of all streams in time order."""
     trace: list[Arrival] = []
     for stream in streams:
         now = stream.start_s
@@ -140,7 +141,7 @@
 
 
 def _draw_arrival(stream: Stream, at: float, source: random.Random) -> Arrival:
-    """Return one arrival of a stream."""
+    """Return one random arrival of a stream."""
     patience_s = IMPATIENT_S if source.random() < stream.impatient else PATIENCE_S
     draw = source.random()
     if stream.duplicated is not None:
@@ -175,9 +176,9 @@
 
 
 def with_purchases(rate: float, purchases: float) -> Topology:
-    """Return both deployments with fans who buy, some of them twice.
+    """Return both deployments with purchases, some of which are submitted twice.
 
-    :param purchases: requests a second that must run at most once.
+    :param purchases: requests per second that must run at most once.
     """
     topology = both_deployments(rate, pages=2, impatient=0.05)
     buying = add_purchases(topology.deployment)
@@ -209,7 +210,7 @@
 class TenantLoad:
     """A tenant of the shared service.
 
-    :param load: its arrivals over the service's whole capacity.
+    :param load: its arrival rate as a share of the service's capacity.
     """
 
     name: str
@@ -227,7 +228,7 @@
 
 
 def shared_service(tenants: tuple[TenantLoad, ...], deadline_ms: int) -> Topology:
-    """Return one service that several tenants share: 2 nodes, 8 back ends, fan-out 16."""
+    """Return one service shared by several tenants: 2 nodes, 8 back ends, fan-out 16."""
     rule = QueryRuleSpec(
         service=SHARED_SERVICE,
         preference=Preference.COVERAGE,
@@ -259,7 +260,7 @@
 
 
 def _share_service(deployment: Deployment, tenants: tuple[TenantLoad, ...]) -> None:
-    """Let all tenants use the service."""
+    """Give all tenants access to the service."""
     names = tuple(tenant.name for tenant in tenants)
     spec = ServiceSpec(region=PLATA_REGION, tenants=names)
     deployment.replace(Kind.SERVICE, SHARED_SERVICE, spec)
--- a/tinrudder_lab/worth.py
+++ b/tinrudder_lab/worth.py
@@ -1,6 +1,6 @@
-"""Says where the worth of played days was lost, so that all of it adds up to the difference from 1.
+"""Breaks down the score that days lost by cause; losses and score add up to 1.
 
-``python -m tinrudder_lab.worth REPORT...``: reports are what the users' bench writes of a day.
+``python -m tinrudder_lab.worth REPORT...``: the users' benchmark writes one report for each day.
 """
 
 from __future__ import annotations
@@ -25,14 +25,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Loss:
-    """What one cause took from a day's worth."""
+    """How much one cause lowered a day's score."""
 
     cause: str
     lost: float
 
 
 def losses(report: DayReport) -> list[Loss]:
-    """Return all losses of a day, the largest first; with the worth they add up to 1."""
+    """Return all losses of a day, largest first; with the score they add up to 1."""
     found = [Loss(f"requests: {one.name}", one.lost) for one in report.components]
     found += [Loss(f"price: {one.name}", one.lost) for one in report.prices]
     unexplained = 1.0 - report.worth - sum(loss.lost for loss in found)
@@ -41,7 +41,7 @@
 
 
 def describe(counts: RequestCounts) -> str:
-    """Return one line on how requests ended."""
+    """Return one line with the results of requests."""
     return (
         f"{counts.name:18} {counts.total:5} asked {counts.late:4} late {counts.refused:4} refused "
         f"{counts.failed:4} failed, worth {counts.worth:.3f}, "
@@ -50,7 +50,7 @@
 
 
 def lines(name: str, report: DayReport) -> Iterator[str]:
-    """Yield the table of one day."""
+    """Yield the lines of one day's table."""
     yield f"{name}: worth {report.worth:.4f}"
     if report.broken_rules:
         yield f"  broken rules: {', '.join(report.broken_rules)}"
