--- a/tests/functional/lab/test_lab_simulation.py
+++ b/tests/functional/lab/test_lab_simulation.py
@@ -19,7 +19,7 @@
     ).stdout
 
 
-def test_same_seed_gives_the_same_bytes_whatever_the_hash_seed() -> None:
+def test_same_seed_gives_the_same_bytes_under_any_hash_seed() -> None:
     assert _run_lab("1") == _run_lab("2")
 
 
@@ -45,7 +45,7 @@
     assert ticks == [1.0, 4.5]
 
 
-def test_a_crashed_machine_runs_not_even_its_clean_up() -> None:
+def test_a_crashed_machine_does_not_run_its_clean_up() -> None:
     loop = MachineLoop()
     machine = Machine("m", "z", "r")
     cleaned: list[str] = []
--- a/tests/unit/lab/test_worth.py
+++ b/tests/unit/lab/test_worth.py
@@ -51,7 +51,7 @@
 
 
 @pytest.mark.parametrize("changes", [{"G": "much"}, {"parts": [["whole day"]]}, {"windows": None}])
-def test_what_is_no_report_is_named(
+def test_a_malformed_report_is_named(
     tmp_path: Path, changes: dict[str, Any], capsys: pytest.CaptureFixture[str]
 ) -> None:
     path = write_report(tmp_path, **changes)
--- a/tinrudder_lab/backend_model.py
+++ b/tinrudder_lab/backend_model.py
@@ -100,7 +100,7 @@
     running: set[ModelCall] = field(default_factory=set)
     queue: deque[ModelCall] = field(default_factory=deque)
     observer: CallObserver | None = None
-    _load_seen: deque[tuple[float, int]] = field(default_factory=deque)
+    _load_samples: deque[tuple[float, int]] = field(default_factory=deque)
 
     def receive(self, request: SearchRequest, respond: Respond, node: str = "") -> ModelCall:
         """Accept one call; ``respond`` is called exactly once unless the call is cancelled.
@@ -110,7 +110,7 @@
         self.counters.received += 1
         deadline = self.timers.time() + request.deadline_ms / 1000
         call = ModelCall(request, respond, deadline, node)
-        self._note(CallStage.RECEIVED, call)
+        self._notify_observer(CallStage.RECEIVED, call)
         refusal = self._refusal(request)
         if refusal is not None:
             self._refuse(call, refusal)
@@ -125,7 +125,7 @@
         if call.done:
             return
         call.done = True
-        self._note(CallStage.CANCELLED, call)
+        self._notify_observer(CallStage.CANCELLED, call)
         if call not in self.running:
             self.queue.remove(call)
             return
@@ -146,7 +146,7 @@
         self.running.clear()
         self.queue.clear()
 
-    def _note(self, stage: CallStage, call: ModelCall) -> None:
+    def _notify_observer(self, stage: CallStage, call: ModelCall) -> None:
         if self.observer is not None:
             self.observer(stage, call.request, call.node)
 
@@ -167,13 +167,13 @@
         call.done = True
         if isinstance(refusal, Shed):
             self.counters.shed += 1
-        self._note(CallStage.REFUSED, call)
+        self._notify_observer(CallStage.REFUSED, call)
         call.respond(refusal)
 
     def _run(self, call: ModelCall) -> None:
         self.counters.started += 1
         self.counters.operations += call.request.operation is not None
-        self._note(CallStage.STARTED, call)
+        self._notify_observer(CallStage.STARTED, call)
         self.running.add(call)
         when = self.timers.time() + self._service_time()
         call.timer = self.timers.call_at(when, self._complete, call)
@@ -188,16 +188,16 @@
     def _cold_factor(self) -> float:
         """Return the slowdown factor of the warm-up, which falls linearly to 1."""
         behaviour = self.behaviour
-        left = behaviour.warm_at - self.timers.time()
-        if left <= 0:
+        remaining_s = behaviour.warm_at - self.timers.time()
+        if remaining_s <= 0:
             return 1.0
-        return 1.0 + (behaviour.cold_factor - 1.0) * min(1.0, left / behaviour.cold_start_s)
+        return 1.0 + (behaviour.cold_factor - 1.0) * min(1.0, remaining_s / behaviour.cold_start_s)
 
     def _complete(self, call: ModelCall) -> None:
         self.running.discard(call)
         call.done = True
         request = call.request
-        self._note(CallStage.COMPLETED, call)
+        self._notify_observer(CallStage.COMPLETED, call)
         rows = self.store.search(request)
         load = BackendLoad(self._reported_load(), self.behaviour.slots)
         answer = SearchAnswer(request.call_id, request.version, rows, load, self.behaviour.draining)
@@ -212,10 +212,12 @@
         if not behaviour.load_lag_s:
             return len(self.running)
         now = self.timers.time()
-        self._load_seen.append((now, len(self.running)))
-        while len(self._load_seen) > 1 and self._load_seen[1][0] <= now - behaviour.load_lag_s:
-            self._load_seen.popleft()
-        return self._load_seen[0][1]
+        self._load_samples.append((now, len(self.running)))
+        while (
+            len(self._load_samples) > 1 and self._load_samples[1][0] <= now - behaviour.load_lag_s
+        ):
+            self._load_samples.popleft()
+        return self._load_samples[0][1]
 
     def _free_slot(self, call: ModelCall) -> None:
         self.running.discard(call)
--- a/tinrudder_lab/claim_model.py
+++ b/tinrudder_lab/claim_model.py
@@ -87,39 +87,39 @@
         self.setup = setup
         self.actors = Actors(setup, plant)
         self.transitions = 0
-        self.seen: dict[State, tuple[State | None, str]] = {}
+        self.predecessors: dict[State, tuple[State | None, str]] = {}
 
     def run(self, max_states: int) -> Violation | None:
         """Explore; return the first violation found.
 
         :raises RuntimeError: there are more states than ``max_states``.
         """
-        waiting = [state.canonical(self.setup) for state in self._initial_states()]
-        for state in waiting:
-            self.seen[state] = (None, "start")
-        while waiting:
-            state = waiting.pop()
+        frontier = [state.canonical(self.setup) for state in self._initial_states()]
+        for state in frontier:
+            self.predecessors[state] = (None, "start")
+        while frontier:
+            state = frontier.pop()
             for step, after in self._steps(state):
                 if after == state:
                     continue
                 self.transitions += 1
                 following = after.canonical(self.setup)
-                if following in self.seen:
+                if following in self.predecessors:
                     continue
-                self.seen[following] = (state, step)
+                self.predecessors[following] = (state, step)
                 promise = broken_promise(following, self.setup)
                 if promise is not None:
                     return Violation(promise, self._history(following))
-                if len(self.seen) > max_states:
+                if len(self.predecessors) > max_states:
                     raise RuntimeError(f"more than {max_states} states")
-                waiting.append(following)
+                frontier.append(following)
         return None
 
     def _history(self, state: State) -> tuple[str, ...]:
         steps: list[str] = []
-        at: State | None = state
-        while at is not None:
-            at, step = self.seen[at]
+        current: State | None = state
+        while current is not None:
+            current, step = self.predecessors[current]
             steps.append(step)
         return tuple(reversed(steps))
 
@@ -217,7 +217,7 @@
     return ModelReport(
         name,
         plant.value,
-        len(exploration.seen),
+        len(exploration.predecessors),
         exploration.transitions,
         round(time.perf_counter() - started, 2),
         violation.promise if violation else "",
--- a/tinrudder_lab/claim_model_actors.py
+++ b/tinrudder_lab/claim_model_actors.py
@@ -91,8 +91,8 @@
         cited = self._required(state, submission.learned_at)
         accepted = submission._replace(phase=ClaimPhase.ASKING.value, accepted_at=now, cited=cited)
         state = state.with_submission(number, accepted)
-        proposer = self._proposer(self._memory(state, number))
-        return self._put_under_way(state, number, self._requests(proposer, proposer.voters()))
+        proposer = self._proposer(self._load_memory(state, number))
+        return self._put_in_flight(state, number, self._requests(proposer, proposer.voters()))
 
     def dispatch(self, state: State, number: int) -> State | None:
         """Dispatch if the product permits it with both clocks right or with one of them frozen."""
@@ -100,9 +100,9 @@
         if submission.phase != ClaimPhase.WON:
             return None
         now = state.now + submission.offset
-        stood_still = submission.accepted_at
-        for monotonic, wall in ((now, now), (stood_still, now), (now, stood_still)):
-            proposer = self._proposer(self._memory(state, number))
+        frozen_at = submission.accepted_at
+        for monotonic, wall in ((now, now), (frozen_at, now), (now, frozen_at)):
+            proposer = self._proposer(self._load_memory(state, number))
             if proposer.begin_dispatch(monotonic, wall):
                 late = now >= self._setup.valid_until
                 phase = proposer.phase.value
@@ -112,11 +112,11 @@
 
     def give_up(self, state: State, number: int) -> State | None:
         """Let a proposer give up, if it may; its votes may be released from then on."""
-        memory = self._memory(state, number)
+        memory = self._load_memory(state, number)
         if memory not in self._give_up_cache:
             proposer = self._proposer(memory)
             may = proposer.give_up()
-            self._give_up_cache[memory] = self._remembered(proposer) if may else None
+            self._give_up_cache[memory] = self._extract_memory(proposer) if may else None
         after = self._give_up_cache[memory]
         return None if after is None else self._write_back(state, number, after)
 
@@ -124,12 +124,12 @@
         """Restart a voter: it loses its votes, and the second list only with a planted defect."""
         column = state.columns[position]
         knows = column.knows and self._plant is not Plant.LIST_LOST_AT_RESTART
-        fresh = column._replace(
+        restarted_column = column._replace(
             started_at=self._setup.started_class(state.now + column.offset),
             holder=NOBODY,
             knows=knows,
         )
-        restarted = state.with_column(position, fresh)
+        restarted = state.with_column(position, restarted_column)
         return restarted._replace(restarts_left=state.restarts_left - 1)
 
     def vote(self, state: State, position: int, number: int, cited: int) -> tuple[State, str]:
@@ -153,15 +153,15 @@
 
     def reply(self, state: State, position: int, number: int, reply: str) -> State:
         """Deliver a reply to a proposer; the reply may be delivered again."""
-        memory = self._memory(state, number)
+        memory = self._load_memory(state, number)
         cache_key = (memory, position, reply)
         if cache_key not in self._reply_cache:
             proposer = self._proposer(memory)
-            ask = proposer.on_reply(self._voters[position], self._message(reply, number))
-            requests = self._requests(proposer, ask)
-            self._reply_cache[cache_key] = (self._remembered(proposer), requests)
+            voters_to_ask = proposer.on_reply(self._voters[position], self._message(reply, number))
+            requests = self._requests(proposer, voters_to_ask)
+            self._reply_cache[cache_key] = (self._extract_memory(proposer), requests)
         after, requests = self._reply_cache[cache_key]
-        return self._put_under_way(self._write_back(state, number, after), number, requests)
+        return self._put_in_flight(self._write_back(state, number, after), number, requests)
 
     def release(self, state: State, position: int, number: int) -> State:
         """Deliver a release to a voter; it may be delivered again."""
@@ -196,7 +196,7 @@
         voter.started_at = column.started_at
         return voter
 
-    def _memory(self, state: State, number: int) -> ProposerMemory:
+    def _load_memory(self, state: State, number: int) -> ProposerMemory:
         """Return a proposer's memory from a state."""
         submission = state.submissions[number]
         exchanges = [column.exchanges[number] for column in state.columns]
@@ -226,7 +226,7 @@
             proposer.phase = ClaimPhase(memory.phase)
         return proposer
 
-    def _remembered(self, proposer: ClaimProposer) -> ProposerMemory:
+    def _extract_memory(self, proposer: ClaimProposer) -> ProposerMemory:
         """Return the memory of a proposer of the product."""
         cited = sum(self._bits[fingerprint] for fingerprint in proposer.electorates)
         records = []
@@ -261,15 +261,15 @@
                 state = state.with_exchange(position, number, after)
         return state
 
-    def _put_under_way(
+    def _put_in_flight(
         self, state: State, number: int, requests: tuple[tuple[int, int], ...]
     ) -> State:
         """Add requests to the messages in flight."""
         for position, cited in requests:
             exchange = state.columns[position].exchanges[number]
-            under_way = tuple(sorted({*exchange.requests, cited}))
+            in_flight = tuple(sorted({*exchange.requests, cited}))
             cited_to = cited.bit_count()
-            exchange = exchange._replace(requests=under_way, cited_to=cited_to)
+            exchange = exchange._replace(requests=in_flight, cited_to=cited_to)
             state = state.with_exchange(position, number, exchange)
         return state
 
--- a/tinrudder_lab/claim_model_state.py
+++ b/tinrudder_lab/claim_model_state.py
@@ -140,25 +140,26 @@
 
     def canonical(self, setup: ModelSetup) -> State:
         """Return the representative of all states that differ only by a permutation of names."""
-        tidy = self._tidied(setup)
-        return min(tidy._sorted(setup), tidy._swapped()._sorted(setup))
+        pruned = self._pruned(setup)
+        return min(pruned._sorted(setup), pruned._swapped()._sorted(setup))
 
-    def _tidied(self, setup: ModelSetup) -> State:
+    def _pruned(self, setup: ModelSetup) -> State:
         """Drop everything that can no longer have an effect."""
         first, second = self.submissions
         if first.phase in FINAL_PHASES and second.phase in FINAL_PHASES:
             columns: tuple[Column, ...] = tuple(Column() for _ in self.columns)
             return State(setup.last_tick, 0, self.submissions, columns)
         if all(self.now + column.offset >= setup.valid_until for column in self.columns):
-            first, second = _without_hope(first), _without_hope(second)
+            first, second = _give_up_if_asking(first), _give_up_if_asking(second)
         asking = (first.phase == ClaimPhase.ASKING, second.phase == ClaimPhase.ASKING)
         until = setup.valid_until - self.now
-        gone = tuple(one.phase == ClaimPhase.GIVEN_UP for one in (first, second))
-        given = self.columns
-        if setup.reduced and any(gone):
-            given = tuple(_released(column, gone) for column in given)
+        gave_up = tuple(one.phase == ClaimPhase.GIVEN_UP for one in (first, second))
+        released_columns = self.columns
+        if setup.reduced and any(gave_up):
+            released_columns = tuple(_released(column, gave_up) for column in released_columns)
         columns = tuple(
-            _tidy(column, asking, column.offset >= until, setup.reduced) for column in given
+            _pruned_column(column, asking, column.offset >= until, setup.reduced)
+            for column in released_columns
         )
         return State(self.now, self.restarts_left, (first, second), columns)
 
@@ -183,7 +184,7 @@
     return column
 
 
-def _without_hope(submission: Submission) -> Submission:
+def _give_up_if_asking(submission: Submission) -> Submission:
     """Give up a submission that is still asking although every voter can only abstain."""
     if submission.phase != ClaimPhase.ASKING:
         return submission
@@ -203,13 +204,18 @@
 
 
 @cache
-def _tidy(column: Column, asking: tuple[bool, bool], expired: bool, reduced: bool) -> Column:
+def _pruned_column(
+    column: Column, asking: tuple[bool, bool], expired: bool, reduced: bool
+) -> Column:
     """Drop replies that no proposer awaits, and requests once the voter can only abstain."""
     first, second = column.exchanges
     if reduced:
         first = first._replace(requests=_undominated(first.requests) if asking[0] else ())
         second = second._replace(requests=_undominated(second.requests) if asking[1] else ())
-    pair = (_tidy_exchange(first, asking[0], expired), _tidy_exchange(second, asking[1], expired))
+    pair = (
+        _pruned_exchange(first, asking[0], expired),
+        _pruned_exchange(second, asking[1], expired),
+    )
     return column._replace(exchanges=pair)
 
 
@@ -222,7 +228,7 @@
     )
 
 
-def _tidy_exchange(exchange: Exchange, asking: bool, expired: bool) -> Exchange:
+def _pruned_exchange(exchange: Exchange, asking: bool, expired: bool) -> Exchange:
     requests = () if expired else exchange.requests
     if asking:
         return exchange._replace(requests=requests)
--- a/tinrudder_lab/datasets.py
+++ b/tinrudder_lab/datasets.py
@@ -119,7 +119,7 @@
             matching.reverse()
         if request.after is not None:
             after = request.after
-            matching = [row for row in matching if _is_behind(row, after, request.descending)]
+            matching = [row for row in matching if _is_after(row, after, request.descending)]
         return ShardRows(shard, tuple(matching[: request.limit]), len(matching) > request.limit)
 
 
@@ -127,6 +127,6 @@
     return all(str(getattr(row, field, None)) == value for field, value in match.items())
 
 
-def _is_behind(row: RowMessage, after: tuple[float, str], descending: bool) -> bool:
+def _is_after(row: RowMessage, after: tuple[float, str], descending: bool) -> bool:
     position = (row.order, row.row_id)
     return position < after if descending else position > after
--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -18,7 +18,7 @@
 from tinrudder.node.resources.model import BackendSpec, Kind
 from tinrudder_lab.backend_model import BackendCounters
 from tinrudder_lab.backend_server import ControlMessage
-from tinrudder_lab.demo_callers import DemoCallers, Tally
+from tinrudder_lab.demo_callers import CallerStatistics, DemoCallers
 from tinrudder_lab.demo_cluster import DemoCluster, DemoNode
 from tinrudder_lab.demo_operations import DemoOperations
 from tinrudder_lab.deployment import LOOPBACK
@@ -30,8 +30,8 @@
 DRAIN_WATCH_S = 3.5
 CONFIGURATION_TIMEOUT_S = 5.0
 VICTIM = "route-planning-1-b0"
-DRAINED = "storefront-2-b1"
-CHANGED = "reseller-3-b0"
+DRAINED_BACKEND = "storefront-2-b1"
+RECONFIGURED_BACKEND = "reseller-3-b0"
 STOPPED_NODE = 3
 MAX_VIOLATIONS_SHOWN = 20
 MINIMUM_ANSWERED = 0.9
@@ -84,7 +84,7 @@
         self._received_by_dead = 0
 
     @property
-    def tally(self) -> Tally:
+    def tally(self) -> CallerStatistics:
         """Return the statistics of the callers."""
         return self.callers.tally
 
@@ -94,7 +94,7 @@
         following = asyncio.create_task(self.callers.follow_readiness())
         before = await self._received_calls()
         await asyncio.gather(
-            self._break_things(),
+            self._inject_failures(),
             self.callers.run(RUN_SECONDS),
             self.operations.run(RUN_SECONDS),
         )
@@ -105,18 +105,18 @@
         await self.callers.client.aclose()
         return received / max(1, self.tally.needed_shards) - 1
 
-    async def _break_things(self) -> None:
+    async def _inject_failures(self) -> None:
         """Inject the demo's failures, spread over the run."""
         step = RUN_SECONDS / 5
-        for break_one in (self._drain, self._kill, self._change_configuration, self._stop_node):
+        for inject in (self._drain, self._kill, self._change_configuration, self._stop_node):
             started = time.monotonic()
             await asyncio.sleep(step / 4)
-            await break_one()
+            await inject()
             await asyncio.sleep(max(0.0, started + step - time.monotonic()))
 
     async def _drain(self) -> None:
         """Drain a back end; measure the time until the last call that reached it."""
-        spec = self.cluster.deployment.backends[DRAINED]
+        spec = self.cluster.deployment.backends[DRAINED_BACKEND]
         message = msgspec.json.encode(ControlMessage(draining=True))
         started = time.monotonic()
         await self.callers.client.post(f"http://{LOOPBACK}:{spec.port}/control", data=message)
@@ -128,7 +128,8 @@
                 self.timings.drain_s = round(time.monotonic() - started, 3)
             await asyncio.sleep(WATCH_S)
         self.events.append(
-            f"drained back end {DRAINED}: last of {seen} calls after {self.timings.drain_s} s"
+            f"drained back end {DRAINED_BACKEND}: "
+            f"last of {seen} calls after {self.timings.drain_s} s"
         )
 
     async def _kill(self) -> None:
@@ -141,9 +142,11 @@
 
     async def _change_configuration(self) -> None:
         """Change a back end's slots; measure the time until every node enforces it."""
-        old: BackendSpec = self.cluster.deployment.backends[CHANGED]
+        old: BackendSpec = self.cluster.deployment.backends[RECONFIGURED_BACKEND]
         spec = msgspec.structs.replace(old, slots=old.slots + 1)
-        write = ResourceWrite(Kind.BACKEND.value, CHANGED, msgspec.Raw(msgspec.json.encode(spec)))
+        write = ResourceWrite(
+            Kind.BACKEND.value, RECONFIGURED_BACKEND, msgspec.Raw(msgspec.json.encode(spec))
+        )
         started = time.monotonic()
         response = await self.callers.client.put(
             f"{self.cluster.platform_url}/v1/resources", data=msgspec.json.encode(write)
@@ -157,7 +160,9 @@
             self.tally.violations.append(f"revision {revision} not in force everywhere in time")
         self.timings.config_in_force_s = round(time.monotonic() - started, 3)
         took = self.timings.config_in_force_s
-        self.events.append(f"changed slots of {CHANGED}: in force on every node after {took} s")
+        self.events.append(
+            f"changed slots of {RECONFIGURED_BACKEND}: in force on every node after {took} s"
+        )
 
     async def _stop_node(self) -> None:
         """Stop a node as planned; callers learn of the stop only from its readiness."""
@@ -237,8 +242,8 @@
         line = f"{kind:<20}{len(values):>9}"
         print(f"{line}{percentile(values, 0.5):>10.1f}{percentile(values, 0.99):>10.1f}")
     operations = demo.operations.tally
-    told = ", ".join(f"{name}: {count}" for name, count in sorted(operations.outcomes.items()))
-    print(f"{operations.sent} operations, each sent twice at once through two nodes: {told}")
+    summary = ", ".join(f"{name}: {count}" for name, count in sorted(operations.outcomes.items()))
+    print(f"{operations.sent} operations, each sent twice at once through two nodes: {summary}")
     for reason, count in sorted(demo.tally.unanswered.items()):
         print(f"{count} x {reason}")
     for violation in demo.tally.violations[:MAX_VIOLATIONS_SHOWN]:
--- a/tinrudder_lab/demo_callers.py
+++ b/tinrudder_lab/demo_callers.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(slots=True)
-class Tally:
+class CallerStatistics:
     """Statistics of the callers' queries."""
 
     queries: int = 0
@@ -65,7 +65,7 @@
 
     def __init__(self, nodes: list[DemoNode], kinds: list[QueryKind]) -> None:
         """Send queries of ``kinds`` to ``nodes``."""
-        self.tally = Tally()
+        self.tally = CallerStatistics()
         self.client = aiosonic.HTTPClient()
         self.revisions: dict[str, int] = {}
         self._nodes = nodes
--- a/tinrudder_lab/demo_operations.py
+++ b/tinrudder_lab/demo_operations.py
@@ -33,13 +33,13 @@
     outcomes: dict[str, int] = field(default_factory=dict)
     cut_off: list[str] = field(default_factory=list)
 
-    def record(self, told: Sequence[OutcomeBody]) -> None:
+    def record(self, answers: Sequence[OutcomeBody]) -> None:
         """Count one operation by the outcomes of its submissions."""
         self.sent += 1
-        for body in told:
+        for body in answers:
             name = f"{body.outcome} {body.reason}".strip()
             self.outcomes[name] = self.outcomes.get(name, 0) + 1
-        outcomes = [body.outcome for body in told]
+        outcomes = [body.outcome for body in answers]
         if COMPLETE in outcomes:
             self.ran += 1
         elif all(outcome == NOT_RUN for outcome in outcomes):
@@ -51,8 +51,8 @@
         """Return the violations, given how many operations the back ends started."""
         if self.ran <= started <= self.ran + self.unknown:
             return self.cut_off
-        told = f"{self.ran} reported as run, {self.unknown} unknown, {self.not_run} not run"
-        detail = f"back ends started {started} operations of {self.sent}: {told}"
+        counts = f"{self.ran} reported as run, {self.unknown} unknown, {self.not_run} not run"
+        detail = f"back ends started {started} operations of {self.sent}: {counts}"
         return [*self.cut_off, detail]
 
 
@@ -78,14 +78,16 @@
         while time.monotonic() < end:
             kind = source.choice(self._kinds)
             nodes = [node for node in self._ready() if node.region == kind.region]
-            two = source.sample(nodes, 2)
+            node_pair = source.sample(nodes, 2)
             content = _content(kind, f"order-{self.tally.sent:06d}")
             try:
-                told = await asyncio.gather(*(self._post(node, kind, content) for node in two))
+                answers = await asyncio.gather(
+                    *(self._post(node, kind, content) for node in node_pair)
+                )
             except CONNECTION_ERRORS as error:
                 self.tally.cut_off.append(f"connection failed during an operation: {error!r}")
                 continue
-            self.tally.record(told)
+            self.tally.record(answers)
             await asyncio.sleep(PAUSE_S)
 
     async def _post(self, node: DemoNode, kind: QueryKind, content: bytes) -> OutcomeBody:
--- a/tinrudder_lab/everything.py
+++ b/tinrudder_lab/everything.py
@@ -18,16 +18,16 @@
 )
 INDEXES = ("finance.ledger", "gate.orders", "telemetry.faults", "storefront-0.seats")
 ZONES = frozenset(PLATA_ZONES + ARENA_ZONES)
-FEWEST_FAULTS = 3
-MOST_FAULTS = 8
-LATEST_S = 9.0
+MIN_FAULTS = 3
+MAX_FAULTS = 8
+LATEST_FAULT_S = 9.0
 
 
 def random_steps(source: random.Random) -> list[Step]:
     """Return a few faults at random times; about one in ten is injected again 0.5 s later."""
     steps = []
-    for _ in range(source.randint(FEWEST_FAULTS, MOST_FAULTS)):
-        at = round(source.uniform(0.0, LATEST_S), 1)
+    for _ in range(source.randint(MIN_FAULTS, MAX_FAULTS)):
+        at = round(source.uniform(0.0, LATEST_FAULT_S), 1)
         fault = _draw(source)
         steps.append(Step(at, fault))
         if source.random() < 0.1:
@@ -44,28 +44,28 @@
     zone = source.choice(sorted(ZONES))
     seconds = round(source.uniform(0.5, 6.0), 1)
     both = source.random() < 0.7
-    alone = frozenset({zone})
+    single_zone = frozenset({zone})
     regions = (frozenset({PLATA_REGION}), frozenset({ARENA_REGION}))
     drawn = (
         faults.slow_backend(backend, 20.0, seconds),
         faults.slow_everything(3.0, min(2.0, seconds)),
         faults.straggling_calls(0.02, 20.0),
         faults.kill_backend(backend, seconds),
-        faults.lie_about_load(backend, 0, 5.0),
+        faults.misreport_load(backend, 0, 5.0),
         faults.late_cancellation(0.05),
         faults.drain_by_answer(backend),
         faults.drain_by_configuration(backend),
         faults.change_configuration(backend),
         faults.new_version(index, 1.5, move_shards=both),
-        faults.pause_node(node, seconds, clock_stands=not both),
+        faults.pause_node(node, seconds, clock_frozen=not both),
         faults.crash_node(node, min(seconds, 3.0)),
         faults.stop_node(node),
-        faults.cut(alone, ZONES - alone, seconds, both=both),
+        faults.cut(single_zone, ZONES - single_zone, seconds, both=both),
         faults.cut(*regions, seconds, both=both),
         faults.lossy_datagrams(0.1, 0.05),
         faults.slow_network(0.03, seconds),
         faults.platform_down(None, seconds),
-        faults.platform_down(alone, seconds),
+        faults.platform_down(single_zone, seconds),
         faults.platform_stale(None, 1, seconds),
     )
     return source.choice(drawn)
--- a/tinrudder_lab/jobs.py
+++ b/tinrudder_lab/jobs.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Done:
+class JobResult:
     """The outcome of a job.
 
     :param seconds: wall time; :param error: why there is no result, empty if there is one.
@@ -45,7 +45,7 @@
     error: str = ""
 
 
-def run_job(job: Job) -> Done:
+def run_job(job: Job) -> JobResult:
     """Run one job in this process."""
     started = time.perf_counter()
     scenario = BY_NAME[job.scenario]
@@ -53,11 +53,11 @@
     try:
         result = run_scenario(scenario, job.seed, plant)
     except LabError as error:
-        return Done(job, None, time.perf_counter() - started, str(error))
-    return Done(job, result, time.perf_counter() - started)
+        return JobResult(job, None, time.perf_counter() - started, str(error))
+    return JobResult(job, result, time.perf_counter() - started)
 
 
-def run_jobs(jobs: Sequence[Job], workers: int = MAX_WORKERS) -> Iterator[Done]:
+def run_jobs(jobs: Sequence[Job], workers: int = MAX_WORKERS) -> Iterator[JobResult]:
     """Yield outcomes as jobs finish; print progress to standard error."""
     with ProcessPoolExecutor(max_workers=workers) as pool:
         futures = [pool.submit(run_job, job) for job in jobs]
--- a/tinrudder_lab/main.py
+++ b/tinrudder_lab/main.py
@@ -123,7 +123,7 @@
     folder.mkdir(parents=True, exist_ok=True)
     print(f"logs: {folder}", file=sys.stderr)
     cause = "given on the command line"
-    given = RegressionSeed(
+    from_arguments = RegressionSeed(
         parsed.seed,
         parsed.seconds,
         parsed.gateways,
@@ -134,17 +134,17 @@
         restores=not parsed.no_restores,
         silences=True,
     )
-    runs = [given]
+    runs = [from_arguments]
     if parsed.regressions:
         runs = [*REGRESSIONS]
     broken = False
     for one in runs:
-        of_seed = folder / str(one.seed)
-        of_seed.mkdir(exist_ok=True)
+        seed_folder = folder / str(one.seed)
+        seed_folder.mkdir(exist_ok=True)
         soaking = soak(
             one.seed,
             one.seconds,
-            of_seed,
+            seed_folder,
             one.gateways,
             poison=one.poison,
             entries=one.entries,
--- a/tinrudder_lab/measures.py
+++ b/tinrudder_lab/measures.py
@@ -160,12 +160,12 @@
 
 def peak_calls(history: History) -> int:
     """Return the maximum number of concurrent calls in one back end."""
-    inside: dict[str, int] = {}
+    in_flight: dict[str, int] = {}
     peak = 0
     for call in history.calls:
         if call.stage is CallStage.RECEIVED:
-            inside[call.backend] = inside.get(call.backend, 0) + 1
-            peak = max(peak, inside[call.backend])
+            in_flight[call.backend] = in_flight.get(call.backend, 0) + 1
+            peak = max(peak, in_flight[call.backend])
         elif call.stage is not CallStage.STARTED:
-            inside[call.backend] -= 1
+            in_flight[call.backend] -= 1
     return peak
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -110,14 +110,14 @@
         super().start(call, listener)
         if stale:
             old = stale.pop()
-            taken = self._open[call.call_id]
-            old.listener = lambda _, reply: self._steal(taken, reply)
+            new_exchange = self._open[call.call_id]
+            old.listener = lambda _, reply: self._deliver_stale(new_exchange, reply)
 
-    def _steal(self, taken: Exchange, reply: BackendReply) -> None:
-        listener, taken.listener = taken.listener, None
+    def _deliver_stale(self, new_exchange: Exchange, reply: BackendReply) -> None:
+        listener, new_exchange.listener = new_exchange.listener, None
         if listener is not None:
-            self._open.pop(taken.call.call_id, None)
-            listener(taken.call, reply)
+            self._open.pop(new_exchange.call.call_id, None)
+            listener(new_exchange.call, reply)
 
 
 def _reused_connection() -> list[Substitution]:
@@ -162,7 +162,7 @@
     return [Substitution(store, "join_states", lambda mine, other: other)]
 
 
-async def _nothing(*_: object) -> None:
+async def _do_nothing(*_: object) -> None:
     """Do nothing."""
 
 
@@ -172,19 +172,19 @@
         Substitution(StateExchange, "on_newer_revision", lambda self, address, revision: None),
         Substitution(StateExchange, "refresh_now", lambda self: None),
         Substitution(StateExchange, "start", lambda self: None),
-        Substitution(StateExchange, "learn_from_peers", _nothing),
+        Substitution(StateExchange, "learn_from_peers", _do_nothing),
     ]
 
 
 def _work_to_draining() -> list[Substitution]:
-    never = property(lambda self: False, lambda self, value: None)
-    return [Substitution(BackendRecord, "leaving", never)]
+    always_false = property(lambda self: False, lambda self, value: None)
+    return [Substitution(BackendRecord, "leaving", always_false)]
 
 
 def _stop_drops_relayed() -> list[Substitution]:
     return [
         Substitution(Node, "in_progress", property(lambda self: 0)),
-        Substitution(Node, "leave", _nothing),
+        Substitution(Node, "leave", _do_nothing),
         Substitution(node, "REFUSAL_LINGER_S", 0.0),
     ]
 
--- a/tinrudder_lab/proof.py
+++ b/tinrudder_lab/proof.py
@@ -14,7 +14,7 @@
 
 import msgspec
 
-from tinrudder_lab.jobs import MAX_WORKERS, Done, Job, run_jobs, save_results
+from tinrudder_lab.jobs import MAX_WORKERS, Job, JobResult, run_jobs, save_results
 from tinrudder_lab.plants import PLANTS, PLANTS_BY_NAME
 from tinrudder_lab.scenarios import EVERYTHING_SEEDS, SCENARIOS
 
@@ -71,7 +71,7 @@
     return jobs
 
 
-def summarise(done: Sequence[Done], seconds: float) -> ProofSummary:
+def summarise(done: Sequence[JobResult], seconds: float) -> ProofSummary:
     """Return the summary of finished runs."""
     scenarios = []
     for scenario in SCENARIOS:
@@ -83,7 +83,7 @@
     return ProofSummary(round(seconds, 1), len(done), violations, scenarios, plants)
 
 
-def _summarise_scenario(name: str, runs: Sequence[Done]) -> ScenarioSummary:
+def _summarise_scenario(name: str, runs: Sequence[JobResult]) -> ScenarioSummary:
     results = [one.result for one in runs if one.result is not None]
     broken = {}
     for one in sorted(runs, key=lambda one: one.job.seed):
@@ -106,7 +106,7 @@
     )
 
 
-def _summarise_plant(name: str, done: Sequence[Done]) -> PlantSummary:
+def _summarise_plant(name: str, done: Sequence[JobResult]) -> PlantSummary:
     plant = PLANTS_BY_NAME[name]
     runs = sorted((one for one in done if one.job.plant == name), key=lambda one: one.job.seed)
     found = [
--- a/tinrudder_lab/scenarios.py
+++ b/tinrudder_lab/scenarios.py
@@ -31,7 +31,7 @@
 ARENA_NODES = tuple(f"{zone}-n0" for zone in ARENA_ZONES)
 PLATA_NODES = tuple(f"{zone}-n0" for zone in PLATA_ZONES)
 ALL_WEIGHTS = sum(WEIGHTS.values())
-NOISY = "bronze"
+NOISY_TENANT = "bronze"
 FAULT_SEEDS = 5
 LOAD_SEEDS = 2
 """Scenarios with many queries take longest and have few faults that vary with the seed."""
@@ -60,7 +60,7 @@
 def _tenants(total: float, noisy_factor: float) -> tuple[TenantLoad, ...]:
     """Return tenants with their shares of the ``total`` load; one has a multiple of its share."""
     loads = {name: total * weight / ALL_WEIGHTS for name, weight in WEIGHTS.items()}
-    loads[NOISY] *= noisy_factor
+    loads[NOISY_TENANT] *= noisy_factor
     return tuple(TenantLoad(name, weight, loads[name]) for name, weight in WEIGHTS.items())
 
 
@@ -96,8 +96,8 @@
 def _lying_health(_: random.Random) -> list[Step]:
     return [
         Step(0.0, faults.lag_load(2.0)),
-        Step(1.0, faults.lie_about_load("finance-b1", 0, 10.0)),
-        Step(1.0, faults.lie_about_load("gate-b2", 0, 10.0)),
+        Step(1.0, faults.misreport_load("finance-b1", 0, 10.0)),
+        Step(1.0, faults.misreport_load("gate-b2", 0, 10.0)),
     ]
 
 
@@ -186,7 +186,7 @@
     for at in (20.5, 21.2):
         steps.append(Step(at, faults.kill_backend("gate-b1", 0.3)))
     for number, name in enumerate(ARENA_NODES):
-        pause = faults.pause_node(name, 4.0, clock_stands=True)
+        pause = faults.pause_node(name, 4.0, clock_frozen=True)
         steps.append(Step(5.0 + 5.0 * number, pause))
     for name in (*ARENA_NODES[1:], *PLATA_NODES[:2]):
         steps.append(Step(22.0, faults.crash_node(name, 0.3)))
--- a/tinrudder_lab/sightings.py
+++ b/tinrudder_lab/sightings.py
@@ -10,7 +10,7 @@
 from tinrudder_lab.history import CallSeen, CallStage, VersionPublished, operation_name
 
 
-def calls_seen(
+def call_events(
     at: float, backend: str, stage: CallStage, request: SearchRequest, node: str
 ) -> list[CallSeen]:
     """Return one event for each shard of a call."""
@@ -30,7 +30,7 @@
     ]
 
 
-def versions_seen(at: float, document: ResourceDocument) -> list[VersionPublished]:
+def version_events(at: float, document: ResourceDocument) -> list[VersionPublished]:
     """Return one event for each index version in a document."""
     events = []
     specs = {(raw.kind, raw.name): raw.spec for raw in document.resources}
--- a/tinrudder_lab/sim/backends.py
+++ b/tinrudder_lab/sim/backends.py
@@ -10,7 +10,7 @@
 from tinrudder.node.environment import ReplyListener
 from tinrudder_lab.backend_model import BackendModel, ModelCall
 from tinrudder_lab.sim.loop import Machine
-from tinrudder_lab.sim.network import CONNECT_S, Network, Place
+from tinrudder_lab.sim.network import CONNECT_S, Location, Network
 
 CONNECT_TIMEOUT_S = 1.0
 
@@ -30,7 +30,7 @@
     """A simulated back end at its location; ``up`` tells whether its process runs."""
 
     model: BackendModel
-    place: Place
+    location: Location
     up: bool = True
     open: dict[int, Exchange] = field(default_factory=dict)
 
@@ -40,13 +40,13 @@
         self.model.cancel_all()
         exchanges, self.open = list(self.open.values()), {}
         for exchange in exchanges:
-            exchange.transport.reply_later(self.place, exchange, Broken("connection reset"))
+            exchange.transport.deliver_reply(self.location, exchange, Broken("connection reset"))
 
     def receive(self, exchange: Exchange) -> None:
         """Handle the arrival of a call."""
         if not self.up:
             reply = NotSent("connection refused")
-            exchange.transport.reply_later(self.place, exchange, reply)
+            exchange.transport.deliver_reply(self.location, exchange, reply)
             return
         if exchange.listener is None:
             return
@@ -66,7 +66,7 @@
 
     def _respond(self, exchange: Exchange, reply: BackendReply) -> None:
         self.open.pop(id(exchange), None)
-        exchange.transport.reply_later(self.place, exchange, reply)
+        exchange.transport.deliver_reply(self.location, exchange, reply)
 
 
 class SimBackendTransport:
@@ -79,7 +79,7 @@
     def __init__(self, machine: Machine, network: Network, backends: dict[str, SimBackend]) -> None:
         """Connect ``machine`` to ``backends``."""
         self.machine = machine
-        self.place = Place(machine.zone, machine.region)
+        self.location = Location(machine.zone, machine.region)
         self._network = network
         self._backends = backends
         self._loop: asyncio.AbstractEventLoop = network.loop
@@ -98,10 +98,10 @@
             self._transmit(exchange, backend)
             return
         call.may_have_left = False
-        if self._network.blocked(self.place, backend.place):
-            self._reply_at(CONNECT_TIMEOUT_S, exchange, NotSent("connect timed out"))
+        if self._network.blocked(self.location, backend.location):
+            self._reply_after(CONNECT_TIMEOUT_S, exchange, NotSent("connect timed out"))
         elif not backend.up:
-            self._reply_at(CONNECT_S, exchange, NotSent("connection refused"))
+            self._reply_after(CONNECT_S, exchange, NotSent("connection refused"))
         else:
             self._call_later(CONNECT_S, self._connected, exchange, backend)
 
@@ -117,12 +117,12 @@
             self._transmit(exchange, backend)
             return
         self._idle[call.backend] = self._idle.get(call.backend, 0) + 1
-        self._reply_at(0.0, exchange, NotSent("not sent in time"))
+        self._reply_after(0.0, exchange, NotSent("not sent in time"))
 
     def _transmit(self, exchange: Exchange, backend: SimBackend) -> None:
         """Send the call to the back end."""
         self.sent += 1
-        self._network.deliver(self.place, backend.place, None, backend.receive, exchange)
+        self._network.deliver(self.location, backend.location, None, backend.receive, exchange)
 
     def cancel(self, call: BackendCall) -> None:
         """Close the call's connection and discard its answer."""
@@ -133,7 +133,7 @@
         if call.may_have_left:
             self._lose_connection(call.backend)
             backend = self._backends[call.backend]
-            self._network.deliver(self.place, backend.place, None, backend.cancel, exchange)
+            self._network.deliver(self.location, backend.location, None, backend.cancel, exchange)
 
     async def close(self) -> None:
         """Close every connection."""
@@ -144,13 +144,13 @@
         for exchange in tuple(self._open.values()):
             self.cancel(exchange.call)
 
-    def reply_later(self, source: Place, exchange: Exchange, reply: BackendReply) -> None:
+    def deliver_reply(self, source: Location, exchange: Exchange, reply: BackendReply) -> None:
         """Deliver a reply from ``source`` to this machine."""
         self._network.deliver(
-            source, self.place, self.machine.context, self._on_reply, exchange, reply
+            source, self.location, self.machine.context, self._on_reply, exchange, reply
         )
 
-    def _reply_at(self, delay_s: float, exchange: Exchange, reply: BackendReply) -> None:
+    def _reply_after(self, delay_s: float, exchange: Exchange, reply: BackendReply) -> None:
         """Report a result that this machine detects by itself."""
         self._call_later(delay_s, self._on_reply, exchange, reply)
 
--- a/tinrudder_lab/sim/caller_pool.py
+++ b/tinrudder_lab/sim/caller_pool.py
@@ -10,17 +10,17 @@
 from tinrudder_lab.sim.callers import HttpExchange, read_outcome
 from tinrudder_lab.sim.node_host import EPOCH_S, NodeHost
 from tinrudder_lab.sim.world import World
-from tinrudder_lab.topology import PAGE_LIMIT, PATIENCE_S, Arrival
+from tinrudder_lab.topology import CALLER_TIMEOUT_S, PAGE_LIMIT, Arrival
 
 CALLER_DELAY_S = {"montevideo": 0.001, "swiss-middle": 0.003}
 RETRY_PAUSE_S = 0.05
-READING_S = 0.3
+PAGE_READING_S = 0.3
 QUERY_PATH = "/v1/query"
 OPERATION_PATH = "/v1/operations"
 OPERATION = "purchase"
 VALIDITY_S = 3.0
 MAX_SUBMISSIONS = 4
-RESUBMIT_S = 0.4
+RESUBMIT_PAUSE_S = 0.4
 SETTLED = frozenset({"complete", "failed"})
 
 
@@ -33,10 +33,10 @@
         self._history = world.history
         self._queries = 0
 
-    def ask(self, arrival: Arrival) -> None:
+    def start_caller(self, arrival: Arrival) -> None:
         """Start one caller."""
-        act = self._purchase(arrival) if arrival.copies else self._read_pages(arrival)
-        self._world.spawn(act)
+        coroutine = self._purchase(arrival) if arrival.copies else self._read_pages(arrival)
+        self._world.spawn(coroutine)
 
     async def _read_pages(self, arrival: Arrival) -> None:
         """Read a listing page by page."""
@@ -45,11 +45,11 @@
         after: tuple[float, str] | None = None
         for page in range(arrival.pages):
             if page:
-                await asyncio.sleep(READING_S)
+                await asyncio.sleep(PAGE_READING_S)
             for attempt in range(arrival.retries + 1):
                 if attempt:
                     await asyncio.sleep(RETRY_PAUSE_S)
-                sent = self._sent(arrival, session=session, after=after)
+                sent = self._record_sent(arrival, session=session, after=after)
                 ended, cursor = await self._send(arrival, sent, QUERY_PATH, _query(sent, cursor))
                 if ended.version is not None:
                     break
@@ -71,7 +71,7 @@
         for _ in range(MAX_SUBMISSIONS):
             if any(one.outcome in SETTLED for one in ended) or self._world.now() > valid_until:
                 return
-            await asyncio.sleep(RESUBMIT_S)
+            await asyncio.sleep(RESUBMIT_PAUSE_S)
             ended = [await self._submit(arrival, key, valid_until, again=True)]
 
     async def _submit(
@@ -86,7 +86,7 @@
         """Submit one request once, through a random node."""
         await asyncio.sleep(delay_s)
         draw = self._world.random.random()
-        sent = self._sent(
+        sent = self._record_sent(
             arrival, draw=draw, request_key=key, valid_until=valid_until, resubmission=again
         )
         content: dict[str, object] = {
@@ -100,7 +100,7 @@
         ended, _ = await self._send(arrival, sent, OPERATION_PATH, content)
         return ended
 
-    def _sent(
+    def _record_sent(
         self,
         arrival: Arrival,
         *,
@@ -142,7 +142,7 @@
         exchange = HttpExchange(path, msgspec.json.encode(content), authorization)
         delay = CALLER_DELAY_S.get(arrival.kind.region, 0.001)
         await asyncio.sleep(delay)
-        failure = await self._run_at(host, exchange, arrival.patience_s)
+        failure = await self._run_at(host, exchange, arrival.timeout_s)
         await asyncio.sleep(delay)
         at = round(self._world.now(), 6)
         cursor: str | None = None
@@ -161,9 +161,7 @@
         hosts = healthy or nearby
         return hosts[int(draw * len(hosts))]
 
-    async def _run_at(
-        self, host: NodeHost, exchange: HttpExchange, patience_s: float
-    ) -> str | None:
+    async def _run_at(self, host: NodeHost, exchange: HttpExchange, timeout_s: float) -> str | None:
         """Run one exchange at a node; return ``LOST`` or ``LEFT`` if there is no answer."""
         if host.machine.gone:
             return LOST
@@ -173,7 +171,7 @@
         ended = loop.create_task(host.ended.wait())
         try:
             await asyncio.wait(
-                (running, ended), timeout=patience_s, return_when=asyncio.FIRST_COMPLETED
+                (running, ended), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
             )
         finally:
             host.in_flight -= 1
@@ -181,8 +179,8 @@
         if running.done():
             running.result()
             return None
-        exchange.gone.set()
-        return LOST if host.machine.gone or patience_s >= PATIENCE_S else LEFT
+        exchange.disconnected.set()
+        return LOST if host.machine.gone or timeout_s >= CALLER_TIMEOUT_S else LEFT
 
 
 def _query(sent: QuerySent, cursor: str | None) -> dict[str, object]:
--- a/tinrudder_lab/sim/callers.py
+++ b/tinrudder_lab/sim/callers.py
@@ -25,7 +25,7 @@
     path: str
     body: bytes
     authorization: str
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
     status: int = 0
     parts: list[bytes] = field(default_factory=list)
     body_read: bool = False
@@ -55,7 +55,7 @@
         if not self.body_read:
             self.body_read = True
             return {"type": "http.request", "body": self.body, "more_body": False}
-        await self.gone.wait()
+        await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def _send(self, message: Message) -> None:
--- a/tinrudder_lab/sim/network.py
+++ b/tinrudder_lab/sim/network.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
+class Location:
     """The location of a machine."""
 
     zone: str
@@ -34,7 +34,7 @@
     sources: frozenset[str]
     destinations: frozenset[str]
 
-    def blocks(self, source: Place, destination: Place) -> bool:
+    def blocks(self, source: Location, destination: Location) -> bool:
         """Return whether a message is lost."""
         leaves = source.zone in self.sources or source.region in self.sources
         enters = destination.zone in self.destinations or destination.region in self.destinations
@@ -45,20 +45,20 @@
 class Network:
     """Delivers messages, which are callbacks, after a delay or loses them.
 
-    :param datagram_loss: share of datagrams lost; :param datagram_doubling: share duplicated.
+    :param datagram_loss: share of datagrams lost; :param datagram_duplication: share duplicated.
     :param extra_delay_s: added to every message, seconds.
     """
 
     loop: MachineLoop
     random: random.Random
     datagram_loss: float = 0.0
-    datagram_doubling: float = 0.0
+    datagram_duplication: float = 0.0
     cuts: list[Cut] = field(default_factory=list)
     messages: int = 0
     extra_delay_s: float = 0.0
-    outside: contextvars.Context = field(default_factory=contextvars.copy_context)
+    default_context: contextvars.Context = field(default_factory=contextvars.copy_context)
 
-    def delay(self, source: Place, destination: Place) -> float:
+    def delay(self, source: Location, destination: Location) -> float:
         """Return one message's one-way delay, seconds."""
         if source.zone == destination.zone:
             base = SAME_ZONE_S
@@ -68,14 +68,14 @@
             base = ACROSS_REGIONS_S
         return base + self.extra_delay_s + JITTER_S * self.random.random()
 
-    def blocked(self, source: Place, destination: Place) -> bool:
+    def blocked(self, source: Location, destination: Location) -> bool:
         """Return whether a cut blocks messages."""
         return any(cut.blocks(source, destination) for cut in self.cuts)
 
     def deliver(
         self,
-        source: Place,
-        destination: Place,
+        source: Location,
+        destination: Location,
         context: contextvars.Context | None,
         callback: Callable[..., object],
         *arguments: object,
@@ -88,13 +88,13 @@
             return False
         self.messages += 1
         delay_s = self.delay(source, destination)
-        self.loop.deliver(delay_s, context or self.outside, callback, *arguments)
+        self.loop.deliver(delay_s, context or self.default_context, callback, *arguments)
         return True
 
     def deliver_datagram(
         self,
-        source: Place,
-        destination: Place,
+        source: Location,
+        destination: Location,
         context: contextvars.Context,
         callback: Callable[..., object],
         *arguments: object,
@@ -103,5 +103,5 @@
         if self.random.random() < self.datagram_loss:
             return
         self.deliver(source, destination, context, callback, *arguments)
-        if self.random.random() < self.datagram_doubling:
+        if self.random.random() < self.datagram_duplication:
             self.deliver(source, destination, context, callback, *arguments)
--- a/tinrudder_lab/sim/peers.py
+++ b/tinrudder_lab/sim/peers.py
@@ -15,7 +15,7 @@
     RequestHandler,
 )
 from tinrudder_lab.sim.loop import Machine
-from tinrudder_lab.sim.network import CONNECT_S, Network, Place
+from tinrudder_lab.sim.network import CONNECT_S, Location, Network
 
 CONNECT_TIMEOUT_S = 1.0
 
@@ -31,7 +31,7 @@
 
 
 @dataclass(eq=False)
-class PeerSwitchboard:
+class PeerDirectory:
     """The transports by the address at which they listen."""
 
     transports: dict[PeerAddress, SimPeerTransport] = field(default_factory=dict)
@@ -41,14 +41,18 @@
     """One machine's transport to other nodes."""
 
     def __init__(
-        self, address: PeerAddress, machine: Machine, network: Network, board: PeerSwitchboard
+        self,
+        address: PeerAddress,
+        machine: Machine,
+        network: Network,
+        peer_directory: PeerDirectory,
     ) -> None:
         """Listen at ``address`` immediately."""
         self.address = address
         self.machine = machine
-        self.place = Place(machine.zone, machine.region)
+        self.location = Location(machine.zone, machine.region)
         self._network = network
-        self._board = board
+        self._peer_directory = peer_directory
         self._on_datagram: DatagramHandler | None = None
         self._on_request: RequestHandler | None = None
         self._open_requests: dict[int, _Request] = {}
@@ -57,7 +61,7 @@
         self._last_request = 0
         self.unfinished_at_close = 0
         self.request_bytes = 0
-        board.transports[address] = self
+        peer_directory.transports[address] = self
 
     def listen(self, on_datagram: DatagramHandler, on_request: RequestHandler) -> None:
         """Set the handlers of incoming datagrams and requests."""
@@ -68,11 +72,11 @@
         """Send one datagram; it may be lost, duplicated or reordered."""
         if len(payload) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram: {len(payload)} bytes, at most {MAX_DATAGRAM_BYTES}")
-        peer = self._board.transports.get(destination)
+        peer = self._peer_directory.transports.get(destination)
         if peer is None or self.machine.gone:
             return
         self._network.deliver_datagram(
-            self.place, peer.place, peer.machine.context, peer._receive, self.address, payload
+            self.location, peer.location, peer.machine.context, peer._receive, self.address, payload
         )
 
     async def request(self, destination: PeerAddress, payload: bytes, timeout_s: float) -> bytes:
@@ -84,7 +88,7 @@
         self._open_requests[number] = request
         self.request_bytes += len(payload)
         self._network.deliver(
-            self.place, peer.place, peer.machine.context, peer._serve, request, payload
+            self.location, peer.location, peer.machine.context, peer._serve, request, payload
         )
         try:
             async with asyncio.timeout(timeout_s):
@@ -95,7 +99,7 @@
             self._open_requests.pop(number, None)
             if not request.future.done() or request.future.cancelled():
                 self._network.deliver(
-                    self.place, peer.place, peer.machine.context, peer._cancel, request
+                    self.location, peer.location, peer.machine.context, peer._cancel, request
                 )
 
     async def close(self) -> None:
@@ -108,9 +112,9 @@
 
     def disconnect(self) -> None:
         """Close every connection, as the exit of a process does."""
-        if self._board.transports.get(self.address) is self:
-            del self._board.transports[self.address]
-        for peer in tuple(self._board.transports.values()):
+        if self._peer_directory.transports.get(self.address) is self:
+            del self._peer_directory.transports[self.address]
+        for peer in tuple(self._peer_directory.transports.values()):
             if peer._connected.get(self.address) is self:
                 del peer._connected[self.address]
         for request in tuple(self._serving.values()):
@@ -118,15 +122,15 @@
 
     async def _connect(self, destination: PeerAddress, timeout_s: float) -> SimPeerTransport:
         """Return the peer, after the time to connect if there is no connection yet."""
-        peer = self._board.transports.get(destination)
+        peer = self._peer_directory.transports.get(destination)
         known = self._connected.get(destination)
         if known is not None and known is peer:
             return peer
         if peer is None:
             await asyncio.sleep(CONNECT_S)
             raise PeerNotSentError(f"{destination}: connection refused")
-        if self._network.blocked(self.place, peer.place) or self._network.blocked(
-            peer.place, self.place
+        if self._network.blocked(self.location, peer.location) or self._network.blocked(
+            peer.location, self.location
         ):
             await asyncio.sleep(min(timeout_s, CONNECT_TIMEOUT_S))
             raise PeerNotSentError(f"{destination}: connect timed out")
@@ -136,14 +140,14 @@
 
     def _receive(self, source: PeerAddress, payload: bytes) -> None:
         """Handle the arrival of a datagram."""
-        if self._on_datagram is not None and self.address in self._board.transports:
+        if self._on_datagram is not None and self.address in self._peer_directory.transports:
             self._on_datagram(source, payload)
 
     def _serve(self, request: _Request, payload: bytes) -> None:
         """Handle the arrival of a request."""
         if request.cancelled or self._on_request is None:
             return
-        if self._board.transports.get(self.address) is not self:
+        if self._peer_directory.transports.get(self.address) is not self:
             self._break(request)
             return
         self._serving[id(request)] = request
@@ -160,7 +164,7 @@
         self.request_bytes += len(answer)
         caller = request.caller
         self._network.deliver(
-            self.place, caller.place, caller.machine.context, _resolve, request, answer
+            self.location, caller.location, caller.machine.context, _resolve, request, answer
         )
 
     def _cancel(self, request: _Request) -> None:
@@ -174,7 +178,7 @@
         caller = request.caller
         error = PeerLostError(f"{self.address}: connection closed")
         self._network.deliver(
-            self.place, caller.place, caller.machine.context, _fail, request, error
+            self.location, caller.location, caller.machine.context, _fail, request, error
         )
 
 
--- a/tinrudder_lab/sim/platform.py
+++ b/tinrudder_lab/sim/platform.py
@@ -34,7 +34,7 @@
     member_history: list[tuple[float, MemberList]] = field(default_factory=list)
     documents: dict[int, ResourceDocument] = field(default_factory=dict)
 
-    def remember(self, now: float) -> None:
+    def record_state(self, now: float) -> None:
         """Record the current state, so that it can be served late or restored."""
         self.documents[self.state.document.revision] = self.state.document
         self.member_history.append((now, self.state.members))
@@ -56,16 +56,16 @@
 
     async def fetch_resources(self, known_revision: int) -> ResourceDocument | None:
         """Return the document served to this machine's zone, ``None`` if it is the known one."""
-        await self._travel()
+        await self._wait_round_trip()
         document = self._service.stale.get(self._machine.zone, self._service.state.document)
         return None if document.revision == known_revision else document
 
     async def fetch_members(self) -> MemberList:
         """Return the delayed member list."""
-        await self._travel()
+        await self._wait_round_trip()
         return self._service.members_at(asyncio.get_running_loop().time())
 
-    async def _travel(self) -> None:
+    async def _wait_round_trip(self) -> None:
         """Wait for the round trip, or fail as a client's timeout would."""
         if self._service.down_everywhere or self._machine.zone in self._service.down:
             await asyncio.sleep(DOWN_TIMEOUT_S)
--- a/tinrudder_lab/sim/run.py
+++ b/tinrudder_lab/sim/run.py
@@ -57,7 +57,7 @@
     callers = CallerPool(world)
     for arrival in trace:
         await asyncio.sleep(max(0.0, start + arrival.at - world.now()))
-        callers.ask(arrival)
+        callers.start_caller(arrival)
     await asyncio.sleep(max(0.0, start + scenario.duration_s - world.now()))
     await world.finish_running()
     await asyncio.sleep(SETTLE_S)
--- a/tinrudder_lab/sim/world.py
+++ b/tinrudder_lab/sim/world.py
@@ -27,12 +27,12 @@
     RevisionSeen,
 )
 from tinrudder_lab.platform_server import PlatformState, ResourceWrite
-from tinrudder_lab.sightings import calls_seen, versions_seen
+from tinrudder_lab.sightings import call_events, version_events
 from tinrudder_lab.sim.backends import SimBackend, SimBackendTransport
 from tinrudder_lab.sim.loop import Machine, MachineLoop
-from tinrudder_lab.sim.network import Cut, Network, Place
+from tinrudder_lab.sim.network import Cut, Location, Network
 from tinrudder_lab.sim.node_host import NEVER, NodeHost, make_host
-from tinrudder_lab.sim.peers import PeerSwitchboard, SimPeerTransport
+from tinrudder_lab.sim.peers import PeerDirectory, SimPeerTransport
 from tinrudder_lab.sim.platform import SimPlatform, SimPlatformService
 from tinrudder_lab.topology import Topology
 
@@ -51,15 +51,15 @@
         self.random = random.Random(f"world/{seed}")
         self.history = History()
         self.network = Network(loop, random.Random(f"network/{seed}"))
-        self.board = PeerSwitchboard()
+        self.peer_directory = PeerDirectory()
         self.seed = seed
         self.zone_of = {zone.name: zone for zone in topology.zones}
         self.backends = {name: self._make_backend(name) for name in topology.deployment.backends}
         self.members = self._make_members()
         document = ResourceDocument(1, tuple(topology.deployment.resources))
         self.platform = SimPlatformService(PlatformState(document, MemberList(1, self.members)))
-        self.platform.remember(0.0)
-        self._see_versions(document)
+        self.platform.record_state(0.0)
+        self._record_versions(document)
         self.hosts: dict[str, NodeHost] = {}
         self.starts = 0
         self._declared_drains: dict[int, str] = {}
@@ -94,8 +94,8 @@
         )
         source = random.Random(f"backend/{self.seed}/{name}")
         model = BackendModel(name, self.loop, source, _STORE, behaviour)
-        model.observer = lambda stage, request, node: self._see_call(name, stage, request, node)
-        return SimBackend(model, Place(spec.zone, self.zone_of[spec.zone].region))
+        model.observer = lambda stage, request, node: self._record_call(name, stage, request, node)
+        return SimBackend(model, Location(spec.zone, self.zone_of[spec.zone].region))
 
     def _make_members(self) -> tuple[PlatformMember, ...]:
         members = []
@@ -106,22 +106,24 @@
                 members.append(PlatformMember(name, zone.name, zone.region, host, PEER_PORT))
         return tuple(members)
 
-    def _see_call(self, backend: str, stage: CallStage, request: SearchRequest, node: str) -> None:
+    def _record_call(
+        self, backend: str, stage: CallStage, request: SearchRequest, node: str
+    ) -> None:
         at = round(self.now(), 6)
-        self.history.calls.extend(calls_seen(at, backend, stage, request, node))
+        self.history.calls.extend(call_events(at, backend, stage, request, node))
 
-    def _see_versions(self, document: ResourceDocument) -> None:
+    def _record_versions(self, document: ResourceDocument) -> None:
         """Record index versions that are new in a document."""
         known = {(event.index, event.version) for event in self.history.versions}
-        for event in versions_seen(round(self.now(), 6), document):
+        for event in version_events(round(self.now(), 6), document):
             if (event.index, event.version) not in known:
                 self.history.versions.append(event)
 
-    def note(self, text: str) -> None:
+    def record_fault(self, text: str) -> None:
         """Record that a fault was turned on or off."""
         self.history.faults.append(FaultSet(round(self.now(), 6), text))
 
-    def see_node(self, name: str, stage: NodeStage, unfinished: int = 0) -> None:
+    def record_node_event(self, name: str, stage: NodeStage, unfinished: int = 0) -> None:
         """Record an event in the life of a node."""
         member = next(member for member in self.members if member.name == name)
         address = f"{member.host}:{member.port}"
@@ -136,21 +138,21 @@
         machine = Machine(name, member.zone, member.region, offset_s)
         self.starts += 1
         address = PeerAddress(member.host, member.port)
-        peers = SimPeerTransport(address, machine, self.network, self.board)
+        peers = SimPeerTransport(address, machine, self.network, self.peer_directory)
         backends = SimBackendTransport(machine, self.network, self.backends)
         self._transports.append(backends)
         platform = SimPlatform(self.platform, machine, self.network)
         source = random.Random(f"node/{self.seed}/{name}/{self.starts}")
         host = make_host(machine, self.loop, backends, peers, platform, source, self.starts)
         self.hosts[name] = host
-        self.see_node(name, NodeStage.STARTED)
+        self.record_node_event(name, NodeStage.STARTED)
         self.loop.create_task(host.serve(), context=machine.context)
         return host
 
     def crash_node(self, name: str) -> None:
         """Kill a node's process."""
         host = self.hosts[name]
-        self.see_node(name, NodeStage.CRASHED)
+        self.record_node_event(name, NodeStage.CRASHED)
         self._end_machine(host)
 
     def _end_machine(self, host: NodeHost) -> None:
@@ -160,21 +162,21 @@
         host.peers.disconnect()
         host.ended.set()
 
-    def pause_node(self, name: str, seconds: float, *, clock_stands: bool = False) -> None:
-        """Pause a node's process for some seconds, and its monotonic clock if ``clock_stands``."""
+    def pause_node(self, name: str, seconds: float, *, clock_frozen: bool = False) -> None:
+        """Pause a node's process for some seconds, and its monotonic clock if ``clock_frozen``."""
         host = self.hosts[name]
         if host.machine.paused or host.machine.gone:
             return
-        self.see_node(name, NodeStage.PAUSED)
+        self.record_node_event(name, NodeStage.PAUSED)
         host.machine.pause()
         host.unhealthy_at = self.now() + LOAD_BALANCER_LAG_S
-        stands_s = seconds if clock_stands else 0.0
+        stands_s = seconds if clock_frozen else 0.0
         self.loop.call_later(seconds, self._wake_node, host, stands_s)
 
     def _wake_node(self, host: NodeHost, stands_s: float) -> None:
         if host.machine.gone:
             return
-        self.see_node(host.machine.name, NodeStage.WOKEN)
+        self.record_node_event(host.machine.name, NodeStage.WOKEN)
         host.machine.resume(self.loop, stands_s)
         host.unhealthy_at = NEVER
 
@@ -185,18 +187,18 @@
             await host.ended.wait()
             return
         host.stopping = True
-        self.see_node(name, NodeStage.STOP_BEGUN)
+        self.record_node_event(name, NodeStage.STOP_BEGUN)
         self.loop.call_later(LOAD_BALANCER_LAG_S, setattr, host, "accepting", False)
         self.loop.create_task(host.stop(), context=host.machine.context)
         await host.ended.wait()
         if not host.machine.gone:
             unfinished = host.peers.unfinished_at_close + host.in_flight
-            self.see_node(name, NodeStage.STOPPED, unfinished)
+            self.record_node_event(name, NodeStage.STOPPED, unfinished)
             self._end_machine(host)
 
     # Back ends and platform ----------------------------------------------------------------
 
-    def sign_drain(self, backend: str) -> None:
+    def record_drain(self, backend: str) -> None:
         """Record the first signal that a back end is draining."""
         self.history.drains.append(DrainSigned(round(self.now(), 6), backend))
 
@@ -207,14 +209,14 @@
     def write_resource(self, write: ResourceWrite) -> int:
         """Write to the platform as an operator does."""
         revision = self.platform.state.write(write)
-        self._see_versions(self.platform.state.document)
-        self.platform.remember(self.now())
+        self._record_versions(self.platform.state.document)
+        self.platform.record_state(self.now())
         return revision
 
     def set_member_state(self, name: str, state: MemberState) -> None:
         """Change a node's state in the platform's member list."""
         self.platform.state.set_member_state(name, state)
-        self.platform.remember(self.now())
+        self.platform.record_state(self.now())
 
     def cut(self, sources: frozenset[str], destinations: frozenset[str], seconds: float) -> None:
         """Partition places from others, one way, for some seconds.
@@ -225,13 +227,13 @@
         self.network.cuts.append(cut)
         names = [m.name for m in self.members if {m.zone, m.region} & (sources | destinations)]
         for name in names:
-            self.see_node(name, NodeStage.ISOLATED)
+            self.record_node_event(name, NodeStage.ISOLATED)
         self.loop.call_later(seconds, self._heal, cut, names)
 
     def _heal(self, cut: Cut, names: list[str]) -> None:
         self.network.cuts.remove(cut)
         for name in names:
-            self.see_node(name, NodeStage.REJOINED)
+            self.record_node_event(name, NodeStage.REJOINED)
 
     async def finish_running(self) -> None:
         """Wait for all spawned tasks, including callers."""
@@ -247,7 +249,7 @@
             if revision != host.revision:
                 host.revision = revision
                 for declared in [r for r in self._declared_drains if r <= revision]:
-                    self.sign_drain(self._declared_drains.pop(declared))
+                    self.record_drain(self._declared_drains.pop(declared))
                 self.history.revisions.append(
                     RevisionSeen(round(self.now(), 6), name, host.start_number, revision)
                 )
--- a/tinrudder_lab/timeline.py
+++ b/tinrudder_lab/timeline.py
@@ -18,7 +18,7 @@
 from tinrudder.cli.story import REQUEST_EVENT, LogLine, read_log
 
 EXIT_USAGE = 2
-USUAL_WIDTH_S = 2.0
+DEFAULT_WIDTH_S = 2.0
 MERGED = "Merged"
 REFUSED_STATUS = 503
 FAILED_FROM = 500
@@ -42,19 +42,19 @@
     median_ms: float
 
 
-def spans(lines: Iterable[LogLine], width_s: float = USUAL_WIDTH_S) -> list[Span]:
+def spans(lines: Iterable[LogLine], width_s: float = DEFAULT_WIDTH_S) -> list[Span]:
     """Return the spans that contain a line, in time order.
 
     :raises ValueError: ``width_s`` is not above zero.
     """
     if width_s <= 0:
         raise ValueError(f"seconds: {width_s} is not above zero")
-    known = list(lines)
-    if not known:
+    all_lines = list(lines)
+    if not all_lines:
         return []
-    first = min(line.time for line in known)
+    first = min(line.time for line in all_lines)
     by_span: defaultdict[int, list[LogLine]] = defaultdict(list)
-    for line in known:
+    for line in all_lines:
         by_span[int((line.time - first) / width_s)].append(line)
     return [_span(number * width_s, by_span[number]) for number in sorted(by_span)]
 
@@ -109,7 +109,7 @@
     parser = argparse.ArgumentParser(prog="tinrudder_lab.timeline", description=__doc__)
     parser.add_argument("log", type=Path)
     parser.add_argument(
-        "--seconds", type=float, default=USUAL_WIDTH_S, help="seconds covered by one line"
+        "--seconds", type=float, default=DEFAULT_WIDTH_S, help="seconds covered by one line"
     )
     parsed = parser.parse_args(arguments)
     try:
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -34,11 +34,11 @@
 FIRST_PORT = 9000
 PAGE_LIMIT = 20
 WIDE_SHARDS = 130
-PATIENCE_S = 6.0
-IMPATIENT_S = 0.02
-SIGMA_SQUARED_HALF = 0.08
+CALLER_TIMEOUT_S = 6.0
+EARLY_DISCONNECT_S = 0.02
+HALF_SIGMA_SQUARED = 0.08
 """Half the squared sigma of the log-normal service time; mean = median * exp(this)."""
-TRESPASS_RATE = 0.5
+UNAUTHORIZED_RATE = 0.5
 PURCHASE_DEADLINE_MS = 600
 LONGEST_COPY_DELAY_S = 2.5
 
@@ -59,7 +59,7 @@
     :param end_s: when the stream ends, ``None`` for the end of the run.
     :param pages: number of pages of a listing that a caller reads in sequence.
     :param retries: how often a caller retries a query that got no answer.
-    :param impatient: share of callers that disconnect after ``IMPATIENT_S``.
+    :param early_disconnects: share of callers that disconnect after ``EARLY_DISCONNECT_S``.
     :param duplicated: for purchases, the share submitted twice; otherwise ``None``.
     """
 
@@ -69,7 +69,7 @@
     end_s: float | None = None
     pages: int = 1
     retries: int = 0
-    impatient: float = 0.0
+    early_disconnects: float = 0.0
     duplicated: float | None = None
 
 
@@ -87,7 +87,7 @@
     match: dict[str, str]
     pages: int
     retries: int
-    patience_s: float
+    timeout_s: float
     node_draw: float
     copies: int = 0
     copy_delay_s: float = 0.0
@@ -104,24 +104,24 @@
     service_median_s: float = 0.004
     shards: int = 1
 
-    def all_streams(self, rate: float, *, pages: int = 1, impatient: float = 0.0) -> None:
+    def all_streams(self, rate: float, *, pages: int = 1, early_disconnects: float = 0.0) -> None:
         """Set one stream of ``rate`` queries per second for each kind of query."""
         self.streams = [
-            Stream(kind, rate, pages=pages, impatient=impatient)
+            Stream(kind, rate, pages=pages, early_disconnects=early_disconnects)
             for kind in self.deployment.query_kinds
         ]
 
-    def trespass(self) -> None:
+    def add_unauthorized_stream(self) -> None:
         """Add a stream in which one tenant queries the index of another."""
         kinds = self.deployment.query_kinds
         kind = replace(kinds[0], caller=kinds[1].caller)
-        self.streams.append(Stream(kind, TRESPASS_RATE))
+        self.streams.append(Stream(kind, UNAUTHORIZED_RATE))
 
     def capacity(self, service: str) -> float:
         """Return how many queries per second a service's back ends can answer."""
         specs = self.deployment.backends.values()
         slots = sum(spec.slots for spec in specs if spec.service == service)
-        mean_s = self.service_median_s * math.exp(SIGMA_SQUARED_HALF)
+        mean_s = self.service_median_s * math.exp(HALF_SIGMA_SQUARED)
         return slots / mean_s / self.shards
 
 
@@ -142,26 +142,28 @@
 
 def _draw_arrival(stream: Stream, at: float, source: random.Random) -> Arrival:
     """Return one random arrival of a stream."""
-    patience_s = IMPATIENT_S if source.random() < stream.impatient else PATIENCE_S
+    timeout_s = (
+        EARLY_DISCONNECT_S if source.random() < stream.early_disconnects else CALLER_TIMEOUT_S
+    )
     draw = source.random()
     if stream.duplicated is not None:
         copies = 2 if source.random() < stream.duplicated else 1
         delay_s = max(0.0, source.uniform(-LONGEST_COPY_DELAY_S, LONGEST_COPY_DELAY_S))
-        return Arrival(at, stream.kind, {}, 1, 0, patience_s, draw, copies, delay_s)
+        return Arrival(at, stream.kind, {}, 1, 0, timeout_s, draw, copies, delay_s)
     match = {}
     if source.random() < 0.5:
         match = {"entity": entity_name("entity", source.randrange(ENTITIES))}
-    return Arrival(at, stream.kind, match, stream.pages, stream.retries, patience_s, draw)
+    return Arrival(at, stream.kind, match, stream.pages, stream.retries, timeout_s, draw)
 
 
-def both_deployments(rate: float, *, pages: int = 1, impatient: float = 0.0) -> Topology:
+def both_deployments(rate: float, *, pages: int = 1, early_disconnects: float = 0.0) -> Topology:
     """Return both users' deployments with one service of each shape: 7 nodes, 29 back ends."""
     zones = [Zone(name, PLATA_REGION) for name in PLATA_ZONES]
     zones += [Zone(name, ARENA_REGION) for name in ARENA_ZONES]
     deployment = build_deployment(FIRST_PORT, services_per_shape=1)
     topology = Topology(tuple(zones), 1, deployment)
-    topology.all_streams(rate, pages=pages, impatient=impatient)
-    topology.trespass()
+    topology.all_streams(rate, pages=pages, early_disconnects=early_disconnects)
+    topology.add_unauthorized_stream()
     return topology
 
 
@@ -180,9 +182,9 @@
 
     :param purchases: requests per second that must run at most once.
     """
-    topology = both_deployments(rate, pages=2, impatient=0.05)
+    topology = both_deployments(rate, pages=2, early_disconnects=0.05)
     buying = add_purchases(topology.deployment)
-    topology.streams.append(Stream(buying, purchases, duplicated=0.3, impatient=0.05))
+    topology.streams.append(Stream(buying, purchases, duplicated=0.3, early_disconnects=0.05))
     return topology
 
 
--- a/tinrudder_lab/worth.py
+++ b/tinrudder_lab/worth.py
@@ -20,7 +20,7 @@
 
 EXIT_USAGE = 2
 WORST_SPANS = 4
-SHOWN_FROM = 0.0005
+MIN_SHOWN_LOSS = 0.0005
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,7 +55,7 @@
     if report.broken_rules:
         yield f"  broken rules: {', '.join(report.broken_rules)}"
     for loss in losses(report):
-        if abs(loss.lost) >= SHOWN_FROM:
+        if abs(loss.lost) >= MIN_SHOWN_LOSS:
             yield f"  {loss.lost:7.4f}  {loss.cause}"
     for kind in report.kinds:
         yield f"  kind {describe(kind)}"
