--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -133,7 +133,7 @@
         )
 
     async def _kill(self) -> None:
-        """Kill a back end."""
+        """Kill a back end with SIGKILL."""
         counters = await self._counters(self.cluster.deployment.backends[VICTIM])
         self._received_by_dead += counters.received
         self._dead_backends.add(VICTIM)
--- a/tinrudder_lab/demo_cluster.py
+++ b/tinrudder_lab/demo_cluster.py
@@ -88,7 +88,7 @@
             await self._start_node(node)
 
     async def kill_victim(self) -> None:
-        """Kill the victim."""
+        """Kill the victim with SIGKILL."""
         self.processes.send_signal("victim", signal.SIGKILL)
         await self.processes.wait("victim")
 
--- a/tinrudder_lab/processes.py
+++ b/tinrudder_lab/processes.py
@@ -66,7 +66,7 @@
         }
 
     async def stop_all(self) -> None:
-        """Stop all running processes, also suspended ones; kill those that do not exit in time."""
+        """Stop all processes with SIGTERM, also suspended ones; kill those that do not exit."""
         for name in self._processes:
             self.send_signal(name, signal.SIGCONT)
             self.send_signal(name, signal.SIGTERM)
@@ -75,7 +75,7 @@
         await self.kill_all()
 
     async def kill_all(self) -> None:
-        """Kill all running processes."""
+        """Kill all running processes with SIGKILL."""
         for name in self._processes:
             self.send_signal(name, signal.SIGKILL)
         for process in self._processes.values():
--- a/tinrudder_lab/sim/loop.py
+++ b/tinrudder_lab/sim/loop.py
@@ -45,7 +45,7 @@
 
 
 class MachineTimer(MachineCallback):
-    """A timer by its machine's monotonic clock, which may be frozen while the timer is pending."""
+    """A timer on its machine's monotonic clock, which may be frozen while the timer is pending."""
 
     __slots__ = ("loop", "stood_s")
 
--- a/tinrudder_lab/sim/network.py
+++ b/tinrudder_lab/sim/network.py
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """A one-way partition: places that cannot send to other places.
+    """A one-way partition: the sources cannot send to the destinations.
 
     :param sources: zones or regions; :param destinations: zones or regions.
     """
--- a/tinrudder_lab/sim/run.py
+++ b/tinrudder_lab/sim/run.py
@@ -77,7 +77,7 @@
 
 
 def _on_error(world: World, context: dict[str, object]) -> None:
-    """Record an uncaught exception; after the run, tasks of ended machines may raise any."""
+    """Record an uncaught exception; after the run, those of ended machines' tasks are ignored."""
     error = context.get("exception")
     if world.closed or error is None:
         return
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -37,7 +37,7 @@
 CALLER_TIMEOUT_S = 6.0
 EARLY_DISCONNECT_S = 0.02
 HALF_SIGMA_SQUARED = 0.08
-"""Half the squared sigma of the log-normal service time; mean = median * exp(this)."""
+"""Half the squared sigma of the log-normal service time; the mean is the median times exp of it."""
 UNAUTHORIZED_RATE = 0.5
 PURCHASE_DEADLINE_MS = 600
 LONGEST_COPY_DELAY_S = 2.5
