--- a/tinrudder_lab/backend_model.py
+++ b/tinrudder_lab/backend_model.py
@@ -1,6 +1,6 @@
-"""How a back end behaves: slots, a short queue, service times, shedding, draining.
+"""A model of a back end: slots, a bounded queue, service times, shedding and draining.
 
-The model knows no transport; the HTTP stand-in and the simulator both run it.
+The model is independent of the transport; the HTTP stub server and the simulator both run it.
 """
 
 from __future__ import annotations
@@ -31,16 +31,16 @@
 
 @dataclass(slots=True)
 class BackendBehaviour:
-    """Knobs that faults turn while the model runs.
+    """Parameters of the model, which faults change while it runs.
 
-    :param service_median_s: median time in a slot, seconds.
+    :param service_median_s: median time that a call spends in a slot, seconds.
     :param service_sigma: spread of the log-normal service time.
     :param slowdown: factor on every service time.
     :param tail_share: share of calls that take ``tail_factor`` times longer.
-    :param warm_at: until then a cold start makes calls up to ``cold_factor`` times slower.
-    :param cancel_delay_s: how long a cancelled call goes on holding its slot.
-    :param reported_load: what the load report says whatever the truth, ``None`` for the truth.
-    :param load_lag_s: how old the reported load is.
+    :param warm_at: when the warm-up ends; until then calls are up to ``cold_factor`` times slower.
+    :param cancel_delay_s: how long a cancelled call keeps its slot, seconds.
+    :param reported_load: fixed value of the load report, ``None`` to report the actual load.
+    :param load_lag_s: age of the reported load, seconds.
     """
 
     slots: int = 5
@@ -62,10 +62,10 @@
 
 @dataclass(slots=True, eq=False)
 class ModelCall:
-    """One call inside the back end.
+    """One call to the back end.
 
-    :param deadline: monotonic time after which it is not started any more.
-    :param node: who sent it, where that is known.
+    :param deadline: monotonic time after which the call is no longer started.
+    :param node: name of the node that sent the call, empty if unknown.
     """
 
     request: SearchRequest
@@ -78,7 +78,7 @@
 
 @dataclass(slots=True)
 class BackendCounters:
-    """What the back end has seen; a checker compares it with what callers were told."""
+    """Numbers of calls by event; the demo compares them with the outcomes that callers got."""
 
     received: int = 0
     started: int = 0
@@ -100,17 +100,17 @@
     running: set[ModelCall] = field(default_factory=set)
     queue: deque[ModelCall] = field(default_factory=deque)
     observer: CallObserver | None = None
-    _load_seen: deque[tuple[float, int]] = field(default_factory=deque)
+    _load_samples: deque[tuple[float, int]] = field(default_factory=deque)
 
     def receive(self, request: SearchRequest, respond: Respond, node: str = "") -> ModelCall:
-        """Take one call; ``respond`` is called once unless it is cancelled.
+        """Accept one call; ``respond`` is called exactly once unless the call is cancelled.
 
-        :param node: who sent it, where that is known.
+        :param node: name of the node that sent the call, empty if unknown.
         """
         self.counters.received += 1
         deadline = self.timers.time() + request.deadline_ms / 1000
         call = ModelCall(request, respond, deadline, node)
-        self._note(CallStage.RECEIVED, call)
+        self._notify_observer(CallStage.RECEIVED, call)
         refusal = self._refusal(request)
         if refusal is not None:
             self._refuse(call, refusal)
@@ -121,11 +121,11 @@
         return call
 
     def cancel(self, call: ModelCall) -> None:
-        """Stop a call, running or waiting; a running one may hold its slot a while longer."""
+        """Cancel a running or queued call; a running one keeps its slot for ``cancel_delay_s``."""
         if call.done:
             return
         call.done = True
-        self._note(CallStage.CANCELLED, call)
+        self._notify_observer(CallStage.CANCELLED, call)
         if call not in self.running:
             self.queue.remove(call)
             return
@@ -138,7 +138,7 @@
             self._free_slot(call)
 
     def cancel_all(self) -> None:
-        """Drop everything, as a crash does."""
+        """Drop all calls without a reply, as a crash does."""
         for call in (*self.running, *self.queue):
             call.done = True
             if call.timer is not None:
@@ -146,7 +146,7 @@
         self.running.clear()
         self.queue.clear()
 
-    def _note(self, stage: CallStage, call: ModelCall) -> None:
+    def _notify_observer(self, stage: CallStage, call: ModelCall) -> None:
         if self.observer is not None:
             self.observer(stage, call.request, call.node)
 
@@ -163,17 +163,17 @@
         return None
 
     def _refuse(self, call: ModelCall, refusal: BackendReply) -> None:
-        """Answer without starting."""
+        """Reply to a call without starting it."""
         call.done = True
         if isinstance(refusal, Shed):
             self.counters.shed += 1
-        self._note(CallStage.REFUSED, call)
+        self._notify_observer(CallStage.REFUSED, call)
         call.respond(refusal)
 
     def _run(self, call: ModelCall) -> None:
         self.counters.started += 1
         self.counters.operations += call.request.operation is not None
-        self._note(CallStage.STARTED, call)
+        self._notify_observer(CallStage.STARTED, call)
         self.running.add(call)
         when = self.timers.time() + self._service_time()
         call.timer = self.timers.call_at(when, self._complete, call)
@@ -186,18 +186,18 @@
         return behaviour.service_median_s * factor * behaviour.slowdown * self._cold_factor()
 
     def _cold_factor(self) -> float:
-        """Return how much slower calls are while warming up; falls linearly to 1."""
+        """Return the slowdown factor of the warm-up, which falls linearly to 1."""
         behaviour = self.behaviour
-        left = behaviour.warm_at - self.timers.time()
-        if left <= 0:
+        remaining_s = behaviour.warm_at - self.timers.time()
+        if remaining_s <= 0:
             return 1.0
-        return 1.0 + (behaviour.cold_factor - 1.0) * min(1.0, left / behaviour.cold_start_s)
+        return 1.0 + (behaviour.cold_factor - 1.0) * min(1.0, remaining_s / behaviour.cold_start_s)
 
     def _complete(self, call: ModelCall) -> None:
         self.running.discard(call)
         call.done = True
         request = call.request
-        self._note(CallStage.COMPLETED, call)
+        self._notify_observer(CallStage.COMPLETED, call)
         rows = self.store.search(request)
         load = BackendLoad(self._reported_load(), self.behaviour.slots)
         answer = SearchAnswer(request.call_id, request.version, rows, load, self.behaviour.draining)
@@ -205,17 +205,19 @@
         self._run_next()
 
     def _reported_load(self) -> int:
-        """Return the load as reported: true, late or invented."""
+        """Return the load to report: the actual, a delayed or a fixed value."""
         behaviour = self.behaviour
         if behaviour.reported_load is not None:
             return behaviour.reported_load
         if not behaviour.load_lag_s:
             return len(self.running)
         now = self.timers.time()
-        self._load_seen.append((now, len(self.running)))
-        while len(self._load_seen) > 1 and self._load_seen[1][0] <= now - behaviour.load_lag_s:
-            self._load_seen.popleft()
-        return self._load_seen[0][1]
+        self._load_samples.append((now, len(self.running)))
+        while (
+            len(self._load_samples) > 1 and self._load_samples[1][0] <= now - behaviour.load_lag_s
+        ):
+            self._load_samples.popleft()
+        return self._load_samples[0][1]
 
     def _free_slot(self, call: ModelCall) -> None:
         self.running.discard(call)
--- a/tinrudder_lab/sim/caller_pool.py
+++ b/tinrudder_lab/sim/caller_pool.py
@@ -1,4 +1,4 @@
-"""Simulated callers: open-loop arrivals that page, retry, go away and repeat submissions."""
+"""Simulated callers: open-loop arrivals that page, retry, disconnect and resubmit."""
 
 from __future__ import annotations
 
@@ -10,17 +10,17 @@
 from tinrudder_lab.sim.callers import HttpExchange, read_outcome
 from tinrudder_lab.sim.node_host import EPOCH_S, NodeHost
 from tinrudder_lab.sim.world import World
-from tinrudder_lab.topology import PAGE_LIMIT, PATIENCE_S, Arrival
+from tinrudder_lab.topology import CALLER_TIMEOUT_S, PAGE_LIMIT, Arrival
 
 CALLER_DELAY_S = {"montevideo": 0.001, "swiss-middle": 0.003}
 RETRY_PAUSE_S = 0.05
-READING_S = 0.3
+PAGE_READING_S = 0.3
 QUERY_PATH = "/v1/query"
 OPERATION_PATH = "/v1/operations"
 OPERATION = "purchase"
 VALIDITY_S = 3.0
 MAX_SUBMISSIONS = 4
-RESUBMIT_S = 0.4
+RESUBMIT_PAUSE_S = 0.4
 SETTLED = frozenset({"complete", "failed"})
 
 
@@ -28,15 +28,15 @@
     """All callers of one run."""
 
     def __init__(self, world: World) -> None:
-        """Ask the nodes of ``world`` and record in its history."""
+        """Send requests to the nodes of ``world`` and record them in its history."""
         self._world = world
         self._history = world.history
         self._queries = 0
 
-    def ask(self, arrival: Arrival) -> None:
-        """Let one caller act."""
-        act = self._purchase(arrival) if arrival.copies else self._read_pages(arrival)
-        self._world.spawn(act)
+    def start_caller(self, arrival: Arrival) -> None:
+        """Start one caller."""
+        coroutine = self._purchase(arrival) if arrival.copies else self._read_pages(arrival)
+        self._world.spawn(coroutine)
 
     async def _read_pages(self, arrival: Arrival) -> None:
         """Read a listing page by page."""
@@ -45,11 +45,11 @@
         after: tuple[float, str] | None = None
         for page in range(arrival.pages):
             if page:
-                await asyncio.sleep(READING_S)
+                await asyncio.sleep(PAGE_READING_S)
             for attempt in range(arrival.retries + 1):
                 if attempt:
                     await asyncio.sleep(RETRY_PAUSE_S)
-                sent = self._sent(arrival, session=session, after=after)
+                sent = self._record_sent(arrival, session=session, after=after)
                 ended, cursor = await self._send(arrival, sent, QUERY_PATH, _query(sent, cursor))
                 if ended.version is not None:
                     break
@@ -58,7 +58,7 @@
             after = (ended.rows[-1].time, ended.rows[-1].row_id)
 
     async def _purchase(self, arrival: Arrival) -> None:
-        """Submit one request, some of them twice, then again until settled."""
+        """Submit one purchase, in some cases twice, and resubmit it until it is settled."""
         key = f"purchase-{self._queries + 1:08d}"
         valid_until = self._world.now() + VALIDITY_S
         submissions = [
@@ -71,7 +71,7 @@
         for _ in range(MAX_SUBMISSIONS):
             if any(one.outcome in SETTLED for one in ended) or self._world.now() > valid_until:
                 return
-            await asyncio.sleep(RESUBMIT_S)
+            await asyncio.sleep(RESUBMIT_PAUSE_S)
             ended = [await self._submit(arrival, key, valid_until, again=True)]
 
     async def _submit(
@@ -83,10 +83,10 @@
         again: bool,
         delay_s: float = 0.0,
     ) -> QueryEnded:
-        """Submit one request once, through any node."""
+        """Submit one request once, through a random node."""
         await asyncio.sleep(delay_s)
         draw = self._world.random.random()
-        sent = self._sent(
+        sent = self._record_sent(
             arrival, draw=draw, request_key=key, valid_until=valid_until, resubmission=again
         )
         content: dict[str, object] = {
@@ -100,7 +100,7 @@
         ended, _ = await self._send(arrival, sent, OPERATION_PATH, content)
         return ended
 
-    def _sent(
+    def _record_sent(
         self,
         arrival: Arrival,
         *,
@@ -111,7 +111,7 @@
         valid_until: float | None = None,
         resubmission: bool = False,
     ) -> QuerySent:
-        """Record that a caller sends something now, and to which node."""
+        """Choose a node and record that a caller sends a request to it now."""
         self._queries += 1
         kind = arrival.kind
         host = self._pick_node(kind.region, arrival.node_draw if draw is None else draw)
@@ -136,13 +136,13 @@
     async def _send(
         self, arrival: Arrival, sent: QuerySent, path: str, content: dict[str, object]
     ) -> tuple[QueryEnded, str | None]:
-        """Send one request; record and return its end and the cursor of the next page."""
+        """Send one request; record its outcome and return it with the cursor of the next page."""
         host = self._world.hosts[sent.node]
         authorization = arrival.kind.caller.authorization
         exchange = HttpExchange(path, msgspec.json.encode(content), authorization)
         delay = CALLER_DELAY_S.get(arrival.kind.region, 0.001)
         await asyncio.sleep(delay)
-        failure = await self._run_at(host, exchange, arrival.patience_s)
+        failure = await self._run_at(host, exchange, arrival.timeout_s)
         await asyncio.sleep(delay)
         at = round(self._world.now(), 6)
         cursor: str | None = None
@@ -154,17 +154,15 @@
         return event, cursor
 
     def _pick_node(self, region: str, draw: float) -> NodeHost:
-        """Return the node a caller of a region reaches; a refused connection means the next."""
+        """Return the node that a caller of a region reaches; a healthy one if there is any."""
         nearby = [host for host in self._world.hosts.values() if host.machine.region == region]
         now = self._world.now()
         healthy = [host for host in nearby if host.accepting and host.unhealthy_at > now]
         hosts = healthy or nearby
         return hosts[int(draw * len(hosts))]
 
-    async def _run_at(
-        self, host: NodeHost, exchange: HttpExchange, patience_s: float
-    ) -> str | None:
-        """Run one exchange at a node; return why there is no answer, if there is none."""
+    async def _run_at(self, host: NodeHost, exchange: HttpExchange, timeout_s: float) -> str | None:
+        """Run one exchange at a node; return ``LOST`` or ``LEFT`` if there is no answer."""
         if host.machine.gone:
             return LOST
         loop = self._world.loop
@@ -173,7 +171,7 @@
         ended = loop.create_task(host.ended.wait())
         try:
             await asyncio.wait(
-                (running, ended), timeout=patience_s, return_when=asyncio.FIRST_COMPLETED
+                (running, ended), timeout=timeout_s, return_when=asyncio.FIRST_COMPLETED
             )
         finally:
             host.in_flight -= 1
@@ -181,8 +179,8 @@
         if running.done():
             running.result()
             return None
-        exchange.gone.set()
-        return LOST if host.machine.gone or patience_s >= PATIENCE_S else LEFT
+        exchange.disconnected.set()
+        return LOST if host.machine.gone or timeout_s >= CALLER_TIMEOUT_S else LEFT
 
 
 def _query(sent: QuerySent, cursor: str | None) -> dict[str, object]:
--- a/tinrudder_lab/sim/callers.py
+++ b/tinrudder_lab/sim/callers.py
@@ -1,4 +1,4 @@
-"""Simulated callers: they speak the caller API to a node's own ASGI application."""
+"""HTTP requests of simulated callers to a node's own ASGI application."""
 
 from __future__ import annotations
 
@@ -20,18 +20,18 @@
 
 @dataclass(eq=False)
 class HttpExchange:
-    """One request to an ASGI application and what came back."""
+    """One request to an ASGI application and its response."""
 
     path: str
     body: bytes
     authorization: str
-    gone: asyncio.Event = field(default_factory=asyncio.Event)
+    disconnected: asyncio.Event = field(default_factory=asyncio.Event)
     status: int = 0
     parts: list[bytes] = field(default_factory=list)
     body_read: bool = False
 
     async def run(self, app: Callable[..., Any]) -> None:
-        """Call the application."""
+        """Pass the request to the application."""
         scope: Message = {
             "type": "http",
             "asgi": {"version": "3.0"},
@@ -55,7 +55,7 @@
         if not self.body_read:
             self.body_read = True
             return {"type": "http.request", "body": self.body, "more_body": False}
-        await self.gone.wait()
+        await self.disconnected.wait()
         return {"type": "http.disconnect"}
 
     async def _send(self, message: Message) -> None:
@@ -66,7 +66,7 @@
 
 
 def read_outcome(at: float, query: int, body: bytes) -> tuple[QueryEnded, str | None]:
-    """Decode a node's answer into an event, and the cursor of the next page."""
+    """Decode a node's answer into an event and the cursor of the next page."""
     outcome = _body_decoder.decode(body)
     included: tuple[str, ...] = ()
     missing: tuple[str, ...] = ()
--- a/tinrudder_lab/sim/network.py
+++ b/tinrudder_lab/sim/network.py
@@ -1,4 +1,4 @@
-"""The simulated network: delay per zone and region pair, cuts, loss, doubling, reordering."""
+"""The simulated network: delay by zone and region, cuts, loss, duplication and reordering."""
 
 from __future__ import annotations
 
@@ -17,8 +17,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where a machine stands."""
+class Location:
+    """The location of a machine."""
 
     zone: str
     region: str
@@ -26,7 +26,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Cut:
-    """Places that cannot send to other places; one way unless both ways are cut.
+    """A one-way partition: the sources cannot send to the destinations.
 
     :param sources: zones or regions; :param destinations: zones or regions.
     """
@@ -34,8 +34,8 @@
     sources: frozenset[str]
     destinations: frozenset[str]
 
-    def blocks(self, source: Place, destination: Place) -> bool:
-        """Tell whether a message is lost."""
+    def blocks(self, source: Location, destination: Location) -> bool:
+        """Return whether a message is lost."""
         leaves = source.zone in self.sources or source.region in self.sources
         enters = destination.zone in self.destinations or destination.region in self.destinations
         return leaves and enters
@@ -43,22 +43,22 @@
 
 @dataclass(eq=False)
 class Network:
-    """Delivers callbacks after a delay, or not at all.
+    """Delivers messages, which are callbacks, after a delay or loses them.
 
-    :param datagram_loss: share of datagrams lost; :param datagram_doubling: share doubled.
+    :param datagram_loss: share of datagrams lost; :param datagram_duplication: share duplicated.
     :param extra_delay_s: added to every message, seconds.
     """
 
     loop: MachineLoop
     random: random.Random
     datagram_loss: float = 0.0
-    datagram_doubling: float = 0.0
+    datagram_duplication: float = 0.0
     cuts: list[Cut] = field(default_factory=list)
     messages: int = 0
     extra_delay_s: float = 0.0
-    outside: contextvars.Context = field(default_factory=contextvars.copy_context)
+    default_context: contextvars.Context = field(default_factory=contextvars.copy_context)
 
-    def delay(self, source: Place, destination: Place) -> float:
+    def delay(self, source: Location, destination: Location) -> float:
         """Return one message's one-way delay, seconds."""
         if source.zone == destination.zone:
             base = SAME_ZONE_S
@@ -68,40 +68,40 @@
             base = ACROSS_REGIONS_S
         return base + self.extra_delay_s + JITTER_S * self.random.random()
 
-    def blocked(self, source: Place, destination: Place) -> bool:
-        """Tell whether a cut is in the way."""
+    def blocked(self, source: Location, destination: Location) -> bool:
+        """Return whether a cut blocks messages."""
         return any(cut.blocks(source, destination) for cut in self.cuts)
 
     def deliver(
         self,
-        source: Place,
-        destination: Place,
+        source: Location,
+        destination: Location,
         context: contextvars.Context | None,
         callback: Callable[..., object],
         *arguments: object,
     ) -> bool:
         """Run ``callback`` at the destination after the delay; return False when cut off.
 
-        :param context: the receiving machine's, ``None`` for what is no node.
+        :param context: context of the receiving machine, ``None`` if the receiver is not a node.
         """
         if self.cuts and self.blocked(source, destination):
             return False
         self.messages += 1
         delay_s = self.delay(source, destination)
-        self.loop.deliver(delay_s, context or self.outside, callback, *arguments)
+        self.loop.deliver(delay_s, context or self.default_context, callback, *arguments)
         return True
 
     def deliver_datagram(
         self,
-        source: Place,
-        destination: Place,
+        source: Location,
+        destination: Location,
         context: contextvars.Context,
         callback: Callable[..., object],
         *arguments: object,
     ) -> None:
-        """Deliver zero, one or two times."""
+        """Deliver a datagram zero, one or two times."""
         if self.random.random() < self.datagram_loss:
             return
         self.deliver(source, destination, context, callback, *arguments)
-        if self.random.random() < self.datagram_doubling:
+        if self.random.random() < self.datagram_duplication:
             self.deliver(source, destination, context, callback, *arguments)
--- a/tinrudder_lab/topology.py
+++ b/tinrudder_lab/topology.py
@@ -1,4 +1,4 @@
-"""Small deployments for experiments, and the queries that arrive there."""
+"""Small deployments for experiments and the arrivals of their queries."""
 
 from __future__ import annotations
 
@@ -34,10 +34,11 @@
 FIRST_PORT = 9000
 PAGE_LIMIT = 20
 WIDE_SHARDS = 130
-PATIENCE_S = 6.0
-IMPATIENT_S = 0.02
-SIGMA_SQUARED_HALF = 0.08
-TRESPASS_RATE = 0.5
+CALLER_TIMEOUT_S = 6.0
+EARLY_DISCONNECT_S = 0.02
+HALF_SIGMA_SQUARED = 0.08
+"""Half the squared sigma of the log-normal service time; the mean is the median times exp of it."""
+UNAUTHORIZED_RATE = 0.5
 PURCHASE_DEADLINE_MS = 600
 LONGEST_COPY_DELAY_S = 2.5
 
@@ -54,12 +55,12 @@
 class Stream:
     """Open-loop arrivals of one kind of query.
 
-    :param rate: queries a second, Poisson; :param start_s: when it begins.
-    :param end_s: when it ends, ``None`` for the end of the run.
-    :param pages: how many pages of a listing a caller reads, one after the other.
-    :param retries: how often a caller asks again at once when it got no answer.
-    :param impatient: share of callers that go away after ``IMPATIENT_S``.
-    :param duplicated: for purchases, the share submitted twice; else ``None``.
+    :param rate: queries per second, Poisson; :param start_s: when the stream starts.
+    :param end_s: when the stream ends, ``None`` for the end of the run.
+    :param pages: number of pages of a listing that a caller reads in sequence.
+    :param retries: how often a caller retries a query that got no answer.
+    :param early_disconnects: share of callers that disconnect after ``EARLY_DISCONNECT_S``.
+    :param duplicated: for purchases, the share submitted twice; otherwise ``None``.
     """
 
     kind: QueryKind
@@ -68,17 +69,17 @@
     end_s: float | None = None
     pages: int = 1
     retries: int = 0
-    impatient: float = 0.0
+    early_disconnects: float = 0.0
     duplicated: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """One query of the trace, drawn before the run so that policies meet the same one.
+    """One query of the trace, drawn before the run so that all policies get the same trace.
 
-    :param node_draw: picks the node among those open then, 0 to 1.
+    :param node_draw: random number, 0 to 1, that selects one of the nodes available at the time.
     :param copies: submissions of a request that must run at most once, 0 for a query.
-    :param copy_delay_s: how long after the first the second copy comes.
+    :param copy_delay_s: delay of the second copy after the first, seconds.
     """
 
     at: float
@@ -86,7 +87,7 @@
     match: dict[str, str]
     pages: int
     retries: int
-    patience_s: float
+    timeout_s: float
     node_draw: float
     copies: int = 0
     copy_delay_s: float = 0.0
@@ -94,7 +95,7 @@
 
 @dataclass(slots=True)
 class Topology:
-    """What a scenario runs on."""
+    """The zones, deployment and arrivals of a scenario."""
 
     zones: tuple[Zone, ...]
     nodes_per_zone: int
@@ -103,29 +104,29 @@
     service_median_s: float = 0.004
     shards: int = 1
 
-    def all_streams(self, rate: float, *, pages: int = 1, impatient: float = 0.0) -> None:
-        """Let every kind of query arrive at ``rate`` queries a second."""
+    def all_streams(self, rate: float, *, pages: int = 1, early_disconnects: float = 0.0) -> None:
+        """Set one stream of ``rate`` queries per second for each kind of query."""
         self.streams = [
-            Stream(kind, rate, pages=pages, impatient=impatient)
+            Stream(kind, rate, pages=pages, early_disconnects=early_disconnects)
             for kind in self.deployment.query_kinds
         ]
 
-    def trespass(self) -> None:
-        """Let one tenant also ask for what belongs to another."""
+    def add_unauthorized_stream(self) -> None:
+        """Add a stream in which one tenant queries the index of another."""
         kinds = self.deployment.query_kinds
         kind = replace(kinds[0], caller=kinds[1].caller)
-        self.streams.append(Stream(kind, TRESPASS_RATE))
+        self.streams.append(Stream(kind, UNAUTHORIZED_RATE))
 
     def capacity(self, service: str) -> float:
-        """Return how many queries a second a service's back ends can answer."""
+        """Return how many queries per second a service's back ends can answer."""
         specs = self.deployment.backends.values()
         slots = sum(spec.slots for spec in specs if spec.service == service)
-        mean_s = self.service_median_s * math.exp(SIGMA_SQUARED_HALF)
+        mean_s = self.service_median_s * math.exp(HALF_SIGMA_SQUARED)
         return slots / mean_s / self.shards
 
 
 def draw_trace(streams: list[Stream], duration_s: float, source: random.Random) -> list[Arrival]:
-    """Return the arrivals of all streams in the order of time."""
+    """Return the arrivals of all streams in time order."""
     trace: list[Arrival] = []
     for stream in streams:
         now = stream.start_s
@@ -140,27 +141,29 @@
 
 
 def _draw_arrival(stream: Stream, at: float, source: random.Random) -> Arrival:
-    """Return one arrival of a stream."""
-    patience_s = IMPATIENT_S if source.random() < stream.impatient else PATIENCE_S
+    """Return one random arrival of a stream."""
+    timeout_s = (
+        EARLY_DISCONNECT_S if source.random() < stream.early_disconnects else CALLER_TIMEOUT_S
+    )
     draw = source.random()
     if stream.duplicated is not None:
         copies = 2 if source.random() < stream.duplicated else 1
         delay_s = max(0.0, source.uniform(-LONGEST_COPY_DELAY_S, LONGEST_COPY_DELAY_S))
-        return Arrival(at, stream.kind, {}, 1, 0, patience_s, draw, copies, delay_s)
+        return Arrival(at, stream.kind, {}, 1, 0, timeout_s, draw, copies, delay_s)
     match = {}
     if source.random() < 0.5:
         match = {"entity": entity_name("entity", source.randrange(ENTITIES))}
-    return Arrival(at, stream.kind, match, stream.pages, stream.retries, patience_s, draw)
+    return Arrival(at, stream.kind, match, stream.pages, stream.retries, timeout_s, draw)
 
 
-def both_deployments(rate: float, *, pages: int = 1, impatient: float = 0.0) -> Topology:
+def both_deployments(rate: float, *, pages: int = 1, early_disconnects: float = 0.0) -> Topology:
     """Return both users' deployments with one service of each shape: 7 nodes, 29 back ends."""
     zones = [Zone(name, PLATA_REGION) for name in PLATA_ZONES]
     zones += [Zone(name, ARENA_REGION) for name in ARENA_ZONES]
     deployment = build_deployment(FIRST_PORT, services_per_shape=1)
     topology = Topology(tuple(zones), 1, deployment)
-    topology.all_streams(rate, pages=pages, impatient=impatient)
-    topology.trespass()
+    topology.all_streams(rate, pages=pages, early_disconnects=early_disconnects)
+    topology.add_unauthorized_stream()
     return topology
 
 
@@ -175,13 +178,13 @@
 
 
 def with_purchases(rate: float, purchases: float) -> Topology:
-    """Return both deployments with fans who buy, some of them twice.
+    """Return both deployments with purchases, some of which are submitted twice.
 
-    :param purchases: requests a second that must run at most once.
+    :param purchases: requests per second that must run at most once.
     """
-    topology = both_deployments(rate, pages=2, impatient=0.05)
+    topology = both_deployments(rate, pages=2, early_disconnects=0.05)
     buying = add_purchases(topology.deployment)
-    topology.streams.append(Stream(buying, purchases, duplicated=0.3, impatient=0.05))
+    topology.streams.append(Stream(buying, purchases, duplicated=0.3, early_disconnects=0.05))
     return topology
 
 
@@ -209,7 +212,7 @@
 class TenantLoad:
     """A tenant of the shared service.
 
-    :param load: its arrivals over the service's whole capacity.
+    :param load: its arrival rate as a share of the service's capacity.
     """
 
     name: str
@@ -227,7 +230,7 @@
 
 
 def shared_service(tenants: tuple[TenantLoad, ...], deadline_ms: int) -> Topology:
-    """Return one service that several tenants share: 2 nodes, 8 back ends, fan-out 16."""
+    """Return one service shared by several tenants: 2 nodes, 8 back ends, fan-out 16."""
     rule = QueryRuleSpec(
         service=SHARED_SERVICE,
         preference=Preference.COVERAGE,
@@ -259,7 +262,7 @@
 
 
 def _share_service(deployment: Deployment, tenants: tuple[TenantLoad, ...]) -> None:
-    """Let all tenants use the service."""
+    """Give all tenants access to the service."""
     names = tuple(tenant.name for tenant in tenants)
     spec = ServiceSpec(region=PLATA_REGION, tenants=names)
     deployment.replace(Kind.SERVICE, SHARED_SERVICE, spec)
