--- a/tests/unit/node/test_node_observations.py
+++ b/tests/unit/node/test_node_observations.py
@@ -12,7 +12,7 @@
 
 from tests.support.datagram_network import Cluster
 from tinrudder.node.decisions.backend_table import BackendTable
-from tinrudder.node.decisions.drain_signs import LONGEST_HOLD_S
+from tinrudder.node.decisions.drain_notices import MAX_NOTICE_LIFETIME_S
 from tinrudder.node.node_observations import NodeObservations
 from tinrudder.node.resources.model import BackendSpec, BackendState
 
@@ -34,12 +34,12 @@
         return {table.get("b1").leaving for table in self.tables.values()}
 
     def see_draining(self, name: str) -> None:
-        self.observers[name].on_draining(self.tables[name].get("b1"))
+        self.observers[name].on_draining_reply(self.tables[name].get("b1"))
 
     def see_ordinary_answer(self, name: str, sent_at: float) -> None:
         record = self.tables[name].get("b1")
-        record.ordinary_sent_at = sent_at
-        self.observers[name].on_ordinary_answer(record, sent_at)
+        record.non_draining_sent_at = sent_at
+        self.observers[name].on_non_draining_answer(record, sent_at)
 
 
 @pytest.fixture
@@ -88,7 +88,7 @@
 
 def test_own_newer_observation_overrides_a_received_one():
     fleet = Fleet(4, loss=0.0)
-    fleet.tables["n000"].get("b1").ordinary_sent_at = fleet.cluster.timers.now + 1
+    fleet.tables["n000"].get("b1").non_draining_sent_at = fleet.cluster.timers.now + 1
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(3)
     assert fleet.leaving_states() == {False}
@@ -96,7 +96,7 @@
 
 def test_a_drain_sign_expires_unless_renewed(fleet):
     fleet.see_draining("n003")
-    fleet.cluster.timers.advance(LONGEST_HOLD_S + 2)
+    fleet.cluster.timers.advance(MAX_NOTICE_LIFETIME_S + 2)
     assert fleet.leaving_states() == {False}
 
 
@@ -107,5 +107,5 @@
     )
     for table in fleet.tables.values():
         table.update({"b1": spec})
-    fleet.cluster.timers.advance(LONGEST_HOLD_S + 2)
+    fleet.cluster.timers.advance(MAX_NOTICE_LIFETIME_S + 2)
     assert fleet.leaving_states() == {True}
--- a/tinrudder/node/decisions/backend_record.py
+++ b/tinrudder/node/decisions/backend_record.py
@@ -36,8 +36,8 @@
     :param latency_s: smoothed latency of answered calls, seconds; 0 before the first answer.
     :param leaving: the back end is draining and gets no new calls.
     :param configured_leaving: the configuration marks the back end as draining.
-    :param drain_signed: the back end itself or another node reported that it is draining.
-    :param ordinary_sent_at: when the latest call that was answered without a drain notice was sent.
+    :param drain_reported: the back end itself or another node reported that it is draining.
+    :param non_draining_sent_at: when the latest call answered without a drain notice was sent.
     :param paused: the back end refused a call and asked for a pause; no new calls until it ends.
     :param max_connections: this node's share of the connections that the back end accepts.
     :param health: ejection state and load reports.
@@ -54,8 +54,8 @@
     latency_s: float = 0.0
     leaving: bool = False
     configured_leaving: bool = False
-    drain_signed: bool = False
-    ordinary_sent_at: float = -math.inf
+    drain_reported: bool = False
+    non_draining_sent_at: float = -math.inf
     max_connections: int = DEFAULT_MAX_CONNECTIONS
     usual: float = 0.0
     headroom: float = 1.0
--- a/tinrudder/node/decisions/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -68,16 +68,16 @@
             record.slots = spec.slots
             record.set_share(usual, max_calls / usual)
             record.configured_leaving = spec.state is BackendState.DRAINING
-            record.leaving = record.configured_leaving or record.drain_signed
+            record.leaving = record.configured_leaving or record.drain_reported
             self._by_service.setdefault(spec.service, []).append(record)
         if self.on_update is not None:
             self.on_update()
 
-    def end_drain_sign(self, name: str) -> None:
+    def clear_drain_report(self, name: str) -> None:
         """Clear a reported drain of a back end; a drain in the configuration still applies."""
         record = self._records.get(name)
-        if record is not None and record.drain_signed:
-            record.drain_signed = False
+        if record is not None and record.drain_reported:
+            record.drain_reported = False
             record.leaving = record.configured_leaving
 
     def share_connections(self, specs: Mapping[str, BackendSpec], share: ConnectionShare) -> None:
--- a/tinrudder/node/decisions/drain_signs.py
+++ b/tinrudder/node/decisions/drain_notices.py
@@ -10,24 +10,24 @@
 
 import random
 
-SHORTEST_HOLD_S = 60.0
+MIN_NOTICE_LIFETIME_S = 60.0
 """Minimum lifetime of a notice, in seconds: usually longer than a back end's planned stop."""
-LONGEST_HOLD_S = 120.0
+MAX_NOTICE_LIFETIME_S = 120.0
 """Maximum lifetime of a notice, in seconds, after which a back end is called again.  Twice the
 minimum, so that the nodes do not all call it at the same time."""
-OWN_MARGIN_S = 0.25
+NOTICE_TIME_MARGIN_S = 0.25
 """Seconds that a call must be sent after a notice to count as newer: the times of other nodes'
 notices include clock error and network delay."""
 
 
-class DrainSigns:
+class DrainNotices:
     """Drain notices by back end; all times are monotonic seconds of this node.
 
-    >>> signs = DrainSigns(random.Random(1))
-    >>> signs.add("b1", 10.0)
-    >>> signs.refutes("b1", sent_at=9.0), signs.refutes("b1", sent_at=11.0)
+    >>> notices = DrainNotices(random.Random(1))
+    >>> notices.add("b1", 10.0)
+    >>> notices.is_outdated("b1", sent_at=9.0), notices.is_outdated("b1", sent_at=11.0)
     (False, True)
-    >>> signs.due(10.0 + LONGEST_HOLD_S)
+    >>> notices.due(10.0 + MAX_NOTICE_LIFETIME_S)
     ('b1',)
     """
 
@@ -45,7 +45,7 @@
         """Record a notice of the time ``reported_at``, replacing an earlier one."""
         self._reported_at[backend] = reported_at
         self._expires_at[backend] = reported_at + self._random.uniform(
-            SHORTEST_HOLD_S, LONGEST_HOLD_S
+            MIN_NOTICE_LIFETIME_S, MAX_NOTICE_LIFETIME_S
         )
 
     def remove(self, backend: str) -> None:
@@ -53,14 +53,14 @@
         self._reported_at.pop(backend, None)
         self._expires_at.pop(backend, None)
 
-    def refutes(self, backend: str, sent_at: float) -> bool:
+    def is_outdated(self, backend: str, sent_at: float) -> bool:
         """Tell whether an answer without a drain notice, to a call sent at ``sent_at``, is newer.
 
         Answers to calls sent before the notice prove nothing: a draining back end finishes its
         calls in flight.
         """
         reported_at = self._reported_at.get(backend)
-        return reported_at is not None and sent_at > reported_at + OWN_MARGIN_S
+        return reported_at is not None and sent_at > reported_at + NOTICE_TIME_MARGIN_S
 
     def due(self, now: float) -> tuple[str, ...]:
         """Return the back ends whose notice has expired."""
--- a/tinrudder/node/node_observations.py
+++ b/tinrudder/node/node_observations.py
@@ -12,11 +12,11 @@
 from tinrudder.common.logs import log_event
 from tinrudder.node.decisions.backend_record import BackendRecord
 from tinrudder.node.decisions.backend_table import BackendTable
-from tinrudder.node.decisions.drain_signs import OWN_MARGIN_S, DrainSigns
+from tinrudder.node.decisions.drain_notices import NOTICE_TIME_MARGIN_S, DrainNotices
 from tinrudder.timers import TimerHandle, Timers
 
-SIGN_CHECK_INTERVAL_S = 1.0
-"""Seconds between checks for expired drain signs; they last 60 to 120 s."""
+NOTICE_CHECK_INTERVAL_S = 1.0
+"""Seconds between checks for expired drain notices; they last 60 to 120 s."""
 
 
 class NodeObservations:
@@ -33,18 +33,18 @@
         self._timers = timers
         self._backends = backends
         self._membership = membership
-        self._drain_signs = DrainSigns(generator)
+        self._drain_notices = DrainNotices(generator)
         self._timer: TimerHandle | None = None
         membership.on_observation(self._on_observation)
 
-    def on_draining(self, backend: BackendRecord) -> None:
+    def on_draining_reply(self, backend: BackendRecord) -> None:
         """Mark and publish a back end that answered that it is draining."""
         self._mark_draining(backend, self._timers.time(), self._membership.own().name)
         self._membership.publish_observation(backend.name, ObservationKind.DRAINING)
 
-    def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
-        """Clear the drain mark if a normal answer to a call sent at ``sent_at`` refutes it."""
-        if self._drain_signs.refutes(backend.name, sent_at):
+    def on_non_draining_answer(self, backend: BackendRecord, sent_at: float) -> None:
+        """Clear the drain mark if an answer to a call sent at ``sent_at`` outdates the notice."""
+        if self._drain_notices.is_outdated(backend.name, sent_at):
             self._clear_draining(backend.name)
             self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
 
@@ -57,32 +57,32 @@
         if observation.kind is ObservationKind.RECOVERED:
             self._clear_draining(backend.name)
         elif observation.kind is ObservationKind.DRAINING:
-            if backend.ordinary_sent_at > observed_at + OWN_MARGIN_S:
+            if backend.non_draining_sent_at > observed_at + NOTICE_TIME_MARGIN_S:
                 self._membership.publish_observation(backend.name, ObservationKind.RECOVERED)
                 return
             self._mark_draining(backend, observed_at, observation.origin)
 
     def _mark_draining(self, backend: BackendRecord, observed_at: float, origin: str) -> None:
-        if not backend.drain_signed:
+        if not backend.drain_reported:
             log_event("back end leaving", {"backend": backend.name, "seen_by": origin})
-        self._drain_signs.add(backend.name, observed_at)
-        backend.drain_signed = True
+        self._drain_notices.add(backend.name, observed_at)
+        backend.drain_reported = True
         backend.leaving = True
-        self._schedule_sign_check()
+        self._schedule_notice_check()
 
     def _clear_draining(self, name: str) -> None:
-        self._drain_signs.remove(name)
-        self._backends.end_drain_sign(name)
+        self._drain_notices.remove(name)
+        self._backends.clear_drain_report(name)
 
-    def _schedule_sign_check(self) -> None:
-        """Schedule the next check for expired signs unless one is scheduled."""
+    def _schedule_notice_check(self) -> None:
+        """Schedule the next check for expired notices unless one is scheduled."""
         if self._timer is None:
-            due = self._timers.time() + SIGN_CHECK_INTERVAL_S
-            self._timer = self._timers.call_at(due, self._clear_expired_signs)
+            due = self._timers.time() + NOTICE_CHECK_INTERVAL_S
+            self._timer = self._timers.call_at(due, self._clear_expired_notices)
 
-    def _clear_expired_signs(self) -> None:
+    def _clear_expired_notices(self) -> None:
         self._timer = None
-        for name in self._drain_signs.due(self._timers.time()):
+        for name in self._drain_notices.due(self._timers.time()):
             self._clear_draining(name)
-        if self._drain_signs:
-            self._schedule_sign_check()
+        if self._drain_notices:
+            self._schedule_notice_check()
--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -57,21 +57,21 @@
 class DrainListener(Protocol):
     """Receives the drain state that back ends report in their replies."""
 
-    def on_draining(self, backend: BackendRecord) -> None:
+    def on_draining_reply(self, backend: BackendRecord) -> None:
         """Handle a reply in which ``backend`` reports that it is draining."""
 
-    def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
-        """Handle an answer without a drain signal from a back end that was marked as draining."""
+    def on_non_draining_answer(self, backend: BackendRecord, sent_at: float) -> None:
+        """Handle an answer without a drain notice from a back end that was marked as draining."""
 
 
 class LocalDrainListener:
-    """Applies a drain signal to this node only, without informing other nodes."""
+    """Applies a drain notice to this node only, without informing other nodes."""
 
-    def on_draining(self, backend: BackendRecord) -> None:
+    def on_draining_reply(self, backend: BackendRecord) -> None:
         """Stop sending new calls to ``backend``."""
         backend.leaving = True
 
-    def on_ordinary_answer(self, backend: BackendRecord, sent_at: float) -> None:
+    def on_non_draining_answer(self, backend: BackendRecord, sent_at: float) -> None:
         """Do nothing: the call may have been sent before the back end began to drain."""
 
 
@@ -196,17 +196,17 @@
             backend.observe_latency(now - sent.sent_at)
             self._limit.on_answer(backend)
             if reply.answer.draining:
-                self.drain_listener.on_draining(backend)
+                self.drain_listener.on_draining_reply(backend)
             else:
-                backend.ordinary_sent_at = max(backend.ordinary_sent_at, sent.sent_at)
-                if backend.drain_signed:
-                    self.drain_listener.on_ordinary_answer(backend, sent.sent_at)
+                backend.non_draining_sent_at = max(backend.non_draining_sent_at, sent.sent_at)
+                if backend.drain_reported:
+                    self.drain_listener.on_non_draining_answer(backend, sent.sent_at)
         elif isinstance(reply, Shed):
             self._limit.on_shed(backend, sent.sent_at, now)
             if reply.retry_after_s is not None and backend.limit <= MINIMUM_LIMIT:
                 self._pause(backend, now + min(reply.retry_after_s, MAX_RETRY_AFTER_PAUSE_S))
         elif isinstance(reply, Draining):
-            self.drain_listener.on_draining(backend)
+            self.drain_listener.on_draining_reply(backend)
 
     def _pause(self, backend: BackendRecord, until: float) -> None:
         """Pause a back end that asked for a delay while its limit is already at the minimum."""
