--- a/bench/fair_queue.py
+++ b/bench/fair_queue.py
@@ -98,7 +98,7 @@
         )
         for backend in candidates:
             if backend.may_send():
-                self.queue.record_direct(call, backend)
+                self.queue.charge_unqueued(call, backend)
                 call.on_dispatch(backend)
                 return
         self.queue.push(call)
--- a/bench/limits.py
+++ b/bench/limits.py
@@ -143,8 +143,8 @@
             call = None
             if backend.may_send():
                 call = self.queue.pop(backend)
-            elif backend.may_exceed():
-                call = self.queue.pop_lagging(backend)
+            elif backend.may_exceed_limit():
+                call = self.queue.pop_above_limit(backend)
             if call is None:
                 return
             call.on_dispatch(backend)
--- a/tests/functional/node/test_connection_pool.py
+++ b/tests/functional/node/test_connection_pool.py
@@ -44,10 +44,10 @@
         for call in calls:
             call.max_connections = MAXIMUM
             transport.start(call, lambda _, reply: replies.append(reply))
-        assert not any(call.may_have_left for call in calls)
+        assert not any(call.may_have_been_sent for call in calls)
         while len(model.running) < MAXIMUM:
             await asyncio.sleep(0)
-        assert [call.may_have_left for call in calls] == [True] * MAXIMUM + [False] * 9
+        assert [call.may_have_been_sent for call in calls] == [True] * MAXIMUM + [False] * 9
         transport.cancel(calls[-1])
         while len(replies) < 11:
             assert transport.connections(HOST, port) <= MAXIMUM
@@ -68,7 +68,7 @@
         model.behaviour.service_median_s = 0.0
         reply = asyncio.ensure_future(exchange(transport, waiting))
         await asyncio.sleep(0)
-        assert not waiting.may_have_left
+        assert not waiting.may_have_been_sent
         transport.cancel(unanswered)
         assert isinstance(await reply, Answered)
 
--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -81,14 +81,14 @@
     connect_s: float = 0.0
 
     def start(self, call: BackendCall, listener: ReplyListener) -> None:
-        call.may_have_left = False
+        call.may_have_been_sent = False
         asyncio.get_running_loop().call_later(self.connect_s, self._send, call, listener)
 
     def _send(self, call: BackendCall, listener: ReplyListener) -> None:
-        if call.may_leave is not None and not call.may_leave():
+        if call.may_still_send is not None and not call.may_still_send():
             listener(call, NotSent("dispatch window closed"))
             return
-        call.may_have_left = True
+        call.may_have_been_sent = True
         if self.replies:
             reply = self.replies.pop(0)
         else:
--- a/tests/unit/node/decisions/test_backend_limit.py
+++ b/tests/unit/node/decisions/test_backend_limit.py
@@ -51,11 +51,11 @@
     @invariant()
     def stays_within_bounds(self) -> None:
         backend = self.backend
-        assert 1.0 <= backend.limit <= backend.usual
+        assert 1.0 <= backend.limit <= backend.max_limit
         assert backend.in_flight == len(self.sent_at)
         assert backend.may_send() == (backend.in_flight < int(backend.limit))
         most = int(backend.limit * backend.headroom)
-        assert backend.may_exceed() == (backend.in_flight < most)
+        assert backend.may_exceed_limit() == (backend.in_flight < most)
 
 
 LimitAgainstOracle.TestCase.settings = settings(max_examples=60, stateful_step_count=50)
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -58,7 +58,7 @@
         candidates = [self.backends[place] for place in sorted(places)]
         call = call_of(tenant, *candidates, weight=WEIGHTS[tenant], priority=priority, cost=cost)
         if direct and not candidates[0].waiting:
-            self.queue.record_direct(call, candidates[0])
+            self.queue.charge_unqueued(call, candidates[0])
             return
         self.queue.push(call)
         self.waiting.append(call)
@@ -171,6 +171,6 @@
     for _ in range(100):
         now += 0.1
         queue.pop(backend)
-        queue.record_direct(call_of("favoured", backend), backend)
+        queue.charge_unqueued(call_of("favoured", backend), backend)
     incoming = IncomingCalls("slow", 1, Priority.INTERACTIVE, 1.0, 0.001)
     assert queue.expected_wait_s(backend, incoming) == pytest.approx(101 * 0.1)
--- a/tests/unit/node/decisions/test_routing_policies.py
+++ b/tests/unit/node/decisions/test_routing_policies.py
@@ -22,7 +22,7 @@
     MINIMUM_OBSERVATIONS,
     NoHedge,
     QuantileHedge,
-    is_widespread,
+    is_fleet_slow,
 )
 from tinrudder.node.decisions.registry import DEFAULTS, Role, names_by_role
 from tinrudder.node.decisions.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
@@ -50,7 +50,7 @@
     def __init__(self, count: int) -> None:
         self.policy = OutlierEjection()
         self.records = [backend(f"b{number}") for number in range(count)]
-        self.policy.follow(self.records, 0.0)
+        self.policy.set_backends(self.records, 0.0)
         for _ in range(REFRESH_OBSERVATIONS):
             for record in self.records:
                 self.answer(record, LATENCY_S, 0.0)
@@ -92,7 +92,7 @@
     assert budget.try_spend(urgent=True)
     assert budget.try_spend(urgent=True)
     assert not budget.try_spend(urgent=True)
-    budget.earn(1_000_000)
+    budget.credit_first_calls(1_000_000)
     assert budget.tokens == 10.0
 
 
@@ -100,7 +100,7 @@
     retry = BudgetedRetry()
     first_calls, retries = 0, 0
     for _ in range(2000):
-        retry.earn(16)
+        retry.credit_first_calls(16)
         first_calls += 16
         retries += sum(retry.may_retry(urgent=True) for _ in range(16))
     assert retries <= 0.051 * first_calls
@@ -121,9 +121,9 @@
 
 
 def test_slow_fleet_is_not_one_slow_replica() -> None:
-    assert is_widespread([f"b{number}" for number in range(40)], 130)
-    assert not is_widespread(["b7"] * 40, 130)
-    assert not is_widespread(["b1", "b2", "b3"], 130)
+    assert is_fleet_slow([f"b{number}" for number in range(40)], 130)
+    assert not is_fleet_slow(["b7"] * 40, 130)
+    assert not is_fleet_slow(["b1", "b2", "b3"], 130)
 
 
 def test_failures_in_a_row_eject_up_to_the_ceiling() -> None:
@@ -180,7 +180,7 @@
     service = EjectionHarness(2)
     assert all(record.health.ramp_limit == math.inf for record in service.records)
     newcomer = backend("new", latency_s=0.0)
-    service.policy.follow([*service.records, newcomer], 1.0)
+    service.policy.set_backends([*service.records, newcomer], 1.0)
     assert newcomer.health.ramp_limit == 1.0
 
 
--- a/tests/unit/node/decisions/test_tenant_usage.py
+++ b/tests/unit/node/decisions/test_tenant_usage.py
@@ -50,7 +50,7 @@
     def hold(self, place: int, size: int) -> None:
         tenant, permit = self.open[place % len(self.open)]
         fits = self.held_by(tenant) + size <= CAPS.buffered_bytes
-        assert permit.hold_bytes(size) == fits
+        assert permit.reserve_bytes(size) == fits
         self.held[permit] += size if fits else 0
 
     @precondition(lambda self: self.open)
@@ -78,7 +78,7 @@
     table = TenantUsageTable()
     permit = table.begin("a", CAPS, 4)
     assert isinstance(permit, QueryPermit)
-    assert [permit.usage.take_place() for _ in range(7)] == [True] * 6 + [False]
+    assert [permit.usage.acquire_queue_place() for _ in range(7)] == [True] * 6 + [False]
     assert table.begin("a", CAPS, 1) is Cap.QUEUE_PLACES
-    permit.usage.return_place()
+    permit.usage.release_queue_place()
     assert isinstance(table.begin("a", CAPS, 1), QueryPermit)
--- a/tests/unit/node/test_entry.py
+++ b/tests/unit/node/test_entry.py
@@ -22,7 +22,7 @@
     NotRunReason,
     Outcome,
 )
-from tinrudder.node.query.coordinator_watch import CoordinatorWatch
+from tinrudder.node.query.coordinator_prober import CoordinatorProber
 from tinrudder.node.query.entry import Entry
 from tinrudder.node.query.request import QueryRequest
 from tinrudder.node.resources.configuration import Configuration
@@ -76,7 +76,7 @@
             _Runner(self),
             _Relay(self),
             self.ranking,
-            CoordinatorWatch(_Relay(self), self.ranking, self.timers),
+            CoordinatorProber(_Relay(self), self.ranking, self.timers),
             self._set,
             lambda: self.configuration,
         )
--- a/tests/unit/node/test_fan_out.py
+++ b/tests/unit/node/test_fan_out.py
@@ -49,7 +49,7 @@
 class NoOtherVersion:
     """A replanner that keeps every query on its version."""
 
-    def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
+    def record_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         pass
 
     def replan(self, plan: QueryPlan) -> QueryPlan | None:
@@ -172,7 +172,7 @@
 def test_calls_still_waiting_for_a_connection_are_not_run() -> None:
     harness = Harness(QueryRuleSpec(service="service", repeatable=False))
     for call in harness.transport.calls:
-        call.may_have_left = False
+        call.may_have_been_sent = False
     harness.timers.advance(DEADLINE_S)
     assert isinstance(harness.outcome, NotRun)
 
--- a/tests/unit/node/test_fan_out_machine.py
+++ b/tests/unit/node/test_fan_out_machine.py
@@ -111,7 +111,7 @@
         )
         return QueryPlan(request_of(), self.rule, 1, "service", version, planned, self.routing)
 
-    def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
+    def record_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         pass
 
     def replan(self, plan: QueryPlan) -> QueryPlan | None:
--- a/tests/unit/node/test_overload.py
+++ b/tests/unit/node/test_overload.py
@@ -236,7 +236,7 @@
 def test_a_share_that_shrinks_is_kept_while_calls_wait_and_not_for_long() -> None:
     async def scenario() -> None:
         harness = Harness()
-        harness.backends.on_update = lambda: harness.dispatcher.follow_share(harness.record)
+        harness.backends.on_update = lambda: harness.dispatcher.apply_share_change(harness.record)
         harness.backends.update(harness.configuration.backends, lambda name, spec: 3)
         tasks = [await harness.ask() for _ in range(3)]
         assert len(harness.transport.calls) == 3
--- a/tinrudder/cluster/claims/claim_proposer.py
+++ b/tinrudder/cluster/claims/claim_proposer.py
@@ -136,7 +136,7 @@
         self.phase = ClaimPhase.DISPATCHED
         return True
 
-    def dispatch_did_not_start(self) -> None:
+    def mark_not_started(self) -> None:
         """Restore the permission to dispatch: the back end did not start the request."""
         if self.phase is ClaimPhase.DISPATCHED:
             self.phase = ClaimPhase.WON
--- a/tinrudder/node/backends/connection.py
+++ b/tinrudder/node/backends/connection.py
@@ -78,7 +78,7 @@
         self._call = call
         self._listener = listener
         call.transport_state = self
-        call.may_have_left = True
+        call.may_have_been_sent = True
         body = _encoder.encode(call.request)
         self._transport.write(b"%b%d\r\n\r\n%b" % (self._owner.request_head, len(body), body))
 
--- a/tinrudder/node/backends/connection_pool.py
+++ b/tinrudder/node/backends/connection_pool.py
@@ -73,7 +73,7 @@
             if connection.is_usable():
                 connection.send(call, listener)
                 return
-        call.may_have_left = False
+        call.may_have_been_sent = False
         waiting = WaitingCall(call, listener)
         call.transport_state = waiting
         self._waiting.append(waiting)
@@ -158,7 +158,7 @@
             if waiting.call.deadline <= now:
                 self._report_not_sent(waiting, "no connection before the deadline")
                 continue
-            if waiting.call.may_leave is not None and not waiting.call.may_leave():
+            if waiting.call.may_still_send is not None and not waiting.call.may_still_send():
                 self._report_not_sent(waiting, PERMISSION_ENDED_DETAIL)
                 continue
             return waiting
--- a/tinrudder/node/backends/messages.py
+++ b/tinrudder/node/backends/messages.py
@@ -78,10 +78,10 @@
     :param host: the back end's IP address; :param port: its TCP port.
     :param deadline: monotonic time after which the answer is no longer useful.
     :param max_connections: number of connections that this node may hold to the back end.
-    :param may_have_left: bytes of the call may have left this process.  True by default; only a
-        transport that is certain that none have clears it.
-    :param may_leave: called by the transport immediately before it writes the call; if it returns
-        false, the reply is :class:`NotSent`.
+    :param may_have_been_sent: bytes of the call may have left this process.  True by default; only
+        a transport that is certain that none have clears it.
+    :param may_still_send: called by the transport immediately before it writes the call; if it
+        returns false, the reply is :class:`NotSent`.
     :param transport_state: private to the transport: the queue entry or connection of the call.
     """
 
@@ -93,8 +93,8 @@
     deadline: float
     tls: bool = False
     max_connections: int = DEFAULT_MAX_CONNECTIONS
-    may_have_left: bool = True
-    may_leave: Callable[[], bool] | None = None
+    may_have_been_sent: bool = True
+    may_still_send: Callable[[], bool] | None = None
     transport_state: object = None
 
 
--- a/tinrudder/node/decisions/backend_record.py
+++ b/tinrudder/node/decisions/backend_record.py
@@ -28,8 +28,8 @@
 
     :param slots: configured number of calls that the back end runs in parallel; a hint.
     :param limit: calls that this node may have in flight there now, rounded down.
-    :param usual: upper bound of ``limit``: the calls that keep this node's share of the slots busy.
-        0 uses the initial ``limit``.  Exceeded only while slots are handed over.
+    :param max_limit: upper bound of ``limit``: the calls that keep this node's share of the slots
+        busy.  0 uses the initial ``limit``.  Exceeded only while slots are handed over.
     :param headroom: factor on ``limit`` up to which a tenant well below its share may send.
     :param lowered_at: when ``limit`` was last decreased, monotonic seconds.
     :param waiting: calls in this node's queue that have this back end as a candidate.
@@ -57,7 +57,7 @@
     drain_reported: bool = False
     non_draining_sent_at: float = -math.inf
     max_connections: int = DEFAULT_MAX_CONNECTIONS
-    usual: float = 0.0
+    max_limit: float = 0.0
     headroom: float = 1.0
     lowered_at: float = -math.inf
     waiting: int = 0
@@ -66,7 +66,7 @@
 
     def __post_init__(self) -> None:
         """Default the upper bound to the initial limit."""
-        self.usual = self.usual or self.limit
+        self.max_limit = self.max_limit or self.limit
 
     def may_send(self) -> bool:
         """Tell whether one more call fits under the limit and the warm-up ramp."""
@@ -77,7 +77,7 @@
             and self.in_flight < self.health.ramp_limit
         )
 
-    def may_exceed(self) -> bool:
+    def may_exceed_limit(self) -> bool:
         """Tell whether one more call of a tenant well below its share fits into the headroom."""
         return (
             self.in_flight + 1 <= self.limit * self.headroom
@@ -86,25 +86,25 @@
             and self.in_flight < self.health.ramp_limit
         )
 
-    def set_share(self, usual: float, headroom: float) -> None:
+    def set_share(self, max_limit: float, headroom: float) -> None:
         """Apply a changed share; a limit that was at the old maximum moves to the new one.
 
         While calls wait, the limit is not lowered here: on a node that hands its slots over to
         another coordinator, waiting calls would miss their deadlines under the smaller share
-        (see :meth:`end_handover`).
+        (see :meth:`clamp_limit`).
         """
-        was_at_maximum = self.limit >= self.usual
-        self.usual = usual
+        was_at_maximum = self.limit >= self.max_limit
+        self.max_limit = max_limit
         self.headroom = headroom
-        if self.limit > usual:
+        if self.limit > max_limit:
             if not self.waiting:
-                self.end_handover()
+                self.clamp_limit()
         elif was_at_maximum:
-            self.limit = usual
+            self.limit = max_limit
 
-    def end_handover(self) -> None:
-        """Lower the limit to the current share."""
-        self.limit = min(self.limit, self.usual)
+    def clamp_limit(self) -> None:
+        """Lower the limit to ``max_limit``."""
+        self.limit = min(self.limit, self.max_limit)
 
     def observe_latency(self, seconds: float) -> None:
         """Update the smoothed latency with one answered call.
--- a/tinrudder/node/decisions/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -56,17 +56,17 @@
             self._records.pop(name).leaving = True
         for name, spec in specs.items():
             max_calls = max(1.0, share(name, spec))
-            usual = float(min(max_calls, math.ceil(max_calls / headroom * CALLS_PER_SLOT)))
+            max_limit = float(min(max_calls, math.ceil(max_calls / headroom * CALLS_PER_SLOT)))
             record = self._records.get(name)
             if record is None or (record.host, record.port) != (spec.host, spec.port):
                 if record is not None:
                     record.leaving = True
                 record = BackendRecord(
-                    name, spec.host, spec.port, spec.zone, spec.slots, usual, spec.tls
+                    name, spec.host, spec.port, spec.zone, spec.slots, max_limit, spec.tls
                 )
                 self._records[name] = record
             record.slots = spec.slots
-            record.set_share(usual, max_calls / usual)
+            record.set_share(max_limit, max_calls / max_limit)
             record.configured_leaving = spec.state is BackendState.DRAINING
             record.leaving = record.configured_leaving or record.drain_reported
             self._by_service.setdefault(spec.service, []).append(record)
--- a/tinrudder/node/decisions/call_retry_budget.py
+++ b/tinrudder/node/decisions/call_retry_budget.py
@@ -27,33 +27,33 @@
     shard in the answer yet.
 
     >>> budget = FractionBudget(fraction=0.1, initial=0.0, capacity=10.0)
-    >>> budget.earn(20)
+    >>> budget.credit_first_calls(20)
     >>> budget.try_spend(urgent=True), budget.try_spend(urgent=True), budget.try_spend(urgent=True)
     (True, True, False)
     """
 
-    __slots__ = ("_capacity", "_fraction", "_kept_for_urgent", "tokens")
+    __slots__ = ("_capacity", "_fraction", "_reserved_for_urgent", "tokens")
 
     def __init__(self, *, fraction: float, initial: float, capacity: float) -> None:
         """Allow ``fraction`` extra calls per first call and save at most ``capacity`` tokens."""
         self._fraction = fraction
         self._capacity = capacity
-        self._kept_for_urgent = capacity * URGENT_SHARE
+        self._reserved_for_urgent = capacity * URGENT_SHARE
         self.tokens = initial
 
     @property
     def fill(self) -> float:
         """Return the fill level of the unreserved part, 0 to 1."""
-        spendable = self._capacity - self._kept_for_urgent
-        return max(0.0, (self.tokens - self._kept_for_urgent) / spendable)
+        spendable = self._capacity - self._reserved_for_urgent
+        return max(0.0, (self.tokens - self._reserved_for_urgent) / spendable)
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Add the tokens for a query's first calls."""
         self.tokens = min(self._capacity, self.tokens + first_calls * self._fraction)
 
     def try_spend(self, *, urgent: bool) -> bool:
         """Take one token if one is available."""
-        needed = 1.0 if urgent else 1.0 + self._kept_for_urgent
+        needed = 1.0 if urgent else 1.0 + self._reserved_for_urgent
         if self.tokens < needed:
             return False
         self.tokens -= 1.0
@@ -63,7 +63,7 @@
 class RetryPolicy(Protocol):
     """Decides whether a call that failed may be sent again."""
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Credit the budget with a query's first calls."""
 
     def may_retry(self, *, urgent: bool) -> bool:
@@ -83,9 +83,9 @@
             fraction=RETRY_FRACTION, initial=RETRY_RESERVE, capacity=RETRY_CAPACITY
         )
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Add the tokens for a query's first calls."""
-        self._budget.earn(first_calls)
+        self._budget.credit_first_calls(first_calls)
 
     def may_retry(self, *, urgent: bool) -> bool:
         """Take one token from the budget."""
@@ -95,7 +95,7 @@
 class UnbudgetedRetry:
     """Retries every failed call: the baseline.  Multiplies the load on a failing service."""
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Do nothing: there is no budget."""
 
     def may_retry(self, *, urgent: bool) -> bool:
--- a/tinrudder/node/decisions/coordinator_ranking.py
+++ b/tinrudder/node/decisions/coordinator_ranking.py
@@ -1,6 +1,6 @@
 """Order in which an entry node tries the coordinators of a service.
 
-Owns this node's observations of each coordinator; ``query.coordinator_watch`` sends the probes.
+Owns this node's observations of each coordinator; ``query.coordinator_prober`` sends the probes.
 """
 
 from __future__ import annotations
@@ -110,7 +110,7 @@
         if previous is None:
             self._notify_failed_changed()
 
-    def keep_only(self, members: Mapping[str, Member]) -> None:
+    def retain_members(self, members: Mapping[str, Member]) -> None:
         """Drop the state of members that have left or restarted."""
         for name, state in tuple(self._states.items()):
             member = members.get(name)
--- a/tinrudder/node/decisions/coordinator_set.py
+++ b/tinrudder/node/decisions/coordinator_set.py
@@ -108,7 +108,7 @@
     return tuple(member for _, _, member in ranked)
 
 
-def take_coordinators(
+def select_reachable(
     service: str, ranked: Sequence[Member], count: int, unreachable: frozenset[str] = frozenset()
 ) -> CoordinatorSet:
     """Return the first ``count`` members that this node can reach; if it reaches none, of all."""
@@ -119,7 +119,7 @@
 
 def choose_coordinators(service: str, members: Iterable[Member], count: int) -> CoordinatorSet:
     """Select ``count`` coordinators from the members of the service's region."""
-    return take_coordinators(service, rank_members(service, members), count)
+    return select_reachable(service, rank_members(service, members), count)
 
 
 def even_share(backend: str, calls: int, position: int, count: int) -> int:
--- a/tinrudder/node/decisions/ejection.py
+++ b/tinrudder/node/decisions/ejection.py
@@ -46,7 +46,7 @@
 class EjectionPolicy(Protocol):
     """Ejects and readmits back ends by this node's observations."""
 
-    def follow(self, records: Sequence[BackendRecord], now: float) -> None:
+    def set_backends(self, records: Sequence[BackendRecord], now: float) -> None:
         """Set the service's current back ends; new ones start cold."""
 
     def observe_answer(self, record: BackendRecord, latency_s: float, now: float) -> None:
@@ -65,7 +65,7 @@
 class NeverEject:
     """Keeps every back end in use: the baseline."""
 
-    def follow(self, records: Sequence[BackendRecord], now: float) -> None:
+    def set_backends(self, records: Sequence[BackendRecord], now: float) -> None:
         """Take no notice."""
 
     def observe_answer(self, record: BackendRecord, latency_s: float, now: float) -> None:
@@ -97,7 +97,7 @@
         self._median_s = 0.0
         self._answers_until_refresh = 0
 
-    def follow(self, records: Sequence[BackendRecord], now: float) -> None:
+    def set_backends(self, records: Sequence[BackendRecord], now: float) -> None:
         """Set the service's current back ends.
 
         If all back ends are new, they start without a ramp: there is no warm replica that could
@@ -118,7 +118,7 @@
         if self._answers_until_refresh <= 0:
             self._refresh_median()
         if record.health.ejected:
-            self._judge_probe(record, latency_s, now)
+            self._evaluate_probe(record, latency_s, now)
         elif self._is_outlier(record):
             self._eject(record, now)
         elif record.health.ramp_limit != math.inf:
@@ -151,7 +151,7 @@
             return False
         return record.latency_s > OUTLIER_RATIO * self._median_s
 
-    def _judge_probe(self, record: BackendRecord, latency_s: float, now: float) -> None:
+    def _evaluate_probe(self, record: BackendRecord, latency_s: float, now: float) -> None:
         """Readmit a back end whose answer is about as fast as its peers'.
 
         Answers to calls sent before the ejection are ignored.
--- a/tinrudder/node/decisions/hedge_by_quantile.py
+++ b/tinrudder/node/decisions/hedge_by_quantile.py
@@ -50,7 +50,7 @@
 class HedgePolicy(Protocol):
     """Decides the hedge delay of a call and whether a hedge may be sent."""
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Credit the budget with a query's first calls."""
 
     def delay_s(self, latency: LatencyWindow, hedges: int) -> float | None:
@@ -66,7 +66,7 @@
 class NoHedge:
     """Never hedges: the baseline, and the right policy for batch work without deadlines."""
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Do nothing: there is no budget."""
 
     def delay_s(self, latency: LatencyWindow, hedges: int) -> float | None:
@@ -91,9 +91,9 @@
             fraction=HEDGE_FRACTION, initial=HEDGE_INITIAL, capacity=HEDGE_CAPACITY
         )
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Add the tokens for a query's first calls."""
-        self._budget.earn(first_calls)
+        self._budget.credit_first_calls(first_calls)
 
     def delay_s(self, latency: LatencyWindow, hedges: int) -> float | None:
         """Return the quantile of the window, at least ``MINIMUM_DELAY_S``."""
@@ -115,18 +115,18 @@
         return self._budget.try_spend(urgent=urgent)
 
 
-def is_widespread(overdue_backends: Sequence[str], shard_count: int) -> bool:
+def is_fleet_slow(overdue_backends: Sequence[str], shard_count: int) -> bool:
     """Tell whether the overdue calls indicate a slow fleet rather than one slow back end.
 
     Hedging a slow fleet only adds to its load.
 
     :param overdue_backends: the back end of each overdue call.
 
-    >>> is_widespread(["b1", "b1", "b1"], 6)
+    >>> is_fleet_slow(["b1", "b1", "b1"], 6)
     False
-    >>> is_widespread(["b1", "b2", "b3"], 6)
+    >>> is_fleet_slow(["b1", "b2", "b3"], 6)
     True
-    >>> is_widespread(["b1", "b2"], 130)
+    >>> is_fleet_slow(["b1", "b2"], 130)
     False
     """
     if len(overdue_backends) <= max(1.0, SLOW_FLEET_SHARE * shard_count):
--- a/tinrudder/node/decisions/load/backend_limit.py
+++ b/tinrudder/node/decisions/load/backend_limit.py
@@ -42,8 +42,8 @@
     def on_answer(self, backend: BackendRecord) -> None:
         """Raise a limit that is fully used and below its maximum."""
         limit = backend.limit
-        if limit < backend.usual and backend.in_flight + 1 > limit:
-            backend.limit = min(backend.usual, limit + 1.0 / (ANSWERS_PER_STEP * limit))
+        if limit < backend.max_limit and backend.in_flight + 1 > limit:
+            backend.limit = min(backend.max_limit, limit + 1.0 / (ANSWERS_PER_STEP * limit))
 
     def on_shed(self, backend: BackendRecord, sent_at: float, now: float) -> None:
         """Lower the limit, unless the refused call was sent before the last decrease."""
--- a/tinrudder/node/decisions/load/call_queue.py
+++ b/tinrudder/node/decisions/load/call_queue.py
@@ -40,13 +40,13 @@
     def pop(self, backend: BackendRecord) -> PendingCall | None:
         """Remove and return the next call for ``backend``, ``None`` if none waits."""
 
-    def pop_lagging(self, backend: BackendRecord) -> PendingCall | None:
+    def pop_above_limit(self, backend: BackendRecord) -> PendingCall | None:
         """Remove and return the next call that may exceed the limit of ``backend``, if any."""
 
     def discard(self, call: PendingCall) -> None:
         """Remove a call that no longer waits; no-op if it is not queued."""
 
-    def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
+    def charge_unqueued(self, call: PendingCall, backend: BackendRecord) -> None:
         """Charge the tenant for a call that was sent to ``backend`` without waiting."""
 
     def expected_wait_s(self, backend: BackendRecord, incoming: IncomingCalls) -> float:
--- a/tinrudder/node/decisions/load/fair_queue.py
+++ b/tinrudder/node/decisions/load/fair_queue.py
@@ -138,7 +138,7 @@
             return call
         return None
 
-    def pop_lagging(self, backend: BackendRecord) -> PendingCall | None:
+    def pop_above_limit(self, backend: BackendRecord) -> PendingCall | None:
         """Like :meth:`pop`, but only for a tenant well below its share or alone for long."""
         lane = self._lanes.get(backend)
         if lane is None or not lane.heap:
@@ -180,7 +180,7 @@
                 lane.active_weight -= flow.weight
         call.flows = ()
 
-    def record_direct(self, call: PendingCall, backend: BackendRecord) -> None:
+    def charge_unqueued(self, call: PendingCall, backend: BackendRecord) -> None:
         """Charge the tenant for a call that was sent to ``backend`` without waiting."""
         lane = self._lane(backend)
         flow = self._flow(lane, backend, call)
--- a/tinrudder/node/decisions/load/tenant_usage.py
+++ b/tinrudder/node/decisions/load/tenant_usage.py
@@ -41,14 +41,14 @@
     queue_places: int = 0
     buffered_bytes: int = 0
 
-    def take_place(self) -> bool:
+    def acquire_queue_place(self) -> bool:
         """Acquire one queue place; ``False`` if the cap is reached."""
         if self.queue_places >= self.caps.queue_places:
             return False
         self.queue_places += 1
         return True
 
-    def return_place(self) -> None:
+    def release_queue_place(self) -> None:
         """Release one queue place."""
         self.queue_places -= 1
 
@@ -77,7 +77,7 @@
         self.usage = usage
         usage.queries += 1
 
-    def hold_bytes(self, size: int) -> bool:
+    def reserve_bytes(self, size: int) -> bool:
         """Count an answer that the query buffers; ``False`` if it would exceed the cap."""
         usage = self.usage
         if usage.buffered_bytes + size > usage.caps.buffered_bytes:
@@ -86,7 +86,7 @@
         self._bytes += size
         return True
 
-    def drop_bytes(self) -> None:
+    def release_bytes(self) -> None:
         """Release all buffered bytes, for example when the query restarts on another version."""
         self.usage.buffered_bytes -= self._bytes
         self._bytes = 0
@@ -96,7 +96,7 @@
         if self._closed:
             return
         self._closed = True
-        self.drop_bytes()
+        self.release_bytes()
         self.usage.queries -= 1
         self._table.remove_if_idle(self._tenant)
 
--- a/tinrudder/node/decisions/service_routing.py
+++ b/tinrudder/node/decisions/service_routing.py
@@ -40,10 +40,10 @@
     ejection: EjectionPolicy
     latency: LatencyWindow = field(default_factory=LatencyWindow)
 
-    def earn(self, first_calls: int) -> None:
+    def credit_first_calls(self, first_calls: int) -> None:
         """Credit the retry and hedge budgets with a query's first calls."""
-        self.hedge.earn(first_calls)
-        self.retry.earn(first_calls)
+        self.hedge.credit_first_calls(first_calls)
+        self.retry.credit_first_calls(first_calls)
 
     def candidates(
         self,
@@ -104,16 +104,16 @@
             health.reported_others = max(0, reported - backend.in_flight)
             health.reported_at = now
 
-    def observe_loser(self, backend: BackendRecord, waited_s: float, now: float) -> None:
+    def observe_superseded(self, backend: BackendRecord, waited_s: float, now: float) -> None:
         """Record a call that was cancelled because its hedge was answered first.
 
         Its age, which exceeds the hedge delay, counts in the latency window: without it, hedges
         would remove the tail from the distribution that determines the hedge delay.
         """
         self.latency.observe(waited_s)
-        self.observe_withdrawn(backend, waited_s, now)
+        self.observe_cancelled(backend, waited_s, now)
 
-    def observe_withdrawn(self, backend: BackendRecord, waited_s: float, now: float) -> None:
+    def observe_cancelled(self, backend: BackendRecord, waited_s: float, now: float) -> None:
         """Record a call that was cancelled before it was answered."""
         backend.observe_unanswered(waited_s)
         self.ejection.observe_unanswered(backend, now)
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -29,8 +29,8 @@
 from tinrudder.node.outcomes import Outcome
 from tinrudder.node.query.admission_gate import AdmissionGate
 from tinrudder.node.query.coordinator import Coordinator
+from tinrudder.node.query.coordinator_prober import CoordinatorProber
 from tinrudder.node.query.coordinator_sets import CoordinatorSets
-from tinrudder.node.query.coordinator_watch import CoordinatorWatch
 from tinrudder.node.query.dispatcher import Dispatcher
 from tinrudder.node.query.entry import Entry
 from tinrudder.node.query.operations.at_most_once import OperationRunner
@@ -102,7 +102,7 @@
             self.coordinator,
             client,
             self._ranking,
-            CoordinatorWatch(client, self._ranking, timers),
+            CoordinatorProber(client, self._ranking, timers),
             self.coordinator_sets.of,
             self.configuration,
         )
@@ -226,7 +226,7 @@
         """Apply a new view of the members to the coordinator sets and slot shares."""
         is_stopping = self.lifecycle.is_stopping()
         self._view = self._with_own_status(view, MemberStatus.LEAVING) if is_stopping else view
-        self._ranking.keep_only(self._view.by_name)
+        self._ranking.retain_members(self._view.by_name)
         self._update_coordinators()
 
     def _with_own_status(self, view: MemberView, status: MemberStatus) -> MemberView:
@@ -240,7 +240,7 @@
     def _apply_shares(self) -> None:
         """Apply new back-end shares to the dispatcher's limits and waiting calls."""
         for backend in self.backends.all_records():
-            self.dispatcher.follow_share(backend)
+            self.dispatcher.apply_share_change(backend)
 
     def _update_coordinators(self) -> None:
         """Recompute coordinator sets and limits from the current members and configuration."""
@@ -257,7 +257,7 @@
         """
         backends = self.configuration().backends
         for sets in (self.coordinator_sets, self._sets_as_alive):
-            sets.pass_over(self._ranking.failed_names())
+            sets.set_unreachable(self._ranking.failed_names())
         sets_in_use = self._sets_as_alive if self.lifecycle.is_stopping() else self.coordinator_sets
         self.backends.update(backends, sets_in_use.share, SLOT_HEADROOM)
         self.backends.share_connections(backends, sets_in_use.connections)
--- a/tinrudder/node/query/call_sender.py
+++ b/tinrudder/node/query/call_sender.py
@@ -78,7 +78,7 @@
         progress.calls.clear()
         for call in superseded:
             self._dispatcher.cancel(call)
-            self._routing.observe_loser(call.backend, now - call.sent_at, now)
+            self._routing.observe_superseded(call.backend, now - call.sent_at, now)
 
     def withdraw_waiting(self, progress: Sequence[ShardProgress]) -> None:
         """Withdraw every queued call."""
@@ -97,5 +97,5 @@
         for shard in progress:
             for sent in shard.calls:
                 self._dispatcher.cancel(sent)
-                self._routing.observe_withdrawn(sent.backend, now - sent.sent_at, now)
+                self._routing.observe_cancelled(sent.backend, now - sent.sent_at, now)
             shard.calls.clear()
--- a/tinrudder/node/query/coordinator_watch.py
+++ b/tinrudder/node/query/coordinator_prober.py
@@ -35,7 +35,7 @@
         """
 
 
-class CoordinatorWatch:
+class CoordinatorProber:
     """Probes coordinators and reports the results to the ranking."""
 
     def __init__(
--- a/tinrudder/node/query/coordinator_sets.py
+++ b/tinrudder/node/query/coordinator_sets.py
@@ -14,7 +14,7 @@
     coordinator_count,
     members_of_region,
     rank_members,
-    take_coordinators,
+    select_reachable,
 )
 from tinrudder.node.resources.configuration import Configuration
 from tinrudder.node.resources.model import BackendSpec, ServiceSpec
@@ -42,7 +42,7 @@
         self._ranked = {}
         self._sets = {}
 
-    def pass_over(self, unreachable: frozenset[str]) -> None:
+    def set_unreachable(self, unreachable: frozenset[str]) -> None:
         """Replace the members that this node cannot reach by the next in rank."""
         self._unreachable = unreachable
         self._sets = {}
@@ -80,7 +80,7 @@
         if ranked is None:
             ranked = rank_members(service, members_of_region(self._view.members, spec.region))
             self._ranked[service] = ranked
-        return take_coordinators(service, ranked, self._count(service, spec), self._unreachable)
+        return select_reachable(service, ranked, self._count(service, spec), self._unreachable)
 
     def _count(self, service: str, spec: ServiceSpec) -> int:
         """Return the service's number of coordinators: configured, or derived from its slots."""
--- a/tinrudder/node/query/dispatcher.py
+++ b/tinrudder/node/query/dispatcher.py
@@ -114,11 +114,11 @@
         choice = pending.choice or self._replica_choice
         backend = choice.choose(pending.candidates)
         if backend is not None and not backend.waiting:
-            self._queue.record_direct(pending, backend)
+            self._queue.charge_unqueued(pending, backend)
             pending.on_dispatch(backend)
             return
         usage = self._usage.of(pending.tenant)
-        if usage is not None and not usage.take_place():
+        if usage is not None and not usage.acquire_queue_place():
             pending.on_shed()
             return
         self._queue.push(pending)
@@ -133,7 +133,7 @@
         """Remove a call from the queue; a no-op if it was already dispatched."""
         if pending.waiting:
             self._queue.discard(pending)
-            self._release_queue_slot(pending)
+            self._release_queue_place(pending)
 
     def next_call_id(self) -> int:
         """Return a call id that is unique on this node."""
@@ -146,12 +146,12 @@
         request: SearchRequest,
         deadline: float,
         listener: SentCallListener,
-        may_leave: Callable[[], bool] | None = None,
+        may_still_send: Callable[[], bool] | None = None,
     ) -> SentCall:
         """Send one call and count it against the back end's limit until it ends.
 
         :param request: its call id must come from :meth:`next_call_id`.
-        :param may_leave: checked again immediately before bytes are written, e.g. after connecting.
+        :param may_still_send: checked again right before bytes are written, e.g. after connecting.
         """
         call_id = request.call_id
         call = BackendCall(
@@ -163,7 +163,7 @@
             deadline,
             backend.tls,
             backend.max_connections,
-            may_leave=may_leave,
+            may_still_send=may_still_send,
         )
         sent = SentCall(backend, call, self._timers.time(), listener)
         self._in_flight[call_id] = sent
@@ -224,18 +224,18 @@
         backend.in_flight -= 1
         if backend.waiting:
             self.dispatch_waiting(backend)
-        elif backend.limit > backend.usual:
-            backend.end_handover()
+        elif backend.limit > backend.max_limit:
+            backend.clamp_limit()
 
-    def follow_share(self, backend: BackendRecord) -> None:
+    def apply_share_change(self, backend: BackendRecord) -> None:
         """Apply a changed share: use a larger one at once, and hand over a smaller one later.
 
         The former limit ends after ``MAXIMUM_HANDOVER_S``, or as soon as a call ends with no other
         call queued for the back end.
         """
-        if backend.limit > backend.usual:
+        if backend.limit > backend.max_limit:
             when = self._timers.time() + MAXIMUM_HANDOVER_S
-            self._timers.call_at(when, backend.end_handover)
+            self._timers.call_at(when, backend.clamp_limit)
         self.dispatch_waiting(backend)
 
     def dispatch_waiting(self, backend: BackendRecord) -> None:
@@ -260,13 +260,13 @@
         while backend.waiting:
             if backend.may_send():
                 pending = self._queue.pop(backend)
-            elif backend.may_exceed():
-                pending = self._queue.pop_lagging(backend)
+            elif backend.may_exceed_limit():
+                pending = self._queue.pop_above_limit(backend)
             else:
                 return
             if pending is None:
                 return
-            self._release_queue_slot(pending)
+            self._release_queue_place(pending)
             if self._is_too_late(pending, backend):
                 pending.on_shed()
             else:
@@ -277,8 +277,8 @@
         min_latency_s = MIN_REMAINING_LATENCY_SHARE * backend.latency_s
         return self._timers.time() + min_latency_s > pending.deadline
 
-    def _release_queue_slot(self, pending: PendingCall) -> None:
+    def _release_queue_place(self, pending: PendingCall) -> None:
         """Release the tenant's queue slot."""
         usage = self._usage.of(pending.tenant)
         if usage is not None:
-            usage.return_place()
+            usage.release_queue_place()
--- a/tinrudder/node/query/entry.py
+++ b/tinrudder/node/query/entry.py
@@ -16,7 +16,7 @@
 from tinrudder.node.decisions.coordinator_set import CoordinatorSet
 from tinrudder.node.outcomes import NotRun, NotRunReason, Outcome
 from tinrudder.node.query.coordinator import QueryRunner
-from tinrudder.node.query.coordinator_watch import CoordinatorWatch
+from tinrudder.node.query.coordinator_prober import CoordinatorProber
 from tinrudder.node.query.relay_attempts import RelayAttempts
 from tinrudder.node.query.request import QueryRequest
 from tinrudder.node.resources.configuration import Configuration
@@ -78,7 +78,7 @@
         coordinator: QueryRunner,
         relay: QueryRelay,
         ranking: CoordinatorRanking,
-        watch: CoordinatorWatch,
+        prober: CoordinatorProber,
         coordinators: Callable[[str], CoordinatorSet],
         configuration: Callable[[], Configuration],
     ) -> None:
@@ -88,7 +88,7 @@
         self._coordinator = coordinator
         self._relay = relay
         self._ranking = ranking
-        self._watch = watch
+        self._prober = prober
         self._coordinators = coordinators
         self._configuration = configuration
         self.counters = EntryCounters()
@@ -127,7 +127,7 @@
         """Return another node that coordinates and answers, ``None`` if there is no such node."""
         for _ in range(MAX_COORDINATORS_TRIED):
             member = self._next_coordinator(service, set())
-            if member is None or await self._watch.is_reachable(member):
+            if member is None or await self._prober.is_reachable(member):
                 return member
         return None
 
@@ -152,7 +152,7 @@
         self, service: str, request: QueryRequest, attempts: RelayAttempts
     ) -> Outcome | None:
         """Return the first outcome, ``None`` if the query must not be sent again."""
-        self._watch.probe_due()
+        self._prober.probe_due()
         tried: set[str] = set()
         while len(tried) < MAX_COORDINATORS_TRIED and self._timers.time() < request.deadline:
             if not self._may_run_again(request, attempts):
@@ -233,7 +233,7 @@
                 await asyncio.wait((relayed,), timeout=probe_delay_s)
                 if relayed.done():
                     return relayed.result()
-                probed = self._watch.start_probe(member, remaining_s * PROBE_TIMEOUT_SHARE)
+                probed = self._prober.start_probe(member, remaining_s * PROBE_TIMEOUT_SHARE)
                 await asyncio.wait((relayed, probed), return_when=asyncio.FIRST_COMPLETED)
                 if not relayed.done() and probed.done() and not probed.result():
                     attempts.unanswered.append(relayed)
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -25,9 +25,9 @@
 from tinrudder.node.query.call_sender import CallSender
 from tinrudder.node.query.dispatcher import Dispatcher, SentCall
 from tinrudder.node.query.hedger import Hedger, owners_included
-from tinrudder.node.query.judgement import decide_outcome
 from tinrudder.node.query.plan import QueryPlan
-from tinrudder.node.query.reply_reading import reason_of, rows_of
+from tinrudder.node.query.query_outcome import decide_outcome
+from tinrudder.node.query.reply_interpretation import reason_of, rows_of
 from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.node.resources.model import Preference
 from tinrudder.timers import TimerHandle, Timers
@@ -47,7 +47,7 @@
 class Replanner(Protocol):
     """Moves a query to another index version when back ends no longer serve its own."""
 
-    def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
+    def record_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         """Record that a back end does not serve the plan's version."""
 
     def replan(self, plan: QueryPlan) -> QueryPlan | None:
@@ -124,7 +124,7 @@
 
     def _submit_all(self, now: float) -> None:
         """Submit the first call of every shard."""
-        self._routing.earn(len(self._progress))
+        self._routing.credit_first_calls(len(self._progress))
         plan = self._plan
         for progress in self._progress:
             candidates = self._candidates(progress, now)
@@ -172,14 +172,14 @@
             progress.touched = True
             self._broken_calls += 1
         elif type(reply) is VersionGone:
-            self._replanner.note_version_gone(self._plan, sent.backend)
+            self._replanner.record_version_gone(self._plan, sent.backend)
         progress.last_reason = reason_of(reply)
         self._retry_or_settle(progress, reply, now)
 
     def _on_answer(self, progress: ShardProgress, reply: Answered, now: float) -> None:
         """Accept rows only if they are of the pinned version and of the requested shard."""
         answer = reply.answer
-        if self._permit is not None and not self._permit.hold_bytes(reply.size_bytes):
+        if self._permit is not None and not self._permit.reserve_bytes(reply.size_bytes):
             progress.touched = True
             self._sender.cancel_superseded(progress, now)
             self._settle(progress, MissingReason.TENANT_LIMIT)
@@ -266,7 +266,7 @@
             self._started_before = True
         self._sender.release(self._progress)
         if self._permit is not None:
-            self._permit.drop_bytes()
+            self._permit.release_bytes()
         self._adopt(plan)
         now = self._timers.time()
         self._submit_all(now)
--- a/tinrudder/node/query/hedger.py
+++ b/tinrudder/node/query/hedger.py
@@ -8,7 +8,7 @@
 from collections.abc import Callable, Sequence
 
 from tinrudder.node.decisions.backend_record import BackendRecord
-from tinrudder.node.decisions.hedge_by_quantile import MAX_HEDGES_PER_SHARD, is_widespread
+from tinrudder.node.decisions.hedge_by_quantile import MAX_HEDGES_PER_SHARD, is_fleet_slow
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.node.query.shard_progress import ShardProgress
 from tinrudder.node.resources.model import Preference
@@ -66,7 +66,7 @@
         if not overdue:
             return
         backends = [shard.calls[-1].backend.name for shard in overdue]
-        if is_widespread(backends, len(self._progress)):
+        if is_fleet_slow(backends, len(self._progress)):
             return
         included = owners_included(self._progress)
         coverage_first = self._plan.rule.preference is Preference.COVERAGE
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -143,7 +143,7 @@
             case Answered(answer):
                 self._end(self._outcome_of_answer(answer))
             case Shed() | Draining() | NotSent() | VersionGone():
-                self._claim.dispatch_did_not_start()
+                self._claim.mark_not_started()
                 self._retry_elsewhere()
             case Broken(detail):
                 self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
@@ -176,7 +176,7 @@
 
     def _on_deadline(self) -> None:
         """Report the caller's outcome; a sent call is neither cancelled nor repeated."""
-        if self._sent is None or not self._sent.call.may_have_left:
+        if self._sent is None or not self._sent.call.may_have_been_sent:
             self._end(NotRun(NotRunReason.DEADLINE, "the deadline passed before it was sent"))
         elif not self.reported.done():
             detail = "sent, and not answered by the deadline"
@@ -197,8 +197,8 @@
             self._pending = None
         if self._sent is not None:
             self._dispatcher.cancel(self._sent)
-            if not self._sent.call.may_have_left:
-                self._claim.dispatch_did_not_start()
+            if not self._sent.call.may_have_been_sent:
+                self._claim.mark_not_started()
             self._sent = None
         self.final.set_result(outcome)
         if not self.reported.done():
--- a/tinrudder/node/query/plan.py
+++ b/tinrudder/node/query/plan.py
@@ -124,9 +124,9 @@
         planned = self._build_plan(request, template, plan.weight, version)
         return planned if isinstance(planned, QueryPlan) else None
 
-    def note_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
+    def record_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         """Record that a back end does not serve the plan's version."""
-        self._hints.note_gone(backend, plan.request.index, plan.version)
+        self._hints.record_version_gone(backend, plan.request.index, plan.version)
 
     def _build_plan(
         self, request: QueryRequest, template: _PlanTemplate, weight: int, version: int
@@ -176,7 +176,7 @@
             return None
         routing = self._routing.routing_of(index.service, rule.policies)
         records = self._backends.of_service(index.service)
-        routing.ejection.follow(records, self._timers.time())
+        routing.ejection.set_backends(records, self._timers.time())
         versions = {spec.version: self._planned_shards(spec) for spec in index.versions}
         tenants = frozenset(service.tenants)
         return _PlanTemplate(rule, index.service, tenants, versions, routing)
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -78,7 +78,7 @@
         """Return whether no back end can have started a call of this shard."""
         if self.touched or self.rows is not None:
             return False
-        return not any(sent.call.may_have_left for sent in self.calls)
+        return not any(sent.call.may_have_been_sent for sent in self.calls)
 
     @property
     def settled(self) -> bool:
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -20,7 +20,7 @@
 from tinrudder.node.environment import ReplyListener
 from tinrudder.node.node import Node
 from tinrudder.node.outcomes import Coverage, MayHaveRun, NotRun, NotRunReason, Outcome
-from tinrudder.node.query import judgement, merge
+from tinrudder.node.query import merge, query_outcome
 from tinrudder.node.query.entry import Entry
 from tinrudder.node.query.fan_out import FanOut
 from tinrudder.node.query.operations import at_most_once
@@ -131,11 +131,11 @@
         rows = list(shards)
         return original(rows + rows[:1], **options)
 
-    return [Substitution(judgement, "merge_rows", merge_rows)]
+    return [Substitution(query_outcome, "merge_rows", merge_rows)]
 
 
 def _coverage_at_send() -> list[Substitution]:
-    original = judgement.coverage_of
+    original = query_outcome.coverage_of
 
     def coverage_of(progress: Any) -> Coverage:
         true = original(progress)
@@ -143,7 +143,7 @@
         included = tuple(p.planned.spec.shard for p in progress if p.planned.spec.shard in sent)
         return Coverage(included, tuple(m for m in true.missing if m.shard not in sent))
 
-    return [Substitution(judgement, "coverage_of", coverage_of)]
+    return [Substitution(query_outcome, "coverage_of", coverage_of)]
 
 
 def _not_run_after_send() -> list[Substitution]:
--- a/tinrudder_lab/sim/backends.py
+++ b/tinrudder_lab/sim/backends.py
@@ -97,7 +97,7 @@
             self._idle[call.backend] -= 1
             self._transmit(exchange, backend)
             return
-        call.may_have_left = False
+        call.may_have_been_sent = False
         if self._network.blocked(self.place, backend.place):
             self._reply_at(CONNECT_TIMEOUT_S, exchange, NotSent("connect timed out"))
         elif not backend.up:
@@ -111,9 +111,9 @@
         if exchange.listener is None:
             return
         self.connections[call.backend] = self.connections.get(call.backend, 0) + 1
-        permitted = call.may_leave is None or call.may_leave()
+        permitted = call.may_still_send is None or call.may_still_send()
         if permitted and call.deadline > self._loop.time():
-            call.may_have_left = True
+            call.may_have_been_sent = True
             self._transmit(exchange, backend)
             return
         self._idle[call.backend] = self._idle.get(call.backend, 0) + 1
@@ -130,7 +130,7 @@
         if exchange is None:
             return
         exchange.listener = None
-        if call.may_have_left:
+        if call.may_have_been_sent:
             self._lose_connection(call.backend)
             backend = self._backends[call.backend]
             self._network.deliver(self.place, backend.place, None, backend.cancel, exchange)
