--- a/tests/unit/cluster/test_claims.py
+++ b/tests/unit/cluster/test_claims.py
@@ -161,9 +161,9 @@
         return [one.voters[0].name for one in history.required(KEY, valid_until)]
 
     assert required(400.0) == ["node-01", "node-04"]
-    history.heard(voter(1).identity, 2, 110.0)
+    history.record_known_revision(voter(1).identity, 2, 110.0)
     assert required(400.0) == ["node-01", "node-04"]
-    history.heard(voter(2).identity, 2, 200.0)
+    history.record_known_revision(voter(2).identity, 2, 200.0)
     assert required(262.0) == ["node-01", "node-04"]
     assert required(262.1) == ["node-04"]
 
@@ -247,7 +247,7 @@
         if revision <= len(self.lists):
             self.histories[node].learn(revision, self.lists[revision - 1], self.clock(node))
             for other, history in enumerate(self.histories):
-                history.heard(voter(node).identity, revision, self.clock(other))
+                history.record_known_revision(voter(node).identity, revision, self.clock(other))
 
     @rule(node=st.integers(0, NODES - 1))
     def restart_voter(self, node):
--- a/tests/unit/gateway/decisions/test_crash_evidence.py
+++ b/tests/unit/gateway/decisions/test_crash_evidence.py
@@ -7,7 +7,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import CRASH_LIMIT
 from tinrudder.gateway.decisions.admission.crash_evidence import (
     NEVER,
     Crash,
@@ -82,7 +82,7 @@
     known = merge_all(evidence)
     barred = known.barred_until > known.last_crash_at
     if barred:
-        assert len(known.held) >= ENOUGH_CRASHES
+        assert len(known.held) >= CRASH_LIMIT
         assert any(crash.trial for crash in known.held)
         latest = max(one.cleared for one in evidence)
         held = {crash.backend for one in evidence if one.cleared == latest for crash in one.crashes}
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import CRASH_LIMIT
 from tinrudder.gateway.decisions.admission.crash_evidence import (
     ALERT_S,
     CLEARED_RETENTION_S,
@@ -29,8 +29,8 @@
 
 
 def bar_request(table: PoisonRequests, at: float) -> None:
-    for backend in range(ENOUGH_CRASHES):
-        table.note_crash(FINGERPRINT, ORIGIN, backend, at, trial=backend == ENOUGH_CRASHES - 1)
+    for backend in range(CRASH_LIMIT):
+        table.note_crash(FINGERPRINT, ORIGIN, backend, at, trial=backend == CRASH_LIMIT - 1)
 
 
 def standing(table: PoisonRequests, now: float, asked: bytes = FINGERPRINT) -> Standing:
@@ -49,7 +49,7 @@
 
 def test_only_one_gateway_at_a_time_runs_a_trial() -> None:
     table = PoisonRequests()
-    for backend in range(ENOUGH_CRASHES):
+    for backend in range(CRASH_LIMIT):
         table.note_crash(FINGERPRINT, ORIGIN, backend, 1.0, trial=False)
     assert table.begin_trial(FINGERPRINT, 2.0)
     assert standing(table, 2.1) is Standing.ON_TRIAL
@@ -115,7 +115,7 @@
     assert table.note_survivor(FINGERPRINT, 0)
     assert standing(table, 0.1) is Standing.SUSPECT
     assert not table.note_survivor(FINGERPRINT, 0)
-    for backend in range(1, ENOUGH_CRASHES):
+    for backend in range(1, CRASH_LIMIT):
         assert table.note_survivor(FINGERPRINT, backend)
     assert standing(table, 0.1) is Standing.FREE
     table.merge(FINGERPRINT, reported)
--- a/tests/unit/gateway/test_poison_watch.py
+++ b/tests/unit/gateway/test_poison_watch.py
@@ -14,7 +14,7 @@
 from hypothesis import strategies as st
 
 from tinrudder.common.address import Address
-from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import CRASH_LIMIT
 from tinrudder.gateway.decisions.admission.poison_requests import MOST_REQUESTS, Standing
 from tinrudder.gateway.peers.peer_datagrams import PeerDatagrams
 from tinrudder.gateway.peers.peer_list import PeerList
@@ -151,8 +151,8 @@
 
 
 def bar_request(watch: PoisonWatch) -> None:
-    for number in range(ENOUGH_CRASHES):
-        last = number == ENOUGH_CRASHES - 1
+    for number in range(CRASH_LIMIT):
+        last = number == CRASH_LIMIT - 1
         if not last:
             watch.requests.note_crash(FINGERPRINT, ORIGIN, number, 100.0, trial=False)
         else:
--- a/tinrudder/cluster/claims/claim.py
+++ b/tinrudder/cluster/claims/claim.py
@@ -46,9 +46,9 @@
         """Return whether the dispatch window is open; check again just before sending."""
         return self.proposer.window.is_open(self._timers.time(), self._wall_clock())
 
-    def mark_not_started(self) -> None:
+    def dispatch_did_not_start(self) -> None:
         """Restore the permission to send: the request is known not to have started."""
-        self.proposer.mark_not_started()
+        self.proposer.dispatch_did_not_start()
 
     def give_up(self) -> bool:
         """Abandon the claim and release its votes; ``False`` if the request may have been sent."""
--- a/tinrudder/cluster/claims/claim_proposer.py
+++ b/tinrudder/cluster/claims/claim_proposer.py
@@ -79,7 +79,7 @@
         self.electorates: dict[int, Electorate] = {}
         self.granted: set[Voter] = set()
         self.refused: set[Voter] = set()
-        self.cited_to: dict[Voter, int] = {}
+        self.cited_counts: dict[Voter, int] = {}
         self._cite(electorates)
         if not self.electorates:
             self.phase = ClaimPhase.GIVEN_UP
@@ -87,7 +87,7 @@
     def request_to(self, voter: Voter) -> VoteRequest:
         """Return the vote request for a voter, citing all electorates known so far."""
         cited = tuple(sorted(self.electorates))
-        self.cited_to[voter] = len(cited)
+        self.cited_counts[voter] = len(cited)
         return VoteRequest(self.key, self.proposer, self.valid_until, cited)
 
     def voters(self) -> tuple[Voter, ...]:
@@ -136,7 +136,7 @@
         self.phase = ClaimPhase.DISPATCHED
         return True
 
-    def mark_not_started(self) -> None:
+    def dispatch_did_not_start(self) -> None:
         """Restore the permission to dispatch: the back end did not start the request."""
         if self.phase is ClaimPhase.DISPATCHED:
             self.phase = ClaimPhase.WON
@@ -160,7 +160,7 @@
         """
         known = frozenset(self.voters())
         self._cite(electorates)
-        if len(self.electorates) == self.cited_to.get(voter, 0):
+        if len(self.electorates) == self.cited_counts.get(voter, 0):
             self.refused.add(voter)
             self._update_phase()
             return ()
--- a/tinrudder/cluster/claims/claim_voter.py
+++ b/tinrudder/cluster/claims/claim_voter.py
@@ -77,7 +77,7 @@
         :param required: the electorates that, as far as this node knows, the claim must win.
         """
         now = self._drop_expired(now)
-        reason = self._cannot_know(request.valid_until, now)
+        reason = self._abstain_reason(request.valid_until, now)
         if reason is not None:
             return Abstained(reason)
         grant = self._grants.get(request.key)
@@ -98,7 +98,7 @@
         if grant is not None and grant.proposer == release.proposer:
             del self._grants[release.key]
 
-    def _cannot_know(self, valid_until: float, now: float) -> AbstainReason | None:
+    def _abstain_reason(self, valid_until: float, now: float) -> AbstainReason | None:
         """Return why this voter cannot know whether it already voted, ``None`` if it can.
 
         A request valid until ``valid_until`` was accepted at most ``window_s`` earlier.  If this
--- a/tinrudder/cluster/claims/claims_service.py
+++ b/tinrudder/cluster/claims/claims_service.py
@@ -345,4 +345,4 @@
         """Record in every region's history that a node knows a list revision."""
         now = self._wall_clock()
         for history in self._histories.values():
-            history.heard(identity, revision, now)
+            history.record_known_revision(identity, revision, now)
--- a/tinrudder/cluster/claims/electorate_history.py
+++ b/tinrudder/cluster/claims/electorate_history.py
@@ -105,7 +105,7 @@
         if len(self._lists) > 1:
             self._forget_sealed(now)
 
-    def heard(self, identity: str, revision: int, now: float) -> None:
+    def record_known_revision(self, identity: str, revision: int, now: float) -> None:
         """Record that a voter knows a list revision."""
         known = self._known_revisions.setdefault(identity, [])
         if not known or known[-1].revision < revision:
--- a/tinrudder/cluster/failure_detector.py
+++ b/tinrudder/cluster/failure_detector.py
@@ -48,8 +48,8 @@
     Without the score, one node short of CPU time declares healthy nodes dead (Lifeguard).
 
     >>> health = LocalHealth()
-    >>> health.note_trouble(2)
-    >>> health.stretch(0.5)
+    >>> health.record_failure(2)
+    >>> health.scale(0.5)
     1.5
     """
 
@@ -57,16 +57,16 @@
         """Start with a healthy score of 0."""
         self.score = 0
 
-    def note_success(self) -> None:
+    def record_success(self) -> None:
         """Lower the score: a probe was answered in time."""
         self.score = max(0, self.score - 1)
 
-    def note_trouble(self, amount: int = 1) -> None:
+    def record_failure(self, amount: int = 1) -> None:
         """Raise the score: a failure occurred that was more likely caused by this node than by
         others."""
         self.score = min(MAX_HEALTH_SCORE, self.score + amount)
 
-    def stretch(self, seconds: float) -> float:
+    def scale(self, seconds: float) -> float:
         """Return an interval or timeout multiplied according to the score, seconds."""
         return seconds * (1 + self.score)
 
@@ -89,7 +89,7 @@
     negative: int = 0
     indirect_sent: bool = False
 
-    def wants_relays(self, now: float) -> bool:
+    def is_indirect_due(self, now: float) -> bool:
         """Tell whether indirect probes are due."""
         return not self.indirect_sent and now >= self.indirect_at
 
--- a/tinrudder/cluster/gossip.py
+++ b/tinrudder/cluster/gossip.py
@@ -8,18 +8,18 @@
 from dataclasses import dataclass
 from typing import Generic, TypeVar
 
-News = TypeVar("News")
+Update = TypeVar("Update")
 
 
 @dataclass(slots=True)
-class _Entry(Generic[News]):
+class _Entry(Generic[Update]):
     """An update and its size in a datagram, bytes."""
 
-    update: News
+    update: Update
     size: int
 
 
-class BroadcastQueue(Generic[News]):
+class BroadcastQueue(Generic[Update]):
     """Updates by key, ordered by transmission count, lowest first.
 
     An update replaces an older one with the same key and starts with no transmissions.
@@ -36,14 +36,14 @@
 
     def __init__(self) -> None:
         """Start empty."""
-        self._by_transmissions: list[dict[str, _Entry[News]]] = [{}]
+        self._by_transmissions: list[dict[str, _Entry[Update]]] = [{}]
         self._transmissions: dict[str, int] = {}
 
     def __len__(self) -> int:
         """Return the number of queued updates."""
         return len(self._transmissions)
 
-    def put(self, key: str, update: News, size: int) -> None:
+    def put(self, key: str, update: Update, size: int) -> None:
         """Queue an update, replacing an older one with the same key."""
         self.discard(key)
         self._transmissions[key] = 0
@@ -55,7 +55,7 @@
         if transmissions is not None:
             del self._by_transmissions[transmissions][key]
 
-    def take(self, budget: int, limit: int) -> tuple[News, ...]:
+    def take(self, budget: int, limit: int) -> tuple[Update, ...]:
         """Return the updates for one datagram and count one more transmission for each.
 
         :param budget: bytes left in the datagram.
@@ -67,10 +67,10 @@
             self._requeue(key, transmissions + 1, entry, limit)
         return tuple(entry.update for _, _, entry in selected)
 
-    def _select(self, budget: int) -> list[tuple[str, int, _Entry[News]]]:
+    def _select(self, budget: int) -> list[tuple[str, int, _Entry[Update]]]:
         """Return updates with key and transmission count, lowest count first, until one exceeds the
         remaining budget."""
-        selected: list[tuple[str, int, _Entry[News]]] = []
+        selected: list[tuple[str, int, _Entry[Update]]] = []
         for transmissions, entries in enumerate(self._by_transmissions):
             for key, entry in entries.items():
                 if entry.size > budget:
@@ -79,7 +79,7 @@
                 selected.append((key, transmissions, entry))
         return selected
 
-    def _requeue(self, key: str, transmissions: int, entry: _Entry[News], limit: int) -> None:
+    def _requeue(self, key: str, transmissions: int, entry: _Entry[Update], limit: int) -> None:
         """Queue an update again under its new transmission count, unless that reached the limit."""
         if transmissions >= limit:
             del self._transmissions[key]
--- a/tinrudder/cluster/membership_list.py
+++ b/tinrudder/cluster/membership_list.py
@@ -35,7 +35,7 @@
         self._unanswered: tuple[PeerAddress, ...] = ()
         self._unanswered_key = (-1, -1)
 
-    def offer(self, revision: int, listed: tuple[ListedMember, ...]) -> tuple[str, ...]:
+    def apply_list(self, revision: int, listed: tuple[ListedMember, ...]) -> tuple[str, ...]:
         """Apply a new list; return the names that have changed to leaving since the previous one.
 
         The first list after this node's start reports no name as leaving: the list lags, and its
@@ -51,7 +51,7 @@
         self.version += 1
         return () if is_first else newly_leaving
 
-    def says_live(self, name: str) -> bool:
+    def lists_as_live(self, name: str) -> bool:
         """Tell whether the list has this member and does not mark it as leaving."""
         return any(entry.name == name and not entry.leaving for entry in self._listed)
 
--- a/tinrudder/cluster/membership_outbox.py
+++ b/tinrudder/cluster/membership_outbox.py
@@ -72,7 +72,7 @@
         self.now = 0.0
 
     @property
-    def has_news(self) -> bool:
+    def has_updates(self) -> bool:
         """Tell whether there is anything to send in a gossip round."""
         queued = len(self._updates) > 0 or self._observations.waiting
         return queued or self._revision_transmissions > 0
@@ -113,7 +113,7 @@
         )
         self._sends.append(Send(destination, envelope))
 
-    def tell_many(self, members: Sequence[Member], update: MemberUpdate) -> None:
+    def send_to_all(self, members: Sequence[Member], update: MemberUpdate) -> None:
         """Queue the same update for many members, without piggybacked data: for rare and urgent
         updates."""
         revision = self._revisions.get(self.own.name)
--- a/tinrudder/cluster/membership_probes.py
+++ b/tinrudder/cluster/membership_probes.py
@@ -26,10 +26,10 @@
 from tinrudder.cluster.view import Member, MemberStatus
 from tinrudder.peers import PeerAddress
 
-MAX_RELAYED = 256
+MAX_RELAYED_PROBES = 256
 """Maximum number of probes relayed at once: bounds memory when many nodes ask. Further ones are
 dropped and count as unanswered."""
-RELAY_PATIENCE = 0.8
+RELAY_TIMEOUT_SHARE = 0.8
 """Share of the acknowledgement timeout after which a relay sends a negative acknowledgement."""
 
 
@@ -79,13 +79,13 @@
         """Advance the probes; return the names of members that did not answer."""
         self._send_negative_acknowledgements(now)
         for probe in self._probes:
-            if probe.wants_relays(now):
+            if probe.is_indirect_due(now):
                 self._send_indirect_probes(probe)
         failed = [probe for probe in self._probes if now >= probe.ends_at]
         for probe in failed:
             self._probes.remove(probe)
             # Relays that sent no negative acknowledgement either suggest a fault of this node.
-            self._health.note_trouble(probe.relays - min(probe.relays, probe.negative))
+            self._health.record_failure(probe.relays - min(probe.relays, probe.negative))
         if now >= self._next_probe_at:
             self._start_probe(now)
         return [probe.target for probe in failed]
@@ -100,7 +100,7 @@
         """Complete a probe of this node, or forward the acknowledgement of a relayed one."""
         for probe in self._probes:
             if probe.sequence == sequence:
-                self._health.note_success()
+                self._health.record_success()
                 self._probes.remove(probe)
                 return
         for relayed in self._relayed:
@@ -109,7 +109,7 @@
                 self._relayed.remove(relayed)
                 return
 
-    def on_negative(self, sequence: int) -> None:
+    def on_negative_acknowledgement(self, sequence: int) -> None:
         """Count a negative acknowledgement from a relay."""
         for probe in self._probes:
             if probe.sequence == sequence:
@@ -117,10 +117,10 @@
 
     def on_ping_request(self, origin: PeerAddress, request: PingRequest, now: float) -> None:
         """Probe a target on another node's behalf."""
-        if len(self._relayed) >= MAX_RELAYED:
+        if len(self._relayed) >= MAX_RELAYED_PROBES:
             return
         sequence = self._next_sequence()
-        negative_at = now + RELAY_PATIENCE * self._settings.acknowledge_timeout_s
+        negative_at = now + RELAY_TIMEOUT_SHARE * self._settings.acknowledge_timeout_s
         self._relayed.append(_Relayed(sequence, origin, request.sequence, negative_at))
         self._outbox.send(request.address, Ping(sequence, request.target))
 
@@ -134,13 +134,13 @@
         return sequence
 
     def _start_probe(self, now: float) -> None:
-        self._next_probe_at = now + self._health.stretch(self._settings.probe_interval_s)
+        self._next_probe_at = now + self._health.scale(self._settings.probe_interval_s)
         target = self._next_target()
         if target is None:
             return
         sequence = self.ping(target)
-        indirect_at = now + self._health.stretch(self._settings.acknowledge_timeout_s)
-        ends_at = now + self._health.stretch(self._settings.probe_timeout_s)
+        indirect_at = now + self._health.scale(self._settings.acknowledge_timeout_s)
+        ends_at = now + self._health.scale(self._settings.probe_timeout_s)
         self._probes.append(Probe(target.name, sequence, indirect_at, ends_at))
 
     def _next_target(self) -> Member | None:
--- a/tinrudder/cluster/membership_protocol.py
+++ b/tinrudder/cluster/membership_protocol.py
@@ -43,21 +43,21 @@
 from tinrudder.cluster.view import Member, MemberStatus, MemberView, build_view
 from tinrudder.peers import PeerAddress
 
-MEET_INTERVAL_S = 0.1
+UNKNOWN_SYNC_INTERVAL_S = 0.1
 """Minimum interval between table comparisons with previously unknown nodes, seconds: otherwise
 nodes that start together would all request whole tables from each other at once. With it, 730 nodes
 that join within 2 s send at most 72 KB in one second each (docs/MEMBERSHIP.md)."""
 REVISION_EVENT_INTERVAL_S = 0.5
 """Interval of repeated events for the same newer revision, seconds, until this node has caught
 up."""
-CONTACTS_WHEN_ALONE = 3
+CONTACTS_WITHOUT_MEMBERS = 3
 """Listed members contacted at a time by a node that knows no other member; otherwise one."""
 SYNCS_AFTER_PAUSE = 3
 """Members with which a node compares tables after a pause: its state is stale, and one of them may
 have been partitioned."""
-PAUSE_TROUBLE = 2
+PAUSE_HEALTH_PENALTY = 2
 """Amount that a pause adds to the health score, in missed probes."""
-TOLD_DIRECTLY = 200
+DIRECT_RECIPIENTS = 200
 """Members that are sent a join or leave directly. With gossip alone, nodes disagreed for half a
 second on the coordinator, and queries were refused (docs/MEMBERSHIP.md)."""
 
@@ -117,7 +117,7 @@
         """Return when :meth:`on_time` is next due."""
         deadline = min(self._prober.next_deadline(), self._suspicions.next_deadline())
         deadline = min(deadline, self._next_sync_at, self._next_contact_at)
-        if self._outbox.has_news:
+        if self._outbox.has_updates:
             deadline = min(deadline, self._next_gossip_at)
         return deadline
 
@@ -133,7 +133,7 @@
             self._start_sync(now)
         if now >= self._next_contact_at:
             self._contact_unanswered(now)
-        if self._outbox.has_news and now >= self._next_gossip_at:
+        if self._outbox.has_updates and now >= self._next_gossip_at:
             self._gossip(now)
         return self._take_actions()
 
@@ -165,7 +165,7 @@
         again.
         """
         self._outbox.now = now
-        self.health.note_trouble(PAUSE_TROUBLE)
+        self.health.record_failure(PAUSE_HEALTH_PENALTY)
         self._suspicions.restart_all(now)
         self._prober.restart(now)
         if gap_s >= self._settings.suspicion_min_s:
@@ -183,13 +183,13 @@
         at different times, and nodes that disagree on the coordinator interfere with each other.
         """
         self._outbox.now = now
-        for name in self.listing.offer(revision, listed):
+        for name in self.listing.apply_list(revision, listed):
             member = self.table.get(name)
             if name == self.own.name:
                 self._leave_by_list(now)
             elif member is not None and member.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT):
                 self._apply_and_spread(claim(member, MemberStatus.LEAVING), now)
-        if self._leaving_by_list and self.listing.says_live(self.own.name):
+        if self._leaving_by_list and self.listing.lists_as_live(self.own.name):
             self._leaving_by_list = False
             self._change_own(MemberStatus.ALIVE, self.own.incarnation + 1, now)
         return self._take_actions()
@@ -197,7 +197,7 @@
     def set_revision(self, revision: int, now: float) -> list[Action]:
         """Record and announce the configuration revision that this node enforces."""
         self._outbox.now = now
-        if self.revisions.note(self.own.name, revision):
+        if self.revisions.record(self.own.name, revision):
             self._outbox.announce_revisions()
         return self._take_actions()
 
@@ -240,7 +240,7 @@
             case Acknowledgement(sequence):
                 self._prober.on_acknowledgement(sequence)
             case NegativeAcknowledgement(sequence):
-                self._prober.on_negative(sequence)
+                self._prober.on_negative_acknowledgement(sequence)
             case SyncRequest() as request:
                 self._sync.answer(source, request)
             case Gossip() | SyncAnswer():
@@ -285,7 +285,7 @@
             self._leave_by_list(now)
             return
         if update.status in (MemberStatus.SUSPECT, MemberStatus.DEAD):
-            self.health.note_trouble()
+            self.health.record_failure()
         self._raise_incarnation(update.incarnation, now)
         self._outbox.send(source, Gossip())
 
@@ -308,7 +308,7 @@
         changed = False
         sender = self.table.get(envelope.sender)
         if sender is not None and same_start(sender.incarnation, envelope.incarnation):
-            changed = self.revisions.note(envelope.sender, envelope.enforced_revision)
+            changed = self.revisions.record(envelope.sender, envelope.enforced_revision)
         if envelope.enforcement is not None:
             changed = self.revisions.merge(envelope.enforcement) or changed
         if changed:
@@ -397,8 +397,8 @@
         Nodes that disagree on the coordinator block each other's slots; with gossip alone, that
         lasted several rounds.
         """
-        members = self._outbox.sample(self._random, TOLD_DIRECTLY)
-        self._outbox.tell_many(members, update)
+        members = self._outbox.sample(self._random, DIRECT_RECIPIENTS)
+        self._outbox.send_to_all(members, update)
 
     def _change_own(self, status: MemberStatus, incarnation: int, now: float) -> None:
         before = self.own
@@ -422,14 +422,14 @@
         """Compare tables with a node that was unknown or held dead."""
         if now < self._next_unknown_sync_at:
             return
-        self._next_unknown_sync_at = now + MEET_INTERVAL_S
+        self._next_unknown_sync_at = now + UNKNOWN_SYNC_INTERVAL_S
         self._sync.ask(source)
 
     def _start_sync(self, now: float) -> None:
         self._next_sync_at = now + self._settings.sync_interval_s
         for member in self._outbox.sample(self._random, 1):
             self._sync.ask(member.address)
-        for name in self.table.forgettable(now - self._settings.dead_retention_s):
+        for name in self.table.expired_dead(now - self._settings.dead_retention_s):
             self.table.forget(name)
             self.revisions.forget(name)
             self._last_gossip.pop(name, None)
@@ -438,7 +438,7 @@
         """Ping a listed or dead member: it may be up, or reachable again after a partition."""
         self._next_contact_at = now + self._settings.contact_interval_s
         candidates = self.listing.unanswered(self.own.address)
-        count = CONTACTS_WHEN_ALONE if len(self.table.roster) == 1 else 1
+        count = CONTACTS_WITHOUT_MEMBERS if len(self.table.roster) == 1 else 1
         for address in self._random.sample(candidates, min(count, len(candidates))):
             known = self.table.at_address(address)
             updates = () if known is None else (claim(known, known.status, self.own.name),)
@@ -448,7 +448,7 @@
         """Send one round of gossip."""
         self._next_gossip_at = now + self._settings.gossip_interval_s
         for member in self._outbox.sample(self._random, self._settings.gossip_fanout):
-            if self._outbox.has_news:
+            if self._outbox.has_updates:
                 self._outbox.send(member.address, Gossip())
 
     def _take_actions(self) -> list[Action]:
--- a/tinrudder/cluster/membership_revisions.py
+++ b/tinrudder/cluster/membership_revisions.py
@@ -48,7 +48,7 @@
         self._revisions.pop(name, None)
         self._bits_revision = -1
 
-    def note(self, name: str, revision: int) -> bool:
+    def record(self, name: str, revision: int) -> bool:
         """Record a member's revision; return whether it is newer than the known one."""
         if revision <= self._revisions.get(name, 0):
             return False
@@ -85,7 +85,7 @@
         changed = False
         while bits:
             lowest = bits & -bits
-            changed |= self.note(self._table.roster[lowest.bit_length() - 1], received.revision)
+            changed |= self.record(self._table.roster[lowest.bit_length() - 1], received.revision)
             bits ^= lowest
         return changed
 
--- a/tinrudder/cluster/membership_table.py
+++ b/tinrudder/cluster/membership_table.py
@@ -118,7 +118,7 @@
             del self._by_address[member.address]
         self.version += 1
 
-    def forgettable(self, before: float) -> tuple[str, ...]:
+    def expired_dead(self, before: float) -> tuple[str, ...]:
         """Return the names of members that have been dead since before a monotonic time,
         seconds."""
         return tuple(
--- a/tinrudder/common/latency_window.py
+++ b/tinrudder/common/latency_window.py
@@ -74,13 +74,13 @@
             self._cached[fraction] = cached
         return cached
 
-    def shares_above(self, times: Sequence[float]) -> tuple[float, ...]:
+    def fractions_above(self, times: Sequence[float]) -> tuple[float, ...]:
         """Return, for each of ``times`` in seconds, the share of calls that took longer.
 
         >>> window = LatencyWindow()
         >>> for latency_ms in range(1, 101):
         ...     window.observe(latency_ms / 1000)
-        >>> [round(share, 1) for share in window.shares_above([0.0, 0.020, 0.080, 0.2])]
+        >>> [round(share, 1) for share in window.fractions_above([0.0, 0.020, 0.080, 0.2])]
         [1.0, 0.8, 0.2, 0.0]
         """
         total = len(self)
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -51,30 +51,30 @@
     """A request whose answer has not arrived.
 
     :param end: loop time at which the request times out.
-    :param patience: timeout for the next progress report, set while the caller waits.
-    :param begun: the peer has reported that it accepted the request.
+    :param progress_timeout: timeout for the next progress report, set while the caller waits.
+    :param accepted: the peer has reported that it accepted the request.
     :param confirms: the peer starts only when this client confirms its report.
     """
 
     answer: asyncio.Future[bytes]
     end: float
-    patience: asyncio.Timeout | None = None
-    begun: bool = False
+    progress_timeout: asyncio.Timeout | None = None
+    accepted: bool = False
     confirms: bool = True
 
     def record_progress(self, now: float) -> None:
         """Extend the timeout: the peer reports that it is working on the request."""
-        self.begun = True
-        if self.patience is not None and not self.patience.expired():
-            self.patience.reschedule(min(self.end, now + PROGRESS_TIMEOUT_S))
+        self.accepted = True
+        if self.progress_timeout is not None and not self.progress_timeout.expired():
+            self.progress_timeout.reschedule(min(self.end, now + PROGRESS_TIMEOUT_S))
 
 
 class _Connection(Struct, eq=False):
     """An open connection and its pending requests.
 
     :param idle_timer: closes the connection after a period without requests.
-    :param unheard_since: when the first request was sent after the last received frame; ``None`` if
-        no request was sent since.
+    :param first_unanswered_at: when the first request was sent after the last received frame;
+        ``None`` if no request was sent since.
     """
 
     writer: asyncio.StreamWriter
@@ -82,16 +82,19 @@
     last_request_id: int = 0
     reading: asyncio.Task[None] | None = None
     idle_timer: asyncio.TimerHandle | None = None
-    unheard_since: float | None = None
+    first_unanswered_at: float | None = None
 
     def note_sent(self, now: float) -> None:
         """Record that a request was sent."""
-        if self.unheard_since is None:
-            self.unheard_since = now
+        if self.first_unanswered_at is None:
+            self.first_unanswered_at = now
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the path may have failed without a reset: no frame arrived for too long."""
-        return self.unheard_since is not None and now - self.unheard_since >= RETIRE_AFTER_SILENCE_S
+        return (
+            self.first_unanswered_at is not None
+            and now - self.first_unanswered_at >= RETIRE_AFTER_SILENCE_S
+        )
 
     def add(self, pending: _Waiting) -> int:
         """Add a pending request and return its id."""
@@ -151,10 +154,10 @@
         _write(connection, Frame(kind, request_id, payload))
         connection.note_sent(loop.time())
         try:
-            async with asyncio.timeout_at(accept_deadline) as pending.patience:
+            async with asyncio.timeout_at(accept_deadline) as pending.progress_timeout:
                 return await pending.answer
         except TimeoutError as error:
-            if acknowledged and not pending.begun:
+            if acknowledged and not pending.accepted:
                 raise PeerSilentError(f"{destination}: silent") from error
             waited_s = timeout_s - (deadline - loop.time())
             raise PeerLostError(f"{destination}: no answer in {waited_s:.3f} s") from error
@@ -277,7 +280,7 @@
         try:
             while True:
                 header = await read_header(reader)
-                connection.unheard_since = None
+                connection.first_unanswered_at = None
                 _dispatch(peer, connection, await read_payload(reader, header))
         except (OSError, EOFError, FrameError):
             pass
@@ -306,7 +309,7 @@
     answer = pending.answer
     match frame.frame_type:
         case FrameType.ACCEPTED:
-            if not pending.begun and pending.confirms:
+            if not pending.accepted and pending.confirms:
                 _write(connection, Frame(FrameType.CONFIRMED, frame.request_id))
             pending.record_progress(answer.get_loop().time())
         case FrameType.ANSWER:
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -32,7 +32,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import CRASH_LIMIT
 
 NEVER = float("-inf")
 """Time of an event that has not happened, monotonic seconds."""
@@ -118,7 +118,7 @@
     def failed_trials(self) -> int:
         """Count the trials that lost a back end once enough crashes had been recorded."""
         in_order = sorted(self.held, key=lambda crash: (crash.at, crash.backend))
-        return sum(crash.trial for crash in in_order[ENOUGH_CRASHES - 1 :])
+        return sum(crash.trial for crash in in_order[CRASH_LIMIT - 1 :])
 
     @property
     def barred_until(self) -> float:
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -29,7 +29,7 @@
 from msgspec import Struct
 from msgspec.structs import replace
 
-from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import CRASH_LIMIT
 from tinrudder.gateway.decisions.admission.crash_evidence import (
     NEVER,
     Crash,
@@ -148,7 +148,7 @@
             return SUSPECT if self.is_alert(origin, now) and evidence is None else FREE
         if now < evidence.barred_until:
             return RequestStanding(Standing.BARRED, evidence.barred_until - now)
-        if len(evidence.held) < ENOUGH_CRASHES:
+        if len(evidence.held) < CRASH_LIMIT:
             return SUSPECT
         trial_running = evidence.trial_at > evidence.last_crash_at
         return ON_TRIAL if trial_running and now - evidence.trial_at < TRIAL_TIMEOUT_S else SUSPECT
@@ -217,7 +217,7 @@
     def begin_trial(self, fingerprint: bytes, now: float) -> bool:
         """Record that a trial begins here; return whether other gateways must wait for its end."""
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or len(evidence.held) < ENOUGH_CRASHES:
+        if evidence is None or len(evidence.held) < CRASH_LIMIT:
             return False
         self.merge(fingerprint, replace(evidence, trial_at=now))
         return True
--- a/tinrudder/gateway/decisions/attempts/hedge_gain.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_gain.py
@@ -103,7 +103,7 @@
         usable_s = USABLE_TIME_SHARE * left_ms / 1000.0
         if left_ms not in self._shares:
             times = [usable_s * step / AGE_STEPS for step in range(AGE_STEPS + 1)]
-            self._shares[left_ms] = self._latency.shares_above(times)
+            self._shares[left_ms] = self._latency.fractions_above(times)
         share_above = self._shares[left_ms]
         late = max(MIN_LATE_SHARE, share_above[AGE_STEPS])
         best, best_age_s = 0.0, None
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -93,7 +93,7 @@
     >>> leaves_time(window, left_s=0.5, path_s=0.1), leaves_time(window, left_s=0.1, path_s=0.04)
     (True, False)
     """
-    late_delegated, late_direct = latency.shares_above([left_s - path_s, left_s])
+    late_delegated, late_direct = latency.fractions_above([left_s - path_s, left_s])
     return late_delegated - late_direct <= MAX_EXTRA_LATE_SHARE
 
 
--- a/tinrudder/node/query/fan_out.py
+++ b/tinrudder/node/query/fan_out.py
@@ -10,7 +10,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from tinrudder.common.crash_limit import ENOUGH_CRASHES
+from tinrudder.common.crash_limit import CRASH_LIMIT
 from tinrudder.node.backends.messages import (
     Answered,
     BackendReply,
@@ -169,7 +169,7 @@
         if self._finished or progress.settled:
             return
         if type(reply) is Broken:
-            progress.touched = True
+            progress.may_have_started = True
             self._broken_calls += 1
         elif type(reply) is VersionGone:
             self._replanner.record_version_gone(self._plan, sent.backend)
@@ -180,13 +180,13 @@
         """Accept rows only if they are of the pinned version and of the requested shard."""
         answer = reply.answer
         if self._permit is not None and not self._permit.reserve_bytes(reply.size_bytes):
-            progress.touched = True
+            progress.may_have_started = True
             self._sender.cancel_superseded(progress, now)
             self._settle(progress, MissingReason.TENANT_LIMIT)
             return
         rows = rows_of(answer.shards, progress.planned.spec.shard)
         if answer.version != self._plan.version or rows is None:
-            progress.touched = True
+            progress.may_have_started = True
             progress.last_reason = MissingReason.VERSION_GONE
             self._retry_or_settle(progress, None, now)
             return
@@ -249,7 +249,7 @@
             self._schedule_timer(now)
         in_flight = any(progress.calls for progress in self._progress)
         may_be_not_run = not self._started_before and not any(
-            progress.touched or progress.rows is not None for progress in self._progress
+            progress.may_have_started or progress.rows is not None for progress in self._progress
         )
         if not in_flight or not may_be_not_run:
             self._finish(at_deadline=False)
@@ -276,13 +276,13 @@
 
     @property
     def _may_be_poison(self) -> bool:
-        """Return whether ``ENOUGH_CRASHES`` calls broke while no shard was answered.
+        """Return whether ``CRASH_LIMIT`` calls broke while no shard was answered.
 
         Such a query may crash every back end that runs it, so it is sent to no further replica.
         In a scripted run with two shards, such a query crashed six back ends without this bound
         and four with it.
         """
-        return self._answered == 0 and self._broken_calls >= ENOUGH_CRASHES
+        return self._answered == 0 and self._broken_calls >= CRASH_LIMIT
 
     def _may_spend_retry(self, progress: ShardProgress) -> bool:
         """Take a retry from the budget; a coverage-first query that lacks the owner is urgent."""
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -143,7 +143,7 @@
             case Answered(answer):
                 self._end(self._outcome_of_answer(answer))
             case Shed() | Draining() | NotSent() | VersionGone():
-                self._claim.mark_not_started()
+                self._claim.dispatch_did_not_start()
                 self._retry_elsewhere()
             case Broken(detail):
                 self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
@@ -198,7 +198,7 @@
         if self._sent is not None:
             self._dispatcher.cancel(self._sent)
             if not self._sent.call.may_have_been_sent:
-                self._claim.mark_not_started()
+                self._claim.dispatch_did_not_start()
             self._sent = None
         self.final.set_result(outcome)
         if not self.reported.done():
--- a/tinrudder/node/query/shard_progress.py
+++ b/tinrudder/node/query/shard_progress.py
@@ -34,7 +34,7 @@
     :ivar rows: the shard's rows, ``None`` before it is answered.
     :ivar problem: why the shard was settled without rows, ``None`` if it was not.
     :ivar last_reason: why the latest failed call failed.
-    :ivar touched: a back end may have started a call that has ended.
+    :ivar may_have_started: a back end may have started a call that has ended.
     :ivar pending: the submitted call that waits for a free slot, if any.
     :ivar calls: the calls in flight, oldest first.
     :ivar first_sent_at: monotonic time in seconds at which the first call was sent.
@@ -50,11 +50,11 @@
         "first_sent_at",
         "hedges",
         "last_reason",
+        "may_have_started",
         "pending",
         "planned",
         "problem",
         "rows",
-        "touched",
         "tried",
     )
 
@@ -68,7 +68,7 @@
         self.first_sent_at: float | None = None
         self.attempts = 0
         self.hedges = 0
-        self.touched = False
+        self.may_have_started = False
         self.pending: PendingCall | None = None
         self.calls: list[SentCall] = []
         self.tried: tuple[BackendRecord, ...] = ()
@@ -76,7 +76,7 @@
     @property
     def not_started(self) -> bool:
         """Return whether no back end can have started a call of this shard."""
-        if self.touched or self.rows is not None:
+        if self.may_have_started or self.rows is not None:
             return False
         return not any(sent.call.may_have_been_sent for sent in self.calls)
 
--- a/tinrudder_lab/claim_model_actors.py
+++ b/tinrudder_lab/claim_model_actors.py
@@ -221,7 +221,7 @@
             elif record == REFUSED:
                 proposer.refused.add(voter)
             if cited_to:
-                proposer.cited_to[voter] = cited_to
+                proposer.cited_counts[voter] = cited_to
         if memory.phase != NOT_ACCEPTED:
             proposer.phase = ClaimPhase(memory.phase)
         return proposer
@@ -234,7 +234,7 @@
             record = GRANTED if voter in proposer.granted else ""
             if voter in proposer.refused:
                 record = REFUSED
-            records.append((record, proposer.cited_to.get(voter, 0)))
+            records.append((record, proposer.cited_counts.get(voter, 0)))
         number = proposer.proposer.instance
         return ProposerMemory(number, proposer.phase.value, cited, tuple(records))
 
@@ -289,7 +289,7 @@
             history.learn(SECOND_LIST, self._listed(SECOND_BIT), learned_at)
             for voter, column in zip(self._voters, state.columns, strict=True):
                 if column.learned_at != NOT_YET:
-                    history.heard(voter.identity, SECOND_LIST, column.learned_at)
+                    history.record_known_revision(voter.identity, SECOND_LIST, column.learned_at)
             required = history.required(KEY, self._setup.valid_until)
             self._required_cache[cache_key] = sum(self._bits[one.fingerprint] for one in required)
         return self._required_cache[cache_key]
--- a/tinrudder_lab/claim_plants.py
+++ b/tinrudder_lab/claim_plants.py
@@ -17,8 +17,8 @@
 class ForgetfulVoter(ClaimVoter):
     """Votes as if it remembered what it granted before it started."""
 
-    def _cannot_know(self, valid_until: float, now: float) -> AbstainReason | None:
-        reason = super()._cannot_know(valid_until, now)
+    def _abstain_reason(self, valid_until: float, now: float) -> AbstainReason | None:
+        reason = super()._abstain_reason(valid_until, now)
         return None if reason is AbstainReason.JUST_STARTED else reason
 
 
