--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -48,13 +48,13 @@
     """Take in changes at one node and let another one learn each as a delta."""
     reader, follower = ConfigurationStore(), ConfigurationStore()
     first = build_document(SERVICES, 1, 5)
-    first_ms = _processor_ms(lambda: reader.offer(first))
+    first_ms = _processor_ms(lambda: reader.merge_document(first))
     ours, theirs = ReplicatedConfiguration(follower), ReplicatedConfiguration(reader)
-    follower.offer(first)
+    follower.merge_document(first)
     document_ms, delta_ms, request, answer = [], [], b"", b""
     for revision in range(2, 2 + CHANGES):
         changed = build_document(SERVICES, revision, 4 + revision)
-        document_ms.append(_processor_ms(lambda offered=changed: reader.offer(offered)))  # type: ignore[misc]
+        document_ms.append(_processor_ms(lambda offered=changed: reader.merge_document(offered)))  # type: ignore[misc]
         request = encode_request(PullRequest(short_digests(ours.bucket_digests())))
         answer = answer_pull(theirs, request)
         update = _update(decode_answer(answer))
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -20,7 +20,7 @@
 from bench.state_slopes import build_document
 from tinrudder.cluster.replication.state_exchange import ExchangeSettings, StateExchange
 from tinrudder.node.configuration_service.messages import ResourceDocument
-from tinrudder.node.configuration_service.poll_pace import poll_delay_s
+from tinrudder.node.configuration_service.poll_interval import poll_delay_s
 from tinrudder.node.resources.exchange import ReplicatedConfiguration
 from tinrudder.node.resources.store import ConfigurationStore
 from tinrudder.peers import DatagramHandler, PeerAddress, RequestHandler
@@ -153,7 +153,7 @@
         platform = self._platform
         if platform.is_up and platform.document.revision != self.store.current.revision:
             platform.documents += 1
-            loop.call_later(PLATFORM_ANSWER_S, self.store.offer, platform.document)
+            loop.call_later(PLATFORM_ANSWER_S, self.store.merge_document, platform.document)
 
 
 async def measure(
@@ -165,7 +165,7 @@
     members = [
         SpreadNode(number, wires, platform, seed, settings) for number in range(1, nodes + 1)
     ]
-    members[0].store.offer(platform.document)
+    members[0].store.merge_document(platform.document)
     for member in members[1:]:
         member.store.merge(members[0].store.state)
     for member in members:
@@ -182,7 +182,7 @@
     documents = platform.documents
 
     platform.is_up = False
-    members[0].store.offer(build_document(services, 3, 7))
+    members[0].store.merge_document(build_document(services, 3, 7))
     platform_down = await _until_revision(members, 3)
     rate = quiet + change * CHANGES_PER_DAY / SECONDS_PER_DAY
     return Spread(
--- a/bench/state_slopes.py
+++ b/bench/state_slopes.py
@@ -133,12 +133,12 @@
     changed = build_document(services, 2, USUAL_SLOTS + 1)
     document = msgspec.json.decode(encoded, type=ResourceDocument)
     store = ConfigurationStore()
-    accept_s = _timed(lambda: store.offer(document))
-    one_change_s = _timed(lambda: store.offer(changed))
+    accept_s = _timed(lambda: store.merge_document(document))
+    one_change_s = _timed(lambda: store.merge_document(changed))
 
     def accept() -> ConfigurationStore:
         fresh = ConfigurationStore()
-        fresh.offer(msgspec.json.decode(encoded, type=ResourceDocument))
+        fresh.merge_document(msgspec.json.decode(encoded, type=ResourceDocument))
         return fresh
 
     tracemalloc.start()
--- a/tests/functional/node/test_commands.py
+++ b/tests/functional/node/test_commands.py
@@ -53,7 +53,7 @@
         query = Route("/v1/query", lambda _: Response(self.outcome), methods=["POST"])
         self.app = Starlette(routes=[*api.routes(), query])
         self.credential = ""
-        self.store.offer(document(1, *small_deployment()))
+        self.store.merge_document(document(1, *small_deployment()))
 
     def nodes(self) -> list[NodeRevision]:
         own = NodeRevision("n1", "a", "alive", self.store.current.revision)
@@ -85,7 +85,7 @@
             if key not in written
         ]
         new = [RawResource(one.kind, one.name, 2, one.spec) for one in batch.resources]
-        self.store.offer(document(self.store.current.revision + 1, *held, *new))
+        self.store.merge_document(document(self.store.current.revision + 1, *held, *new))
         return self.store.current.revision
 
     async def close(self) -> None:
@@ -204,13 +204,13 @@
     node: FakeNode, capsys: pytest.CaptureFixture[str]
 ) -> None:
     bad = resource(Kind.TENANT, "rival", 2, weight=0)
-    node.store.offer(document(2, *small_deployment()[:1], *small_deployment()[2:], bad))
+    node.store.merge_document(document(2, *small_deployment()[:1], *small_deployment()[2:], bad))
     assert main(["get", "Tenant", "rival"]) == ExitCode.OK
     shown = capsys.readouterr().out
     assert "1/2" in shown
     assert "LastGoodInForce" in shown
     assert main(["get", "Tenant", "nobody"]) == ExitCode.NOT_FOUND
-    node.store.offer(document(1))
+    node.store.merge_document(document(1))
     assert main(["nodes"]) == ExitCode.OK
     assert "PlatformCurrent does not hold" in capsys.readouterr().out
     assert main(["nodes", "--credential", "ops.wrong"]) == ExitCode.DENIED
--- a/tests/functional/node/test_configuration_exchange.py
+++ b/tests/functional/node/test_configuration_exchange.py
@@ -69,7 +69,7 @@
 
     def offer_to_all(self, offered: ResourceDocument) -> None:
         for node in self.nodes:
-            node.store.offer(offered)
+            node.store.merge_document(offered)
 
     async def seconds_until_equal(self, limit_s: float) -> float:
         loop = asyncio.get_running_loop()
@@ -99,7 +99,7 @@
 ) -> None:
     async def scenario() -> None:
         tier = Tier(size=30, loss=0.2)
-        tier.nodes[0].store.offer(document(4, tenant("a"), tenant("b")))
+        tier.nodes[0].store.merge_document(document(4, tenant("a"), tenant("b")))
         assert await tier.seconds_until_equal(5.0) < 5.0
         assert tier.nodes[29].store.current.revision == 4
         tier.stop()
@@ -115,8 +115,8 @@
         ports = range(1, 9)
         tier.network.cut = {frozenset((a, b)) for a in ports for b in ports if a <= 4 < b}
         tier.offer_to_all(document(1, tenant("a", 1, weight=1)))
-        tier.nodes[0].store.offer(document(2, tenant("a", 2, weight=2)))
-        tier.nodes[7].store.offer(document(3, tenant("a", 3, weight=0)))
+        tier.nodes[0].store.merge_document(document(2, tenant("a", 2, weight=2)))
+        tier.nodes[7].store.merge_document(document(3, tenant("a", 3, weight=0)))
         await asyncio.sleep(5)
         assert len(tier.digests()) == 2
         tier.network.cut.clear()
@@ -174,7 +174,7 @@
         await asyncio.sleep(10)
         before = sum(node.transport.sent_bytes for node in tier.nodes)
         changed = [tenant(names[0], 2, weight=5), *(tenant(n, key=n) for n in names[1:])]
-        tier.nodes[0].store.offer(document(2, *changed))
+        tier.nodes[0].store.merge_document(document(2, *changed))
         await asyncio.sleep(1)
         assert len(tier.digests()) == 1
         assert sum(node.transport.sent_bytes for node in tier.nodes) - before < 6000
@@ -188,7 +188,7 @@
 ) -> None:
     async def scenario() -> None:
         tier = Tier(size=2)
-        tier.nodes[0].store.offer(document(1, tenant("a")))
+        tier.nodes[0].store.merge_document(document(1, tenant("a")))
         false_header = StateHeader(9, b"x", b"y")
         monkeypatch.setattr(tier.nodes[0].replica, "header", lambda: false_header)
         await asyncio.sleep(5)
@@ -216,7 +216,7 @@
     entries: list[bytes], buckets: frozenset[int], revision: int
 ) -> None:
     store = ConfigurationStore()
-    store.offer(document(1, tenant("a")))
+    store.merge_document(document(1, tenant("a")))
     before = store.state
     update = StateUpdate(StateHeader(revision, b"d", b"false"), buckets, tuple(entries))
     with pytest.raises(MalformedUpdateError):
--- a/tests/functional/node/test_resource_api.py
+++ b/tests/functional/node/test_resource_api.py
@@ -54,7 +54,7 @@
         base = (tenant_with_key("acme"), tenant_with_key("rival"), *small_deployment()[2:])
         keys = {(raw.kind, raw.name) for raw in changed}
         kept = [raw for raw in base if (raw.kind, raw.name) not in keys]
-        self.store.offer(document(revision, *kept, *changed))
+        self.store.merge_document(document(revision, *kept, *changed))
 
     async def get(self, target: str, authorization: str = OPERATOR) -> AsgiResponse:
         return await call(self.app, "GET", target, authorization)
@@ -184,7 +184,7 @@
         await asyncio.sleep(1)
         api.write(2, tenant_with_key("rival", 2, weight=5))
         await asyncio.sleep(1)
-        api.store.offer(document(3, tenant_with_key("acme")))
+        api.store.merge_document(document(3, tenant_with_key("acme")))
         await asyncio.sleep(1)
         events = (await watch.disconnect()).lines()
         received = [(e["type"], e.get("name", e.get("resource", {}).get("name"))) for e in events]
--- a/tests/support/operation_cluster.py
+++ b/tests/support/operation_cluster.py
@@ -136,7 +136,7 @@
         self.address = transport.address
         self.voter = Voter(f"node-{number}", f"zone-{number % 3}", transport.address)
         store = ConfigurationStore()
-        store.offer(ledger_document())
+        store.merge_document(ledger_document())
         table = BackendTable()
         table.update(store.current.backends)
         queue = StartTimeFairQueue(self.clock.time)
--- a/tests/unit/node/decisions/test_routing_policies.py
+++ b/tests/unit/node/decisions/test_routing_policies.py
@@ -24,7 +24,7 @@
     QuantileHedge,
     is_fleet_slow,
 )
-from tinrudder.node.decisions.registry import DEFAULTS, Role, names_by_role
+from tinrudder.node.decisions.registry import DEFAULTS, Role, policy_names_by_role
 from tinrudder.node.decisions.replica_choice import REPORT_LIFETIME_S, LeastLoadedReplica
 from tinrudder.node.decisions.service_routing import RoutingTable
 
@@ -238,7 +238,7 @@
 
 
 def test_every_name_that_a_stored_rule_may_hold_is_accepted() -> None:
-    names = names_by_role()
+    names = policy_names_by_role()
     assert names == {
         "replica_choice": {"least-loaded", "random"},
         "hedge": {"quantile", "none"},
--- a/tests/unit/node/test_acceptance.py
+++ b/tests/unit/node/test_acceptance.py
@@ -68,13 +68,13 @@
 
     @rule(number=store_numbers, offered=documents)
     def read_platform(self, number: int, offered: ResourceDocument) -> None:
-        self.tracked_stores[number].store.offer(offered)
+        self.tracked_stores[number].store.merge_document(offered)
         self.tracked_stores[number].seen.append(offered)
 
     @rule(number=store_numbers, offered=documents)
     def read_partial_document(self, number: int, offered: ResourceDocument) -> None:
         partial = document(offered.revision + 10, *offered.resources, count=99)
-        assert not self.tracked_stores[number].store.offer(partial)
+        assert not self.tracked_stores[number].store.merge_document(partial)
 
     @rule(source=store_numbers, destination=store_numbers)
     def exchange(self, source: int, destination: int) -> None:
@@ -118,8 +118,8 @@
 
 def test_restored_platform_reverts_nothing_and_is_reported() -> None:
     store = ConfigurationStore()
-    store.offer(document(9, tenant("a", 5, weight=7)))
-    assert not store.offer(document(3, tenant("a", 2, weight=2)))
+    store.merge_document(document(9, tenant("a", 5, weight=7)))
+    assert not store.merge_document(document(3, tenant("a", 2, weight=2)))
     assert (store.current.revision, store.current.tenants["a"].weight) == (9, 7)
     assert store.platform.behind
 
@@ -130,19 +130,19 @@
     stores = [ConfigurationStore(), ConfigurationStore()]
     for store, order in zip(stores, ((first, second), (second, first)), strict=True):
         for offered in order:
-            store.offer(offered)
+            store.merge_document(offered)
     assert stores[0].state.digest == stores[1].state.digest
     assert stores[0].platform.reused or stores[1].platform.reused
 
 
 def test_deleted_tenant_is_not_restored_by_a_refused_generation() -> None:
     store = ConfigurationStore()
-    store.offer(document(1, tenant("a", weight=1)))
-    store.offer(document(2))
-    store.offer(document(3, tenant("a", 2, weight=0)))
+    store.merge_document(document(1, tenant("a", weight=1)))
+    store.merge_document(document(2))
+    store.merge_document(document(3, tenant("a", 2, weight=0)))
     lagging_store = ConfigurationStore()
-    lagging_store.offer(document(1, tenant("a", weight=1)))
-    lagging_store.offer(document(3, tenant("a", 2, weight=0)))
+    lagging_store.merge_document(document(1, tenant("a", weight=1)))
+    lagging_store.merge_document(document(3, tenant("a", 2, weight=0)))
     lagging_store.merge(store.state)
     assert "a" not in store.current.tenants
     assert "a" not in lagging_store.current.tenants
@@ -150,8 +150,8 @@
 
 def test_key_given_to_another_tenant_goes_with_the_more_recent_decision() -> None:
     store = ConfigurationStore()
-    store.offer(document(1, tenant("a", key="k")))
-    store.offer(document(2, tenant("a", 2, weight=0, key="k"), tenant("b", key="k")))
+    store.merge_document(document(1, tenant("a", key="k")))
+    store.merge_document(document(2, tenant("a", 2, weight=0, key="k"), tenant("b", key="k")))
     assert store.current.credentials["k"].tenant == "b"
 
 
--- a/tests/unit/node/test_at_most_once.py
+++ b/tests/unit/node/test_at_most_once.py
@@ -276,7 +276,7 @@
     async def run():
         cluster = await OperationCluster().start()
         store = ConfigurationStore()
-        store.offer(ledger_document(credential=True))
+        store.merge_document(ledger_document(credential=True))
         node = cluster.nodes[0]
         route = operation_route(node.clock, node.runner, lambda: store.current)
         app = Starlette(routes=[route])
--- a/tinrudder/cli/check_settings.py
+++ b/tinrudder/cli/check_settings.py
@@ -10,9 +10,9 @@
 from tinrudder.node.settings import (
     SettingsError,
     add_settings_flags,
-    flags_given,
     load_settings,
     read_cluster_keys,
+    settings_from_flags,
 )
 
 
@@ -27,7 +27,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Validate the settings file and flags as ``serve`` would."""
     try:
-        settings = load_settings(arguments.settings, flags_given(arguments))
+        settings = load_settings(arguments.settings, settings_from_flags(arguments))
         read_cluster_keys(settings.cluster_key_file)
     except SettingsError as error:
         print(f"tinrudder check-settings: {error}", file=sys.stderr)
--- a/tinrudder/cli/node_commands/validate.py
+++ b/tinrudder/cli/node_commands/validate.py
@@ -17,7 +17,7 @@
 from tinrudder.cli.node_commands.resource_file import ResourceFile, load_resource_file
 from tinrudder.node.api.operators.resource_bodies import ProblemBody, ValidationBody
 from tinrudder.node.configuration_service.writer import ResourceBatch
-from tinrudder.node.decisions.registry import names_by_role
+from tinrudder.node.decisions.registry import policy_names_by_role
 from tinrudder.node.resources.rules import PolicyNames
 from tinrudder.node.resources.validation import DocumentRefusedError, problems_of
 
@@ -58,7 +58,7 @@
 
 def _validate_alone(file: ResourceFile) -> ValidationBody:
     try:
-        problems = problems_of(file.document(), PolicyNames(names_by_role()))
+        problems = problems_of(file.document(), PolicyNames(policy_names_by_role()))
     except DocumentRefusedError as error:
         raise CommandError(ExitCode.NEGATIVE, str(error)) from error
     bodies = tuple(ProblemBody(one.key.kind, one.key.name, one.text) for one in problems)
--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -15,7 +15,7 @@
 import uvicorn
 from starlette.types import ASGIApp
 
-from tinrudder.cli.tls_edges import load_tls_edges, reload_changed_identities
+from tinrudder.cli.tls_identities import load_tls_identities, reload_changed_identities
 from tinrudder.common import event_loop
 from tinrudder.common.garbage_collection import tune_garbage_collection
 from tinrudder.common.logs import configure_logs, log_problem
@@ -24,7 +24,7 @@
 from tinrudder.node.api.cursor import CursorCodec
 from tinrudder.node.api.explain_app import explain_route
 from tinrudder.node.api.finished_query import QueryLog, QueryObserver
-from tinrudder.node.api.health import CloseWhenStopping, health_routes
+from tinrudder.node.api.health import CloseConnectionsWhenStopping, health_routes
 from tinrudder.node.api.metrics_app import metrics_route
 from tinrudder.node.api.operation_app import operation_route
 from tinrudder.node.api.operators.resource_routes import resource_routes
@@ -34,17 +34,17 @@
 from tinrudder.node.metrics import NodeMetrics
 from tinrudder.node.node import Node
 from tinrudder.node.node_explain import NodeExplanations
-from tinrudder.node.node_metrics import show_node
+from tinrudder.node.node_metrics import add_node_metrics
 from tinrudder.node.settings import (
     NodeSettings,
     SettingsError,
     add_settings_flags,
-    flags_given,
     load_settings,
     parse_operator_credentials,
     read_cluster_keys,
+    settings_from_flags,
 )
-from tinrudder.node.tls import Identity, TlsEdges, TlsError
+from tinrudder.node.tls import Identity, TlsError, TlsIdentities
 from tinrudder.node.wire.peer_transport import TcpPeerTransport
 
 EXIT_OK = 0
@@ -74,7 +74,7 @@
 def run(arguments: argparse.Namespace) -> int:
     """Validate the settings and run the node."""
     try:
-        settings = load_settings(arguments.settings, flags_given(arguments))
+        settings = load_settings(arguments.settings, settings_from_flags(arguments))
         cluster_keys = read_cluster_keys(settings.cluster_key_file)
     except SettingsError as error:
         print(f"tinrudder serve: {error}")
@@ -98,16 +98,16 @@
     stop_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop_requested.set)
-    edges = load_tls_edges(settings)
+    identities = load_tls_identities(settings)
     platform = PlatformClient(settings.platform_url)
-    node = await _open_node(settings, edges, platform, cluster_keys)
+    node = await _open_node(settings, identities, platform, cluster_keys)
     await node.start()
     tune_garbage_collection()
     callers = _build_callers(node, settings, cluster_keys)
-    app = CloseWhenStopping(callers.app, node.lifecycle)
-    server = CallerServer(caller_config(settings, app, edges.callers))
+    app = CloseConnectionsWhenStopping(callers.app, node.lifecycle)
+    server = CallerServer(caller_config(settings, app, identities.callers))
     serving = asyncio.create_task(server.serve())
-    reloading = asyncio.create_task(reload_changed_identities(edges, settings.tls_check_s))
+    reloading = asyncio.create_task(reload_changed_identities(identities, settings.tls_check_s))
     await stop_requested.wait()
     await node.leave()
     server.should_exit = True
@@ -119,17 +119,17 @@
 
 async def _open_node(
     settings: NodeSettings,
-    edges: TlsEdges,
+    identities: TlsIdentities,
     platform: PlatformClient,
     cluster_keys: tuple[bytes, ...],
 ) -> Node:
     """Open the port for peer traffic and build the node on it; the node does not run yet."""
-    peers = TcpPeerTransport(settings.host, settings.peer_port, edges.peers)
+    peers = TcpPeerTransport(settings.host, settings.peer_port, identities.peers)
     environment = Environment(
         timers=asyncio.get_running_loop(),
         wall_clock=time.time,
         random=random.Random(),
-        backends=HttpBackendTransport(edges),
+        backends=HttpBackendTransport(identities),
         peers=peers,
         platform=platform,
         cluster_keys=cluster_keys,
@@ -144,7 +144,7 @@
     """Return the HTTP application with the routes of callers and operators."""
     loop = asyncio.get_running_loop()
     metrics = NodeMetrics()
-    show_node(metrics, node)
+    add_node_metrics(metrics, node)
     explanations = NodeExplanations(node)
     observers: list[QueryObserver] = [
         QueryLog(settings.query_log_share),
--- a/tinrudder/cli/tls_edges.py
+++ b/tinrudder/cli/tls_identities.py
@@ -7,15 +7,15 @@
 
 from tinrudder.common.logs import log_event, log_problem
 from tinrudder.node.settings import NodeSettings
-from tinrudder.node.tls import Identity, TlsEdges, TlsError, TlsFiles
+from tinrudder.node.tls import Identity, TlsError, TlsFiles, TlsIdentities
 
 
-def load_tls_edges(settings: NodeSettings) -> TlsEdges:
+def load_tls_identities(settings: NodeSettings) -> TlsIdentities:
     """Load every identity named in the settings.
 
     :raises TlsError: an identity is unusable.
     """
-    return TlsEdges(
+    return TlsIdentities(
         peers=_identity(
             settings.peer_tls_certificate, settings.peer_tls_key, settings.peer_tls_authority
         ),
@@ -28,11 +28,11 @@
     )
 
 
-async def reload_changed_identities(edges: TlsEdges, check_s: float) -> None:
+async def reload_changed_identities(identities: TlsIdentities, check_s: float) -> None:
     """Reload identities whose files change; log an unusable file and keep the old identity."""
     while True:
         await asyncio.sleep(check_s)
-        for identity in edges.identities():
+        for identity in identities.identities():
             try:
                 if identity.reload_if_changed():
                     log_event("tls identity reloaded")
--- a/tinrudder/node/api/health.py
+++ b/tinrudder/node/api/health.py
@@ -50,7 +50,7 @@
     return [Route("/healthz", healthz), Route("/readyz", readyz)]
 
 
-class CloseWhenStopping:
+class CloseConnectionsWhenStopping:
     """ASGI middleware that adds ``Connection: close`` to every response once a stop has begun.
 
     Callers then open their next connection to another node, so no connection is cut off when
--- a/tinrudder/node/decisions/registry.py
+++ b/tinrudder/node/decisions/registry.py
@@ -68,10 +68,10 @@
 }
 
 
-def names_by_role() -> dict[str, frozenset[str]]:
+def policy_names_by_role() -> dict[str, frozenset[str]]:
     """Return the policy names that a rule may use for each role.
 
-    >>> sorted(names_by_role()["hedge"])
+    >>> sorted(policy_names_by_role()["hedge"])
     ['none', 'quantile']
     """
     return {
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -44,7 +44,7 @@
 
 DRAIN_POLL_INTERVAL_S = 0.02
 """Seconds between checks for requests in progress while a planned stop drains."""
-REFUSAL_LINGER_S = 0.2
+RESPONSE_FLUSH_S = 0.2
 """Seconds for which a drained node keeps its sockets open, so that refusals and the last outcomes
 are written out."""
 
@@ -203,7 +203,7 @@
         deadline = self._environment.timers.time() + self.settings.stop_timeout_s
         while self.in_progress and self._environment.timers.time() < deadline:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-        await asyncio.sleep(REFUSAL_LINGER_S)
+        await asyncio.sleep(RESPONSE_FLUSH_S)
         self.node_configuration.stop()
         for task in self._tasks:
             task.cancel()
--- a/tinrudder/node/node_configuration.py
+++ b/tinrudder/node/node_configuration.py
@@ -12,8 +12,8 @@
 from tinrudder.cluster.view import MemberStatus, MemberView
 from tinrudder.common.logs import log_event, log_problem
 from tinrudder.node.configuration_service.messages import PlatformUnavailableError
-from tinrudder.node.configuration_service.poll_pace import poll_delay_s
-from tinrudder.node.decisions.registry import names_by_role
+from tinrudder.node.configuration_service.poll_interval import poll_delay_s
+from tinrudder.node.decisions.registry import policy_names_by_role
 from tinrudder.node.environment import Environment
 from tinrudder.node.resources.accepted import AcceptedState
 from tinrudder.node.resources.exchange import ReplicatedConfiguration
@@ -48,7 +48,7 @@
 
         :param on_change: called after every change of the configuration in force.
         """
-        self.store = ConfigurationStore(PolicyNames(names_by_role()))
+        self.store = ConfigurationStore(PolicyNames(policy_names_by_role()))
         self.exchange = StateExchange(
             ReplicatedConfiguration(self.store),
             channels.channel(Channel.CONFIGURATION),
@@ -92,13 +92,13 @@
         try:
             document = await self._environment.platform.fetch_resources(known)
         except PlatformUnavailableError as error:
-            self.store.note_platform_unavailable(str(error))
+            self.store.record_platform_unavailable(str(error))
             log_problem("platform unavailable", {"error": str(error)})
             return
         if document is None:
-            self.store.note_platform_unchanged()
+            self.store.record_platform_unchanged()
             return
-        self.store.offer(document)
+        self.store.merge_document(document)
         self._log_platform()
 
     def _known_revision(self) -> int:
--- a/tinrudder/node/node_membership.py
+++ b/tinrudder/node/node_membership.py
@@ -15,7 +15,7 @@
 from tinrudder.cluster.membership_settings import MembershipSettings
 from tinrudder.cluster.view import Member, MemberStatus, MemberView
 from tinrudder.common.logs import log_event
-from tinrudder.node.configuration_service.member_view import listed_members
+from tinrudder.node.configuration_service.member_list_conversion import listed_members
 from tinrudder.node.configuration_service.messages import MemberList
 from tinrudder.node.environment import Environment
 from tinrudder.node.resources.status import NodeRevision
--- a/tinrudder/node/node_metrics.py
+++ b/tinrudder/node/node_metrics.py
@@ -9,7 +9,7 @@
 from tinrudder.node.node import Node
 
 
-def show_node(metrics: NodeMetrics, node: Node) -> None:
+def add_node_metrics(metrics: NodeMetrics, node: Node) -> None:
     """Add the node's metrics; docs/NODE_OPERATIONS.md explains each of them."""
     dispatcher = node.dispatcher
     counters = node.entry.counters
--- a/tinrudder/node/query/explanations/explain_lookup.py
+++ b/tinrudder/node/query/explanations/explain_lookup.py
@@ -15,11 +15,11 @@
 from tinrudder.node.query.explanations.explain import ExplanationRing
 from tinrudder.node.wire.explain_codec import (
     ExplainCodecError,
-    ExplainQuestion,
+    ExplainLookupRequest,
     decode_explanation,
-    decode_question,
+    decode_lookup_request,
     encode_explanation,
-    encode_question,
+    encode_lookup_request,
 )
 from tinrudder.peers import PeerAddress, PeerLostError, PeerNotSentError, PeerTransport
 
@@ -61,19 +61,23 @@
         received = self._received.find(query_id, tenant)
         if received is None:
             return None
-        question = ExplainQuestion(query_id, tenant)
+        lookup_request = ExplainLookupRequest(query_id, tenant)
         for member in self._coordinators(received.service).members:
             if member.name == self._node_name:
                 continue
-            explanation = await self._ask_coordinator(member.address, question)
+            explanation = await self._ask_coordinator(member.address, lookup_request)
             if explanation is not None:
                 return explanation
         return msgspec.json.encode(received)
 
-    async def _ask_coordinator(self, peer: PeerAddress, question: ExplainQuestion) -> bytes | None:
+    async def _ask_coordinator(
+        self, peer: PeerAddress, lookup_request: ExplainLookupRequest
+    ) -> bytes | None:
         """Request the explanation from one coordinator; ``None`` if it has none or fails."""
         try:
-            answer = await self._channel.request(peer, encode_question(question), LOOKUP_TIMEOUT_S)
+            answer = await self._channel.request(
+                peer, encode_lookup_request(lookup_request), LOOKUP_TIMEOUT_S
+            )
             return decode_explanation(answer)
         except (PeerNotSentError, PeerLostError, ExplainCodecError):
             return None
@@ -81,10 +85,10 @@
     async def _on_request(self, _source: PeerAddress, payload: bytes) -> bytes:
         """Answer another node; a malformed request gets an empty answer."""
         try:
-            question = decode_question(payload)
+            lookup_request = decode_lookup_request(payload)
         except ExplainCodecError:
             return encode_explanation(None)
-        found = self._coordinated.find(question.query_id, question.tenant)
+        found = self._coordinated.find(lookup_request.query_id, lookup_request.tenant)
         return encode_explanation(msgspec.json.encode(found) if found is not None else None)
 
 
--- a/tinrudder/node/resources/store.py
+++ b/tinrudder/node/resources/store.py
@@ -53,7 +53,7 @@
         """Call ``listener`` after every change of the accepted state."""
         self._listeners.append(listener)
 
-    def offer(self, document: ResourceDocument) -> bool:
+    def merge_document(self, document: ResourceDocument) -> bool:
         """Validate a document of the platform and merge it into the accepted state.
 
         An older document, from a stale or restored platform, changes nothing in force, except
@@ -75,11 +75,11 @@
         )
         return self.merge(document_state)
 
-    def note_platform_unavailable(self, reason: str) -> None:
+    def record_platform_unavailable(self, reason: str) -> None:
         """Record that reading the platform failed; the configuration in force stays."""
         self.platform = PlatformObservation(self.platform.revision, unavailable=reason)
 
-    def note_platform_unchanged(self) -> None:
+    def record_platform_unchanged(self) -> None:
         """Record that the platform still has the revision in force."""
         self.platform = PlatformObservation(
             self.state.version.revision, reused=self.platform.reused
--- a/tinrudder/node/settings.py
+++ b/tinrudder/node/settings.py
@@ -170,7 +170,7 @@
         parser.add_argument(flag, dest=field.name, type=value_type, default=None)
 
 
-def flags_given(arguments: argparse.Namespace) -> dict[str, SettingValue]:
+def settings_from_flags(arguments: argparse.Namespace) -> dict[str, SettingValue]:
     """Return the settings given as flags."""
     names = (field.name for field in msgspec.structs.fields(NodeSettings))
     values = {name: getattr(arguments, name) for name in names}
--- a/tinrudder/node/tls.py
+++ b/tinrudder/node/tls.py
@@ -95,7 +95,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class TlsEdges:
+class TlsIdentities:
     """The TLS identities of a node; ``None`` where none is configured.
 
     :param peers: for mutual TLS between nodes; both sides present a certificate of one authority.
--- a/tinrudder/node/wire/explain_codec.py
+++ b/tinrudder/node/wire/explain_codec.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ExplainQuestion:
+class ExplainLookupRequest:
     """A request for the explanation of one query.
 
     :param tenant: tenant that must own the query, ``None`` for an operator.
@@ -29,13 +29,15 @@
     tenant: str | None
 
 
-def encode_question(question: ExplainQuestion) -> bytes:
+def encode_lookup_request(lookup_request: ExplainLookupRequest) -> bytes:
     """Encode a request."""
-    message = explain_pb2.ExplainRequest(query_id=question.query_id, tenant=question.tenant)
+    message = explain_pb2.ExplainRequest(
+        query_id=lookup_request.query_id, tenant=lookup_request.tenant
+    )
     return message.SerializeToString()
 
 
-def decode_question(payload: bytes) -> ExplainQuestion:
+def decode_lookup_request(payload: bytes) -> ExplainLookupRequest:
     """Decode a request.
 
     :raises ExplainCodecError: the payload is not a request.
@@ -45,7 +47,9 @@
         message.ParseFromString(payload)
     except DecodeError as error:
         raise ExplainCodecError(f"question: {error}") from error
-    return ExplainQuestion(message.query_id, message.tenant if message.HasField("tenant") else None)
+    return ExplainLookupRequest(
+        message.query_id, message.tenant if message.HasField("tenant") else None
+    )
 
 
 def encode_explanation(explanation: bytes | None) -> bytes:
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -185,7 +185,7 @@
     return [
         Substitution(Node, "in_progress", property(lambda self: 0)),
         Substitution(Node, "leave", _nothing),
-        Substitution(node, "REFUSAL_LINGER_S", 0.0),
+        Substitution(node, "RESPONSE_FLUSH_S", 0.0),
     ]
 
 
