--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -14,7 +14,7 @@
 from tinrudder.node.decisions.load.fair_queue import SWEEP_SLACK, StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_calls import (
     COMPACTION_SLACK,
-    MAX_PASSED_OVER,
+    MAX_SKIPS,
     PendingCall,
 )
 from tinrudder.node.resources.model import Priority
@@ -133,11 +133,11 @@
     queue.push(call_of("a", backend, priority=Priority.BATCH))
     queue.push(call_of("a", backend, priority=Priority.PLANNING))
     served = []
-    for _ in range(MAX_PASSED_OVER[2] + 1):
+    for _ in range(MAX_SKIPS[2] + 1):
         queue.push(call_of("a", backend))
         served.append(queue.pop(backend).priority)
-    assert served.index(Priority.PLANNING) == MAX_PASSED_OVER[1]
-    assert served.index(Priority.BATCH) <= MAX_PASSED_OVER[2]
+    assert served.index(Priority.PLANNING) == MAX_SKIPS[1]
+    assert served.index(Priority.BATCH) <= MAX_SKIPS[2]
 
 
 def test_calls_taken_elsewhere_do_not_pile_up() -> None:
--- a/tinrudder/cli/serve.py
+++ b/tinrudder/cli/serve.py
@@ -98,16 +98,16 @@
     stop_requested = asyncio.Event()
     for signal_number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(signal_number, stop_requested.set)
-    identities = load_tls_identities(settings)
+    tls_identities = load_tls_identities(settings)
     platform = PlatformClient(settings.platform_url)
-    node = await _open_node(settings, identities, platform, cluster_keys)
+    node = await _open_node(settings, tls_identities, platform, cluster_keys)
     await node.start()
     tune_garbage_collection()
     callers = _build_callers(node, settings, cluster_keys)
     app = CloseConnectionsWhenStopping(callers.app, node.lifecycle)
-    server = CallerServer(caller_config(settings, app, identities.callers))
+    server = CallerServer(caller_config(settings, app, tls_identities.callers))
     serving = asyncio.create_task(server.serve())
-    reloading = asyncio.create_task(reload_changed_identities(identities, settings.tls_check_s))
+    reloading = asyncio.create_task(reload_changed_identities(tls_identities, settings.tls_check_s))
     await stop_requested.wait()
     await node.leave()
     server.should_exit = True
@@ -119,17 +119,17 @@
 
 async def _open_node(
     settings: NodeSettings,
-    identities: TlsIdentities,
+    tls_identities: TlsIdentities,
     platform: PlatformClient,
     cluster_keys: tuple[bytes, ...],
 ) -> Node:
     """Open the port for peer traffic and build the node on it; the node does not run yet."""
-    peers = TcpPeerTransport(settings.host, settings.peer_port, identities.peers)
+    peers = TcpPeerTransport(settings.host, settings.peer_port, tls_identities.peers)
     environment = Environment(
         timers=asyncio.get_running_loop(),
         wall_clock=time.time,
         random=random.Random(),
-        backends=HttpBackendTransport(identities),
+        backends=HttpBackendTransport(tls_identities),
         peers=peers,
         platform=platform,
         cluster_keys=cluster_keys,
--- a/tinrudder/cli/tls_identities.py
+++ b/tinrudder/cli/tls_identities.py
@@ -28,11 +28,11 @@
     )
 
 
-async def reload_changed_identities(identities: TlsIdentities, check_s: float) -> None:
+async def reload_changed_identities(tls_identities: TlsIdentities, check_s: float) -> None:
     """Reload identities whose files change; log an unusable file and keep the old identity."""
     while True:
         await asyncio.sleep(check_s)
-        for identity in identities.identities():
+        for identity in tls_identities.identities():
             try:
                 if identity.reload_if_changed():
                     log_event("tls identity reloaded")
--- a/tinrudder/cluster/claims/electorate.py
+++ b/tinrudder/cluster/claims/electorate.py
@@ -107,7 +107,7 @@
         if self.zones >= ZONES_TO_SPREAD_OVER:
             zone_limit = max(1, self.size // 2)
         chosen: list[Voter] = []
-        passed_over: list[Voter] = []
+        over_zone_limit: list[Voter] = []
         in_zone: dict[str, int] = {}
         for voter in ranked:
             if len(chosen) == self.size:
@@ -115,12 +115,12 @@
             if voter not in self.voters:
                 continue
             if in_zone.get(voter.zone, 0) >= zone_limit:
-                passed_over.append(voter)
+                over_zone_limit.append(voter)
                 continue
             in_zone[voter.zone] = in_zone.get(voter.zone, 0) + 1
             chosen.append(voter)
         missing = self.size - len(chosen)
-        return make_electorate(chosen + passed_over[:missing])
+        return make_electorate(chosen + over_zone_limit[:missing])
 
 
 def electorate_size(nodes: int) -> int:
--- a/tinrudder/cluster/membership.py
+++ b/tinrudder/cluster/membership.py
@@ -108,13 +108,13 @@
         self._transport.listen(self._on_datagram, _refuse_request)
         self.pause_detector.start()
         self._protocol.listing.add_seeds(tuple(seeds))
-        self._arm()
+        self._schedule_timer()
 
     def stop(self) -> None:
         """Announce that this node has stopped, and stop."""
         if not self._running:
             return
-        self._perform(self._protocol.stop(self._timers.time()))
+        self._execute(self._protocol.stop(self._timers.time()))
         self._running = False
         self.pause_detector.stop()
         if self._timer is not None:
@@ -122,11 +122,11 @@
 
     def announce_joined(self) -> None:
         """Announce this node to the others; call it once most of them are known."""
-        self._perform(self._protocol.announce_joined(self._timers.time()))
+        self._execute(self._protocol.announce_joined(self._timers.time()))
 
     def announce_leaving(self) -> None:
         """Announce that this node is leaving and takes no new work."""
-        self._perform(self._protocol.announce_leaving(self._timers.time()))
+        self._execute(self._protocol.announce_leaving(self._timers.time()))
 
     def view(self) -> MemberView:
         """Return the current view, an immutable object that every change replaces."""
@@ -142,11 +142,11 @@
 
     def offer_list(self, revision: int, listed: tuple[ListedMember, ...]) -> None:
         """Apply a new revision of the platform's list of machines."""
-        self._perform(self._protocol.offer_list(revision, listed, self._timers.time()))
+        self._execute(self._protocol.offer_list(revision, listed, self._timers.time()))
 
     def set_enforced_revision(self, revision: int) -> None:
         """Announce the configuration revision that this node enforces."""
-        self._perform(self._protocol.set_revision(revision, self._timers.time()))
+        self._execute(self._protocol.set_revision(revision, self._timers.time()))
 
     def enforced_revisions(self) -> tuple[EnforcedRevision, ...]:
         """Return the newest revision that each member is known to enforce."""
@@ -158,7 +158,7 @@
 
     def publish_observation(self, backend: str, kind: ObservationKind) -> None:
         """Publish this node's observation of a back end."""
-        self._perform(self._protocol.publish(backend, kind, self._timers.time()))
+        self._execute(self._protocol.publish(backend, kind, self._timers.time()))
 
     def heard_observations(self) -> tuple[Hint, ...]:
         """Return the observations of back ends that have not expired."""
@@ -193,7 +193,7 @@
         except MalformedDatagramError:
             self.counters.malformed += 1
             return
-        self._perform(self._protocol.on_message(source, envelope, self._timers.time()))
+        self._execute(self._protocol.on_message(source, envelope, self._timers.time()))
 
     def _on_timer(self) -> None:
         self._timer = None
@@ -201,13 +201,13 @@
         # An event loop may fire a timer early by up to its clock's resolution. By its clock nothing
         # would be due yet, and in virtual time the same timer would be set again for ever.
         now = max(self._timers.time(), self._timer_at)
-        self._perform(self._protocol.on_time(now))
+        self._execute(self._protocol.on_time(now))
 
     def _on_pause(self, gap_s: float) -> None:
         if self._running:
-            self._perform(self._protocol.on_pause(gap_s, self._timers.time()))
+            self._execute(self._protocol.on_pause(gap_s, self._timers.time()))
 
-    def _perform(self, actions: list[Action]) -> None:
+    def _execute(self, actions: list[Action]) -> None:
         """Execute the protocol's actions and set the timer."""
         for action in actions:
             match action:
@@ -222,7 +222,7 @@
                 case ObservationHeard(observation):
                     for observation_listener in self._listeners.observations:
                         observation_listener(observation)
-        self._arm()
+        self._schedule_timer()
 
     def _send(self, action: Send) -> None:
         datagram = self._seal.seal(encode_envelope(action.envelope))
@@ -233,7 +233,7 @@
         self.counters.sent_bytes += len(datagram) + CHANNEL_BYTES
         self._transport.send_datagram(action.destination, datagram)
 
-    def _arm(self) -> None:
+    def _schedule_timer(self) -> None:
         """Set the timer for the next deadline, unless it is already set for an earlier time."""
         if not self._running:
             return
--- a/tinrudder/cluster/membership_messages.py
+++ b/tinrudder/cluster/membership_messages.py
@@ -181,6 +181,6 @@
     return MemberUpdate(member.name, member.incarnation, status, place, enforced_revision)
 
 
-def claim(member: Member, status: MemberStatus, reporter: str = "") -> MemberUpdate:
+def status_update(member: Member, status: MemberStatus, reporter: str = "") -> MemberUpdate:
     """Return a statement about a known member, without its location."""
     return MemberUpdate(member.name, member.incarnation, status, None, 0, reporter)
--- a/tinrudder/cluster/membership_probes.py
+++ b/tinrudder/cluster/membership_probes.py
@@ -18,7 +18,7 @@
     NegativeAcknowledgement,
     Ping,
     PingRequest,
-    claim,
+    status_update,
 )
 from tinrudder.cluster.membership_outbox import Outbox
 from tinrudder.cluster.membership_settings import MembershipSettings
@@ -129,7 +129,7 @@
         sequence = self._next_sequence()
         updates: tuple[MemberUpdate, ...] = ()
         if member.status is MemberStatus.SUSPECT:
-            updates = (claim(member, MemberStatus.SUSPECT, self._outbox.own.name),)
+            updates = (status_update(member, MemberStatus.SUSPECT, self._outbox.own.name),)
         self._outbox.send(member.address, Ping(sequence, member.name), updates)
         return sequence
 
--- a/tinrudder/cluster/membership_protocol.py
+++ b/tinrudder/cluster/membership_protocol.py
@@ -29,9 +29,9 @@
     PingRequest,
     SyncAnswer,
     SyncRequest,
-    claim,
     full_update,
     same_start,
+    status_update,
 )
 from tinrudder.cluster.membership_outbox import Outbox
 from tinrudder.cluster.membership_probes import Prober
@@ -128,7 +128,7 @@
             for name in self._prober.on_time(now):
                 self._on_probe_failed(name, now)
         for name, incarnation in self._suspicions.expired(now):
-            self._apply_and_spread(MemberUpdate(name, incarnation, MemberStatus.DEAD), now)
+            self._apply_and_broadcast(MemberUpdate(name, incarnation, MemberStatus.DEAD), now)
         if now >= self._next_sync_at:
             self._start_sync(now)
         if now >= self._next_contact_at:
@@ -171,7 +171,7 @@
         if gap_s >= self._settings.suspicion_min_s:
             self._raise_incarnation(self.own.incarnation, now)
             for member in self._outbox.sample(self._random, SYNCS_AFTER_PAUSE):
-                self._sync.ask(member.address)
+                self._sync.send_request(member.address)
         return self._take_actions()
 
     def offer_list(
@@ -188,7 +188,7 @@
             if name == self.own.name:
                 self._leave_by_list(now)
             elif member is not None and member.status in (MemberStatus.ALIVE, MemberStatus.SUSPECT):
-                self._apply_and_spread(claim(member, MemberStatus.LEAVING), now)
+                self._apply_and_broadcast(status_update(member, MemberStatus.LEAVING), now)
         if self._leaving_by_list and self.listing.lists_as_live(self.own.name):
             self._leaving_by_list = False
             self._change_own(MemberStatus.ALIVE, self.own.incarnation + 1, now)
@@ -218,14 +218,14 @@
         self._outbox.now = now
         self._leaving_by_list = False
         self._set_own(replace(self.own, status=MemberStatus.LEAVING), now)
-        self._send_directly(claim(self.own, MemberStatus.LEAVING))
+        self._send_directly(status_update(self.own, MemberStatus.LEAVING))
         return self._take_actions()
 
     def stop(self, now: float) -> list[Action]:
         """Announce that this node has stopped; it no longer refutes such statements."""
         self._outbox.now = now
         self._stopped = True
-        stopped = claim(self.own, MemberStatus.DEAD)
+        stopped = status_update(self.own, MemberStatus.DEAD)
         for member in self._outbox.sample(self._random, 2 * self._settings.gossip_fanout):
             self._outbox.send(member.address, Gossip(), (stopped,))
         return self._take_actions()
@@ -254,7 +254,7 @@
         if not is_sync and self._last_gossip.get(update.name) is update:
             return
         if update.name == self.own.name:
-            self._on_claim_about_self(source, update, now)
+            self._on_update_about_self(source, update, now)
             return
         if is_sync and update.status is MemberStatus.DEAD:
             self._suspect_locally(sender, update, now)
@@ -273,7 +273,7 @@
         elif merged is Merged.STALE and is_sync and known is not None:
             self._send_correction(source, known)
 
-    def _on_claim_about_self(self, source: PeerAddress, update: MemberUpdate, now: float) -> None:
+    def _on_update_about_self(self, source: PeerAddress, update: MemberUpdate, now: float) -> None:
         """Refute a wrong statement about this node: a suspicion, a death, or one about an earlier
         start."""
         if self._stopped or update.incarnation < self.own.incarnation:
@@ -297,9 +297,11 @@
             return
         if envelope.incarnation > known.incarnation:
             update = MemberUpdate(envelope.sender, envelope.incarnation, MemberStatus.ALIVE)
-            self._apply_and_spread(update, now)
+            self._apply_and_broadcast(update, now)
         elif known.status in (MemberStatus.SUSPECT, MemberStatus.DEAD):
-            self._outbox.send(source, Gossip(), (claim(known, known.status, self.own.name),))
+            self._outbox.send(
+                source, Gossip(), (status_update(known, known.status, self.own.name),)
+            )
         if known.status is MemberStatus.DEAD:
             self._sync_with_unknown(source, now)
 
@@ -321,7 +323,7 @@
             self._last_revision_event = (revision, now)
             self._events.append(NewerRevisionHeard(sender, revision))
 
-    def _apply_and_spread(self, update: MemberUpdate, now: float) -> None:
+    def _apply_and_broadcast(self, update: MemberUpdate, now: float) -> None:
         """Apply a statement made by this node and spread it if it changed the table."""
         known = self.table.get(update.name)
         if self.table.apply(update, now) is Merged.CHANGED:
@@ -352,8 +354,8 @@
         status = MemberStatus.SUSPECT
         if member.status is MemberStatus.LEAVING:
             status = MemberStatus.DEAD
-        suspicion = claim(member, status, self.own.name)
-        self._apply_and_spread(suspicion, now)
+        suspicion = status_update(member, status, self.own.name)
+        self._apply_and_broadcast(suspicion, now)
         self._outbox.send(member.address, Gossip(), (suspicion,))
 
     def _suspect_locally(self, sender: str, update: MemberUpdate, now: float) -> None:
@@ -368,7 +370,7 @@
             return
         if update.incarnation < known.incarnation:
             return
-        suspicion = claim(known, MemberStatus.SUSPECT, sender)
+        suspicion = status_update(known, MemberStatus.SUSPECT, sender)
         if self.table.apply(suspicion, now) is Merged.CHANGED:
             self._on_member_changed(suspicion, known, now)
         suspect = self.table.get(update.name)
@@ -378,7 +380,7 @@
     def _send_correction(self, source: PeerAddress, known: Member) -> None:
         """Answer an outdated statement in an anti-entropy answer with the newer local state."""
         if known.status is MemberStatus.DEAD:
-            update = claim(known, MemberStatus.DEAD)
+            update = status_update(known, MemberStatus.DEAD)
         else:
             update = full_update(known, self.revisions.get(known.name))
         self._outbox.send(source, SyncAnswer(), (update,))
@@ -389,7 +391,7 @@
         if self.own.status is MemberStatus.ALIVE:
             self._leaving_by_list = True
             self._change_own(MemberStatus.LEAVING, self.own.incarnation, now)
-            self._send_directly(claim(self.own, MemberStatus.LEAVING))
+            self._send_directly(status_update(self.own, MemberStatus.LEAVING))
 
     def _send_directly(self, update: MemberUpdate) -> None:
         """Send an update directly to most members; gossip reaches the others.
@@ -423,12 +425,12 @@
         if now < self._next_unknown_sync_at:
             return
         self._next_unknown_sync_at = now + UNKNOWN_SYNC_INTERVAL_S
-        self._sync.ask(source)
+        self._sync.send_request(source)
 
     def _start_sync(self, now: float) -> None:
         self._next_sync_at = now + self._settings.sync_interval_s
         for member in self._outbox.sample(self._random, 1):
-            self._sync.ask(member.address)
+            self._sync.send_request(member.address)
         for name in self.table.expired_dead(now - self._settings.dead_retention_s):
             self.table.forget(name)
             self.revisions.forget(name)
@@ -441,7 +443,7 @@
         count = CONTACTS_WITHOUT_MEMBERS if len(self.table.roster) == 1 else 1
         for address in self._random.sample(candidates, min(count, len(candidates))):
             known = self.table.at_address(address)
-            updates = () if known is None else (claim(known, known.status, self.own.name),)
+            updates = () if known is None else (status_update(known, known.status, self.own.name),)
             self._outbox.send(address, Ping(0), updates)
 
     def _gossip(self, now: float) -> None:
--- a/tinrudder/cluster/membership_sync.py
+++ b/tinrudder/cluster/membership_sync.py
@@ -36,7 +36,7 @@
         self._revisions = revisions
         self._outbox = outbox
 
-    def ask(self, destination: PeerAddress, *, is_return: bool = False) -> None:
+    def send_request(self, destination: PeerAddress, *, is_return: bool = False) -> None:
         """Send this node's digests, and its own entry for receivers that do not know it."""
         own = self._outbox.own
         update = full_update(own, self._revisions.get(own.name))
@@ -53,7 +53,7 @@
         if not differing:
             return
         if not request.is_return:
-            self.ask(source, is_return=True)
+            self.send_request(source, is_return=True)
         members = list(self._table.in_buckets(frozenset(differing)))
         # A large difference takes several rounds; a random start varies the part sent first.
         start = self._random.randrange(len(members)) if members else 0
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -47,7 +47,7 @@
 ClientContext = Callable[[], ssl.SSLContext | None]
 
 
-class _Waiting(Struct, eq=False):
+class _PendingRequest(Struct, eq=False):
     """A request whose answer has not arrived.
 
     :param end: loop time at which the request times out.
@@ -78,7 +78,7 @@
     """
 
     writer: asyncio.StreamWriter
-    waiting: dict[int, _Waiting] = field(default_factory=dict)
+    pending_requests: dict[int, _PendingRequest] = field(default_factory=dict)
     last_request_id: int = 0
     reading: asyncio.Task[None] | None = None
     idle_timer: asyncio.TimerHandle | None = None
@@ -96,10 +96,10 @@
             and now - self.first_unanswered_at >= RETIRE_AFTER_SILENCE_S
         )
 
-    def add(self, pending: _Waiting) -> int:
+    def add(self, pending: _PendingRequest) -> int:
         """Add a pending request and return its id."""
         self.last_request_id += 1
-        self.waiting[self.last_request_id] = pending
+        self.pending_requests[self.last_request_id] = pending
         return self.last_request_id
 
 
@@ -148,7 +148,7 @@
         connection = await self._connection(destination, connect_s)
         if connection.writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             raise PeerNotSentError(f"{destination}: does not read what it is sent")
-        pending = _Waiting(loop.create_future(), deadline, confirms=not begin_at_once)
+        pending = _PendingRequest(loop.create_future(), deadline, confirms=not begin_at_once)
         request_id = connection.add(pending)
         kind = _request_type(acknowledged=acknowledged, begin_at_once=begin_at_once)
         _write(connection, Frame(kind, request_id, payload))
@@ -168,7 +168,7 @@
         self, destination: PeerAddress, connection: _Connection, request_id: int
     ) -> None:
         """Remove a request that ended, and cancel it at the peer if the caller was cancelled."""
-        pending = connection.waiting.pop(request_id, None)
+        pending = connection.pending_requests.pop(request_id, None)
         if pending is not None and pending.answer.cancelled():
             _write(connection, Frame(FrameType.CANCEL, request_id))
         self._retire_if_silent(destination, connection)
@@ -186,14 +186,16 @@
         if self._connections.get(destination) is connection:
             del self._connections[destination]
             self._retired.add(connection)
-        if connection in self._retired and not connection.waiting:
+        if connection in self._retired and not connection.pending_requests:
             connection.writer.transport.abort()
 
     @property
     def held_bytes(self) -> int:
         """Return the number of bytes in the write buffers of all connections."""
         connections = (*self._connections.values(), *self._retired)
-        return sum(one.writer.transport.get_write_buffer_size() for one in connections)
+        return sum(
+            connection.writer.transport.get_write_buffer_size() for connection in connections
+        )
 
     async def close(self) -> None:
         """Close every connection after its write buffer has been flushed."""
@@ -202,7 +204,9 @@
         connections = (*self._connections.values(), *self._retired)
         for connection in connections:
             connection.writer.close()
-        readers = [one.reading for one in connections if one.reading is not None]
+        readers = [
+            connection.reading for connection in connections if connection.reading is not None
+        ]
         await asyncio.gather(*readers, return_exceptions=True)
 
     async def _connection(self, destination: PeerAddress, connect_s: float) -> _Connection:
@@ -267,7 +271,7 @@
 
     def _close_if_idle(self, destination: PeerAddress, connection: _Connection) -> None:
         """Close a connection without pending requests; the next request opens a new one."""
-        if connection.waiting:
+        if connection.pending_requests:
             return
         if self._connections.get(destination) is connection:
             del self._connections[destination]
@@ -296,14 +300,14 @@
         if self._connections.get(peer) is connection:
             del self._connections[peer]
         self._retired.discard(connection)
-        for pending in connection.waiting.values():
+        for pending in connection.pending_requests.values():
             if not pending.answer.done():
                 pending.answer.set_exception(PeerLostError(f"{peer}: connection closed"))
 
 
 def _dispatch(peer: PeerAddress, connection: _Connection, frame: Frame) -> None:
     """Dispatch one frame to its pending request; late frames are dropped."""
-    pending = connection.waiting.get(frame.request_id)
+    pending = connection.pending_requests.get(frame.request_id)
     if pending is None or pending.answer.done():
         return
     answer = pending.answer
--- a/tinrudder/node/decisions/coordinator_ranking.py
+++ b/tinrudder/node/decisions/coordinator_ranking.py
@@ -88,7 +88,7 @@
         state = self._state_of(member)
         state.in_flight = max(0, state.in_flight - 1)
 
-    def succeed(self, member: Member) -> None:
+    def record_success(self, member: Member) -> None:
         """Clear the failures of ``member`` after a success."""
         state = self._state_of(member)
         state.failures = 0
@@ -96,7 +96,7 @@
         if self._failed.pop(member.name, None) is not None:
             self._notify_failed_changed()
 
-    def fail(self, member: Member) -> None:
+    def record_failure(self, member: Member) -> None:
         """Start a back-off for a member, longer after every consecutive failure."""
         state = self._state_of(member)
         now = self._timers.time()
--- a/tinrudder/node/decisions/load/pending_calls.py
+++ b/tinrudder/node/decisions/load/pending_calls.py
@@ -20,8 +20,8 @@
     Priority.PLANNING: 1,
     Priority.BATCH: 2,
 }
-MAX_PASSED_OVER = (0, 8, 32)
-"""Number of times that a waiting class, by rank, may be passed over for more urgent classes of its
+MAX_SKIPS = (0, 8, 32)
+"""Number of times that a waiting class, by rank, may be skipped for more urgent classes of its
 tenant."""
 COMPACTION_SLACK = 64
 """Number of entries, beyond twice the waiting calls, at which entries that no longer wait are
@@ -71,7 +71,7 @@
     :param work: cost of the waiting calls by class, each divided by its number of candidates.
     :param classes: queued calls by class rank.
     :param entries: number of calls in ``classes``, including those that no longer wait.
-    :param passed_over: how often each class was passed over since it was last served.
+    :param skips: how often each class was skipped since it was last served.
     :param in_heap: whether the flow is in the heap of its lane.
     :param pace: how fast the tenant's calls are taken here.
     """
@@ -84,7 +84,7 @@
     work: list[float] = field(default_factory=lambda: [0.0, 0.0, 0.0])
     classes: list[deque[PendingCall] | None] = field(default_factory=lambda: [None, None, None])
     entries: int = 0
-    passed_over: list[int] = field(default_factory=lambda: [0, 0, 0])
+    skips: list[int] = field(default_factory=lambda: [0, 0, 0])
     in_heap: bool = False
     pace: ServicePace = field(default_factory=ServicePace)
 
@@ -113,19 +113,19 @@
         """Dequeue the call to serve next; :meth:`remove` must then update the counts.
 
         The most urgent class goes first, but a waiting class is passed over at most
-        ``MAX_PASSED_OVER`` times in a row, so that no class starves.
+        ``MAX_SKIPS`` times in a row, so that no class starves.
         """
         chosen = -1
         for rank in (0, 1, 2):
             if not self._has_waiting(rank):
-                self.passed_over[rank] = 0
-            elif chosen < 0 or self.passed_over[rank] >= MAX_PASSED_OVER[rank]:
+                self.skips[rank] = 0
+            elif chosen < 0 or self.skips[rank] >= MAX_SKIPS[rank]:
                 chosen = rank
         if chosen < 0:
             return None
         for rank in range(chosen + 1, 3):
-            self.passed_over[rank] += 1
-        self.passed_over[chosen] = 0
+            self.skips[rank] += 1
+        self.skips[chosen] = 0
         calls = self.classes[chosen]
         assert calls is not None
         self.entries -= 1
@@ -157,6 +157,6 @@
         for rank in (0, 1, 2):
             self.classes[rank] = None
             self.work[rank] = 0.0
-            self.passed_over[rank] = 0
+            self.skips[rank] = 0
         self.entries = 0
         self.pace.last_taken_at = NEVER
--- a/tinrudder/node/decisions/version_hints.py
+++ b/tinrudder/node/decisions/version_hints.py
@@ -27,7 +27,7 @@
         self._clock = clock
         self._refused_until: dict[tuple[str, str, int], float] = {}
 
-    def record_version_gone(self, backend: BackendRecord, index: str, version: int) -> None:
+    def record_refusal(self, backend: BackendRecord, index: str, version: int) -> None:
         """Record that a back end does not serve a version."""
         if len(self._refused_until) >= MAX_HINTS:
             self._refused_until.clear()
--- a/tinrudder/node/query/admission_gate.py
+++ b/tinrudder/node/query/admission_gate.py
@@ -49,7 +49,7 @@
         self._configuration = configuration
         self._random = source
 
-    def enter(self, plan: QueryPlan) -> QueryPermit | NotRun:
+    def admit(self, plan: QueryPlan) -> QueryPermit | NotRun:
         """Return a permit, which the caller closes when the query ends, or the refusal."""
         tenant = plan.request.tenant
         spec = self._configuration().tenants.get(tenant, TenantSpec())
--- a/tinrudder/node/query/coordinator.py
+++ b/tinrudder/node/query/coordinator.py
@@ -76,7 +76,7 @@
         plan = self._planner.plan(request)
         if not isinstance(plan, QueryPlan):
             return plan
-        permit = self._gate.enter(plan)
+        permit = self._gate.admit(plan)
         if isinstance(permit, NotRun):
             return permit
         future: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
--- a/tinrudder/node/query/coordinator_prober.py
+++ b/tinrudder/node/query/coordinator_prober.py
@@ -75,8 +75,8 @@
         try:
             await self._probe.probe(member.address, timeout_s)
         except (PeerNotSentError, PeerLostError):
-            self._ranking.fail(member)
+            self._ranking.record_failure(member)
             return False
         self._last_answer_at[member.name] = self._timers.time()
-        self._ranking.succeed(member)
+        self._ranking.record_success(member)
         return True
--- a/tinrudder/node/query/entry.py
+++ b/tinrudder/node/query/entry.py
@@ -194,21 +194,21 @@
         try:
             outcome = await self._relay_with_probes(member, request, attempts, forwarded)
         except PeerNotSentError as error:
-            self._ranking.fail(member)
+            self._ranking.record_failure(member)
             attempts.details.append(str(error))
             return None
         except PeerLostError as error:
             self.counters.lost += 1
-            self._ranking.fail(member)
+            self._ranking.record_failure(member)
             attempts.lost += 1
             attempts.details.append(str(error))
             return None
         finally:
             self._ranking.end(member)
         if isinstance(outcome, NotRun) and outcome.reason is NotRunReason.STOPPING:
-            self._ranking.fail(member)
+            self._ranking.record_failure(member)
             return None
-        self._ranking.succeed(member)
+        self._ranking.record_success(member)
         return outcome
 
     async def _relay_with_probes(
--- a/tinrudder/node/query/operations/at_most_once.py
+++ b/tinrudder/node/query/operations/at_most_once.py
@@ -32,8 +32,8 @@
 )
 from tinrudder.node.query.admission_gate import AdmissionGate
 from tinrudder.node.query.dispatcher import Dispatcher
-from tinrudder.node.query.operations.operation_call import LINGER_S, OperationCall
-from tinrudder.node.query.operations.operation_outcomes import HeldOperation, OperationOutcomes
+from tinrudder.node.query.operations.operation_call import LATE_ANSWER_TIMEOUT_S, OperationCall
+from tinrudder.node.query.operations.operation_outcomes import OperationAttempt, OperationOutcomes
 from tinrudder.node.query.operations.operation_request import OperationRequest
 from tinrudder.node.query.plan import Planner, QueryPlan
 from tinrudder.node.query.request import QueryRequest
@@ -109,9 +109,9 @@
         if refusal is not None:
             return refusal
         key = make_claim_key(request.tenant, request.request_key)
-        held = self._outcomes.find(key)
-        if held is not None:
-            return await self._join(held, request)
+        attempt = self._outcomes.find(key)
+        if attempt is not None:
+            return await self._join(attempt, request)
         plan = self._plan(request)
         if isinstance(plan, NotRun):
             return plan
@@ -165,13 +165,13 @@
 
     async def _begin(self, request: OperationRequest, key: ClaimKey, plan: QueryPlan) -> Outcome:
         """Run an attempt in its own task, because duplicates may also wait for its outcome."""
-        expires_at = request.valid_until + self._claims.limits.clock_skew_s + LINGER_S
-        held = self._outcomes.begin(key, request.tenant, request.content(), expires_at)
-        if held is None:
+        expires_at = request.valid_until + self._claims.limits.clock_skew_s + LATE_ANSWER_TIMEOUT_S
+        attempt = self._outcomes.begin(key, request.tenant, request.content(), expires_at)
+        if attempt is None:
             detail = "the cap on operations in one window is reached"
             return NotRun(NotRunReason.TENANT_LIMIT, detail, self._claims.limits.window_s)
         reported: asyncio.Future[Outcome] = asyncio.get_running_loop().create_future()
-        task = asyncio.create_task(self._attempt(request, plan, held, reported))
+        task = asyncio.create_task(self._attempt(request, plan, attempt, reported))
         self._running.add(task)
         task.add_done_callback(self._running.discard)
         return await asyncio.shield(reported)
@@ -180,7 +180,7 @@
         self,
         request: OperationRequest,
         plan: QueryPlan,
-        held: HeldOperation,
+        attempt: OperationAttempt,
         reported: asyncio.Future[Outcome],
     ) -> None:
         """Run one attempt to its final outcome.
@@ -188,27 +188,27 @@
         :param reported: receives the caller's outcome, possibly before the final one is known.
         """
         outcome: Outcome = MayHaveRun(MayHaveRunReason.NO_ANSWER, "the attempt ended early")
-        permit = self._gate.enter(plan)
+        permit = self._gate.admit(plan)
         try:
             if isinstance(permit, NotRun):
                 outcome = permit
                 return
-            claim = await self._claim(request, plan, held)
-            if not claim.won and await self._may_claim_again(request, claim, held):
-                claim = await self._claim(request, plan, held)
+            claim = await self._claim(request, plan, attempt)
+            if not claim.won and await self._may_claim_again(request, claim, attempt):
+                claim = await self._claim(request, plan, attempt)
             if claim.won:
                 outcome = await self._send(request, plan, claim, reported)
             else:
-                outcome = await self._resolve_lost_claim(request, claim, held)
+                outcome = await self._resolve_lost_claim(request, claim, attempt)
         finally:
             if not isinstance(permit, NotRun):
                 permit.close()
-            self._outcomes.finish(held, outcome)
+            self._outcomes.finish(attempt, outcome)
             if not reported.done():
                 reported.set_result(outcome)
 
     async def _claim(
-        self, request: OperationRequest, plan: QueryPlan, held: HeldOperation
+        self, request: OperationRequest, plan: QueryPlan, attempt: OperationAttempt
     ) -> Claim:
         """Claim the key; both clocks are read before the first vote is requested."""
         now = self._timers.time()
@@ -218,11 +218,11 @@
         region = self._configuration().services[plan.service].region
         return await self._claims.claim(
             region,
-            held.key,
+            attempt.key,
             request.valid_until,
             window,
             remaining_s * CLAIM_TIME_SHARE,
-            lambda proposer: self._outcomes.register_proposer(held, proposer),
+            lambda proposer: self._outcomes.register_proposer(attempt, proposer),
         )
 
     async def _send(
@@ -245,7 +245,7 @@
         return outcome
 
     async def _may_claim_again(
-        self, request: OperationRequest, claim: Claim, held: HeldOperation
+        self, request: OperationRequest, claim: Claim, attempt: OperationAttempt
     ) -> bool:
         """Return whether duplicates split the votes and this submission may claim once more.
 
@@ -255,43 +255,43 @@
         if not claim.holders or min(claim.holders) < claim.proposer.proposer:
             return False
         for holder in claim.holders:
-            answer = await self._ask_holder(request, holder, held)
+            answer = await self._ask_holder(request, holder, attempt)
             if answer.status is not AnswerStatus.NOT_RUN:
                 return False
         return True
 
     async def _ask_holder(
-        self, request: OperationRequest, holder: ProposerId, held: HeldOperation
+        self, request: OperationRequest, holder: ProposerId, attempt: OperationAttempt
     ) -> StoredAnswer:
         timeout_s = max(0.0, request.deadline - self._timers.time())
-        return await self._claims.ask_holder(held.key, holder, held.content, timeout_s)
+        return await self._claims.ask_holder(attempt.key, holder, attempt.content, timeout_s)
 
     async def _resolve_lost_claim(
-        self, request: OperationRequest, claim: Claim, held: HeldOperation
+        self, request: OperationRequest, claim: Claim, attempt: OperationAttempt
     ) -> Outcome:
         """Return the outcome of a submission that did not get the key.
 
         Settles this attempt before asking the other holders for their outcome: duplicates that
         split the votes would otherwise wait for each other.
         """
-        self._outcomes.settle(held, CLAIM_LOST)
+        self._outcomes.settle(attempt, CLAIM_LOST)
         if not claim.holders:
             detail = "no majority of voters on this key could be reached"
             return NotRun(NotRunReason.NO_QUORUM, detail, RETRY_AFTER_S)
         for holder in claim.holders:
-            answer = await self._ask_holder(request, holder, held)
+            answer = await self._ask_holder(request, holder, attempt)
             if answer.status is not AnswerStatus.NOT_RUN:
                 return _outcome_of(answer)
         return CLAIM_LOST
 
-    async def _join(self, held: HeldOperation, request: OperationRequest) -> Outcome:
+    async def _join(self, attempt: OperationAttempt, request: OperationRequest) -> Outcome:
         """Wait for the outcome of an attempt that this node is running or has run."""
-        if held.content != request.content():
+        if attempt.content != request.content():
             return _outcome_of(StoredAnswer(AnswerStatus.OTHER_REQUEST))
         remaining_s = request.deadline - self._timers.time()
         try:
             async with asyncio.timeout(remaining_s):
-                return await asyncio.shield(held.finished)
+                return await asyncio.shield(attempt.finished)
         except TimeoutError:
             detail = "another submission of this key has no outcome yet"
             return MayHaveRun(MayHaveRunReason.ALREADY_CLAIMED, detail)
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -40,7 +40,7 @@
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.timers import Timers
 
-LINGER_S = 5.0
+LATE_ANSWER_TIMEOUT_S = 5.0
 """Seconds after the caller's deadline for which the answer to a sent call is still awaited, so that
 duplicates can receive it."""
 
@@ -73,7 +73,9 @@
         self._pending: PendingCall | None = None
         self._sent: SentCall | None = None
         self._deadline_timer = timers.call_at(request.deadline, self._on_deadline)
-        self._linger_timer = timers.call_at(request.deadline + LINGER_S, self._on_linger_end)
+        self._late_answer_timer = timers.call_at(
+            request.deadline + LATE_ANSWER_TIMEOUT_S, self._on_late_answer_timeout
+        )
 
     def start(self) -> None:
         """Submit the call to the back ends that are not draining and have not refused it."""
@@ -182,7 +184,7 @@
             detail = "sent, and not answered by the deadline"
             self.reported.set_result(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
 
-    def _on_linger_end(self) -> None:
+    def _on_late_answer_timeout(self) -> None:
         """Stop waiting for the answer."""
         self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, "sent, and never answered"))
 
@@ -191,7 +193,7 @@
         if self.final.done():
             return
         self._deadline_timer.cancel()
-        self._linger_timer.cancel()
+        self._late_answer_timer.cancel()
         if self._pending is not None:
             self._dispatcher.withdraw(self._pending)
             self._pending = None
--- a/tinrudder/node/query/operations/operation_outcomes.py
+++ b/tinrudder/node/query/operations/operation_outcomes.py
@@ -33,7 +33,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class HeldOperation:
+class OperationAttempt:
     """One attempt of this node to run an operation.
 
     :param content: digest of the request; a different request does not get this outcome.
@@ -60,10 +60,10 @@
     def __init__(self, wall_clock: Callable[[], float]) -> None:
         """Create an empty table that expires attempts by ``wall_clock``."""
         self._wall_clock = wall_clock
-        self._by_key: dict[ClaimKey, HeldOperation] = {}
-        self._by_proposer: dict[ProposerId, HeldOperation] = {}
-        self._by_age: deque[HeldOperation] = deque()
-        self._with_outcome: deque[HeldOperation] = deque()
+        self._by_key: dict[ClaimKey, OperationAttempt] = {}
+        self._by_proposer: dict[ProposerId, OperationAttempt] = {}
+        self._by_age: deque[OperationAttempt] = deque()
+        self._with_outcome: deque[OperationAttempt] = deque()
         self._count_by_tenant: dict[str, int] = {}
         self._bytes = 0
 
@@ -71,61 +71,61 @@
         """Return the number of operations held."""
         return len(self._by_age)
 
-    def find(self, key: ClaimKey) -> HeldOperation | None:
+    def find(self, key: ClaimKey) -> OperationAttempt | None:
         """Return the latest attempt for a key, ``None`` if there is none."""
         self._drop_expired()
         return self._by_key.get(key)
 
     def begin(
         self, key: ClaimKey, tenant: str, content: bytes, expires_at: float
-    ) -> HeldOperation | None:
+    ) -> OperationAttempt | None:
         """Add a new attempt; ``None`` if the tenant or this node has reached its limit."""
         if self._count_by_tenant.get(tenant, 0) >= MAX_OPERATIONS_PER_TENANT:
             return None
         if len(self._by_age) >= MAX_OPERATIONS:
             return None
         loop = asyncio.get_running_loop()
-        held = HeldOperation(
+        attempt = OperationAttempt(
             key, tenant, content, expires_at, loop.create_future(), loop.create_future()
         )
-        self._by_key[key] = held
-        self._by_age.append(held)
+        self._by_key[key] = attempt
+        self._by_age.append(attempt)
         self._count_by_tenant[tenant] = self._count_by_tenant.get(tenant, 0) + 1
-        return held
+        return attempt
 
-    def register_proposer(self, held: HeldOperation, proposer: ProposerId) -> None:
+    def register_proposer(self, attempt: OperationAttempt, proposer: ProposerId) -> None:
         """Register a proposer id under which other nodes can look up the attempt."""
-        held.proposers.append(proposer)
-        self._by_proposer[proposer] = held
+        attempt.proposers.append(proposer)
+        self._by_proposer[proposer] = attempt
 
-    def settle(self, held: HeldOperation, outcome: Outcome) -> None:
+    def settle(self, attempt: OperationAttempt, outcome: Outcome) -> None:
         """Set the outcome of an attempt, for duplicates on other nodes."""
-        if not held.settled.done():
-            held.settled.set_result(outcome)
-            self._encode(held, outcome)
+        if not attempt.settled.done():
+            attempt.settled.set_result(outcome)
+            self._encode(attempt, outcome)
 
-    def finish(self, held: HeldOperation, outcome: Outcome) -> None:
+    def finish(self, attempt: OperationAttempt, outcome: Outcome) -> None:
         """Set the outcome of a submission; ``NotRun`` frees the key for another attempt."""
-        if held.finished.done():
+        if attempt.finished.done():
             return
-        self.settle(held, outcome)
-        held.finished.set_result(outcome)
-        if isinstance(outcome, NotRun) and self._by_key.get(held.key) is held:
-            del self._by_key[held.key]
+        self.settle(attempt, outcome)
+        attempt.finished.set_result(outcome)
+        if isinstance(outcome, NotRun) and self._by_key.get(attempt.key) is attempt:
+            del self._by_key[attempt.key]
 
     async def answer(self, question: AnswerQuestion) -> StoredAnswer:
         """Return the outcome of an attempt to another node, waiting until it is known."""
-        held = self._by_proposer.get(question.proposer)
-        if held is None or held.key != question.key:
+        attempt = self._by_proposer.get(question.proposer)
+        if attempt is None or attempt.key != question.key:
             return StoredAnswer(AnswerStatus.UNKNOWN)
-        if held.content != question.content:
+        if attempt.content != question.content:
             return StoredAnswer(AnswerStatus.OTHER_REQUEST)
-        outcome = await asyncio.shield(held.settled)
+        outcome = await asyncio.shield(attempt.settled)
         if isinstance(outcome, NotRun):
             return StoredAnswer(AnswerStatus.NOT_RUN)
-        return StoredAnswer(AnswerStatus.RAN, held.encoded)
+        return StoredAnswer(AnswerStatus.RAN, attempt.encoded)
 
-    def _encode(self, held: HeldOperation, outcome: Outcome) -> None:
+    def _encode(self, attempt: OperationAttempt, outcome: Outcome) -> None:
         """Store the encoded outcome; drop the oldest ones above the total size limit."""
         try:
             encoded = encode_outcome(outcome)
@@ -133,28 +133,28 @@
             return
         if len(encoded) > MAX_OUTCOME_BYTES:
             return
-        held.encoded = encoded
-        self._with_outcome.append(held)
+        attempt.encoded = encoded
+        self._with_outcome.append(attempt)
         self._bytes += len(encoded)
         while self._bytes > MAX_TOTAL_BYTES:
             self._drop_bytes(self._with_outcome.popleft())
 
-    def _drop_bytes(self, held: HeldOperation) -> None:
-        self._bytes -= len(held.encoded)
-        held.encoded = b""
+    def _drop_bytes(self, attempt: OperationAttempt) -> None:
+        self._bytes -= len(attempt.encoded)
+        attempt.encoded = b""
 
     def _drop_expired(self) -> None:
         """Drop the attempts whose window has passed, oldest first."""
         now = self._wall_clock()
         while self._by_age and self._by_age[0].expires_at <= now:
-            held = self._by_age.popleft()
-            self._count_by_tenant[held.tenant] -= 1
-            if not self._count_by_tenant[held.tenant]:
-                del self._count_by_tenant[held.tenant]
-            if self._by_key.get(held.key) is held:
-                del self._by_key[held.key]
-            for proposer in held.proposers:
+            attempt = self._by_age.popleft()
+            self._count_by_tenant[attempt.tenant] -= 1
+            if not self._count_by_tenant[attempt.tenant]:
+                del self._count_by_tenant[attempt.tenant]
+            if self._by_key.get(attempt.key) is attempt:
+                del self._by_key[attempt.key]
+            for proposer in attempt.proposers:
                 del self._by_proposer[proposer]
-            self._drop_bytes(held)
+            self._drop_bytes(attempt)
         while self._with_outcome and not self._with_outcome[0].encoded:
             self._with_outcome.popleft()
--- a/tinrudder/node/query/plan.py
+++ b/tinrudder/node/query/plan.py
@@ -126,7 +126,7 @@
 
     def record_version_gone(self, plan: QueryPlan, backend: BackendRecord) -> None:
         """Record that a back end does not serve the plan's version."""
-        self._hints.record_version_gone(backend, plan.request.index, plan.version)
+        self._hints.record_refusal(backend, plan.request.index, plan.version)
 
     def _build_plan(
         self, request: QueryRequest, template: _PlanTemplate, weight: int, version: int
