--- a/tinrudder/cluster/claims/electorate_history.py
+++ b/tinrudder/cluster/claims/electorate_history.py
@@ -142,10 +142,12 @@
         if learned.superseded_at + self._limits.settle_s >= before:
             return False
         revision = learned.voters.revision
-        moved = sum(self._has_moved_on(voter, revision, before) for voter in electorate.voters)
-        return moved >= electorate.majority
+        rejecting = sum(
+            self._rejects_revision(voter, revision, before) for voter in electorate.voters
+        )
+        return rejecting >= electorate.majority
 
-    def _has_moved_on(self, voter: Voter, revision: int, before: float) -> bool:
+    def _rejects_revision(self, voter: Voter, revision: int, before: float) -> bool:
         """Return whether a voter will not grant to a proposer that knows only ``revision``."""
         removed_at = self._removed_at.get(voter.identity)
         if removed_at is not None and removed_at + self._limits.removed_wait_s < before:
@@ -171,17 +173,19 @@
     def _sealed_for_all_keys(self, learned: LearnedList, before: float) -> bool:
         """Return whether a list is sealed for every key.
 
-        Checks the worst case: an electorate with as many as possible of the voters that have not
-        moved on.
+        Checks the worst case: an electorate with as many as possible of the voters that may still
+        grant to a proposer that knows only this list.
         """
         if learned.superseded_at is None:
             return False
         if learned.superseded_at + self._limits.settle_s >= before:
             return False
         voters = learned.voters
-        moved = sum(self._has_moved_on(voter, voters.revision, before) for voter in voters.voters)
+        rejecting = sum(
+            self._rejects_revision(voter, voters.revision, before) for voter in voters.voters
+        )
         minority = max(0, (voters.size - 1) // 2)
-        return len(voters.voters) - moved <= minority
+        return len(voters.voters) - rejecting <= minority
 
     def _prune_records(self) -> None:
         """Drop records of voters and revisions that no remembered list needs."""
--- a/tinrudder/cluster/failure_detector.py
+++ b/tinrudder/cluster/failure_detector.py
@@ -78,7 +78,7 @@
     :param indirect_at: when indirect probes are requested from relays, monotonic seconds.
     :param ends_at: when the probe fails, monotonic seconds.
     :param relays: number of relays asked.
-    :param negative: number of negative acknowledgements from relays.
+    :param negative_acknowledgements: number of negative acknowledgements from relays.
     """
 
     target: str
@@ -86,7 +86,7 @@
     indirect_at: float
     ends_at: float
     relays: int = 0
-    negative: int = 0
+    negative_acknowledgements: int = 0
     indirect_sent: bool = False
 
     def is_indirect_due(self, now: float) -> bool:
--- a/tinrudder/cluster/membership_probes.py
+++ b/tinrudder/cluster/membership_probes.py
@@ -34,13 +34,16 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Relayed:
-    """A probe on another node's behalf; its negative acknowledgement is due at ``negative_at``."""
+class _RelayedProbe:
+    """A probe on another node's behalf.
+
+    :param negative_acknowledgement_at: when its negative acknowledgement is due.
+    """
 
     sequence: int
     origin: PeerAddress
     origin_sequence: int
-    negative_at: float
+    negative_acknowledgement_at: float
 
 
 class Prober:
@@ -65,14 +68,18 @@
         self._probes: list[Probe] = []
         self._next_probe_at = now + settings.probe_interval_s * source.random()
         self._sequence = 0
-        self._relayed: deque[_Relayed] = deque()
+        self._relayed_probes: deque[_RelayedProbe] = deque()
 
     def next_deadline(self) -> float:
         """Return when :meth:`on_time` is next due."""
         deadline = self._next_probe_at
         for probe in self._probes:
             deadline = min(deadline, probe.next_deadline())
-        relayed = self._relayed[0].negative_at if self._relayed else math.inf
+        relayed = (
+            self._relayed_probes[0].negative_acknowledgement_at
+            if self._relayed_probes
+            else math.inf
+        )
         return min(deadline, relayed)
 
     def on_time(self, now: float) -> list[str]:
@@ -85,7 +92,9 @@
         for probe in failed:
             self._probes.remove(probe)
             # Relays that sent no negative acknowledgement either suggest a fault of this node.
-            self._health.record_failure(probe.relays - min(probe.relays, probe.negative))
+            self._health.record_failure(
+                probe.relays - min(probe.relays, probe.negative_acknowledgements)
+            )
         if now >= self._next_probe_at:
             self._start_probe(now)
         return [probe.target for probe in failed]
@@ -93,7 +102,7 @@
     def restart(self, now: float) -> None:
         """Discard the probes in progress, whose timeouts elapsed while this process was paused."""
         self._probes.clear()
-        self._relayed.clear()
+        self._relayed_probes.clear()
         self._next_probe_at = now
 
     def on_acknowledgement(self, sequence: int) -> None:
@@ -103,25 +112,29 @@
                 self._health.record_success()
                 self._probes.remove(probe)
                 return
-        for relayed in self._relayed:
+        for relayed in self._relayed_probes:
             if relayed.sequence == sequence:
                 self._outbox.send(relayed.origin, Acknowledgement(relayed.origin_sequence))
-                self._relayed.remove(relayed)
+                self._relayed_probes.remove(relayed)
                 return
 
     def on_negative_acknowledgement(self, sequence: int) -> None:
         """Count a negative acknowledgement from a relay."""
         for probe in self._probes:
             if probe.sequence == sequence:
-                probe.negative += 1
+                probe.negative_acknowledgements += 1
 
     def on_ping_request(self, origin: PeerAddress, request: PingRequest, now: float) -> None:
         """Probe a target on another node's behalf."""
-        if len(self._relayed) >= MAX_RELAYED_PROBES:
+        if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
             return
         sequence = self._next_sequence()
-        negative_at = now + RELAY_TIMEOUT_SHARE * self._settings.acknowledge_timeout_s
-        self._relayed.append(_Relayed(sequence, origin, request.sequence, negative_at))
+        negative_acknowledgement_at = (
+            now + RELAY_TIMEOUT_SHARE * self._settings.acknowledge_timeout_s
+        )
+        self._relayed_probes.append(
+            _RelayedProbe(sequence, origin, request.sequence, negative_acknowledgement_at)
+        )
         self._outbox.send(request.address, Ping(sequence, request.target))
 
     def ping(self, member: Member) -> int:
@@ -170,8 +183,8 @@
                 self._outbox.send(relay.address, request)
 
     def _send_negative_acknowledgements(self, now: float) -> None:
-        while self._relayed and self._relayed[0].negative_at <= now:
-            relayed = self._relayed.popleft()
+        while self._relayed_probes and self._relayed_probes[0].negative_acknowledgement_at <= now:
+            relayed = self._relayed_probes.popleft()
             self._outbox.send(relayed.origin, NegativeAcknowledgement(relayed.origin_sequence))
 
     def _next_sequence(self) -> int:
--- a/tinrudder/cluster/membership_protocol.py
+++ b/tinrudder/cluster/membership_protocol.py
@@ -432,8 +432,8 @@
         for member in self._outbox.sample(self._random, 1):
             self._sync.send_request(member.address)
         for name in self.table.expired_dead(now - self._settings.dead_retention_s):
-            self.table.forget(name)
-            self.revisions.forget(name)
+            self.table.remove(name)
+            self.revisions.remove(name)
             self._last_gossip.pop(name, None)
 
     def _contact_unanswered(self, now: float) -> None:
--- a/tinrudder/cluster/membership_revisions.py
+++ b/tinrudder/cluster/membership_revisions.py
@@ -43,7 +43,7 @@
             self._revisions[name] = revision
         self._bits_revision = -1
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a member."""
         self._revisions.pop(name, None)
         self._bits_revision = -1
--- a/tinrudder/cluster/membership_table.py
+++ b/tinrudder/cluster/membership_table.py
@@ -111,7 +111,7 @@
         self._store(_member_of(update, place), known, now)
         return Merged.CHANGED
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a dead member."""
         member = self._records.pop(name).member
         if self._by_address.get(member.address) == name:
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -193,9 +193,7 @@
     def held_bytes(self) -> int:
         """Return the number of bytes in the write buffers of all connections."""
         connections = (*self._connections.values(), *self._retired)
-        return sum(
-            connection.writer.transport.get_write_buffer_size() for connection in connections
-        )
+        return sum(one.writer.transport.get_write_buffer_size() for one in connections)
 
     async def close(self) -> None:
         """Close every connection after its write buffer has been flushed."""
@@ -204,9 +202,7 @@
         connections = (*self._connections.values(), *self._retired)
         for connection in connections:
             connection.writer.close()
-        readers = [
-            connection.reading for connection in connections if connection.reading is not None
-        ]
+        readers = [one.reading for one in connections if one.reading is not None]
         await asyncio.gather(*readers, return_exceptions=True)
 
     async def _connection(self, destination: PeerAddress, connect_s: float) -> _Connection:
--- a/tinrudder/node/api/operators/resource_visibility.py
+++ b/tinrudder/node/api/operators/resource_visibility.py
@@ -55,11 +55,11 @@
     for key in _possibly_changed_keys(viewer, before, after):
         old = before.state.resources.get(key)
         new = after.state.resources.get(key)
-        was_seen = old is not None and may_see(viewer, key, before.configuration)
-        is_seen = new is not None and may_see(viewer, key, after.configuration)
-        if was_seen and not is_seen:
+        was_visible = old is not None and may_see(viewer, key, before.configuration)
+        is_visible = new is not None and may_see(viewer, key, after.configuration)
+        if was_visible and not is_visible:
             deleted.append(key)
-        elif is_seen and not (was_seen and old and new and old.digest == new.digest):
+        elif is_visible and not (was_visible and old and new and old.digest == new.digest):
             changed.append(key)
     return VisibleChanges(tuple(changed), tuple(deleted))
 
--- a/tinrudder/node/query/merge.py
+++ b/tinrudder/node/query/merge.py
@@ -32,13 +32,13 @@
     key = attrgetter("order", "row_id")
     merged = heapq.merge(*shards, key=key, reverse=descending)
     page: list[Row] = []
-    cut = False
+    truncated = False
     for message in merged:
         if len(page) == limit:
-            cut = True
+            truncated = True
             break
         page.append(Row(message.order, message.row_id, bytes(message.payload)))
     next_after = None
-    if page and (cut or more):
+    if page and (truncated or more):
         next_after = (page[-1].order, page[-1].row_id)
     return MergedPage(tuple(page), next_after)
--- a/tinrudder/node/resources/validation.py
+++ b/tinrudder/node/resources/validation.py
@@ -172,7 +172,7 @@
             if key not in checked or checked[key].raw.generation < raw.generation:
                 checked[key] = _CheckedResource(raw, key, None, "name: listed more than once")
             continue
-        checked[key] = _check_alone(raw, key, previous_state)
+        checked[key] = _check_without_references(raw, key, previous_state)
     names = _DocumentNames.of(checked)
     for resource in checked.values():
         if resource.spec is not None:
@@ -180,7 +180,7 @@
     return list(checked.values())
 
 
-def _check_alone(
+def _check_without_references(
     raw: RawResource, key: ResourceKey, previous_state: AcceptedState | None
 ) -> _CheckedResource:
     """Validate one resource without its references."""
