--- a/tests/unit/node/test_node_observations.py
+++ b/tests/unit/node/test_node_observations.py
@@ -36,7 +36,7 @@
     def see_draining(self, name: str) -> None:
         self.observers[name].on_draining_reply(self.tables[name].get("b1"))
 
-    def see_ordinary_answer(self, name: str, sent_at: float) -> None:
+    def see_non_draining_answer(self, name: str, sent_at: float) -> None:
         record = self.tables[name].get("b1")
         record.non_draining_sent_at = sent_at
         self.observers[name].on_non_draining_answer(record, sent_at)
@@ -73,7 +73,7 @@
 
 def test_an_answer_to_an_earlier_call_keeps_the_mark(fleet):
     fleet.see_draining("n003")
-    fleet.see_ordinary_answer("n003", fleet.cluster.timers.now - 0.01)
+    fleet.see_non_draining_answer("n003", fleet.cluster.timers.now - 0.01)
     fleet.cluster.timers.advance(3)
     assert fleet.leaving_states() == {True}
 
@@ -81,7 +81,7 @@
 def test_an_answer_to_a_later_call_clears_the_mark_on_all_nodes(fleet):
     fleet.see_draining("n003")
     fleet.cluster.timers.advance(3)
-    fleet.see_ordinary_answer("n011", fleet.cluster.timers.now - 1)
+    fleet.see_non_draining_answer("n011", fleet.cluster.timers.now - 1)
     fleet.cluster.timers.advance(3)
     assert fleet.leaving_states() == {False}
 
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -84,7 +84,7 @@
     idle_timer: asyncio.TimerHandle | None = None
     first_unanswered_at: float | None = None
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that a request was sent."""
         if self.first_unanswered_at is None:
             self.first_unanswered_at = now
@@ -152,7 +152,7 @@
         request_id = connection.add(pending)
         kind = _request_type(acknowledged=acknowledged, begin_at_once=begin_at_once)
         _write(connection, Frame(kind, request_id, payload))
-        connection.note_sent(loop.time())
+        connection.record_sent(loop.time())
         try:
             async with asyncio.timeout_at(accept_deadline) as pending.progress_timeout:
                 return await pending.answer
--- a/tinrudder/node/decisions/load/pending_calls.py
+++ b/tinrudder/node/decisions/load/pending_calls.py
@@ -112,7 +112,7 @@
     def next_call(self) -> PendingCall | None:
         """Dequeue the call to serve next; :meth:`remove` must then update the counts.
 
-        The most urgent class goes first, but a waiting class is passed over at most
+        The most urgent class goes first, but a waiting class is skipped at most
         ``MAX_SKIPS`` times in a row, so that no class starves.
         """
         chosen = -1
