--- a/bench/configuration_cost.py
+++ b/bench/configuration_cost.py
@@ -51,16 +51,16 @@
     """Apply changes at one node and replicate each to another node as a delta."""
     reader, follower = ConfigurationStore(), ConfigurationStore()
     first = build_document(SERVICES, 1, 5)
-    first_ms = _processor_ms(lambda: reader.offer(first))
+    first_ms = _processor_ms(lambda: reader.merge_document(first))
     follower_state, reader_state = (
         ReplicatedConfiguration(follower),
         ReplicatedConfiguration(reader),
     )
-    follower.offer(first)
+    follower.merge_document(first)
     document_ms, delta_ms, request, answer = [], [], b"", b""
     for revision in range(2, 2 + CHANGES):
         changed = build_document(SERVICES, revision, 4 + revision)
-        document_ms.append(_processor_ms(lambda document=changed: reader.offer(document)))  # type: ignore[misc]
+        document_ms.append(_processor_ms(lambda document=changed: reader.merge_document(document)))  # type: ignore[misc]
         request = encode_request(PullRequest(short_digests(follower_state.bucket_digests())))
         answer = answer_pull(reader_state, request)
         update = _update(decode_answer(answer))
--- a/bench/configuration_spread.py
+++ b/bench/configuration_spread.py
@@ -20,7 +20,7 @@
 from bench.state_slopes import build_document
 from tinrudder.cluster.replication.state_exchange import ExchangeSettings, StateExchange
 from tinrudder.node.configuration_service.messages import ResourceDocument
-from tinrudder.node.configuration_service.poll_pace import poll_delay_s
+from tinrudder.node.configuration_service.poll_interval import poll_delay_s
 from tinrudder.node.resources.exchange import ReplicatedConfiguration
 from tinrudder.node.resources.store import ConfigurationStore
 from tinrudder.peers import DatagramHandler, PeerAddress, RequestHandler
@@ -160,7 +160,7 @@
         platform = self._platform
         if platform.is_up and platform.document.revision != self.store.current.revision:
             platform.documents += 1
-            loop.call_later(PLATFORM_LATENCY_S, self.store.offer, platform.document)
+            loop.call_later(PLATFORM_LATENCY_S, self.store.merge_document, platform.document)
 
 
 async def measure(
@@ -172,7 +172,7 @@
     members = [
         PropagationNode(number, network, platform, seed, settings) for number in range(1, nodes + 1)
     ]
-    members[0].store.offer(platform.document)
+    members[0].store.merge_document(platform.document)
     for member in members[1:]:
         member.store.merge(members[0].store.state)
     for member in members:
@@ -189,7 +189,7 @@
     documents = platform.documents
 
     platform.is_up = False
-    members[0].store.offer(build_document(services, 3, 7))
+    members[0].store.merge_document(build_document(services, 3, 7))
     platform_down_s = await _until_revision(members, 3)
     rate = quiet_bytes_per_s + change_bytes * CHANGES_PER_DAY / SECONDS_PER_DAY
     return PropagationFigures(
--- a/tests/unit/node/decisions/test_fair_queue.py
+++ b/tests/unit/node/decisions/test_fair_queue.py
@@ -14,7 +14,7 @@
 from tinrudder.node.decisions.load.fair_queue import SWEEP_SLACK, StartTimeFairQueue
 from tinrudder.node.decisions.load.pending_calls import (
     COMPACTION_SLACK,
-    MAX_PASSED_OVER,
+    MAX_SKIPS,
     PendingCall,
 )
 from tinrudder.node.resources.model import Priority
@@ -58,7 +58,7 @@
         candidates = [self.backends[place] for place in sorted(places)]
         call = call_of(tenant, *candidates, weight=WEIGHTS[tenant], priority=priority, cost=cost)
         if direct and not candidates[0].waiting:
-            self.queue.record_direct(call, candidates[0])
+            self.queue.charge_unqueued(call, candidates[0])
             return
         self.queue.push(call)
         self.waiting.append(call)
@@ -133,11 +133,11 @@
     queue.push(call_of("a", backend, priority=Priority.BATCH))
     queue.push(call_of("a", backend, priority=Priority.PLANNING))
     served = []
-    for _ in range(MAX_PASSED_OVER[2] + 1):
+    for _ in range(MAX_SKIPS[2] + 1):
         queue.push(call_of("a", backend))
         served.append(queue.pop(backend).priority)
-    assert served.index(Priority.PLANNING) == MAX_PASSED_OVER[1]
-    assert served.index(Priority.BATCH) <= MAX_PASSED_OVER[2]
+    assert served.index(Priority.PLANNING) == MAX_SKIPS[1]
+    assert served.index(Priority.BATCH) <= MAX_SKIPS[2]
 
 
 def test_calls_taken_elsewhere_do_not_pile_up() -> None:
@@ -171,6 +171,6 @@
     for _ in range(100):
         now += 0.1
         queue.pop(backend)
-        queue.record_direct(call_of("favoured", backend), backend)
+        queue.charge_unqueued(call_of("favoured", backend), backend)
     incoming = IncomingCalls("slow", 1, Priority.INTERACTIVE, 1.0, 0.001)
     assert queue.expected_wait_s(backend, incoming) == pytest.approx(101 * 0.1)
--- a/tinrudder/cluster/membership_probes.py
+++ b/tinrudder/cluster/membership_probes.py
@@ -18,7 +18,7 @@
     NegativeAcknowledgement,
     Ping,
     PingRequest,
-    claim,
+    status_update,
 )
 from tinrudder.cluster.membership_outbox import Outbox
 from tinrudder.cluster.membership_settings import MembershipSettings
@@ -26,21 +26,24 @@
 from tinrudder.cluster.view import Member, MemberStatus
 from tinrudder.peers import PeerAddress
 
-MAX_RELAYED = 256
+MAX_RELAYED_PROBES = 256
 """Maximum number of probes relayed at once: bounds memory when many nodes ask. Further ones are
 dropped and count as unanswered."""
-RELAY_PATIENCE = 0.8
+RELAY_TIMEOUT_SHARE = 0.8
 """Share of the acknowledgement timeout after which a relay sends a negative acknowledgement."""
 
 
 @dataclass(frozen=True, slots=True)
-class _Relayed:
-    """A probe on another node's behalf; its negative acknowledgement is due at ``negative_at``."""
+class _RelayedProbe:
+    """A probe on another node's behalf.
+
+    :param negative_acknowledgement_at: when its negative acknowledgement is due.
+    """
 
     sequence: int
     origin: PeerAddress
     origin_sequence: int
-    negative_at: float
+    negative_acknowledgement_at: float
 
 
 class Prober:
@@ -65,27 +68,33 @@
         self._probes: list[Probe] = []
         self._next_probe_at = now + settings.probe_interval_s * source.random()
         self._sequence = 0
-        self._relayed: deque[_Relayed] = deque()
+        self._relayed_probes: deque[_RelayedProbe] = deque()
 
     def next_deadline(self) -> float:
         """Return when :meth:`on_time` is next due."""
         deadline = self._next_probe_at
         for probe in self._probes:
             deadline = min(deadline, probe.next_deadline())
-        relayed = self._relayed[0].negative_at if self._relayed else math.inf
+        relayed = (
+            self._relayed_probes[0].negative_acknowledgement_at
+            if self._relayed_probes
+            else math.inf
+        )
         return min(deadline, relayed)
 
     def on_time(self, now: float) -> list[str]:
         """Advance the probes; return the names of members that did not answer."""
         self._send_negative_acknowledgements(now)
         for probe in self._probes:
-            if probe.wants_relays(now):
+            if probe.is_indirect_due(now):
                 self._send_indirect_probes(probe)
         failed = [probe for probe in self._probes if now >= probe.ends_at]
         for probe in failed:
             self._probes.remove(probe)
             # Relays that sent no negative acknowledgement either suggest a fault of this node.
-            self._health.note_trouble(probe.relays - min(probe.relays, probe.negative))
+            self._health.record_failure(
+                probe.relays - min(probe.relays, probe.negative_acknowledgements)
+            )
         if now >= self._next_probe_at:
             self._start_probe(now)
         return [probe.target for probe in failed]
@@ -93,35 +102,39 @@
     def restart(self, now: float) -> None:
         """Discard the probes in progress, whose timeouts elapsed while this process was paused."""
         self._probes.clear()
-        self._relayed.clear()
+        self._relayed_probes.clear()
         self._next_probe_at = now
 
     def on_acknowledgement(self, sequence: int) -> None:
         """Complete a probe of this node, or forward the acknowledgement of a relayed one."""
         for probe in self._probes:
             if probe.sequence == sequence:
-                self._health.note_success()
+                self._health.record_success()
                 self._probes.remove(probe)
                 return
-        for relayed in self._relayed:
+        for relayed in self._relayed_probes:
             if relayed.sequence == sequence:
                 self._outbox.send(relayed.origin, Acknowledgement(relayed.origin_sequence))
-                self._relayed.remove(relayed)
+                self._relayed_probes.remove(relayed)
                 return
 
-    def on_negative(self, sequence: int) -> None:
+    def on_negative_acknowledgement(self, sequence: int) -> None:
         """Count a negative acknowledgement from a relay."""
         for probe in self._probes:
             if probe.sequence == sequence:
-                probe.negative += 1
+                probe.negative_acknowledgements += 1
 
     def on_ping_request(self, origin: PeerAddress, request: PingRequest, now: float) -> None:
         """Probe a target on another node's behalf."""
-        if len(self._relayed) >= MAX_RELAYED:
+        if len(self._relayed_probes) >= MAX_RELAYED_PROBES:
             return
         sequence = self._next_sequence()
-        negative_at = now + RELAY_PATIENCE * self._settings.acknowledge_timeout_s
-        self._relayed.append(_Relayed(sequence, origin, request.sequence, negative_at))
+        negative_acknowledgement_at = (
+            now + RELAY_TIMEOUT_SHARE * self._settings.acknowledge_timeout_s
+        )
+        self._relayed_probes.append(
+            _RelayedProbe(sequence, origin, request.sequence, negative_acknowledgement_at)
+        )
         self._outbox.send(request.address, Ping(sequence, request.target))
 
     def ping(self, member: Member) -> int:
@@ -129,18 +142,18 @@
         sequence = self._next_sequence()
         updates: tuple[MemberUpdate, ...] = ()
         if member.status is MemberStatus.SUSPECT:
-            updates = (claim(member, MemberStatus.SUSPECT, self._outbox.own.name),)
+            updates = (status_update(member, MemberStatus.SUSPECT, self._outbox.own.name),)
         self._outbox.send(member.address, Ping(sequence, member.name), updates)
         return sequence
 
     def _start_probe(self, now: float) -> None:
-        self._next_probe_at = now + self._health.stretch(self._settings.probe_interval_s)
+        self._next_probe_at = now + self._health.scale(self._settings.probe_interval_s)
         target = self._next_target()
         if target is None:
             return
         sequence = self.ping(target)
-        indirect_at = now + self._health.stretch(self._settings.acknowledge_timeout_s)
-        ends_at = now + self._health.stretch(self._settings.probe_timeout_s)
+        indirect_at = now + self._health.scale(self._settings.acknowledge_timeout_s)
+        ends_at = now + self._health.scale(self._settings.probe_timeout_s)
         self._probes.append(Probe(target.name, sequence, indirect_at, ends_at))
 
     def _next_target(self) -> Member | None:
@@ -170,8 +183,8 @@
                 self._outbox.send(relay.address, request)
 
     def _send_negative_acknowledgements(self, now: float) -> None:
-        while self._relayed and self._relayed[0].negative_at <= now:
-            relayed = self._relayed.popleft()
+        while self._relayed_probes and self._relayed_probes[0].negative_acknowledgement_at <= now:
+            relayed = self._relayed_probes.popleft()
             self._outbox.send(relayed.origin, NegativeAcknowledgement(relayed.origin_sequence))
 
     def _next_sequence(self) -> int:
--- a/tinrudder/cluster/membership_table.py
+++ b/tinrudder/cluster/membership_table.py
@@ -111,14 +111,14 @@
         self._store(_member_of(update, place), known, now)
         return Merged.CHANGED
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove a dead member."""
         member = self._records.pop(name).member
         if self._by_address.get(member.address) == name:
             del self._by_address[member.address]
         self.version += 1
 
-    def forgettable(self, before: float) -> tuple[str, ...]:
+    def expired_dead(self, before: float) -> tuple[str, ...]:
         """Return the names of members that have been dead since before a monotonic time,
         seconds."""
         return tuple(
--- a/tinrudder/common/transport/peer_client.py
+++ b/tinrudder/common/transport/peer_client.py
@@ -47,56 +47,59 @@
 ClientContext = Callable[[], ssl.SSLContext | None]
 
 
-class _Waiting(Struct, eq=False):
+class _PendingRequest(Struct, eq=False):
     """A request whose answer has not arrived.
 
     :param end: loop time at which the request times out.
-    :param patience: timeout for the next progress report, set while the caller waits.
-    :param begun: the peer has reported that it accepted the request.
+    :param progress_timeout: timeout for the next progress report, set while the caller waits.
+    :param accepted: the peer has reported that it accepted the request.
     :param confirms: the peer starts only when this client confirms its report.
     """
 
     answer: asyncio.Future[bytes]
     end: float
-    patience: asyncio.Timeout | None = None
-    begun: bool = False
+    progress_timeout: asyncio.Timeout | None = None
+    accepted: bool = False
     confirms: bool = True
 
     def record_progress(self, now: float) -> None:
         """Extend the timeout: the peer reports that it is working on the request."""
-        self.begun = True
-        if self.patience is not None and not self.patience.expired():
-            self.patience.reschedule(min(self.end, now + PROGRESS_TIMEOUT_S))
+        self.accepted = True
+        if self.progress_timeout is not None and not self.progress_timeout.expired():
+            self.progress_timeout.reschedule(min(self.end, now + PROGRESS_TIMEOUT_S))
 
 
 class _Connection(Struct, eq=False):
     """An open connection and its pending requests.
 
     :param idle_timer: closes the connection after a period without requests.
-    :param unheard_since: when the first request was sent after the last received frame; ``None`` if
-        no request was sent since.
+    :param first_unanswered_at: when the first request was sent after the last received frame;
+        ``None`` if no request was sent since.
     """
 
     writer: asyncio.StreamWriter
-    waiting: dict[int, _Waiting] = field(default_factory=dict)
+    pending_requests: dict[int, _PendingRequest] = field(default_factory=dict)
     last_request_id: int = 0
     reading: asyncio.Task[None] | None = None
     idle_timer: asyncio.TimerHandle | None = None
-    unheard_since: float | None = None
+    first_unanswered_at: float | None = None
 
-    def note_sent(self, now: float) -> None:
+    def record_sent(self, now: float) -> None:
         """Record that a request was sent."""
-        if self.unheard_since is None:
-            self.unheard_since = now
+        if self.first_unanswered_at is None:
+            self.first_unanswered_at = now
 
     def is_silent(self, now: float) -> bool:
         """Tell whether the path may have failed without a reset: no frame arrived for too long."""
-        return self.unheard_since is not None and now - self.unheard_since >= RETIRE_AFTER_SILENCE_S
+        return (
+            self.first_unanswered_at is not None
+            and now - self.first_unanswered_at >= RETIRE_AFTER_SILENCE_S
+        )
 
-    def add(self, pending: _Waiting) -> int:
+    def add(self, pending: _PendingRequest) -> int:
         """Add a pending request and return its id."""
         self.last_request_id += 1
-        self.waiting[self.last_request_id] = pending
+        self.pending_requests[self.last_request_id] = pending
         return self.last_request_id
 
 
@@ -145,16 +148,16 @@
         connection = await self._connection(destination, connect_s)
         if connection.writer.transport.get_write_buffer_size() > MAX_UNSENT_BYTES:
             raise PeerNotSentError(f"{destination}: does not read what it is sent")
-        pending = _Waiting(loop.create_future(), deadline, confirms=not begin_at_once)
+        pending = _PendingRequest(loop.create_future(), deadline, confirms=not begin_at_once)
         request_id = connection.add(pending)
         kind = _request_type(acknowledged=acknowledged, begin_at_once=begin_at_once)
         _write(connection, Frame(kind, request_id, payload))
-        connection.note_sent(loop.time())
+        connection.record_sent(loop.time())
         try:
-            async with asyncio.timeout_at(accept_deadline) as pending.patience:
+            async with asyncio.timeout_at(accept_deadline) as pending.progress_timeout:
                 return await pending.answer
         except TimeoutError as error:
-            if acknowledged and not pending.begun:
+            if acknowledged and not pending.accepted:
                 raise PeerSilentError(f"{destination}: silent") from error
             waited_s = timeout_s - (deadline - loop.time())
             raise PeerLostError(f"{destination}: no answer in {waited_s:.3f} s") from error
@@ -165,7 +168,7 @@
         self, destination: PeerAddress, connection: _Connection, request_id: int
     ) -> None:
         """Remove a request that ended, and cancel it at the peer if the caller was cancelled."""
-        pending = connection.waiting.pop(request_id, None)
+        pending = connection.pending_requests.pop(request_id, None)
         if pending is not None and pending.answer.cancelled():
             _write(connection, Frame(FrameType.CANCEL, request_id))
         self._retire_if_silent(destination, connection)
@@ -183,7 +186,7 @@
         if self._connections.get(destination) is connection:
             del self._connections[destination]
             self._retired.add(connection)
-        if connection in self._retired and not connection.waiting:
+        if connection in self._retired and not connection.pending_requests:
             connection.writer.transport.abort()
 
     @property
@@ -264,7 +267,7 @@
 
     def _close_if_idle(self, destination: PeerAddress, connection: _Connection) -> None:
         """Close a connection without pending requests; the next request opens a new one."""
-        if connection.waiting:
+        if connection.pending_requests:
             return
         if self._connections.get(destination) is connection:
             del self._connections[destination]
@@ -277,7 +280,7 @@
         try:
             while True:
                 header = await read_header(reader)
-                connection.unheard_since = None
+                connection.first_unanswered_at = None
                 _dispatch(peer, connection, await read_payload(reader, header))
         except (OSError, EOFError, FrameError):
             pass
@@ -293,20 +296,20 @@
         if self._connections.get(peer) is connection:
             del self._connections[peer]
         self._retired.discard(connection)
-        for pending in connection.waiting.values():
+        for pending in connection.pending_requests.values():
             if not pending.answer.done():
                 pending.answer.set_exception(PeerLostError(f"{peer}: connection closed"))
 
 
 def _dispatch(peer: PeerAddress, connection: _Connection, frame: Frame) -> None:
     """Dispatch one frame to its pending request; late frames are dropped."""
-    pending = connection.waiting.get(frame.request_id)
+    pending = connection.pending_requests.get(frame.request_id)
     if pending is None or pending.answer.done():
         return
     answer = pending.answer
     match frame.frame_type:
         case FrameType.ACCEPTED:
-            if not pending.begun and pending.confirms:
+            if not pending.accepted and pending.confirms:
                 _write(connection, Frame(FrameType.CONFIRMED, frame.request_id))
             pending.record_progress(answer.get_loop().time())
         case FrameType.ANSWER:
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -95,7 +95,7 @@
     >>> delegation_meets_deadline(window, left_s=0.1, path_s=0.04)
     False
     """
-    late_delegated, late_direct = latency.shares_above([left_s - path_s, left_s])
+    late_delegated, late_direct = latency.fractions_above([left_s - path_s, left_s])
     return late_delegated - late_direct <= MAX_EXTRA_LATE_SHARE
 
 
--- a/tinrudder/node/decisions/backend_table.py
+++ b/tinrudder/node/decisions/backend_table.py
@@ -56,28 +56,28 @@
             self._records.pop(name).leaving = True
         for name, spec in specs.items():
             max_calls = max(1.0, share(name, spec))
-            usual = float(min(max_calls, math.ceil(max_calls / headroom * CALLS_PER_SLOT)))
+            max_limit = float(min(max_calls, math.ceil(max_calls / headroom * CALLS_PER_SLOT)))
             record = self._records.get(name)
             if record is None or (record.host, record.port) != (spec.host, spec.port):
                 if record is not None:
                     record.leaving = True
                 record = BackendRecord(
-                    name, spec.host, spec.port, spec.zone, spec.slots, usual, spec.tls
+                    name, spec.host, spec.port, spec.zone, spec.slots, max_limit, spec.tls
                 )
                 self._records[name] = record
             record.slots = spec.slots
-            record.set_share(usual, max_calls / usual)
+            record.set_share(max_limit, max_calls / max_limit)
             record.configured_leaving = spec.state is BackendState.DRAINING
-            record.leaving = record.configured_leaving or record.drain_signed
+            record.leaving = record.configured_leaving or record.drain_reported
             self._by_service.setdefault(spec.service, []).append(record)
         if self.on_update is not None:
             self.on_update()
 
-    def end_drain_sign(self, name: str) -> None:
+    def clear_drain_report(self, name: str) -> None:
         """Clear a reported drain of a back end; a drain in the configuration still applies."""
         record = self._records.get(name)
-        if record is not None and record.drain_signed:
-            record.drain_signed = False
+        if record is not None and record.drain_reported:
+            record.drain_reported = False
             record.leaving = record.configured_leaving
 
     def share_connections(self, specs: Mapping[str, BackendSpec], share: ConnectionShare) -> None:
--- a/tinrudder/node/node.py
+++ b/tinrudder/node/node.py
@@ -29,8 +29,8 @@
 from tinrudder.node.outcomes import Outcome
 from tinrudder.node.query.admission_gate import AdmissionGate
 from tinrudder.node.query.coordinator import Coordinator
+from tinrudder.node.query.coordinator_prober import CoordinatorProber
 from tinrudder.node.query.coordinator_sets import CoordinatorSets
-from tinrudder.node.query.coordinator_watch import CoordinatorWatch
 from tinrudder.node.query.dispatcher import Dispatcher
 from tinrudder.node.query.entry import Entry
 from tinrudder.node.query.operations.at_most_once import OperationRunner
@@ -44,7 +44,7 @@
 
 DRAIN_POLL_INTERVAL_S = 0.02
 """Seconds between checks for requests in progress while a planned stop drains."""
-REFUSAL_LINGER_S = 0.2
+RESPONSE_FLUSH_S = 0.2
 """Seconds for which a drained node keeps its sockets open, so that refusals and the last outcomes
 are written out."""
 
@@ -102,7 +102,7 @@
             self.coordinator,
             client,
             self._ranking,
-            CoordinatorWatch(client, self._ranking, timers),
+            CoordinatorProber(client, self._ranking, timers),
             self.coordinator_sets.of,
             self.configuration,
         )
@@ -203,7 +203,7 @@
         deadline = self._environment.timers.time() + self.settings.stop_timeout_s
         while self.in_progress and self._environment.timers.time() < deadline:
             await asyncio.sleep(DRAIN_POLL_INTERVAL_S)
-        await asyncio.sleep(REFUSAL_LINGER_S)
+        await asyncio.sleep(RESPONSE_FLUSH_S)
         self.node_configuration.stop()
         for task in self._tasks:
             task.cancel()
@@ -226,7 +226,7 @@
         """Apply a new view of the members to the coordinator sets and slot shares."""
         is_stopping = self.lifecycle.is_stopping()
         self._view = self._with_own_status(view, MemberStatus.LEAVING) if is_stopping else view
-        self._ranking.keep_only(self._view.by_name)
+        self._ranking.retain_members(self._view.by_name)
         self._update_coordinators()
 
     def _with_own_status(self, view: MemberView, status: MemberStatus) -> MemberView:
@@ -240,7 +240,7 @@
     def _apply_shares(self) -> None:
         """Apply new back-end shares to the dispatcher's limits and waiting calls."""
         for backend in self.backends.all_records():
-            self.dispatcher.follow_share(backend)
+            self.dispatcher.apply_share_change(backend)
 
     def _update_coordinators(self) -> None:
         """Recompute coordinator sets and limits from the current members and configuration."""
@@ -257,7 +257,7 @@
         """
         backends = self.configuration().backends
         for sets in (self.coordinator_sets, self._sets_as_alive):
-            sets.pass_over(self._ranking.failed_names())
+            sets.set_unreachable(self._ranking.failed_names())
         sets_in_use = self._sets_as_alive if self.lifecycle.is_stopping() else self.coordinator_sets
         self.backends.update(backends, sets_in_use.share, SLOT_HEADROOM)
         self.backends.share_connections(backends, sets_in_use.connections)
--- a/tinrudder/node/query/operations/operation_call.py
+++ b/tinrudder/node/query/operations/operation_call.py
@@ -40,7 +40,7 @@
 from tinrudder.node.query.plan import QueryPlan
 from tinrudder.timers import Timers
 
-LINGER_S = 5.0
+LATE_ANSWER_TIMEOUT_S = 5.0
 """Seconds after the caller's deadline for which the answer to a sent call is still awaited, so that
 duplicates can receive it."""
 
@@ -73,7 +73,9 @@
         self._pending: PendingCall | None = None
         self._sent: SentCall | None = None
         self._deadline_timer = timers.call_at(request.deadline, self._on_deadline)
-        self._linger_timer = timers.call_at(request.deadline + LINGER_S, self._on_linger_end)
+        self._late_answer_timer = timers.call_at(
+            request.deadline + LATE_ANSWER_TIMEOUT_S, self._on_late_answer_timeout
+        )
 
     def start(self) -> None:
         """Submit the call to the back ends that are not draining and have not refused it."""
@@ -176,13 +178,13 @@
 
     def _on_deadline(self) -> None:
         """Report the caller's outcome; a sent call is neither cancelled nor repeated."""
-        if self._sent is None or not self._sent.call.may_have_left:
+        if self._sent is None or not self._sent.call.may_have_been_sent:
             self._end(NotRun(NotRunReason.DEADLINE, "the deadline passed before it was sent"))
         elif not self.reported.done():
             detail = "sent, and not answered by the deadline"
             self.reported.set_result(MayHaveRun(MayHaveRunReason.NO_ANSWER, detail))
 
-    def _on_linger_end(self) -> None:
+    def _on_late_answer_timeout(self) -> None:
         """Stop waiting for the answer."""
         self._end(MayHaveRun(MayHaveRunReason.NO_ANSWER, "sent, and never answered"))
 
@@ -191,13 +193,13 @@
         if self.final.done():
             return
         self._deadline_timer.cancel()
-        self._linger_timer.cancel()
+        self._late_answer_timer.cancel()
         if self._pending is not None:
             self._dispatcher.withdraw(self._pending)
             self._pending = None
         if self._sent is not None:
             self._dispatcher.cancel(self._sent)
-            if not self._sent.call.may_have_left:
+            if not self._sent.call.may_have_been_sent:
                 self._claim.dispatch_did_not_start()
             self._sent = None
         self.final.set_result(outcome)
