--- a/tests/unit/lab/test_mixed_builds.py
+++ b/tests/unit/lab/test_mixed_builds.py
@@ -81,6 +81,17 @@
     assert "Traceback" in shown[1]
 
 
+def test_a_pull_from_a_peer_that_does_not_listen_yet_is_expected(tmp_path: Path) -> None:
+    processes = MixedProcesses(tmp_path, other=OTHER, module=MODULE)
+    processes.builds = {"gateway-0": "own"}
+    refused = "member request failed: PeerNotSentError('a: ConnectionRefusedError(111)')"
+    lost = "member request failed: PeerLostError('a: MalformedPeerMessageError')"
+    lines = [{"event": "pulled_from_peer", "result": result} for result in (refused, lost)]
+    processes.log_of("gateway-0").write_text("\n".join(json.dumps(line) for line in lines))
+    assert [line for line in find_suspect_lines(processes) if "PeerNotSentError" in line] == []
+    assert len(find_suspect_lines(processes)) == 1
+
+
 def test_delegated_scatters_are_counted_by_the_builds_of_both_sides(tmp_path: Path) -> None:
     processes = MixedProcesses(tmp_path, other=OTHER, module=MODULE)
     processes.builds = {"gateway-0": "own", "gateway-1": "other"}
--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -59,6 +59,8 @@
 """Lines with such words are reported: neither build may misread messages of the other or fail."""
 EXPECTED_WORDS = ("unreadable_load_report",)
 """Events with such a word that the emulated back ends cause on purpose."""
+NOT_LISTENING = "ConnectionRefusedError"
+"""A peer that is starting, or is down for a fault, refuses connections: no message was misread."""
 
 
 @dataclass
@@ -215,7 +217,7 @@
     found = []
     for line in _lines(processes):
         text = json.dumps(line)
-        expected = line.get("event") in EXPECTED_WORDS
+        expected = line.get("event") in EXPECTED_WORDS or NOT_LISTENING in text
         if not expected and any(word in text for word in SUSPECT_WORDS):
             found.append(f"{processes.builds[str(line['process'])]}: {text}")
     return found
