--- a/tinrudder/gateway/backends/backend_directory.py
+++ b/tinrudder/gateway/backends/backend_directory.py
@@ -40,11 +40,11 @@
 """Fraction of the drain time in which a leaving back end may still get new work if the service has
 no other. A call sent at the end of that time has as long again to complete."""
 LAPSED_ENTRY_GRACE_S = 2.2
-"""How long a back end whose entry lapsed stays usable, seconds. Slightly longer than living back
-ends need to re-register once the store is back."""
+"""How long a back end whose entry lapsed stays usable, seconds. Slightly longer than running back
+ends need to write their entries again once the store is back."""
 LAPSED_ENTRY_DRAIN_FRACTION = 0.8
 """Upper bound of :data:`LAPSED_ENTRY_GRACE_S` as a fraction of the drain time, during which a back
-end keeps serving after its entry is gone, whoever removed the entry."""
+end keeps serving after its entry is gone, regardless of who removed it."""
 
 
 class DirectorySettings(Struct, frozen=True):
@@ -138,12 +138,11 @@
         """Return the back ends that may get new work.
 
         Leaving back ends are a last resort, for part of their drain time. Entries can lapse during
-        a store outage while every back end is alive: a living back end re-registers soon after the
-        store is back, and one that does not is gone.
+        a store outage while every back end is running: a running back end writes its entry again
+        soon after the store is back, and one that does not is gone.
 
-        Back ends of an evacuated zone or of a zone out of reach are left out even if no others
-        remain, and so are cold back ends that have had this gateway's share of their cold-start
-        calls.
+        Back ends in an evacuated or unreachable zone are left out even if no others remain, and so
+        are cold back ends that have received this gateway's share of their cold-start calls.
         """
         now = self._clock()
         known = self._backends_by_service.get(service, [])
--- a/tinrudder/gateway/backends/cold_start_limits.py
+++ b/tinrudder/gateway/backends/cold_start_limits.py
@@ -49,7 +49,7 @@
         return backend.cold_start_rate.may_send(now, part)
 
     def _rate(self, backend: Backend) -> float | None:
-        """Return the calls a second that all gateways together may send to a cold back end;
+        """Return the calls per second that all gateways together may send to a cold back end;
         ``None``: no limit.
         """
         accepted = self._state.accepted
--- a/tinrudder/gateway/backends/load_report_exchange.py
+++ b/tinrudder/gateway/backends/load_report_exchange.py
@@ -32,10 +32,10 @@
 from tinrudder.timers import Timers
 
 LOG_PAUSE_S = 10.0
-"""Shortest time between two log lines about long queues, seconds: an overload would give a line a
+"""Minimum time between two log lines about long queues, seconds: an overload would log a line per
 second for each service, and the metrics show the extent."""
 MAX_LOADS_PER_DATAGRAM = 16
-"""Most back ends read from one datagram: four times as many as a gateway sends in one."""
+"""Maximum back ends read from one datagram: four times as many as a gateway sends in one."""
 NEVER = float("-inf")
 
 
--- a/tinrudder/gateway/backends/load_reports.py
+++ b/tinrudder/gateway/backends/load_reports.py
@@ -12,7 +12,7 @@
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 
 LOG_PAUSE_S = 10.0
-"""Shortest time between two log lines, seconds: a report in an unknown format comes with every
+"""Minimum time between two log lines, seconds: a report in an unknown format comes with every
 answer."""
 
 
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -24,8 +24,8 @@
 
 USER_TIMEOUT_MS = 4000
 """``TCP_USER_TIMEOUT``, ms: the kernel closes a connection after this time without an
-acknowledgement. It equals the time for which the users' rules let a machine that is cut off count
-as connected."""
+acknowledgement. It equals the time for which the platform's rules still count a machine that is cut
+off as connected."""
 KEEP_ALIVE_MARGIN_S = 0.5
 """How long before the server's keep-alive timeout an idle connection is no longer used, seconds.
 The server counts in whole seconds and from a different moment."""
--- a/tinrudder/gateway/clients/client_connection.py
+++ b/tinrudder/gateway/clients/client_connection.py
@@ -28,7 +28,7 @@
 
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 MAX_WAITING_REQUESTS = 16
-"""Most pipelined requests that may wait behind the one in progress; one more closes the connection.
+"""Maximum pipelined requests that wait behind the one in progress; one more closes the connection.
 Clients that pipeline at all send a few, and each request is held in memory."""
 LINGER_S = 1.0
 """How long a connection stays open after the answer to a refused request, seconds.  An immediate
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -1,4 +1,4 @@
-"""Computes when the answer to a client should be sent, and by when the last one must be.
+"""Computes when the answer to a client should be sent, and the latest time at which it may be sent.
 
 Owns, for each route, the longest timeout that a client has stated.  Assumes that a client that
 retries states its remaining time; a client that states none gets the route's timeout.
@@ -16,11 +16,11 @@
 MILLISECONDS_PER_SECOND = 1000.0
 """Milliseconds in a second."""
 ANSWER_MARGIN_S = 0.015
-"""How long before the objective an answer is sent, seconds.  Clients count from when they begin to
-connect: four times 3 ms of a path between cities for connecting, the request and the answer, and 3
-ms of work."""
+"""How long before the objective an answer is sent, seconds.  Clients measure from when they begin
+to connect: four trips of 3 ms between cities, for connecting, the request and the answer, and 3 ms
+of work."""
 DEADLINE_MARGIN_S = 0.02
-"""How long before the deadline the final answer is sent, seconds.  Slightly more than the path of
+"""How long before the deadline the final answer is sent, seconds.  Slightly more than the trips of
 :data:`ANSWER_MARGIN_S`, since an answer after the deadline is worthless."""
 MAX_MARGIN_FRACTION = 0.25
 """Upper bound of :data:`DEADLINE_MARGIN_S` as a fraction of the client's timeout.  A client with a
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -22,7 +22,7 @@
 from tinrudder.gateway.model.outcomes import NotRun
 
 LOG_PAUSE_S = 1.0
-"""Shortest time between two log lines of one event, seconds.  Metrics count the events left out."""
+"""Minimum time between two log lines of one event, seconds.  Metrics count the events left out."""
 
 
 class MemoryAccount(HeldBytes):
@@ -75,7 +75,7 @@
 
     @property
     def may_be_near(self) -> bool:
-        """Cheap check, by the last count for peers, whether an exact one is worthwhile."""
+        """Whether :attr:`fill` needs to be computed; cheap, as it uses the last count for peers."""
         return self.clients + self.backends + self.peers >= self._near
 
     @property
@@ -113,7 +113,7 @@
         return NotRun(detail, retry_after_s(priority_steps))
 
     def note_refused_body(self) -> None:
-        """Count a request refused because its body found no room."""
+        """Count a request refused because there was no memory for its body."""
         self.refused += 1
         self._log("memory_refused", {"refused": self.refused})
 
--- a/tinrudder/gateway/gateway.py
+++ b/tinrudder/gateway/gateway.py
@@ -43,8 +43,8 @@
 IDLE_POLL_INTERVAL_S = 0.05
 """Seconds between two polls for idle connections during the shutdown."""
 IDLE_POLLS_REQUIRED = 2
-"""Consecutive polls that must find no connection: one that the kernel has just accepted is not yet
-visible to the first poll."""
+"""Consecutive polls that must find no connection: a connection that the kernel has just accepted is
+not yet visible to the first poll."""
 PEER_CLOSE_TIMEOUT_S = 0.2
 """Timeout in seconds for closing peer connections: many round trips of a few milliseconds.  A dead
 peer never reads the last bytes, and none of them matter to it."""
--- a/tinrudder/gateway/peers/peer_exchange.py
+++ b/tinrudder/gateway/peers/peer_exchange.py
@@ -1,4 +1,4 @@
-"""Exchanges digests with peers over UDP, which state the store revisions that each gateway knows.
+"""Exchanges digests with peers over UDP; a digest states the store revisions that its sender knows.
 
 Owns the digest schedule and the set of starting peers that wait for a digest; relies on
 ``SnapshotPulls`` to fetch newer state from peers, and on ``PeerService`` to serve it to them.
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -25,10 +25,10 @@
 """Number of peers that get a digest in a large fleet: the number of gateways that know a change
 multiplies by four in each round of digests."""
 DIGEST_FANOUT_OTHER_ZONE = 1
-"""How many of these random peers are in other zones, since traffic between zones is paid for."""
+"""Number of these random peers in other zones: only one, since traffic between zones is charged."""
 COUNTED_WITHIN_S = 30.0
-"""Seconds after its latest message for which a peer counts as a sharer of fleet-wide budgets. The
-time is long because too low a count makes every gateway take too large a share."""
+"""Seconds after its latest message for which a peer is counted when fleet-wide budgets are divided.
+The time is long because too low a count makes every gateway take too large a share."""
 CANDIDATE_WITHIN_S = 15.0
 """Seconds after its latest message for which a peer may be asked to coordinate: shorter than
 ``COUNTED_WITHIN_S``, since a request to a peer that is gone loses time."""
@@ -39,12 +39,12 @@
 """Number of members listed in a digest of a large fleet: a new random sample each time, so that
 listing the whole fleet takes as many digests as it has groups of seven members."""
 LISTED_MEMBERS_IN_SMALL_FLEET = 2
-"""The same in a small fleet: there all gateways exchange digests directly, and the list serves only
-processes that have just started."""
+"""Number of members listed in a digest of a small fleet: there all gateways exchange digests
+directly, and the list serves only processes that have just started."""
 LISTED_MEMBERS_OTHER_ZONE = 2
-"""The same in a digest to another zone: traffic between zones is paid for, and the receiver passes
-the list on in its own zone. With seven members listed, digests made up 3.5 MB of the 12 MB sent
-between four zones on a day without incidents in a fleet of 74 gateways."""
+"""Number of members listed in a digest to another zone: traffic between zones is paid for, and the
+receiver passes the list on in its own zone. With seven members listed, digests made up 3.5 MB of
+the 12 MB sent between four zones on a day without incidents in a fleet of 74 gateways."""
 SETTLE_S = 3.0
 """Seconds after its start for which a process does not trust its count of peers: as long as it
 sends its first digests at the shorter interval."""
@@ -154,7 +154,7 @@
 
     @property
     def has_peers(self) -> bool:
-        """Return whether a message from any peer has arrived recently."""
+        """Return whether a message from any peer has arrived within ``FORGOTTEN_AFTER_S``."""
         return self._last_message_at is not None
 
     def silent_s(self, now: float) -> float:
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -129,7 +129,7 @@
 
 
 class ReportedCrash(Struct, frozen=True):
-    """A back end that was lost under a request; see :class:`Crash`."""
+    """A back end that was lost while it ran a request; see :class:`Crash`."""
 
     backend: int
     age_s: float
@@ -186,7 +186,7 @@
 
 
 class Snapshot(Struct, frozen=True):
-    """A gateway's state.
+    """A gateway's state as replicated from the store.
 
     :param backends_read: the sender has received a complete list of back ends.
     :param changes_only: ``backends`` holds only changes since the requester's position.
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -2,7 +2,7 @@
 
 A change is sent to every gateway at once; in a large fleet, receivers forward it.  A gateway that
 missed a change, because it was partitioned, paused or not started yet, gets it within a second or
-two from the reports that are repeated.
+two from the periodic reports.
 
 Owns this gateway's evidence and the send budgets of its reports; relies on the rule for poison
 requests to assess, and on the calls to report lost back ends.
@@ -220,7 +220,7 @@
                 break
             self._request_all()
             await asyncio.sleep(SYNC_REQUEST_INTERVAL_S)
-        # If the whole fleet started together, no peer has evidence, and this one may answer so.
+        # If the whole fleet started together, no peer has evidence: answer with empty reports.
         self._is_synced = True
         while True:
             due_at = self._clock() + REPEAT_INTERVAL_S
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -65,7 +65,7 @@
             self._datagrams.send(Probe(self._number), peer)
 
     def _drop_expired(self, now: float) -> None:
-        """Drop probes that are too old; ``_sent`` is in the order of sending."""
+        """Drop probes that have timed out; ``_sent`` is in the order of sending."""
         for number, sent in tuple(self._sent.items()):
             if sent.sent_at > now - PROBE_TIMEOUT_S:
                 return
--- a/tinrudder/gateway/peers/snapshots.py
+++ b/tinrudder/gateway/peers/snapshots.py
@@ -22,7 +22,7 @@
 
 
 def apply_confirmations(state: SharedState, digest: Digest) -> None:
-    """Take over when the store confirmed a topic to a peer, if this gateway's state covers it."""
+    """Adopt the store's confirmations to a peer if this gateway's state covers its position."""
     _apply_confirmation(state, Topic.OPERATOR, digest.operator, digest.operator_unconfirmed_s)
     _apply_confirmation(state, Topic.BACKENDS, digest.backends, digest.backends_unconfirmed_s)
 
@@ -72,7 +72,7 @@
 def _apply_confirmation(
     state: SharedState, topic: Topic, position: TopicPosition, age_s: float | None
 ) -> None:
-    """Take over the age of a peer's confirmation, if its state is covered and its epoch current."""
+    """Adopt the age of a peer's confirmation if its state is covered and its epoch current."""
     history = state.history(topic)
     is_same_epoch = position.revision.epoch == history.epoch
     if age_s is not None and is_same_epoch and history.covers(position.revision):
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -1,8 +1,8 @@
 """Monitors the network paths to the fleet's zones, and detects when this gateway is cut off.
 
 Every answer from a zone shows that its path is open; a call without an answer causes probes to
-gateways there.  In a zone that was cut off, every gateway notices it within a second, since each
-hears of the others' suspicions.
+gateways there.  In a zone that was cut off, every gateway notices it within a second, since
+gateways report their suspicions to each other.
 
 Owns the path state of each zone and the probe rounds; relies on the rule for zone paths to judge,
 on ``Probes`` to send probes, and on calls to report answers and suspicions.
@@ -25,7 +25,8 @@
 ROUND_INTERVAL_S = 0.1
 """Seconds between two probe rounds to a suspect zone: three rounds fit in before it is closed."""
 CLOSED_ROUND_INTERVAL_S = 0.25
-"""The same for a closed zone: the longest time for which a path that has recovered stays unused."""
+"""Seconds between two probe rounds to a closed zone: the longest time for which a path that has
+recovered stays unused."""
 SILENCE_CHECK_INTERVAL_S = 0.5
 """Mean seconds between two checks whether other zones have fallen silent: the interval of
 digests."""
--- a/tinrudder/gateway/store/backend_entries.py
+++ b/tinrudder/gateway/store/backend_entries.py
@@ -1,7 +1,7 @@
 """Keeps the back ends' entries known to this gateway, merged from all sources.
 
 Removals are retained for a while, and undecodable values until they are replaced; otherwise an
-older value from a peer would bring a back end back.
+older value from a peer would restore a removed back end.
 
 Owns the newest values of each key and the entry that is in force. Relies on the decoder of the
 platform's entries, and on the topic's history for the order of values.
@@ -26,8 +26,8 @@
 from tinrudder.gateway.store.topic_history import TopicHistory
 
 REMOVAL_RETENTION_S = 120.0
-"""Seconds for which a removal is retained, so that a peer's older value cannot bring a back end
-back: it must stay above the 90 s after which peers are forgotten."""
+"""Seconds for which a removal is retained, so that a peer's older value cannot restore the back
+end. Must exceed the 90 s after which silent peers are dropped."""
 OLDER_START_S = 5.0
 """Seconds that an entry with an older start time must persist before it is accepted. A late write
 of a process that has ended is replaced by the next heartbeat of its successor, or expires after
@@ -118,14 +118,14 @@
         return self.merge.record(observed) and self._update(observed.value.key)
 
     def settle(self) -> list[ObservedValue]:
-        """End precedence whose time is over; return the values that win since."""
+        """End expired precedence; return the values that win as a result."""
         settled = self.merge.settle()
         for observed in settled:
             self._update(observed.value.key)
         return settled
 
     def forget_old_removals(self) -> None:
-        """Drop removals that no peer can contradict any more."""
+        """Drop removals whose retention period is over."""
         horizon = self._clock() - REMOVAL_RETENTION_S
         for observed in self.merge:
             if observed.is_removal and observed.since < horizon:
@@ -184,7 +184,7 @@
             return None
 
     def _put_in_force(self, entry: BackendEntry, value: StoredValue) -> None:
-        """Put an entry in force; repeated writes keep the time of the first leaving state."""
+        """Put an entry in force; ``since`` is kept while process and ``leaving`` are unchanged."""
         known = self.known.get(value.key)
         now = self._clock()
         since = write_observed_at = now
@@ -198,8 +198,8 @@
     def _is_restored_copy(self, known: KnownBackend, entry: BackendEntry) -> bool:
         """Tell whether an entry is the known one, returned again by a restored store.
 
-        A back end that writes the same entry again is cold from then on. An entry that is only read
-        again, or rewritten because the store lost it, does not make it cold; otherwise all back
+        A back end that writes the same entry again restarts its cold period. An entry that is only
+        read again, or rewritten because the store lost it, must not restart it; otherwise all back
         ends would be cold at once.
         """
         return known.entry == entry and self._history.restored_s < REWRITE_PERIOD_S
--- a/tinrudder/gateway/store/configuration_freshness.py
+++ b/tinrudder/gateway/store/configuration_freshness.py
@@ -1,8 +1,8 @@
-"""Decides whether the known configuration is recent enough to refuse a request for good.
+"""Decides whether the known configuration is recent enough for a final refusal of a request.
 
-A status such as 401 or 404 is final for clients, so a gateway may return it only if it would know a
-newer configuration. Owns no state; relies on the staleness bound, on peers and on the store's
-status.
+Clients do not retry after a status such as 401 or 404, so a gateway may return it only if it would
+have received any newer configuration that must be in force by now. Owns no state; relies on the
+staleness bound, on peers and on the store's status.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from tinrudder.gateway.store.store_status import StoreStatus
 
 FRESH_SHARE = 0.5
-"""Part of the bound within which a final refusal may be returned: below the time within which a
+"""Fraction of the bound up to which a final refusal may be returned: below the time within which a
 change must be in force anyway, and above the usual age."""
 MAX_PEER_SILENCE_S = 2.0
 """Seconds without a message from any peer after which a newer configuration may be unknown here:
--- a/tinrudder/gateway/store/epoch_change.py
+++ b/tinrudder/gateway/store/epoch_change.py
@@ -33,8 +33,8 @@
     """Callbacks for changes of the store's history.
 
     :param on_epoch: called for every later epoch.
-    :param on_settled: called with the values that win since another value's precedence ended, or
-        since a missing key was not written again in time.
+    :param on_settled: called with the values that now win because the precedence of another value
+        has ended, or because a missing key was not written again in time.
     """
 
     on_epoch: Callable[[EpochChange], None] = lambda change: None
--- a/tinrudder/gateway/store/epoch_merge.py
+++ b/tinrudder/gateway/store/epoch_merge.py
@@ -93,7 +93,7 @@
         self._unsettled.update(self._observations)
 
     def settle(self) -> list[ObservedValue]:
-        """Drop values that can no longer matter; return the values that win since.
+        """Drop values that can no longer matter; return the values that win as a result.
 
         A key without a value in this epoch counts as removed once all lost writes must have been
         repeated: the epoch was entered with a complete read.
--- a/tinrudder/gateway/store/epoch_rules.py
+++ b/tinrudder/gateway/store/epoch_rules.py
@@ -26,15 +26,16 @@
 REWRITE_PERIOD_S = 6.0
 """Seconds from the start of an epoch within which everything that the copy lacks is written again.
 Back ends write every 1.2 s, an entry that is no longer written expires after three of these
-intervals, 3.6 s, and an operator is given 5 s. Until then known values take precedence over a
-copy that lacks them or holds an older state; after that the store's contents prevail."""
+intervals, 3.6 s, and operators repeat lost changes within 5 s. Until then known values take
+precedence over a copy that lacks them or holds an older state; after that the store's contents
+prevail."""
 LEAVING_PRECEDENCE_S = 120.0
-"""The same for a back end that announced that it leaves, if the copy has it as ready. A back end
+"""Precedence in seconds of a back end's leaving state over its ready state in the copy. A back end
 never revokes that announcement, so this bound only ends the effects of a wrong epoch; it equals
 the time for which removals are retained."""
 EVACUATION_END_PRECEDENCE_S = 4.0
-"""The same for the end of an evacuation, if the copy has it in force: the operator may have
-evacuated the zone again, which must take effect within 5 s."""
+"""Precedence in seconds of the end of an evacuation over the evacuation in the copy: the operator
+may have evacuated the zone again, which must take effect within 5 s."""
 
 
 class ObservedValue(Struct, frozen=True):
--- a/tinrudder/gateway/store/evacuations.py
+++ b/tinrudder/gateway/store/evacuations.py
@@ -47,7 +47,7 @@
         return True
 
     def settle(self) -> list[ObservedValue]:
-        """End precedence whose time is over; return the values that win since."""
+        """End expired precedence; return the values that win as a result."""
         before = self.zones
         settled = self.merge.settle()
         for observed in settled:
@@ -58,7 +58,7 @@
 
 
 def _log(zone: str, observed: ObservedValue, source: str) -> None:
-    """Log that a zone was evacuated or taken back, and the source of that information."""
+    """Log that a zone's evacuation began or ended, and the source of that information."""
     fields: dict[str, LogValue] = {
         "zone": zone,
         "epoch": observed.revision.epoch,
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -121,7 +121,7 @@
 
     @property
     def retained_s(self) -> float:
-        """Return for how long the store has held less than is known here; 0: it holds all."""
+        """Return for how long the restored store has lacked values known here; 0: it lacks none."""
         if not self.retained_keys:
             return 0.0
         return max(history.seen_s for history in self._histories.values())
@@ -188,7 +188,7 @@
         return changed
 
     def settle(self) -> None:
-        """End precedence whose time is over, and drop removals after their retention."""
+        """End expired precedence, and drop removals whose retention period is over."""
         self._entries.forget_old_removals()
         settled = [*self.evacuations.settle(), *self._entries.settle()]
         if settled:
@@ -237,7 +237,7 @@
         return keys
 
     def _missing(self, topic: Topic, reading: Reading) -> list[StoredValue]:
-        """Return removals for the keys shown in this epoch that a complete read of it lacks."""
+        """Return removals for the keys observed in this epoch that a complete read of it lacks."""
         present = {value.key for value in reading.values}
         merge = self._merge(topic)
         keys = [observed.value.key for observed in merge if observed.value.key not in present]
@@ -248,7 +248,7 @@
         ]
 
     def _report_epoch(self, topic: Topic, known: StoreRevision, shown: StoreRevision) -> None:
-        """Report that a later epoch is followed: peers must learn it even if no value changed."""
+        """Report the change to a later epoch: peers must learn of it even if no value changed."""
         retained_keys = tuple(self._retained_keys(topic))
         self._history_listener.on_epoch(EpochChange(topic, known, shown, retained_keys))
         self._notify()
--- a/tinrudder/gateway/store/staleness_bound.py
+++ b/tinrudder/gateway/store/staleness_bound.py
@@ -1,11 +1,11 @@
-"""Bounds the staleness of what this gateway knows of the operator's settings.
+"""Bounds the staleness of the operator's settings as known to this gateway.
 
 The bound is a moment on this process's monotonic clock: every change that the store had
 acknowledged by then is known here. Proofs count from the time a request was *sent*: a pause of this
 process, delayed bytes or a duplicate answer can then only make the bound older than necessary.
 
-After the store is restored from an older copy, it proves nothing until lost writes must have been
-repeated: if the revocation of a key was lost, an answer that nothing is newer does not show it.
+After the store is restored from an older copy, its answers prove nothing until lost writes must
+have been repeated: if the revocation of a key was lost, "nothing is newer" does not rule it out.
 
 Owns the bound and the pending proofs. Relies on followers, the staleness keeper and snapshot pulls
 to report proofs.
@@ -38,7 +38,7 @@
 
     @property
     def age_s(self) -> float:
-        """Return the maximum age of the knowledge; infinite while nothing is proven."""
+        """Return the maximum age of the known settings; infinite while nothing is proven."""
         return self._clock() - self._proven_until
 
     @property
@@ -49,9 +49,9 @@
     def prove(self, at: float, revision: StoreRevision = NO_REVISION) -> None:
         """Record that nothing newer than a revision existed at a given moment.
 
-        :param at: when the request was sent, minus the age of the answerer's own knowledge.
-        :param revision: the answerer's revision; the proof is pending while this gateway knows
-            less.
+        :param at: when the request was sent, minus the age that the responder states for its state.
+        :param revision: the responder's revision; the proof is pending until this gateway has
+            observed it.
         """
         if self._state.may_lack_lost_writes:
             return
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -25,23 +25,25 @@
 CHECK_INTERVAL_S = 0.2
 """Interval of the checks of the age, seconds: a tenth of the shortest share of the bound below."""
 ASK_SHARE = 0.2
-"""Part of the bound after which a peer in the zone is queried. Together with the readers' share,
-the age stays below half of the bound, so that one lost reader or three lost datagrams cause no
-refusals."""
+"""Fraction of the bound after which a reader in the own zone is queried. Together with the readers'
+fraction below, it keeps the age under half of the bound, so that one lost reader or three lost
+datagrams cause no refusals."""
 READ_SHARE = 0.3
-"""The same for the first reader's read of the store: with a bound of 5 s, one call in 1.5 s for all
-gateways. The other readers query the first one: a query between zones costs a 25th of a call."""
+"""Fraction of the bound after which the first reader reads the store: with a bound of 5 s, one call
+every 1.5 s for all gateways. The other readers query the first one: a query between zones costs a
+25th of a call."""
 READ_STEP_SHARE = 0.025
-"""Increment of that share for each further rank, if no query was answered: an eighth of a second
-with that bound; the last of eight reads before half of the bound."""
+"""Increment of that fraction for each further rank, if no query was answered: an eighth of a second
+with that bound. Even the last of eight readers reads before half of the bound."""
 FIRST_READERS = 2
-"""Number of readers that are queried from other zones: the one that reads first, and its
+"""Number of readers that are queried from other zones: the one that reads the store first, and its
 substitute."""
 ASK_ELSEWHERE_SHARE = 0.5
-"""Part of the bound after which readers of other zones are queried: those of the zone did not
-answer."""
+"""Fraction of the bound after which readers in other zones are queried: those in the own zone did
+not answer."""
 NON_READER_SHARE = 0.6
-"""The same for a read of the store by a gateway that is no reader: no peer in reach helped."""
+"""Fraction of the bound after which a gateway that is not a reader reads the store: no reachable
+peer gave a newer proof."""
 
 
 class StalenessKeeper:
@@ -132,7 +134,7 @@
         self._reading = self._loop.create_task(self._read_once())
 
     async def _read_once(self) -> None:
-        """Read all of the operator's settings: keys that the answer lacks did not exist."""
+        """Read all of the operator's settings; keys that the answer lacks did not exist."""
         asked_at = self._loop.time()
         self.reads += 1
         try:
@@ -145,7 +147,7 @@
         self._read_again_at = 0.0
         self._state.apply_complete(Topic.OPERATOR, reading)
         if reading.revision.epoch < self._state.epoch:
-            # An answer from before the store's restore, which may be as old as the restore.
+            # Answered from before the store's restore: it may be as old as the restore.
             return
         self._state.confirm(Topic.OPERATOR, self._loop.time() - asked_at)
         if reading.whole:
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -44,25 +44,25 @@
 MIN_BACKOFF_S = 0.1
 """Seconds until a call that the store did not answer is retried; doubled with every failure."""
 MAX_BACKOFF_S = 0.8
-"""Upper limit of the same in seconds: a restored connection to the store must be noticed within a
+"""Maximum back-off in seconds: a restored connection to the store must be noticed within a
 second."""
 PAUSE_PER_READER_S = {Topic.OPERATOR: 0.05, Topic.BACKENDS: 0.12}
 """Seconds that a follower pauses after changes, for each reader. Back ends change more often, and a
 delay of their changes does less harm."""
 MAX_PAUSE_S = {Topic.OPERATOR: 0.1, Topic.BACKENDS: 1.0}
-"""Upper limit of the same in seconds: changes by the operator must be in force within seconds, and
-a leaving back end must get no new work after a few."""
+"""Maximum pause after changes, in seconds: changes by the operator must be in force within seconds,
+and a leaving back end must get no new work after a few."""
 PAUSE_JITTER = 0.6
-"""Jitter of a pause, as a part of it: wide, so that some readers are watching at any moment."""
+"""Jitter as a fraction of the pause: wide, so that some readers are watching at any moment."""
 RESTORED_WAIT_S = 1.0
 """Seconds that a watch waits just after the store was restored from a copy: the precedence of known
-values ends with the store's confirmations, and must end in time."""
+values ends only when the store confirms, so confirmations must be frequent."""
 STALE_WATCH_S = 1.0
-"""Seconds after which a watch is cancelled that has not reported a change known from another
-source: a slow store's answer takes a quarter of that."""
+"""Seconds until a watch is cancelled if it does not report a change known from another source: a
+slow store's answer takes a quarter of that."""
 NOTIFY_AFTER_S = 0.3
-"""Age in seconds of the store's latest confirmation from which on the other readers are notified of
-a new one; if several readers receive a change at once, only one notifies."""
+"""A new confirmation is sent to the other readers if the previous one is older than this, seconds;
+if several readers receive a change at once, only one notifies."""
 
 CompleteReadListener = Callable[[Topic, float], None]
 ReadingListener = Callable[[Topic, ReadReason | None], None]
@@ -323,7 +323,7 @@
 
     @property
     def _rank(self) -> int:
-        """Return this gateway's rank among the readers; the last one if it is no reader."""
+        """Return this gateway's rank among the readers; the last one if it is not a reader."""
         rank = self._readers.rank()
         return self._readers.count() - 1 if rank is None else rank
 
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -19,8 +19,8 @@
 from tinrudder.gateway.store.stored_values import Topic
 
 READERS = 4
-"""Number of gateways that follow the store for all: one for each zone where there are four, so that
-the loss of one, or of a zone, leaves the others. Each change costs one call by each of them."""
+"""Number of gateways that follow the store for all: one per zone in a deployment of four zones, so
+that others remain if one reader or one zone is lost. Each change costs one call by each of them."""
 SEEDS_ONLY_S = 1.0
 """Seconds after its start for which a process uses the seeds as readers instead of its own choice:
 after five of its first digests it knows the other gateways."""
@@ -37,7 +37,8 @@
 digests and a round trip. It does not wait for seeds that start later, since its clients wait
 meanwhile. Gateways wait one to two times as long, so that they do not all call at once."""
 START_WAIT_S = 1.2
-"""The same if a peer has answered that knows too little itself: six calls of 0.2 s to a store."""
+"""The same if a message from a peer has arrived but no peer has sent the state yet: six calls of
+0.2 s to a store."""
 CHOICE_CACHE_S = 0.1
 """Seconds for which a choice of readers is cached: it is requested ten times a second, and
 computing it takes a millisecond with hundreds of known gateways."""
@@ -138,7 +139,7 @@
         return len(self.addresses()) + 1
 
     def rank(self) -> int | None:
-        """Return this gateway's rank among the readers, 0 for the first; ``None``: it is none."""
+        """Return this gateway's rank among the readers, from 0; ``None`` if it is not a reader."""
         if not self.is_reader():
             return None
         return sum(1 for address in self.addresses() if str(address) < str(self.own))
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -13,7 +13,7 @@
 PERCENT = 100.0
 """Percent per whole: slowdowns are sent in percent."""
 MAX_FIELD_VALUE = 2**32 - 1
-"""Largest value of a field; larger ones are clamped, since no receiver would believe them."""
+"""Largest value of a field; larger values are clamped, and receivers ignore them as implausible."""
 
 
 def load_news_to_message(news: LoadNews) -> pb.LoadNews:
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -94,8 +94,8 @@
 is not a reader reads the store itself.  Some reader gets a confirmation at least every 2.4 s, which
 reaches the other gateways within another second."""
 STALE_JITTER_S = 1.0
-"""Maximum jitter in seconds added to the above, so that gateways do not all read the store at once
-when its readers are gone."""
+"""Maximum jitter in seconds added to :data:`STALE_AFTER_S`, so that gateways do not all read the
+store at once when its readers are gone."""
 MIN_STARTUP_WAIT_FACTOR = 1.0
 """Smallest factor on the time that a starting gateway waits for peers before it reads the store."""
 MAX_STARTUP_WAIT_FACTOR = 2.0
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -41,7 +41,7 @@
 EVACUATION_PREFIX = "op/evacuate/"
 REPEATABLE_KIND = "safe"
 MILLISECONDS = 1000.0
-"""In a second: the platform gives times in milliseconds, the product in seconds."""
+"""Milliseconds per second: the platform's times are in milliseconds, the product's in seconds."""
 UNREADABLE = (msgspec.MsgspecError, ValueError, RecursionError)
 """Errors that arbitrary bytes raise, including undecodable text and unlimited nesting."""
 
--- a/tinrudder/platform/load_header.py
+++ b/tinrudder/platform/load_header.py
@@ -12,7 +12,7 @@
 from tinrudder.platform.headers import HEADERS
 
 USUAL_PERCENT = 100.0
-"""The fourth figure if work takes its usual time, percent."""
+"""Value of the fourth figure, percent, if a call takes its usual time."""
 MAX_DIGITS = 9
 """Maximum digits of a figure: far more requests than any back end queues, and cheap to parse."""
 CACHE_SIZE = 1024
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -36,7 +36,7 @@
 RANGE_PATH = "/v1/kv-range"
 WATCH_PATH = "/v1/kv-watch"
 READ_TIMEOUT_S = 2.5
-"""Seconds until the answer with one page must begin: other gateways read meanwhile, and share."""
+"""Timeout in seconds until a page begins to arrive: peers read meanwhile, and share the result."""
 WATCH_MARGIN_S = 0.6
 """Seconds added to a watch's wait time for its timeout: enough for a store sixty times slower."""
 MAX_PAGES = 100
