--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -156,6 +156,6 @@
         )
         await asyncio.sleep(0.1)
         assert known.observations.reported_backlog == 14
-        assert receiver.backends.load_report_exchange.taken == 1
+        assert receiver.backends.load_report_exchange.applied == 1
 
     run_shared(scenario)
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -12,7 +12,7 @@
 from tinrudder.common.address import Address
 from tinrudder.gateway.backends import load_report_exchange
 from tinrudder.gateway.backends.load_report_exchange import (
-    LOG_PAUSE_S,
+    LOG_INTERVAL_S,
     LoadReportExchange,
     instance_hash_of,
 )
@@ -75,7 +75,7 @@
         timers.advance(0.1)
     assert socket.bytes <= BURST_BYTES + BYTES_PER_S * SECONDS
     assert (socket.bytes > 0) == (peers > 0)
-    assert 0 < len(lines) <= SECONDS / LOG_PAUSE_S + 1
+    assert 0 < len(lines) <= SECONDS / LOG_INTERVAL_S + 1
 
 
 def test_load_that_a_peer_has_reported_meanwhile_is_not_sent() -> None:
--- a/tests/unit/gateway/test_load_reports.py
+++ b/tests/unit/gateway/test_load_reports.py
@@ -8,7 +8,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.backends.load_reports import LOG_PAUSE_S, LoadReports
+from tinrudder.gateway.backends.load_reports import LOG_INTERVAL_S, LoadReports
 from tinrudder.gateway.model.http_messages import LoadReport
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 from tinrudder.platform.load_header import decode_load_report
@@ -71,7 +71,7 @@
     now = [0.0]
     reports = LoadReports(decode_load_report, lambda: now[0])
     for _ in range(1000):
-        now[0] += LOG_PAUSE_S / 100
+        now[0] += LOG_INTERVAL_S / 100
         assert reports.read(b"?", "a-back-end") is None
     assert reports.unreadable == 1000
     assert len(logged) == 10
--- a/tests/unit/gateway/test_store_follower.py
+++ b/tests/unit/gateway/test_store_follower.py
@@ -130,7 +130,7 @@
             StoreStatus(lambda topic, reachable, detail: None),
             FixedReaders(readers, rank),  # type: ignore[arg-type]
             random.Random(1),
-            lambda topic, asked_at: None,
+            lambda topic, requested_at: None,
         )
         follower = StoreFollower(Topic.BACKENDS, parts)
         task = loop.create_task(follower.run())
--- a/tinrudder/gateway/backends/cold_start_limits.py
+++ b/tinrudder/gateway/backends/cold_start_limits.py
@@ -45,8 +45,8 @@
         if rate is None:
             return True
         callers = self._callers(backend.entry.service)
-        part = own_call_limit(rate, self._own_name, callers, backend.backend_id)
-        return backend.cold_start_rate.may_send(now, part)
+        own_limit = own_call_limit(rate, self._own_name, callers, backend.backend_id)
+        return backend.cold_start_rate.may_send(now, own_limit)
 
     def _rate(self, backend: Backend) -> float | None:
         """Return the calls per second that all gateways together may send to a cold back end;
--- a/tinrudder/gateway/backends/load_report_exchange.py
+++ b/tinrudder/gateway/backends/load_report_exchange.py
@@ -31,7 +31,7 @@
 from tinrudder.gateway.peers.peer_messages import LoadNews
 from tinrudder.timers import Timers
 
-LOG_PAUSE_S = 10.0
+LOG_INTERVAL_S = 10.0
 """Minimum time between two log lines about long queues, seconds: an overload would log a line per
 second for each service, and the metrics show the extent."""
 MAX_LOADS_PER_DATAGRAM = 16
@@ -48,7 +48,7 @@
     """Sends and receives reports of long queues for one gateway.
 
     :ivar sent: datagrams sent, counted for each peer.
-    :ivar taken: received loads that were newer than the known ones.
+    :ivar applied: received loads that were newer than the known ones.
     :ivar ignored: received loads of unknown back ends, or with implausible values.
     """
 
@@ -61,7 +61,7 @@
     ) -> None:
         """Exchange reports with ``peers``; ``backends`` returns all known back ends."""
         self.sent = 0
-        self.taken = 0
+        self.applied = 0
         self.ignored = 0
         self._peers = peers
         self._datagrams = datagrams
@@ -115,7 +115,7 @@
         previous_at = self._long_queue_at.get(service, NEVER)
         self._long_queue_at[service] = max(previous_at, observed_at)
         now = self._timers.time()
-        if observed_at - previous_at < MAX_REPORT_AGE_S or now - self._logged_at < LOG_PAUSE_S:
+        if observed_at - previous_at < MAX_REPORT_AGE_S or now - self._logged_at < LOG_INTERVAL_S:
             return
         self._logged_at = now
         observations = backend.observations
@@ -126,7 +126,7 @@
             "slots": observations.slots,
             "told_by": reporter,
             "sent": self.sent,
-            "taken": self.taken,
+            "taken": self.applied,
         }
         log_event("queues_long", fields)
 
@@ -165,7 +165,7 @@
                 self.ignored += 1
                 continue
             now = self._timers.time()
-            self.taken += apply_report(reported, backend.observations, now)
+            self.applied += apply_report(reported, backend.observations, now)
             if reported.is_long:
                 self._note_long_queue(backend, now - reported.age_s, str(sender))
 
--- a/tinrudder/gateway/backends/load_reports.py
+++ b/tinrudder/gateway/backends/load_reports.py
@@ -11,7 +11,7 @@
 from tinrudder.gateway.model.http_messages import LoadReport
 from tinrudder.gateway.store.stored_values import UnreadableValueError
 
-LOG_PAUSE_S = 10.0
+LOG_INTERVAL_S = 10.0
 """Minimum time between two log lines, seconds: a report in an unknown format comes with every
 answer."""
 
@@ -41,9 +41,9 @@
             return None
 
     def _log(self, detail: str, backend_id: str) -> None:
-        """Log an unreadable report, at most once in :data:`LOG_PAUSE_S`."""
+        """Log an unreadable report, at most once in :data:`LOG_INTERVAL_S`."""
         now = self._clock()
-        if now - self._logged_at >= LOG_PAUSE_S:
+        if now - self._logged_at >= LOG_INTERVAL_S:
             self._logged_at = now
             log_problem(
                 "unreadable_load_report",
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -38,7 +38,7 @@
     return False
 
 
-AnswerCheck = Callable[[UpstreamCall, HttpAnswer], CallOutcome]
+CheckAnswer = Callable[[UpstreamCall, HttpAnswer], CallOutcome]
 
 
 class UpstreamConnection(asyncio.Protocol):
@@ -53,7 +53,7 @@
 
     def __init__(
         self,
-        check: AnswerCheck,
+        check: CheckAnswer,
         on_free: Callable[[UpstreamConnection], None],
         on_closed: Callable[[UpstreamConnection], None],
         memory: HeldBytes,
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -14,7 +14,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.gateway.backends.upstream_connection import (
-    AnswerCheck,
+    CheckAnswer,
     UpstreamConnection,
     never_paused,
 )
@@ -37,7 +37,7 @@
     def __init__(
         self,
         address: Address,
-        check: AnswerCheck,
+        check: CheckAnswer,
         on_opened: Callable[[], None],
         memory: HeldBytes | None = None,
         was_paused: Callable[[float], bool] = never_paused,
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -13,7 +13,7 @@
 from tinrudder.gateway.model.configuration import HeaderNames, Route
 from tinrudder.gateway.model.http_messages import HttpRequest
 
-MILLISECONDS_PER_SECOND = 1000.0
+MILLISECONDS_PER_S = 1000.0
 """Milliseconds in a second."""
 ANSWER_MARGIN_S = 0.015
 """How long before the objective an answer is sent, seconds.  Clients measure from when they begin
@@ -90,5 +90,5 @@
         """Return the timeout that the client states; ``None`` if it states none."""
         for header, value in request.headers:
             if header == self._names.deadline_ms and value.strip().isdigit():
-                return int(value) / MILLISECONDS_PER_SECOND
+                return int(value) / MILLISECONDS_PER_S
         return None
--- a/tinrudder/gateway/clients/memory_account.py
+++ b/tinrudder/gateway/clients/memory_account.py
@@ -21,7 +21,7 @@
 )
 from tinrudder.gateway.model.outcomes import NotRun
 
-LOG_PAUSE_S = 1.0
+LOG_INTERVAL_S = 1.0
 """Minimum time between two log lines of one event, seconds.  Metrics count the events left out."""
 
 
@@ -128,11 +128,11 @@
         self._log("client_ended_unread", fields)
 
     def _log(self, event: str, fields: dict[str, LogValue]) -> None:
-        """Log an event with the bytes held, at most once in :data:`LOG_PAUSE_S`."""
+        """Log an event with the bytes held, at most once in :data:`LOG_INTERVAL_S`."""
         now = self._clock()
         if now < self._line_at.get(event, -math.inf):
             return
-        self._line_at[event] = now + LOG_PAUSE_S
+        self._line_at[event] = now + LOG_INTERVAL_S
         held = {"clients": self.clients, "backends": self.backends, "peers": self.peers}
         log_problem(event, {**fields, **held, "bound": _finite(self.bound)})
 
--- a/tinrudder/gateway/observability/metric_definitions.py
+++ b/tinrudder/gateway/observability/metric_definitions.py
@@ -190,7 +190,7 @@
     MetricDefinition(
         "load_news_taken",
         "Loads of back ends told by other gateways and newer than what was known.",
-        lambda sources: sources.load_report_exchange.taken,
+        lambda sources: sources.load_report_exchange.applied,
     ),
     MetricDefinition(
         "load_news_ignored",
--- a/tinrudder/gateway/observability/request_log.py
+++ b/tinrudder/gateway/observability/request_log.py
@@ -29,7 +29,7 @@
 
 CLIENT_LEFT = "client_left"
 """Logged outcome of a request whose client disconnected before the response."""
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_S = 1000.0
 """Milliseconds per second."""
 
 
@@ -74,7 +74,7 @@
         "version": request.version,
         "outcome": request.outcome_name,
         "status": status_of(request.outcome) if request.outcome is not None else 0,
-        "elapsed_ms": round(request.elapsed_s * MILLISECONDS, 1),
+        "elapsed_ms": round(request.elapsed_s * MILLISECONDS_PER_S, 1),
         "repeats": request.repeats,
     }
     if request.tenant:
@@ -95,7 +95,7 @@
         "route": route.name,
         "version": end.configuration_version,
         "outcome": type(end.outcome).__name__,
-        "elapsed_ms": round(end.elapsed_s * MILLISECONDS, 1),
+        "elapsed_ms": round(end.elapsed_s * MILLISECONDS_PER_S, 1),
         "repeats": end.repeats,
     }
     fields.update(_coverage_fields(end.outcome))
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -243,9 +243,9 @@
         known = self.requests.all()
         if not known:
             return
-        drawn = self._random.sample(known, min(MAX_EVIDENCE_PER_REPORT, len(known)))
+        sampled = self._random.sample(known, min(MAX_EVIDENCE_PER_REPORT, len(known)))
         peers = self._peers.receivers(self._clock())
-        self._send([one for one, _ in drawn], peers, self._budget)
+        self._send([one for one, _ in sampled], peers, self._budget)
 
     def _schedule_send(self, seconds: float) -> None:
         """Schedule the pending changes to be sent together within ``seconds``."""
--- a/tinrudder/gateway/peers/reachability.py
+++ b/tinrudder/gateway/peers/reachability.py
@@ -69,12 +69,12 @@
     def _not_run(self, detail: str, closed: tuple[str, ...]) -> NotRun:
         return NotRun(f"{detail}; out of reach: {' '.join(sorted(closed))}", RETRY_AFTER_S)
 
-    def _share(self, index: tuple[str, ...]) -> float:
-        """Return the reachable share of an index's shards, from the cache if it is recent."""
+    def _share(self, shards: tuple[str, ...]) -> float:
+        """Return the reachable share of a route's shards, from the cache if it is recent."""
         now = self.clock()
-        known = self._counted.get(index)
+        known = self._counted.get(shards)
         if known is None or now - known.counted_at >= CACHE_TTL_S:
-            reachable = sum(1 for service in index if self.directory.has_callable_backend(service))
-            known = _Reachable(reachable / len(index), now)
-            self._counted[index] = known
+            reachable = sum(1 for service in shards if self.directory.has_callable_backend(service))
+            known = _Reachable(reachable / len(shards), now)
+            self._counted[shards] = known
         return known.share
--- a/tinrudder/gateway/peers/snapshots.py
+++ b/tinrudder/gateway/peers/snapshots.py
@@ -85,8 +85,8 @@
     if accepted is None:
         return None
     is_newer = accepted.configuration.version > request.configuration_version
-    has_moved = accepted.value.revision > request.operator.revision
-    return accepted.value if is_newer or has_moved else None
+    is_later_revision = accepted.value.revision > request.operator.revision
+    return accepted.value if is_newer or is_later_revision else None
 
 
 def _apply_operator_values(
--- a/tinrudder/gateway/store/epoch_merge.py
+++ b/tinrudder/gateway/store/epoch_merge.py
@@ -111,13 +111,13 @@
 
     def retained(self) -> list[ObservedValue]:
         """Return the winning values of earlier epochs."""
-        held = (self._winners[key] for key in self._unsettled)
-        return [observed for observed in held if observed.revision.epoch < self._history.epoch]
+        unsettled = (self._winners[key] for key in self._unsettled)
+        return [observed for observed in unsettled if observed.revision.epoch < self._history.epoch]
 
     def changes_since(self, revision: StoreRevision) -> tuple[StoredValue, ...]:
         """Return the values of this epoch after a revision."""
-        shown = (self._current(key) for key in self._observations)
-        return tuple(one.value for one in shown if one is not None and one.revision > revision)
+        current = (self._current(key) for key in self._observations)
+        return tuple(one.value for one in current if one is not None and one.revision > revision)
 
     def forget(self, key: str) -> None:
         """Drop all values of a key."""
@@ -140,11 +140,11 @@
         observations = self._observations[key]
         winner = observations[0]
         for later in observations[1:]:
-            is_present = later.revision.epoch == self._history.epoch
-            may_be_copied = not is_present or later.revision <= self._history.copy_up_to
+            is_current = later.revision.epoch == self._history.epoch
+            may_be_copied = not is_current or later.revision <= self._history.copy_up_to
             precedence_s = self._precedence_s(winner, later, may_be_copied=may_be_copied)
             # The duration of an intermediate epoch is unknown, so no precedence ended in it.
-            if precedence_s <= (self._history.seen_s if is_present else 0.0):
+            if precedence_s <= (self._history.seen_s if is_current else 0.0):
                 winner = later
         changed = self._winners.get(key) is not winner
         self._winners[key] = winner
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -24,7 +24,7 @@
 
 CHECK_INTERVAL_S = 0.2
 """Interval of the checks of the age, seconds: a tenth of the shortest share of the bound below."""
-ASK_SHARE = 0.2
+QUERY_IN_ZONE_SHARE = 0.2
 """Fraction of the bound after which a reader in the own zone is queried. Together with the readers'
 fraction below, it keeps the age under half of the bound, so that one lost reader or three lost
 datagrams cause no refusals."""
@@ -38,7 +38,7 @@
 FIRST_READERS = 2
 """Number of readers that are queried from other zones: the one that reads the store first, and its
 substitute."""
-ASK_ELSEWHERE_SHARE = 0.5
+QUERY_OTHER_ZONES_SHARE = 0.5
 """Fraction of the bound after which readers in other zones are queried: those in the own zone did
 not answer."""
 NON_READER_SHARE = 0.6
@@ -94,23 +94,23 @@
         if self._bound_s is None or not self._freshness.is_needed():
             return
         share = self._staleness_bound.age_s / self._bound_s
-        if share < ASK_SHARE:
+        if share < QUERY_IN_ZONE_SHARE:
             return
         rank = self._readers.rank()
         is_reader = rank is not None
         if share >= (NON_READER_SHARE if rank is None else READ_SHARE + rank * READ_STEP_SHARE):
             self._read(is_reader=is_reader)
-        if is_reader or share >= ASK_ELSEWHERE_SHARE or not self._ask_in_zone():
-            self._ask_elsewhere()
+        if is_reader or share >= QUERY_OTHER_ZONES_SHARE or not self._query_in_zone():
+            self._query_first_readers()
 
-    def _ask_in_zone(self) -> bool:
+    def _query_in_zone(self) -> bool:
         """Query one of the zone's readers; tell whether there is one."""
         in_zone = self._readers.addresses(self._peers.own_zone)
         if in_zone:
             self._probes.ask(self._random.choice(in_zone))
         return bool(in_zone)
 
-    def _ask_elsewhere(self) -> None:
+    def _query_first_readers(self) -> None:
         """Query one of the first readers, or any peer if no reader is known."""
         first_readers = self._readers.addresses()[:FIRST_READERS]
         if first_readers:
@@ -135,7 +135,7 @@
 
     async def _read_once(self) -> None:
         """Read all of the operator's settings; keys that the answer lacks did not exist."""
-        asked_at = self._loop.time()
+        requested_at = self._loop.time()
         self.reads += 1
         try:
             reading = await self._store.read(Topic.OPERATOR)
@@ -149,9 +149,9 @@
         if reading.revision.epoch < self._state.epoch:
             # Answered from before the store's restore: it may be as old as the restore.
             return
-        self._state.confirm(Topic.OPERATOR, self._loop.time() - asked_at)
+        self._state.confirm(Topic.OPERATOR, self._loop.time() - requested_at)
         if reading.whole:
-            self._staleness_bound.prove(asked_at)
+            self._staleness_bound.prove(requested_at)
 
     def _on_answer(self, sent: SentProbe, answer: ProbeAnswer) -> None:
         """Apply a peer's answer; report the peer if it has newer state than this gateway."""
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -99,15 +99,15 @@
 class StoreFollower:
     """Follows one topic until it is cancelled."""
 
-    def __init__(self, topic: Topic, parts: FollowerDependencies) -> None:
+    def __init__(self, topic: Topic, dependencies: FollowerDependencies) -> None:
         """Begin with a complete read."""
         self._topic = topic
-        self._store = parts.store
-        self._state = parts.state
-        self._status = parts.status
-        self._readers = parts.readers
-        self._random = parts.random_source
-        self._on_complete_read = parts.on_complete_read
+        self._store = dependencies.store
+        self._state = dependencies.state
+        self._status = dependencies.status
+        self._readers = dependencies.readers
+        self._random = dependencies.random_source
+        self._on_complete_read = dependencies.on_complete_read
         self._revision: StoreRevision | None = None
         self._must_reread = False
         self._watching: asyncio.Task[Reading] | None = None
@@ -118,8 +118,8 @@
         # The last watch was cancelled, or had no answer.
         self._is_watch_lost = False
         self._on_confirmed: list[Callable[[], None]] = []
-        self._on_silent = parts.on_silent
-        self._on_reading = parts.on_reading
+        self._on_silent = dependencies.on_silent
+        self._on_reading = dependencies.on_reading
         self._reason: ReadReason | None = None
         self._backoff_s = MIN_BACKOFF_S
         # Seconds to pause before a complete read after a refused watch; 0: none.
@@ -153,7 +153,7 @@
                 # A gateway that begins to query has a reason to distrust its connections, so it
                 # probes first.
                 self._is_probe = True
-                self._status.note_not_asked(self._topic)
+                self._status.note_not_followed(self._topic)
                 await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
             try:
@@ -210,7 +210,7 @@
 
         :raises EarlierEpochError: the answer is from before the store's latest restore.
         """
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         reading = await self._store.read(self._topic)
         if reading.revision.epoch < self._state.epoch:
             self._state.apply_complete(self._topic, reading)
@@ -220,7 +220,7 @@
         # acknowledged writes, so the first read of a later epoch proves nothing.
         is_copy = self._state.history(self._topic).is_later_epoch(reading.revision)
         if reading.whole and not is_copy:
-            self._on_complete_read(self._topic, asked_at)
+            self._on_complete_read(self._topic, requested_at)
         self._state.apply_complete(self._topic, reading)
         self._revision = reading.revision
         self._confirm()
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -110,8 +110,8 @@
         """
         if self.is_reader():
             return own_pause_s
-        askers = self.peers.nodes(self.clock()) * len(Topic)
-        return max(own_pause_s, askers / FLEET_RETRIES_PER_S)
+        retrying_followers = self.peers.nodes(self.clock()) * len(Topic)
+        return max(own_pause_s, retrying_followers / FLEET_RETRIES_PER_S)
 
     @property
     def _start_wait_s(self) -> float:
--- a/tinrudder/gateway/store/store_status.py
+++ b/tinrudder/gateway/store/store_status.py
@@ -59,7 +59,7 @@
             self._reachable.discard(topic)
             self._notify(topic, reachable=False, detail=detail)
 
-    def note_not_asked(self, topic: Topic) -> None:
+    def note_not_followed(self, topic: Topic) -> None:
         """Record that other gateways follow a topic for this one: it does not count as lost."""
         self._lost.discard(topic)
 
--- a/tinrudder/gateway/store/topic_history.py
+++ b/tinrudder/gateway/store/topic_history.py
@@ -126,17 +126,17 @@
         """Record that everything known to a gateway at a position has been received."""
         self.observe(position.revision)
         self.observe(position.older)
-        begin = position.restored
-        if begin is None or position.revision.epoch != self.epoch:
+        epoch_start = position.restored
+        if epoch_start is None or position.revision.epoch != self.epoch:
             return
-        began_at = self._clock() - begin.age_s
+        began_at = self._clock() - epoch_start.age_s
         known_at = began_at if self._restored_at is None else self._restored_at
         self._restored_at = min(began_at, known_at)
-        self.copy_up_to = min(self.copy_up_to, StoreRevision(self.epoch, begin.copy_up_to))
+        self.copy_up_to = min(self.copy_up_to, StoreRevision(self.epoch, epoch_start.copy_up_to))
 
     def position(self) -> TopicPosition:
         """Return this gateway's position, with the start of the epoch if that was recent."""
-        begin = None
+        epoch_start = None
         if self.restored_s <= EPOCH_AGE_REPORTED_S:
-            begin = EpochStart(self.restored_s, self.copy_up_to.number)
-        return TopicPosition(self.revision, self.older, begin)
+            epoch_start = EpochStart(self.restored_s, self.copy_up_to.number)
+        return TopicPosition(self.revision, self.older, epoch_start)
--- a/tinrudder/gateway/wire/snapshot_codec.py
+++ b/tinrudder/gateway/wire/snapshot_codec.py
@@ -111,14 +111,14 @@
 
 def position_to_message(position: TopicPosition) -> pb.TopicPosition:
     """Return a position as a protobuf message."""
-    begin = position.restored
+    epoch_start = position.restored
     return pb.TopicPosition(
         epoch=position.revision.epoch,
         number=position.revision.number,
         older_epoch=position.older.epoch,
         older_number=position.older.number,
-        epoch_age_ms=None if begin is None else _milliseconds(begin.age_s),
-        copy_up_to=0 if begin is None else begin.copy_up_to,
+        epoch_age_ms=None if epoch_start is None else _milliseconds(epoch_start.age_s),
+        copy_up_to=0 if epoch_start is None else epoch_start.copy_up_to,
     )
 
 
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -387,8 +387,8 @@
             if follower.topic is not topic:
                 follower.restart_watch()
 
-    follower_parts = _follower_parts(context, store, knowledge, readers, on_silent)
-    followers.extend(StoreFollower(topic, follower_parts) for topic in Topic)
+    follower_dependencies = _follower_dependencies(context, store, knowledge, readers, on_silent)
+    followers.extend(StoreFollower(topic, follower_dependencies) for topic in Topic)
     keeper = StalenessKeeper(
         requests.freshness,
         knowledge.state,
@@ -420,18 +420,18 @@
     )
 
 
-def _follower_parts(
+def _follower_dependencies(
     context: BuildContext,
     store: MetadataStore,
     knowledge: KnowledgeParts,
     readers: StoreReaders,
     on_silent: Callable[[Topic], None],
 ) -> FollowerDependencies:
-    def on_complete_read(topic: Topic, asked_at: float) -> None:
+    def on_complete_read(topic: Topic, requested_at: float) -> None:
         # Lets a starting gateway serve keyed requests after its first complete read, without
         # another read that confirms it.
         if topic is Topic.OPERATOR:
-            knowledge.staleness_bound.prove(asked_at)
+            knowledge.staleness_bound.prove(requested_at)
 
     def on_reading(topic: Topic, reason: ReadReason | None) -> None:
         reason_text = "" if reason is None else reason.value
--- a/tinrudder/platform/documents.py
+++ b/tinrudder/platform/documents.py
@@ -40,7 +40,7 @@
 CONFIGURATION_KEY = "op/config"
 EVACUATION_PREFIX = "op/evacuate/"
 REPEATABLE_KIND = "safe"
-MILLISECONDS = 1000.0
+MILLISECONDS_PER_S = 1000.0
 """Milliseconds per second: the platform's times are in milliseconds, the product's in seconds."""
 UNREADABLE = (msgspec.MsgspecError, ValueError, RecursionError)
 """Errors that arbitrary bytes raise, including undecodable text and unlimited nesting."""
@@ -156,8 +156,8 @@
     limits = ClientLimits(
         max_header_bytes=document.limits.max_header_bytes,
         max_body_bytes=document.limits.max_body_bytes,
-        header_timeout_s=document.limits.header_timeout_ms / MILLISECONDS,
-        idle_timeout_s=document.limits.idle_timeout_ms / MILLISECONDS,
+        header_timeout_s=document.limits.header_timeout_ms / MILLISECONDS_PER_S,
+        idle_timeout_s=document.limits.idle_timeout_ms / MILLISECONDS_PER_S,
     )
     routes = tuple(_route(route) for route in document.routes)
     try:
@@ -177,8 +177,8 @@
         host=document.host.lower(),
         path_prefix=document.path_prefix,
         repeatable=document.kind == REPEATABLE_KIND,
-        timeout_s=document.timeout_ms / MILLISECONDS,
-        objective_s=document.goal_ms / MILLISECONDS,
+        timeout_s=document.timeout_ms / MILLISECONDS_PER_S,
+        objective_s=document.goal_ms / MILLISECONDS_PER_S,
         attempts=document.attempts,
         priority=document.priority,
         services=services,
@@ -205,7 +205,7 @@
             zone=document.zone,
             slots=document.slots,
             leaving=document.state == "draining",
-            cold_left_s=document.cold_left_ms / MILLISECONDS,
+            cold_left_s=document.cold_left_ms / MILLISECONDS_PER_S,
             started_ms=document.born,
         )
         check_entry(entry, len(value))
--- a/tinrudder/platform/settings_file.py
+++ b/tinrudder/platform/settings_file.py
@@ -21,7 +21,7 @@
     RepeatBounds,
     SettingsFileError,
 )
-from tinrudder.platform.documents import MILLISECONDS
+from tinrudder.platform.documents import MILLISECONDS_PER_S
 
 SETTINGS_VARIABLE = "TINRUDDER_CONFIG"
 
@@ -100,14 +100,14 @@
         seeds=tuple(_address("seeds", text) for text in document.seeds),
         store=_address("platform.addr", document.platform.addr),
         capacity=limits.cpu_share * limits.cores,
-        drain_s=bounds.drain_ms / MILLISECONDS,
+        drain_s=bounds.drain_ms / MILLISECONDS_PER_S,
         stop_grace_s=bounds.grace_s,
         repeats=RepeatBounds(bounds.budget_ratio, bounds.budget_extra, bounds.budget_window_s),
         cold=ColdBounds(bounds.cold_excess, bounds.cold_slack),
         quotas=QuotaBounds(bounds.quota_window_s, bounds.quota_excess, bounds.quota_slack),
-        revocation_s=bounds.revoke_ms / MILLISECONDS if bounds.strict_revoke else None,
+        revocation_s=bounds.revoke_ms / MILLISECONDS_PER_S if bounds.strict_revoke else None,
         memory_mb=limits.memory_mb or None,
-        change_in_force_s=bounds.config_apply_ms / MILLISECONDS,
+        change_in_force_s=bounds.config_apply_ms / MILLISECONDS_PER_S,
     )
 
 
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -27,7 +27,7 @@
 )
 from tinrudder.platform.documents import (
     BACKENDS_PREFIX,
-    MILLISECONDS,
+    MILLISECONDS_PER_S,
     OPERATOR_PREFIX,
     UNREADABLE,
 )
@@ -126,7 +126,7 @@
 
     async def watch(self, topic: Topic, after: StoreRevision, wait_s: float) -> Reading:
         """Wait for changes; see :class:`MetadataStore`."""
-        wait_ms = int(wait_s * MILLISECONDS)
+        wait_ms = int(wait_s * MILLISECONDS_PER_S)
         parameters = {"path_prefix": PREFIXES[topic], "after": after.number, "wait_ms": wait_ms}
         target = f"{WATCH_PATH}?{urlencode(parameters)}"
         document, epoch = await self._call(topic, target, wait_s + WATCH_MARGIN_S, _watch_decoder)
