--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -25,9 +25,9 @@
 """Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
 which TCP retransmits a lost SYN."""
 MAX_UNREPEATABLE_IDLE_S = 0.15
-"""Longest time since a connection received bytes for it to carry a call that must not be repeated,
-seconds. Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives
-no sign of it: such a call would be lost with its connection, whereas a new connection costs a few
+"""Seconds without received bytes after which a connection carries no call that must not repeat.
+Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives no sign
+of it: the call would be lost with its connection, whereas a new connection costs a few
 milliseconds."""
 
 
--- a/tinrudder/gateway/clients/answer_progress.py
+++ b/tinrudder/gateway/clients/answer_progress.py
@@ -19,14 +19,14 @@
 progress every 6 s with 4 KB of buffer and every 24 s with 16 KB (``tcp_info`` read every 0.1 s for
 60 s and 100 s)."""
 UNREAD_TIMEOUT_PRESSURE_S = 2.0
-"""The same timeout during a planned stop, where it is a third of the 6 s grace, and near the memory
-bound. A client that reads 1 KB a second still shows progress in time, and one that reads nothing is
-disconnected before requests of others are refused. Two gateways of 152 MB with 12 slow clients a
-second each refused 338 of 1,372 ordinary requests with 10 s near the bound, and none of 1,381 with
-2 s."""
+"""Seconds for which a client may read nothing during a planned stop, where it is a third of the 6 s
+grace, and near the memory bound. A client that reads 1 KB a second still shows progress in time,
+and one that reads nothing is disconnected before requests of others are refused. Two gateways of
+152 MB with 12 slow clients a second each refused 338 of 1,372 ordinary requests with 10 s near the
+bound, and none of 1,381 with 2 s."""
 UNREAD_TIMEOUT_FULL_S = 1.0
-"""The same timeout while the memory bound is reached and every request is refused, seconds: half of
-:data:`UNREAD_TIMEOUT_PRESSURE_S`."""
+"""Seconds for which a client may read nothing while the memory bound is reached and every request
+is refused: half of :data:`UNREAD_TIMEOUT_PRESSURE_S`."""
 
 
 class AnswerProgress:
--- a/tinrudder/gateway/clients/client_deadlines.py
+++ b/tinrudder/gateway/clients/client_deadlines.py
@@ -26,8 +26,8 @@
 """Upper bound of :data:`DEADLINE_MARGIN_S` as a fraction of the client's timeout.  A client with a
 timeout of 0.08 s or less keeps three quarters of it."""
 RETRY_DETECTION_S = 0.01
-"""A request whose stated time is this much below the longest on its route counts as a retry,
-seconds.  More than rounding causes, and less than clients wait after a refusal."""
+"""Seconds by which a request's stated time must be below the longest on its route to make it a
+retry.  More than rounding causes, and less than clients wait after a refusal."""
 
 
 class Deadlines(Struct, frozen=True):
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -89,7 +89,7 @@
 
 
 def log_settled_values(settled: list[ObservedValue]) -> None:
-    """Log values accepted from a restored store, since conflicting ones were not written again."""
+    """Log a restored store's values that took effect, as known ones were not written again."""
     for item in settled[:MAX_KEYS_LOGGED]:
         fields: dict[str, LogValue] = {
             "key": item.value.key,
--- a/tinrudder/gateway/peers/peer_list.py
+++ b/tinrudder/gateway/peers/peer_list.py
@@ -36,8 +36,8 @@
 """Seconds after which a silent peer is dropped, unless it is a seed: three times
 ``COUNTED_WITHIN_S``, so that digests still reach a peer that returns after a network partition."""
 LISTED_MEMBERS = 7
-"""Number of members listed in a digest of a large fleet: a new random sample each time, so that
-listing the whole fleet takes as many digests as it has groups of seven members."""
+"""Number of members listed in a digest of a large fleet: a new random sample each time. At least
+one digest for every seven members is needed to list the whole fleet."""
 LISTED_MEMBERS_IN_SMALL_FLEET = 2
 """Number of members listed in a digest of a small fleet: there all gateways exchange digests
 directly, and the list serves only processes that have just started."""
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -61,8 +61,8 @@
 SYNC_REQUEST_INTERVAL_S = 0.2
 """Seconds between two requests for all evidence by a process that has just started."""
 MAX_SYNC_REQUESTS = 10
-"""Maximum number of such requests: seeds that start at the same time have no evidence either, and
-need up to 2 s to listen."""
+"""Maximum number of requests for all evidence after a start: seeds that start at the same time have
+no evidence either, and need up to 2 s to listen."""
 PAUSE_DETECTED_S = 0.5
 """Seconds by which a timer must be late for the process to assume that it was paused and missed
 reports; it then requests all evidence."""
--- a/tinrudder/gateway/peers/snapshot_pulls.py
+++ b/tinrudder/gateway/peers/snapshot_pulls.py
@@ -29,7 +29,7 @@
 
 PULL_DELAY_S = 0.25
 """Seconds for which a gateway that watches the store itself waits for a change that a peer's digest
-shows: a change reaches all watches of the store at about the same time, and makes pulls useless."""
+shows: the store reports a change to all watches at about the same time, so no pull is needed."""
 PULL_TIMEOUT_S = 1.0
 """Timeout of a snapshot request in seconds: encoding a snapshot of hundreds of back ends takes
 milliseconds, and the next digest offers another peer to pull from."""
--- a/tinrudder/gateway/store/store_readers.py
+++ b/tinrudder/gateway/store/store_readers.py
@@ -61,7 +61,7 @@
     """Decides whether this gateway follows the store itself or relies on digests.
 
     Calls to the store are charged for, so of many gateways a few in every zone follow it. A gateway
-    that may not get changes through its peers queries the store too.
+    that cannot rely on its peers for changes queries the store itself.
 
     :param own: this gateway's address.
     :param describe_own: returns this gateway's current description of itself.
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -99,8 +99,8 @@
 MIN_STARTUP_WAIT_FACTOR = 1.0
 """Smallest factor on the time that a starting gateway waits for peers before it reads the store."""
 MAX_STARTUP_WAIT_FACTOR = 2.0
-"""Largest such factor: spreads gateways that start together over a period as long as the shortest
-wait, so that one of them reads the store first and sends its state to the others."""
+"""Largest factor on that wait: spreads gateways that start together over a period as long as the
+shortest wait, so that one of them reads the store first and sends its state to the others."""
 
 StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -38,7 +38,7 @@
 READ_TIMEOUT_S = 2.5
 """Timeout in seconds until a page begins to arrive: peers read meanwhile, and share the result."""
 WATCH_MARGIN_S = 0.6
-"""Seconds added to a watch's wait time for its timeout: enough for a store sixty times slower."""
+"""Seconds added to a watch's wait for its timeout: allows a store sixty times slower than usual."""
 MAX_PAGES = 100
 """Maximum pages of one read: ends a read whose store always reports more."""
 MAX_CONNECTIONS = 2
