--- a/tests/unit/gateway/test_probes.py
+++ b/tests/unit/gateway/test_probes.py
@@ -43,7 +43,7 @@
 
 def test_an_answer_counts_from_when_the_question_left() -> None:
     datagrams, probes, now, answers = make_probes()
-    probes.ask(PEER)
+    probes.send_probes(PEER)
     (probe, _) = datagrams.sent[0]
     now[0] += 4.0
     answer = ProbeAnswer(probe.number, at(7), 0.5)
@@ -53,7 +53,7 @@
 
 def test_an_answer_counts_once_and_only_if_it_was_asked_for() -> None:
     datagrams, probes, _, answers = make_probes()
-    probes.ask(PEER)
+    probes.send_probes(PEER)
     (probe, _) = datagrams.sent[0]
     for number in (probe.number, probe.number, probe.number + 1):
         datagrams.arrive(ProbeAnswer(number, at(7), 0.5))
@@ -64,8 +64,8 @@
     """Each process starts its numbering at another random number."""
     before, probes_before, _, _ = make_probes()
     datagrams, probes, _, answers = make_probes()
-    probes_before.ask(PEER)
-    probes.ask(PEER)
+    probes_before.send_probes(PEER)
+    probes.send_probes(PEER)
     (probe, _) = before.sent[0]
     datagrams.arrive(ProbeAnswer(probe.number, at(7), 0.5))
     assert answers == []
@@ -73,10 +73,10 @@
 
 def test_questions_without_an_answer_are_forgotten() -> None:
     datagrams, probes, now, answers = make_probes()
-    probes.ask(PEER)
+    probes.send_probes(PEER)
     (probe, _) = datagrams.sent[0]
     now[0] += PROBE_TIMEOUT_S
-    probes.ask(PEER)
+    probes.send_probes(PEER)
     datagrams.arrive(ProbeAnswer(probe.number, at(7), 0.5))
     assert answers == []
 
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -55,7 +55,7 @@
         """Call ``listener`` with every probe that is answered, and its answer."""
         self._listeners.append(listener)
 
-    def ask(self, *peers: Address) -> None:
+    def send_probes(self, *peers: Address) -> None:
         """Send a probe to each of the peers."""
         now = self._clock()
         self._drop_expired(now)
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -162,7 +162,7 @@
             return
         members = self._peers.members_in(zone, self._loop.time())
         probed = PROBED_PER_ROUND if state is PathState.SUSPECT else 1
-        self._probes.ask(*self._random.sample(members, min(probed, len(members))))
+        self._probes.send_probes(*self._random.sample(members, min(probed, len(members))))
         self.paths.count_probe_round(zone)
         pause_s = ROUND_INTERVAL_S if state is PathState.SUSPECT else CLOSED_ROUND_INTERVAL_S
         self._round_timers[zone] = self._loop.call_later(pause_s, self._run_round, zone)
--- a/tinrudder/gateway/store/epoch_merge.py
+++ b/tinrudder/gateway/store/epoch_merge.py
@@ -127,7 +127,7 @@
     @property
     def _is_settled(self) -> bool:
         """Tell whether all writes that the store lost must have been repeated by now."""
-        return self._history.seen_s >= REWRITE_PERIOD_S
+        return self._history.confirmed_epoch_age_s >= REWRITE_PERIOD_S
 
     def _current(self, key: str) -> ObservedValue | None:
         """Return a key's value of the current epoch; ``None`` if none was observed."""
@@ -144,7 +144,7 @@
             may_be_copied = not is_current or later.revision <= self._history.copy_up_to
             precedence_s = self._precedence_s(winner, later, may_be_copied=may_be_copied)
             # The duration of an intermediate epoch is unknown, so no precedence ended in it.
-            if precedence_s <= (self._history.seen_s if is_current else 0.0):
+            if precedence_s <= (self._history.confirmed_epoch_age_s if is_current else 0.0):
                 winner = later
         changed = self._winners.get(key) is not winner
         self._winners[key] = winner
--- a/tinrudder/gateway/store/shared_state.py
+++ b/tinrudder/gateway/store/shared_state.py
@@ -124,7 +124,7 @@
         """Return for how long the restored store has lacked values known here; 0: it lacks none."""
         if not self.retained_keys:
             return 0.0
-        return max(history.seen_s for history in self._histories.values())
+        return max(history.confirmed_epoch_age_s for history in self._histories.values())
 
     def history(self, topic: Topic) -> TopicHistory:
         """Return the observed history of a topic."""
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -107,18 +107,18 @@
         """Query one of the zone's readers; tell whether there is one."""
         in_zone = self._readers.addresses(self._peers.own_zone)
         if in_zone:
-            self._probes.ask(self._random.choice(in_zone))
+            self._probes.send_probes(self._random.choice(in_zone))
         return bool(in_zone)
 
     def _query_first_readers(self) -> None:
         """Query one of the first readers, or any peer if no reader is known."""
         first_readers = self._readers.addresses()[:FIRST_READERS]
         if first_readers:
-            self._probes.ask(self._random.choice(first_readers))
+            self._probes.send_probes(self._random.choice(first_readers))
             return
         peer = self._peers.random_peer(seeds_only=False)
         if peer is not None:
-            self._probes.ask(peer)
+            self._probes.send_probes(peer)
 
     def _read(self, *, is_reader: bool) -> None:
         """Read the store, unless a read is in flight or has just failed."""
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -317,7 +317,7 @@
         if self._is_probe:
             return PROBE_WAIT_S
         history = self._state.history(self._topic)
-        if history.is_restored and history.seen_s < REWRITE_PERIOD_S:
+        if history.is_restored and history.confirmed_epoch_age_s < REWRITE_PERIOD_S:
             return RESTORED_WAIT_S
         return watch_wait_s(self._topic, self._rank)
 
--- a/tinrudder/gateway/store/topic_history.py
+++ b/tinrudder/gateway/store/topic_history.py
@@ -50,7 +50,7 @@
         return self.revision.epoch
 
     @property
-    def seen_s(self) -> float:
+    def confirmed_epoch_age_s(self) -> float:
         """Return how long the current epoch is known to have lasted at the latest confirmation.
 
         Later time does not count: a process that was suspended or disconnected did not see what was
