--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -23,7 +23,7 @@
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
 CHECK_INTERVAL_S = 0.2
-"""Interval of the checks of the age, seconds: a tenth of the shortest share of the bound below."""
+"""Seconds between checks of the age: a fifth of the time until the first query with a 5 s bound."""
 QUERY_IN_ZONE_SHARE = 0.2
 """Fraction of the bound after which a reader in the own zone is queried. Together with the readers'
 fraction below, it keeps the age under half of the bound, so that one lost reader or three lost
