--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -14,7 +14,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.gateway.backends.upstream_connection import (
-    AnswerCheck,
+    CheckAnswer,
     UpstreamConnection,
     never_paused,
 )
@@ -25,9 +25,9 @@
 """Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
 which TCP retransmits a lost SYN."""
 MAX_UNREPEATABLE_IDLE_S = 0.15
-"""Longest time since a connection received bytes for it to carry a call that must not be repeated,
-seconds. Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives
-no sign of it: such a call would be lost with its connection, whereas a new connection costs a few
+"""Seconds without received bytes after which a connection carries no call that must not repeat.
+Servers drop idle connections, some after 0.17 s, and a connection whose path is lost gives no sign
+of it: the call would be lost with its connection, whereas a new connection costs a few
 milliseconds."""
 
 
@@ -37,7 +37,7 @@
     def __init__(
         self,
         address: Address,
-        check: AnswerCheck,
+        check: CheckAnswer,
         on_opened: Callable[[], None],
         memory: HeldBytes | None = None,
         was_paused: Callable[[float], bool] = never_paused,
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -2,7 +2,7 @@
 
 A change is sent to every gateway at once; in a large fleet, receivers forward it.  A gateway that
 missed a change, because it was partitioned, paused or not started yet, gets it within a second or
-two from the reports that are repeated.
+two from the periodic reports.
 
 Owns this gateway's evidence and the send budgets of its reports; relies on the rule for poison
 requests to assess, and on the calls to report lost back ends.
@@ -61,8 +61,8 @@
 SYNC_REQUEST_INTERVAL_S = 0.2
 """Seconds between two requests for all evidence by a process that has just started."""
 MAX_SYNC_REQUESTS = 10
-"""Maximum number of such requests: seeds that start at the same time have no evidence either, and
-need up to 2 s to listen."""
+"""Maximum number of requests for all evidence after a start: seeds that start at the same time have
+no evidence either, and need up to 2 s to listen."""
 PAUSE_DETECTED_S = 0.5
 """Seconds by which a timer must be late for the process to assume that it was paused and missed
 reports; it then requests all evidence."""
@@ -220,7 +220,7 @@
                 break
             self._request_all()
             await asyncio.sleep(SYNC_REQUEST_INTERVAL_S)
-        # If the whole fleet started together, no peer has evidence, and this one may answer so.
+        # If the whole fleet started together, no peer has evidence: answer with empty reports.
         self._is_synced = True
         while True:
             due_at = self._clock() + REPEAT_INTERVAL_S
@@ -243,9 +243,9 @@
         known = self.requests.all()
         if not known:
             return
-        drawn = self._random.sample(known, min(MAX_EVIDENCE_PER_REPORT, len(known)))
+        sampled = self._random.sample(known, min(MAX_EVIDENCE_PER_REPORT, len(known)))
         peers = self._peers.receivers(self._clock())
-        self._send([one for one, _ in drawn], peers, self._budget)
+        self._send([one for one, _ in sampled], peers, self._budget)
 
     def _schedule_send(self, seconds: float) -> None:
         """Schedule the pending changes to be sent together within ``seconds``."""
--- a/tinrudder/gateway/peers/probes.py
+++ b/tinrudder/gateway/peers/probes.py
@@ -55,7 +55,7 @@
         """Call ``listener`` with every probe that is answered, and its answer."""
         self._listeners.append(listener)
 
-    def ask(self, *peers: Address) -> None:
+    def send_probes(self, *peers: Address) -> None:
         """Send a probe to each of the peers."""
         now = self._clock()
         self._drop_expired(now)
@@ -65,7 +65,7 @@
             self._datagrams.send(Probe(self._number), peer)
 
     def _drop_expired(self, now: float) -> None:
-        """Drop probes that are too old; ``_sent`` is in the order of sending."""
+        """Drop probes that have timed out; ``_sent`` is in the order of sending."""
         for number, sent in tuple(self._sent.items()):
             if sent.sent_at > now - PROBE_TIMEOUT_S:
                 return
--- a/tinrudder/gateway/store/staleness_keeper.py
+++ b/tinrudder/gateway/store/staleness_keeper.py
@@ -23,25 +23,27 @@
 from tinrudder.gateway.store.stored_values import MetadataStore, StoreUnavailableError, Topic
 
 CHECK_INTERVAL_S = 0.2
-"""Interval of the checks of the age, seconds: a tenth of the shortest share of the bound below."""
-ASK_SHARE = 0.2
-"""Part of the bound after which a peer in the zone is queried. Together with the readers' share,
-the age stays below half of the bound, so that one lost reader or three lost datagrams cause no
-refusals."""
+"""Seconds between checks of the age: a fifth of the time until the first query with a 5 s bound."""
+QUERY_IN_ZONE_SHARE = 0.2
+"""Fraction of the bound after which a reader in the own zone is queried. Together with the readers'
+fraction below, it keeps the age under half of the bound, so that one lost reader or three lost
+datagrams cause no refusals."""
 READ_SHARE = 0.3
-"""The same for the first reader's read of the store: with a bound of 5 s, one call in 1.5 s for all
-gateways. The other readers query the first one: a query between zones costs a 25th of a call."""
+"""Fraction of the bound after which the first reader reads the store: with a bound of 5 s, one call
+every 1.5 s for all gateways. The other readers query the first one: a query between zones costs a
+25th of a call."""
 READ_STEP_SHARE = 0.025
-"""Increment of that share for each further rank, if no query was answered: an eighth of a second
-with that bound; the last of eight reads before half of the bound."""
+"""Increment of that fraction for each further rank, if no query was answered: an eighth of a second
+with that bound. Even the last of eight readers reads before half of the bound."""
 FIRST_READERS = 2
-"""Number of readers that are queried from other zones: the one that reads first, and its
+"""Number of readers that are queried from other zones: the one that reads the store first, and its
 substitute."""
-ASK_ELSEWHERE_SHARE = 0.5
-"""Part of the bound after which readers of other zones are queried: those of the zone did not
-answer."""
+QUERY_OTHER_ZONES_SHARE = 0.5
+"""Fraction of the bound after which readers in other zones are queried: those in the own zone did
+not answer."""
 NON_READER_SHARE = 0.6
-"""The same for a read of the store by a gateway that is no reader: no peer in reach helped."""
+"""Fraction of the bound after which a gateway that is not a reader reads the store: no reachable
+peer gave a newer proof."""
 
 
 class StalenessKeeper:
@@ -92,31 +94,31 @@
         if self._bound_s is None or not self._freshness.is_needed():
             return
         share = self._staleness_bound.age_s / self._bound_s
-        if share < ASK_SHARE:
+        if share < QUERY_IN_ZONE_SHARE:
             return
         rank = self._readers.rank()
         is_reader = rank is not None
         if share >= (NON_READER_SHARE if rank is None else READ_SHARE + rank * READ_STEP_SHARE):
             self._read(is_reader=is_reader)
-        if is_reader or share >= ASK_ELSEWHERE_SHARE or not self._ask_in_zone():
-            self._ask_elsewhere()
+        if is_reader or share >= QUERY_OTHER_ZONES_SHARE or not self._query_in_zone():
+            self._query_first_readers()
 
-    def _ask_in_zone(self) -> bool:
+    def _query_in_zone(self) -> bool:
         """Query one of the zone's readers; tell whether there is one."""
         in_zone = self._readers.addresses(self._peers.own_zone)
         if in_zone:
-            self._probes.ask(self._random.choice(in_zone))
+            self._probes.send_probes(self._random.choice(in_zone))
         return bool(in_zone)
 
-    def _ask_elsewhere(self) -> None:
+    def _query_first_readers(self) -> None:
         """Query one of the first readers, or any peer if no reader is known."""
         first_readers = self._readers.addresses()[:FIRST_READERS]
         if first_readers:
-            self._probes.ask(self._random.choice(first_readers))
+            self._probes.send_probes(self._random.choice(first_readers))
             return
         peer = self._peers.random_peer(seeds_only=False)
         if peer is not None:
-            self._probes.ask(peer)
+            self._probes.send_probes(peer)
 
     def _read(self, *, is_reader: bool) -> None:
         """Read the store, unless a read is in flight or has just failed."""
@@ -132,8 +134,8 @@
         self._reading = self._loop.create_task(self._read_once())
 
     async def _read_once(self) -> None:
-        """Read all of the operator's settings: keys that the answer lacks did not exist."""
-        asked_at = self._loop.time()
+        """Read all of the operator's settings; keys that the answer lacks did not exist."""
+        requested_at = self._loop.time()
         self.reads += 1
         try:
             reading = await self._store.read(Topic.OPERATOR)
@@ -145,11 +147,11 @@
         self._read_again_at = 0.0
         self._state.apply_complete(Topic.OPERATOR, reading)
         if reading.revision.epoch < self._state.epoch:
-            # An answer from before the store's restore, which may be as old as the restore.
+            # Answered from before the store's restore: it may be as old as the restore.
             return
-        self._state.confirm(Topic.OPERATOR, self._loop.time() - asked_at)
+        self._state.confirm(Topic.OPERATOR, self._loop.time() - requested_at)
         if reading.whole:
-            self._staleness_bound.prove(asked_at)
+            self._staleness_bound.prove(requested_at)
 
     def _on_answer(self, sent: SentProbe, answer: ProbeAnswer) -> None:
         """Apply a peer's answer; report the peer if it has newer state than this gateway."""
--- a/tinrudder/gateway/store/store_follower.py
+++ b/tinrudder/gateway/store/store_follower.py
@@ -44,25 +44,25 @@
 MIN_BACKOFF_S = 0.1
 """Seconds until a call that the store did not answer is retried; doubled with every failure."""
 MAX_BACKOFF_S = 0.8
-"""Upper limit of the same in seconds: a restored connection to the store must be noticed within a
+"""Maximum back-off in seconds: a restored connection to the store must be noticed within a
 second."""
 PAUSE_PER_READER_S = {Topic.OPERATOR: 0.05, Topic.BACKENDS: 0.12}
 """Seconds that a follower pauses after changes, for each reader. Back ends change more often, and a
 delay of their changes does less harm."""
 MAX_PAUSE_S = {Topic.OPERATOR: 0.1, Topic.BACKENDS: 1.0}
-"""Upper limit of the same in seconds: changes by the operator must be in force within seconds, and
-a leaving back end must get no new work after a few."""
+"""Maximum pause after changes, in seconds: changes by the operator must be in force within seconds,
+and a leaving back end must get no new work after a few."""
 PAUSE_JITTER = 0.6
-"""Jitter of a pause, as a part of it: wide, so that some readers are watching at any moment."""
+"""Jitter as a fraction of the pause: wide, so that some readers are watching at any moment."""
 RESTORED_WAIT_S = 1.0
 """Seconds that a watch waits just after the store was restored from a copy: the precedence of known
-values ends with the store's confirmations, and must end in time."""
+values ends only when the store confirms, so confirmations must be frequent."""
 STALE_WATCH_S = 1.0
-"""Seconds after which a watch is cancelled that has not reported a change known from another
-source: a slow store's answer takes a quarter of that."""
+"""Seconds until a watch is cancelled if it does not report a change known from another source: a
+slow store's answer takes a quarter of that."""
 NOTIFY_AFTER_S = 0.3
-"""Age in seconds of the store's latest confirmation from which on the other readers are notified of
-a new one; if several readers receive a change at once, only one notifies."""
+"""A new confirmation is sent to the other readers if the previous one is older than this, seconds;
+if several readers receive a change at once, only one notifies."""
 
 CompleteReadListener = Callable[[Topic, float], None]
 ReadingListener = Callable[[Topic, ReadReason | None], None]
@@ -99,15 +99,15 @@
 class StoreFollower:
     """Follows one topic until it is cancelled."""
 
-    def __init__(self, topic: Topic, parts: FollowerDependencies) -> None:
+    def __init__(self, topic: Topic, dependencies: FollowerDependencies) -> None:
         """Begin with a complete read."""
         self._topic = topic
-        self._store = parts.store
-        self._state = parts.state
-        self._status = parts.status
-        self._readers = parts.readers
-        self._random = parts.random_source
-        self._on_complete_read = parts.on_complete_read
+        self._store = dependencies.store
+        self._state = dependencies.state
+        self._status = dependencies.status
+        self._readers = dependencies.readers
+        self._random = dependencies.random_source
+        self._on_complete_read = dependencies.on_complete_read
         self._revision: StoreRevision | None = None
         self._must_reread = False
         self._watching: asyncio.Task[Reading] | None = None
@@ -118,8 +118,8 @@
         # The last watch was cancelled, or had no answer.
         self._is_watch_lost = False
         self._on_confirmed: list[Callable[[], None]] = []
-        self._on_silent = parts.on_silent
-        self._on_reading = parts.on_reading
+        self._on_silent = dependencies.on_silent
+        self._on_reading = dependencies.on_reading
         self._reason: ReadReason | None = None
         self._backoff_s = MIN_BACKOFF_S
         # Seconds to pause before a complete read after a refused watch; 0: none.
@@ -153,7 +153,7 @@
                 # A gateway that begins to query has a reason to distrust its connections, so it
                 # probes first.
                 self._is_probe = True
-                self._status.note_not_asked(self._topic)
+                self._status.note_not_followed(self._topic)
                 await asyncio.sleep(ROLE_CHECK_INTERVAL_S)
                 continue
             try:
@@ -210,7 +210,7 @@
 
         :raises EarlierEpochError: the answer is from before the store's latest restore.
         """
-        asked_at = asyncio.get_running_loop().time()
+        requested_at = asyncio.get_running_loop().time()
         reading = await self._store.read(self._topic)
         if reading.revision.epoch < self._state.epoch:
             self._state.apply_complete(self._topic, reading)
@@ -220,7 +220,7 @@
         # acknowledged writes, so the first read of a later epoch proves nothing.
         is_copy = self._state.history(self._topic).is_later_epoch(reading.revision)
         if reading.whole and not is_copy:
-            self._on_complete_read(self._topic, asked_at)
+            self._on_complete_read(self._topic, requested_at)
         self._state.apply_complete(self._topic, reading)
         self._revision = reading.revision
         self._confirm()
@@ -317,13 +317,13 @@
         if self._is_probe:
             return PROBE_WAIT_S
         history = self._state.history(self._topic)
-        if history.is_restored and history.seen_s < REWRITE_PERIOD_S:
+        if history.is_restored and history.confirmed_epoch_age_s < REWRITE_PERIOD_S:
             return RESTORED_WAIT_S
         return watch_wait_s(self._topic, self._rank)
 
     @property
     def _rank(self) -> int:
-        """Return this gateway's rank among the readers; the last one if it is no reader."""
+        """Return this gateway's rank among the readers; the last one if it is not a reader."""
         rank = self._readers.rank()
         return self._readers.count() - 1 if rank is None else rank
 
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -94,13 +94,13 @@
 is not a reader reads the store itself.  Some reader gets a confirmation at least every 2.4 s, which
 reaches the other gateways within another second."""
 STALE_JITTER_S = 1.0
-"""Maximum jitter in seconds added to the above, so that gateways do not all read the store at once
-when its readers are gone."""
+"""Maximum jitter in seconds added to :data:`STALE_AFTER_S`, so that gateways do not all read the
+store at once when its readers are gone."""
 MIN_STARTUP_WAIT_FACTOR = 1.0
 """Smallest factor on the time that a starting gateway waits for peers before it reads the store."""
 MAX_STARTUP_WAIT_FACTOR = 2.0
-"""Largest such factor: spreads gateways that start together over a period as long as the shortest
-wait, so that one of them reads the store first and sends its state to the others."""
+"""Largest factor on that wait: spreads gateways that start together over a period as long as the
+shortest wait, so that one of them reads the store first and sends its state to the others."""
 
 StoreFactory = Callable[[Address, Callable[[], None]], MetadataStore]
 
@@ -207,8 +207,10 @@
     fleet.zone_monitor.subscribe(coordinators.discard_decisions)
     directory = _build_directory(context, process, state, fleet, coordinators)
     poison_watch = _build_poison_watch(context, state, fleet)
-    load_news = LoadReportExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
-    state.subscribe(load_news.refresh)
+    load_report_exchange = LoadReportExchange(
+        fleet.peers, fleet.datagrams, context.loop, lambda: directory
+    )
+    state.subscribe(load_report_exchange.refresh)
     call_context = CallContext(
         loop=context.loop,
         names=context.names,
@@ -221,14 +223,14 @@
         evidence=poison_watch,
         counters=process.counters,
         own_name=str(context.own),
-        load_listener=load_news,
+        load_listener=load_report_exchange,
         random=random.Random(f"forwarding {context.settings.name}"),
         memory=process.memory,
         zone_answered=fleet.zone_monitor.answered,
         zone_unanswered=fleet.zone_monitor.note_unanswered,
     )
     coordinators.connect(directory.replica_zones, call_context.sizes)
-    return BackendParts(coordinators, directory, poison_watch, load_news, call_context)
+    return BackendParts(coordinators, directory, poison_watch, load_report_exchange, call_context)
 
 
 def _build_coordinators(
@@ -387,8 +389,8 @@
             if follower.topic is not topic:
                 follower.restart_watch()
 
-    follower_parts = _follower_parts(context, store, knowledge, readers, on_silent)
-    followers.extend(StoreFollower(topic, follower_parts) for topic in Topic)
+    follower_dependencies = _follower_dependencies(context, store, knowledge, readers, on_silent)
+    followers.extend(StoreFollower(topic, follower_dependencies) for topic in Topic)
     keeper = StalenessKeeper(
         requests.freshness,
         knowledge.state,
@@ -420,18 +422,18 @@
     )
 
 
-def _follower_parts(
+def _follower_dependencies(
     context: BuildContext,
     store: MetadataStore,
     knowledge: KnowledgeParts,
     readers: StoreReaders,
     on_silent: Callable[[Topic], None],
 ) -> FollowerDependencies:
-    def on_complete_read(topic: Topic, asked_at: float) -> None:
+    def on_complete_read(topic: Topic, requested_at: float) -> None:
         # Lets a starting gateway serve keyed requests after its first complete read, without
         # another read that confirms it.
         if topic is Topic.OPERATOR:
-            knowledge.staleness_bound.prove(asked_at)
+            knowledge.staleness_bound.prove(requested_at)
 
     def on_reading(topic: Topic, reason: ReadReason | None) -> None:
         reason_text = "" if reason is None else reason.value
--- a/tinrudder/platform/store_client.py
+++ b/tinrudder/platform/store_client.py
@@ -27,7 +27,7 @@
 )
 from tinrudder.platform.documents import (
     BACKENDS_PREFIX,
-    MILLISECONDS,
+    MILLISECONDS_PER_S,
     OPERATOR_PREFIX,
     UNREADABLE,
 )
@@ -36,9 +36,9 @@
 RANGE_PATH = "/v1/kv-range"
 WATCH_PATH = "/v1/kv-watch"
 READ_TIMEOUT_S = 2.5
-"""Seconds until the answer with one page must begin: other gateways read meanwhile, and share."""
+"""Timeout in seconds until a page begins to arrive: peers read meanwhile, and share the result."""
 WATCH_MARGIN_S = 0.6
-"""Seconds added to a watch's wait time for its timeout: enough for a store sixty times slower."""
+"""Seconds added to a watch's wait for its timeout: allows a store sixty times slower than usual."""
 MAX_PAGES = 100
 """Maximum pages of one read: ends a read whose store always reports more."""
 MAX_CONNECTIONS = 2
@@ -126,7 +126,7 @@
 
     async def watch(self, topic: Topic, after: StoreRevision, wait_s: float) -> Reading:
         """Wait for changes; see :class:`MetadataStore`."""
-        wait_ms = int(wait_s * MILLISECONDS)
+        wait_ms = int(wait_s * MILLISECONDS_PER_S)
         parameters = {"path_prefix": PREFIXES[topic], "after": after.number, "wait_ms": wait_ms}
         target = f"{WATCH_PATH}?{urlencode(parameters)}"
         document, epoch = await self._call(topic, target, wait_s + WATCH_MARGIN_S, _watch_decoder)
