--- a/tinrudder/gateway/runs/retry_rule.py
+++ b/tinrudder/gateway/runs/retry_rule.py
@@ -16,8 +16,8 @@
 """Most tries of one shard, including calls that were never sent.  With the back-off of
 :data:`RETRY_BACKOFF_S`, tries end after 0.8 s."""
 TRIES_AT_ONCE = 2
-"""Number of tries, or of selected back ends, below which the next try follows without back-off.  Most
-shards have two replicas, and the other one may well answer."""
+"""Number of tries, or of selected back ends, below which the next try follows without back-off.
+Most shards have two replicas, and the other one may well answer."""
 RETRY_BACKOFF_S = 0.03
 """Back-off for each try so far, seconds: it grows linearly, so that eight tries take 0.8 s."""
 NO_BACKOFF = 0.0
