--- a/bench/restored_store.py
+++ b/bench/restored_store.py
@@ -53,9 +53,9 @@
     for _ in range(LOST_CHANGES):
         await asyncio.sleep(0.4)
         site.configure()
-        site.turn_cold("single-0", 0.5)
+        site.mark_cold("single-0", 0.5)
         site.evacuate("zone-a")
-        site.take_back("zone-a")
+        site.end_evacuation("zone-a")
 
 
 async def change_after_return(site: EmulatedSite, after_s: float) -> str:
@@ -63,7 +63,7 @@
     await write_lost_changes(site)
     restore = StoreRestore(BACKUP_AGE_S)
     running = asyncio.create_task(restore_store(site, restore))
-    await asyncio.sleep(restore.away_s)
+    await asyncio.sleep(restore.outage_s)
     calls = site.store.calls
     await asyncio.sleep(after_s)
     site.configure()
--- a/bench/unheard_changes.py
+++ b/bench/unheard_changes.py
@@ -13,7 +13,7 @@
 from collections.abc import Callable
 
 from tinrudder_lab.emulator.silent_connections import (
-    in_force_after,
+    seconds_until_in_force,
     silence_all,
     silence_peers,
     silence_store,
@@ -52,7 +52,7 @@
 def forgets_behind_silence(site: EmulatedSite) -> None:
     """Silence the store's connections, and drop the store's history."""
     silence_store(site)
-    site.store.forget_history()
+    site.store.compact_history()
 
 
 def first_reader_dies(site: EmulatedSite) -> None:
@@ -100,7 +100,7 @@
         fault(site)
         await asyncio.sleep(0.1)
         site.configure()
-        return await in_force_after(site)
+        return await seconds_until_in_force(site)
 
     return run_site(scenario, node_count=gateways, zones=ZONES)
 
--- a/tests/functional/common/test_peer_transport.py
+++ b/tests/functional/common/test_peer_transport.py
@@ -409,7 +409,7 @@
             await link.listen(proxied)
             client = PeerClient(lambda: None)
             assert await client.request(proxied, b"first", TIMEOUT_S) == b"first"
-            link.silence_open()
+            link.silence_open_connections()
             with pytest.raises(PeerLostError):
                 await client.request(proxied, b"lost", 1.0)
             answer = await client.request(proxied, b"second", 1.0)
--- a/tests/functional/gateway/test_client_leaves.py
+++ b/tests/functional/gateway/test_client_leaves.py
@@ -32,7 +32,7 @@
     site.work_s = LONG_WORK_S
     for backend in site.backends.values():
         backend._work_s = lambda: LONG_WORK_S
-    await site.send(route, node, leaves_after_s=DISCONNECT_AFTER_S)
+    await site.send(route, node, disconnects_after_s=DISCONNECT_AFTER_S)
     await asyncio.sleep(STOP_WITHIN_S)
     assert requests_in_progress(site) == 0
     arrivals = len(site.ledger.arrivals)
@@ -66,7 +66,7 @@
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
         tasks: list[Any] = [
-            asyncio.create_task(site.send("scatter", node, leaves_after_s=DISCONNECT_AFTER_S))
+            asyncio.create_task(site.send("scatter", node, disconnects_after_s=DISCONNECT_AFTER_S))
             for node in range(len(site.nodes))
         ]
         for backend in site.backends.values():
--- a/tests/functional/gateway/test_cold.py
+++ b/tests/functional/gateway/test_cold.py
@@ -17,13 +17,13 @@
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(2.0, 40.0, ("scatter", "single"))
         cold = ["shard-0-0", "shard-0-1", "shard-1-0", "single-0"]
-        spans = [site.turn_cold(backend_id, COLD_S) for backend_id in cold]
+        spans = [site.mark_cold(backend_id, COLD_S) for backend_id in cold]
         await site.traffic(COLD_S, 60.0, ("scatter", "single"))
-        busiest = [site.ledger.most_in_a_second(span) for span in spans]
+        busiest = [site.ledger.max_in_a_second(span) for span in spans]
         assert max(busiest) <= COLD.rate(COLD_CALLS_PER_S)
         assert min(busiest) > 0
         assert site.served_share() == 1.0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario, node_count=node_count, cold_calls_per_s=COLD_CALLS_PER_S)
 
@@ -32,12 +32,12 @@
     async def scenario(site: EmulatedSite) -> None:
         for node in site.nodes:
             site.kill_node(node)
-        spans = [site.turn_cold(f"shard-{number}-0", COLD_S) for number in range(8)]
+        spans = [site.mark_cold(f"shard-{number}-0", COLD_S) for number in range(8)]
         await asyncio.sleep(0.5)
         for node in site.nodes:
             site.start_node(node)
         await site.traffic(COLD_S, 40.0, ("scatter",))
-        busiest = [site.ledger.most_in_a_second(span) for span in spans]
+        busiest = [site.ledger.max_in_a_second(span) for span in spans]
         assert max(busiest) <= COLD.rate(COLD_CALLS_PER_S)
 
     run_site(scenario, node_count=6, cold_calls_per_s=COLD_CALLS_PER_S)
@@ -45,7 +45,7 @@
 
 def test_a_back_end_that_turns_cold_again_is_noticed() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.turn_cold("shard-0-0", COLD_S)
+        site.mark_cold("shard-0-0", COLD_S)
         await asyncio.sleep(1.0)
         for node in site.nodes:
             assert node.gateway is not None
@@ -59,7 +59,7 @@
 def test_without_a_cold_rate_a_cold_back_end_is_only_preferred_less() -> None:
     async def scenario(site: EmulatedSite) -> None:
         for copy in range(2):
-            site.turn_cold(f"shard-0-{copy}", COLD_S)
+            site.mark_cold(f"shard-0-{copy}", COLD_S)
         await asyncio.sleep(1.0)
         await site.traffic(3.0, 40.0, ("scatter",))
         whole = [one for one in site.ledger.results if "tinrudder-missing-parts" not in one.headers]
--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -41,7 +41,7 @@
         assert share_in_time(site) == 1.0
         peaks = [backend.peak_connections for backend in site.backends.values()]
         assert max(peaks) <= CONNECTIONS
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, capacities=(2.0, 2.0, 0.5, 0.5, 0.5))
 
@@ -83,7 +83,7 @@
         results = site.ledger.results[first:]
         assert sum(1 for one in results if one.status == 200) >= len(results) - 3
         assert share_in_time(site, first) >= 0.95
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario)
 
@@ -102,7 +102,7 @@
         assert share_in_time(site, first) == 1.0
         coordinator.machine.resume(site.loop)
         await site.traffic(2.0, 20.0, ("scatter",))
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, copies=3)
 
@@ -156,7 +156,7 @@
             coordinator.machine.resume(site.loop)
             await sending
             await asyncio.sleep(0.5)
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, copies=copies)
 
@@ -202,7 +202,7 @@
             ran = {arrival.request_id for arrival in site.ledger.arrivals if arrival.ran}
             assert not {one.request_id for one in refused} & ran
         assert admission.refused > 0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, copies=2)
 
@@ -217,7 +217,7 @@
         first = len(site.ledger.results)
         await site.traffic(2.0, 60.0, ("scatter",))
         assert {one.status for one in site.ledger.results[first:]} == {200}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario)
 
@@ -232,7 +232,7 @@
             and node.name not in counters_by_node(site, "calls")
             and not node.gateway.backends.coordinators.of_service("shard-0").own
         )
-        result = await site.send("scatter", entry.index, leaves_after_s=0.1)
+        result = await site.send("scatter", entry.index, disconnects_after_s=0.1)
         assert result.status == 0
         await asyncio.sleep(0.5)
         assert counters_by_node(site, "coordinated") != {}
@@ -250,7 +250,7 @@
         ]
         assert isinstance(site.loop, EmulatorLoop)
         hosts = {node.host for node in coordinators}
-        site.loop.datagram_lost = lambda source, target: target[0] in hosts
+        site.loop.drops_datagram = lambda source, target: target[0] in hosts
         for node in coordinators:
             site.store.set_mode(StoreMode.SILENT, node.store_port)
         await site.add_backend("new-0", "shard-new", "zone-a")
@@ -291,7 +291,7 @@
         cut = [one for one in results if one.headers.get("tinrudder-missing-parts") == "1"]
         assert len(cut) > 50
         assert share_in_time(site, first) >= 0.95
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     delay_paths(monkeypatch, 0.012)
     run_with_many_gateways(scenario)
--- a/tests/functional/gateway/test_dead_shards.py
+++ b/tests/functional/gateway/test_dead_shards.py
@@ -19,7 +19,7 @@
     """Crash all back ends of some services; their entries are still in the store."""
     for name, backend in tuple(site.backends.items()):
         if backend.service in services:
-            site.end_backend(name)
+            site.crash_backend(name)
     await asyncio.sleep(0.1)
 
 
@@ -64,7 +64,7 @@
         first = len(site.ledger.results)
         await site.traffic(2.0, 20.0, ("scatter", "single"))
         assert {one.status for one in site.ledger.results[first:]} == {200}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario)
 
--- a/tests/functional/gateway/test_delegation.py
+++ b/tests/functional/gateway/test_delegation.py
@@ -60,7 +60,7 @@
         assert missing_parts(results) == {None}
         assert counted(site, "delegated") >= len(results) - len(site.nodes)
         assert counted(site, "delegations_run_here") == 0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario)
 
@@ -80,7 +80,7 @@
         assert counted(site, "delegated") == before
         assert in_time(results) == 1.0
         assert missing_parts(results) == {None}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario)
 
@@ -103,7 +103,7 @@
             site.backends[f"shard-0-{copy}"].choose_fault = lambda: Fault.ERROR
         result = await site.send("scatter", entry.index)
         assert result.status == 200
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario)
 
@@ -115,7 +115,7 @@
         site.kill_node(site.nodes[0])
         results = await send_from(site, site.nodes[1:], 8)
         assert in_time(results) >= 0.95
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario)
 
@@ -130,7 +130,7 @@
         assert in_time(results) >= 0.95
         site.nodes[0].machine.resume(site.loop)
         await site.traffic(2.0, 20.0, ("scatter",))
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario, copies=3, zones=("zone-a", "zone-b", "zone-c", "zone-d"), node_count=8)
 
@@ -143,7 +143,7 @@
         await asyncio.sleep(1.0)
         results = await send_from(site, site.nodes[:1], 10)
         assert {one.status for one in results[-8:]} == {200}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario, node_count=3)
 
@@ -158,6 +158,6 @@
         results = await send_from(site, site.nodes, 3)
         assert {one.status for one in results} == {200}
         assert missing_parts(results) == {"1"}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_spread(scenario)
--- a/tests/functional/gateway/test_evacuation.py
+++ b/tests/functional/gateway/test_evacuation.py
@@ -33,7 +33,7 @@
         await site.traffic(EVACUATION_S + 2.0, 30.0, ALL_ROUTES)
         assert used_zones(site, evacuated_at) == {OTHER_ZONE}
         assert site.served_share() == 1.0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario)
 
@@ -57,12 +57,12 @@
     async def scenario(site: EmulatedSite) -> None:
         site.evacuate(ZONE)
         await asyncio.sleep(PROPAGATION_S)
-        site.take_back(ZONE)
+        site.end_evacuation(ZONE)
         await asyncio.sleep(PROPAGATION_S)
         taken_back_at = site.loop.time()
         await site.traffic(3.0, 30.0, ALL_ROUTES)
         assert used_zones(site, taken_back_at) == {ZONE, OTHER_ZONE}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario)
 
@@ -79,7 +79,7 @@
             assert float(result.headers["retry-after"]) > 0
             assert result.ended_at - result.sent_at < 0.05
         assert used_zones(site, evacuated_at) == set()
-        site.take_back(ZONE)
+        site.end_evacuation(ZONE)
         await asyncio.sleep(PROPAGATION_S)
         assert [(await site.send(route)).status for route in ALL_ROUTES] == [200] * 3
 
@@ -113,7 +113,7 @@
         for _ in range(10):
             assert (await site.send("scatter", 0)).status == 200
         assert used_zones(site, evacuated_at) == {OTHER_ZONE}
-        site.take_back(ZONE)
+        site.end_evacuation(ZONE)
         await asyncio.sleep(3.0)
         gateway = site.nodes[0].gateway
         assert gateway is not None
@@ -161,10 +161,10 @@
         await asyncio.sleep(PROPAGATION_S)
         site.store.set_mode(StoreMode.DEAF)
         site.evacuate(ZONE)
-        site.take_back(OTHER_ZONE)
+        site.end_evacuation(OTHER_ZONE)
         await asyncio.sleep(PROPAGATION_S)
         site.store.set_mode(StoreMode.SERVING)
-        site.store.forget_history()
+        site.store.compact_history()
         await asyncio.sleep(PROPAGATION_S)
         for node in site.nodes:
             assert node.gateway is not None
@@ -198,6 +198,6 @@
         await site.traffic(EVACUATION_S + 2.0, 30.0, ("scatter",))
         assert ZONE not in used_zones(site, evacuated_at)
         assert site.served_share() == 1.0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, zones=("zone-a", "zone-b", "zone-c"), spread=True, shards=9)
--- a/tests/functional/gateway/test_keys.py
+++ b/tests/functional/gateway/test_keys.py
@@ -46,7 +46,7 @@
         assert await statuses(site, "key-a") == [200] * 3
         assert await statuses(site, "key-c", 1) == [200] * 3
         assert {one.tenant for one in site.ledger.arrivals} == {"first", "second"}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -99,7 +99,7 @@
             exchange._service._serve_scatter = record_headers
         for index in range(len(site.nodes)):
             assert (await site.send("scatter", index, key="key-a")).status == 200
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
     assert b"first" in seen
@@ -113,7 +113,7 @@
         await asyncio.sleep(PROPAGATION_S)
         assert await statuses(site, "key-a") == [401] * 3
         assert await statuses(site, "key-b") == [200] * 3
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -127,7 +127,7 @@
         site.ledger.arrivals.clear()
         assert await statuses(site, "key-a") == [200] * 3
         assert {one.tenant for one in site.ledger.arrivals} == {"second"}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -143,7 +143,7 @@
     async def scenario(site: EmulatedSite) -> None:
         paused = site.nodes[0]
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: target[0] == paused.host
+        loop.drops_datagram = lambda source, target: target[0] == paused.host
         site.store.set_mode(StoreMode.SILENT, paused.store_port)
         paused.machine.pause()
         paused_at = site.loop.time()
@@ -156,7 +156,7 @@
         paused.machine.resume(site.loop, suspended_s)
         results = await asyncio.gather(*sent)
         assert all(result.status in (401, 503) for result in results)
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -175,7 +175,7 @@
             assert await statuses(site, "key-a") == [401] * 3
             assert await statuses(site, "key-b") == [200] * 3
             await asyncio.sleep(1.0)
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -198,7 +198,7 @@
         await asyncio.sleep(3.0)
         assert await statuses(site, "key-a") == [401] * 3
         assert await statuses(site, "key-b") == [200] * 3
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -219,13 +219,13 @@
     async def scenario(site: EmulatedSite) -> None:
         isolated = site.nodes[0].host
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: isolated in (source[0], target[0])
+        loop.drops_datagram = lambda source, target: isolated in (source[0], target[0])
         site.store.set_mode(StoreMode.SILENT, site.nodes[0].store_port)
         site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
         await asyncio.sleep(PAST_REVOCATION_S)
         assert await statuses(site, "key-a") == [503] * 3
         assert await statuses(site, "key-a", 1) == [401] * 3
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -237,13 +237,13 @@
         site.store.set_mode(StoreMode.DEAF)
         site.set_tenants(FIRST_WITHOUT_KEY_A, SECOND)
         await asyncio.sleep(1.0)
-        site.store.forget_history()
+        site.store.compact_history()
         site.store.set_mode(StoreMode.SERVING)
         await asyncio.sleep(REVOCATION_S - 1.0)
         for node in range(len(site.nodes)):
             assert 200 not in await statuses(site, "key-a", node)
             assert await statuses(site, "key-b", node) == [200] * 3
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -260,7 +260,7 @@
         if behind == "others":
             stale_hosts = {node.host for node in site.nodes} - stale_hosts
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: target[0] in stale_hosts
+        loop.drops_datagram = lambda source, target: target[0] in stale_hosts
         for node in site.nodes:
             if node.host in stale_hosts:
                 site.store.set_mode(StoreMode.SILENT, node.store_port)
@@ -272,7 +272,7 @@
         assert {one.tenant for one in site.ledger.arrivals} <= {"first"}
         await asyncio.sleep(REVOCATION_S)
         assert (await site.send("scatter", entry, key="key-a")).status in (401, 503)
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_with_many_gateways(scenario, tenants=(FIRST,), revocation_s=REVOCATION_S)
 
@@ -287,7 +287,7 @@
         await asyncio.sleep(2.0)
         assert 200 not in await statuses(site, "key-a")
         assert 401 not in await statuses(site, "key-b")
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario)
 
@@ -319,7 +319,7 @@
     async def scenario(site: EmulatedSite) -> None:
         behind = site.nodes[0]
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: target[0] == behind.host
+        loop.drops_datagram = lambda source, target: target[0] == behind.host
         site.store.set_mode(StoreMode.SILENT, behind.store_port)
         await asyncio.sleep(REVOCATION_S * FRESH_SHARE)
         site.set_tenants(FIRST, SiteTenant("second", ("key-c", "key-new")))
@@ -382,6 +382,6 @@
             await asyncio.sleep(1.0)
         await sending
         await asyncio.gather(*tasks)
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_keyed(scenario, seed=seed)
--- a/tests/functional/gateway/test_overload.py
+++ b/tests/functional/gateway/test_overload.py
@@ -45,7 +45,7 @@
     """Check that no refused scatter reached a back end, and that no promise was broken."""
     refused = {one.request_id for one in site.ledger.results if one.status == 503}
     assert not refused & {arrival.request_id for arrival in site.ledger.arrivals}
-    assert site.broken_promises() == []
+    assert site.contract_violations() == []
 
 
 def test_a_burst_of_four_times_the_capacity_is_served_as_far_as_back_ends_can() -> None:
@@ -98,7 +98,7 @@
 def test_a_client_that_leaves_while_its_scatter_waits_leaves_the_queue() -> None:
     async def scenario(site: EmulatedSite) -> None:
         await send_scatters(site, 1.0, 0.3 * CAPACITY_PER_S)
-        abandoned = [site.send("scatter", leaves_after_s=0.01) for _ in range(6)]
+        abandoned = [site.send("scatter", disconnects_after_s=0.01) for _ in range(6)]
         results = await asyncio.gather(*abandoned)
         await asyncio.sleep(0.5)
         gateway = site.nodes[0].gateway
--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -87,10 +87,10 @@
         await asyncio.sleep(SETTLED_S)
         results = await ask(site, 20.0, RATE * OVERLOAD)
         assert statuses(results) == {200, 429}
-        assert LIMIT * 0.8 <= site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert LIMIT * 0.8 <= site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
         served = sum(1 for one in results if one.status == 200)
         assert served >= RATE * 20.0 * 0.9
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run(scenario)
 
@@ -148,7 +148,7 @@
             owner.machine.resume(site.loop)
         results = await asking
         assert statuses(results) <= {200, 429, 503}
-        assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
         late = [one for one in results if one.sent_at > results[0].sent_at + 10.0]
         assert sum(1 for one in late if one.status == 200) >= RATE * 10.0 * 0.8
 
@@ -183,7 +183,7 @@
                 site.start_node(owner)
             await asyncio.sleep(site.random.uniform(0.1, 1.0))
         await asking
-        assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
 
     run_limited(scenario, node_count=node_count, seed=seed)
 
@@ -203,16 +203,16 @@
         await asyncio.sleep(6.0)
         site.nodes[entry].machine.pause()
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: target[0] == site.nodes[entry].host
+        loop.drops_datagram = lambda source, target: target[0] == site.nodes[entry].host
         await asyncio.sleep(3.0)
         waiting = [asyncio.create_task(site.send("single", entry, key="key-l")) for _ in range(25)]
         await asyncio.sleep(0.5)
-        loop.datagram_lost = lambda source, target: False
+        loop.drops_datagram = lambda source, target: False
         site.nodes[entry].machine.resume(site.loop)
         results = await asyncio.gather(*waiting)
         await asking
         assert sum(1 for one in results if one.status == 200) <= 6
-        assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
 
     run_limited(scenario)
 
@@ -245,7 +245,7 @@
         for node in site.nodes:
             site.start_node(node)
         await asking
-        assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
 
     run_limited(scenario)
 
@@ -260,11 +260,11 @@
         asking = asyncio.create_task(ask(site, 20.0, RATE * OVERLOAD))
         await asyncio.sleep(6.0)
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: (
+        loop.drops_datagram = lambda source, target: (
             (source[0] in cut_off_hosts) != (target[0] in cut_off_hosts)
         )
         await asking
-        assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
 
     run_limited(scenario)
 
@@ -284,7 +284,7 @@
         lower = (0.5 * BOUNDS.window_s + 1.0) * (1.0 + BOUNDS.excess) + BOUNDS.slack
         later = [one for one in site.ledger.arrivals if one.at >= changed_at]
         site.ledger.arrivals[:] = later
-        assert 2 <= site.ledger.most_in_window("limited", BOUNDS.window_s) <= lower
+        assert 2 <= site.ledger.max_in_window("limited", BOUNDS.window_s) <= lower
 
     run_limited(scenario)
 
@@ -314,7 +314,7 @@
         results = await ask(site, 10.0, RATE * 3)
         assert statuses(results) == {503}
         for zone in site.zones:
-            site.take_back(zone)
+            site.end_evacuation(zone)
         await asyncio.sleep(1.5)
         assert statuses(await ask(site, 1.0, RATE)) == {200}
 
@@ -328,7 +328,7 @@
         calm = await ask(site, 20.0, RATE * 0.6, "key-o")
         await ask(site, 15.0, RATE * OVERLOAD)
         assert statuses(calm) == {200}
-        assert site.ledger.most_in_window("limited", BOUNDS.window_s) <= BOUND
+        assert site.ledger.max_in_window("limited", BOUNDS.window_s) <= BOUND
 
     run_limited(scenario, node_count=node_count)
 
@@ -354,7 +354,7 @@
         await ask(site, 6.0, RATE * OVERLOAD)
         assert gateway_of(site.nodes[entry]).requests.quotas.is_pressed("limited")
         owner.machine.pause()
-        await site.send("single", entry, key="key-l", leaves_after_s=0.01)
+        await site.send("single", entry, key="key-l", disconnects_after_s=0.01)
         await asyncio.sleep(1.0)
         assert gateway_of(site.nodes[entry]).requests.handler.in_progress == 0
 
--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -24,7 +24,7 @@
 from tinrudder_lab.emulator.http_server import ServedRequest
 from tinrudder_lab.emulator.loop import EmulatorLoop
 from tinrudder_lab.emulator.records import ClientResult, Disturbance
-from tinrudder_lab.emulator.site import BACK_S, EmulatedNode, EmulatedSite, run_site
+from tinrudder_lab.emulator.site import RESTART_DELAY_S, EmulatedNode, EmulatedSite, run_site
 from tinrudder_lab.emulator.store import StoreMode
 
 GATEWAYS = 8
@@ -49,7 +49,7 @@
 
 async def repeat_request(site: EmulatedSite, route: str, seconds: float = MINUTE_S) -> None:
     """Repeat the poison request, each time at another gateway."""
-    site.ends_under = is_poison
+    site.crashes_on = is_poison
     end = site.loop.time() + seconds
     turn = 0
     while site.loop.time() < end:
@@ -64,8 +64,8 @@
         other = asyncio.create_task(site.traffic(MINUTE_S, 5.0, ("scatter", "single", "once")))
         await repeat_request(site, route)
         await other
-        assert len(site.ledger.requests_after_three_ends(PATHS[route])) <= 3
-        assert site.broken_promises() == []
+        assert len(site.ledger.requests_after_three_crashes(PATHS[route])) <= 3
+        assert site.contract_violations() == []
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
@@ -77,10 +77,10 @@
 
 def test_the_first_try_costs_no_shard_its_second_replica() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = is_poison
+        site.crashes_on = is_poison
         result = await site.send("scatter", 0, target=PATHS["scatter"])
         assert result.status in (502, 504)
-        assert len(site.ledger.ended) <= max_crashes_of_first_try(SHARDS)
+        assert len(site.ledger.crashes) <= max_crashes_of_first_try(SHARDS)
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
@@ -90,10 +90,10 @@
     route: str,
 ) -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = is_poison
+        site.crashes_on = is_poison
         for node in range(3):
             await send_poison(site, route, node)
-        ended = len(site.ledger.ended)
+        crash_count = len(site.ledger.crashes)
         for node in range(GATEWAYS):
             result = await site.send(route, node, target=PATHS[route])
             assert result.status == 503
@@ -103,17 +103,17 @@
             assert other.status in (200, 502, 503), (
                 "not 200 only until its back ends have restarted"
             )
-        assert len(site.ledger.ended) == ended
+        assert len(site.ledger.crashes) == crash_count
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
 def test_other_requests_are_served_as_soon_as_the_back_ends_are_back() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = is_poison
+        site.crashes_on = is_poison
         for node in range(3):
             await send_poison(site, "scatter", node)
-        await asyncio.sleep(BACK_S + 1.0)
+        await asyncio.sleep(RESTART_DELAY_S + 1.0)
         first = len(site.ledger.results)
         await site.traffic(10.0, 20.0, ("scatter", "single", "once"))
         assert {one.status for one in site.ledger.results[first:]} == {200}
@@ -123,40 +123,40 @@
 
 def test_a_gateway_that_has_just_started_hears_what_the_others_know() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = is_poison
+        site.crashes_on = is_poison
         for node in range(3):
             await send_poison(site, "scatter", node)
-        ended = len(site.ledger.ended)
+        crash_count = len(site.ledger.crashes)
         restarted = site.nodes[GATEWAYS - 1]
         site.kill_node(restarted)
         site.start_node(restarted)
         await asyncio.sleep(1.0)
         result = await site.send("scatter", GATEWAYS - 1, target=PATHS["scatter"])
         assert result.status == 503
-        assert len(site.ledger.ended) == ended
+        assert len(site.ledger.crashes) == crash_count
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
 
 def test_a_paused_or_partitioned_gateway_learns_of_it_within_two_seconds() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.ends_under = is_poison
+        site.crashes_on = is_poison
         paused, cut_off = site.nodes[GATEWAYS - 1], site.nodes[GATEWAYS - 2]
         paused.machine.pause()
         loop = site.loop
         assert isinstance(loop, EmulatorLoop)
-        loop.datagram_lost = lambda source, target: cut_off.host in (source[0], target[0])
+        loop.drops_datagram = lambda source, target: cut_off.host in (source[0], target[0])
         for node in range(3):
             await send_poison(site, "scatter", node)
-        ended = len(site.ledger.ended)
+        crash_count = len(site.ledger.crashes)
         await asyncio.sleep(1.0)
-        loop.datagram_lost = lambda source, target: False
+        loop.drops_datagram = lambda source, target: False
         paused.machine.resume(loop, stands_s=1.0)
         await asyncio.sleep(2.0)
         for node in (paused, cut_off):
             result = await site.send("scatter", node.index, target=PATHS["scatter"])
             assert result.status == 503
-        assert len(site.ledger.ended) == ended
+        assert len(site.ledger.crashes) == crash_count
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
@@ -165,10 +165,10 @@
 def test_with_coordinators_the_first_try_crashes_no_more_back_ends(spread: bool) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(SETTLED_S)
-        site.ends_under = is_poison
+        site.crashes_on = is_poison
         for node in range(0, GATEWAY_COUNT, 5):
             await send_poison(site, "scatter", node)
-        assert len(site.ledger.ended) <= max_crashes_of_first_try(site.shards)
+        assert len(site.ledger.crashes) <= max_crashes_of_first_try(site.shards)
 
     run_with_many_gateways(scenario, spread=spread)
 
@@ -178,11 +178,11 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(10.0, 20.0, ("scatter",))
-        site.ends_under = lambda request: "varies" in request.target
+        site.crashes_on = lambda request: "varies" in request.target
         for turn in range(40):
             await site.send("scatter", turn % GATEWAYS, target=f"/all/varies-{turn}")
             await asyncio.sleep(REPEAT_INTERVAL_S)
-        assert len(site.ledger.ended) <= 3 * max_crashes_of_first_try(SHARDS) + 37
+        assert len(site.ledger.crashes) <= 3 * max_crashes_of_first_try(SHARDS) + 37
 
     run_site(scenario, node_count=GATEWAYS, shards=SHARDS)
 
@@ -193,7 +193,7 @@
     while site.loop.time() < end:
         await asyncio.sleep(4.0)
         for backend_id in site.random.sample(sorted(site.backends), len(site.backends) // 3):
-            site.end_backend(backend_id)
+            site.crash_backend(backend_id)
 
 
 def test_where_back_ends_crash_by_themselves_hardly_a_request_is_barred() -> None:
@@ -243,17 +243,17 @@
     loop = site.loop
     assert isinstance(loop, EmulatorLoop)
     with record_disturbance(site, *site.nodes):
-        loop.datagram_lost = lambda source, target: zones[source[0]] != zones[target[0]]
+        loop.drops_datagram = lambda source, target: zones[source[0]] != zones[target[0]]
         await asyncio.sleep(6.0)
-        loop.datagram_lost = lambda source, target: False
+        loop.drops_datagram = lambda source, target: False
 
 
 async def datagrams_are_lost(site: EmulatedSite) -> None:
     loop = site.loop
     assert isinstance(loop, EmulatorLoop)
-    loop.datagram_lost = lambda source, target: site.random.random() < 0.2
+    loop.drops_datagram = lambda source, target: site.random.random() < 0.2
     await asyncio.sleep(20.0)
-    loop.datagram_lost = lambda source, target: False
+    loop.drops_datagram = lambda source, target: False
 
 
 async def gateways_die_in_turn(site: EmulatedSite) -> None:
@@ -319,7 +319,7 @@
         await asyncio.sleep(2.0)
         await trouble(site)
         await repeating
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
         first = len(site.ledger.results)
         await site.traffic(3.0, 20.0, ("scatter", "single"))
         assert {one.status for one in site.ledger.results[first:]} == {200}
--- a/tests/functional/gateway/test_restarted_back_ends.py
+++ b/tests/functional/gateway/test_restarted_back_ends.py
@@ -11,8 +11,8 @@
 import pytest
 
 from tinrudder_lab.emulator.backend import Fault
-from tinrudder_lab.emulator.foreign_entries import FOREIGN_VALUES
 from tinrudder_lab.emulator.http_server import ServedRequest
+from tinrudder_lab.emulator.invalid_entries import CORRUPTIONS
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
 ALL_ROUTES = ("scatter", "single", "once")
@@ -41,7 +41,7 @@
         since = site.loop.time()
         await site.traffic(2.0, 30.0, ("scatter",))
         assert arrivals_at(site, "shard-0-0", since) >= 10
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario)
 
@@ -78,7 +78,7 @@
         results = await asyncio.gather(*pending_sends)
         failed_results = [result for result in results if result.status in (502, 504)]
         assert failed_results
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario, work_s=1.0)
 
@@ -93,7 +93,7 @@
         await asyncio.sleep(4.0)
         result = await site.send("single")
         assert result.status == 200
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario)
 
@@ -102,12 +102,12 @@
 def test_unreadable_entries_get_no_calls_and_the_others_stay_valid(node_count: int) -> None:
     async def scenario(site: EmulatedSite) -> None:
         await site.traffic(1.0, 20.0, ALL_ROUTES)
-        overwritten = {f"shard-{number}-0": make for number, make in enumerate(FOREIGN_VALUES)}
-        overwritten["single-1"] = FOREIGN_VALUES[0]
+        overwritten = {f"shard-{number}-0": make for number, make in enumerate(CORRUPTIONS)}
+        overwritten["single-1"] = CORRUPTIONS[0]
         for backend_id, make in overwritten.items():
-            site.write_foreign(backend_id, make(site.entry_document(backend_id), site.random))
+            site.write_unreadable(backend_id, make(site.entry_document(backend_id), site.random))
         # A foreign entry under a new key, and a later change that it must not hide.
-        site.write_foreign("foreign-0", b"?")
+        site.write_unreadable("foreign-0", b"?")
         await site.add_backend("shard-0-2", "shard-0", "zone-a")
         await asyncio.sleep(PROPAGATION_S)
         since = site.loop.time()
@@ -126,7 +126,7 @@
         await site.traffic(2.0, 20.0, ALL_ROUTES)
         assert all(arrivals_at(site, backend_id, since) for backend_id in overwritten)
         assert site.served_share() == 1.0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario, node_count=node_count)
 
@@ -136,11 +136,11 @@
         pending_sends = [asyncio.create_task(site.send("once", number % 3)) for number in range(6)]
         await asyncio.sleep(0.1)
         for copy in range(site.singles):
-            site.write_foreign(f"single-{copy}", b"?")
+            site.write_unreadable(f"single-{copy}", b"?")
         assert {result.status for result in await asyncio.gather(*pending_sends)} == {200}
         refused = await site.send("once")
         assert refused.status == 503
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario, work_s=0.6)
 
@@ -163,8 +163,8 @@
 
     async def scenario(site: EmulatedSite) -> None:
         for number, item in enumerate(invalid_items):
-            site.store.put_spoiled(f"servers/aaa-{number}", item)
-            site.store.put_spoiled(f"servers/zzz-{number}", item)
+            site.store.put_with_overrides(f"servers/aaa-{number}", item)
+            site.store.put_with_overrides(f"servers/zzz-{number}", item)
         await asyncio.sleep(PROPAGATION_S)
         for node in site.nodes:
             site.kill_node(node)
@@ -190,14 +190,14 @@
         def crashes_back_end(request: ServedRequest) -> bool:
             return request.target.endswith("ends-back-ends")
 
-        site.keeps_ids = True
-        site.ends_under = crashes_back_end
+        site.restarts_under_same_id = True
+        site.crashes_on = crashes_back_end
         background = asyncio.create_task(site.traffic(20.0, 10.0, ALL_ROUTES))
         for turn in range(10):
             await site.send("scatter", turn % 3, target="/all/ends-back-ends")
             await asyncio.sleep(2.0)
         await background
         assert set(site.backends) >= {"shard-0-0", "shard-0-1", "single-0"}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario)
--- a/tests/functional/gateway/test_restored_store.py
+++ b/tests/functional/gateway/test_restored_store.py
@@ -44,9 +44,9 @@
     for _ in range(LOST_CHANGES):
         await asyncio.sleep(0.5)
         site.configure()
-        site.turn_cold("single-0", 0.5)
+        site.mark_cold("single-0", 0.5)
         site.evacuate("zone-a")
-        site.take_back("zone-a")
+        site.end_evacuation("zone-a")
     await asyncio.sleep(0.2)
     await restore_store(site, StoreRestore(age_s=1.8))
 
@@ -132,7 +132,7 @@
         restore = StoreRestore(age_s=1.0, backends_after_s=None)
         asked = await ask_through(site, restore)
         assert asked and "single-0" not in asked
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario, node_count=GATEWAYS)
 
@@ -233,7 +233,7 @@
 
     async def scenario(site: EmulatedSite) -> None:
         await asyncio.sleep(2.0)
-        spans = [site.turn_cold(backend_id, 1.5) for backend_id in sorted(site.backends)]
+        spans = [site.mark_cold(backend_id, 1.5) for backend_id in sorted(site.backends)]
         await asyncio.sleep(2.0)
         await restore_store(site, StoreRestore(age_s=3.0))
         now = site.loop.time()
@@ -256,7 +256,7 @@
         site.configure()
         await asyncio.sleep(0.5)
         running = asyncio.create_task(restore_store(site, restore))
-        await asyncio.sleep(restore.away_s)
+        await asyncio.sleep(restore.outage_s)
         for node in site.nodes[:3]:
             site.kill_node(node)
             site.start_node(node)
@@ -274,10 +274,10 @@
         missed = site.nodes[-1].store_port
         site.store.set_mode(StoreMode.SILENT, missed)
         site.configure()
-        await restore_store(site, StoreRestore(age_s=1.0, away_s=0.5))
+        await restore_store(site, StoreRestore(age_s=1.0, outage_s=0.5))
         site.store.set_mode(StoreMode.SILENT, missed)
         site.drain("single-1")
-        await restore_store(site, StoreRestore(age_s=1.0, away_s=0.5))
+        await restore_store(site, StoreRestore(age_s=1.0, outage_s=0.5))
         site.configure()
         site.drain("single-0")
         await asyncio.sleep(1.0)
@@ -293,14 +293,14 @@
         cut_off = site.nodes[-1]
         assert isinstance(site.loop, EmulatorLoop)
         site.store.set_mode(StoreMode.SILENT, cut_off.store_port)
-        site.loop.datagram_lost = lambda source, target: cut_off.host in (source[0], target[0])
+        site.loop.drops_datagram = lambda source, target: cut_off.host in (source[0], target[0])
         await lose_changes(site)
         site.store.set_mode(StoreMode.SILENT, cut_off.store_port)
         site.configure()
         site.drain("single-0")
         await asyncio.sleep(10.0)
         assert versions_in_force(site)[:-1] == [site.version] * (GATEWAYS - 1)
-        site.loop.datagram_lost = lambda source, target: False
+        site.loop.drops_datagram = lambda source, target: False
         site.store.set_mode(StoreMode.SERVING)
         await asyncio.sleep(IN_FORCE_S)
         assert versions_in_force(site) == [site.version] * GATEWAYS
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -76,7 +76,7 @@
         most_bytes = BURST_BYTES + BYTES_PER_S * 12.0
         assert max(exchange_counts(site, "sent")) <= most_bytes / (DATAGRAM_BYTES + LOAD_BYTES)
         assert sum(exchange_counts(site, "ignored")) == 0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_shared(scenario)
 
@@ -91,7 +91,7 @@
         assert sum(1 for arrival in arrivals if not arrival.ran) <= 0.03 * len(arrivals)
         assert in_time(results) >= 0.5 * CAPACITY_PER_S * 3.0
         assert {one.status for one in results} == {200, 503}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_shared(scenario)
 
--- a/tests/functional/gateway/test_silent_connections.py
+++ b/tests/functional/gateway/test_silent_connections.py
@@ -20,7 +20,7 @@
 
 from tests.support.many_gateways import SETTLED_S
 from tinrudder_lab.emulator.silent_connections import (
-    in_force_after,
+    seconds_until_in_force,
     silence_all,
     silence_peers,
     silence_store,
@@ -41,7 +41,7 @@
 
     has_added_route = False
 
-    def further_routes(self) -> list[str]:
+    def extra_routes(self) -> list[str]:
         return [ADDED_ROUTE] if self.has_added_route else []
 
     def add_route(self) -> None:
@@ -62,7 +62,7 @@
         fall_silent(site)
         await asyncio.sleep(SILENT_FOR_S)
         site.configure()
-        return await in_force_after(site)
+        return await seconds_until_in_force(site)
 
     assert run_site(scenario, node_count=gateways) <= IN_FORCE_S
 
@@ -97,7 +97,7 @@
         site.store.set_mode(StoreMode.SILENT, *following)
         await asyncio.sleep(SILENT_FOR_S)
         site.configure()
-        return await in_force_after(site)
+        return await seconds_until_in_force(site)
 
     assert run_site(scenario, node_count=24) <= STRICTEST_IN_FORCE_S
 
--- a/tests/functional/gateway/test_site.py
+++ b/tests/functional/gateway/test_site.py
@@ -23,8 +23,8 @@
 CAPACITY_PER_SECOND = 2 * 2 / 0.04
 
 
-def assert_promises(site: EmulatedSite) -> None:
-    assert site.broken_promises() == []
+def assert_no_contract_violations(site: EmulatedSite) -> None:
+    assert site.contract_violations() == []
 
 
 def test_a_calm_day_is_served_whole_and_in_time() -> None:
@@ -32,7 +32,7 @@
         await site.traffic(10.0, 40.0, ALL_ROUTES)
         assert site.served_share() == 1.0
         assert all(result.ended_at - result.sent_at < 0.4 for result in site.ledger.results)
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -46,7 +46,7 @@
         repeatable = [result for result in site.ledger.results if result.repeatable]
         served = sum(1 for result in repeatable if result.status == 200) / len(repeatable)
         assert served >= 0.97
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -67,7 +67,7 @@
         assert len(in_time) >= 0.99 * len(results)
         whole = [result for result in in_time if "tinrudder-missing-parts" not in result.headers]
         assert len(whole) >= 0.9 * len(results)
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -99,7 +99,7 @@
             await site.send("single", 0)
         used = {arrival.backend_id for arrival in site.ledger.arrivals[before:]}
         assert "single-0" not in used
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -126,7 +126,7 @@
             site.start_node(node)
         await asyncio.sleep(1.0)
         assert [(await site.send("scatter", index)).status for index in range(3)] == [200] * 3
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -138,7 +138,7 @@
         site.configure(oldest_version=1.0)
         await asyncio.sleep(1.0)
         site.store.set_mode(StoreMode.SERVING)
-        site.store.forget_history()
+        site.store.compact_history()
         await asyncio.sleep(1.0)
         for node in site.nodes:
             assert node.gateway is not None
@@ -161,7 +161,7 @@
         used = {arrival.backend_id for arrival in site.ledger.arrivals[before:]}
         assert not used & {"shard-1-0", "single-1"}
         assert site.served_share() == 1.0
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -209,7 +209,7 @@
         first = len(site.ledger.results)
         await site.traffic(2.0, 20.0, ("scatter", "single"))
         assert {result.status for result in site.ledger.results[first:]} == {200}
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -248,7 +248,7 @@
         assert site.served_share() == 1.0
         missing = {result.headers.get("tinrudder-missing-parts") for result in site.ledger.results}
         assert missing == {"1"}
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -266,7 +266,7 @@
                 key = (arrival.request_id, arrival.service)
                 backends.setdefault(key, set()).add(arrival.backend_id)
         assert max(len(used) for used in backends.values()) <= 2
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -282,7 +282,7 @@
         site.kill_node(site.nodes[0])
         site.start_node(site.nodes[0])
         await site.traffic(12.0, 40.0, REPEATABLE)
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -297,7 +297,7 @@
 
 def test_when_a_client_leaves_its_work_ends() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        result = await site.send("scatter", leaves_after_s=0.1)
+        result = await site.send("scatter", disconnects_after_s=0.1)
         assert result.status == 0
         await asyncio.sleep(0.5)
         assert all(not backend._running for backend in site.backends.values())
@@ -342,7 +342,7 @@
         await site.traffic(20.0, 20.0, ("once",))
         statuses = Counter(result.status for result in site.ledger.results)
         assert statuses[200] and statuses[502]
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -358,7 +358,7 @@
         await site.traffic(4.4, 60.0, ALL_ROUTES)
         await stopping
         assert site.served_share() == 1.0
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario)
 
@@ -393,7 +393,7 @@
         assert refused
         assert all(result.ended_at - result.sent_at < 0.05 for result in refused)
         assert len(in_time) >= 0.5 * CAPACITY_PER_SECOND * 4.0
-        assert_promises(site)
+        assert_no_contract_violations(site)
 
     run_site(scenario, shards=4, work_s=0.04)
 
@@ -510,7 +510,7 @@
             return False
 
         assert isinstance(site.loop, EmulatorLoop)
-        site.loop.datagram_lost = count
+        site.loop.drops_datagram = count
         await asyncio.sleep(10.0)
         per_node = len(sizes) / 10.0 / len(site.nodes)
         assert per_node <= math.ceil((len(site.nodes) - 1) / 0.4)
@@ -521,7 +521,7 @@
 def test_gateways_that_start_together_respect_a_back_ends_connections() -> None:
     async def scenario(site: EmulatedSite) -> None:
         assert isinstance(site.loop, EmulatorLoop)
-        site.loop.datagram_lost = lambda *_: True
+        site.loop.drops_datagram = lambda *_: True
         for node in site.nodes:
             site.kill_node(node)
             site.start_node(node)
@@ -539,7 +539,7 @@
         assert isinstance(site.loop, EmulatorLoop)
         cut_off = site.nodes[0]
         site.store.set_mode(StoreMode.SILENT, cut_off.store_port)
-        site.loop.datagram_lost = lambda source, target: cut_off.host in (source[0], target[0])
+        site.loop.drops_datagram = lambda source, target: cut_off.host in (source[0], target[0])
         await asyncio.sleep(2.5)
         site.configure(path_prefix="/new/")
         await asyncio.sleep(0.5)
@@ -627,7 +627,7 @@
 def test_an_unreadable_load_report_harms_no_answer_and_is_counted() -> None:
     async def scenario(site: EmulatedSite) -> None:
         for backend in site.backends.values():
-            backend.tell_load = lambda: "much"  # type: ignore[method-assign]
+            backend.load_header = lambda: "much"  # type: ignore[method-assign]
         await site.traffic(2.0, 20.0, ALL_ROUTES)
         assert site.served_share() == 1.0
         gateway = site.nodes[0].gateway
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -181,7 +181,7 @@
         }
         assert gateway.process.memory.refused == 3
         assert gateway.process.memory.clients == 0
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_site(scenario, node_count=1)
 
@@ -241,11 +241,11 @@
     async def scenario(site: EmulatedSite) -> None:
         site.records_of = lambda request: site.random.choice((6, 3_000, 20_000))
         traffic = asyncio.create_task(site.traffic(4.0, 40.0, ("scatter", "single", "once")))
-        for leaves_after_s in (0.01, 0.02, 0.05, 0.1):
+        for disconnects_after_s in (0.01, 0.02, 0.05, 0.1):
             for node in range(3):
-                await site.send("scatter", node, leaves_after_s=leaves_after_s)
+                await site.send("scatter", node, disconnects_after_s=disconnects_after_s)
         await asyncio.sleep(1.0)
-        site.end_backend("single-0")
+        site.crash_backend("single-0")
         await traffic
         await asyncio.sleep(2.0)
         for node in site.nodes:
--- a/tests/functional/gateway/test_store_readers.py
+++ b/tests/functional/gateway/test_store_readers.py
@@ -54,7 +54,7 @@
             if node.gateway is not None and not node.gateway.store.readers.is_reader()
         )
         assert isinstance(site.loop, EmulatorLoop)
-        site.loop.datagram_lost = lambda source, target: alone.host in (source[0], target[0])
+        site.loop.drops_datagram = lambda source, target: alone.host in (source[0], target[0])
         await asyncio.sleep(1.5)
         site.configure(oldest_version=0.5)
         await asyncio.sleep(1.0)
--- a/tests/functional/gateway/test_zone_cut.py
+++ b/tests/functional/gateway/test_zone_cut.py
@@ -44,7 +44,7 @@
     """Pause everything in some zones, as they appear to gateways that are cut off from them."""
     hosts = {site.nodes[index].host for index in nodes_in(site, *zones)}
     loop: Any = site.loop
-    loop.datagram_lost = lambda source, target: (source[0] in hosts) != (target[0] in hosts)
+    loop.drops_datagram = lambda source, target: (source[0] in hosts) != (target[0] in hosts)
     for index in nodes_in(site, *zones):
         site.nodes[index].machine.pause()
     for backend in backends_in(site, *zones):
@@ -53,7 +53,7 @@
 
 def heal_partition(site: EmulatedSite, *zones: str) -> None:
     loop: Any = site.loop
-    loop.datagram_lost = lambda source, target: False
+    loop.drops_datagram = lambda source, target: False
     for index in nodes_in(site, *zones):
         site.nodes[index].machine.resume(site.loop)
     for backend in backends_in(site, *zones):
@@ -98,7 +98,7 @@
         single = await site.send("single", cut_off[0])
         assert single.status == 503
         assert single.ended_at - single.sent_at < FAST_REFUSAL_S
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_zones(scenario)
 
@@ -117,7 +117,7 @@
         await asyncio.sleep(1.0)
         assert [await is_ready(site, node) for node in cut_off] == [True, True]
         assert {one.status for one in await send_scatters(site, cut_off, 2.0)} == {200}
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_zones(scenario)
 
@@ -152,7 +152,7 @@
         ]
         assert len(late_calls) <= 2
         assert all([await is_ready(site, node) for node in reachable_nodes])
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_zones(scenario)
 
@@ -187,7 +187,7 @@
         assert used
         after = sum(gateway_of(node).process.counters.connections_opened for node in site.nodes)
         assert after - opened <= 60
-        assert site.broken_promises() == []
+        assert site.contract_violations() == []
 
     run_zones(scenario)
 
@@ -197,7 +197,7 @@
         await send_scatters(site, [0], WARM_UP_S)
         alone = site.nodes[0].host
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: alone in (source[0], target[0])
+        loop.drops_datagram = lambda source, target: alone in (source[0], target[0])
         for node in site.nodes[1:]:
             node.machine.pause()
         for backend in site.backends.values():
@@ -211,7 +211,7 @@
 def test_lost_datagrams_alone_close_nothing() -> None:
     async def scenario(site: EmulatedSite) -> None:
         loop: Any = site.loop
-        loop.datagram_lost = lambda source, target: site.random.random() < 0.3
+        loop.drops_datagram = lambda source, target: site.random.random() < 0.3
         served = await send_scatters(site, list(range(8)), 20.0)
         assert {one.status for one in served} == {200}
         assert sum(gateway_of(node).fleet.zone_monitor.closings for node in site.nodes) == 0
--- a/tests/unit/gateway/test_backend_entries.py
+++ b/tests/unit/gateway/test_backend_entries.py
@@ -18,7 +18,7 @@
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic, UnreadableValueError
 from tinrudder.gateway.store.unreadable_values import MAX_LINES, UnreadableValues
 from tinrudder.platform.documents import decode_backend
-from tinrudder_lab.emulator.foreign_entries import FOREIGN_VALUES, foreign_value
+from tinrudder_lab.emulator.invalid_entries import CORRUPTIONS, invalid_value
 
 ENTRY: dict[str, object] = {
     "service": "s",
@@ -38,7 +38,7 @@
     return StoredValue(f"servers/{key}", at(revision), msgspec.json.encode(ENTRY | changes))
 
 
-@pytest.mark.parametrize("make", FOREIGN_VALUES)
+@pytest.mark.parametrize("make", CORRUPTIONS)
 @given(seed=st.integers(0, 200))
 def test_a_foreign_entry_is_refused_with_its_key(
     make: Callable[[dict[str, object], random.Random], bytes], seed: int
@@ -114,14 +114,14 @@
     return state.backends[f"servers/{key}"].standing
 
 
-@pytest.mark.parametrize("seed", range(len(FOREIGN_VALUES) * 3))
+@pytest.mark.parametrize("seed", range(len(CORRUPTIONS) * 3))
 def test_a_good_entry_that_becomes_unreadable_is_withdrawn_until_it_is_good_again(
     seed: int,
 ) -> None:
     state, peer, late_peer = new_state(), new_state(), new_state()
     late_peer.apply(Topic.BACKENDS, (value_of("a", 1), value_of("b", 3)))
     state.apply(Topic.BACKENDS, (value_of("a", 1), value_of("b", 3)))
-    foreign = StoredValue("servers/a", at(5), foreign_value(ENTRY, random.Random(seed)))
+    foreign = StoredValue("servers/a", at(5), invalid_value(ENTRY, random.Random(seed)))
     assert state.apply(Topic.BACKENDS, (foreign,))
     assert standing(state, "a") is EntryStatus.UNREADABLE
     assert state.backends["servers/a"].leaving
--- a/tests/unit/lab/test_emulator_ledger.py
+++ b/tests/unit/lab/test_emulator_ledger.py
@@ -18,7 +18,7 @@
 
 
 def leaving_broken(ledger: Ledger) -> bool:
-    broken = ledger.broken_promises(0.2, 50.0, 10.0, DRAIN_S, 5.0)
+    broken = ledger.contract_violations(0.2, 50.0, 10.0, DRAIN_S, 5.0)
     return any(one.promise == "leaving" for one in broken)
 
 
@@ -69,7 +69,7 @@
 def poison_ledger(attempts_after: int, host: str = "") -> Ledger:
     """Three crashes in the first second, then attempts from 4 s after the third on."""
     ledger = Ledger(zones={"b": "z"})
-    ledger.ended = [CrashedBackend(0.1 * n, f"b{n}", "r", "/poison") for n in range(3)]
+    ledger.crashes = [CrashedBackend(0.1 * n, f"b{n}", "r", "/poison") for n in range(3)]
     for number in range(attempts_after):
         name = f"late-{number}"
         ledger.sent[name] = SentRequest("", 5.0, host)
@@ -81,16 +81,16 @@
 def test_a_request_that_ended_three_back_ends_may_reach_others_three_times_more(
     tries: int, broken: bool
 ) -> None:
-    promises = poison_ledger(tries).broken_promises(0.2, 50.0, 10.0, DRAIN_S, 5.0)
+    promises = poison_ledger(tries).contract_violations(0.2, 50.0, 10.0, DRAIN_S, 5.0)
     assert any(one.promise == "ended back ends" for one in promises) is broken
 
 
 def test_attempts_through_a_disturbed_gateway_do_not_count() -> None:
     ledger = poison_ledger(4, host="gateway")
     ledger.disturbances.append(Disturbance("gateway", 2.0, 4.5))
-    assert ledger.requests_after_three_ends("/poison") == []
+    assert ledger.requests_after_three_crashes("/poison") == []
     ledger.disturbances[0].until = 0.9
-    assert len(ledger.requests_after_three_ends("/poison")) == 4
+    assert len(ledger.requests_after_three_crashes("/poison")) == 4
 
 
 @pytest.mark.parametrize(
@@ -102,7 +102,7 @@
 ) -> None:
     ledger = Ledger(unreadable=[UnreadableSpan("b", 10.0, until)], zones={"b": "z"})
     ledger.arrivals.append(Arrival(arrival_at, "r", "s", "b", "/", None, ran=True))
-    found = ledger.broken_promises(0.2, 50.0, 10.0, DRAIN_S, 5.0)
+    found = ledger.contract_violations(0.2, 50.0, 10.0, DRAIN_S, 5.0)
     assert [one.promise for one in found] == (["unreadable"] if broken else [])
 
 
@@ -111,5 +111,5 @@
     for started_ms in (1, 2):
         arrival = Arrival(20.0, "r", "s", "b", "/", None, ran=True, started_ms=started_ms)
         ledger.arrivals.append(arrival)
-    broken = ledger.broken_promises(0.2, 50.0, 10.0, DRAIN_S, 5.0)
+    broken = ledger.contract_violations(0.2, 50.0, 10.0, DRAIN_S, 5.0)
     assert [one.promise for one in broken] == ["leaving"]
--- a/tinrudder_lab/checkers/draining.py
+++ b/tinrudder_lab/checkers/draining.py
@@ -8,7 +8,7 @@
 
 from collections.abc import Iterator
 
-from tinrudder_lab.checkers.excuses import is_unavailable
+from tinrudder_lab.checkers.unavailability import is_unavailable
 from tinrudder_lab.checkers.violation import Promise, Violation
 from tinrudder_lab.history import CallSeen, CallStage, DrainSigned, History
 
--- a/tinrudder_lab/checkers/planned_stop.py
+++ b/tinrudder_lab/checkers/planned_stop.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Iterator
 
-from tinrudder_lab.checkers.excuses import is_disturbed
+from tinrudder_lab.checkers.unavailability import is_disturbed
 from tinrudder_lab.checkers.violation import Promise, Violation
 from tinrudder_lab.history import LOST, History, NodeSeen, NodeStage, QueryEnded, QuerySent
 
--- a/tinrudder_lab/emulator/backend.py
+++ b/tinrudder_lab/emulator/backend.py
@@ -68,7 +68,7 @@
         self.started_ms = started_ms
         self.service = service
         self.choose_fault: Callable[[], Fault] = lambda: Fault.NONE
-        self.ends_under: Callable[[ServedRequest], bool] = lambda request: False
+        self.crashes_on: Callable[[ServedRequest], bool] = lambda request: False
         self.on_crash: Callable[[ServedRequest], None] = lambda request: None
         self.slots = slots
         self.records_of: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
@@ -107,7 +107,7 @@
         """Finish no work for this time."""
         self._paused_until = self._loop.time() + seconds
 
-    def tell_load(self) -> str:
+    def load_header(self) -> str:
         """Return the load header of an answer; the slowdown field is always 100 (per cent)."""
         return f"{len(self._running)},{len(self._queue)},{self.slots},100"
 
@@ -165,7 +165,7 @@
             self._loop.call_at(self._paused_until + CLOCK_STEP_S, self._finish, job)
             return
         self._running.discard(job)
-        if self.ends_under(job.request):
+        if self.crashes_on(job.request):
             self.stop()
             self.on_crash(job.request)
             return
@@ -180,7 +180,7 @@
         body = self._random.randbytes(RECORD_BYTES * self.records_of(request))
         headers = {
             "Tinrudder-Request-Id": request_id,
-            "Tinrudder-Backend-Load": self.tell_load(),
+            "Tinrudder-Backend-Load": self.load_header(),
         }
         if fault is Fault.LOST:
             return
--- a/tinrudder_lab/emulator/client.py
+++ b/tinrudder_lab/emulator/client.py
@@ -16,7 +16,7 @@
 class PlannedRequest:
     """A request that a client sends.
 
-    :param leaves_after_s: the client closes its connection after this time, answered or not.
+    :param disconnects_after_s: the client closes its connection after this time, answered or not.
     :param key: API key of the tenant; if empty, the request carries no key.
     """
 
@@ -30,7 +30,7 @@
     repeatable: bool = True
     top_records: int = 0
     minimum_share: float = 0.0
-    leaves_after_s: float | None = None
+    disconnects_after_s: float | None = None
     key: str = ""
 
     def encode(self) -> bytes:
@@ -57,8 +57,8 @@
     sent_at = loop.time()
     ledger.sent[request.request_id] = SentRequest(request.key, sent_at, address[0])
     wait_s = request.deadline_ms / 1000
-    if request.leaves_after_s is not None:
-        wait_s = min(wait_s, request.leaves_after_s)
+    if request.disconnects_after_s is not None:
+        wait_s = min(wait_s, request.disconnects_after_s)
     reader = AnswerReader(body_expected=request.method != "HEAD")
     try:
         async with asyncio.timeout(wait_s):
@@ -79,7 +79,7 @@
         services=request.services,
         top_records=request.top_records,
         minimum_share=request.minimum_share,
-        gone=request.leaves_after_s is not None,
+        gone=request.disconnects_after_s is not None,
     )
     ledger.results.append(result)
     return result
--- a/tinrudder_lab/emulator/foreign_entries.py
+++ b/tinrudder_lab/emulator/invalid_entries.py
@@ -13,7 +13,7 @@
 """Levels of nesting; a recursive parser overflows its stack on them."""
 OTHER_TYPES: tuple[object, ...] = (None, True, -1, 1.5, [], {}, [1], {"a": 1})
 
-ForeignValue = Callable[[dict[str, object], random.Random], bytes]
+Corruption = Callable[[dict[str, object], random.Random], bytes]
 
 
 def _lacks_a_field(entry: dict[str, object], source: random.Random) -> bytes:
@@ -61,7 +61,7 @@
     return b'{"x":' + b"[" * NESTED_LEVELS
 
 
-FOREIGN_VALUES: tuple[ForeignValue, ...] = (
+CORRUPTIONS: tuple[Corruption, ...] = (
     _lacks_a_field,
     _has_another_type,
     _has_another_state,
@@ -72,6 +72,6 @@
 )
 
 
-def foreign_value(entry: dict[str, object], source: random.Random) -> bytes:
+def invalid_value(entry: dict[str, object], source: random.Random) -> bytes:
     """Return an invalid entry derived from a valid one."""
-    return source.choice(FOREIGN_VALUES)(entry, source)
+    return source.choice(CORRUPTIONS)(entry, source)
--- a/tinrudder_lab/emulator/ledger.py
+++ b/tinrudder_lab/emulator/ledger.py
@@ -9,9 +9,9 @@
 from tinrudder.gateway.scatters.record_merge import RECORD_BYTES
 from tinrudder_lab.emulator.records import (
     Arrival,
-    BrokenPromise,
     ClientResult,
     ColdSpan,
+    ContractViolation,
     CrashedBackend,
     Disturbance,
     EvacuatedZone,
@@ -48,7 +48,7 @@
     sent: dict[str, SentRequest] = field(default_factory=dict)
     keys: dict[str, list[KeySpan]] = field(default_factory=dict)
     revocation_s: float | None = None
-    ended: list[CrashedBackend] = field(default_factory=list)
+    crashes: list[CrashedBackend] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
     _serial: itertools.count[int] = field(default_factory=itertools.count)
 
@@ -58,9 +58,9 @@
         self.issued[stamp] = IssuedAnswer(request_id, service, body)
         return stamp
 
-    def broken_promises(
+    def contract_violations(
         self, ratio: float, extra: float, window_s: float, drain_s: float, evacuation_s: float
-    ) -> list[BrokenPromise]:
+    ) -> list[ContractViolation]:
         """Return all violations of the gateways' promises.
 
         :param ratio: repeats allowed for each counted request.
@@ -82,14 +82,14 @@
             *self._check_crashing_requests(),
         ]
 
-    def requests_after_three_ends(self, target: str) -> list[str]:
+    def requests_after_three_crashes(self, target: str) -> list[str]:
         """Return the requests for a target that reached back ends after gateways had to know of it.
 
         Gateways must know once three back ends have crashed under it and the propagation time has
         passed.  Requests through gateways that were disturbed within that time do not count, as
         the news could not reach these gateways.
         """
-        ends = sorted(one.at for one in self.ended if one.target == target)
+        ends = sorted(one.at for one in self.crashes if one.target == target)
         if len(ends) < CRASHES_UNTIL_KNOWN:
             return []
         known_at = ends[CRASHES_UNTIL_KNOWN - 1] + PROPAGATION_S
@@ -108,37 +108,39 @@
         sent = self.sent.get(arrival.request_id)
         return sent is not None and self.is_disturbed(sent.host, arrival.at)
 
-    def _check_crashing_requests(self) -> list[BrokenPromise]:
+    def _check_crashing_requests(self) -> list[ContractViolation]:
         """Check that a request which crashes back ends is not sent to them again and again."""
-        broken = []
-        for target in {one.target for one in self.ended}:
-            repeats = self.requests_after_three_ends(target)
+        violations = []
+        for target in {one.target for one in self.crashes}:
+            repeats = self.requests_after_three_crashes(target)
             if len(repeats) > ATTEMPTS_AFTER_KNOWN:
                 what = (
                     f"{target} was sent {len(repeats)} more times after gateways had to know of it"
                 )
-                broken.append(BrokenPromise("ended back ends", what))
-        return broken
+                violations.append(ContractViolation("ended back ends", what))
+        return violations
 
-    def _check_credentials(self) -> list[BrokenPromise]:
+    def _check_credentials(self) -> list[ContractViolation]:
         """Check that no client's key reaches a back end."""
         return [
-            BrokenPromise("keys", f"{arrival.request_id} reached {arrival.backend_id} with its key")
+            ContractViolation(
+                "keys", f"{arrival.request_id} reached {arrival.backend_id} with its key"
+            )
             for arrival in self.arrivals
             if arrival.credentials
         ]
 
-    def _check_keys(self) -> list[BrokenPromise]:
+    def _check_keys(self) -> list[ContractViolation]:
         """Check that every request which ran carried a valid key of its tenant."""
         if not self.keys:
             return []
-        broken = []
+        violations = []
         for arrival in self.arrivals:
             sent = self.sent.get(arrival.request_id)
             if arrival.ran and sent is not None and not self._is_authorized(arrival, sent):
                 what = f"{arrival.request_id} ran for {arrival.tenant or 'nobody'}"
-                broken.append(BrokenPromise("keys", what))
-        return broken
+                violations.append(ContractViolation("keys", what))
+        return violations
 
     def _is_authorized(self, arrival: Arrival, sent: SentRequest) -> bool:
         """Return whether a request's key was valid for its tenant, or was revoked only recently."""
@@ -150,7 +152,7 @@
             for held in self.keys.get(sent.key, [])
         )
 
-    def most_in_window(self, tenant: str, window_s: float) -> int:
+    def max_in_window(self, tenant: str, window_s: float) -> int:
         """Return the highest number of a tenant's executed requests sent within one window."""
         ran = {one.request_id for one in self.arrivals if one.ran and one.tenant == tenant}
         sent_times = sorted(self.sent[request_id].at for request_id in ran)
@@ -162,17 +164,17 @@
             most = max(most, last - first + 1)
         return most
 
-    def _check_evacuations(self, evacuation_s: float) -> list[BrokenPromise]:
+    def _check_evacuations(self, evacuation_s: float) -> list[ContractViolation]:
         """Check that no request reaches a zone later than ``evacuation_s`` after its evacuation."""
         return [
-            BrokenPromise("evacuation", f"{arrival.request_id} reached {arrival.backend_id}")
+            ContractViolation("evacuation", f"{arrival.request_id} reached {arrival.backend_id}")
             for arrival in self.arrivals
             for evacuated in self.evacuations
             if self.zones[arrival.backend_id] == evacuated.zone
             and evacuated.since + evacuation_s < arrival.at < evacuated.until
         ]
 
-    def most_in_a_second(self, span: ColdSpan) -> int:
+    def max_in_a_second(self, span: ColdSpan) -> int:
         """Return the highest number of requests that reached a back end in one second of a span."""
         arrivals = sorted(
             one.at
@@ -187,7 +189,7 @@
             most = max(most, last - first + 1)
         return most
 
-    def _check_attempts(self) -> list[BrokenPromise]:
+    def _check_attempts(self) -> list[ContractViolation]:
         """Check that no request ran on more back ends of a service than its route has attempts."""
         ran_on: dict[tuple[str, str], set[str]] = {}
         for arrival in self.arrivals:
@@ -195,22 +197,22 @@
                 key = (arrival.request_id, arrival.service)
                 ran_on.setdefault(key, set()).add(arrival.backend_id)
         return [
-            BrokenPromise("attempts", f"{request_id} ran on {len(used)} of {service}")
+            ContractViolation("attempts", f"{request_id} ran on {len(used)} of {service}")
             for (request_id, service), used in ran_on.items()
             if len(used) > ROUTE_ATTEMPTS
         ]
 
-    def _check_answers(self) -> list[BrokenPromise]:
+    def _check_answers(self) -> list[ContractViolation]:
         """Check every successful answer against the signed answers."""
-        broken = []
+        violations = []
         for result in self.results:
             if 200 <= result.status < 300:
                 problem = self._success_problem(result)
                 if problem:
-                    broken.append(
-                        BrokenPromise("own answer only", f"{result.request_id}: {problem}")
+                    violations.append(
+                        ContractViolation("own answer only", f"{result.request_id}: {problem}")
                     )
-        return broken
+        return violations
 
     def _success_problem(self, result: ClientResult) -> str:
         """Return what is wrong with a successful answer; empty: nothing."""
@@ -239,21 +241,21 @@
             return "too few parts"
         return "" if result.body == _top_records(parts, result.top_records) else "not the greatest"
 
-    def _check_single_runs(self) -> list[BrokenPromise]:
+    def _check_single_runs(self) -> list[ContractViolation]:
         """Check that every unrepeatable request ran at most once."""
         unrepeatable = {result.request_id for result in self.results if not result.repeatable}
         runs = Counter(arrival.request_id for arrival in self.arrivals if arrival.ran)
         return [
-            BrokenPromise("at most once", f"{request_id} ran {runs[request_id]} times")
+            ContractViolation("at most once", f"{request_id} ran {runs[request_id]} times")
             for request_id in unrepeatable
             if runs[request_id] > 1
         ]
 
-    def _check_refusals(self) -> list[BrokenPromise]:
+    def _check_refusals(self) -> list[ContractViolation]:
         """Check that no unrepeatable request ran that was refused as not run."""
         ran = {arrival.request_id for arrival in self.arrivals if arrival.ran}
         return [
-            BrokenPromise("not run", f"{result.request_id} got {result.status} and ran")
+            ContractViolation("not run", f"{result.request_id} got {result.status} and ran")
             for result in self.results
             if not result.repeatable and result.status in (408, 421, 429, 503)
             if result.request_id in ran
@@ -261,9 +263,9 @@
 
     def _check_repeat_budget(
         self, ratio: float, extra: float, window_s: float
-    ) -> list[BrokenPromise]:
+    ) -> list[ContractViolation]:
         """Check the retry budget of each service in every sliding window, over all gateways."""
-        broken = []
+        violations = []
         for service, repeats in self._repeats().items():
             requests = sorted(self._request_times(service))
             for index, end in enumerate(repeats):
@@ -271,9 +273,9 @@
                 counted = sum(1 for at in requests if end - 2 * window_s < at <= end)
                 if spent > ratio * counted + extra:
                     what = f"{service}: {spent} repeats in the {window_s} s before {end:.2f}"
-                    broken.append(BrokenPromise("repeat budget", what))
+                    violations.append(ContractViolation("repeat budget", what))
                     break
-        return broken
+        return violations
 
     def _repeats(self) -> dict[str, list[float]]:
         """Return for each service the times of all arrivals beyond the first of each request."""
@@ -295,7 +297,7 @@
         ends = [one.until for one in self.store_outages if one.since <= written_at < one.until]
         return max([written_at, *ends])
 
-    def _check_draining(self, drain_s: float) -> list[BrokenPromise]:
+    def _check_draining(self, drain_s: float) -> list[ContractViolation]:
         """Check that no request runs on a back end later than ``drain_s`` after it began to drain.
 
         A drain that was written during an outage of the store counts from the end of the outage.
@@ -304,7 +306,7 @@
         """
         known_at = {name: self.visible_at(at) for name, at in self.leaving_at.items()}
         return [
-            BrokenPromise("leaving", f"{arrival.request_id} reached {arrival.backend_id}")
+            ContractViolation("leaving", f"{arrival.request_id} reached {arrival.backend_id}")
             for arrival in self.arrivals
             if arrival.ran
             and arrival.at > known_at.get(arrival.incarnation, float("inf")) + drain_s
@@ -321,13 +323,13 @@
             if span.backend_id == backend_id:
                 span.until = min(span.until, now)
 
-    def _check_unreadable(self, drain_s: float) -> list[BrokenPromise]:
+    def _check_unreadable(self, drain_s: float) -> list[ContractViolation]:
         """Check that no request runs on a back end long after its entry became unreadable.
 
         Gateways have ``drain_s`` to stop, as for a back end that drains.
         """
         return [
-            BrokenPromise("unreadable", f"{arrival.request_id} reached {arrival.backend_id}")
+            ContractViolation("unreadable", f"{arrival.request_id} reached {arrival.backend_id}")
             for arrival in self.arrivals
             for span in self.unreadable
             if arrival.ran and arrival.backend_id == span.backend_id
--- a/tinrudder_lab/emulator/loop.py
+++ b/tinrudder_lab/emulator/loop.py
@@ -60,7 +60,7 @@
 class EmulatorLoop(MachineLoop):
     """An event loop with virtual time, streams and datagrams.
 
-    :ivar datagram_lost: returns for a source and a destination whether to drop the datagram.
+    :ivar drops_datagram: returns for a source and a destination whether to drop the datagram.
     """
 
     counts_suspensions = True
@@ -72,7 +72,7 @@
         self.datagram_receivers: dict[
             AddressPair, tuple[EmulatedDatagrams, asyncio.DatagramProtocol]
         ] = {}
-        self.datagram_lost: Callable[[AddressPair, AddressPair], bool] = lambda *_: False
+        self.drops_datagram: Callable[[AddressPair, AddressPair], bool] = lambda *_: False
         self._machine_transports: list[tuple[Machine | None, Any]] = []
         self._machine_servers: list[tuple[Machine | None, asyncio.Server]] = []
 
@@ -92,7 +92,7 @@
     def deliver_datagram(self, source: AddressPair, target: AddressPair, data: bytes) -> None:
         """Deliver a datagram after a delay, unless it is lost or the target has no socket."""
         receiver = self.datagram_receivers.get(target)
-        if receiver is None or self.datagram_lost(source, target):
+        if receiver is None or self.drops_datagram(source, target):
             return
         transport, protocol = receiver
         context = transport.machine.context if transport.machine is not None else None
--- a/tinrudder_lab/emulator/records.py
+++ b/tinrudder_lab/emulator/records.py
@@ -112,8 +112,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenPromise:
-    """A promise that was broken in a run, with the evidence."""
+class ContractViolation:
+    """A violation of a gateway guarantee in a run, with the evidence."""
 
     promise: str
     what: str
--- a/tinrudder_lab/emulator/silent_connections.py
+++ b/tinrudder_lab/emulator/silent_connections.py
@@ -41,7 +41,7 @@
     ]
 
 
-async def in_force_after(site: EmulatedSite) -> float:
+async def seconds_until_in_force(site: EmulatedSite) -> float:
     """Return the seconds until all gateways have the newest configuration, up to ``TIMEOUT_S``."""
     began = site.loop.time()
     while outdated_gateways(site) and site.loop.time() - began < TIMEOUT_S:
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -45,7 +45,7 @@
 DRAIN_S = 3.0
 ENTRY_EXPIRY_S = 1.0
 """Seconds without a heartbeat after which the store drops the entry of a crashed back end."""
-BACK_S = 3.0
+RESTART_DELAY_S = 3.0
 """Seconds after which a crashed back end restarts at its old address, by default under a new id."""
 COLD_NOTICE_S = 1.0
 """Seconds until every gateway knows that a back end has turned cold."""
@@ -117,7 +117,7 @@
     :param work_s: median time for which a request holds a slot of a back end.
     :param cold_calls_per_s: configured rate limit of a cold back end.
     :param tenants: tenants of the configuration, with their keys.
-    :param keeps_ids: whether crashed back ends restart under their ids.
+    :param restarts_under_same_id: whether crashed back ends restart under their ids.
     :param variants: further scatter routes, each as its differences from the first one.
     :param revocation_s: time within which a revoked key stops working on all gateways.
     """
@@ -135,7 +135,7 @@
     work_s: float = 0.02
     cold_calls_per_s: float = 0.0
     tenants: tuple[SiteTenant, ...] = ()
-    keeps_ids: bool = False
+    restarts_under_same_id: bool = False
     variants: tuple[dict[str, Any], ...] = ()
     revocation_s: float | None = None
     ledger: Ledger = field(default_factory=Ledger)
@@ -143,7 +143,7 @@
     backends: dict[str, EmulatedBackend] = field(default_factory=dict)
     version: int = 0
     backends_added: int = 0
-    ends_under: Callable[[ServedRequest], bool] = lambda request: False
+    crashes_on: Callable[[ServedRequest], bool] = lambda request: False
     records_of: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
     _serial: int = 0
     _entries: dict[str, tuple[str, str, str]] = field(default_factory=dict)
@@ -202,7 +202,7 @@
         backend = EmulatedBackend(
             backend_id, service, self.ledger, self.random, self._work_time, started_ms=started_ms
         )
-        backend.ends_under = lambda request: self.ends_under(request)
+        backend.crashes_on = lambda request: self.crashes_on(request)
         backend.records_of = lambda request: self.records_of(request)
         backend.on_crash = lambda request: self._on_crash(backend, request)
         self.backends[backend_id] = backend
@@ -211,14 +211,14 @@
     def _on_crash(self, backend: EmulatedBackend, request: ServedRequest) -> None:
         """Record that a back end crashed while running a request, and schedule its restart."""
         request_id = request.headers["tinrudder-request-id"]
-        ended = CrashedBackend(self.loop.time(), backend.backend_id, request_id, request.target)
-        self.ledger.ended.append(ended)
-        self.end_backend(backend.backend_id)
+        crash = CrashedBackend(self.loop.time(), backend.backend_id, request_id, request.target)
+        self.ledger.crashes.append(crash)
+        self.crash_backend(backend.backend_id)
 
-    def end_backend(self, backend_id: str) -> None:
+    def crash_backend(self, backend_id: str) -> None:
         """Crash a back end; its entry expires, and it restarts, by default under another id."""
-        if self.keeps_ids:
-            self.loop.create_task(self.restart_backend(backend_id, BACK_S))
+        if self.restarts_under_same_id:
+            self.loop.create_task(self.restart_backend(backend_id, RESTART_DELAY_S))
             return
         backend = self.backends.pop(backend_id)
         backend.stop()
@@ -227,7 +227,7 @@
 
     async def _replace_backend(self, backend_id: str, backend: EmulatedBackend) -> None:
         """Restart a crashed back end under another id at its old address."""
-        await asyncio.sleep(BACK_S)
+        await asyncio.sleep(RESTART_DELAY_S)
         _, address, zone = self._entries[backend_id]
         first_id, _, generation = backend_id.partition("+")
         new_id = f"{first_id}+{int(generation or 0) + 1}"
@@ -308,7 +308,7 @@
         self.ledger.record_readable(backend_id, self.loop.time())
         self.store.put(BACKENDS_PREFIX + backend_id, document)
 
-    def write_foreign(self, backend_id: str, value: bytes) -> None:
+    def write_unreadable(self, backend_id: str, value: bytes) -> None:
         """Write an unreadable value under a back end's key, as a faulty writer would."""
         self.ledger.unreadable.append(UnreadableSpan(backend_id, self.loop.time()))
         self.store.put_bytes(BACKENDS_PREFIX + backend_id, value)
@@ -325,7 +325,7 @@
         state = "draining" if incarnation in self.ledger.leaving_at else "ready"
         self.write_entry(backend_id, service, address, zone, state)
 
-    def turn_cold(self, backend_id: str, seconds: float) -> ColdSpan:
+    def mark_cold(self, backend_id: str, seconds: float) -> ColdSpan:
         """Mark a back end as cold for some time; return the span in which gateways must know it."""
         service, address, zone = self._entries[backend_id]
         self.write_entry(backend_id, service, address, zone, cold_left_s=seconds)
@@ -344,7 +344,7 @@
         self.store.put(EVACUATION_PREFIX + zone, {})
         self.ledger.evacuations.append(EvacuatedZone(zone, self.loop.time()))
 
-    def take_back(self, zone: str) -> None:
+    def end_evacuation(self, zone: str) -> None:
         """Remove the evacuation of a zone."""
         self.store.remove(EVACUATION_PREFIX + zone)
         for evacuated in self.ledger.evacuations:
@@ -369,7 +369,7 @@
         } | changes
         routes = [scatter, _single("single", "safe"), _single("once", "unsafe")]
         routes.extend(scatter | changed for changed in self.variants)
-        routes.extend(_single(name, "safe") for name in self.further_routes())
+        routes.extend(_single(name, "safe") for name in self.extra_routes())
         names = {*self.shard_services, "single", *scatter["gather"]}
         services = [
             {"name": name, "max_conns": 26, "cold_per_s": self.cold_calls_per_s}
@@ -386,7 +386,7 @@
         self._record_keys()
         self.store.put(CONFIGURATION_KEY, document)
 
-    def further_routes(self) -> list[str]:
+    def extra_routes(self) -> list[str]:
         """Return names of additional routes to the single service; a hook for subclasses."""
         return []
 
@@ -492,12 +492,12 @@
         stayed = [result for result in self.ledger.results if not result.gone]
         return sum(1 for result in stayed if result.status == 200) / max(1, len(stayed))
 
-    def broken_promises(self) -> list[str]:
+    def contract_violations(self) -> list[str]:
         """Return all violations of the gateways' promises as texts."""
-        broken = self.ledger.broken_promises(
+        violations = self.ledger.contract_violations(
             REPEATS.ratio, REPEATS.extra, REPEATS.window_s, DRAIN_S, EVACUATION_S
         )
-        return [f"{promise.promise}: {promise.what}" for promise in broken]
+        return [f"{violation.promise}: {violation.what}" for violation in violations]
 
 
 def _single(name: str, kind: str) -> dict[str, Any]:
--- a/tinrudder_lab/emulator/store.py
+++ b/tinrudder_lab/emulator/store.py
@@ -122,7 +122,7 @@
         self._write(key, value)
         return self.revision
 
-    def put_spoiled(self, key: str, fields: dict[str, object]) -> int:
+    def put_with_overrides(self, key: str, fields: dict[str, object]) -> int:
         """Write an item whose fields are replaced by ``fields`` in answers; return its revision.
 
         A field that is ``None`` is left out.
@@ -163,7 +163,7 @@
         if self.epoch is not None:
             self.epoch += 1
 
-    def forget_history(self) -> None:
+    def compact_history(self) -> None:
         """Compact the history and end every watch with 410."""
         self._compacted_revision = self.revision
         for watch in tuple(self._watches):
--- a/tinrudder_lab/emulator/store_restore.py
+++ b/tinrudder_lab/emulator/store_restore.py
@@ -21,7 +21,7 @@
     What the operator writes during the outage is kept by the restored store.
 
     :param age_s: age of the copy when the outage begins.
-    :param away_s: duration of the outage.
+    :param outage_s: duration of the outage.
     :param operator_after_s: time from the end of the outage until the operator repeats all writes
         that the copy lacks; ``None``: never.
     :param backends_after_s: upper bound of the same time for each running back end; ``None``:
@@ -29,7 +29,7 @@
     """
 
     age_s: float
-    away_s: float = 2.7
+    outage_s: float = 2.7
     operator_after_s: float | None = 0.0
     backends_after_s: float | None = 1.2
 
@@ -40,7 +40,7 @@
     site.store.set_mode(StoreMode.RESETTING)
     site.store.restore(drill.age_s)
     copied = _operator_values(site.store.values())
-    await asyncio.sleep(drill.away_s)
+    await asyncio.sleep(drill.outage_s)
     site.store.set_mode(StoreMode.SERVING)
     await asyncio.gather(
         _expire_entries(site),
--- a/tinrudder_lab/soak/entry_faults.py
+++ b/tinrudder_lab/soak/entry_faults.py
@@ -8,7 +8,7 @@
 import asyncio
 import random
 
-from tinrudder_lab.emulator.foreign_entries import foreign_value
+from tinrudder_lab.emulator.invalid_entries import invalid_value
 from tinrudder_lab.soak.process_site import ProcessSite
 
 PAUSE_S = (0.3, 1.5)
@@ -38,7 +38,7 @@
         else:
             running.add(asyncio.create_task(_corrupt_entry(site, backend_id, source)))
             descriptions.append(f"entry of {backend_id} unreadable")
-        _change_foreign_entry(site, source)
+        _change_unknown_entry(site, source)
     await asyncio.gather(*running)
     return descriptions
 
@@ -46,20 +46,20 @@
 async def _corrupt_entry(site: ProcessSite, backend_id: str, source: random.Random) -> None:
     """Overwrite an entry with an unreadable value until its running back end rewrites it."""
     backend = site.backends[backend_id]
-    site.write_foreign(backend_id, foreign_value(site.entry_document(backend_id), source))
+    site.write_unreadable(backend_id, invalid_value(site.entry_document(backend_id), source))
     await asyncio.sleep(source.uniform(*UNREADABLE_S))
     if site.backends.get(backend_id) is backend:
         site.rewrite_entry(backend_id)
 
 
-def _change_foreign_entry(site: ProcessSite, source: random.Random) -> None:
+def _change_unknown_entry(site: ProcessSite, source: random.Random) -> None:
     """Write or remove an entry whose id belongs to no back end."""
-    foreign_id = f"stranger-{source.randrange(5)}"
+    unknown_id = f"stranger-{source.randrange(5)}"
     entry = site.entry_document(source.choice(sorted(site.backends) or ["single-0"]))
     kind = source.randrange(3)
     if kind == 0:
-        site.remove_entry(foreign_id)
+        site.remove_entry(unknown_id)
     elif kind == 1:
-        site.put_document(foreign_id, entry | {"service": "unheard-of"})
+        site.put_document(unknown_id, entry | {"service": "unheard-of"})
     else:
-        site.write_foreign(foreign_id, foreign_value(entry, source))
+        site.write_unreadable(unknown_id, invalid_value(entry, source))
--- a/tinrudder_lab/soak/faults.py
+++ b/tinrudder_lab/soak/faults.py
@@ -97,9 +97,9 @@
     return f"store {mode.value} to {len(chosen)}"
 
 
-async def forget_history(site: ProcessSite) -> str:
+async def compact_history(site: ProcessSite) -> str:
     """Compact the store's history, which ends all watches."""
-    site.store.forget_history()
+    site.store.compact_history()
     return "store history compacted"
 
 
@@ -185,7 +185,7 @@
     harm_link,
     harm_link,
     harm_store,
-    forget_history,
+    compact_history,
     configure,
     revoke_key,
     change_limit,
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -100,7 +100,7 @@
         except TimeoutError:
             self.problems.append(f"start: {node.name} wrote nothing in {START_TIMEOUT_S} s")
 
-    def further_routes(self) -> list[str]:
+    def extra_routes(self) -> list[str]:
         """Return a route that only this version has, to show whether it is in force."""
         self.versions[self.version] = self.loop.time()
         return [version_route(self.version)]
--- a/tinrudder_lab/soak/proxy.py
+++ b/tinrudder_lab/soak/proxy.py
@@ -51,7 +51,7 @@
             for writer in tuple(self._writers):
                 _reset(writer)
 
-    def silence_open(self) -> None:
+    def silence_open_connections(self) -> None:
         """Drop all further bytes of the connections that are open now; new connections work."""
         self._generation += 1
 
--- a/tinrudder_lab/soak/restores.py
+++ b/tinrudder_lab/soak/restores.py
@@ -33,7 +33,7 @@
         await asyncio.sleep(source.uniform(*PAUSE_S))
         drill = StoreRestore(
             age_s=source.uniform(*COPY_AGE_S),
-            away_s=source.uniform(*OUTAGE_S),
+            outage_s=source.uniform(*OUTAGE_S),
             operator_after_s=source.uniform(*REWRITE_DELAY_S),
             backends_after_s=source.uniform(*REWRITE_DELAY_S),
         )
--- a/tinrudder_lab/soak/run.py
+++ b/tinrudder_lab/soak/run.py
@@ -124,7 +124,7 @@
         served_after,
         descriptions,
         find_violations(site, served_after),
-        len(site.ledger.ended),
+        len(site.ledger.crashes),
         slow_readers,
         site.peak_mb,
     )
@@ -162,7 +162,7 @@
 
 def find_violations(site: ProcessSite, served_after: float) -> list[str]:
     """Return all violations that the checks of a soak found."""
-    texts = site.broken_promises()
+    texts = site.contract_violations()
     texts.extend(site.problems)
     texts.extend(site.unexpected_exits())
     texts.extend(quota_violations(site))
@@ -178,7 +178,7 @@
     Uses a random generator of its own, so it does not change the faults of a seed.
     """
     source = random.Random(f"poison {site.seed}")
-    site.ends_under = lambda request: request.target.endswith(CRASHING_TARGET)
+    site.crashes_on = lambda request: request.target.endswith(CRASHING_TARGET)
     end = site.loop.time() + seconds
     while site.loop.time() < end:
         await asyncio.sleep(source.uniform(0.2, 2.0))
@@ -215,7 +215,7 @@
     """Return a violation if more of the limited tenant's requests ran than its quota allows."""
     limit = LIMITED_TENANT.rate_per_s * QUOTAS.window_s + LIMITED_TENANT.burst
     bound = limit * (1.0 + QUOTAS.excess) + QUOTAS.slack
-    ran = site.ledger.most_in_window(LIMITED_TENANT.name, QUOTAS.window_s)
+    ran = site.ledger.max_in_window(LIMITED_TENANT.name, QUOTAS.window_s)
     return [f"quota: {ran} ran in {QUOTAS.window_s} s, at most {bound}"] if ran > bound else []
 
 
--- a/tinrudder_lab/soak/silences.py
+++ b/tinrudder_lab/soak/silences.py
@@ -31,7 +31,7 @@
             silent = [*silent, *source.sample(backends, len(backends) // 3)]
         for name in silent:
             if name in site.links:
-                site.links[name].silence_open()
+                site.links[name].silence_open_connections()
         descriptions.append(
             f"{site.loop.time():.1f}: {len(silent)} links silent, new connections work"
         )
