--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -6,7 +6,7 @@
 
     python -m bench.uneven --seeds 3 --loads moments,pauses
 
-Prints one line per load, way and kind of scatter: the share of shards included when the answer
+Prints one line per load, policy and kind of scatter: the share of shards included when the answer
 leaves at its objective (mean, mean of squares), the share of complete answers, the median time
 until they leave, and the calls beyond the first and calls across zones per first call.
 
@@ -48,13 +48,13 @@
 """Network delay in seconds within a zone, one way."""
 CROSS_ZONE_S = 0.0005
 """Network delay in seconds between zones, one way."""
-SEND_S = 0.00006
+SEND_INTERVAL_S = 0.00006
 """Seconds between the calls of a scatter: 90 leave in 5 ms."""
 ANSWER_MARGIN_S = 0.015
 """Seconds before its objective at which an answer leaves."""
-SWING = 0.55
+RATE_AMPLITUDE = 0.55
 """Relative amplitude of the sinusoidal arrival rate."""
-SWING_PERIOD_S = 13.0
+RATE_PERIOD_S = 13.0
 BUDGET_RATIO = 0.2
 """Repeats per request that the retry budget allows."""
 BUDGET_WINDOW_S = 10.0
@@ -71,7 +71,7 @@
 TAIL_FACTOR = 5.0
 MAX_WORK = 7.5
 """Most work of a call, in multiples of the mean."""
-REMEMBERED_S = 1.0
+CALL_RETENTION_S = 1.0
 """Seconds for which ended calls are kept."""
 MILLISECONDS = 1000.0
 
@@ -138,11 +138,11 @@
     def slowdown(self, now: float) -> float:
         """Return the factor by which work takes longer now; 1 is normal."""
         load = self._load
-        moment = int(now / SLOW_PERIOD_S + self._shift)
-        if moment not in self._slow_factors:
+        period = int(now / SLOW_PERIOD_S + self._shift)
+        if period not in self._slow_factors:
             slow = self._source.random() < load.slow_share
-            self._slow_factors[moment] = load.slow_factor if slow else 1.0
-        factor = self._slow_factors[moment]
+            self._slow_factors[period] = load.slow_factor if slow else 1.0
+        factor = self._slow_factors[period]
         if self._is_long and load.long_from_s <= now < load.long_from_s + load.long_s:
             factor *= load.long_factor
         return factor
@@ -172,7 +172,9 @@
         slot = self._free.index(min(self._free))
         end = self._after_pauses(start, work_s * self.slowdown(start))
         self._free[slot] = end
-        self._ends = [(begun, ended) for begun, ended in self._ends if ended > now - REMEMBERED_S]
+        self._ends = [
+            (begun, ended) for begun, ended in self._ends if ended > now - CALL_RETENTION_S
+        ]
         self._ends.append((start, end))
         return end
 
@@ -214,11 +216,11 @@
     caller: Caller
     kind: Kind
     began_at: float
-    leaves_at: float
+    answer_due_at: float
     included: int = 0
-    left_at: float = 0.0
+    answered_at: float = 0.0
     repeats: int = 0
-    across: int = 0
+    cross_zone: int = 0
 
 
 class Caller:
@@ -247,7 +249,7 @@
         return self.budgets[shard].may_repeat(now, self.load.callers / CALLERS_SHARE, hedge=True)
 
 
-class Way:
+class ProductPolicy:
     """The product's policy: own zone first, hedges by gain and no later than by medians."""
 
     name = "product"
@@ -283,11 +285,11 @@
         overdue_at = now + hedge_delay_s(caller.latencies[kind.name], kind.objective_s, fill)
         if not hedge_ages.is_known:
             return overdue_at
-        age_s = hedge_ages.age_s(shard.scatter.leaves_at - now, fill)
+        age_s = hedge_ages.age_s(shard.scatter.answer_due_at - now, fill)
         return math.inf if age_s is None else min(overdue_at, now + age_s)
 
 
-class ByMedians(Way):
+class MedianHedgingPolicy(ProductPolicy):
     """Hedges every call after a number of medians that depends on how full the budget is."""
 
     name = "hedged by medians"
@@ -299,7 +301,7 @@
         return now + hedge_delay_s(caller.latencies[kind.name], kind.objective_s, fill)
 
 
-class RandomReplica(Way):
+class RandomReplicaPolicy(ProductPolicy):
     """Chooses replicas at random."""
 
     name = "random replica"
@@ -309,7 +311,7 @@
         return world.source.choice(candidates)
 
 
-class Oracle(Way):
+class OraclePolicy(ProductPolicy):
     """Knows the slowdown, pauses and queue of each replica when a call is sent."""
 
     name = "oracle"
@@ -326,7 +328,12 @@
         return min(candidates, key=answered_at)
 
 
-WAYS: tuple[Way, ...] = (RandomReplica(), ByMedians(), Way(), Oracle())
+POLICIES: tuple[ProductPolicy, ...] = (
+    RandomReplicaPolicy(),
+    MedianHedgingPolicy(),
+    ProductPolicy(),
+    OraclePolicy(),
+)
 
 
 class World:
@@ -335,11 +342,11 @@
     :ivar now: virtual time, seconds.
     """
 
-    def __init__(self, load: Load, way: Way, seed: int) -> None:
+    def __init__(self, load: Load, policy: ProductPolicy, seed: int) -> None:
         """Create replicas and callers."""
         self.source = random.Random(f"{load.name}:{seed}")
         self.load = load
-        self.way = way
+        self.policy = policy
         self.now = 0.0
         self.replicas = [
             [Replica(load, self.source) for _ in range(REPLICAS)] for _ in range(SHARDS)
@@ -366,9 +373,9 @@
         """Yield the arrival times of one kind, by thinning a Poisson process."""
         now = 0.0
         while now < length_s:
-            now += self.source.expovariate(kind.per_s * (1.0 + SWING))
-            rate = 1.0 + SWING * math.sin(2.0 * math.pi * now / SWING_PERIOD_S)
-            if self.source.random() < rate / (1.0 + SWING):
+            now += self.source.expovariate(kind.per_s * (1.0 + RATE_AMPLITUDE))
+            rate = 1.0 + RATE_AMPLITUDE * math.sin(2.0 * math.pi * now / RATE_PERIOD_S)
+            if self.source.random() < rate / (1.0 + RATE_AMPLITUDE):
                 yield now
 
     def _start_scatter(self, kind: Kind) -> None:
@@ -376,10 +383,11 @@
         caller = self.source.choice(self.callers)
         scatter = Scatter(caller, kind, self.now, self.now + kind.objective_s - ANSWER_MARGIN_S)
         self.scatters.append(scatter)
-        self.schedule(scatter.leaves_at, partial(self._send_answer, scatter))
+        self.schedule(scatter.answer_due_at, partial(self._send_answer, scatter))
         for number in range(SHARDS):
             self.schedule(
-                self.now + number * SEND_S, partial(self._send_first, Shard(scatter, number))
+                self.now + number * SEND_INTERVAL_S,
+                partial(self._send_first, Shard(scatter, number)),
             )
 
     def _send_first(self, shard: Shard) -> None:
@@ -391,12 +399,12 @@
         """Send a call to one of the candidate replicas."""
         scatter = shard.scatter
         caller, kind = scatter.caller, scatter.kind
-        chosen = self.way.choose(self, shard, candidates)
+        chosen = self.policy.choose(self, shard, candidates)
         shard.tried.append(chosen)
         replica = self.replicas[shard.number][chosen]
-        across = chosen != caller.zone
-        scatter.across += across
-        path_s = CROSS_ZONE_S if across else IN_ZONE_S
+        cross_zone = chosen != caller.zone
+        scatter.cross_zone += cross_zone
+        path_s = CROSS_ZONE_S if cross_zone else IN_ZONE_S
         usual_s = typical_latency_s(caller.latencies[kind.name], kind.objective_s)
         running = caller.observations[shard.number][chosen].begin(self.now, usual_s)
         call = Call(shard, chosen, running)
@@ -406,14 +414,14 @@
 
     def _schedule_hedge(self, shard: Shard) -> None:
         """Schedule the hedge of the call that was sent last."""
-        when = self.way.hedge_at(shard, self.now)
+        when = self.policy.hedge_at(shard, self.now)
         if when < math.inf and len(shard.tried) < REPLICAS:
             self.schedule(max(when, self.now), partial(self._hedge, shard))
 
     def _hedge(self, shard: Shard) -> None:
         """Send another call if the shard is not done yet and the budget has room."""
         scatter = shard.scatter
-        if shard.done or scatter.left_at or len(shard.tried) >= REPLICAS:
+        if shard.done or scatter.answered_at or len(shard.tried) >= REPLICAS:
             return
         if not scatter.caller.may_repeat(shard.number, self.now):
             self.schedule(self.now + DENIED_PAUSE_S, partial(self._hedge, shard))
@@ -432,17 +440,17 @@
         observations.reported(*report, self.now, slowdown)
         observations.answered(call.running, self.now)
         scatter.caller.latencies[scatter.kind.name].observe(self.now - call.running.sent_at)
-        if shard.done or scatter.left_at:
+        if shard.done or scatter.answered_at:
             return
         shard.done = True
         scatter.included += 1
         if scatter.included == SHARDS:
-            scatter.left_at = self.now
+            scatter.answered_at = self.now
 
     def _send_answer(self, scatter: Scatter) -> None:
         """Let the answer leave with the shards included so far."""
-        if not scatter.left_at:
-            scatter.left_at = self.now
+        if not scatter.answered_at:
+            scatter.answered_at = self.now
 
     def _work_s(self, kind: Kind) -> float:
         """Draw the work of one call."""
@@ -457,20 +465,20 @@
     """Results of one kind of scatter.
 
     :param share: mean share of the shards that are included when the answer leaves.
-    :param squares: mean of the squared share, which measures the value of an answer.
-    :param whole: share of the answers that include all shards.
-    :param left_ms: median time until an answer leaves.
+    :param mean_squared_share: mean of the squared share, which measures the value of an answer.
+    :param complete_share: share of the answers that include all shards.
+    :param median_answer_ms: median time until an answer leaves.
     :param repeats: calls beyond the first, per first call.
-    :param across: calls to another zone, per first call.
+    :param cross_zone: calls to another zone, per first call.
     """
 
     scatters: int
     share: float
-    squares: float
-    whole: float
-    left_ms: float
+    mean_squared_share: float
+    complete_share: float
+    median_answer_ms: float
     repeats: float
-    across: float
+    cross_zone: float
 
 
 def figures(scatters: Sequence[Scatter]) -> Figures:
@@ -482,17 +490,19 @@
         statistics.mean(shares),
         statistics.mean(share * share for share in shares),
         statistics.mean(share == 1.0 for share in shares),
-        MILLISECONDS * statistics.median(one.left_at - one.began_at for one in scatters),
+        MILLISECONDS * statistics.median(one.answered_at - one.began_at for one in scatters),
         sum(one.repeats for one in scatters) / first_calls,
-        sum(one.across for one in scatters) / first_calls,
+        sum(one.cross_zone for one in scatters) / first_calls,
     )
 
 
-def play(load: Load, way: Way, seeds: Iterable[int], length_s: float) -> dict[str, Figures]:
+def play(
+    load: Load, policy: ProductPolicy, seeds: Iterable[int], length_s: float
+) -> dict[str, Figures]:
     """Simulate one run per seed; return the figures of each kind of scatter."""
     scatters_by_kind: dict[str, list[Scatter]] = {kind.name: [] for kind in load.kinds}
     for seed in seeds:
-        world = World(load, way, seed)
+        world = World(load, policy, seed)
         world.play(length_s)
         for scatter in world.scatters:
             if scatter.began_at >= WARM_UP_S:
@@ -506,16 +516,17 @@
     parser.add_argument("--seeds", type=int, default=3)
     parser.add_argument("--seconds", type=float, default=26.0)
     parser.add_argument("--loads", default=",".join(load.name for load in LOADS))
-    parser.add_argument("--ways", default=",".join(way.name for way in WAYS))
+    parser.add_argument("--ways", default=",".join(policy.name for policy in POLICIES))
     options = parser.parse_args()
     loads = [load for load in LOADS if load.name in options.loads.split(",")]
-    ways = [way for way in WAYS if way.name in options.ways.split(",")]
-    for load, way in itertools.product(loads, ways):
-        for kind, mean in play(load, way, range(options.seeds), options.seconds).items():
+    policies = [policy for policy in POLICIES if policy.name in options.ways.split(",")]
+    for load, policy in itertools.product(loads, policies):
+        for kind, mean in play(load, policy, range(options.seeds), options.seconds).items():
             print(
-                f"{load.name:12} {way.name:20} {kind:14} n {mean.scatters:4} "
-                f"share {mean.share:.4f} squares {mean.squares:.4f} whole {mean.whole:.3f} "
-                f"left {mean.left_ms:5.1f} ms repeats {mean.repeats:.3f} across {mean.across:.3f}",
+                f"{load.name:12} {policy.name:20} {kind:14} n {mean.scatters:4} "
+                f"share {mean.share:.4f} squares {mean.mean_squared_share:.4f} "
+                f"whole {mean.complete_share:.3f} left {mean.median_answer_ms:5.1f} ms "
+                f"repeats {mean.repeats:.3f} across {mean.cross_zone:.3f}",
                 flush=True,
             )
 
--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -11,10 +11,10 @@
     LOADS,
     SUGGEST,
     WARM_UP_S,
-    ByMedians,
     Figures,
     Load,
-    Way,
+    MedianHedgingPolicy,
+    ProductPolicy,
     play,
 )
 from tinrudder.common.latency_window import LatencyWindow
@@ -28,10 +28,10 @@
 LOAD = {load.name: load for load in LOADS}
 
 
-def urgent(load: Load, way: Way) -> Figures:
+def urgent(load: Load, policy: ProductPolicy) -> Figures:
     """Simulate only the urgent kind of a load."""
     kind = next(one for one in load.kinds if one in (ALERT, SUGGEST))
-    return play(replace(load, kinds=(kind,)), way, (1,), LENGTH_S)[kind.name]
+    return play(replace(load, kinds=(kind,)), policy, (1,), LENGTH_S)[kind.name]
 
 
 def seen(latencies_s: list[float]) -> LatencyWindow:
@@ -55,9 +55,9 @@
     slow back ends, objective 98 ms: 0.9860 and 0.9949. 44, 46 and 30 scatters.
     """
     load = replace(LOAD[name], long_from_s=WARM_UP_S)
-    assert urgent(load, ByMedians()).squares < before
-    now = urgent(load, Way())
-    assert now.squares >= least
+    assert urgent(load, MedianHedgingPolicy()).mean_squared_share < before
+    now = urgent(load, ProductPolicy())
+    assert now.mean_squared_share >= least
     assert now.repeats <= MOST_REPEATS
 
 
