--- a/tests/support/virtual_caller.py
+++ b/tests/support/virtual_caller.py
@@ -29,9 +29,9 @@
     """One client request and its response.
 
     :param parts: parts of the request body, sent ``part_gap_s`` seconds apart.
-    :param cut_off: whether the client disconnects before the body is complete.
-    :param leaves_at: virtual seconds after which the client closes its connection.
-    :param read_gap_s: seconds that the client takes to read each piece of the response.
+    :param body_cut_off: whether the client disconnects before the body is complete.
+    :param disconnects_at: virtual seconds after which the client closes its connection.
+    :param read_gap_s: seconds that the client takes to read each chunk of the response.
     """
 
     path: str = "/v1/query"
@@ -40,13 +40,13 @@
     headers: dict[str, str] = field(default_factory=dict)
     parts: list[bytes] = field(default_factory=list)
     part_gap_s: float = 0.0
-    cut_off: bool = False
-    leaves_at: float = NEVER_S
+    body_cut_off: bool = False
+    disconnects_at: float = NEVER_S
     read_gap_s: float = 0.0
     host: str = "127.0.0.1"
     status: int = 0
     answer_headers: dict[str, str] = field(default_factory=dict)
-    pieces: list[bytes] = field(default_factory=list)
+    chunks: list[bytes] = field(default_factory=list)
     ended: bool = False
 
     async def call(self, app: ASGIApp) -> FakeCaller:
@@ -72,14 +72,14 @@
 
     async def _receive(self) -> Message:
         number = self._next_part
-        if number < len(self.parts) or (number == 0 and not self.cut_off):
+        if number < len(self.parts) or (number == 0 and not self.body_cut_off):
             self._next_part += 1
             await asyncio.sleep(self.part_gap_s)
             body = self.parts[number] if self.parts else b""
-            more = number + 1 < len(self.parts) or self.cut_off
+            more = number + 1 < len(self.parts) or self.body_cut_off
             return {"type": "http.request", "body": body, "more_body": more}
-        if not self.cut_off:
-            await asyncio.sleep(self._started_at + self.leaves_at - self._loop.time())
+        if not self.body_cut_off:
+            await asyncio.sleep(self._started_at + self.disconnects_at - self._loop.time())
         return {"type": "http.disconnect"}
 
     async def _send(self, message: Message) -> None:
@@ -88,15 +88,15 @@
             self.answer_headers = {k.decode(): v.decode() for k, v in message["headers"]}
             return
         await asyncio.sleep(self.read_gap_s)
-        self.pieces.append(message["body"])
+        self.chunks.append(message["body"])
         self.ended = not message.get("more_body", False)
 
     @property
     def json(self) -> dict[str, object]:
         """Return the decoded response body."""
-        return msgspec.json.decode(b"".join(self.pieces))
+        return msgspec.json.decode(b"".join(self.chunks))
 
     @property
     def lines(self) -> list[dict[str, object]]:
         """Return the decoded lines of a streamed response."""
-        return [msgspec.json.decode(line) for line in b"".join(self.pieces).splitlines()]
+        return [msgspec.json.decode(line) for line in b"".join(self.chunks).splitlines()]
--- a/tests/unit/node/test_caller_app.py
+++ b/tests/unit/node/test_caller_app.py
@@ -144,7 +144,7 @@
         (make_caller(headers={"content-length": "99999999999"}), 413, "body"),
         (make_caller(headers={"content-type": "text/plain"}), 415, "content-type"),
         (FakeCaller(parts=[VALID_BODY[:5], VALID_BODY[5:]], part_gap_s=4.0), 408, "body"),
-        (make_caller(VALID_BODY[:9], cut_off=True), 400, "body"),
+        (make_caller(VALID_BODY[:9], body_cut_off=True), 400, "body"),
         (make_caller(authorization=None), 401, "authorization"),
         (make_caller(authorization="Bearer key.wrong"), 401, "authorization"),
         (make_caller(authorization="Bearer nobody.secret"), 401, "authorization"),
@@ -177,7 +177,7 @@
 
 def test_a_caller_that_leaves_frees_its_work_within_50_ms() -> None:
     harness = Harness(ScriptedRunner(delay_s=4.0))
-    harness.call(make_caller(leaves_at=1.0))
+    harness.call(make_caller(disconnects_at=1.0))
     assert harness.runner.cancelled_at == pytest.approx(1.0, abs=0.05)
     assert isinstance(harness.finished[0].outcome, MayHaveRun)
 
@@ -191,7 +191,7 @@
     with pytest.raises(RuntimeError):
         Harness(Faulty()).call(caller)
     assert (caller.status, caller.json["outcome"]) == (500, "may_have_run")
-    assert b"secret" not in b"".join(caller.pieces)
+    assert b"secret" not in b"".join(caller.chunks)
 
 
 @pytest.mark.parametrize(("seconds", "header", "exact"), [(0.0504, "1", 51), (2.0, "2", 2000)])
@@ -286,9 +286,9 @@
 @pytest.mark.parametrize(
     ("run", "pages"),
     [
-        (lambda: call_long_stream(leaves_at=1.05), 11),
+        (lambda: call_long_stream(disconnects_at=1.05), 11),
         (lambda: call_long_stream(read_gap_s=3600.0), 1),
-        (lambda: call_long_stream(read_gap_s=1.0, leaves_at=10.0), 10),
+        (lambda: call_long_stream(read_gap_s=1.0, disconnects_at=10.0), 10),
     ],
 )
 def test_a_stream_pulls_no_page_ahead_of_its_reader(
--- a/tests/unit/node/test_metrics.py
+++ b/tests/unit/node/test_metrics.py
@@ -51,4 +51,4 @@
     caller = FakeCaller(path="/metrics", method="GET", authorization=authorization, host=host)
     run_virtual(caller.call(app))
     assert caller.status == status
-    assert (b"queue 3.0" in b"".join(caller.pieces)) == (status == 200)
+    assert (b"queue 3.0" in b"".join(caller.chunks)) == (status == 200)
