--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -77,7 +77,7 @@
         await site.traffic(2.0, 40.0, ("scatter",))
         site.kill_node(busiest_coordinator(site))
         first = len(site.ledger.results)
-        alive = [node for node in site.nodes if not node.machine.gone]
+        alive = [node for node in site.nodes if not node.machine.crashed]
         for _ in range(40):
             await asyncio.gather(*(site.send("scatter", node.index) for node in alive[:3]))
         results = site.ledger.results[first:]
--- a/tests/functional/gateway/test_quotas.py
+++ b/tests/functional/gateway/test_quotas.py
@@ -170,7 +170,7 @@
         asking = asyncio.create_task(ask(site, 25.0, RATE * OVERLOAD))
         await asyncio.sleep(5.0)
         for turn in range(12):
-            alive = next(node for node in site.nodes if not node.machine.gone)
+            alive = next(node for node in site.nodes if not node.machine.crashed)
             address = gateway_of(alive).requests.quotas.owner_of("limited")
             owner = next(node for node in site.nodes if node.host == address.host)
             if turn % 3 == 2:
--- a/tests/functional/gateway/test_requests_that_end_back_ends.py
+++ b/tests/functional/gateway/test_requests_that_end_back_ends.py
@@ -151,7 +151,7 @@
         crash_count = len(site.ledger.crashes)
         await asyncio.sleep(1.0)
         loop.drops_datagram = lambda source, target: False
-        paused.machine.resume(loop, stands_s=1.0)
+        paused.machine.resume(loop, frozen_s=1.0)
         await asyncio.sleep(2.0)
         for node in (paused, cut_off):
             result = await site.send("scatter", node.index, target=PATHS["scatter"])
@@ -290,7 +290,7 @@
         with record_disturbance(site, node):
             node.machine.pause()
             await asyncio.sleep(2.0)
-            node.machine.resume(site.loop, stands_s=2.0)
+            node.machine.resume(site.loop, frozen_s=2.0)
 
 
 async def store_is_silent(site: EmulatedSite) -> None:
--- a/tests/functional/gateway/test_slow_readers.py
+++ b/tests/functional/gateway/test_slow_readers.py
@@ -143,7 +143,7 @@
 
 def test_a_planned_stop_is_not_held_up_by_a_client_that_does_not_read() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.records_of = lambda request: LARGE_BODY_BYTES // 16
+        site.answer_record_count = lambda request: LARGE_BODY_BYTES // 16
         request = site.request("single")
         _reader, writer = await asyncio.open_connection(site.nodes[0].host, CLIENT_PORT, limit=1024)
         writer.write(request.encode())
@@ -239,7 +239,7 @@
 
 def test_every_account_is_empty_after_troubled_traffic() -> None:
     async def scenario(site: EmulatedSite) -> None:
-        site.records_of = lambda request: site.random.choice((6, 3_000, 20_000))
+        site.answer_record_count = lambda request: site.random.choice((6, 3_000, 20_000))
         traffic = asyncio.create_task(site.traffic(4.0, 40.0, ("scatter", "single", "once")))
         for disconnects_after_s in (0.01, 0.02, 0.05, 0.1):
             for node in range(3):
--- a/tests/functional/gateway/test_zone_cut.py
+++ b/tests/functional/gateway/test_zone_cut.py
@@ -231,7 +231,7 @@
         assert not any(
             gateway_of(node).fleet.zone_monitor.is_closed("zone-d")
             for node in coordinating
-            if not node.machine.gone
+            if not node.machine.crashed
         )
 
     run_zones(scenario)
--- a/tests/unit/lab/test_emulator_ledger.py
+++ b/tests/unit/lab/test_emulator_ledger.py
@@ -23,7 +23,7 @@
 
 
 def ledger_with(arrival_at: float, outages: list[StoreOutage]) -> Ledger:
-    ledger = Ledger(leaving_at={"b": 10.0}, zones={"b": "z"}, store_outages=outages)
+    ledger = Ledger(draining_since={"b": 10.0}, zones={"b": "z"}, store_outages=outages)
     ledger.arrivals.append(Arrival(arrival_at, "r", "s", "b", "/", None, ran=True))
     return ledger
 
@@ -107,7 +107,7 @@
 
 
 def test_draining_of_one_incarnation_does_not_apply_to_the_next() -> None:
-    ledger = Ledger(leaving_at={"b@1": 10.0}, zones={"b": "z"})
+    ledger = Ledger(draining_since={"b@1": 10.0}, zones={"b": "z"})
     for started_ms in (1, 2):
         arrival = Arrival(20.0, "r", "s", "b", "/", None, ran=True, started_ms=started_ms)
         ledger.arrivals.append(arrival)
--- a/tinrudder_lab/checkers/own_answer.py
+++ b/tinrudder_lab/checkers/own_answer.py
@@ -14,7 +14,7 @@
 
 def check(history: History, index: HistoryIndex) -> Iterator[Violation]:
     """Find foreign, duplicate and unordered rows, unauthorised answers and second answers."""
-    for second in history.doubled:
+    for second in history.duplicate_ends:
         yield _violation("answered twice", (history.sent[second.query], second))
     ids: dict[str, QueryEnded] = {}
     for ended in history.ended.values():
--- a/tinrudder_lab/demo.py
+++ b/tinrudder_lab/demo.py
@@ -29,7 +29,7 @@
 WATCH_S = 0.02
 DRAIN_WATCH_S = 3.5
 CONFIGURATION_TIMEOUT_S = 5.0
-VICTIM = "route-planning-1-b0"
+KILLED_BACKEND = "route-planning-1-b0"
 DRAINED_BACKEND = "storefront-2-b1"
 RECONFIGURED_BACKEND = "reseller-3-b0"
 STOPPED_NODE = 3
@@ -134,11 +134,11 @@
 
     async def _kill(self) -> None:
         """Kill a back end with SIGKILL."""
-        counters = await self._counters(self.cluster.deployment.backends[VICTIM])
+        counters = await self._counters(self.cluster.deployment.backends[KILLED_BACKEND])
         self._received_by_dead += counters.received
-        self._dead_backends.add(VICTIM)
-        await self.cluster.kill_victim()
-        self.events.append(f"killed back end {VICTIM}")
+        self._dead_backends.add(KILLED_BACKEND)
+        await self.cluster.kill_backend()
+        self.events.append(f"killed back end {KILLED_BACKEND}")
 
     async def _change_configuration(self) -> None:
         """Change a back end's slots; measure the time until every node enforces it."""
@@ -253,7 +253,7 @@
 def main() -> int:
     """Run the demo; return 1 if it has not passed."""
     with tempfile.TemporaryDirectory(prefix="tinrudder-demo-") as directory:
-        demo = Demo(DemoCluster(Path(directory), VICTIM))
+        demo = Demo(DemoCluster(Path(directory), KILLED_BACKEND))
         extra_load = asyncio.run(run_demo(demo))
         result = result_of(demo, extra_load)
     print_table(demo)
--- a/tinrudder_lab/demo_cluster.py
+++ b/tinrudder_lab/demo_cluster.py
@@ -66,13 +66,13 @@
 class DemoCluster:
     """Starts and stops the demo's processes.
 
-    :param victim: the back end that will be killed; it runs in a process of its own.
+    :param killed_backend: the back end that will be killed; it runs in a process of its own.
     """
 
-    def __init__(self, directory: Path, victim: str) -> None:
+    def __init__(self, directory: Path, killed_backend: str) -> None:
         """Keep logs in ``directory``."""
         self.directory = directory
-        self.victim = victim
+        self.killed_backend = killed_backend
         self.processes = ProcessGroup(directory)
         first_port = find_free_block()
         self.platform_port = first_port
@@ -87,8 +87,8 @@
         for node in self.nodes:
             await self._start_node(node)
 
-    async def kill_victim(self) -> None:
-        """Kill the victim with SIGKILL."""
+    async def kill_backend(self) -> None:
+        """Kill ``killed_backend`` with SIGKILL."""
         self.processes.send_signal("victim", signal.SIGKILL)
         await self.processes.wait("victim")
 
@@ -120,12 +120,12 @@
 
     async def _start_backends(self) -> None:
         groups: list[list[str]] = [[] for _ in range(BACKEND_PROCESSES)]
-        others = [name for name in self.deployment.backends if name != self.victim]
+        others = [name for name in self.deployment.backends if name != self.killed_backend]
         for number, name in enumerate(others):
             groups[number % BACKEND_PROCESSES].append(name)
         for number, names in enumerate(groups):
             await self._start_backend_process(f"backends-{number}", names)
-        await self._start_backend_process("victim", [self.victim])
+        await self._start_backend_process("victim", [self.killed_backend])
 
     async def _start_backend_process(self, process: str, names: list[str]) -> None:
         arguments = ["--service-ms", str(SERVICE_MS)]
--- a/tinrudder_lab/emulator/backend.py
+++ b/tinrudder_lab/emulator/backend.py
@@ -71,7 +71,7 @@
         self.crashes_on: Callable[[ServedRequest], bool] = lambda request: False
         self.on_crash: Callable[[ServedRequest], None] = lambda request: None
         self.slots = slots
-        self.records_of: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
+        self.answer_record_count: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
         self.open_connections: set[ServerConnection] = set()
         self.peak_connections = 0
         self._ledger = ledger
@@ -177,7 +177,7 @@
         request, connection = job.request, job.connection
         fault = self.choose_fault()
         request_id = request.headers["tinrudder-request-id"]
-        body = self._random.randbytes(RECORD_BYTES * self.records_of(request))
+        body = self._random.randbytes(RECORD_BYTES * self.answer_record_count(request))
         headers = {
             "Tinrudder-Request-Id": request_id,
             "Tinrudder-Backend-Load": self.load_header(),
--- a/tinrudder_lab/emulator/client.py
+++ b/tinrudder_lab/emulator/client.py
@@ -79,7 +79,7 @@
         services=request.services,
         top_records=request.top_records,
         minimum_share=request.minimum_share,
-        gone=request.disconnects_after_s is not None,
+        disconnected_early=request.disconnects_after_s is not None,
     )
     ledger.results.append(result)
     return result
--- a/tinrudder_lab/emulator/ledger.py
+++ b/tinrudder_lab/emulator/ledger.py
@@ -40,7 +40,7 @@
     arrivals: list[Arrival] = field(default_factory=list)
     results: list[ClientResult] = field(default_factory=list)
     # By incarnation: a restarted back end is not leaving because the earlier incarnation was.
-    leaving_at: dict[str, float] = field(default_factory=dict)
+    draining_since: dict[str, float] = field(default_factory=dict)
     unreadable: list[UnreadableSpan] = field(default_factory=list)
     zones: dict[str, str] = field(default_factory=dict)
     evacuations: list[EvacuatedZone] = field(default_factory=list)
@@ -304,7 +304,7 @@
         Requests through recently disturbed gateways do not count, as the promise exempts them: a
         gateway that has just started learns that the back end is draining, but not since when.
         """
-        known_at = {name: self.visible_at(at) for name, at in self.leaving_at.items()}
+        known_at = {name: self.visible_at(at) for name, at in self.draining_since.items()}
         return [
             ContractViolation("leaving", f"{arrival.request_id} reached {arrival.backend_id}")
             for arrival in self.arrivals
--- a/tinrudder_lab/emulator/records.py
+++ b/tinrudder_lab/emulator/records.py
@@ -86,7 +86,7 @@
     services: tuple[str, ...] = ()
     top_records: int = 0
     minimum_share: float = 0.0
-    gone: bool = False
+    disconnected_early: bool = False
 
 
 @dataclass(slots=True)
--- a/tinrudder_lab/emulator/silent_connections.py
+++ b/tinrudder_lab/emulator/silent_connections.py
@@ -36,7 +36,7 @@
         node.name
         for node in site.nodes
         if node.gateway is not None
-        and not node.machine.gone
+        and not node.machine.crashed
         and node.gateway.knowledge.state.configuration_version != site.version
     ]
 
--- a/tinrudder_lab/emulator/site.py
+++ b/tinrudder_lab/emulator/site.py
@@ -47,7 +47,7 @@
 """Seconds without a heartbeat after which the store drops the entry of a crashed back end."""
 RESTART_DELAY_S = 3.0
 """Seconds after which a crashed back end restarts at its old address, by default under a new id."""
-COLD_NOTICE_S = 1.0
+COLD_PROPAGATION_S = 1.0
 """Seconds until every gateway knows that a back end has turned cold."""
 MS_PER_SECOND = 1000.0
 CLOCK_START_MS = 1_764_720_000_000
@@ -144,7 +144,7 @@
     version: int = 0
     backends_added: int = 0
     crashes_on: Callable[[ServedRequest], bool] = lambda request: False
-    records_of: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
+    answer_record_count: Callable[[ServedRequest], int] = lambda request: ANSWER_RECORDS
     _serial: int = 0
     _entries: dict[str, tuple[str, str, str]] = field(default_factory=dict)
     _started_ms: dict[str, int] = field(default_factory=dict)
@@ -203,7 +203,7 @@
             backend_id, service, self.ledger, self.random, self._work_time, started_ms=started_ms
         )
         backend.crashes_on = lambda request: self.crashes_on(request)
-        backend.records_of = lambda request: self.records_of(request)
+        backend.answer_record_count = lambda request: self.answer_record_count(request)
         backend.on_crash = lambda request: self._on_crash(backend, request)
         self.backends[backend_id] = backend
         return backend
@@ -322,22 +322,22 @@
         """Write a back end's entry again in its present state, as its heartbeat would."""
         service, address, zone = self._entries[backend_id]
         incarnation = incarnation_of(backend_id, self._started_ms.get(backend_id, 0))
-        state = "draining" if incarnation in self.ledger.leaving_at else "ready"
+        state = "draining" if incarnation in self.ledger.draining_since else "ready"
         self.write_entry(backend_id, service, address, zone, state)
 
     def mark_cold(self, backend_id: str, seconds: float) -> ColdSpan:
         """Mark a back end as cold for some time; return the span in which gateways must know it."""
         service, address, zone = self._entries[backend_id]
         self.write_entry(backend_id, service, address, zone, cold_left_s=seconds)
-        since = self.loop.time() + COLD_NOTICE_S
-        return ColdSpan(backend_id, since, since + seconds - COLD_NOTICE_S)
+        since = self.loop.time() + COLD_PROPAGATION_S
+        return ColdSpan(backend_id, since, since + seconds - COLD_PROPAGATION_S)
 
     def drain(self, backend_id: str) -> None:
         """Mark a back end as draining."""
         service, address, zone = self._entries[backend_id]
         self.write_entry(backend_id, service, address, zone, state="draining")
         incarnation = incarnation_of(backend_id, self._started_ms.get(backend_id, 0))
-        self.ledger.leaving_at[incarnation] = self.loop.time()
+        self.ledger.draining_since[incarnation] = self.loop.time()
 
     def evacuate(self, zone: str) -> None:
         """Write the evacuation of a zone."""
@@ -489,7 +489,7 @@
 
     def served_share(self) -> float:
         """Return the share of requests answered 200, without clients that disconnect early."""
-        stayed = [result for result in self.ledger.results if not result.gone]
+        stayed = [result for result in self.ledger.results if not result.disconnected_early]
         return sum(1 for result in stayed if result.status == 200) / max(1, len(stayed))
 
     def contract_violations(self) -> list[str]:
--- a/tinrudder_lab/faults.py
+++ b/tinrudder_lab/faults.py
@@ -223,7 +223,7 @@
     """Kill a node; a new process with the same name starts after ``restart_after_s``."""
 
     def inject(world: World) -> None:
-        if world.hosts[name].machine.gone:
+        if world.hosts[name].machine.crashed:
             return
         world.crash_node(name)
         if restart_after_s is not None:
--- a/tinrudder_lab/history.py
+++ b/tinrudder_lab/history.py
@@ -168,7 +168,7 @@
 
     sent: dict[int, QuerySent] = field(default_factory=dict)
     ended: dict[int, QueryEnded] = field(default_factory=dict)
-    doubled: list[QueryEnded] = field(default_factory=list)
+    duplicate_ends: list[QueryEnded] = field(default_factory=list)
     calls: list[CallSeen] = field(default_factory=list)
     drains: list[DrainSigned] = field(default_factory=list)
     revisions: list[RevisionSeen] = field(default_factory=list)
@@ -178,8 +178,8 @@
     finished_at: float = 0.0
 
     def end_query(self, event: QueryEnded) -> None:
-        """Record an outcome; a second one for the same query goes to ``doubled``."""
+        """Record an outcome; a second one for the same query goes to ``duplicate_ends``."""
         if event.query in self.ended:
-            self.doubled.append(event)
+            self.duplicate_ends.append(event)
             return
         self.ended[event.query] = event
--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -26,7 +26,7 @@
 import msgspec
 
 from tinrudder_lab.demo import (
-    VICTIM,
+    KILLED_BACKEND,
     Demo,
     DemoResult,
     has_passed,
@@ -223,7 +223,7 @@
 
 def run_nodes(other: Path | None, folder: Path) -> tuple[DemoResult, list[str]]:
     """Run the demo with half of the nodes of the other build; return result and suspect lines."""
-    cluster = DemoCluster(folder, VICTIM)
+    cluster = DemoCluster(folder, KILLED_BACKEND)
     processes = MixedProcesses(folder, other=other, module="tinrudder.cli.main")
     cluster.processes = processes
     demo = Demo(cluster)
--- a/tinrudder_lab/scenarios.py
+++ b/tinrudder_lab/scenarios.py
@@ -13,8 +13,8 @@
 from tinrudder.node.resources.model import Priority
 from tinrudder_lab import faults
 from tinrudder_lab.deployment import ARENA_REGION, ARENA_ZONES, PLATA_REGION, PLATA_ZONES
-from tinrudder_lab.everything import random_steps
 from tinrudder_lab.faults import Step
+from tinrudder_lab.random_faults import random_steps
 from tinrudder_lab.topology import (
     TenantLoad,
     Topology,
--- a/tinrudder_lab/sim/caller_pool.py
+++ b/tinrudder_lab/sim/caller_pool.py
@@ -163,7 +163,7 @@
 
     async def _run_at(self, host: NodeHost, exchange: HttpExchange, timeout_s: float) -> str | None:
         """Run one exchange at a node; return ``LOST`` or ``LEFT`` if there is no answer."""
-        if host.machine.gone:
+        if host.machine.crashed:
             return LOST
         loop = self._world.loop
         host.in_flight += 1
@@ -180,7 +180,7 @@
             running.result()
             return None
         exchange.disconnected.set()
-        return LOST if host.machine.gone or timeout_s >= CALLER_TIMEOUT_S else LEFT
+        return LOST if host.machine.crashed or timeout_s >= CALLER_TIMEOUT_S else LEFT
 
 
 def _query(sent: QuerySent, cursor: str | None) -> dict[str, object]:
--- a/tinrudder_lab/sim/loop.py
+++ b/tinrudder_lab/sim/loop.py
@@ -31,7 +31,7 @@
 
     def __call__(self, *arguments: object) -> None:
         """Run, hold or drop the callback."""
-        if self.machine.gone:
+        if self.machine.crashed:
             return
         if self.machine.paused:
             self.machine.held.append((self, arguments, contextvars.copy_context()))
@@ -47,7 +47,7 @@
 class MachineTimer(MachineCallback):
     """A timer on its machine's monotonic clock, which may be frozen while the timer is pending."""
 
-    __slots__ = ("loop", "stood_s")
+    __slots__ = ("loop", "observed_frozen_s")
 
     def __init__(
         self, machine: Machine, callback: Callable[..., object], loop: MachineLoop
@@ -55,18 +55,18 @@
         """Wrap ``callback``."""
         super().__init__(machine, callback)
         self.loop = loop
-        self.stood_s = loop.stood_s(machine)
+        self.observed_frozen_s = loop.clock_frozen_s(machine)
 
     def __call__(self, *arguments: object) -> None:
         """Run, hold or drop the callback, or delay it by the time that the clock was frozen."""
         machine = self.machine
         if self.handle is not None and self.handle.cancelled():
             return
-        late_s = self.loop.stood_s(machine) - self.stood_s
-        if machine.gone or machine.paused or not late_s:
+        late_s = self.loop.clock_frozen_s(machine) - self.observed_frozen_s
+        if machine.crashed or machine.paused or not late_s:
             super().__call__(*arguments)
         else:
-            self.stood_s = self.loop.stood_s(machine)
+            self.observed_frozen_s = self.loop.clock_frozen_s(machine)
             self.loop.call_at_true_time(late_s, self, arguments)
 
 
@@ -75,16 +75,16 @@
     """One simulated machine; each start of a process gets a new one.
 
     :param wall_offset_s: offset of its wall clock from true time, seconds.
-    :param stood_s: total time for which its monotonic clock has been frozen, seconds.
+    :param clock_frozen_s: total time for which its monotonic clock has been frozen, seconds.
     """
 
     name: str
     zone: str
     region: str
     wall_offset_s: float = 0.0
-    stood_s: float = 0.0
+    clock_frozen_s: float = 0.0
     paused: bool = False
-    gone: bool = False
+    crashed: bool = False
     held: list[tuple[MachineCallback, tuple[object, ...], contextvars.Context]] = field(
         default_factory=list
     )
@@ -99,13 +99,13 @@
         """Hold all callbacks, as SIGSTOP does."""
         self.paused = True
 
-    def resume(self, loop: asyncio.AbstractEventLoop, stands_s: float = 0.0) -> None:
+    def resume(self, loop: asyncio.AbstractEventLoop, frozen_s: float = 0.0) -> None:
         """Run the held callbacks, in the order in which they were held.
 
-        :param stands_s: for how long the monotonic clock was frozen, seconds.
+        :param frozen_s: for how long the monotonic clock was frozen, seconds.
         """
         self.paused = False
-        self.stood_s += stands_s
+        self.clock_frozen_s += frozen_s
         held, self.held = self.held, []
         for callback, arguments, context in held:
             if callback.handle is None or not callback.handle.cancelled():
@@ -113,7 +113,7 @@
 
     def crash(self) -> None:
         """Drop all callbacks; tasks stay referenced so that none of their clean-up code runs."""
-        self.gone = True
+        self.crashed = True
         self.held.clear()
 
 
@@ -131,11 +131,11 @@
         """Return the monotonic time of the calling machine, seconds."""
         machine = MACHINE.get()
         now: float = super().time()
-        return now if machine is None else now - self.stood_s(machine)
+        return now if machine is None else now - self.clock_frozen_s(machine)
 
-    def stood_s(self, machine: Machine) -> float:
+    def clock_frozen_s(self, machine: Machine) -> float:
         """Return for how long a machine's clock has been frozen, seconds."""
-        return 0.0 if self.counts_suspensions else machine.stood_s
+        return 0.0 if self.counts_suspensions else machine.clock_frozen_s
 
     def true_time(self) -> float:
         """Return seconds since the start of the run, independent of the calling machine."""
@@ -194,7 +194,7 @@
             plain: asyncio.TimerHandle = super().call_at(when, callback, *args, context=context)
             return plain
         guarded = MachineTimer(machine, callback, self)
-        true_when = when + self.stood_s(machine)
+        true_when = when + self.clock_frozen_s(machine)
         handle: asyncio.TimerHandle = super().call_at(true_when, guarded, *args, context=context)
         guarded.handle = handle
         return handle
--- a/tinrudder_lab/sim/peers.py
+++ b/tinrudder_lab/sim/peers.py
@@ -73,7 +73,7 @@
         if len(payload) > MAX_DATAGRAM_BYTES:
             raise ValueError(f"datagram: {len(payload)} bytes, at most {MAX_DATAGRAM_BYTES}")
         peer = self._peer_directory.transports.get(destination)
-        if peer is None or self.machine.gone:
+        if peer is None or self.machine.crashed:
             return
         self._network.deliver_datagram(
             self.location, peer.location, peer.machine.context, peer._receive, self.address, payload
--- a/tinrudder_lab/sim/world.py
+++ b/tinrudder_lab/sim/world.py
@@ -26,8 +26,8 @@
     NodeStage,
     RevisionSeen,
 )
+from tinrudder_lab.history_events import call_events, version_events
 from tinrudder_lab.platform_server import PlatformState, ResourceWrite
-from tinrudder_lab.sightings import call_events, version_events
 from tinrudder_lab.sim.backends import SimBackend, SimBackendTransport
 from tinrudder_lab.sim.loop import Machine, MachineLoop
 from tinrudder_lab.sim.network import Cut, Location, Network
@@ -165,19 +165,19 @@
     def pause_node(self, name: str, seconds: float, *, clock_frozen: bool = False) -> None:
         """Pause a node's process for some seconds, and its monotonic clock if ``clock_frozen``."""
         host = self.hosts[name]
-        if host.machine.paused or host.machine.gone:
+        if host.machine.paused or host.machine.crashed:
             return
         self.record_node_event(name, NodeStage.PAUSED)
         host.machine.pause()
         host.unhealthy_at = self.now() + LOAD_BALANCER_LAG_S
-        stands_s = seconds if clock_frozen else 0.0
-        self.loop.call_later(seconds, self._wake_node, host, stands_s)
+        frozen_s = seconds if clock_frozen else 0.0
+        self.loop.call_later(seconds, self._resume_node, host, frozen_s)
 
-    def _wake_node(self, host: NodeHost, stands_s: float) -> None:
-        if host.machine.gone:
+    def _resume_node(self, host: NodeHost, frozen_s: float) -> None:
+        if host.machine.crashed:
             return
         self.record_node_event(host.machine.name, NodeStage.WOKEN)
-        host.machine.resume(self.loop, stands_s)
+        host.machine.resume(self.loop, frozen_s)
         host.unhealthy_at = NEVER
 
     async def stop_node(self, name: str) -> None:
@@ -191,7 +191,7 @@
         self.loop.call_later(LOAD_BALANCER_LAG_S, setattr, host, "accepting", False)
         self.loop.create_task(host.stop(), context=host.machine.context)
         await host.ended.wait()
-        if not host.machine.gone:
+        if not host.machine.crashed:
             unfinished = host.peers.unfinished_at_close + host.in_flight
             self.record_node_event(name, NodeStage.STOPPED, unfinished)
             self._end_machine(host)
@@ -243,7 +243,7 @@
     def sample_revisions(self) -> None:
         """Record the revision that each running node enforces if it has changed."""
         for name, host in self.hosts.items():
-            if host.machine.gone or host.machine.paused:
+            if host.machine.crashed or host.machine.paused:
                 continue
             revision = host.node.configuration().revision
             if revision != host.revision:
--- a/tinrudder_lab/soak/faults.py
+++ b/tinrudder_lab/soak/faults.py
@@ -169,7 +169,7 @@
     """Add a back end to the single service, then drain another one."""
     alive = [name for name in site.backends if name.startswith("single")]
     old = site.random.choice(alive) if alive else ""
-    if not alive or site.backends[old].incarnation in site.ledger.leaving_at:
+    if not alive or site.backends[old].incarnation in site.ledger.draining_since:
         return "no back end replaced"
     await site.add_backend(f"single-{site.backends_added}", "single", "zone-a")
     await asyncio.sleep(0.5)
--- a/tinrudder_lab/soak/slow_readers.py
+++ b/tinrudder_lab/soak/slow_readers.py
@@ -28,7 +28,7 @@
 _PEAK = re.compile(r"VmHWM:\s+(\d+) kB")
 
 
-def records_of(request: ServedRequest) -> int:
+def answer_record_count(request: ServedRequest) -> int:
     """Return the number of records in the answer to a request."""
     return LARGE_RECORDS if request.target.endswith(LARGE) else ANSWER_RECORDS
 
@@ -39,7 +39,7 @@
     Uses a random generator of its own, so it does not change the faults of a seed.
     """
     source = random.Random(f"slow {site.seed}")
-    site.records_of = records_of
+    site.answer_record_count = answer_record_count
     end = site.loop.time() + seconds
     clients: list[asyncio.Task[None]] = []
     while site.loop.time() < end:
