--- a/bench/floor_client.py
+++ b/bench/baseline_client.py
@@ -12,10 +12,10 @@
 LENGTH_HEADER = b"Content-Length: "
 
 
-class FloorConnection(asyncio.Protocol):
+class BaselineConnection(asyncio.Protocol):
     """Connection with at most one call in flight."""
 
-    def __init__(self, fan_out: FloorFanOut) -> None:
+    def __init__(self, fan_out: BaselineFanOut) -> None:
         """Report completed calls to ``fan_out``."""
         self._fan_out = fan_out
         self._transport: asyncio.Transport | None = None
@@ -49,12 +49,12 @@
             self._fan_out.on_response()
 
 
-class FloorFanOut:
+class BaselineFanOut:
     """Sends one request on every connection and waits for all responses."""
 
     def __init__(self) -> None:
         """Start without connections."""
-        self._connections: list[FloorConnection] = []
+        self._connections: list[BaselineConnection] = []
         self._requests: list[bytes] = []
         self._unanswered = 0
         self._done: asyncio.Future[None] | None = None
@@ -65,7 +65,9 @@
         self._requests = requests
         for number in range(len(requests)):
             port = ports[number % len(ports)]
-            _, connection = await loop.create_connection(lambda: FloorConnection(self), host, port)
+            _, connection = await loop.create_connection(
+                lambda: BaselineConnection(self), host, port
+            )
             self._connections.append(connection)
 
     async def run(self) -> None:
--- a/bench/call_cost.py
+++ b/bench/call_cost.py
@@ -22,7 +22,7 @@
 from bench.node_under_test import InstantTransport
 from bench.subjects import (
     AiosonicClient,
-    Floor,
+    BaselineClient,
     Subject,
     TransportClient,
     WholeNode,
@@ -73,7 +73,7 @@
 def build_measurements(ports: list[int], fan_out: int) -> list[Measurement]:
     """Return the subjects in the order of their turns."""
     return [
-        Measurement("floor", Floor(ports, fan_out)),
+        Measurement("floor", BaselineClient(ports, fan_out)),
         Measurement("client", TransportClient(ports, single_requests(fan_out))),
         Measurement("grouped", TransportClient(ports, grouped_requests(fan_out, len(ports)))),
         Measurement("aiosonic", AiosonicClient(ports, fan_out)),
--- a/bench/overload.py
+++ b/bench/overload.py
@@ -24,15 +24,15 @@
 from tinrudder_lab.emulator.site import EmulatedSite, run_site
 
 SHARDS = 6
-COPIES = 2
+REPLICAS = 2
 SLOTS = 2
 WORK_S = 0.03
-SPREAD = 0.35
+WORK_SIGMA = 0.35
 """Standard deviation of the logarithm of work."""
 GATEWAYS = 3
 MEAN_WORK_S = WORK_S * 1.063
-"""Mean of a log-normal distribution with this :data:`SPREAD`."""
-CAPACITY_PER_S = COPIES * SLOTS / MEAN_WORK_S
+"""Mean of a log-normal distribution with this :data:`WORK_SIGMA`."""
+CAPACITY_PER_S = REPLICAS * SLOTS / MEAN_WORK_S
 """Scatters per second that the back ends can complete; each calls every shard once."""
 LOADS = (0.5, 0.8, 1.0, 1.5, 2.0, 4.0, 8.0)
 URGENT_SHARE = 0.1
@@ -165,7 +165,7 @@
             seed=seed,
             node_count=GATEWAYS,
             shards=SHARDS,
-            copies=COPIES,
+            copies=REPLICAS,
             work_s=WORK_S,
             variants=(URGENT_ROUTE,),
         )
--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -134,8 +134,8 @@
     fleet: Fleet
     budget: FleetRetryBudget
     pending: PendingReports
-    unloaded: LatencyWindow = field(default_factory=LatencyWindow)
-    pressure_at: float = -MAX_REPORT_AGE_S
+    unloaded_latencies: LatencyWindow = field(default_factory=LatencyWindow)
+    congested_at: float = -MAX_REPORT_AGE_S
     timer_set: bool = False
 
     def __post_init__(self) -> None:
@@ -143,22 +143,22 @@
         self.observations = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
         self.order = self.fleet.source.sample(range(BACKENDS), BACKENDS)
 
-    def usual_s(self) -> float:
+    def typical_service_s(self) -> float:
         """Return the usual service time of a call, in seconds."""
-        if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
-            return self.unloaded.quantile(0.5)
-        guess_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return mean_work_s(self.observations) or guess_s
+        if len(self.unloaded_latencies) >= MINIMUM_OBSERVATIONS:
+            return self.unloaded_latencies.quantile(0.5)
+        prior_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
+        return mean_work_s(self.observations) or prior_s
 
     def decide_admission(
         self, now: float, left_s: float, *, returning: bool, late: bool
     ) -> AdmittedShare:
         """Return the share of such requests to admit."""
-        usual_s = self.usual_s()
+        typical_service_s = self.typical_service_s()
         return decide_admission(
             self.observations,
             now,
-            usual_s,
+            typical_service_s,
             left_s,
             priority_steps=0,
             returning=returning,
@@ -190,10 +190,12 @@
         """Queue a back end's new load for the other gateways, if there was pressure recently."""
         now = self.fleet.clock.now
         if shed or is_long(waiting, SLOTS):
-            self.pressure_at = now
-        if now - self.pressure_at < MAX_REPORT_AGE_S:
-            heard_at = self.observations[index].reported_at
-            self.pending.note(PendingReport(index, shed, self.unloaded.quantile(0.5), heard_at))
+            self.congested_at = now
+        if now - self.congested_at < MAX_REPORT_AGE_S:
+            load_reported_at = self.observations[index].reported_at
+            self.pending.note(
+                PendingReport(index, shed, self.unloaded_latencies.quantile(0.5), load_reported_at)
+            )
             self._schedule_announcement(BATCH_DELAY_S)
 
     def _schedule_announcement(self, seconds: float) -> None:
@@ -211,18 +213,20 @@
         self.fleet.count["copies"] += copies
         self.fleet.count["bytes"] += copies * (DATAGRAM_BYTES + LOAD_BYTES * len(reported_loads))
         for peer in self.fleet.source.sample(peers, copies):
-            self.fleet.clock.call_at(now + ONE_WAY_DELAY_S, partial(peer.take, reported_loads))
+            self.fleet.clock.call_at(
+                now + ONE_WAY_DELAY_S, partial(peer.apply_reports, reported_loads)
+            )
         if self.pending:
             self._schedule_announcement(RETRY_INTERVAL_S)
 
-    def take(self, reported_loads: tuple[ReportedLoad, ...]) -> None:
+    def apply_reports(self, reported_loads: tuple[ReportedLoad, ...]) -> None:
         """Apply the load reports of another gateway."""
         now = self.fleet.clock.now
         for one in reported_loads:
             if one.is_credible:
                 apply_report(one, self.observations[one.backend], now)
                 if one.is_long:
-                    self.pressure_at = max(self.pressure_at, now - one.age_s)
+                    self.congested_at = max(self.congested_at, now - one.age_s)
 
 
 @dataclass(eq=False)
@@ -342,7 +346,7 @@
         self.tries += 1
         index = gateway.choose(now, self.avoided)
         self.avoided.add(index)
-        running = gateway.observations[index].begin(now, gateway.usual_s())
+        running = gateway.observations[index].begin(now, gateway.typical_service_s())
 
         def answer(load: tuple[int, int] | None) -> None:
             fleet.clock.call_at(
@@ -370,7 +374,7 @@
         latency_s = now - running.sent_at
         observations.reported(busy, waiting, SLOTS, now)
         if not waiting:
-            gateway.unloaded.observe(latency_s)
+            gateway.unloaded_latencies.observe(latency_s)
             observations.record_service_time(latency_s)
         observations.answered(running, now)
         gateway.announce_load(index, waiting, shed=False)
@@ -378,9 +382,9 @@
 
     def _rejected(self, now: float) -> None:
         fleet, gateway = self.fleet, self.gateway
-        usual_s = gateway.usual_s()
+        typical_service_s = gateway.typical_service_s()
         left_s = self.objective_at - now
-        room = has_room(gateway.observations, now, usual_s, left_s)
+        room = has_room(gateway.observations, now, typical_service_s, left_s)
         if not room or self.tries >= MAX_CALLS:
             admitted = gateway.decide_admission(now, left_s, returning=True, late=False)
             fleet.refuse(self.request, admitted)
--- a/bench/subjects.py
+++ b/bench/subjects.py
@@ -12,7 +12,7 @@
 import msgspec
 import uvicorn
 
-from bench.floor_client import FloorFanOut
+from bench.baseline_client import BaselineFanOut
 from bench.node_under_test import INDEX, build_document, query_request, shard_name, start_node
 from tinrudder.node.api.caller_app import CallerApplication
 from tinrudder.node.api.cursor import CursorCodec
@@ -63,13 +63,13 @@
     ]
 
 
-class Floor:
+class BaselineClient:
     """Bare asyncio client with requests encoded beforehand."""
 
     def __init__(self, ports: list[int], fan_out: int) -> None:
         """Prepare the requests."""
         self._ports = ports
-        self._fan_out = FloorFanOut()
+        self._fan_out = BaselineFanOut()
         self._requests = [
             _whole_request(search_request(number, shard_name(number))) for number in range(fan_out)
         ]
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -273,9 +273,9 @@
         if any(is_slow(observations.expected_relative_latency(now)) for observations in local):
             return MIN_ADVANTAGE
         window = caller.latencies[kind.name]
-        usual_s = typical_latency_s(window, kind.objective_s)
+        typical_s = typical_latency_s(window, kind.objective_s)
         hedged_s = hedge_delay_s(window, kind.objective_s, budget_fill=1.0)
-        return zone_advantage(usual_s, hedged_s, kind.objective_s)
+        return zone_advantage(typical_s, hedged_s, kind.objective_s)
 
     def hedge_at(self, shard: Shard, now: float) -> float:
         """Return when a call that is sent now is hedged."""
@@ -360,7 +360,7 @@
         """Schedule a callback."""
         heapq.heappush(self._events, (when, next(self._numbers), callback))
 
-    def play(self, length_s: float) -> None:
+    def simulate(self, length_s: float) -> None:
         """Run the scatters that arrive within ``length_s`` seconds."""
         for kind in self.load.kinds:
             for when in self._arrivals(kind, length_s):
@@ -405,8 +405,8 @@
         cross_zone = chosen != caller.zone
         scatter.cross_zone += cross_zone
         path_s = CROSS_ZONE_S if cross_zone else IN_ZONE_S
-        usual_s = typical_latency_s(caller.latencies[kind.name], kind.objective_s)
-        running = caller.observations[shard.number][chosen].begin(self.now, usual_s)
+        typical_s = typical_latency_s(caller.latencies[kind.name], kind.objective_s)
+        running = caller.observations[shard.number][chosen].begin(self.now, typical_s)
         call = Call(shard, chosen, running)
         end = replica.run(self.now + path_s, self._work_s(kind))
         self.schedule(end + path_s, partial(self._answer, call, end))
@@ -496,14 +496,14 @@
     )
 
 
-def play(
+def simulate(
     load: Load, policy: ProductPolicy, seeds: Iterable[int], length_s: float
 ) -> dict[str, Figures]:
     """Simulate one run per seed; return the figures of each kind of scatter."""
     scatters_by_kind: dict[str, list[Scatter]] = {kind.name: [] for kind in load.kinds}
     for seed in seeds:
         world = World(load, policy, seed)
-        world.play(length_s)
+        world.simulate(length_s)
         for scatter in world.scatters:
             if scatter.began_at >= WARM_UP_S:
                 scatters_by_kind[scatter.kind.name].append(scatter)
@@ -521,7 +521,7 @@
     loads = [load for load in LOADS if load.name in options.loads.split(",")]
     policies = [policy for policy in POLICIES if policy.name in options.ways.split(",")]
     for load, policy in itertools.product(loads, policies):
-        for kind, mean in play(load, policy, range(options.seeds), options.seconds).items():
+        for kind, mean in simulate(load, policy, range(options.seeds), options.seconds).items():
             print(
                 f"{load.name:12} {policy.name:20} {kind:14} n {mean.scatters:4} "
                 f"share {mean.share:.4f} squares {mean.mean_squared_share:.4f} "
--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -15,7 +15,7 @@
     Load,
     MedianHedgingPolicy,
     ProductPolicy,
-    play,
+    simulate,
 )
 from tinrudder.common.latency_window import LatencyWindow
 from tinrudder.gateway.decisions.attempts.hedge_gain import MIN_OBSERVATIONS, HedgeAges
@@ -31,7 +31,7 @@
 def urgent(load: Load, policy: ProductPolicy) -> Figures:
     """Simulate only the urgent kind of a load."""
     kind = next(one for one in load.kinds if one in (ALERT, SUGGEST))
-    return play(replace(load, kinds=(kind,)), policy, (1,), LENGTH_S)[kind.name]
+    return simulate(replace(load, kinds=(kind,)), policy, (1,), LENGTH_S)[kind.name]
 
 
 def seen(latencies_s: list[float]) -> LatencyWindow:
