--- a/tests/functional/lab/test_lab_scenarios.py
+++ b/tests/functional/lab/test_lab_scenarios.py
@@ -7,7 +7,7 @@
 import pytest
 
 from tinrudder_lab.experiment import run_scenario
-from tinrudder_lab.plants import PLANTS_BY_NAME
+from tinrudder_lab.plants import PLANTED_DEFECTS_BY_NAME
 from tinrudder_lab.scenarios import BY_NAME
 
 SHORT_S = 8.0
@@ -28,6 +28,6 @@
     ["lowered-revision", "no-dissemination", "coverage-at-send", "stop-drops-relayed"],
 )
 def test_a_planted_defect_is_reported(plant: str) -> None:
-    planted = PLANTS_BY_NAME[plant]
+    planted = PLANTED_DEFECTS_BY_NAME[plant]
     result = run_scenario(BY_NAME[planted.scenario], 3, planted)
     assert planted.promise in {violation.promise for violation in result.violations}
--- a/tinrudder_lab/checkers/planned_stop.py
+++ b/tinrudder_lab/checkers/planned_stop.py
@@ -10,7 +10,7 @@
 
 RELAY_LOST = "relay_lost"
 TIMED_OUT = "no answer in"
-AFTERMATH_S = 1.0
+SETTLE_S = 1.0
 
 
 def check(history: History) -> Iterator[Violation]:
@@ -45,11 +45,11 @@
     """Return the requests that were lost to a stop while no other fault was active."""
     for ended in history.ended.values():
         sent = history.sent[ended.query]
-        if sent.at > stopped.at or ended.at > stopped.at + AFTERMATH_S or ended.at < begun.at:
+        if sent.at > stopped.at or ended.at > stopped.at + SETTLE_S or ended.at < begun.at:
             continue
         if not _is_lost_to(begun, sent, ended):
             continue
-        if not is_disturbed(history, sent.at - AFTERMATH_S, ended.at):
+        if not is_disturbed(history, sent.at - SETTLE_S, ended.at):
             yield ended
 
 
--- a/tinrudder_lab/claim_model.py
+++ b/tinrudder_lab/claim_model.py
@@ -71,11 +71,15 @@
         "three-voters-skew": ModelSetup(three, restarts=2, skew=1, window=2),
         "five-voters": ModelSetup(five, restarts=3, window=2),
         "five-voters-skew": ModelSetup(five, restarts=2, skew=1, window=2),
-        "list-moves": ModelSetup((0b01, 0b10), restarts=1, learns=True, reduced=False),
-        "list-grows": ModelSetup((0b10, 0b10, 0b11), restarts=1, learns=True),
-        "one-of-three-replaced": ModelSetup(one_replaced, restarts=0, learns=True),
-        "one-of-three-replaced-restart": ModelSetup(one_replaced, restarts=1, learns=True),
-        "two-of-three-replaced": ModelSetup(two_replaced, restarts=0, learns=True),
+        "list-moves": ModelSetup(
+            (0b01, 0b10), restarts=1, second_list_published=True, reduced=False
+        ),
+        "list-grows": ModelSetup((0b10, 0b10, 0b11), restarts=1, second_list_published=True),
+        "one-of-three-replaced": ModelSetup(one_replaced, restarts=0, second_list_published=True),
+        "one-of-three-replaced-restart": ModelSetup(
+            one_replaced, restarts=1, second_list_published=True
+        ),
+        "two-of-three-replaced": ModelSetup(two_replaced, restarts=0, second_list_published=True),
     }
 
 
@@ -107,7 +111,7 @@
                 if following in self.predecessors:
                     continue
                 self.predecessors[following] = (state, step)
-                promise = broken_promise(following, self.setup)
+                promise = violated_promise(following, self.setup)
                 if promise is not None:
                     return Violation(promise, self._history(following))
                 if len(self.predecessors) > max_states:
@@ -147,7 +151,7 @@
     ) -> Iterator[tuple[str, State]]:
         name = f"submission {number}"
         waiting = submission.phase == NOT_ACCEPTED
-        if self.setup.learns and waiting and submission.learned_at == NOT_YET:
+        if self.setup.second_list_published and waiting and submission.learned_at == NOT_YET:
             learned_at = self.setup.learned_class(state.now + submission.offset)
             learned = submission._replace(learned_at=learned_at)
             yield f"{name} learns list 2", state.with_submission(number, learned)
@@ -169,9 +173,9 @@
         name = f"voter {position}"
         if state.restarts_left:
             yield f"{name} restarts", self.actors.restart(state, position)
-        if self.setup.learns and column.learned_at == NOT_YET:
+        if self.setup.second_list_published and column.learned_at == NOT_YET:
             learned_at = self.setup.learned_class(state.now + column.offset)
-            learned = column._replace(learned_at=learned_at, knows=True)
+            learned = column._replace(learned_at=learned_at, knows_second_list=True)
             yield f"{name} learns list 2", state.with_column(position, learned)
         for number, exchange in enumerate(column.exchanges):
             yield from self._exchange_steps(state, position, number, exchange)
@@ -197,7 +201,7 @@
             yield f"{names}: release arrives", self.actors.release(state, position, number)
 
 
-def broken_promise(state: State, setup: ModelSetup) -> str | None:
+def violated_promise(state: State, setup: ModelSetup) -> str | None:
     """Return the promise that a state breaks."""
     if sum(submission.ran for submission in state.submissions) > 1:
         return "a request that must not be repeated runs at most once"
--- a/tinrudder_lab/claim_model_actors.py
+++ b/tinrudder_lab/claim_model_actors.py
@@ -24,14 +24,14 @@
 from tinrudder.cluster.claims.electorate_history import ElectorateHistory, ListedVoter
 from tinrudder.peers import PeerAddress
 from tinrudder_lab.claim_model_state import (
-    NOBODY,
+    NO_HOLDER,
     NOT_ACCEPTED,
     NOT_YET,
     Column,
     ModelSetup,
     State,
 )
-from tinrudder_lab.claim_plants import AlwaysOpenWindow, ForgetfulVoter, HastyProposer
+from tinrudder_lab.claim_plants import AlwaysOpenWindow, ForgetfulVoter, UnsafeGiveUpProposer
 
 KEY = ClaimKey(bytes(16))
 FIRST_LIST, SECOND_LIST = 1, 2
@@ -123,11 +123,13 @@
     def restart(self, state: State, position: int) -> State:
         """Restart a voter: it loses its votes, and the second list only with a planted defect."""
         column = state.columns[position]
-        knows = column.knows and self._plant is not Plant.LIST_LOST_AT_RESTART
+        knows_second_list = (
+            column.knows_second_list and self._plant is not Plant.LIST_LOST_AT_RESTART
+        )
         restarted_column = column._replace(
             started_at=self._setup.started_class(state.now + column.offset),
-            holder=NOBODY,
-            knows=knows,
+            holder=NO_HOLDER,
+            knows_second_list=knows_second_list,
         )
         restarted = state.with_column(position, restarted_column)
         return restarted._replace(restarts_left=state.restarts_left - 1)
@@ -136,7 +138,7 @@
         """Deliver a request to a voter and return its reply; the request may be delivered again."""
         column = state.columns[position]
         now = state.now + column.offset
-        required = self._required(state, column.learned_at if column.knows else NOT_YET)
+        required = self._required(state, column.learned_at if column.knows_second_list else NOT_YET)
         cache_key = (column.started_at, column.holder, now, number, cited, required)
         if cache_key not in self._vote_cache:
             self._vote_cache[cache_key] = self._run_vote(column, now, number, cited, required)
@@ -168,7 +170,7 @@
         column = state.columns[position]
         voter = self._restore_voter(column)
         voter.release(VoteRelease(KEY, _proposer_id(number)))
-        holder = column.holder if voter.held else NOBODY
+        holder = column.holder if voter.held else NO_HOLDER
         return state.with_column(position, column._replace(holder=holder))
 
     def _run_vote(
@@ -180,7 +182,7 @@
         reply = voter.vote(request, self._electorates_of(required), now)
         holder = column.holder
         if not voter.held:
-            holder = NOBODY
+            holder = NO_HOLDER
         elif isinstance(reply, Granted):
             holder = number
         return holder, self._name(reply)
@@ -188,7 +190,7 @@
     def _restore_voter(self, column: Column) -> ClaimVoter:
         """Return a voter in the state of a column; its grant is recreated by a vote."""
         voter = self._voter_class(self._limits, -100)
-        if column.holder != NOBODY:
+        if column.holder != NO_HOLDER:
             holder = _proposer_id(column.holder)
             at = self._setup.valid_until - self._setup.window
             request = VoteRequest(KEY, holder, self._setup.valid_until, ())
@@ -212,7 +214,7 @@
         window = window_class(until, until)
         proposer_class = ClaimProposer
         if self._plant is Plant.RELEASE_AFTER_DISPATCH:
-            proposer_class = HastyProposer
+            proposer_class = UnsafeGiveUpProposer
         electorates = self._electorates_of(memory.cited)
         proposer = proposer_class(_proposer_id(memory.number), KEY, until, window, electorates)
         for voter, (record, cited_to) in zip(self._voters, memory.records, strict=True):
--- a/tinrudder_lab/claim_model_state.py
+++ b/tinrudder_lab/claim_model_state.py
@@ -12,7 +12,7 @@
 
 from tinrudder.cluster.claims.claim_proposer import ClaimPhase
 
-NOBODY = -1
+NO_HOLDER = -1
 NOT_YET = -1
 NOT_ACCEPTED = ""
 EARLY = -100
@@ -27,7 +27,7 @@
     :param memberships: for each voter a bit set of the lists (0b01 first, 0b10 second) whose
         electorate it belongs to.
     :param restarts: total number of restarts over all voters.
-    :param learns: whether a second member list is published.
+    :param second_list_published: whether a second member list is published.
     :param reduced: leave out steps that can only prevent a later step, and so cannot break a
         promise: a lost or late reply (equivalent to a vote not requested, or to a later
         dispatch), a refusal (a proposer may give up at any time), a vote for a submission that
@@ -38,7 +38,7 @@
 
     memberships: tuple[int, ...]
     restarts: int
-    learns: bool = False
+    second_list_published: bool = False
     skew: int = 0
     window: int = 1
     reduced: bool = True
@@ -84,14 +84,14 @@
 
     :param holder: the submission that holds the voter's vote.
     :param learned_at: when the voter first learned the second list, by its own clock.
-    :param knows: whether the voter knows the second list now.
+    :param knows_second_list: whether the voter knows the second list now.
     """
 
     offset: int = 0
     started_at: int = EARLY
-    holder: int = NOBODY
+    holder: int = NO_HOLDER
     learned_at: int = NOT_YET
-    knows: bool = False
+    knows_second_list: bool = False
     exchanges: tuple[Exchange, Exchange] = (Exchange(), Exchange())
 
 
@@ -179,8 +179,8 @@
 @cache
 def _released(column: Column, gave_up: tuple[bool, ...]) -> Column:
     """Release the voter's vote if it is held by a submission that has given up."""
-    if column.holder != NOBODY and gave_up[column.holder]:
-        return column._replace(holder=NOBODY)
+    if column.holder != NO_HOLDER and gave_up[column.holder]:
+        return column._replace(holder=NO_HOLDER)
     return column
 
 
@@ -198,7 +198,7 @@
 
 @cache
 def _swapped_column(column: Column) -> Column:
-    holder = column.holder if column.holder == NOBODY else 1 - column.holder
+    holder = column.holder if column.holder == NO_HOLDER else 1 - column.holder
     first, second = column.exchanges
     return column._replace(holder=holder, exchanges=(second, first))
 
--- a/tinrudder_lab/claim_plants.py
+++ b/tinrudder_lab/claim_plants.py
@@ -31,7 +31,7 @@
         return True
 
 
-class HastyProposer(ClaimProposer):
+class UnsafeGiveUpProposer(ClaimProposer):
     """Gives up although the request may have been sent."""
 
     def give_up(self) -> bool:
--- a/tinrudder_lab/experiment.py
+++ b/tinrudder_lab/experiment.py
@@ -6,7 +6,7 @@
 
 from tinrudder_lab.checkers.all import check_history
 from tinrudder_lab.measures import result_of
-from tinrudder_lab.plants import Plant
+from tinrudder_lab.plants import PlantedDefect
 from tinrudder_lab.report import RunResult
 from tinrudder_lab.scenarios import Scenario
 from tinrudder_lab.sim.run import simulate
@@ -16,12 +16,12 @@
     """The lab or the product's code raised an exception that was not caught."""
 
 
-def run_scenario(scenario: Scenario, seed: int, plant: Plant | None = None) -> RunResult:
+def run_scenario(scenario: Scenario, seed: int, plant: PlantedDefect | None = None) -> RunResult:
     """Run a scenario once, with a planted defect if one is given.
 
     :raises LabError: an exception was not caught.
     """
-    with plant.switch_on() if plant is not None else nullcontext():
+    with plant.applied() if plant is not None else nullcontext():
         world = simulate(scenario, scenario.topology(), seed)
     if world.errors:
         raise LabError("; ".join(world.errors[:3]))
--- a/tinrudder_lab/history.py
+++ b/tinrudder_lab/history.py
@@ -14,7 +14,7 @@
 from tinrudder_lab.datasets import DataRow
 
 LOST = "lost"
-LEFT = "left"
+DISCONNECTED = "left"
 
 
 class CallStage(enum.StrEnum):
@@ -65,7 +65,7 @@
 
 
 class QueryEnded(msgspec.Struct, frozen=True, tag=True):
-    """A caller got an outcome, ``LOST`` if its connection broke, ``LEFT`` if it disconnected."""
+    """A caller got an outcome: ``LOST`` if its connection broke, ``DISCONNECTED`` if it left."""
 
     at: float
     query: int
--- a/tinrudder_lab/jobs.py
+++ b/tinrudder_lab/jobs.py
@@ -12,7 +12,7 @@
 import msgspec
 
 from tinrudder_lab.experiment import LabError, run_scenario
-from tinrudder_lab.plants import PLANTS_BY_NAME
+from tinrudder_lab.plants import PLANTED_DEFECTS_BY_NAME
 from tinrudder_lab.report import RunResult
 from tinrudder_lab.scenarios import BY_NAME
 
@@ -49,7 +49,7 @@
     """Run one job in this process."""
     started = time.perf_counter()
     scenario = BY_NAME[job.scenario]
-    plant = PLANTS_BY_NAME[job.plant] if job.plant else None
+    plant = PLANTED_DEFECTS_BY_NAME[job.plant] if job.plant else None
     try:
         result = run_scenario(scenario, job.seed, plant)
     except LabError as error:
--- a/tinrudder_lab/main.py
+++ b/tinrudder_lab/main.py
@@ -13,7 +13,7 @@
 
 from tinrudder_lab.checkers.violation import Promise
 from tinrudder_lab.experiment import run_scenario
-from tinrudder_lab.plants import PLANTS, PLANTS_BY_NAME
+from tinrudder_lab.plants import PLANTED_DEFECTS, PLANTED_DEFECTS_BY_NAME
 from tinrudder_lab.scenarios import BY_NAME, SCENARIOS
 from tinrudder_lab.soak.regressions import REGRESSIONS, RegressionSeed
 from tinrudder_lab.soak.run import soak
@@ -64,7 +64,7 @@
     running = commands.add_parser("run", help="run one scenario")
     running.add_argument("scenario", choices=sorted(BY_NAME))
     running.add_argument("--seed", type=int, default=1)
-    running.add_argument("--plant", choices=sorted(PLANTS_BY_NAME))
+    running.add_argument("--plant", choices=sorted(PLANTED_DEFECTS_BY_NAME))
     running.add_argument("--json", action="store_true", help="the last line is JSON in any case")
     running.set_defaults(run=_run)
 
@@ -80,7 +80,9 @@
 
 
 def _faults(arguments: argparse.Namespace) -> int:
-    rows = [PlantRow(plant.name, plant.promise, plant.scenario, plant.what) for plant in PLANTS]
+    rows = [
+        PlantRow(plant.name, plant.promise, plant.scenario, plant.what) for plant in PLANTED_DEFECTS
+    ]
     if arguments.json:
         print(msgspec.json.encode(rows).decode())
         return 0
@@ -90,7 +92,7 @@
 
 
 def _run(arguments: argparse.Namespace) -> int:
-    plant = PLANTS_BY_NAME[arguments.plant] if arguments.plant else None
+    plant = PLANTED_DEFECTS_BY_NAME[arguments.plant] if arguments.plant else None
     result = run_scenario(BY_NAME[arguments.scenario], arguments.seed, plant)
     if not arguments.json:
         for violation in result.violations:
--- a/tinrudder_lab/mixed_builds.py
+++ b/tinrudder_lab/mixed_builds.py
@@ -133,7 +133,7 @@
             site.traffic(FAULTS_S, REQUESTS_PER_SECOND, ROUTES),
             send_over_quota(site, FAULTS_S),
             send_crashing_requests(site, FAULTS_S),
-            _disturb(site),
+            _inject_faults(site),
         )
         await asyncio.sleep(SETTLE_S)
         last = await _send_calm_traffic(site)
@@ -165,7 +165,7 @@
     return sum(status == 200 for status in statuses) / max(1, len(statuses))
 
 
-async def _disturb(site: ProcessSite) -> None:
+async def _inject_faults(site: ProcessSite) -> None:
     """Change configurations, reset store links, stop a gateway of each build, and kill one."""
     own, other = site.nodes[2], site.nodes[3]
     await asyncio.sleep(1.0)
--- a/tinrudder_lab/plants.py
+++ b/tinrudder_lab/plants.py
@@ -44,23 +44,23 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Plant:
+class PlantedDefect:
     """A planted defect.
 
-    :param make: returns the substitutions; called once for each run.
+    :param make_substitutions: returns the substitutions; called once for each run.
     """
 
     name: str
     what: str
     promise: Promise
     scenario: str
-    make: Callable[[], list[Substitution]]
+    make_substitutions: Callable[[], list[Substitution]]
 
     @contextmanager
-    def switch_on(self) -> Iterator[None]:
+    def applied(self) -> Iterator[None]:
         """Apply the defect while the context is open."""
         with ExitStack() as stack:
-            for one in self.make():
+            for one in self.make_substitutions():
                 stack.enter_context(mock.patch.object(one.owner, one.name, one.value))
             yield
 
@@ -225,99 +225,99 @@
     return [Substitution(OperationCall, "_on_reply", on_reply)]
 
 
-PLANTS = (
-    Plant(
+PLANTED_DEFECTS = (
+    PlantedDefect(
         "mixed-snapshots",
         "a replan keeps the rows of the previous version",
         Promise.SINGLE_SNAPSHOT,
         "version-change",
         _mixed_snapshots,
     ),
-    Plant(
+    PlantedDefect(
         "page-on-newest",
         "a later page ignores the version to which its listing is pinned",
         Promise.SINGLE_SNAPSHOT,
         "version-change",
         _page_on_newest,
     ),
-    Plant(
+    PlantedDefect(
         "reused-connection",
         "a cancelled call's connection is reused and its answer is delivered to the next call",
         Promise.OWN_ANSWER,
         "rolling-stop",
         _reused_connection,
     ),
-    Plant(
+    PlantedDefect(
         "doubled-rows",
         "a duplicate answer is merged twice",
         Promise.OWN_ANSWER,
         "replica-loss",
         _doubled_rows,
     ),
-    Plant(
+    PlantedDefect(
         "tenant-from-index",
         "the tenant is taken from the requested index, not from the credential",
         Promise.OWN_ANSWER,
         "drain",
         _tenant_from_index,
     ),
-    Plant(
+    PlantedDefect(
         "coverage-at-send",
         "a shard counts as included as soon as its call has been sent",
         Promise.TRUE_COVERAGE,
         "zone-cut",
         _coverage_at_send,
     ),
-    Plant(
+    PlantedDefect(
         "not-run-after-send",
         "a query whose relay was lost is reported as not run",
         Promise.TRUE_NOT_RUN,
         "zone-cut",
         _not_run_after_send,
     ),
-    Plant(
+    PlantedDefect(
         "lowered-revision",
         "a stale platform lowers the revision in force",
         Promise.CONFIGURATION_HOLDS,
         "config-stale",
         _lowered_revision,
     ),
-    Plant(
+    PlantedDefect(
         "no-dissemination",
         "nodes do not propagate a new revision to each other",
         Promise.CONFIGURATION_HOLDS,
         "config-down",
         _no_dissemination,
     ),
-    Plant(
+    PlantedDefect(
         "work-to-draining",
         "a draining back end stays a candidate",
         Promise.NO_WORK_TO_LEAVING,
         "drain",
         _work_to_draining,
     ),
-    Plant(
+    PlantedDefect(
         "stop-drops-relayed",
         "a planned stop waits neither for relayed queries nor until other nodes have noticed it",
         Promise.STOP_CUTS_NOTHING,
         "rolling-stop",
         _stop_drops_relayed,
     ),
-    Plant(
+    PlantedDefect(
         "claim-after-pause",
         "a process that was suspended past the validity of a claim still acts on it",
         Promise.AT_MOST_ONCE,
         "duplicate-purchase",
         _claim_after_pause,
     ),
-    Plant(
+    PlantedDefect(
         "forgetful-voter",
         "a voter votes right after its start as if it remembered its earlier votes",
         Promise.AT_MOST_ONCE,
         "duplicate-purchase",
         _forgetful_voter,
     ),
-    Plant(
+    PlantedDefect(
         "operation-resent",
         "an operation whose call failed after sending is sent to another replica",
         Promise.AT_MOST_ONCE,
@@ -326,4 +326,4 @@
     ),
 )
 
-PLANTS_BY_NAME = {plant.name: plant for plant in PLANTS}
+PLANTED_DEFECTS_BY_NAME = {plant.name: plant for plant in PLANTED_DEFECTS}
--- a/tinrudder_lab/processes.py
+++ b/tinrudder_lab/processes.py
@@ -57,7 +57,7 @@
         except TimeoutError:
             return None
 
-    def ended(self) -> dict[str, int]:
+    def exit_codes(self) -> dict[str, int]:
         """Return the exit codes of the processes that have exited and were not restarted."""
         return {
             name: process.returncode
--- a/tinrudder_lab/proof.py
+++ b/tinrudder_lab/proof.py
@@ -15,7 +15,7 @@
 import msgspec
 
 from tinrudder_lab.jobs import MAX_WORKERS, Job, JobResult, run_jobs, save_results
-from tinrudder_lab.plants import PLANTS, PLANTS_BY_NAME
+from tinrudder_lab.plants import PLANTED_DEFECTS, PLANTED_DEFECTS_BY_NAME
 from tinrudder_lab.scenarios import EVERYTHING_SEEDS, SCENARIOS
 
 EVERYTHING = "everything"
@@ -66,7 +66,7 @@
     for scenario in SCENARIOS:
         seeds = everything_seeds if scenario.name == EVERYTHING else scenario.proof_seeds
         jobs += [Job(scenario.name, seed) for seed in range(1, seeds + 1)]
-    for plant in PLANTS:
+    for plant in PLANTED_DEFECTS:
         jobs += [Job(plant.scenario, seed, plant=plant.name) for seed in range(1, PLANT_SEEDS + 1)]
     return jobs
 
@@ -78,7 +78,7 @@
         runs = [one for one in done if one.job.scenario == scenario.name and not one.job.plant]
         if runs:
             scenarios.append(_summarise_scenario(scenario.name, runs))
-    plants = [_summarise_plant(plant.name, done) for plant in PLANTS]
+    plants = [_summarise_plant(plant.name, done) for plant in PLANTED_DEFECTS]
     violations = sum(len(one.broken) for one in scenarios)
     return ProofSummary(round(seconds, 1), len(done), violations, scenarios, plants)
 
@@ -107,7 +107,7 @@
 
 
 def _summarise_plant(name: str, done: Sequence[JobResult]) -> PlantSummary:
-    plant = PLANTS_BY_NAME[name]
+    plant = PLANTED_DEFECTS_BY_NAME[name]
     runs = sorted((one for one in done if one.job.plant == name), key=lambda one: one.job.seed)
     found = [
         one.job.seed
--- a/tinrudder_lab/sim/caller_pool.py
+++ b/tinrudder_lab/sim/caller_pool.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from tinrudder_lab.history import LEFT, LOST, QueryEnded, QuerySent
+from tinrudder_lab.history import DISCONNECTED, LOST, QueryEnded, QuerySent
 from tinrudder_lab.sim.callers import HttpExchange, read_outcome
 from tinrudder_lab.sim.node_host import EPOCH_S, NodeHost
 from tinrudder_lab.sim.world import World
@@ -162,7 +162,7 @@
         return hosts[int(draw * len(hosts))]
 
     async def _run_at(self, host: NodeHost, exchange: HttpExchange, timeout_s: float) -> str | None:
-        """Run one exchange at a node; return ``LOST`` or ``LEFT`` if there is no answer."""
+        """Run one exchange at a node; return ``LOST`` or ``DISCONNECTED`` if there is no answer."""
         if host.machine.crashed:
             return LOST
         loop = self._world.loop
@@ -180,7 +180,7 @@
             running.result()
             return None
         exchange.disconnected.set()
-        return LOST if host.machine.crashed or timeout_s >= CALLER_TIMEOUT_S else LEFT
+        return LOST if host.machine.crashed or timeout_s >= CALLER_TIMEOUT_S else DISCONNECTED
 
 
 def _query(sent: QuerySent, cursor: str | None) -> dict[str, object]:
--- a/tinrudder_lab/soak/faults.py
+++ b/tinrudder_lab/soak/faults.py
@@ -72,7 +72,7 @@
     return f"reloaded {node.name}"
 
 
-async def harm_link(site: ProcessSite) -> str:
+async def disrupt_link(site: ProcessSite) -> str:
     """Inject a fault into the link to one back end, or from one gateway to the store."""
     name = site.random.choice(sorted(site.links))
     mode = site.random.choice(BAD_LINK_MODES)
@@ -82,7 +82,7 @@
     return f"link {name} {mode.value}"
 
 
-async def harm_store(site: ProcessSite) -> str:
+async def disrupt_store(site: ProcessSite) -> str:
     """Make the store fail for some or all machines."""
     ports = [node.store_port for node in site.nodes]
     chosen = site.random.sample(ports, site.random.randint(1, len(ports)))
@@ -127,7 +127,7 @@
     return f"limit {rate}"
 
 
-async def harm_zone_links(site: ProcessSite) -> str:
+async def disrupt_zone_links(site: ProcessSite) -> str:
     """Inject a fault into the links to all back ends of a zone at once."""
     zone = site.random.choice(site.zones)
     mode = site.random.choice((LinkMode.SILENT, LinkMode.ONE_WAY, LinkMode.RESETTING))
@@ -182,14 +182,14 @@
     stop,
     pause,
     reload,
-    harm_link,
-    harm_link,
-    harm_store,
+    disrupt_link,
+    disrupt_link,
+    disrupt_store,
     compact_history,
     configure,
     revoke_key,
     change_limit,
-    harm_zone_links,
+    disrupt_zone_links,
     inject_answer_faults,
     pause_backend,
     replace_backend,
--- a/tinrudder_lab/soak/process_site.py
+++ b/tinrudder_lab/soak/process_site.py
@@ -131,7 +131,7 @@
         """Return the gateways that exited although no fault ended them, with their exit codes."""
         return [
             f"unexpected exit: {name} ended with {code}"
-            for name, code in self.processes.ended().items()
+            for name, code in self.processes.exit_codes().items()
         ]
 
     async def close(self) -> None:
--- a/tinrudder_lab/soak/run.py
+++ b/tinrudder_lab/soak/run.py
@@ -111,7 +111,7 @@
     await site.start()
     await asyncio.sleep(START_S)
     memory = asyncio.create_task(watch_memory(site))
-    descriptions, slow_readers = await _disturb(site, seconds, spans)
+    descriptions, slow_readers = await _run_under_faults(site, seconds, spans)
     await asyncio.sleep(SETTLE_S)
     served_after = await _measure_recovery(site)
     memory.cancel()
@@ -130,7 +130,9 @@
     )
 
 
-async def _disturb(site: ProcessSite, seconds: float, spans: SoakSpans) -> tuple[list[str], int]:
+async def _run_under_faults(
+    site: ProcessSite, seconds: float, spans: SoakSpans
+) -> tuple[list[str], int]:
     """Drive traffic and faults; return the faults' descriptions and the number of slow clients."""
     descriptions: list[str] = []
     faults = asyncio.create_task(_inject(site, seconds, descriptions))
