--- a/tinrudder_lab/emulator/records.py
+++ b/tinrudder_lab/emulator/records.py
@@ -86,7 +86,7 @@
     services: tuple[str, ...] = ()
     top_records: int = 0
     minimum_share: float = 0.0
-    gone: bool = False
+    disconnected_early: bool = False
 
 
 @dataclass(slots=True)
@@ -112,8 +112,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class BrokenPromise:
-    """A promise that was broken in a run, with the evidence."""
+class ContractViolation:
+    """A violation of a gateway guarantee in a run, with the evidence."""
 
     promise: str
     what: str
--- a/tinrudder_lab/emulator/silent_connections.py
+++ b/tinrudder_lab/emulator/silent_connections.py
@@ -36,12 +36,12 @@
         node.name
         for node in site.nodes
         if node.gateway is not None
-        and not node.machine.gone
+        and not node.machine.crashed
         and node.gateway.knowledge.state.configuration_version != site.version
     ]
 
 
-async def in_force_after(site: EmulatedSite) -> float:
+async def seconds_until_in_force(site: EmulatedSite) -> float:
     """Return the seconds until all gateways have the newest configuration, up to ``TIMEOUT_S``."""
     began = site.loop.time()
     while outdated_gateways(site) and site.loop.time() - began < TIMEOUT_S:
