--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -27,8 +27,8 @@
     draw_candidates,
     extra_cost,
     has_room,
-    mean_work_s,
-    min_work_s,
+    mean_service_time_s,
+    min_service_time_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, typical_latency_s
@@ -143,22 +143,22 @@
         self.observations = [BackendObservations(slots=SLOTS) for _ in range(BACKENDS)]
         self.order = self.fleet.source.sample(range(BACKENDS), BACKENDS)
 
-    def usual_s(self) -> float:
+    def typical_time_s(self) -> float:
         """Return the usual service time of a call, in seconds."""
         if len(self.unloaded) >= MINIMUM_OBSERVATIONS:
             return self.unloaded.quantile(0.5)
         guess_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return mean_work_s(self.observations) or guess_s
+        return mean_service_time_s(self.observations) or guess_s
 
     def decide_admission(
         self, now: float, left_s: float, *, returning: bool, late: bool
     ) -> AdmittedShare:
         """Return the share of such requests to admit."""
-        usual_s = self.usual_s()
+        typical_time_s = self.typical_time_s()
         return decide_admission(
             self.observations,
             now,
-            usual_s,
+            typical_time_s,
             left_s,
             priority_steps=0,
             returning=returning,
@@ -174,7 +174,7 @@
         )
         extra = {index: 0.0 for index in candidates}
         if len(candidates) == 2:
-            least_s = min_work_s(self.observations)
+            least_s = min_service_time_s(self.observations)
             extra = {
                 index: extra_cost(self.observations[index], least_s, now) for index in candidates
             }
@@ -342,7 +342,7 @@
         self.tries += 1
         index = gateway.choose(now, self.avoided)
         self.avoided.add(index)
-        running = gateway.observations[index].begin(now, gateway.usual_s())
+        running = gateway.observations[index].begin(now, gateway.typical_time_s())
 
         def answer(load: tuple[int, int] | None) -> None:
             fleet.clock.call_at(
@@ -378,9 +378,9 @@
 
     def _rejected(self, now: float) -> None:
         fleet, gateway = self.fleet, self.gateway
-        usual_s = gateway.usual_s()
+        typical_time_s = gateway.typical_time_s()
         left_s = self.objective_at - now
-        room = has_room(gateway.observations, now, usual_s, left_s)
+        room = has_room(gateway.observations, now, typical_time_s, left_s)
         if not room or self.tries >= MAX_CALLS:
             admitted = gateway.decide_admission(now, left_s, returning=True, late=False)
             fleet.refuse(self.request, admitted)
--- a/bench/uneven.py
+++ b/bench/uneven.py
@@ -271,9 +271,9 @@
         if any(is_slow(observations.expected_relative_latency(now)) for observations in local):
             return MIN_ADVANTAGE
         window = caller.latencies[kind.name]
-        usual_s = typical_latency_s(window, kind.objective_s)
+        typical_time_s = typical_latency_s(window, kind.objective_s)
         hedged_s = hedge_delay_s(window, kind.objective_s, budget_fill=1.0)
-        return zone_advantage(usual_s, hedged_s, kind.objective_s)
+        return zone_advantage(typical_time_s, hedged_s, kind.objective_s)
 
     def hedge_at(self, shard: Shard, now: float) -> float:
         """Return when a call that is sent now is hedged."""
@@ -397,8 +397,8 @@
         across = chosen != caller.zone
         scatter.across += across
         path_s = CROSS_ZONE_S if across else IN_ZONE_S
-        usual_s = typical_latency_s(caller.latencies[kind.name], kind.objective_s)
-        running = caller.observations[shard.number][chosen].begin(self.now, usual_s)
+        typical_time_s = typical_latency_s(caller.latencies[kind.name], kind.objective_s)
+        running = caller.observations[shard.number][chosen].begin(self.now, typical_time_s)
         call = Call(shard, chosen, running)
         end = replica.run(self.now + path_s, self._work_s(kind))
         self.schedule(end + path_s, partial(self._answer, call, end))
--- a/tests/functional/gateway/test_coordinators.py
+++ b/tests/functional/gateway/test_coordinators.py
@@ -230,7 +230,7 @@
             for node in site.nodes
             if node.gateway is not None
             and node.name not in counters_by_node(site, "calls")
-            and not node.gateway.backends.coordinators.of_service("shard-0").own
+            and not node.gateway.backends.coordinators.of_service("shard-0").calls_backends
         )
         result = await site.send("scatter", entry.index, leaves_after_s=0.1)
         assert result.status == 0
--- a/tests/unit/gateway/decisions/test_backend_observations.py
+++ b/tests/unit/gateway/decisions/test_backend_observations.py
@@ -58,7 +58,7 @@
         with_reports.reported(0, 0, 2, now, 1.0)
     now = 2.0
     for observations, slowdown in ((with_reports, 4.0), (without, 1.0)):
-        call = observations.begin(now, usual_s=0.02)
+        call = observations.begin(now, typical_time_s=0.02)
         observations.reported(0, 0, 2, now + 0.08, slowdown)
         observations.answered(call, now + 0.08)
     assert with_reports.expected_relative_latency(3.0) < 1.1
--- a/tests/unit/gateway/decisions/test_crash_evidence.py
+++ b/tests/unit/gateway/decisions/test_crash_evidence.py
@@ -82,8 +82,8 @@
     known = merge_all(evidence)
     barred = known.barred_until > known.last_crash_at
     if barred:
-        assert len(known.held) >= ENOUGH_CRASHES
-        assert any(crash.trial for crash in known.held)
+        assert len(known.counted_crashes) >= ENOUGH_CRASHES
+        assert any(crash.trial for crash in known.counted_crashes)
         latest = max(one.cleared for one in evidence)
         held = {crash.backend for one in evidence if one.cleared == latest for crash in one.crashes}
         assert {crash.backend for crash in known.crashes} == held
--- a/tests/unit/gateway/decisions/test_hedge_gain.py
+++ b/tests/unit/gateway/decisions/test_hedge_gain.py
@@ -100,7 +100,7 @@
 def test_an_urgent_scatter_is_not_handed_over_a_long_path() -> None:
     """On machines with an eighth of a core a path took 23 of 48 ms; 13 of 23 shards lacked."""
     window = seen([0.010 + number % 30 * 0.001 for number in range(300)])
-    assert not delegation_meets_deadline(window, left_s=0.048, path_s=0.023)
-    assert delegation_meets_deadline(window, left_s=0.048, path_s=0.006)
-    assert delegation_meets_deadline(window, left_s=0.220, path_s=0.023)
-    assert delegation_meets_deadline(LatencyWindow(), left_s=0.048, path_s=0.008)
+    assert not delegation_meets_deadline(window, left_s=0.048, round_trip_s=0.023)
+    assert delegation_meets_deadline(window, left_s=0.048, round_trip_s=0.006)
+    assert delegation_meets_deadline(window, left_s=0.220, round_trip_s=0.023)
+    assert delegation_meets_deadline(LatencyWindow(), left_s=0.048, round_trip_s=0.008)
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -43,7 +43,7 @@
     slowdown=st.integers(1, 500).map(lambda percent: percent / 100),
     age_s=eighths,
     shed=st.booleans(),
-    work_s=eighths,
+    service_time_s=eighths,
 )
 
 
--- a/tests/unit/gateway/decisions/test_poison_requests.py
+++ b/tests/unit/gateway/decisions/test_poison_requests.py
@@ -154,13 +154,13 @@
 def test_all_evidence_expires() -> None:
     table = PoisonRequests()
     bar_request(table, 0.0)
-    table.forget(FIRST_BAR_S + EVIDENCE_RETENTION_S - 1.0)
+    table.evict_expired(FIRST_BAR_S + EVIDENCE_RETENTION_S - 1.0)
     assert len(table) == 1
-    table.forget(FIRST_BAR_S + EVIDENCE_RETENTION_S + 1.0)
+    table.evict_expired(FIRST_BAR_S + EVIDENCE_RETENTION_S + 1.0)
     assert len(table) == 0
     bar_request(table, 1_000.0)
     table.note_answer(FINGERPRINT, 1_001.0)
-    table.forget(1_002.0 + CLEARED_RETENTION_S)
+    table.evict_expired(1_002.0 + CLEARED_RETENTION_S)
     assert len(table) == 0
 
 
--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -39,9 +39,9 @@
     *,
     returning: bool = False,
     tenant: str = "",
-    usual_s: float = 0.08,
+    typical_time_s: float = 0.08,
 ) -> QueuedScatter:
-    return QueuedScatter(priority, objective_at, 20.0, usual_s, returning, tenant)
+    return QueuedScatter(priority, objective_at, 20.0, typical_time_s, returning, tenant)
 
 
 def started(queue: ScatterQueue) -> list[QueuedScatter]:
@@ -172,19 +172,22 @@
 def test_a_persistent_queue_is_kept_short_until_the_overload_is_over() -> None:
     queue = make_queue()
     for _ in range(4):
-        assert queue.arrive(scatter(usual_s=USUAL_S), FULL, 0.0) is False
-    verdict = queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S)
+        assert queue.arrive(scatter(typical_time_s=USUAL_S), FULL, 0.0) is False
+    verdict = queue.arrive(scatter(typical_time_s=USUAL_S), FULL, PERSISTENT_QUEUE_S)
     assert isinstance(verdict, ScatterRefusal)
     assert verdict.max_wait_s == pytest.approx(MAX_OVERLOAD_WAIT * USUAL_S)
     started(queue)
     # After being empty briefly the queue still counts as overloaded; a second later it does not.
-    assert queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1) is False
+    assert queue.arrive(scatter(typical_time_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1) is False
     assert isinstance(
-        queue.arrive(scatter(usual_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1), ScatterRefusal
+        queue.arrive(scatter(typical_time_s=USUAL_S), FULL, PERSISTENT_QUEUE_S + 0.1),
+        ScatterRefusal,
     )
     started(queue)
     calm = PERSISTENT_QUEUE_S + 0.1 + OVERLOAD_HOLD_S
-    assert [queue.arrive(scatter(usual_s=USUAL_S), FULL, calm) for _ in range(3)] == [False] * 3
+    assert [queue.arrive(scatter(typical_time_s=USUAL_S), FULL, calm) for _ in range(3)] == [
+        False
+    ] * 3
 
 
 def test_a_caller_that_disconnects_frees_its_position_and_its_turn() -> None:
@@ -217,7 +220,7 @@
 
 
 def test_less_urgent_scatters_that_hold_all_room_do_not_block_an_urgent_one() -> None:
-    urgent = scatter(priority=0, objective_at=0.041, usual_s=0.036)
+    urgent = scatter(priority=0, objective_at=0.041, typical_time_s=0.036)
     assert isinstance(make_queue().arrive(urgent, FULL, 0.0), ScatterRefusal)
     assert make_queue().arrive(urgent, FULL, 0.0, held_by_urgent=0.0) is True
     assert isinstance(make_queue().arrive(urgent, FULL, 0.0, held_by_urgent=FULL), ScatterRefusal)
--- a/tests/unit/gateway/decisions/test_shared_service.py
+++ b/tests/unit/gateway/decisions/test_shared_service.py
@@ -80,4 +80,4 @@
 
 def test_a_rejected_call_goes_to_a_back_end_without_a_queue_however_long_calls_take() -> None:
     """A draining back end rejects calls as well, and a late answer still has some worth."""
-    assert has_room(service(0, 0), NOW, usual_s=1.5, left_s=0.9)
+    assert has_room(service(0, 0), NOW, typical_time_s=1.5, left_s=0.9)
--- a/tests/unit/gateway/decisions/test_tenant_shares.py
+++ b/tests/unit/gateway/decisions/test_tenant_shares.py
@@ -10,7 +10,7 @@
 from tinrudder.gateway.decisions.admission.tenant_shares import (
     DECAY_TIME_S,
     TenantShares,
-    fair_level,
+    fair_limit,
 )
 
 AMOUNTS = st.lists(st.floats(0.1, 100.0), min_size=1, max_size=12)
@@ -18,28 +18,28 @@
 
 @given(AMOUNTS, st.floats(0.01, 0.99))
 def test_the_room_is_used_and_nobody_who_asks_less_gets_less(
-    asked: list[float], share: float
+    demand: list[float], share: float
 ) -> None:
-    level = fair_level(asked, share)
-    given_out = [min(amount, level) for amount in asked]
-    assert abs(sum(given_out) - share * sum(asked)) < 1e-6 * sum(asked)
-    for one, got in zip(asked, given_out, strict=True):
-        assert got in (one, level)
+    limit = fair_limit(demand, share)
+    given_out = [min(amount, limit) for amount in demand]
+    assert abs(sum(given_out) - share * sum(demand)) < 1e-6 * sum(demand)
+    for one, got in zip(demand, given_out, strict=True):
+        assert got in (one, limit)
 
 
 def admitted_share(shares: TenantShares, rates: dict[str, float], room: float) -> dict[str, float]:
     """Send requests of each tenant at its own rate, with capacity for a part of all requests."""
     source = random.Random(3)
-    asked, admitted = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0)
+    demand, admitted = dict.fromkeys(rates, 0), dict.fromkeys(rates, 0)
     now = 0.0
     names = list(rates)
     for _ in range(20_000):
         now += source.expovariate(sum(rates.values()))
         name = source.choices(names, [rates[one] for one in names])[0]
         shares.note(name, now)
-        asked[name] += 1
+        demand[name] += 1
         admitted[name] += source.random() < shares.share_of(name, room, now)
-    return {name: admitted[name] / asked[name] for name in rates}
+    return {name: admitted[name] / demand[name] for name in rates}
 
 
 def test_a_tenant_at_seven_times_the_others_is_refused_in_their_place() -> None:
--- a/tests/unit/gateway/decisions/test_zone_preference.py
+++ b/tests/unit/gateway/decisions/test_zone_preference.py
@@ -15,16 +15,16 @@
 
 
 @given(
-    usual_s=st.floats(0.001, 1.0),
+    typical_time_s=st.floats(0.001, 1.0),
     longer=st.floats(1.0, 10.0),
     hedge=st.floats(0.004, 0.5),
     objective_s=st.floats(0.02, 2.0),
 )
 def test_the_preference_of_the_own_zone_falls_as_calls_take_longer(
-    usual_s: float, longer: float, hedge: float, objective_s: float
+    typical_time_s: float, longer: float, hedge: float, objective_s: float
 ) -> None:
-    usual = zone_advantage(usual_s, hedge, objective_s)
-    loaded = zone_advantage(usual_s * longer, hedge * longer, objective_s)
+    usual = zone_advantage(typical_time_s, hedge, objective_s)
+    loaded = zone_advantage(typical_time_s * longer, hedge * longer, objective_s)
     assert MIN_ADVANTAGE <= loaded <= usual <= MAX_ADVANTAGE
 
 
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -71,7 +71,7 @@
     for _ in range(SECONDS * 10):
         for one in backends:
             one.observations.reported(4, 12, 4, timers.now)
-            exchange.on_load(one, shed=False, work_s=0.25)
+            exchange.on_load(one, shed=False, service_time_s=0.25)
         timers.advance(0.1)
     assert socket.bytes <= BURST_BYTES + BYTES_PER_S * SECONDS
     assert (socket.bytes > 0) == (peers > 0)
@@ -85,7 +85,7 @@
     one = backend(1)
     exchange = LoadReportExchange(known, socket, timers, lambda: [one])  # type: ignore[arg-type]
     one.observations.reported(4, 12, 4, timers.now)
-    exchange.on_load(one, shed=False, work_s=0.25)
+    exchange.on_load(one, shed=False, service_time_s=0.25)
     timers.advance(BATCH_DELAY_S / 2)
     peer_load = ReportedLoad(instance_hash_of(one.entry), 7, 4, 1.0, 0.001)
     socket.handler(LoadNews((peer_load,)), Address("10.0.1.1", 1))
--- a/tests/unit/gateway/test_poison_news_ends.py
+++ b/tests/unit/gateway/test_poison_news_ends.py
@@ -100,7 +100,7 @@
     await asyncio.sleep(1.0)
     per_second = (network.sent - settled) / size
     held = sum(
-        bool(evidence.held)
+        bool(evidence.counted_crashes)
         for watch in network.watches.values()
         for _, evidence in watch.requests.all()
     )
--- a/tinrudder/gateway/backends/load_report_exchange.py
+++ b/tinrudder/gateway/backends/load_report_exchange.py
@@ -78,15 +78,15 @@
         """Rebuild the index of back ends at its next use, since entries have changed."""
         self._by_instance_hash = None
 
-    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, service_time_s: float) -> None:
         """Report a back end that has just answered, if calls are queued at its service.
 
         While they are, back ends without a queue are reported too: otherwise a gateway could not
         distinguish a free back end from a silent one.
 
         :param shed: the back end rejected the call.
-        :param work_s: how long a call occupies a slot there, as observed by this gateway; 0 if
-            unknown.
+        :param service_time_s: how long a call occupies a slot there, as observed by this gateway;
+            0 if unknown.
         """
         observations = backend.observations
         waiting = observations.reported_backlog - observations.slots
@@ -95,7 +95,9 @@
         elif not self._has_long_queue(backend.entry.service):
             return
         instance_hash = instance_hash_of(backend.entry)
-        self._pending.note(PendingReport(instance_hash, shed, work_s, observations.reported_at))
+        self._pending.note(
+            PendingReport(instance_hash, shed, service_time_s, observations.reported_at)
+        )
         self._schedule_send(BATCH_DELAY_S)
 
     def _has_long_queue(self, service: str) -> bool:
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -19,7 +19,12 @@
     never_paused,
 )
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
+from tinrudder.gateway.model.http_messages import (
+    CallOutcome,
+    CancelledUnsent,
+    NotSent,
+    UpstreamCall,
+)
 
 CONNECT_TIMEOUT_S = 0.4
 """Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
@@ -183,7 +188,7 @@
     def _send(self, connection: UpstreamConnection, call: UpstreamCall) -> None:
         """Send a call on a free connection, which stays free if the call was withdrawn."""
         if not connection.send(call):
-            call.finish(Withdrawn())
+            call.finish(CancelledUnsent())
             self._on_free(connection)
 
     def _on_free(self, connection: UpstreamConnection) -> None:
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -105,19 +105,19 @@
     trial_at: float = NEVER
 
     @property
-    def held(self) -> tuple[Crash, ...]:
+    def counted_crashes(self) -> tuple[Crash, ...]:
         """Return the crashes that count against the request."""
         return tuple(crash for crash in self.crashes if not crash.survived)
 
     @property
     def last_crash_at(self) -> float:
         """Return when the latest counted crash happened."""
-        return max((crash.at for crash in self.held), default=NEVER)
+        return max((crash.at for crash in self.counted_crashes), default=NEVER)
 
     @property
     def failed_trials(self) -> int:
         """Count the trials that lost a back end once enough crashes had been recorded."""
-        in_order = sorted(self.held, key=lambda crash: (crash.at, crash.backend))
+        in_order = sorted(self.counted_crashes, key=lambda crash: (crash.at, crash.backend))
         return sum(crash.trial for crash in in_order[ENOUGH_CRASHES - 1 :])
 
     @property
@@ -132,13 +132,13 @@
     @property
     def alert_until(self) -> float:
         """Return until when other requests of the same origin begin as canaries."""
-        in_trials = [crash.at for crash in self.held if crash.trial]
+        in_trials = [crash.at for crash in self.counted_crashes if crash.trial]
         return max(in_trials) + ALERT_S if in_trials else NEVER
 
     @property
     def kept_until(self) -> float:
         """Return when this evidence can be discarded."""
-        if not self.held:
+        if not self.counted_crashes:
             latest = max((crash.at for crash in self.crashes), default=NEVER)
             return max(self.cleared_at, latest) + CLEARED_RETENTION_S
         return max(self.last_crash_at, self.barred_until) + EVIDENCE_RETENTION_S
--- a/tinrudder/gateway/decisions/admission/load_forecast.py
+++ b/tinrudder/gateway/decisions/admission/load_forecast.py
@@ -43,7 +43,7 @@
 
 
 def admission_share(
-    wait_s: float, usual_s: float, left_s: float, *, priority_steps: int, returning: bool
+    wait_s: float, typical_time_s: float, left_s: float, *, priority_steps: int, returning: bool
 ) -> float:
     """Return the share of such requests to admit, 0 to 1.
 
@@ -52,7 +52,7 @@
     the call itself is no overload, however short the objective.
 
     :param wait_s: how long a call waits for a slot.
-    :param usual_s: how long a call typically takes without waiting.
+    :param typical_time_s: how long a call typically takes without waiting.
     :param left_s: time until the objective.
     :param priority_steps: number of more urgent priorities that the back ends also serve.
     :param returning: the caller was refused before and is retrying.
@@ -62,11 +62,11 @@
     >>> admission_share(0.4, 0.04, 0.25, priority_steps=0, returning=False)
     0.0
     """
-    if wait_s <= NEGLIGIBLE_WAIT * usual_s:
+    if wait_s <= NEGLIGIBLE_WAIT * typical_time_s:
         return 1.0
     if left_s <= 0.0:
         return 0.0
-    load = (wait_s + SERVICE_TIME_FACTOR * usual_s) / left_s
+    load = (wait_s + SERVICE_TIME_FACTOR * typical_time_s) / left_s
     load *= PRIORITY_STEP_FACTOR**priority_steps
     if returning:
         load *= RETURNING_FACTOR
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -144,11 +144,11 @@
             two different ones have lost a back end in a trial.
         """
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or not evidence.held:
+        if evidence is None or not evidence.counted_crashes:
             return SUSPECT if self.is_alert(origin, now) and evidence is None else FREE
         if now < evidence.barred_until:
             return RequestStanding(Standing.BARRED, evidence.barred_until - now)
-        if len(evidence.held) < ENOUGH_CRASHES:
+        if len(evidence.counted_crashes) < ENOUGH_CRASHES:
             return SUSPECT
         trial_running = evidence.trial_at > evidence.last_crash_at
         return ON_TRIAL if trial_running and now - evidence.trial_at < TRIAL_TIMEOUT_S else SUSPECT
@@ -177,7 +177,7 @@
         evicted.
         """
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or not evidence.held:
+        if evidence is None or not evidence.counted_crashes:
             return False
         cleared = evidence.cleared + 1
         self.merge(fingerprint, Evidence(evidence.origin, (), cleared, at, evidence.trial_at))
@@ -188,7 +188,7 @@
         evidence = self._evidence.get(fingerprint)
         if evidence is None:
             return False
-        crash = next((one for one in evidence.held if one.backend == backend), None)
+        crash = next((one for one in evidence.counted_crashes if one.backend == backend), None)
         if crash is None:
             return False
         self.merge(fingerprint, replace(evidence, crashes=(replace(crash, survived=True),)))
@@ -210,14 +210,14 @@
         return tuple(
             fingerprint
             for fingerprint in self._requests_by_backend.get(backend, ())
-            for crash in self._evidence[fingerprint].held
+            for crash in self._evidence[fingerprint].counted_crashes
             if crash.backend == backend and _shows_same_process(crash.at, sent_at, starts_known_at)
         )
 
     def begin_trial(self, fingerprint: bytes, now: float) -> bool:
         """Record that a trial begins here; return whether other gateways must wait for its end."""
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or len(evidence.held) < ENOUGH_CRASHES:
+        if evidence is None or len(evidence.counted_crashes) < ENOUGH_CRASHES:
             return False
         self.merge(fingerprint, replace(evidence, trial_at=now))
         return True
@@ -228,7 +228,7 @@
         Crashes of an unknown request are accepted only if they will be kept for
         :data:`MIN_REMAINING_RETENTION_S`.
         """
-        if fingerprint in self._evidence or not reported.held:
+        if fingerprint in self._evidence or not reported.counted_crashes:
             return True
         return reported.kept_until - now >= MIN_REMAINING_RETENTION_S
 
@@ -248,12 +248,12 @@
         self, fingerprint: bytes, known: Evidence | None, evidence: Evidence | None
     ) -> None:
         """Update the index from back ends to the requests that their crashes count against."""
-        for crash in known.held if known is not None else ():
+        for crash in known.counted_crashes if known is not None else ():
             requests = self._requests_by_backend.get(crash.backend, set())
             requests.discard(fingerprint)
             if not requests:
                 self._requests_by_backend.pop(crash.backend, None)
-        for crash in evidence.held if evidence is not None else ():
+        for crash in evidence.counted_crashes if evidence is not None else ():
             self._requests_by_backend.setdefault(crash.backend, set()).add(fingerprint)
 
     def _note_alert(self, fingerprint: bytes, evidence: Evidence) -> None:
@@ -276,7 +276,7 @@
         self._update_index(fingerprint, evidence, None)
         self._withdraw_alert(fingerprint, evidence.origin)
 
-    def forget(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Evict expired evidence."""
         ended = [one for one, evidence in self._evidence.items() if evidence.kept_until <= now]
         for fingerprint in ended:
--- a/tinrudder/gateway/decisions/admission/queued_scatter.py
+++ b/tinrudder/gateway/decisions/admission/queued_scatter.py
@@ -13,7 +13,7 @@
     """One scatter, with everything that determines its position in the queue.
 
     :param priority: 0 is the most urgent.
-    :param usual_s: how long such a scatter typically takes without waiting.
+    :param typical_time_s: how long such a scatter typically takes without waiting.
     :param returning: its caller was refused before.
     :param tenant: the tenant it runs for; empty for none.
     :param late: it can no longer meet its objective.
@@ -26,7 +26,7 @@
     priority: int
     objective_at: float
     deadline_at: float
-    usual_s: float
+    typical_time_s: float
     returning: bool = False
     tenant: str = ""
     late: bool = False
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -174,7 +174,7 @@
 
     def _prepare(self, scatter: QueuedScatter, now: float) -> None:
         """Set a scatter's latest useful start and its sort key."""
-        scatter.latest_start_at = scatter.objective_at - scatter.usual_s
+        scatter.latest_start_at = scatter.objective_at - scatter.typical_time_s
         early_s = 0.0 if scatter.returning else EARLY_REFUSAL_SHARE * (scatter.objective_at - now)
         scatter.refusable_until = now + early_s
         if scatter.latest_start_at <= now:
@@ -188,7 +188,7 @@
     ) -> ScatterRefusal | None:
         """Return a refusal for a new scatter that would wait too long."""
         max_wait_s = ACCEPTABLE_WAIT_SHARE * (scatter.latest_start_at - now)
-        overload_wait_s = min(max_wait_s, MAX_OVERLOAD_WAIT * scatter.usual_s)
+        overload_wait_s = min(max_wait_s, MAX_OVERLOAD_WAIT * scatter.typical_time_s)
         if (
             not scatter.late
             and ahead
@@ -216,7 +216,7 @@
         if max_wait_s > 0.0 and not ahead:
             return None
         if now < self._overload_until and not scatter.late:
-            max_wait_s = min(max_wait_s, MAX_OVERTAKEN_WAIT * scatter.usual_s)
+            max_wait_s = min(max_wait_s, MAX_OVERTAKEN_WAIT * scatter.typical_time_s)
         return self._refusal(scatter, ahead, held, max_wait_s)
 
     def _refusal(
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -79,33 +79,35 @@
     min_weight: float
 
 
-def mean_work_s(backends: Sequence[BackendObservations]) -> float:
+def mean_service_time_s(backends: Sequence[BackendObservations]) -> float:
     """Return the mean time for which calls hold a slot of a service, seconds; 0: not known."""
-    known = [one.work_s for one in backends if one.service_time_count]
+    known = [one.service_time_s for one in backends if one.service_time_count]
     return sum(known) / len(known) if known else 0.0
 
 
-def expected_wait_s(backends: Sequence[BackendObservations], now: float, usual_s: float) -> float:
+def expected_wait_s(
+    backends: Sequence[BackendObservations], now: float, typical_time_s: float
+) -> float:
     """Return the wait for a slot of a service, seconds.
 
     It is the expected wait of a call that takes the better of two random back ends. With one slow
     back end of four that has a queue, a plain mean would refuse requests that the others can serve.
     """
-    work_s = mean_work_s(backends) or usual_s
-    known = sorted(_queue(one, now, work_s) for one in backends)
+    service_time_s = mean_service_time_s(backends) or typical_time_s
+    known = sorted(_queue(one, now, service_time_s) for one in backends)
     total = 0.0
     weights = 0.0
     for place, queue in enumerate(known):
-        chance = 2 * (len(known) - place) - 1
-        total += chance * queue.weight * queue.wait_s
-        weights += chance * max(queue.weight, queue.min_weight)
+        selection_weight = 2 * (len(known) - place) - 1
+        total += selection_weight * queue.weight * queue.wait_s
+        weights += selection_weight * max(queue.weight, queue.min_weight)
     return total / weights if weights else 0.0
 
 
 def decide_admission(
     backends: Sequence[BackendObservations],
     now: float,
-    usual_s: float,
+    typical_time_s: float,
     left_s: float,
     *,
     priority_steps: int,
@@ -114,7 +116,7 @@
 ) -> AdmittedShare:
     """Return the share of requests to admit that any of these back ends may run.
 
-    :param usual_s: how long a call of the route takes without waiting.
+    :param typical_time_s: how long a call of the route takes without waiting.
     :param left_s: time until the objective.
     :param priority_steps: number of more urgent priorities that the back ends also serve.
     :param returning: the caller was refused before and is retrying.
@@ -123,10 +125,10 @@
     # Shortcut: queues are rare, and the computation below costs ten times as much.
     if not any(one.wait_s(now, 1.0) for one in backends):
         return AdmittedShare(1.0, 0.0)
-    wait_s = expected_wait_s(backends, now, usual_s)
+    wait_s = expected_wait_s(backends, now, typical_time_s)
     share = admission_share(
         wait_s,
-        usual_s,
+        typical_time_s,
         left_s / LATE_FACTOR if late else left_s,
         priority_steps=priority_steps,
         returning=returning and not late,
@@ -135,17 +137,17 @@
 
 
 def has_room(
-    backends: Sequence[BackendObservations], now: float, usual_s: float, left_s: float
+    backends: Sequence[BackendObservations], now: float, typical_time_s: float, left_s: float
 ) -> bool:
     """Return whether some back end would answer a call in time, given its known queue.
 
     A back end without a queue has room, however long calls of the route take: answers are also
     delivered late, and draining back ends reject calls as well.
     """
-    work_s = mean_work_s(backends) or usual_s
+    service_time_s = mean_service_time_s(backends) or typical_time_s
     return any(
-        not (wait_s := one.wait_s(now, _work_s(one, work_s)))
-        or wait_s + max(usual_s, _work_s(one, 0.0)) <= left_s
+        not (wait_s := one.wait_s(now, _service_time_s(one, service_time_s)))
+        or wait_s + max(typical_time_s, _service_time_s(one, 0.0)) <= left_s
         for one in backends
     )
 
@@ -165,34 +167,34 @@
     return random_source.sample(list(candidates), 2)
 
 
-def extra_cost(one: BackendObservations, min_work_s: float, now: float) -> float:
+def extra_cost(one: BackendObservations, min_service_time_s: float, now: float) -> float:
     """Return what slow calls add to :meth:`BackendObservations.cost`, in typical calls.
 
     A gateway that calls a back end only once in several seconds cannot learn from its own calls
     that it is slow; reports from others tell it earlier.
     """
-    work_s = _work_s(one, min_work_s)
-    if not min_work_s or work_s <= min_work_s:
+    service_time_s = _service_time_s(one, min_service_time_s)
+    if not min_service_time_s or service_time_s <= min_service_time_s:
         return 0.0
-    return (work_s / min_work_s - 1.0) * (1.0 + one.wait_s(now, 1.0))
+    return (service_time_s / min_service_time_s - 1.0) * (1.0 + one.wait_s(now, 1.0))
 
 
-def min_work_s(backends: Sequence[BackendObservations]) -> float:
+def min_service_time_s(backends: Sequence[BackendObservations]) -> float:
     """Return how long calls hold a slot at the fastest back end, seconds; 0: not known."""
     return min(
-        (one.work_s for one in backends if one.service_time_count >= MIN_OBSERVED_CALLS),
+        (one.service_time_s for one in backends if one.service_time_count >= MIN_OBSERVED_CALLS),
         default=0.0,
     )
 
 
-def _work_s(one: BackendObservations, usual_s: float) -> float:
-    """Return how long calls hold a slot of one back end, ``usual_s`` while not known."""
-    return one.work_s if one.service_time_count >= MIN_OBSERVED_CALLS else usual_s
+def _service_time_s(one: BackendObservations, typical_time_s: float) -> float:
+    """Return how long calls hold a slot of one back end, ``typical_time_s`` while not known."""
+    return one.service_time_s if one.service_time_count >= MIN_OBSERVED_CALLS else typical_time_s
 
 
-def _queue(one: BackendObservations, now: float, work_s: float) -> _Queue:
+def _queue(one: BackendObservations, now: float, service_time_s: float) -> _Queue:
     """Return the queue of one back end by its newest report."""
-    wait_s = _relative_wait(one) * _work_s(one, work_s)
+    wait_s = _relative_wait(one) * _service_time_s(one, service_time_s)
     return _Queue(wait_s, _report_weight(now - one.reported_at), _min_weight(one, now))
 
 
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -44,16 +44,16 @@
 class TenantShares(Struct):
     """Counts the tenants' requests at one gateway and divides its capacity among them."""
 
-    _asked: dict[str, _DecayingCount] = field(default_factory=dict)
+    _demand: dict[str, _DecayingCount] = field(default_factory=dict)
 
     def note(self, tenant: str, now: float) -> None:
         """Count one request."""
-        asked = self._asked.get(tenant)
-        if asked is None:
-            self._asked[tenant] = _DecayingCount(1.0, now)
+        demand = self._demand.get(tenant)
+        if demand is None:
+            self._demand[tenant] = _DecayingCount(1.0, now)
             return
-        asked.amount = asked.now(now) + 1.0
-        asked.at = now
+        demand.amount = demand.now(now) + 1.0
+        demand.at = now
 
     def share_of(self, tenant: str, share: float, now: float) -> float:
         """Return the share of a tenant's requests to admit.
@@ -62,29 +62,29 @@
         """
         if share <= 0.0 or share >= 1.0:
             return share
-        asked = {name: one.now(now) for name, one in self._asked.items()}
-        self._asked = {
-            name: self._asked[name] for name, a in asked.items() if a >= MIN_TRACKED_REQUESTS
+        demand = {name: one.now(now) for name, one in self._demand.items()}
+        self._demand = {
+            name: self._demand[name] for name, a in demand.items() if a >= MIN_TRACKED_REQUESTS
         }
-        own = asked.get(tenant, 0.0)
+        own = demand.get(tenant, 0.0)
         if own <= 0.0:
             return 1.0
-        return min(1.0, fair_level(list(asked.values()), share) / own)
+        return min(1.0, fair_limit(list(demand.values()), share) / own)
 
 
-def fair_level(asked: list[float], share: float) -> float:
+def fair_limit(demand: list[float], share: float) -> float:
     """Return the max-min fair limit per tenant when a share of all demand is served.
 
-    >>> fair_level([7.0, 1.0, 1.0, 1.0], share=0.5)
+    >>> fair_limit([7.0, 1.0, 1.0, 1.0], share=0.5)
     2.0
-    >>> fair_level([4.0, 4.0], share=0.5)
+    >>> fair_limit([4.0, 4.0], share=0.5)
     2.0
     """
-    left = share * sum(asked)
-    waiting = sorted(asked)
+    left = share * sum(demand)
+    waiting = sorted(demand)
     for place, amount in enumerate(waiting):
-        level = left / (len(waiting) - place)
-        if amount >= level:
-            return level
+        limit = left / (len(waiting) - place)
+        if amount >= limit:
+            return limit
         left -= amount
     return waiting[-1] if waiting else 0.0
--- a/tinrudder/gateway/decisions/attempts/hedge_gain.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_gain.py
@@ -59,12 +59,12 @@
     True
     """
 
-    __slots__ = ("_ages", "_latency", "_seen", "_shares")
+    __slots__ = ("_ages", "_latency", "_refreshed_length", "_shares")
 
     def __init__(self, latency: LatencyWindow) -> None:
         """Use the latencies of a route."""
         self._latency = latency
-        self._seen = 0
+        self._refreshed_length = 0
         self._shares: dict[int, tuple[float, ...]] = {}
         self._ages: dict[tuple[int, int], float | None] = {}
 
@@ -93,8 +93,8 @@
     def _refresh(self) -> None:
         """Drop the cached ages after enough new calls."""
         # The window drops its older half from time to time, so its length can also shrink.
-        if abs(len(self._latency) - self._seen) >= REFRESH_CALLS:
-            self._seen = len(self._latency)
+        if abs(len(self._latency) - self._refreshed_length) >= REFRESH_CALLS:
+            self._refreshed_length = len(self._latency)
             self._shares.clear()
             self._ages.clear()
 
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -51,7 +51,7 @@
 MAX_REPORT_AGE_S = 0.8
 """Age from which a report is too old to use, seconds; equals ``BACKLOG_LIFETIME_S`` of the
 back-end observations."""
-MAX_WORK_S = 600.0
+MAX_SERVICE_TIME_S = 600.0
 """Maximum plausible service time, seconds: longer than any call timeout, so a larger figure is
 invalid."""
 MAX_CALLS = 100_000
@@ -68,7 +68,8 @@
     :param calls: calls that run or wait there.
     :param age_s: age of the report at the gateway that received it from the back end.
     :param shed: whether the back end shed a call at that time.
-    :param work_s: mean time that a call holds a slot there, observed by the sender; 0: unknown.
+    :param service_time_s: mean time that a call holds a slot there, observed by the sender; 0:
+        unknown.
     """
 
     backend: int
@@ -77,7 +78,7 @@
     slowdown: float
     age_s: float
     shed: bool = False
-    work_s: float = 0.0
+    service_time_s: float = 0.0
 
     @property
     def is_credible(self) -> bool:
@@ -87,7 +88,7 @@
             and 0 < self.slots <= MAX_CALLS
             and 0.0 < self.slowdown <= MAX_SLOWDOWN
             and 0.0 <= self.age_s < MAX_REPORT_AGE_S
-            and 0.0 <= self.work_s <= MAX_WORK_S
+            and 0.0 <= self.service_time_s <= MAX_SERVICE_TIME_S
         )
 
     @property
@@ -104,7 +105,7 @@
 
     backend: int
     shed: bool
-    work_s: float
+    service_time_s: float
     heard_at: float
 
 
@@ -134,7 +135,7 @@
         observations.reported_slowdown,
         now - observations.reported_at,
         pending.shed,
-        pending.work_s,
+        pending.service_time_s,
     )
 
 
@@ -151,8 +152,8 @@
             report.slowdown,
             report.age_s,
         )
-    if newer and report.work_s:
-        observations.record_service_time(report.work_s)
+    if newer and report.service_time_s:
+        observations.record_service_time(report.service_time_s)
     return newer
 
 
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -84,11 +84,11 @@
 class RunningCall(Struct, eq=False):
     """A call in flight.
 
-    :param usual_s: usual latency of calls of its route.
+    :param typical_time_s: typical latency of calls of its route.
     """
 
     sent_at: float
-    usual_s: float
+    typical_time_s: float
 
 
 class BackendObservations(Struct, eq=False):
@@ -102,8 +102,8 @@
     :param reported_at: time of the newest report, received directly or from another gateway.
     :param max_backlog: the largest backlog that was reported.
     :param full_backlog: calls that it held when it last shed one, at ``full_at``.
-    :param work_s: mean time that a call holds a slot there, over ``service_time_count`` calls; 0:
-        unknown.
+    :param service_time_s: mean time that a call holds a slot there, over ``service_time_count``
+        calls; 0: unknown.
     """
 
     slots: int = 1
@@ -121,20 +121,20 @@
     max_backlog: int = 0
     full_backlog: int = 0
     full_at: float = -FULL_FOR_S
-    work_s: float = 0.0
+    service_time_s: float = 0.0
     service_time_count: int = 0
     # Send times of calls that the newest report does not include.
     _sent: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_TRACKED_SENDS))
 
-    def begin(self, now: float, usual_s: float) -> RunningCall:
+    def begin(self, now: float, typical_time_s: float) -> RunningCall:
         """Record a call that is sent now."""
-        call = RunningCall(now, usual_s)
+        call = RunningCall(now, typical_time_s)
         self.running.add(call)
         self.sent_since_report += 1
         self._sent.append(now)
         return call
 
-    def forget(self, call: RunningCall) -> None:
+    def discard(self, call: RunningCall) -> None:
         """Drop a call that was withdrawn; it is no evidence about the back end."""
         self.running.discard(call)
 
@@ -143,10 +143,10 @@
         self.running.discard(call)
         self.failures = 0
         self.suspect_until = 0.0
-        if call.usual_s > 0:
+        if call.typical_time_s > 0:
             # A reported momentary slowdown is divided out: it passes, so it must not be learned as
             # the back end's lasting latency.
-            relative = (now - call.sent_at) / call.usual_s / self.current_slowdown(now)
+            relative = (now - call.sent_at) / call.typical_time_s / self.current_slowdown(now)
             relative = min(MAX_RELATIVE_LATENCY, relative)
             decayed = self._decayed_latency(now)
             self.relative_latency = decayed + LATENCY_GAIN * (relative - decayed)
@@ -229,7 +229,7 @@
         """Record how long a call held a slot, as observed here or by another gateway."""
         self.service_time_count += 1
         gain = max(SERVICE_TIME_GAIN, 1.0 / self.service_time_count)
-        self.work_s += gain * (seconds - self.work_s)
+        self.service_time_s += gain * (seconds - self.service_time_s)
 
     def expected_relative_latency(self, now: float) -> float:
         """Return the expected latency of the next call, relative to its route's usual latency."""
@@ -255,7 +255,8 @@
         if not self.running:
             return False
         return any(
-            now - call.sent_at > STALLED_LATENCY_FACTOR * call.usual_s for call in self.running
+            now - call.sent_at > STALLED_LATENCY_FACTOR * call.typical_time_s
+            for call in self.running
         )
 
     def is_suspect(self, now: float) -> bool:
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -77,7 +77,7 @@
     return direct_bytes >= MIN_BYTES_REDUCTION * delegated_bytes
 
 
-def delegation_meets_deadline(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
+def delegation_meets_deadline(latency: LatencyWindow, left_s: float, round_trip_s: float) -> bool:
     """Return whether delegated calls are in time about as often as calls sent from this gateway.
 
     Matters for urgent scatters, and where gateways are busy or have little processor time: the
@@ -85,17 +85,17 @@
 
     :param latency: latencies of the route's calls from this gateway.
     :param left_s: time until the answer must be sent.
-    :param path_s: the part of that time taken by the round trip to the other gateway.
+    :param round_trip_s: the part of that time taken by the round trip to the other gateway.
 
     >>> window = LatencyWindow()
     >>> for latency_ms in range(100):
     ...     window.observe(latency_ms / 1000)
-    >>> delegation_meets_deadline(window, left_s=0.5, path_s=0.1)
+    >>> delegation_meets_deadline(window, left_s=0.5, round_trip_s=0.1)
     True
-    >>> delegation_meets_deadline(window, left_s=0.1, path_s=0.04)
+    >>> delegation_meets_deadline(window, left_s=0.1, round_trip_s=0.04)
     False
     """
-    late_delegated, late_direct = latency.shares_above([left_s - path_s, left_s])
+    late_delegated, late_direct = latency.shares_above([left_s - round_trip_s, left_s])
     return late_delegated - late_direct <= MAX_EXTRA_LATE_SHARE
 
 
--- a/tinrudder/gateway/decisions/placement/zone_preference.py
+++ b/tinrudder/gateway/decisions/placement/zone_preference.py
@@ -37,20 +37,20 @@
 0.9199, with 1.9 instead 0.8679 and 0.9177, without the rule 0.8640 and 0.9193."""
 
 
-def zone_advantage(usual_s: float, hedge_delay_s: float, objective_s: float) -> float:
+def zone_advantage(typical_time_s: float, hedge_delay_s: float, objective_s: float) -> float:
     """Return by how much a remote replica must be faster, as a multiple of the usual latency.
 
-    :param usual_s: usual latency of the route's calls.
+    :param typical_time_s: typical latency of the route's calls.
     :param hedge_delay_s: age at which a call is hedged.
     :param objective_s: latency objective of the route.
 
-    >>> round(zone_advantage(usual_s=0.04, hedge_delay_s=0.076, objective_s=0.18), 6)
+    >>> round(zone_advantage(typical_time_s=0.04, hedge_delay_s=0.076, objective_s=0.18), 6)
     1.925
-    >>> zone_advantage(usual_s=0.15, hedge_delay_s=0.11, objective_s=0.18)
+    >>> zone_advantage(typical_time_s=0.15, hedge_delay_s=0.11, objective_s=0.18)
     0.35
     """
     spare_s = HEDGE_OBJECTIVE_SHARE * objective_s - hedge_delay_s
-    return min(MAX_ADVANTAGE, max(MIN_ADVANTAGE, spare_s / usual_s))
+    return min(MAX_ADVANTAGE, max(MIN_ADVANTAGE, spare_s / typical_time_s))
 
 
 def is_slow(expected_relative_latency: float) -> bool:
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Withdrawn:
+class CancelledUnsent:
     """The caller cancelled the call before any byte was sent; no evidence about the back end."""
 
 
@@ -146,16 +146,16 @@
 
     :param unanswered: the whole request was sent, and the connection ended before the first byte of
         the answer, as it does when the back end's process ends.
-    :param stood_still: this gateway was paused for so long that the back end may have closed the
+    :param gateway_paused: this gateway was paused for so long that the back end may have closed the
         connection for that reason; no evidence about the back end or the request.
     """
 
     detail: str = ""
     unanswered: bool = False
-    stood_still: bool = False
+    gateway_paused: bool = False
 
 
-CallOutcome = Answered | Rejected | NotSent | Withdrawn | Broken
+CallOutcome = Answered | Rejected | NotSent | CancelledUnsent | Broken
 AnswerListener = Callable[[CallOutcome], None]
 
 
@@ -163,7 +163,7 @@
     """Ignore the outcome: the call has ended."""
 
 
-def _withdraw() -> bytes | None:
+def _no_bytes() -> bytes | None:
     """Withdraw a call that has ended."""
     return None
 
@@ -207,4 +207,4 @@
         self.finished = True
         self.carrier = None
         self.listener = _ignore_outcome
-        self.make_bytes = _withdraw
+        self.make_bytes = _no_bytes
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -104,8 +104,8 @@
 def log_coordination(coordination: Coordination, nodes: int) -> None:
     """Log a change in which gateways call the back ends of an index."""
     fields: dict[str, LogValue] = {
-        "own": coordination.own,
-        "asked": " ".join(str(address) for address in coordination.asked),
+        "own": coordination.calls_backends,
+        "asked": " ".join(str(address) for address in coordination.coordinators),
         "handed_over": coordination.delegated_count,
         "callers": coordination.callers,
         "nodes": nodes,
--- a/tinrudder/gateway/peers/poison_watch.py
+++ b/tinrudder/gateway/peers/poison_watch.py
@@ -158,7 +158,7 @@
             fields: dict[str, LogValue] = {
                 "fingerprint": fingerprint.hex(),
                 "backend": incarnation_id,
-                "crashes": len(evidence.held),
+                "crashes": len(evidence.counted_crashes),
                 "failed_trials": evidence.failed_trials,
                 "barred_s": round(evidence.barred_until - now, 3),
             }
@@ -203,7 +203,7 @@
         if fingerprint not in self._unreported:
             self._pending.add(fingerprint)
             self._send_changes()
-        elif evidence is not None and not evidence.held:
+        elif evidence is not None and not evidence.counted_crashes:
             self._pending.discard(fingerprint)
 
     def begin_trial(self, fingerprint: bytes) -> None:
@@ -227,7 +227,7 @@
             await asyncio.sleep(REPEAT_INTERVAL_S * self._random.uniform(0.8, 1.0))
             if self._clock() - due_at >= PAUSE_DETECTED_S:
                 self._request_all()
-            self.requests.forget(self._clock())
+            self.requests.evict_expired(self._clock())
             self._unreported = {
                 one for one in self._unreported if self.requests.find(one) is not None
             }
--- a/tinrudder/gateway/requests/client_request.py
+++ b/tinrudder/gateway/requests/client_request.py
@@ -78,9 +78,9 @@
         return self.authenticated.priority(self.route)
 
     @property
-    def steps_below_urgent(self) -> int:
+    def priority_steps(self) -> int:
         """Return how many configured priorities are more urgent than the request's."""
-        return self.routes.steps_below_urgent(self.priority)
+        return self.routes.priority_steps(self.priority)
 
 
 class ClientRequest:
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -185,7 +185,7 @@
     memory = checks.call_context.memory
     if not memory.may_be_near:
         return None
-    return memory.refusal(request.steps_below_urgent)
+    return memory.refusal(request.priority_steps)
 
 
 def _check_poison(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
@@ -201,7 +201,7 @@
         route,
         request.service,
         request.deadlines,
-        request.steps_below_urgent,
+        request.priority_steps,
         request.authenticated.tenant_name,
     )
 
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -59,7 +59,7 @@
             name = name.partition(":")[0]
         return self.table.find(name, request.path.decode("latin-1"))
 
-    def steps_below_urgent(self, priority: int) -> int:
+    def priority_steps(self, priority: int) -> int:
         """Return how many configured priorities are more urgent than ``priority``."""
         return sum(1 for other in self.priorities if other < priority)
 
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -51,7 +51,7 @@
         if not request.route.shards:
             return self._single_backend_run(request, on_outcome)
         coordination = self._delegation_context.coordinators.of_route(request.route)
-        if coordination.own:
+        if coordination.calls_backends:
             return self._local_scatter(request, on_outcome)
         return DelegatedScatter(
             request.route,
@@ -59,7 +59,7 @@
             request.request_id,
             request.deadlines,
             self._delegation_context,
-            coordination.asked,
+            coordination.coordinators,
             lambda listener: self._local_scatter(request, listener),
             on_outcome,
             request.priority,
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -77,7 +77,7 @@
         return decide_admission(
             backends,
             now,
-            self._call_context.usual_s(route, backends),
+            self._call_context.typical_time_s(route, backends),
             deadlines.objective_at - now,
             priority_steps=priority_steps,
             returning=deadlines.returning,
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
     has_room,
-    mean_work_s,
+    mean_service_time_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
@@ -85,18 +85,18 @@
 class LoadListener(Protocol):
     """Receives the load reports of back ends that many gateways call."""
 
-    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, service_time_s: float) -> None:
         """Handle an answer or a shed call, after the back end's observations were updated.
 
         :param shed: the back end rejected the call because its queue was full.
-        :param work_s: median time of calls that did not queue, seconds.
+        :param service_time_s: median time of calls that did not queue, seconds.
         """
 
 
 class NoLoadListener:
     """Ignores load reports, for a gateway without peers."""
 
-    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, service_time_s: float) -> None:
         """Do nothing."""
 
 
@@ -215,7 +215,7 @@
         """Return the observations of the back ends of a service that accept new calls."""
         return [backend.observations for backend in self.directory.usable(service)]
 
-    def usual_s(self, route: Route, backends: Sequence[BackendObservations]) -> float:
+    def typical_time_s(self, route: Route, backends: Sequence[BackendObservations]) -> float:
         """Return how long a call of a route takes without queueing, seconds.
 
         Until this gateway has seen enough calls, the work times that other gateways reported are
@@ -225,12 +225,14 @@
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
             return unloaded.quantile(MEDIAN_QUANTILE)
-        return mean_work_s(backends) or typical_latency_s(self.latency(route), route.objective_s)
+        return mean_service_time_s(backends) or typical_latency_s(
+            self.latency(route), route.objective_s
+        )
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
         """Return whether some back end of a service is expected to answer within ``left_s``."""
         backends = self.observations(service)
-        return has_room(backends, now, self.usual_s(route, backends), left_s)
+        return has_room(backends, now, self.typical_time_s(route, backends), left_s)
 
 
 def _moving_average(average: float, value: float) -> float:
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -53,10 +53,10 @@
                 _observe_shed(call_context, route, backend, load, now)
         case NotSent():
             observations.failed(running, now)
-        case Broken(stood_still=True):
+        case Broken(gateway_paused=True):
             call_context.counters.broken += 1
             if running is not None:
-                observations.forget(running)
+                observations.discard(running)
         case Broken():
             call_context.counters.broken += 1
             observations.failed(running, now)
@@ -104,8 +104,8 @@
         if not route.shards:
             observations.record_service_time(latency_s)
     if not route.shards:
-        work_s = call_context.unloaded_median_s(route)
-        call_context.load_listener.on_load(backend, shed=False, work_s=work_s)
+        service_time_s = call_context.unloaded_median_s(route)
+        call_context.load_listener.on_load(backend, shed=False, service_time_s=service_time_s)
 
 
 def _observe_shed(
@@ -115,5 +115,5 @@
     report = call_context.load_reports.read(load, backend.backend_id) if load is not None else None
     calls = report.running + report.waiting if report is not None else 0
     if backend.observations.shed(now, backlog=calls):
-        work_s = call_context.unloaded_median_s(route)
-        call_context.load_listener.on_load(backend, shed=True, work_s=work_s)
+        service_time_s = call_context.unloaded_median_s(route)
+        call_context.load_listener.on_load(backend, shed=True, service_time_s=service_time_s)
--- a/tinrudder/gateway/runs/delegated_groups.py
+++ b/tinrudder/gateway/runs/delegated_groups.py
@@ -17,12 +17,12 @@
 class DelegatedGroups:
     """The delegated groups of one run, with totals over all of them."""
 
-    __slots__ = ("_groups", "_held", "_taken_over_may_have_run")
+    __slots__ = ("_groups", "_not_started", "_taken_over_may_have_run")
 
     def __init__(self, groups: Sequence[DelegatedShards]) -> None:
         """Start none of ``groups`` yet."""
         self._groups = list(groups)
-        self._held = list(groups)
+        self._not_started = list(groups)
         self._taken_over_may_have_run = False
 
     @property
@@ -67,7 +67,7 @@
 
     def start_all(self) -> None:
         """Start all groups that have not been started."""
-        starting, self._held = self._held, []
+        starting, self._not_started = self._not_started, []
         for group in starting:
             group.start()
 
@@ -76,15 +76,15 @@
 
         Does nothing while a group that was started has not ended.
         """
-        in_progress = any(one.pending for one in self._groups if one not in self._held)
-        if self._held and not in_progress:
-            self._held.pop(0).start()
+        in_progress = any(one.pending for one in self._groups if one not in self._not_started)
+        if self._not_started and not in_progress:
+            self._not_started.pop(0).start()
 
     def cancel_unstarted(self) -> None:
         """End all groups that have not been started, since back ends crash under the request."""
-        for group in self._held:
+        for group in self._not_started:
             group.cancel_unstarted()
-        self._held.clear()
+        self._not_started.clear()
 
     def take_over(self, group: DelegatedShards) -> None:
         """Remove a group whose shards the run calls itself."""
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -21,7 +21,7 @@
 from tinrudder.gateway.decisions.admission.shared_service import (
     draw_candidates,
     extra_cost,
-    min_work_s,
+    min_service_time_s,
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, typical_latency_s
 from tinrudder.gateway.decisions.placement.zone_preference import (
@@ -64,14 +64,14 @@
     """
     advantage = _zone_advantage(call_context, candidates, route, now)
     sampled = draw_candidates(candidates, lambda one: one.observations, now, call_context.random)
-    least_s = 0.0
+    fastest_s = 0.0
     if sampled is not candidates:
-        least_s = min_work_s([one.observations for one in candidates])
+        fastest_s = min_service_time_s([one.observations for one in candidates])
 
     def cost(backend: Backend) -> tuple[float, int]:
         local = backend.entry.zone == call_context.zone
         cost = backend.observations.cost(now) + (0.0 if local else advantage)
-        cost += extra_cost(backend.observations, least_s, now)
+        cost += extra_cost(backend.observations, fastest_s, now)
         return cost, -rendezvous_score(call_context.own_name, backend.backend_id)
 
     return min(sampled, key=cost)
@@ -88,9 +88,9 @@
     latest = call_context.latest_advantage
     if latest is None or latest.at != now or latest.route is not route:
         latency = call_context.latency(route)
-        usual_s = typical_latency_s(latency, route.objective_s)
+        typical_time_s = typical_latency_s(latency, route.objective_s)
         hedged_s = hedge_delay_s(latency, route.objective_s, budget_fill=1.0)
-        advantage = zone_advantage(usual_s, hedged_s, route.objective_s)
+        advantage = zone_advantage(typical_time_s, hedged_s, route.objective_s)
         latest = ZoneAdvantage(route, now, advantage)
         call_context.latest_advantage = latest
     return latest.advantage
--- a/tinrudder/gateway/runs/run_outcome.py
+++ b/tinrudder/gateway/runs/run_outcome.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.runs.delegated_groups import DelegatedGroups
 from tinrudder.gateway.runs.run_context import RunContext
 from tinrudder.gateway.runs.shard_calls import ShardCalls
-from tinrudder.gateway.scatters.record_merge import greatest_records
+from tinrudder.gateway.scatters.record_merge import merge_top_records
 
 RETRY_AFTER_S = 0.1
 """Least Retry-After of a refusal that another replica or a free slot may resolve, seconds.  Long
@@ -57,7 +57,7 @@
     for part in groups.parts:
         stamps.extend(part.stamps)
         bodies.append(part.body)
-    body = greatest_records(bodies, run.route.top_records)
+    body = merge_top_records(bodies, run.route.top_records)
     run.call_context.observe_sizes(run.route.shards, len(body), sizes)
     return Merged(body, tuple(stamps), total - len(stamps))
 
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -24,11 +24,11 @@
     Answered,
     Broken,
     CallOutcome,
+    CancelledUnsent,
     HttpAnswer,
     NotSent,
     Rejected,
     UpstreamCall,
-    Withdrawn,
 )
 from tinrudder.gateway.runs.call_observation import SERVER_ERROR, record_call_end
 from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
@@ -151,7 +151,7 @@
         self.next_at = NEVER
         self.last_error = POISON_REFUSAL
 
-    def withdraw_unsent(self) -> None:
+    def cancel_unsent(self) -> None:
         """Cancel the calls that wait for a connection, so that they are never sent."""
         self.next_at = NEVER
         for attempt in tuple(self._attempts):
@@ -169,7 +169,7 @@
         self._on_change = _ignore_change
         if self.part is not None:
             self.part = RELEASED_ANSWER
-        self.withdraw_unsent()
+        self.cancel_unsent()
 
     def cancel_running(self, now: float) -> None:
         """Cancel all calls in progress, which closes their connections."""
@@ -215,8 +215,8 @@
         if self._is_blocked(now):
             return
         running = {attempt.backend.backend_id for attempt in self._attempts}
-        usual_s = typical_latency_s(self._latency, self._run.route.objective_s)
-        candidates = self._replicas.for_hedge(running, usual_s, now)
+        typical_time_s = typical_latency_s(self._latency, self._run.route.objective_s)
+        candidates = self._replicas.for_hedge(running, typical_time_s, now)
         if candidates:
             self._call_best_of(candidates, now, hedge=True)
         else:
@@ -309,8 +309,8 @@
         self._replicas.note_sent(attempt.backend)
         call_context.directory.note_call(attempt.backend)
         call_context.counters.calls += 1
-        usual_s = typical_latency_s(self._latency, self._run.route.objective_s)
-        attempt.running = attempt.backend.observations.begin(now, usual_s)
+        typical_time_s = typical_latency_s(self._latency, self._run.route.objective_s)
+        attempt.running = attempt.backend.observations.begin(now, typical_time_s)
         attempt.is_canary = self._run.guard.note_sent(now)
         return self._run.request.encode(attempt.backend.backend_id, now)
 
@@ -344,7 +344,7 @@
                 if refused:
                     self._replicas.note_connection_refused(backend)
                 self._on_failure(detail, now, at_once=True, connection_refused=refused)
-            case Withdrawn():
+            case CancelledUnsent():
                 self._on_failure("withdrawn", now, at_once=True)
             case Broken(detail=detail):
                 self._on_failure(detail, now, at_once=True)
--- a/tinrudder/gateway/runs/shard_replicas.py
+++ b/tinrudder/gateway/runs/shard_replicas.py
@@ -15,14 +15,14 @@
 from tinrudder.gateway.runs.run_context import RunContext
 
 MAX_HEDGE_WAIT = 1.5
-"""Longest queueing time of a back end that gets a hedge, in usual latencies of the route.  After a
-longer wait, the hedge would finish later than the call that it is meant to replace."""
+"""Longest queueing time of a back end that gets a hedge, in typical latencies of the route.  After
+a longer wait, the hedge would finish later than the call that it is meant to replace."""
 
 
 class ShardReplicas:
     """The replicas of one shard, for one request."""
 
-    __slots__ = ("_chosen", "_dead", "_offered", "_run", "_service")
+    __slots__ = ("_chosen", "_connection_refused", "_possible_runs", "_run", "_service")
 
     def __init__(self, run: RunContext, service: str) -> None:
         """Start without tries."""
@@ -30,14 +30,14 @@
         self._service = service
         self._chosen: set[str] = set()
         # Number of calls that were sent and not rejected, by back end.
-        self._offered: Counter[str] = Counter()
+        self._possible_runs: Counter[str] = Counter()
         # Back ends that refused a connection in this run.
-        self._dead: set[str] = set()
+        self._connection_refused: set[str] = set()
 
     @property
     def may_have_run(self) -> bool:
         """Whether a call was sent and not rejected."""
-        return bool(self._offered)
+        return bool(self._possible_runs)
 
     @property
     def chosen(self) -> int:
@@ -47,7 +47,7 @@
     @property
     def any_connection_refused(self) -> bool:
         """Whether some back end refused a connection."""
-        return bool(self._dead)
+        return bool(self._connection_refused)
 
     def for_retry(self) -> list[Backend]:
         """Return the back ends that may get a call while none is in progress.
@@ -55,26 +55,26 @@
         Back ends that refused a connection are excluded: a process takes seconds to listen again,
         longer than the 0.8 s for which tries go on.
         """
-        return [one for one in self._candidates() if one.backend_id not in self._dead]
+        return [one for one in self._candidates() if one.backend_id not in self._connection_refused]
 
-    def for_hedge(self, running: set[str], usual_s: float, now: float) -> list[Backend]:
+    def for_hedge(self, running: set[str], typical_time_s: float, now: float) -> list[Backend]:
         """Return the back ends that may get a hedge.
 
         :param running: ids of the back ends with a call in progress.
-        :param usual_s: usual latency of the route, seconds.
+        :param typical_time_s: typical latency of the route, seconds.
         """
-        longest_wait_s = MAX_HEDGE_WAIT * usual_s
+        longest_wait_s = MAX_HEDGE_WAIT * typical_time_s
         return [
             backend
             for backend in self._candidates()
             if backend.backend_id not in running
-            and backend.observations.wait_s(now, usual_s) <= longest_wait_s
+            and backend.observations.wait_s(now, typical_time_s) <= longest_wait_s
         ]
 
     def within_attempt_limit(self, backend: Backend) -> bool:
         """Return whether a call to a back end stays within the route's ``attempts``."""
-        may_already_run = backend.backend_id in self._offered
-        return may_already_run or len(self._offered) < self._run.route.attempts
+        may_already_run = backend.backend_id in self._possible_runs
+        return may_already_run or len(self._possible_runs) < self._run.route.attempts
 
     def note_chosen(self, backend: Backend) -> None:
         """Record that a back end was chosen; others are preferred from now on."""
@@ -82,17 +82,17 @@
 
     def note_sent(self, backend: Backend) -> None:
         """Record that a call was sent, so that the back end may run the request."""
-        self._offered[backend.backend_id] += 1
+        self._possible_runs[backend.backend_id] += 1
 
     def note_connection_refused(self, backend: Backend) -> None:
         """Record that a back end refused a connection."""
-        self._dead.add(backend.backend_id)
+        self._connection_refused.add(backend.backend_id)
 
     def note_rejected(self, backend: Backend) -> None:
         """Record that a call was rejected; an earlier one to that back end may still have run."""
-        self._offered[backend.backend_id] -= 1
-        if not self._offered[backend.backend_id]:
-            del self._offered[backend.backend_id]
+        self._possible_runs[backend.backend_id] -= 1
+        if not self._possible_runs[backend.backend_id]:
+            del self._possible_runs[backend.backend_id]
 
     def _candidates(self) -> list[Backend]:
         """Return the back ends for the next call: those not chosen yet, or all if none is left."""
--- a/tinrudder/gateway/scatters/coordination.py
+++ b/tinrudder/gateway/scatters/coordination.py
@@ -12,35 +12,39 @@
 
 
 class DelegatedGroup(Struct, frozen=True):
-    """Shards that other gateways call for this one, and the gateways that may be asked to."""
+    """Shards that one of several other gateways calls for this one.
+
+    :param gateways: the gateways that can call these shards; one of them is asked.
+    """
 
     shards: tuple[str, ...]
-    asked: tuple[Address, ...]
+    gateways: tuple[Address, ...]
 
 
 class CoordinationKey(Struct, frozen=True):
     """The fields of a coordination whose change is reported."""
 
-    own: bool
-    asked: frozenset[Address]
+    calls_backends: bool
+    coordinators: frozenset[Address]
     delegated_count: int
 
 
 class Coordination(Struct, frozen=True):
     """Which gateways call the back ends of one index, in the current view of this gateway.
 
-    :param own: whether this gateway calls the back ends itself.
-    :param asked: the coordinators to ask, best first; empty if ``own``.
-    :param callers: how many gateways call the back ends, including this one if ``own``.
+    :param calls_backends: whether this gateway calls the back ends itself.
+    :param coordinators: the coordinators to ask, best first; empty if ``calls_backends``.
+    :param callers: how many gateways call the back ends, including this one if ``calls_backends``.
     :param budget_parts: this gateway's share of the fleet's hedges and retries is one divided by
         this.
     :param decided_at: monotonic time of the decision, seconds.
-    :param delegated: if ``own``, the shards that gateways in the zones of their replicas call.
-    :param caller_names: the names of the callers, if ``own``.
+    :param delegated: if ``calls_backends``, the shards that gateways in the zones of their
+        replicas call.
+    :param caller_names: the names of the callers, if ``calls_backends``.
     """
 
-    own: bool
-    asked: tuple[Address, ...]
+    calls_backends: bool
+    coordinators: tuple[Address, ...]
     callers: int
     budget_parts: float
     decided_at: float
@@ -50,7 +54,9 @@
     @property
     def key(self) -> CoordinationKey:
         """Return the fields whose change is reported."""
-        return CoordinationKey(self.own, frozenset(self.asked), self.delegated_count)
+        return CoordinationKey(
+            self.calls_backends, frozenset(self.coordinators), self.delegated_count
+        )
 
     @property
     def known_callers(self) -> Callers:
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -70,7 +70,7 @@
     # The decision last passed to ``on_change``, for each index.
     _reported: dict[tuple[str, ...], CoordinationKey] = field(default_factory=dict)
     # The coordination of services without an index: every gateway calls them.
-    _all: Coordination | None = None
+    _all_gateways: Coordination | None = None
     # The configuration from which ``_index_of`` was built.
     _indexed: GatewayConfiguration | None = None
 
@@ -110,9 +110,9 @@
         if index is not None:
             return self._of_index(index)
         now = self.clock()
-        if self._all is None or now - self._all.decided_at >= DECISION_LIFETIME_S:
-            self._all = self._called_by_all(now)
-        return self._all
+        if self._all_gateways is None or now - self._all_gateways.decided_at >= DECISION_LIFETIME_S:
+            self._all_gateways = self._called_by_all(now)
+        return self._all_gateways
 
     def failed(self, coordinator: Address) -> None:
         """Start a coordinator's back-off, which grows with each consecutive failure."""
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -71,11 +71,11 @@
     """Return the request to a gateway for all shards, with the time now left to it."""
     now = delegation_context.call_context.loop.time()
     accepted = delegation_context.configuration()
-    path_s = delegation_context.round_trip(coordinator).allowance_s
+    round_trip_s = delegation_context.round_trip(coordinator).allowance_s
     return ScatterRequest(
         request=request,
         request_id=request_id,
-        objective_left_s=deadlines.objective_at - now - path_s,
+        objective_left_s=deadlines.objective_at - now - round_trip_s,
         deadline_left_s=deadlines.deadline_at - now - ANSWER_MARGIN_S,
         returning=deadlines.returning,
         configuration_revision=accepted.value.revision.number if accepted else 0,
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -106,7 +106,7 @@
             return Declined("no scatter by the configuration here")
         if not set(scatter.shards) <= set(route.shards):
             return Declined("other shards by the configuration here")
-        if self._call_context.memory.refusal(routes.steps_below_urgent(scatter.priority)):
+        if self._call_context.memory.refusal(routes.priority_steps(scatter.priority)):
             return Declined("no room in memory")
         return routes, route
 
--- a/tinrudder/gateway/scatters/record_merge.py
+++ b/tinrudder/gateway/scatters/record_merge.py
@@ -22,10 +22,10 @@
     return [body[start : start + RECORD_BYTES] for start in range(0, whole, RECORD_BYTES)]
 
 
-def greatest_records(bodies: Iterable[bytes], count: int) -> bytes:
+def merge_top_records(bodies: Iterable[bytes], count: int) -> bytes:
     """Return the ``count`` greatest records of all bodies, descending; duplicates are kept.
 
-    >>> greatest_records([b"a" * 16 + b"c" * 16, b"b" * 16 + b"c" * 16], 3)[::16]
+    >>> merge_top_records([b"a" * 16 + b"c" * 16, b"b" * 16 + b"c" * 16], 3)[::16]
     b'ccb'
     """
     records = (record for body in bodies for record in records_of(body))
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -157,7 +157,7 @@
         left_s = max(0.0, scatter.deadline_at - now)
         room_at = max(now + refusal.expected_s, self._reserved_until.get(refusal.priority, 0.0))
         room_in_s = room_at - now
-        if room_in_s + scatter.usual_s > left_s:
+        if room_in_s + scatter.typical_time_s > left_s:
             return left_s
         if is_retry_in_time(room_in_s, left_s):
             start_rate_per_s = self.queue.room.start_rate_per_s
@@ -173,12 +173,12 @@
             priority=waiting.priority,
             objective_at=deadlines.objective_at,
             deadline_at=deadlines.deadline_at,
-            usual_s=self._usual_s(waiting.route),
+            typical_time_s=self._typical_time_s(waiting.route),
             returning=deadlines.returning,
             tenant=waiting.tenant,
         )
 
-    def _usual_s(self, route: Route) -> float:
+    def _typical_time_s(self, route: Route) -> float:
         """Return how long a scatter of a route takes without queueing, seconds."""
         unloaded = self._call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -73,7 +73,7 @@
         return [
             Delegation(
                 group.shards,
-                self._random.choice(group.asked),
+                self._random.choice(group.gateways),
                 minimum_share_of_group(total, len(group.shards), route.minimum_share),
             )
             for group in self._coordination(route).delegated
@@ -82,8 +82,8 @@
     def _in_time(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
         """Tell whether the path to another gateway leaves enough time for its calls."""
         left_s = deadlines.objective_at - self._call_context.loop.time()
-        path_s = self._delegation_context.round_trip(delegation.coordinator).allowance_s
-        return delegation_meets_deadline(self._call_context.latency(route), left_s, path_s)
+        round_trip_s = self._delegation_context.round_trip(delegation.coordinator).allowance_s
+        return delegation_meets_deadline(self._call_context.latency(route), left_s, round_trip_s)
 
     def _coordination(self, route: Route) -> Coordination:
         return self._delegation_context.coordinators.of_route(route)
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -34,7 +34,7 @@
         slowdown_percent=min(MAX_FIELD_VALUE, round(reported.slowdown * PERCENT)),
         age_ms=min(MAX_FIELD_VALUE, milliseconds_rounded_up(reported.age_s)),
         shed=reported.shed,
-        work_ms=min(MAX_FIELD_VALUE, round(reported.work_s * MILLISECONDS_PER_S)),
+        work_ms=min(MAX_FIELD_VALUE, round(reported.service_time_s * MILLISECONDS_PER_S)),
     )
 
 
