--- a/tests/unit/gateway/decisions/test_coordinator_choice.py
+++ b/tests/unit/gateway/decisions/test_coordinator_choice.py
@@ -116,13 +116,13 @@
 
 @given(st.integers(1, 12), st.integers(1, 40), st.integers(1, 20))
 def test_readers_are_no_more_than_wanted_but_one_in_each_zone(
-    zones: int, in_each: int, most: int
+    zones: int, in_each: int, max_readers: int
 ) -> None:
     candidates = [
         Candidate(f"{zone}-{i}", f"z{zone}", 1.0) for zone in range(zones) for i in range(in_each)
     ]
-    chosen = choose_readers("reader", candidates, most)
-    assert len(chosen) <= max(most, zones)
+    chosen = choose_readers("reader", candidates, max_readers)
+    assert len(chosen) <= max(max_readers, zones)
     assert {one.zone for one in chosen} == {one.zone for one in candidates}
 
 
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -100,13 +100,13 @@
 class PendingReport(Struct, frozen=True):
     """A back end whose load is to be reported to peers, see :class:`ReportedLoad`.
 
-    :param heard_at: time of the load report that this gateway received with an answer.
+    :param received_at: time of the load report that this gateway received with an answer.
     """
 
     backend: int
     shed: bool
     service_time_s: float
-    heard_at: float
+    received_at: float
 
 
 def is_long(waiting: int, slots: int) -> bool:
@@ -126,7 +126,7 @@
     The newer one is not forwarded: its age does not include time in transit, so each hop would make
     it look younger.
     """
-    if observations.reported_at != pending.heard_at:
+    if observations.reported_at != pending.received_at:
         return None
     return ReportedLoad(
         pending.backend,
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -67,7 +67,7 @@
     :param since: when it entered its state.
     :param suspected_at: when it last became suspect.
     :param reported_by_peer: it is suspect only because other gateways reported doubts.
-    :param heard_at: when any message last came from the zone, requested or not.
+    :param last_message_at: when any message last came from the zone, requested or not.
     :param answered_at: when the zone last answered something that was sent there.
     :param rounds: rounds of probes sent since it entered its state.
     :param trial_at: when calls may try it, while it is closed.
@@ -78,7 +78,7 @@
     since: float = 0.0
     suspected_at: float = float("-inf")
     reported_by_peer: bool = False
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     answered_at: float = float("-inf")
     rounds: int = 0
     trial_at: float = 0.0
@@ -127,12 +127,12 @@
 
     def record_message(self, zone: str, now: float) -> None:
         """Record a message from a zone; it does not show that the zone receives messages."""
-        self.path(zone).heard_at = now
+        self.path(zone).last_message_at = now
 
     def answered(self, zone: str, now: float) -> bool:
         """Record an answer from a zone; return whether the zone was unreachable until now."""
         path = self.path(zone)
-        path.heard_at = now
+        path.last_message_at = now
         path.answered_at = now
         path.closed_s = FIRST_CLOSED_S
         was_unreachable = path.state in UNREACHABLE_STATES
@@ -167,7 +167,7 @@
     def suspect_silent_zones(self, others: tuple[str, ...], now: float) -> bool:
         """Make all open paths suspect if no zone sent anything; return whether any changed."""
         paths = [self.path(zone) for zone in others]
-        if not paths or max(path.heard_at for path in paths) > now - SILENCE_TIMEOUT_S:
+        if not paths or max(path.last_message_at for path in paths) > now - SILENCE_TIMEOUT_S:
             return False
         changed = False
         for path in paths:
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -134,7 +134,7 @@
         self._sent.append(now)
         return call
 
-    def discard(self, call: RunningCall) -> None:
+    def drop_call(self, call: RunningCall) -> None:
         """Drop a call that was withdrawn; it is no evidence about the back end."""
         self.running.discard(call)
 
--- a/tinrudder/gateway/decisions/placement/coordinator_choice.py
+++ b/tinrudder/gateway/decisions/placement/coordinator_choice.py
@@ -112,18 +112,21 @@
     return _best_in_each_zone(index, by_zone, per_zone)
 
 
-def choose_readers(role: str, candidates: Iterable[Candidate], most: int) -> tuple[Candidate, ...]:
+def choose_readers(
+    role: str, candidates: Iterable[Candidate], max_readers: int
+) -> tuple[Candidate, ...]:
     """Choose gateways that do some work on behalf of all, equally many in every zone.
 
     :param role: hash key; different roles fall on different gateways.
-    :param most: maximum total, rounded down to a multiple of the zones; at least one in each zone.
+    :param max_readers: maximum total, rounded down to a multiple of the zones; at least one in
+        each zone.
 
     >>> three_zones = [Candidate(f"{zone}{i}", zone, 1.0) for zone in "abc" for i in range(5)]
-    >>> len(choose_readers("reader", three_zones, most=8))
+    >>> len(choose_readers("reader", three_zones, max_readers=8))
     6
     """
     by_zone = _by_zone(candidates)
-    return _best_in_each_zone(role, by_zone, max(1, most // max(1, len(by_zone))))
+    return _best_in_each_zone(role, by_zone, max(1, max_readers // max(1, len(by_zone))))
 
 
 def _by_zone(candidates: Iterable[Candidate]) -> dict[str, list[Candidate]]:
--- a/tinrudder/gateway/observability/gateway_log.py
+++ b/tinrudder/gateway/observability/gateway_log.py
@@ -105,7 +105,7 @@
     """Log a change in which gateways call the back ends of an index."""
     fields: dict[str, LogValue] = {
         "own": coordination.calls_backends,
-        "asked": " ".join(str(address) for address in coordination.coordinators),
+        "asked": " ".join(str(address) for address in coordination.preferred_coordinators),
         "handed_over": coordination.delegated_count,
         "callers": coordination.callers,
         "nodes": nodes,
--- a/tinrudder/gateway/peers/zone_monitor.py
+++ b/tinrudder/gateway/peers/zone_monitor.py
@@ -190,7 +190,7 @@
         fields: dict[str, LogValue] = {
             "zone": zone,
             "state": path.state.value,
-            "heard_s_ago": _seconds(now - path.heard_at),
+            "heard_s_ago": _seconds(now - path.last_message_at),
             "answered_s_ago": _seconds(now - path.answered_at),
             "heard_share": round(self.heard_share, 3),
         }
--- a/tinrudder/gateway/requests/run_planner.py
+++ b/tinrudder/gateway/requests/run_planner.py
@@ -59,7 +59,7 @@
             request.request_id,
             request.deadlines,
             self._delegation_context,
-            coordination.coordinators,
+            coordination.preferred_coordinators,
             lambda listener: self._local_scatter(request, listener),
             on_outcome,
             request.priority,
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -56,7 +56,7 @@
         case Broken(gateway_paused=True):
             call_context.counters.broken += 1
             if running is not None:
-                observations.discard(running)
+                observations.drop_call(running)
         case Broken():
             call_context.counters.broken += 1
             observations.failed(running, now)
--- a/tinrudder/gateway/scatters/coordination.py
+++ b/tinrudder/gateway/scatters/coordination.py
@@ -25,7 +25,7 @@
     """The fields of a coordination whose change is reported."""
 
     calls_backends: bool
-    coordinators: frozenset[Address]
+    preferred_coordinators: frozenset[Address]
     delegated_count: int
 
 
@@ -33,7 +33,7 @@
     """Which gateways call the back ends of one index, in the current view of this gateway.
 
     :param calls_backends: whether this gateway calls the back ends itself.
-    :param coordinators: the coordinators to ask, best first; empty if ``calls_backends``.
+    :param preferred_coordinators: the coordinators to ask, best first; empty if ``calls_backends``.
     :param callers: how many gateways call the back ends, including this one if ``calls_backends``.
     :param budget_parts: this gateway's share of the fleet's hedges and retries is one divided by
         this.
@@ -44,7 +44,7 @@
     """
 
     calls_backends: bool
-    coordinators: tuple[Address, ...]
+    preferred_coordinators: tuple[Address, ...]
     callers: int
     budget_parts: float
     decided_at: float
@@ -55,7 +55,7 @@
     def key(self) -> CoordinationKey:
         """Return the fields whose change is reported."""
         return CoordinationKey(
-            self.calls_backends, frozenset(self.coordinators), self.delegated_count
+            self.calls_backends, frozenset(self.preferred_coordinators), self.delegated_count
         )
 
     @property
