--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -1,14 +1,14 @@
-"""Which crashes count against a request, and how long does it stay barred?
+"""Which crashes count against a request, and how long is it barred?
 
 Merging evidence is commutative, associative and idempotent, so gateways agree whatever the order or
 number of reports. Gateways exchange timestamps as ages, and network delay makes an age too small on
 arrival. Therefore clearing is ordered by a counter instead of by time, and of two timestamps for
-one event the earlier one wins. If the later one won, cleared evidence would return wherever its
-path is slower than that of the answer, and would keep itself alive: one request that lost a call
-and was answered 0.15 s later made each of 113 gateways, with datagram delays of 0.05 to 0.5 s, send
-32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5 s. With the counter and the earlier
-timestamp, 40 gateways each send 14 datagrams for such a request, and then only the periodic repeats
-(virtual time).
+one event the earlier one wins. If the later one won, cleared evidence would return wherever reports
+of crashes are slower than the report of the answer, and would then circulate without end: one
+request that lost a call and was answered 0.15 s later made each of 113 gateways, with datagram
+delays of 0.05 to 0.5 s, send 32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5 s. With the
+counter and the earlier timestamp, 40 gateways each send 14 datagrams for such a request, and then
+only the periodic repeats (virtual time).
 
 Inputs: the back ends lost while running the request, each with the time of the loss (monotonic
 seconds of this gateway), how often answers cleared the request, and trials; observed here and
--- a/tinrudder/gateway/decisions/admission/load_forecast.py
+++ b/tinrudder/gateway/decisions/admission/load_forecast.py
@@ -1,7 +1,7 @@
 """Can a request still be answered in time, given the reported queue?
 
-Refusing a request at once costs its caller a short pause; admitting one that cannot meet its
-objective delays all others. Between "certainly in time" and "hopeless" the admitted share falls
+Refusing a request at once delays only its caller, by a short pause; admitting one that cannot meet
+its objective delays all others. Between "certainly in time" and "hopeless" the admitted share falls
 linearly: gateways see queues with a delay, and an on/off decision would make the load oscillate.
 This rule covers requests that one back end runs; scatters wait in the scatter queue.
 
@@ -23,20 +23,20 @@
 
 ADMIT_ALL_BELOW = 0.7
 """Expected time, as a fraction of the time left, below which all requests are admitted. In bursts
-of 3 and 5 times the traffic, bounds of 0.8 and 1.3 kept 0.413 of the answers' worth and these
-bounds 0.460, with scatters refused by this rule."""
+of 3 and 5 times the traffic, bounds of 0.8 and 1.3 kept 0.413 of the answers' value, these bounds
+0.460; scatters were refused by this rule too."""
 ADMIT_NONE_ABOVE = 1.1
 """Expected time, as a fraction of the time left, above which no request is admitted; see
 :data:`ADMIT_ALL_BELOW`."""
 PRIORITY_STEP_FACTOR = 1.1
 """Factor applied to a request's expected time for each more urgent priority: less urgent requests
-are refused slightly earlier, and none is shut out by its priority alone."""
+are refused slightly earlier, but no request is refused because of its priority alone."""
 RETURNING_FACTOR = 0.85
-"""Factor applied to the expected time of a caller that was refused before: another refusal may be
-its last try."""
+"""Factor applied to the expected time of a caller that was refused before: it may give up after
+another refusal."""
 SERVICE_TIME_FACTOR = 1.8
 """Time reserved for the call itself, in typical call times without a queue. Above the median,
-because most calls, and not half of them, should finish in time."""
+because most calls should finish in time, not only half of them."""
 NEGLIGIBLE_WAIT = 0.5
 """Wait, in typical call times, up to which nothing is refused: calls wait this long by chance even
 where back ends are not full."""
@@ -49,7 +49,7 @@
 
     The share falls linearly between "certainly in time" and "hopeless": gateways see queues with a
     delay, and an on/off decision would make the load oscillate. A wait that is short compared with
-    the call itself is no overload, however short the objective.
+    the call itself does not count as overload, even if the objective is short.
 
     :param wait_s: how long a call waits for a slot.
     :param typical_time_s: how long a call typically takes without waiting.
--- a/tinrudder/gateway/decisions/admission/memory_bound.py
+++ b/tinrudder/gateway/decisions/admission/memory_bound.py
@@ -1,8 +1,8 @@
 """Is there memory for one more request?
 
-This covers load that no queue shows: clients that read slowly or not at all, large bodies, answers
-that wait to be merged. A process that exceeds its memory limit is killed together with all requests
-it has admitted, so less urgent requests are refused before that.
+Covers load that is not visible in any queue: clients that read slowly or not at all, large bodies,
+answers that wait to be merged. A process that exceeds its memory limit is killed together with all
+requests it has admitted, so less urgent requests are refused before that.
 
 Inputs: the memory of the process (MB, from the settings), the number of priorities in use that are
 more urgent than the request's, and for a back end its slots, its callers and the largest body
@@ -35,8 +35,8 @@
 memory: 43 MB accounted became 51 MB resident."""
 MIN_ACCOUNT_BYTES = 8 * BYTES_PER_MB
 """Smallest account, however little memory is configured, bytes: the configured figure may mean
-something else, and a gateway that refuses everything serves nobody. Holds thirty of the largest
-bodies."""
+something else, and a gateway that refuses everything serves nobody. Has room for thirty of the
+largest bodies."""
 URGENT_FILL = 0.95
 """Fill level, 0 to 1, from which the most urgent requests are refused. Leaves room for the growth
 of requests in progress."""
@@ -45,8 +45,8 @@
 account."""
 READ_PAUSE_FILL = 0.65
 """Fill level from which request bodies are no longer read, and the lowest level at which any
-request is refused. All requests in progress on a gateway at its normal load fit below it three
-times over."""
+request is refused. The requests in progress on a gateway at its normal load need a third of
+that."""
 MAX_ANSWER_SHARE = 0.25
 """Fraction of the account that one answer may take: at least four answers fit at once, the minimum
 for requests to proceed concurrently."""
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -1,10 +1,10 @@
 """May this request be sent, or has it crashed the back ends that ran it?
 
 When a call is lost with its connection, either the back end or the request may be at fault. If the
-back end crashed by itself, every request running there looks guilty. An answer tells them apart: a
-poison request gets none from any back end, while an innocent one gets an answer from the next.
-Requests with lost calls are therefore tried on one back end at a time, as canaries; an answer
-clears them, and only a request whose trial also loses a back end is barred.
+back end crashed for a reason of its own, every request that it was running becomes suspect. An
+answer distinguishes them: no back end answers a poison request, while the next back end answers an
+innocent one. Requests with lost calls are therefore tried on one back end at a time, as canaries;
+an answer clears them, and only a request whose trial also loses a back end is barred.
 
 Inputs: the request's fingerprint and its origin (route and caller), the current time (monotonic
 seconds), and the evidence of this and other gateways, which report changes at once and repeat them.
@@ -41,19 +41,19 @@
 tens of milliseconds; after this time the gateway that began the trial is presumed dead."""
 MIN_REMAINING_RETENTION_S = 60.0
 """Minimum remaining retention, in seconds, for evidence on an unknown request to be accepted from
-another gateway. Each gateway expires evidence by its own clock, and would accept and forward again
-what others are about to expire. Twice a pause of 30 s in which reports are not read. Without this,
-ten requests that lost a call and were never answered made each of 113 gateways, with datagram
-delays of 0.05 to 0.5 s, send 24 datagrams a second, the limit of its token bucket, from 600 s on
-and without end (virtual time)."""
+another gateway. Each gateway expires evidence by its own clock; without a minimum, it would accept
+and forward evidence that others are about to expire. Twice a pause of 30 s in which reports are not
+read. Without this, ten requests that lost a call and were never answered made each of 113 gateways,
+with datagram delays of 0.05 to 0.5 s, send 24 datagrams a second, the limit of its token bucket,
+from 600 s on and without end (virtual time)."""
 MIN_ALERT_REQUESTS = 2
 """Number of different requests that must have lost a back end in a trial to raise an alert for
-their origin. A single request is barred by itself if it returns. Starting all requests of a route
-as canaries costs each of them a call's time, and 0.03 to 0.15 of the answers' worth on a calm
-day."""
+their origin. A single such request is barred when it is sent again, without an alert. Starting all
+requests of a route as canaries costs each of them a call's time, and 0.03 to 0.15 of the answers'
+value on a calm day."""
 MIN_RESTART_S = 0.5
-"""An answer to a call sent within this time after a loss, seconds, comes from the old process:
-observed restarts take seconds until the process listens again."""
+"""Shortest restart of a back end, seconds: an answer to a call sent within this time after a loss
+comes from the old process. Observed restarts take seconds until the process listens again."""
 RESTART_DETECTION_S = 4.0
 """Time after which a restart is visible through the entry that the new process writes, seconds:
 three of its heartbeats of 1.2 s, and the propagation through the store."""
--- a/tinrudder/gateway/decisions/admission/queued_scatter.py
+++ b/tinrudder/gateway/decisions/admission/queued_scatter.py
@@ -10,7 +10,7 @@
 
 
 class QueuedScatter(Struct, eq=False):
-    """One scatter, with everything that determines its position in the queue.
+    """One scatter, with all values that determine its position in the queue.
 
     :param priority: 0 is the most urgent.
     :param typical_time_s: how long such a scatter typically takes without waiting.
@@ -39,8 +39,8 @@
     def order(self) -> tuple[bool, int, int, bool, float, int]:
         """Return the sort key; the smallest goes first.
 
-        Scatters that can no longer meet their objective are worth little and go last, whatever
-        their priority.
+        Scatters that can no longer meet their objective have little value, and are last regardless
+        of priority.
         """
         return (
             self.late,
--- a/tinrudder/gateway/decisions/admission/scatter_concurrency.py
+++ b/tinrudder/gateway/decisions/admission/scatter_concurrency.py
@@ -1,9 +1,9 @@
 """How many scatters of one index may this gateway have running?
 
-Every scatter calls every shard, so one slot at the typical shard is the capacity for one scatter. A
-gateway starts with its share of the slots and follows the queues that back ends report: it takes
-more while others leave their shares unused, and gives back as soon as calls wait. It is a
-concurrency limit with additive increase and multiplicative decrease.
+Every scatter calls every shard, so one slot at the typical shard is the capacity for one scatter.
+The rule is a concurrency limit with additive increase and multiplicative decrease. It starts at the
+gateway's share of the slots, grows while other gateways leave their shares unused, and shrinks as
+soon as back ends report waiting calls.
 
 Inputs: this gateway's share of the slots (in scatters, recomputed each second), the wait at the
 typical shard in call times (reports at most 0.8 s old), how long scatters held their slots
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -1,4 +1,4 @@
-"""Does a scatter start now, wait, or is it refused?
+"""Does a scatter start now, wait, or get refused?
 
 A scatter waits as a whole before any of its calls is sent, so a refusal guarantees that nothing has
 run. Calls that wait in the back ends' queues would delay all scatters together, and calls shed
@@ -45,7 +45,7 @@
 serves no more requests, and serves all of them later."""
 MAX_OVERTAKEN_WAIT = 1.5 * MAX_OVERLOAD_WAIT
 """The same as :data:`MAX_OVERLOAD_WAIT` for a scatter that others have overtaken, in typical
-scatter times: waiting longer would make the queue as long again."""
+scatter times: accepting longer waits would let the queue grow again."""
 LATE_WAIT_SHARE = 0.5
 """Fraction of its remaining time that a scatter waits after it can no longer meet its objective;
 the other half is left for another try."""
@@ -59,7 +59,7 @@
 
     Ordered by priority; then by tenants in turn, so that a tenant that sends many waits behind
     those that send few; then new callers before retrying ones, for which an answer has lost half of
-    its worth: with retrying callers first, 1,732 of 4,414 were served in time in a burst of six
+    its value: with retrying callers first, 1,732 of 4,414 were served in time in a burst of six
     seconds, with new callers first 2,457; then by the earliest objective.
 
     :param room: the concurrency limit.
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -2,11 +2,11 @@
 
 A gateway sees only a few answers of such a service in the time in which its queues fill, and
 hundreds of gateways react to one report. Admission therefore uses the mean wait over the back ends,
-weighted by the freshness of each report: the minimum would be that of the back end with the least
-information. A call goes to the better of two random back ends: if every gateway took the best one
-by a report, it would get all calls until the next report. The figures below come from a simulation
-of 113 gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and an
-objective of 0.9 s.
+weighted by the freshness of each report: the minimum would come from the back end about which least
+is known. A call goes to the better of two random back ends: if every gateway chose the best one,
+that one would get all calls until its next report. The figures below come from a simulation of 113
+gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and an objective of
+0.9 s.
 
 Inputs: the observations of each back end (reports at most 0.8 s old, with a weight that falls with
 age), the typical time of a call and the time left until the objective, both in seconds; the number
@@ -17,8 +17,7 @@
 
 Owns: nothing; it is a function of its inputs.
 
-Shown by: as the forecast: log line ``request`` with wait, share and time left; metric
-``tinrudder_gateway_refused``.
+Shown by: log line ``request`` with wait, share and time left; metric ``tinrudder_gateway_refused``.
 
 When an input is missing or old: a back end without a fresh report counts as free, with less weight
 if it recently had a queue; while no queue is known all requests are admitted.
@@ -55,8 +54,8 @@
 """Calls after which the time that one back end holds a slot counts as known. Until then it may be
 wrong by half, and the mean of the whole service is used."""
 LATE_FACTOR = 1.5
-"""Divisor of the time left for a caller whose objective passed while it was refused. Its answer is
-worth less, so it only gets capacity that callers still in time leave free. At four times the load
+"""Divisor of the time left for a caller whose objective passed while it was refused. Its answer has
+less value, so it only gets capacity that callers still in time leave free. At four times the load
 52 a second were served in time, with 1 instead of this 32."""
 
 
@@ -168,7 +167,7 @@
 
 
 def extra_cost(one: BackendObservations, min_service_time_s: float, now: float) -> float:
-    """Return what slow calls add to :meth:`BackendObservations.cost`, in typical calls.
+    """Return the extra cost of a slow back end, added to :meth:`BackendObservations.cost`.
 
     A gateway that calls a back end only once in several seconds cannot learn from its own calls
     that it is slow; reports from others tell it earlier.
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -1,4 +1,4 @@
-"""Which tenants' requests are refused when only a part can be served?
+"""Which tenants' requests are refused when only some of all requests can be served?
 
 Max-min fairness: when demand exceeds capacity, every tenant has the same limit; a tenant that asks
 for less gets all of it, and what it leaves is divided among the others.
--- a/tinrudder/gateway/decisions/admission/tenant_turns.py
+++ b/tinrudder/gateway/decisions/admission/tenant_turns.py
@@ -1,4 +1,4 @@
-"""Whose scatter goes first among tenants that wait with the same priority?
+"""Which tenant's scatter starts first among those that wait with the same priority?
 
 Each scatter uses one turn of its tenant, so that a tenant that sends many scatters waits behind
 those that send few.
@@ -12,7 +12,8 @@
 Owns: the current turn of each priority and the next turn of each tenant; the number of tenants with
 nothing waiting is bounded.
 
-Shown by: nothing by itself; how many wait is metric ``tinrudder_gateway_scatters_waiting``.
+Shown by: nothing of its own; the number of waiting scatters is metric
+``tinrudder_gateway_scatters_waiting``.
 
 When an input is missing or old: a tenant without a remembered turn begins with the one being
 served.
@@ -45,7 +46,7 @@
         return max(reached, self._next.get((scatter.priority, scatter.tenant), 0))
 
     def take(self, scatter: QueuedScatter, waiting: Collection[QueuedScatter]) -> None:
-        """Move the next scatter of the tenant one turn later.
+        """Count the turn as used: the next scatter of the tenant gets the next turn.
 
         :param waiting: the scatters whose lanes must not be evicted.
         """
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -10,8 +10,8 @@
 since the last report, what another owner's bucket held (tokens, with its age in seconds), and the
 part of the rate that this owner may grant, 0 to 1.
 
-Answer: Grant: whether the request may run, when to come back (seconds), and for how long entry
-gateways must ask before admitting (seconds).
+Answer: Grant: whether the request may run, when to retry (seconds), and for how long entry gateways
+must ask before admitting (seconds).
 
 Owns: the buckets of the tenants for which this gateway received reports; an idle bucket is evicted
 after a minute.
@@ -29,15 +29,16 @@
 from msgspec import Struct, field
 
 GRANTED_MARGIN = 0.15
-"""Part of the margin above the limit that an owner grants as a deeper bucket, because requests
-arrive in bursts. For a tenant of 3 a second with a limit of 5 and a burst of 5, a bucket of its
-burst alone refuses 1 in 156 and this one 1 in 7,400 (random arrivals, one seed)."""
+"""Part of the margin above the limit by which an owner's bucket is deeper than the burst, because
+requests arrive in bursts. For a tenant of 3 a second with a limit of 5 and a burst of 5, a bucket
+of its burst alone refuses 1 in 156 and this one 1 in 7,400 (random arrivals, one seed)."""
 NEW_OWNER_MARGIN = 0.25
 """Part of the margin above the limit that a new bucket holds at most: the previous owner may just
 have granted the whole limit, and the next one may take over a moment later."""
 PRESSED_BELOW = 0.4
 """Fill level, as a part of the current capacity, below which entry gateways must ask before
-admitting: what they admit until this reaches them must still find tokens."""
+admitting: the bucket must still have tokens for what they admit until they receive this
+instruction."""
 RELIEVED_ABOVE = 0.7
 """Fill level, as a part of the current capacity, from which entry gateways may admit without
 asking. Well above :data:`PRESSED_BELOW`, so that a tenant does not change state with each
@@ -78,7 +79,7 @@
     def of(
         cls, rate_per_s: float, burst: float, window_s: float, excess: float, slack: float
     ) -> QuotaLimit:
-        """Return a tenant's limit under the deployment's bounds.
+        """Return a tenant's limit with the margin that the deployment's bounds allow.
 
         >>> QuotaLimit.of(rate_per_s=5, burst=5, window_s=5, excess=0.25, slack=20).margin
         27.5
@@ -102,7 +103,7 @@
     """The owner's reply to an entry gateway.
 
     :param granted: whether the requested admission is granted.
-    :param wait_s: when to come back if it is not.
+    :param wait_s: when to retry if it is not, seconds from now.
     :param pressed_s: how long entry gateways must ask before admitting; 0: not at all.
     :param tokens: what the bucket holds afterwards.
     """
@@ -163,9 +164,9 @@
 
         :param share: the part of the tenant's rate that this gateway may grant; below one if it
             reaches half of the fleet or less.
-        :param held: what another owner recently told the entry gateway. While owners died and
-            paused one after another, at seven times a limit 68 requests ran in a window for which
-            50 are allowed; with this and smaller new buckets at most 39
+        :param held: the tokens that another owner recently reported to the entry gateway. While
+            owners died and paused one after another, at seven times a limit 68 requests ran in a
+            window for which 50 are allowed; with this and smaller new buckets at most 39
             (tests/functional/gateway/test_quotas.py, six runs).
         """
         max_tokens = self._current_max_tokens(limit, now, share)
--- a/tinrudder/gateway/decisions/attempts/answer_time.py
+++ b/tinrudder/gateway/decisions/attempts/answer_time.py
@@ -1,12 +1,12 @@
 """When is a scatter's answer sent, and when does the scatter fail?
 
-Within the objective an answer is worth the square of the share of shards included, after it a small
-fraction of that. Before the objective, waiting costs nothing and may add shards. At the objective
-the next shard would have to add ten times the current worth, so the answer is sent. After the
-objective, it is sent as soon as it has enough shards.
+Within the objective, the value of an answer is the square of the share of shards that it includes;
+later, it is a small fraction of that. Before the objective, waiting costs nothing and may add
+shards. At the objective the answer is sent if it has enough shards: further waiting would pay only
+if the next shard added ten times the current value. Otherwise it is sent as soon as it has enough.
 
-Inputs: the number of shards, of those that have answered and of those that may still answer; the
-minimum share for an answer, 0 to 1; objective and deadline (monotonic seconds).
+Inputs: the numbers of all shards, of shards that have answered and of others that may still answer;
+the minimum share for an answer, 0 to 1; objective and deadline (monotonic seconds).
 
 Answer: wait until a time, answer, or fail.
 
@@ -15,7 +15,7 @@
 Shown by: log line ``request`` with the fields ``included``, ``missing_shards`` and ``reasons``;
 metric ``tinrudder_gateway_missing_shards``.
 
-When an input is missing or old: does not happen; all inputs are this gateway's own and current.
+When an input is missing or old: not applicable: all inputs are the current state of this gateway.
 """
 
 from __future__ import annotations
@@ -42,9 +42,10 @@
 
     :param shards: number of shards in its configuration.
     :param included: number that have answered.
-    :param outstanding: number of others that may still answer: a call runs or can be sent.
+    :param outstanding: number of other shards that may still answer: a call is in flight or can be
+        sent.
     :param minimum_share: the minimum share of shards for an answer.
-    :param objective_at: monotonic time until which an answer has its full worth.
+    :param objective_at: monotonic time until which an answer has its full value.
     :param deadline_at: monotonic time at which a final answer must be sent.
     """
 
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -7,8 +7,9 @@
 gateways, and if a restarted one, which has lost its counts, spends for one window only what its
 earlier incarnations leave unused.
 
-Inputs: the bounds of the deployment (calls for each request, calls, seconds of the window), the
-requests and repeats of this gateway, and into how many parts the fixed number is divided.
+Inputs: the bounds of the deployment (ratio of extra calls to requests, fixed number of calls,
+window in seconds), the requests and extra calls of this gateway, and the number of parts into which
+the fixed number is divided.
 
 Answer: whether one more call may be sent, and how much of the allowance is left, 0 to 1.
 
@@ -36,13 +37,13 @@
 """Part of the ratio and of the fixed number that a gateway spends once it has run for a window. The
 rest covers gateways that start and those that underestimate the number of gateways."""
 FIRST_WINDOW_SHARE = 1.0 - SAFETY_FACTOR
-"""Part of the fixed number that a node may spend in its first window, since its earlier incarnation
-left it unused. Without it, after a restart of all 76 gateways of a deployment, a scatter over 135
-shards repeated 1.2 calls instead of the usual 9 and lacked 6.5 shards instead of 0.8, averaged over
-two seconds of their logs."""
+"""Part of the fixed number that a gateway may spend in its first window, since its earlier
+incarnation left it unused. If it were 0, after a restart of all 76 gateways of a deployment, a
+scatter over 135 shards repeated 1.2 calls instead of the usual 9 and lacked 6.5 shards instead of
+0.8, averaged over two seconds of their logs."""
 RETRY_RESERVE = 0.25
-"""Part of the allowance that hedges leave for retries. A shard whose call has failed has no answer
-on the way; one whose call is late does."""
+"""Part of the allowance that hedges leave for retries. A shard whose call has failed has no call in
+flight; one whose call is late still has one."""
 
 
 class _Slice(Struct):
@@ -54,10 +55,10 @@
 
 
 class FleetRetryBudget:
-    """One node's part of a service's budget.
+    """One gateway's part of a service's budget.
 
-    Callers use :meth:`may_repeat` before every call after the first of a request. Hedges leave a
-    part of the allowance to retries, which are needed more.
+    Callers check :meth:`may_repeat` before every call after the first of a request. Hedges leave
+    :data:`RETRY_RESERVE` of the allowance to retries.
     """
 
     def __init__(self, ratio: float, extra: float, window_s: float, started_at: float) -> None:
@@ -80,7 +81,8 @@
     def may_repeat(self, now: float, nodes: float, *, hedge: bool) -> bool:
         """Count one more call if the budget has room for it; return whether it has.
 
-        :param nodes: number of equal parts, one per node, into which the fixed number is divided.
+        :param nodes: number of equal parts, one per gateway, into which the fixed number is
+            divided.
         """
         if self.remaining(now, nodes, hedge=hedge) < 1.0:
             return False
--- a/tinrudder/gateway/decisions/attempts/hedge_delay.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_delay.py
@@ -1,7 +1,9 @@
 """How old must a call be before it is hedged at another replica?
 
 The delay is a multiple of the median latency: unlike a high quantile it stays stable while some
-back ends are slow. It grows as the retry budget empties, and leaves a hedge time to win.
+back ends are slow. It grows as the retry budget empties, and is bounded so that a hedge can still
+meet the objective.
+
 
 Inputs: the latencies of a route's latest calls, the objective (seconds), and how much of the retry
 budget is left, 0 to 1.
@@ -25,8 +27,8 @@
 it."""
 FACTOR_FULL = 1.9
 """Age at which a call is hedged while the whole budget is left, in typical latencies. With 1.6 and
-2.3 instead, the mean worth of 13 simulated days on two sites was 0.7892 and 0.8531, 0.7883 and
-0.8542, compared with 0.7867 and 0.8541: no difference beyond noise."""
+2.3 instead, the mean value of the answers of 13 simulated days on two sites was 0.7892 and 0.8531,
+0.7883 and 0.8542, compared with 0.7867 and 0.8541: no difference beyond noise."""
 FACTOR_EMPTY = 4.0
 """Age at which a call is hedged when the budget is empty, in typical latencies: the last hedges go
 to calls that are almost certainly late."""
@@ -52,7 +54,7 @@
     """Return the age at which a call is hedged, seconds.
 
     A multiple of the median: unlike a high quantile it stays stable while some back ends are slow.
-    It grows as the budget empties, and leaves a hedge time to win.
+    It grows as the budget empties, and is bounded so that a hedge can still meet the objective.
 
     >>> window = LatencyWindow()
     >>> for _ in range(100):
--- a/tinrudder/gateway/decisions/attempts/hedge_gain.py
+++ b/tinrudder/gateway/decisions/attempts/hedge_gain.py
@@ -2,8 +2,8 @@
 
 Applies where replicas are slow or pause for a moment, and the objective is a few times the typical
 call latency. Only shards included when the answer is sent count. A hedge helps if the first call
-would be too late and the hedge is not. With a longer delay fewer hedges are sent in vain, but fewer
-of them are in time.
+would be too late and the hedge is not. With a longer delay fewer unnecessary hedges are sent, but
+fewer hedges are in time.
 
 Inputs: the latencies of a route's latest calls, the time until the answer is sent (seconds), and
 how much of the retry budget is left, 0 to 1.
@@ -41,8 +41,9 @@
 HEDGE_PRICE = 0.01
 """Minimum increase in the probability that a shard is included that justifies a hedge, while the
 whole budget is left. With periods of slowness (15% of the time, 2.5 times) 0.01, 0.03 and 0.06 lose
-0.25%, 0.43% and 0.66% of the worth of answers with an objective of 98 ms, at 0.19, 0.14 and 0.13
-hedges per call; the rule by medians lost 1.08% at 0.14 (simulated, two seeds)."""
+0.25%, 0.43% and 0.66% of the value of answers with an objective of 98 ms, at 0.19, 0.14 and 0.13
+hedges per call; the multiple of the median (``hedge_delay``) lost 1.08% at 0.14 (simulated, two
+seeds)."""
 MIN_FILL = 0.05
 """Fill of the budget, 0 to 1, below which the price of a hedge no longer rises: such a budget is
 practically empty."""
--- a/tinrudder/gateway/decisions/attempts/peer_round_trip.py
+++ b/tinrudder/gateway/decisions/attempts/peer_round_trip.py
@@ -1,6 +1,6 @@
-"""How much earlier must another gateway answer, so that its answer is here in time?
+"""How much earlier than needed must another gateway answer, so that its answer arrives in time?
 
-A gateway that requests an answer from a peer by a certain time has to specify an earlier one,
+A gateway that needs an answer from a peer by a certain time has to request it for an earlier time,
 because request and answer take time on the network and wait for processors on both sides. That time
 is estimated from observations.
 
@@ -13,7 +13,7 @@
 Shown by: log line ``coordinated`` with the field ``elapsed_ms``, beside that of ``request``.
 
 When an input is missing or old: before the first observation the allowance is 8 ms; an old one is
-kept, since values come only with answers.
+kept, since new values come only with answers.
 """
 
 from __future__ import annotations
@@ -31,14 +31,14 @@
 RISING_DEVIATION_GAIN = 0.25
 """Weight of a new value above the deviation, that of TCP's retransmission timer (RFC 6298)."""
 FALLING_DEVIATION_GAIN = 0.125
-"""Weight of a new value below the deviation. With that timer's 0.25, eight similar values by chance
-led to an allowance that up to 26 of the next 100 answers exceeded, where all differ by a fifth at
-most; 18 of 6,006 seeded runs had over 5 such answers. With 0.125 none had over one, and the
-allowance is on average 1.49 instead of 1.41 times the typical time. A lower weight remembers a
-single stall too long."""
+"""Weight of a new value below the deviation. With that timer's 0.25, eight similar values in a row
+made the allowance so small that up to 26 of the next 100 answers exceeded it, although all times
+were within a fifth of the typical one; in 18 of 6,006 seeded runs more than 5 answers did. With
+0.125, no run had more than one, and the allowance is on average 1.49 instead of 1.41 times the
+typical time. With a lower weight, a single stall raises the allowance for too long."""
 DEVIATIONS = 4.0
-"""Deviations on top of the mean, as in that timer. An answer that arrives too late loses nine
-tenths of its worth, one that is sent early only a few shards."""
+"""Deviations added to the mean, as in that timer. An answer that arrives too late loses nine tenths
+of its value; one that is sent early lacks only a few shards."""
 MAX_SAMPLE_S = 0.05
 """Upper bound on a single observation, seconds: longer ones are stalls of one gateway and do not
 predict the next request."""
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/load_news.py
@@ -1,9 +1,9 @@
 """Which back-end queues does a gateway report to its peers, and which peer reports does it use?
 
-Meant for services with few back ends that every gateway calls: each gateway gets only a few answers
-a second from them, too few to know which back end is full. Only the gateway that received a load
-report from the back end sends it to peers; peers do not forward it. Its age does not include time
-in transit, so each hop would make it look younger.
+Used for services with few back ends that every gateway calls: each gateway gets too few answers a
+second from them to know which back end is full. Only the gateway that received a load report from
+the back end sends it to peers; peers do not forward it. Its age does not include time in transit,
+so each hop would make it look younger.
 
 Inputs: load reports of back ends with their age in seconds, and the number of peers.
 
@@ -28,8 +28,8 @@
 
 REPORTED_QUEUE_PER_SLOT = 1.0
 """Waiting calls per slot from which a queue is reported to peers: a call waits there at least as
-long as calls take.  With half of it no fewer calls were shed, and random short queues were reported
-as well."""
+long as calls take.  With half of this value, no fewer calls were shed, and random short queues were
+reported as well."""
 BYTES_PER_S = 900.0
 """Bytes a second that one gateway sends to all peers together, headers included: a third of what
 all its messages may take in a fleet of 730."""
--- a/tinrudder/gateway/decisions/fleet/process_pause.py
+++ b/tinrudder/gateway/decisions/fleet/process_pause.py
@@ -1,8 +1,8 @@
 """Was this process paused recently?
 
 While a process or its machine is paused, it reads nothing, and the other sides close their
-connections. Without this rule the process would take silence and closed connections during its own
-pause for failures of others.
+connections. Without this rule, the process would treat silence and closed connections during its
+own pause as failures of others.
 
 Inputs: the times at which housekeeping recorded that the process runs, in seconds of a monotonic
 clock that includes suspensions.
--- a/tinrudder/gateway/decisions/fleet/send_budget.py
+++ b/tinrudder/gateway/decisions/fleet/send_budget.py
@@ -1,4 +1,4 @@
-"""How much may a gateway send now, whatever triggers it?
+"""How much may a gateway send now, regardless of what triggers it?
 
 A token bucket limits the network load of messages between gateways when they circulate in a loop or
 many events occur at once.
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -1,6 +1,6 @@
 """Can this gateway reach a zone?
 
-A zone that is cut off is silent: calls to it hang until they time out. A call without an answer
+A zone that is cut off sends nothing: calls to it hang until they time out. A call without an answer
 makes the path suspect if nothing else from the zone was answered since the call was sent. Probes to
 gateways of the zone then decide for all calls within a fraction of a second. A single slow back end
 does not close the path, since other back ends of its zone answer meanwhile. This is a circuit
@@ -29,7 +29,7 @@
 
 SILENCE_TIMEOUT_S = 1.5
 """Time without any message from other zones after which their paths become suspect, seconds: where
-each gateway sends one digest to another zone every 0.5 s, such a silence arises by chance once in
+each gateway sends one digest to another zone every 0.5 s, such a silence occurs by chance once in
 twenty times."""
 CLOSE_AFTER_S = 0.25
 """Time for which all probes must stay unanswered before a path is closed, seconds: 80 round trips
@@ -42,8 +42,8 @@
 """Time that a path stays closed before calls may try it, seconds: where a zone has lost all its
 gateways but not its back ends, probes get no answers, but calls do."""
 MAX_CLOSED_S = 40.0
-"""Upper bound of that time, seconds; it doubles with each trial that fails.  Bounds how long a zone
-without gateways stays unused."""
+"""Upper bound of :data:`FIRST_CLOSED_S`, seconds; the time doubles with each trial that fails.
+Bounds how long a zone without gateways stays unused."""
 
 
 class PathState(enum.Enum):
@@ -118,7 +118,7 @@
     def own_suspicions(self) -> tuple[str, ...]:
         """Return the suspect zones to report to peers: those that this gateway itself suspects.
 
-        Doubts received from peers are not forwarded: they would keep each other alive wherever an
+        Doubts received from peers are not forwarded: they would circulate without end wherever an
         answer takes longer than the interval between two digests.  Six forwarded doubts in a
         simulated fleet of 113 gateways whose datagrams took 0.1 to 0.3 s still made each gateway
         send 11 probes a second 8 s later.
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -1,14 +1,14 @@
 """What is the expected cost of the next call to a back end?
 
-The gateway's own observations come first: calls in flight, latencies relative to the usual latency
-of the route, and signs that the back end is stalled or gone. Load reports, received directly or
-from other gateways, add the queue.
+The gateway's own observations come first: calls in flight, latencies relative to the typical
+latency of the route, and signs that the back end is stalled or gone. Load reports, received
+directly or from other gateways, add the queue.
 
 Inputs: this gateway's calls and their answers, and load reports with their age; times in monotonic
 seconds. Latencies count for 4 s, reported queues for 0.8 s and reported slowdowns for 0.5 s, with
 linearly falling weight.
 
-Answer: the cost of a call, as a multiple of its route's usual latency (lower is better), and the
+Answer: the cost of a call, as a multiple of its route's typical latency (lower is better), and the
 expected wait for a slot in seconds.
 
 Owns: the observations of one process of one back end; a restarted process gets new ones.
@@ -17,7 +17,7 @@
 ``tinrudder_gateway_rejections``.
 
 When an input is missing or old: a back end without observations costs as much as one with the
-usual latency and no queue.
+typical latency and no queue.
 """
 
 from __future__ import annotations
@@ -31,32 +31,33 @@
 answers in a row raise it clearly, a single one counts for a quarter."""
 LATENCY_LIFETIME_S = 4.0
 """Time after which the latest answer no longer predicts the next call, seconds.  With 0.6 s a third
-fewer calls crossed zones, but the score of non-urgent requests was 0.004 lower where replicas were
-slow for seconds (0.9945 instead of 0.9984)."""
+fewer calls crossed zones, but the mean value of answers to non-urgent requests was 0.004 lower
+where replicas were slow for seconds (0.9945 instead of 0.9984)."""
 MAX_RELATIVE_LATENCY = 12.0
 """Upper bound of one answer's relative latency, so that a single long pause does not outweigh all
 earlier observations."""
 STALLED_LATENCY_FACTOR = 2.5
-"""Age of a call, as a multiple of the usual latency, above which its back end is considered
+"""Age of a call, as a multiple of the typical latency, above which its back end is considered
 stalled: above the latency of nearly all calls, but early enough to send the next call elsewhere."""
 STALLED_PENALTY = 6.0
-"""Cost added for a stalled back end, as a multiple of the usual latency.  Larger than the greatest
-handicap of another zone (``zone_preference.MAX_ADVANTAGE``), so that replicas in any zone are
-preferred to a stalled one."""
+"""Cost added for a stalled back end, as a multiple of the typical latency.  Larger than the
+greatest advantage that a remote replica needs (``zone_preference.MAX_ADVANTAGE``), so that replicas
+in any zone are preferred to a stalled one."""
 SUSPECT_FIRST_S = 0.3
 """For how long a back end is suspect after its first failure, seconds; the time doubles with each
 further failure without an answer in between."""
 SUSPECT_MAX_S = 2.0
 """Upper bound of that time, seconds, so that a recovered back end soon gets calls again."""
 SUSPECT_PENALTY = 20.0
-"""Cost added for a suspect back end, as a multiple of the usual latency.  Larger than a slow answer
-(:data:`MAX_RELATIVE_LATENCY`) and :data:`STALLED_PENALTY` together, so that it is tried last."""
+"""Cost added for a suspect back end, as a multiple of the typical latency.  Larger than a slow
+answer (:data:`MAX_RELATIVE_LATENCY`) and :data:`STALLED_PENALTY` together, so that it is tried
+last."""
 COLD_FACTOR = 1.6
 """Factor on the cost of a call to a cold back end: it is slower, but still gets calls where the
 other replicas are slower yet."""
 BACKLOG_LIFETIME_S = 0.8
-"""Time over which the weight of a reported queue falls to zero, seconds: within it queues fill or
-empty."""
+"""Time over which the weight of a reported queue falls to zero, seconds: queues fill or drain
+within this time."""
 SLOWDOWN_LIFETIME_S = 0.5
 """Time over which the weight of a reported slowdown falls to zero, seconds: back ends report a new
 one several times a second."""
@@ -94,8 +95,9 @@
 class BackendObservations(Struct, eq=False):
     """One back end as observed by this gateway.
 
-    :param relative_latency: moving average of latencies divided by their route's usual latency.
-    :param suspect_until: monotonic time until which other back ends are preferred.
+    :param relative_latency: moving average of latencies divided by their route's typical latency.
+    :param suspect_until: monotonic time until which the back end is suspect, so that others are
+        preferred.
     :param reported_backlog: calls running or waiting there by the newest report.
     :param reported_slowdown: factor on the duration of work there by its newest report; 1 is usual.
     :param typical_slowdown: moving average of the reported slowdowns; 0 before the first report.
@@ -135,7 +137,7 @@
         return call
 
     def drop_call(self, call: RunningCall) -> None:
-        """Drop a call that was withdrawn; it is no evidence about the back end."""
+        """Remove a call without recording an outcome: it is no evidence about the back end."""
         self.running.discard(call)
 
     def answered(self, call: RunningCall, now: float) -> None:
@@ -171,8 +173,8 @@
     ) -> bool:
         """Record a back end's load report.
 
-        The newest report wins, whichever gateway received it and in whichever order reports
-        arrive. So reports from other gateways may be late, duplicated or lost.
+        The newest report wins, regardless of which gateway received it and of the order of arrival.
+        Reports from other gateways may therefore be late, duplicated or lost.
 
         :param age_s: age of the report; 0 if the back end itself has just sent it.
         :return: whether it is newer than the known one.
@@ -199,8 +201,8 @@
     def shed(self, now: float, age_s: float = 0.0, backlog: int = 0) -> bool:
         """Record that the back end shed a call because its queue is full.
 
-        A back end that had no queue a moment ago sheds because of a fault of its own. That is no
-        evidence of load, and must not close the only back end of a service.
+        A back end without a recent queue sheds calls because of an internal fault. That is no
+        evidence of load, and must not stop all calls to the only back end of a service.
 
         :param backlog: calls that it held; 0 if unknown: the largest known backlog is assumed.
         :return: whether the back end is full and the report is newer than the known one.
@@ -232,7 +234,7 @@
         self.service_time_s += gain * (seconds - self.service_time_s)
 
     def expected_relative_latency(self, now: float) -> float:
-        """Return the expected latency of the next call, relative to its route's usual latency."""
+        """Return the expected latency of the next call, relative to its route's typical latency."""
         return self._decayed_latency(now) * self.current_slowdown(now)
 
     def current_slowdown(self, now: float) -> float:
@@ -294,7 +296,7 @@
         return decayed / max(1, self.slots)
 
     def cost(self, now: float) -> float:
-        """Return the expected duration of a call as a multiple of its route's usual latency."""
+        """Return the expected duration of a call as a multiple of its route's typical latency."""
         slots = max(1, self.slots)
         queued = max(0, len(self.running) + 1 - slots) / slots
         queued = max(queued, self._wait_in_service_times(now))
--- a/tinrudder/gateway/decisions/placement/coordinator_choice.py
+++ b/tinrudder/gateway/decisions/placement/coordinator_choice.py
@@ -1,13 +1,14 @@
 """Which gateways coordinate the scatters of an index, and which read the store for all gateways?
 
 A back end accepts a limited number of connections. In a small fleet each gateway calls the back
-ends itself. In a larger one a few coordinators in every zone do, and the other gateways forward
-their scatters to one of them: connections stay warm, and each coordinator gets enough answers from
-every back end to estimate its latency. While gateways disagree about the coordinators, more
-connections are opened, but no answer is lost: any gateway that is asked serves the scatter.
+ends itself. In a larger fleet only a few coordinators in every zone call them, and the other
+gateways forward their scatters to one of them: connections stay warm, and each coordinator gets
+enough answers from every back end to estimate its latency. While gateways disagree about the
+coordinators, more connections are opened, but no answer is lost: any gateway that is asked serves
+the scatter.
 
-Inputs: the gateways heard from within the last 15 s with zone and capacity (processor cores), the
-number of replicas of a shard, and the connections that a back end accepts.
+Inputs: the gateways that sent a message within the last 15 s with zone and capacity (processor
+cores), the number of replicas of a shard, and the connections that a back end accepts.
 
 Answer: the number of coordinators, the coordinators, and the order in which a gateway asks them.
 
@@ -16,8 +17,8 @@
 Shown by: log line ``coordination_changed``; metrics ``tinrudder_gateway_relayed``,
 ``tinrudder_gateway_coordinated`` and ``tinrudder_gateway_nodes``.
 
-When an input is missing or old: a gateway that hears from no other calls the back ends itself, and
-so does one whose coordinators do not accept a scatter.
+When an input is missing or old: a gateway that receives no messages from others calls the back ends
+itself, and so does one whose coordinators do not accept a scatter.
 """
 
 from __future__ import annotations
@@ -115,7 +116,7 @@
 def choose_readers(
     role: str, candidates: Iterable[Candidate], max_readers: int
 ) -> tuple[Candidate, ...]:
-    """Choose gateways that do some work on behalf of all, equally many in every zone.
+    """Choose gateways that read on behalf of all gateways, equally many in every zone.
 
     :param role: hash key; different roles fall on different gateways.
     :param max_readers: maximum total, rounded down to a multiple of the zones; at least one in
@@ -140,7 +141,7 @@
 def _best_in_each_zone(
     name: str, by_zone: dict[str, list[Candidate]], per_zone: int
 ) -> tuple[Candidate, ...]:
-    """Return the ``each`` highest-ranked candidates of every zone."""
+    """Return the ``per_zone`` highest-ranked candidates of every zone."""
     chosen: list[Candidate] = []
     for zone in sorted(by_zone):
         ranked = sorted(by_zone[zone], key=lambda one: _rank_key(name, one), reverse=True)
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -1,13 +1,13 @@
 """Which shards of a scatter are delegated to a gateway in the zone of their replicas?
 
-Traffic between zones is paid for. A gateway that asks shards without a replica in its own zone
+Traffic between zones costs money. A gateway that calls shards without a replica in its own zone
 fetches each shard's answer from another zone. If it delegates these shards to a gateway in the
 replicas' zone, only one request and one merged answer cross.
 
 Inputs: the zones of each shard's replicas, the observed sizes of shard answers and merged answers
 (bytes), the route's latencies, the time left and the round trip to the other gateway (seconds).
 
-Answer: groups of shards, each with the zones that serve it equally well; this gateway asks the
+Answer: groups of shards, each with the zones that serve it equally well; this gateway calls the
 remaining shards itself.
 
 Owns: nothing; it is a function of its inputs.
@@ -105,10 +105,10 @@
     replica_zones: Mapping[str, Collection[str]],
     sizes: ScatterSizes,
 ) -> tuple[ShardGroup, ...]:
-    """Return the groups of shards to delegate; this gateway asks the remaining shards itself.
+    """Return the groups of shards to delegate; this gateway calls the remaining shards itself.
 
-    The zone with replicas of the most remote shards comes first, grouped with all zones that have
-    replicas of exactly the same shards.
+    Starts with the zone that has replicas of the largest number of shards; all zones with replicas
+    of exactly the same shards share its group.
 
     :param zones: zones with gateways that accept delegated shards.
     :param replica_zones: the zones of each shard's replicas.
--- a/tinrudder/gateway/requests/service_admission.py
+++ b/tinrudder/gateway/requests/service_admission.py
@@ -2,8 +2,8 @@
 
 Owns the recent request rate of each tenant.  Depends on the rule in
 :mod:`tinrudder.gateway.decisions.admission.shared_service`, whose inputs are the queues that back
-ends reported to this gateway or to its peers, and the usual time of a call, seconds.  Scatters are
-admitted by :mod:`tinrudder.gateway.scatters.scatter_admission`.
+ends reported to this gateway or to its peers, and the typical time of a call, seconds.  Scatters
+are admitted by :mod:`tinrudder.gateway.scatters.scatter_admission`.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -45,11 +45,12 @@
     """Counters since the start of the process; each is exported as a metric with its own help text.
 
     :param repeats_denied: hedges and retries that the retry budget denied.
-    :param relayed: scatters handed to a coordinator.
-    :param relays_failed: hand-overs that the coordinator did not serve.
+    :param relayed: scatters that this gateway asked a coordinator to run.
+    :param relays_failed: delegated scatters or groups of shards that the other gateway did not
+        serve.
     :param relays_run_here: scatters run by this gateway because no coordinator served them.
     :param coordinated: scatters merged for other gateways.
-    :param delegated: groups of shards delegated to another gateway.
+    :param delegated: groups of shards that this gateway asked another one to call.
     :param delegations_run_here: delegated groups that this gateway called after all.
     """
 
@@ -72,7 +73,7 @@
 
 
 class ZoneAdvantage(Struct, frozen=True):
-    """By how much a back end of another zone must be faster, in usual latencies of the route.
+    """By how much a back end of another zone must be faster, in typical latencies of the route.
 
     :param at: when it was computed, by the loop's clock; it holds for this route and time only.
     """
@@ -218,7 +219,7 @@
     def typical_time_s(self, route: Route, backends: Sequence[BackendObservations]) -> float:
         """Return how long a call of a route takes without queueing, seconds.
 
-        Until this gateway has seen enough calls, the work times that other gateways reported are
+        Until this gateway has seen enough calls, the service times that other gateways reported are
         used.  A gateway with one call in twenty seconds would otherwise need minutes to learn the
         latency, and admit everything until then.
         """
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -1,11 +1,11 @@
 """Chooses the back end for a call.
 
-The inputs are the expected cost of each back end in usual latencies (observed latency, plus queues
-that it or other gateways reported), the zone of this gateway, and the usual latency of the route in
-seconds.  Back ends of the own zone are preferred as far as the latency objective allows
+The inputs are the expected cost of each back end in typical latencies (observed latency, plus
+queues that it or other gateways reported), the zone of this gateway, and the typical latency of the
+route in seconds.  Back ends of the own zone are preferred as far as the latency objective allows
 (:mod:`tinrudder.gateway.decisions.placement.zone_preference`), since traffic between zones costs
-money.  For a single service, which many gateways call a few times each, two back ends are sampled
-and the cheaper one is taken
+money.  For a single service, to which each of many gateways sends few calls, two back ends are
+sampled and the one with the lower expected cost is taken
 (:func:`tinrudder.gateway.decisions.admission.shared_service.draw_candidates`).
 
 Owns no state: the advantage of the own zone is cached in the call context, since it is the same for
@@ -56,11 +56,11 @@
 def _choose_single(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> Backend:
-    """Return a back end of a service that many gateways call a few times each.
+    """Return a back end of a service to which each of many gateways sends few calls.
 
     Most gateways have no observations of any back end.  If ties went to the first back end, it
-    would get the calls of all gateways: at half of the capacity of four back ends, 0.02 of the
-    arrivals were shed.
+    would get the calls of all gateways: at half the capacity of four back ends, a share of 0.02 of
+    the arrivals was shed.
     """
     advantage = _zone_advantage(call_context, candidates, route, now)
     sampled = draw_candidates(candidates, lambda one: one.observations, now, call_context.random)
@@ -80,7 +80,7 @@
 def _zone_advantage(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> float:
-    """Return by how much a back end of another zone must be faster, in usual latencies."""
+    """Return by how much a back end of another zone must be faster, in typical latencies."""
     for backend in candidates:
         local = backend.entry.zone == call_context.zone
         if local and is_slow(backend.observations.expected_relative_latency(now)):
--- a/tinrudder/gateway/scatters/typical_shard.py
+++ b/tinrudder/gateway/scatters/typical_shard.py
@@ -43,7 +43,7 @@
         return statistics.median(slots) / max(1, callers)
 
     def queue(self, now: float) -> float | None:
-        """Return the median wait for a slot, in usual call times; ``None`` without reports.
+        """Return the median wait for a slot, in typical call times; ``None`` without reports.
 
         :param now: monotonic time, seconds.
         """
