--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -164,7 +164,7 @@
 
 
 def _no_bytes() -> bytes | None:
-    """Withdraw a call that has ended."""
+    """Return no bytes: the call has ended."""
     return None
 
 
@@ -172,7 +172,7 @@
     """One call to a back end, queued or in flight.
 
     :param make_bytes: returns the request's bytes when they are sent, since the remaining time that
-        they carry shrinks; ``None`` withdraws the call.
+        they carry shrinks; ``None`` cancels the call.
     :param listener: called once with the outcome.
     :param deadline: monotonic time after which the answer is of no use.
     :param body_expected: whether an answer may have a body.
--- a/tinrudder/gateway/quotas/bucket_owner_choice.py
+++ b/tinrudder/gateway/quotas/bucket_owner_choice.py
@@ -15,7 +15,7 @@
 from tinrudder.gateway.peers.zone_monitor import ZoneMonitor
 
 AVOID_OWNER_S = 3.0
-"""How long an owner that did not answer is avoided, seconds: a paused gateway is not asked for each
+"""How long an owner that did not answer is avoided, seconds: a paused gateway does not delay each
 request, and a recovered one is soon used again."""
 CHOICE_LIFETIME_S = 0.5
 """How long a choice is cached, seconds: ranking 730 gateways takes 0.3 ms."""
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -41,8 +41,9 @@
 found, or the silent one is avoided."""
 
 UNACKNOWLEDGED_REQUESTS = 3
-"""Requests of a tenant that an entry gateway may admit before the bucket's owner has acknowledged
-them, at least: a client's first few run at once, and the margin above a limit covers them."""
+"""Minimum number of a tenant's requests that an entry gateway may admit before the bucket's owner
+has acknowledged them: a client's first few run at once, and the margin above a limit covers
+them."""
 UNACKNOWLEDGED_S = 0.05
 """The same in seconds of the tenant's rate, where that is more: two reports and their answers.
 Without this limit, a process that resumed after a pause admitted all requests sent meanwhile at
@@ -70,7 +71,8 @@
     """A report that is not answered yet.
 
     :param admitted: requests admitted since the previous report.
-    :param decide: takes the decision on one more request; ``None`` if the report asks for none.
+    :param decide: called with the decision on one more request; ``None`` if the report does not ask
+        for one.
     :param tried: owners asked so far.
     """
 
@@ -301,7 +303,7 @@
 
 
 def _refusal(pending: _Pending, verdict: QuotaVerdict) -> OverQuota | None:
-    """Return the refusal that an owner's verdict means for a request; ``None``: it may run."""
+    """Return the refusal of a request according to an owner's verdict; ``None``: it may run."""
     if verdict.granted:
         return None
     tenant = pending.tenant
--- a/tinrudder/gateway/requests/authentication.py
+++ b/tinrudder/gateway/requests/authentication.py
@@ -56,8 +56,8 @@
 class Authentication:
     """Looks up keys, and refuses requests without a valid one.
 
-    The final refusal, after which clients do not retry, is given only where a newly added key would
-    already be known.
+    An unknown key is refused finally, so that clients do not retry, only if this gateway would
+    already know a newly added key.
     """
 
     def __init__(
@@ -99,7 +99,7 @@
         return AuthenticatedRequest(without_credentials(request, tenant, self._names), tenant)
 
     def _refuse_unknown_key(self, identity: Unknown) -> RequestOutcome:
-        """Refuse an unknown key: finally, or with a retry if a newer configuration may have it."""
+        """Refuse an unknown key; a retry is allowed if a newer configuration may have it."""
         if self._is_fresh():
             return Unauthorized(identity.detail)
         return self._retry_later(f"{identity.detail}, and no word from store or peers lately")
--- a/tinrudder/gateway/requests/client_request.py
+++ b/tinrudder/gateway/requests/client_request.py
@@ -43,7 +43,7 @@
 
 
 class RequestOwner(Protocol):
-    """Receives the ends of the requests that it created.
+    """Creates requests, and is notified when they end.
 
     :ivar in_progress: requests whose run has started and not ended.
     """
@@ -52,7 +52,7 @@
     call_context: CallContext
 
     def refund_token(self, tenant: Tenant) -> None:
-        """Return a granted request that has not run to its tenant's quota."""
+        """Refund the quota token of a granted request that has not run."""
 
     def finished(self, request: FinishedRequest) -> None:
         """Record the end of one request in logs and metrics."""
@@ -90,7 +90,7 @@
     :ivar request_id: empty until it has been validated.
     :ivar version: the version of that configuration; 0 until it has been checked.
     :ivar route: ``None`` until the request has been routed.
-    :ivar granted: its tenant's quota counts it.
+    :ivar granted: it is counted against its tenant's quota.
     :ivar abandoned: its client has disconnected.
     """
 
@@ -101,7 +101,7 @@
         connection: ClientConnection,
         routes: RoutesInForce | None,
     ) -> None:
-        """Take this moment as the time of arrival."""
+        """Record the current time as the time of arrival."""
         self.http_request = http_request
         self.routes = routes
         self.request_id = b""
@@ -152,7 +152,7 @@
             self._owner.finished(self._finished(None))
 
     def refund_token(self) -> None:
-        """Return the request to its tenant's quota, if the quota counts it."""
+        """Refund the request's quota token, if it was counted against a quota."""
         if self.granted and self.tenant is not None:
             self.granted = False
             self._owner.refund_token(self.tenant)
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -2,9 +2,9 @@
 
 :data:`RULES` is the complete list, and the text of each refusal goes into the log line of the
 request.  The first rule that refuses ends the request; a rule may store a result (route, tenant,
-service) for the rules after it.  The order matters: a malformed request learns nothing about
-routes, a caller without a key learns nothing about back ends, and the most expensive rules come
-last.
+service) for the rules after it.  The order matters: the refusal of a malformed request reveals
+nothing about routes, that of a caller without a key nothing about back ends, and the most expensive
+rules come last.
 
 Owns no state.  Depends on the components that are grouped in :class:`RequestChecks`, each of which
 keeps its own state.  After these rules, a scatter can still be refused by the gateway that runs it
--- a/tinrudder/gateway/requests/request_handler.py
+++ b/tinrudder/gateway/requests/request_handler.py
@@ -49,7 +49,7 @@
 
     @property
     def closing(self) -> bool:
-        """Tell whether clients should use other gateways: on a planned stop or in a partition."""
+        """Return whether clients should use other gateways: on a planned stop or in a partition."""
         return self._stopping or self._checks.reachability.is_partitioned
 
     def stop(self) -> None:
@@ -114,7 +114,7 @@
         run.start()
 
     def refund_token(self, tenant: Tenant) -> None:
-        """Return a granted request that has not run to its tenant's quota."""
+        """Refund the quota token of a granted request that has not run."""
         self._checks.quotas.refund_token(tenant)
 
     def finished(self, request: FinishedRequest) -> None:
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -17,9 +17,9 @@
 from tinrudder.gateway.requests.api_keys import KeyIndex
 
 INITIAL_TURNS = 240
-"""Number of turns from which a rotation's first is drawn at random.  A number with many divisors
-holds whole rounds of most weights.  Gateways start at different turns, so that the shares of
-traffic hold over the fleet although each gateway sees few requests."""
+"""Upper bound of the random number of turns that a new rotation skips.  It has many divisors, so
+that it covers whole rounds for most weights.  Gateways start at different turns, so that the shares
+of traffic hold over the fleet although each gateway receives few requests."""
 
 
 class RoutesInForce(Struct):
--- a/tinrudder/gateway/runs/delegated_groups.py
+++ b/tinrudder/gateway/runs/delegated_groups.py
@@ -81,7 +81,7 @@
             self._not_started.pop(0).start()
 
     def cancel_unstarted(self) -> None:
-        """End all groups that have not been started, since back ends crash under the request."""
+        """End all groups that have not been started, since the request crashes back ends."""
         for group in self._not_started:
             group.cancel_unstarted()
         self._not_started.clear()
--- a/tinrudder/gateway/runs/hedge_timing.py
+++ b/tinrudder/gateway/runs/hedge_timing.py
@@ -17,8 +17,8 @@
 class HedgeTimes(Struct, frozen=True):
     """Times for the latest call of a shard, by the loop's clock, seconds.
 
-    :param overdue_at: when the call takes longer than most calls, which casts doubt on the network
-        path to its zone.
+    :param overdue_at: when the call has taken longer than most calls, so that the network path to
+        its zone becomes suspect.
     :param hedge_at: when a hedge is worth sending.
     """
 
@@ -47,7 +47,7 @@
         return overdue_at
     age_s = ages.age_s(left_s, budget_fill)
     if age_s is not None:
-        # The latencies do not show yet that a back end has just vanished.
+        # The latencies do not yet reflect a back end that has just stopped answering.
         return min(overdue_at, now + age_s)
     # No hedge would meet the objective.  If the answer is still missing then, a hedge can help
     # to meet the deadline.
--- a/tinrudder/gateway/runs/lost_calls.py
+++ b/tinrudder/gateway/runs/lost_calls.py
@@ -34,7 +34,7 @@
 
 
 def _suspect_crash(run: RunContext, attempt: Attempt) -> None:
-    """Record a crash under the request, and schedule a check for its back end's survival."""
+    """Record that a back end crashed while running the request, and schedule a survival check."""
     backend = attempt.backend
     if run.guard.note_crash(backend.entry.incarnation_id, canary=attempt.is_canary):
         loop = run.call_context.loop
--- a/tinrudder/gateway/runs/request_fingerprint.py
+++ b/tinrudder/gateway/runs/request_fingerprint.py
@@ -11,8 +11,8 @@
 from tinrudder.gateway.model.http_messages import HttpRequest, header_value
 
 FINGERPRINT_BYTES = 16
-"""Length of a fingerprint, bytes.  With 16 bytes nobody can find a request whose fingerprint equals
-that of another caller's request, which would make gateways take one for the other.
+"""Length of a fingerprint, bytes.  With 16 bytes it is infeasible to find a request whose
+fingerprint equals that of another caller's request, which gateways would then confuse with it.
 """
 _LENGTH_BYTES = 4
 """Size of the length prefix of each field, bytes: fields are shorter than 4 GB."""
--- a/tinrudder/gateway/runs/request_run.py
+++ b/tinrudder/gateway/runs/request_run.py
@@ -3,7 +3,7 @@
 Owns the shards of the run and one timer for all of them.  After every change it evaluates when to
 answer (:mod:`tinrudder.gateway.decisions.attempts.answer_time`).  :class:`ShardCalls` makes the
 calls of each shard, :class:`DelegatedGroups` handles the shards that other gateways call, and
-:class:`RunGuard` restricts the run after back ends have crashed under the request.
+:class:`RunGuard` restricts the run after back ends have crashed while running the request.
 """
 
 from __future__ import annotations
@@ -50,8 +50,8 @@
     ) -> None:
         """Prepare calls to ``services``: shards of the route, or the single service chosen.
 
-        :param minimum_share: least share of the shards that makes an answer; the route's if
-            ``None``.
+        :param minimum_share: minimum share of the shards that an answer must include; the route's
+            if ``None``.
         :param delegated: the other shards of the scatter, which other gateways call.
         """
         self._context = context
@@ -154,7 +154,7 @@
         self._was_unrestricted = is_unrestricted
 
     def _stop_sending(self) -> None:
-        """Stop sending, since back ends crash under this request."""
+        """Stop sending, since this request crashes back ends."""
         self._groups.cancel_unstarted()
         for shard in self.shards:
             if shard.part is None:
@@ -209,8 +209,8 @@
     def _call_missing_here(self, now: float) -> bool:
         """Call the shards missing from other gateways' answers; return whether there are any.
 
-        Each of these gateways answered at the objective, and could leave out as many shards as the
-        whole scatter may miss.  Together that can be too many.
+        Each of these gateways answered at the objective, and may have left out as many shards as
+        the whole scatter may lack.  Together that can be too many.
         """
         if not self._context.is_scatter or now >= self._context.deadlines.deadline_at:
             return False
--- a/tinrudder/gateway/runs/retry_rule.py
+++ b/tinrudder/gateway/runs/retry_rule.py
@@ -17,7 +17,7 @@
 :data:`RETRY_BACKOFF_S`, tries end after 0.8 s."""
 TRIES_AT_ONCE = 2
 """Number of tries, or of back ends chosen, below which the next try follows without back-off.  Most
-shards have two replicas, and the other one may well answer."""
+shards have two replicas, and the other one is likely to answer."""
 RETRY_BACKOFF_S = 0.03
 """Back-off for each try so far, seconds: it grows linearly, so that eight tries take 0.8 s."""
 NO_BACKOFF = 0.0
@@ -42,7 +42,7 @@
 def retry_backoff_s(
     done: ShardTries, *, at_once: bool, connection_refused: bool = False
 ) -> float | None:
-    """Return the back-off before the next try, seconds; ``None`` if there is to be none.
+    """Return the back-off before the next try, seconds; ``None`` for no further try.
 
     :param at_once: whether another replica may be tried without back-off.
     :param connection_refused: whether the back end refused the connection; the caller then excludes
--- a/tinrudder/gateway/runs/run_guard.py
+++ b/tinrudder/gateway/runs/run_guard.py
@@ -1,4 +1,4 @@
-"""Limits what a run may send after back ends have crashed under its request.
+"""Limits what a run may send after back ends have crashed while running its request.
 
 Owns the crash state of one run: calls in progress, lost calls, whether a back end has answered.
 Other tries of the same request are known from the evidence shared by all gateways
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -1,8 +1,8 @@
 """Makes the calls of one shard for one request: the first call, hedges and retries.
 
 A *hedge* is sent while another call is in progress, a *retry* after a call has failed.  Both are
-*repeats*, charged to the retry budget of the shard's service.  The route says whether a request is
-repeatable; one that is not runs at most once.
+*repeats*, charged to the retry budget of the shard's service.  A request runs at most once unless
+its route is repeatable.
 
 Owns the calls until one is answered or nothing more can be tried.  The run calls
 :meth:`ShardCalls.on_due` at :attr:`ShardCalls.next_at`, the run's guard decides what may be sent
@@ -241,7 +241,7 @@
                 self._run.call_context.zone_unanswered(zone, attempt.running.sent_at)
 
     def _is_blocked(self, now: float) -> bool:
-        """Return whether the guard forbids sending now; schedule the next check, if any."""
+        """Return whether the guard forbids sending now; for a hold, schedule the next check."""
         permission = self._run.guard.permission(now)
         if permission is Permission.HOLD:
             self.next_at = now + HOLD_POLL_INTERVAL_S
@@ -252,9 +252,9 @@
     def _may_send(self, attempt: Attempt, now: float) -> bool:
         """Return whether a call may be sent, checked right before its bytes are written.
 
-        While it waited for a connection, back ends may have crashed under the request, the chosen
-        back end may have begun to drain, and other calls of the shard may have been sent, so that
-        this one exceeds a limit or has become a repeat that was not charged to the budget.
+        While it waited for a connection, back ends may have crashed while running the request, the
+        chosen back end may have begun to drain, and other calls of the shard may have been sent, so
+        that this one exceeds a limit or has become a repeat that was not charged to the budget.
         """
         if self._run.guard.permission(now) is not Permission.SEND:
             return False
@@ -264,7 +264,7 @@
             return False
         if attempt.uses_retry_budget or not self._next_is_repeat:
             return True
-        # It was prepared as the first call, but another one was sent meanwhile: it is a hedge now.
+        # Prepared as the first call, but another one was sent meanwhile, so this is now a hedge.
         return self._may_repeat(now, hedge=True)
 
     def _may_repeat(self, now: float, *, hedge: bool) -> bool:
@@ -362,10 +362,10 @@
         self._on_failure(f"answered with {answer.status}", now, at_once=True)
 
     def _on_rejection(self, error: str, now: float) -> None:
-        """Retry, unless the service is known to have no capacity in time.
+        """Retry, unless the service is known to have no back end that can answer in time.
 
-        Each retry occupies a place in a queue or is rejected too, and is charged to the retry
-        budget of the whole fleet: at 1.4 times the capacity of four back ends, 0.4 of the calls
+        Each such retry occupies a place in a queue or is rejected too, and is charged to the retry
+        budget of the whole fleet: at 1.4 times the capacity of four back ends, 0.4 of all calls
         were such retries.
         """
         left_s = min(self._run.request.deadline_at - now, self._run.route.objective_s)
--- a/tinrudder/gateway/runs/shard_replicas.py
+++ b/tinrudder/gateway/runs/shard_replicas.py
@@ -3,8 +3,9 @@
 Owns the sets of back ends that were chosen, that may have run the request, and that refused a
 connection.  The directory decides which back ends accept new calls at all.
 
-At most ``attempts`` back ends (a setting of the route) may run one request, in whatever order
-connections are established and calls end.  Those that may already run it can be called again.
+At most ``attempts`` back ends (a setting of the route) may run one request, regardless of the order
+in which connections are established and calls end.  A back end that may already run it can be
+called again.
 """
 
 from __future__ import annotations
--- a/tinrudder/gateway/runs/shard_tally.py
+++ b/tinrudder/gateway/runs/shard_tally.py
@@ -1,4 +1,4 @@
-"""Counts the shards of one run that have answered or failed, without those of other gateways.
+"""Counts the shards called by this gateway that have answered or failed in one run.
 
 Owns the counts used to decide when a run ends, and the buffered bytes of answers that wait to be
 merged.  The counts are updated with each change of a shard: a scatter is evaluated at least once
--- a/tinrudder/gateway/scatters/coordination.py
+++ b/tinrudder/gateway/scatters/coordination.py
@@ -1,4 +1,4 @@
-"""Which gateways call the back ends of one index: this one, coordinators, or others for a part.
+"""Which gateways call the back ends of one index, in the view of one gateway.
 
 Values only; :mod:`tinrudder.gateway.scatters.coordinators` decides them.
 """
@@ -35,8 +35,8 @@
     :param calls_backends: whether this gateway calls the back ends itself.
     :param preferred_coordinators: the coordinators to ask, best first; empty if ``calls_backends``.
     :param callers: how many gateways call the back ends, including this one if ``calls_backends``.
-    :param budget_parts: this gateway's share of the fleet's hedges and retries is one divided by
-        this.
+    :param budget_parts: number of equal parts into which the fleet's budget of hedges and retries
+        is divided; this gateway has one.
     :param decided_at: monotonic time of the decision, seconds.
     :param delegated: if ``calls_backends``, the shards that gateways in the zones of their
         replicas call.
--- a/tinrudder/gateway/scatters/coordinator_backoff.py
+++ b/tinrudder/gateway/scatters/coordinator_backoff.py
@@ -47,6 +47,6 @@
         self._avoided.pop(coordinator, None)
 
     def avoids(self, coordinator: Address, now: float) -> bool:
-        """Tell whether a gateway is in back-off."""
+        """Return whether a gateway is in back-off."""
         avoided = self._avoided.get(coordinator)
         return avoided is not None and now < avoided.until
--- a/tinrudder/gateway/scatters/coordinators.py
+++ b/tinrudder/gateway/scatters/coordinators.py
@@ -1,4 +1,4 @@
-"""Decides which gateways call the back ends of an index: all, or a few coordinators for the rest.
+"""Decides which gateways call the back ends of an index: all of them, or only a few coordinators.
 
 Shards without a replica in a gateway's zone are delegated to a gateway in a zone that has one.
 Owns each index's decision, cached for half a second, and the back-off of gateways that failed.
--- a/tinrudder/gateway/scatters/delegated_scatter.py
+++ b/tinrudder/gateway/scatters/delegated_scatter.py
@@ -36,9 +36,9 @@
     """One scatter: asks coordinators one after another, and runs the scatter here if all fail.
 
     A coordinator that does not accept the scatter in time is treated as failed, and the next one is
-    asked.  That is safe: the first either does not begin without a confirmation, or its calls
-    cannot exceed the attempt limit.  If a coordinator had begun, its calls cannot be counted, so
-    the scatter is not sent again.
+    asked.  That is safe: the first coordinator either does not begin without a confirmation, or the
+    calls of both cannot exceed the attempt limit.  If a coordinator is lost after it has begun, its
+    calls cannot be counted, so the scatter is not sent again.
     """
 
     def __init__(
@@ -142,7 +142,7 @@
 
     @property
     def _may_ask_again(self) -> bool:
-        """Tell whether there is time, and no coordinator was lost after it had begun."""
+        """Return whether there is time, and no coordinator was lost after it had begun."""
         return not self._coordinator_lost and self._time_left_s > ANSWER_MARGIN_S
 
     @property
--- a/tinrudder/gateway/scatters/delegated_shards.py
+++ b/tinrudder/gateway/scatters/delegated_shards.py
@@ -72,7 +72,7 @@
         deadlines: Deadlines,
         delegation_context: DelegationContext,
     ) -> None:
-        """Prepare the group; set :attr:`on_end` before :meth:`start`."""
+        """Prepare the group; the caller sets :attr:`on_end` before :meth:`start`."""
         self.services = delegation.services
         self.on_end: Callable[[DelegatedShards], None] = lambda _: None
         self.pending = True
--- a/tinrudder/gateway/scatters/delegation.py
+++ b/tinrudder/gateway/scatters/delegation.py
@@ -1,8 +1,9 @@
 """Delegates a scatter, or some of its shards, to another gateway, and classifies the outcome.
 
 Owns the timeouts for another gateway to accept a scatter and to answer it. Depends on the client
-for requests between gateways, which guarantees that an unconfirmed request never begins, unless it
-was sent to begin at once. Reports every outcome to the coordinators' back-off and the zone monitor.
+for requests between gateways, which guarantees that the other gateway does not begin before its
+acceptance is confirmed, unless it was asked to begin at once. Reports every outcome to the
+coordinators' back-off and the zone monitor.
 """
 
 from __future__ import annotations
@@ -25,8 +26,8 @@
 """How long before the client's deadline another gateway must answer, seconds: several times the
 path between zones, and the merge."""
 ACCEPTANCE_SHARE = 0.3
-"""Part of the time to the objective in which another gateway must accept a scatter: if it does not,
-a second gateway still has most of that time."""
+"""Part of the time to the objective in which another gateway must accept a scatter, so that most of
+the time is left for a second gateway."""
 MIN_ACCEPTANCE_S = 0.025
 """Shortest acceptance timeout, seconds: several round trips between zones (some 2 to 6 ms each), so
 that a busy gateway is not treated as failed."""
@@ -45,7 +46,8 @@
 class Unconfirmed:
     """The other gateway did not accept in time, and may begin nevertheless.
 
-    A cancellation is sent, so it sends calls only if it begins before it reads that.
+    A cancellation is sent, so that it sends calls only if it begins before it reads the
+    cancellation.
     """
 
     detail: str
@@ -111,7 +113,7 @@
 def may_begin_at_once(
     delegation_context: DelegationContext, route: Route, shards: Iterable[str]
 ) -> bool:
-    """Tell whether calls by two gateways to the same shards would stay within the attempt limit.
+    """Return whether calls by two gateways to the same shards would stay within the attempt limit.
 
     A gateway that was paused may begin after another one has been asked in its place.  If both
     together could call too many replicas, a gateway begins only after its acceptance has been
--- a/tinrudder/gateway/scatters/delegation_context.py
+++ b/tinrudder/gateway/scatters/delegation_context.py
@@ -20,7 +20,7 @@
 
 
 class DelegationContext(Struct, frozen=True):
-    """What delegation needs to choose, reach and observe other gateways.
+    """The components with which delegation chooses, calls and observes other gateways.
 
     :param zone_monitor: receives which gateways answered and which did not.
     :param configuration: returns the configuration in force.
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -111,7 +111,7 @@
         return routes, route
 
     def _is_older_than(self, scatter: ScatterRequest) -> bool:
-        """Tell whether the configuration here is older than the delegating gateway's.
+        """Return whether the configuration here is older than the delegating gateway's.
 
         Compares the operator's versions, as revisions may go back with the store.  Gateways with
         older software send only a revision.
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -28,8 +28,8 @@
 from tinrudder.timers import TimerHandle
 
 SLOTS_LIFETIME_S = 1.0
-"""How long a gateway's computed part of the slots is kept, seconds: back ends and gateways come and
-go within seconds."""
+"""How long a gateway's computed share of the slots is cached, seconds: back ends and gateways start
+and stop within seconds."""
 
 
 class ScatterAdmission:
@@ -149,7 +149,7 @@
         ticket.waiting.refuse(NotRun(str(refusal), retry_s), now)
 
     def _retry_after_s(self, scatter: QueuedScatter, refusal: ScatterRefusal, now: float) -> float:
-        """Return the ``Retry-After``: when there will be room, after callers refused earlier.
+        """Return the ``Retry-After``: when there will be room, after the callers refused before.
 
         Room is reserved only for callers that would wait that long; the others get the expected
         time, at most their deadline.
--- a/tinrudder/gateway/scatters/scatter_planner.py
+++ b/tinrudder/gateway/scatters/scatter_planner.py
@@ -80,7 +80,7 @@
         ]
 
     def _in_time(self, delegation: Delegation, route: Route, deadlines: Deadlines) -> bool:
-        """Tell whether the path to another gateway leaves enough time for its calls."""
+        """Return whether the path to another gateway leaves enough time for its calls."""
         left_s = deadlines.objective_at - self._call_context.loop.time()
         round_trip_s = self._delegation_context.round_trip(delegation.coordinator).allowance_s
         return delegation_meets_deadline(self._call_context.latency(route), left_s, round_trip_s)
