--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -32,7 +32,7 @@
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, typical_latency_s
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BATCH_DELAY_S,
     DATAGRAM_BYTES,
     LOAD_BYTES,
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tinrudder.gateway.backends.load_report_exchange import instance_hash_of
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BURST_BYTES,
     BYTES_PER_S,
     DATAGRAM_BYTES,
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BURST_BYTES,
     BYTES_PER_S,
     DATAGRAM_BYTES,
--- a/tests/unit/gateway/test_load_news_exchange.py
+++ b/tests/unit/gateway/test_load_news_exchange.py
@@ -16,7 +16,7 @@
     LoadReportExchange,
     instance_hash_of,
 )
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BATCH_DELAY_S,
     BURST_BYTES,
     BYTES_PER_S,
--- a/tinrudder/gateway/backends/load_report_exchange.py
+++ b/tinrudder/gateway/backends/load_report_exchange.py
@@ -3,7 +3,7 @@
 A gateway sends only loads that were reported in answers to its own calls, so received reports are
 never forwarded and reports cease when the queues are gone. Owns the reports to be sent and the
 services that have long queues; received reports are stored in the back ends' observations.
-:class:`~tinrudder.gateway.decisions.fleet.load_news.PendingReports` bounds what is sent.
+:class:`~tinrudder.gateway.decisions.fleet.peer_load_reports.PendingReports` bounds what is sent.
 """
 
 from __future__ import annotations
@@ -14,7 +14,7 @@
 from tinrudder.common.address import Address
 from tinrudder.common.logs import LogValue, log_event
 from tinrudder.gateway.backends.backend import Backend
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BATCH_DELAY_S,
     MAX_REPORT_AGE_S,
     RETRY_INTERVAL_S,
--- a/tinrudder/gateway/peers/peer_messages.py
+++ b/tinrudder/gateway/peers/peer_messages.py
@@ -11,7 +11,7 @@
 
 from tinrudder.common.address import Address
 from tinrudder.gateway.decisions.admission.token_buckets import HeldTokens
-from tinrudder.gateway.decisions.fleet.load_news import ReportedLoad
+from tinrudder.gateway.decisions.fleet.peer_load_reports import ReportedLoad
 from tinrudder.gateway.model.http_messages import HttpRequest
 from tinrudder.gateway.model.outcomes import RequestOutcome
 from tinrudder.gateway.store.store_revision import StoreRevision, TopicPosition
--- a/tinrudder/gateway/wire/load_news_codec.py
+++ b/tinrudder/gateway/wire/load_news_codec.py
@@ -5,7 +5,7 @@
 
 from __future__ import annotations
 
-from tinrudder.gateway.decisions.fleet.load_news import ReportedLoad
+from tinrudder.gateway.decisions.fleet.peer_load_reports import ReportedLoad
 from tinrudder.gateway.peers.peer_messages import LoadNews
 from tinrudder.gateway.wire import peer_datagram_pb2 as pb
 from tinrudder.gateway.wire.snapshot_codec import MILLISECONDS_PER_S, milliseconds_rounded_up
--- a/tinrudder/gateway/wiring.py
+++ b/tinrudder/gateway/wiring.py
@@ -207,8 +207,10 @@
     fleet.zone_monitor.subscribe(coordinators.discard_decisions)
     directory = _build_directory(context, process, state, fleet, coordinators)
     poison_watch = _build_poison_watch(context, state, fleet)
-    load_news = LoadReportExchange(fleet.peers, fleet.datagrams, context.loop, lambda: directory)
-    state.subscribe(load_news.refresh)
+    load_report_exchange = LoadReportExchange(
+        fleet.peers, fleet.datagrams, context.loop, lambda: directory
+    )
+    state.subscribe(load_report_exchange.refresh)
     call_context = CallContext(
         loop=context.loop,
         names=context.names,
@@ -221,14 +223,14 @@
         evidence=poison_watch,
         counters=process.counters,
         own_name=str(context.own),
-        load_listener=load_news,
+        load_listener=load_report_exchange,
         random=random.Random(f"forwarding {context.settings.name}"),
         memory=process.memory,
         zone_answered=fleet.zone_monitor.answered,
         zone_unanswered=fleet.zone_monitor.note_unanswered,
     )
     coordinators.connect(directory.replica_zones, call_context.sizes)
-    return BackendParts(coordinators, directory, poison_watch, load_news, call_context)
+    return BackendParts(coordinators, directory, poison_watch, load_report_exchange, call_context)
 
 
 def _build_coordinators(
