--- a/tests/unit/gateway/decisions/test_scatter_queue.py
+++ b/tests/unit/gateway/decisions/test_scatter_queue.py
@@ -215,7 +215,7 @@
             while queue.next_ready(held) is not None:
                 held += 1.0
             queue.refuse_too_late(held, now)
-            assert not len(queue) or not queue.room.has_room_for_another(held)
+            assert not len(queue) or not queue.concurrency.has_room_for_another(held)
             assert held <= FULL + 1.0 - MIN_FREE_ROOM
 
 
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -62,10 +62,10 @@
     its value: with retrying callers first, 1,732 of 4,414 were served in time in a burst of six
     seconds, with new callers first 2,457; then by the earliest objective.
 
-    :param room: the concurrency limit.
+    :param concurrency: the concurrency limit.
     """
 
-    room: ScatterConcurrency = field(default_factory=ScatterConcurrency)
+    concurrency: ScatterConcurrency = field(default_factory=ScatterConcurrency)
     _waiting: list[QueuedScatter] = field(default_factory=list)
     _nonempty_since: float = 0.0
     _overload_until: float = 0.0
@@ -102,7 +102,7 @@
         if held_by_urgent is not None and not scatter.late:
             held = held_by_urgent
         ahead = bisect.bisect(self._waiting, scatter.order, key=_order)
-        if not ahead and self.room.has_room_for_another(held):
+        if not ahead and self.concurrency.has_room_for_another(held):
             self._turns.take(scatter, self._waiting)
             self._turns.start(scatter)
             return True
@@ -129,7 +129,7 @@
 
         :param held: room held by running scatters that take precedence over the first waiting one.
         """
-        if not self._waiting or not self.room.has_room_for_another(held):
+        if not self._waiting or not self.concurrency.has_room_for_another(held):
             return None
         scatter = self._waiting.pop(0)
         self._turns.start(scatter)
@@ -193,7 +193,7 @@
             not scatter.late
             and ahead
             and self._is_overloaded(now)
-            and self.room.wait_s(held, ahead) > overload_wait_s
+            and self.concurrency.wait_s(held, ahead) > overload_wait_s
         ):
             self._overload_until = now + OVERLOAD_HOLD_S
             max_wait_s = overload_wait_s
@@ -223,7 +223,7 @@
         self, scatter: QueuedScatter, ahead: int, held: float, max_wait_s: float
     ) -> ScatterRefusal | None:
         """Return a refusal if the expected wait exceeds the acceptable one."""
-        expected_s = self.room.wait_s(held, ahead)
+        expected_s = self.concurrency.wait_s(held, ahead)
         if max_wait_s > 0.0 and expected_s <= max_wait_s:
             return None
         return ScatterRefusal(
@@ -232,7 +232,7 @@
             expected_s,
             max(0.0, max_wait_s),
             held,
-            self.room.limit,
+            self.concurrency.limit,
             len(self._waiting),
         )
 
--- a/tinrudder/gateway/decisions/admission/tenant_shares.py
+++ b/tinrudder/gateway/decisions/admission/tenant_shares.py
@@ -64,7 +64,9 @@
             return share
         demand = {name: one.now(now) for name, one in self._demand.items()}
         self._demand = {
-            name: self._demand[name] for name, a in demand.items() if a >= MIN_TRACKED_REQUESTS
+            name: self._demand[name]
+            for name, amount in demand.items()
+            if amount >= MIN_TRACKED_REQUESTS
         }
         own = demand.get(tenant, 0.0)
         if own <= 0.0:
@@ -81,10 +83,10 @@
     2.0
     """
     left = share * sum(demand)
-    waiting = sorted(demand)
-    for place, amount in enumerate(waiting):
-        limit = left / (len(waiting) - place)
+    ascending = sorted(demand)
+    for place, amount in enumerate(ascending):
+        limit = left / (len(ascending) - place)
         if amount >= limit:
             return limit
         left -= amount
-    return waiting[-1] if waiting else 0.0
+    return ascending[-1] if ascending else 0.0
--- a/tinrudder/gateway/decisions/admission/token_buckets.py
+++ b/tinrudder/gateway/decisions/admission/token_buckets.py
@@ -240,7 +240,7 @@
     return pressed_s
 
 
-def grantable_share(heard_share: float, excess: float) -> float:
+def grantable_share(reachable_share: float, excess: float) -> float:
     """Return the part of a tenant's rate that an owner may grant if it reaches some of the fleet.
 
     In a network partition at most one side reaches more than half of the fleet. All other sides
@@ -250,8 +250,8 @@
     >>> grantable_share(0.75, excess=0.25), grantable_share(0.25, excess=0.25)
     (1.0, 0.125)
     """
-    if heard_share > 0.5:
+    if reachable_share > 0.5:
         return 1.0
-    if heard_share == 0.5:
+    if reachable_share == 0.5:
         return min(1.0, (1.0 + excess) / 2.0)
-    return min(1.0, 2.0 * excess) * heard_share
+    return min(1.0, 2.0 * excess) * reachable_share
--- a/tinrudder/gateway/decisions/placement/backend_observations.py
+++ b/tinrudder/gateway/decisions/placement/backend_observations.py
@@ -210,8 +210,8 @@
         slots = max(1, self.slots)
         if not (self.had_recent_queue(now) or backlog > slots):
             return False
-        most = max(self.max_backlog, int(MIN_FULL_BACKLOG_PER_SLOT * slots))
-        backlog = backlog or most
+        largest_backlog = max(self.max_backlog, int(MIN_FULL_BACKLOG_PER_SLOT * slots))
+        backlog = backlog or largest_backlog
         if now - age_s > self.full_at:
             self.full_backlog = backlog
             self.full_at = now - age_s
--- a/tinrudder/gateway/scatters/scatter_admission.py
+++ b/tinrudder/gateway/scatters/scatter_admission.py
@@ -98,7 +98,7 @@
         now = self._call_context.loop.time()
         if ticket.run is not None and ticket in self._running:
             self._running.discard(ticket)
-            self.queue.room.note_hold(ticket.run.hold_s(now))
+            self.queue.concurrency.note_hold(ticket.run.hold_s(now))
             ticket.run.on_progress = _ignore_progress
         if ticket.scatter is not None and self._waiting.pop(ticket.scatter, None) is not None:
             self.queue.leave(ticket.scatter)
@@ -160,7 +160,7 @@
         if room_in_s + scatter.typical_time_s > left_s:
             return left_s
         if is_retry_in_time(room_in_s, left_s):
-            start_rate_per_s = self.queue.room.start_rate_per_s
+            start_rate_per_s = self.queue.concurrency.start_rate_per_s
             self._reserved_until[refusal.priority] = room_at + (
                 1.0 / start_rate_per_s if start_rate_per_s else 0.0
             )
@@ -182,23 +182,23 @@
         """Return how long a scatter of a route takes without queueing, seconds."""
         unloaded = self._call_context.unloaded_latency(route)
         if len(unloaded) < MINIMUM_OBSERVATIONS:
-            return self.queue.room.hold_s * SERVICE_TIME_FACTOR
+            return self.queue.concurrency.hold_s * SERVICE_TIME_FACTOR
         return unloaded.quantile(0.5) * SERVICE_TIME_FACTOR
 
     def _update_limit(self, now: float) -> None:
         """Adapt the limit to the fleet and, if it is in use or has changed, to reported queues."""
-        room = self.queue.room
+        concurrency = self.queue.concurrency
         if self._slots_updated_at is None or now - self._slots_updated_at >= SLOTS_LIFETIME_S:
             self._slots_updated_at = now
             slots = self._typical_shard.own_slots()
             if slots:
-                room.set_own_slots(slots)
-        in_use = bool(self.queue) or not room.has_room_for_another(self.held)
-        if not room.may_adjust(now) or not (in_use or room.is_adjusted):
+                concurrency.set_own_slots(slots)
+        in_use = bool(self.queue) or not concurrency.has_room_for_another(self.held)
+        if not concurrency.may_adjust(now) or not (in_use or concurrency.is_adjusted):
             return
         queue = self._typical_shard.queue(now)
         if queue is not None:
-            room.adjust(queue, now, in_use=in_use)
+            concurrency.adjust(queue, now, in_use=in_use)
 
 
 class ScatterAdmissions:
@@ -241,7 +241,7 @@
     @property
     def limit(self) -> float:
         """Return the sum of the concurrency limits, in scatters."""
-        return sum(one.queue.room.limit for one in self._by_index.values())
+        return sum(one.queue.concurrency.limit for one in self._by_index.values())
 
 
 def _ignore_progress() -> None:
