--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -38,7 +38,8 @@
 """Time of an event that has not happened, monotonic seconds."""
 FIRST_BAR_S = 20.0
 """How long a request is barred after its first failed trial, seconds. Short, so that an innocent
-request is soon free again if a failing rack took down its back ends and that of its trial."""
+request is soon allowed again if a rack failure took down its back ends, including that of its
+trial."""
 BAR_GROWTH = 6.0
 """Factor by which each further failed trial lengthens the bar. With :data:`FIRST_BAR_S` and
 :data:`MAX_BAR_S` a poison request costs one more back end at 20, 140 and 860 s, then one an
--- a/tinrudder/gateway/decisions/admission/memory_bound.py
+++ b/tinrudder/gateway/decisions/admission/memory_bound.py
@@ -34,8 +34,8 @@
 is joined, merged, encoded or queued for a socket, and the allocator does not return all freed
 memory: 43 MB accounted became 51 MB resident."""
 MIN_ACCOUNT_BYTES = 8 * BYTES_PER_MB
-"""Smallest account, however little memory is configured, bytes: the configured figure may mean
-something else, and a gateway that refuses everything serves nobody. Has room for thirty of the
+"""Smallest account, regardless of the configured memory, bytes: the configured figure may mean
+something else, and a gateway that refuses every request is useless. Has room for thirty of the
 largest bodies."""
 URGENT_FILL = 0.95
 """Fill level, 0 to 1, from which the most urgent requests are refused. Leaves room for the growth
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -49,8 +49,8 @@
 MIN_ALERT_REQUESTS = 2
 """Number of different requests that must have lost a back end in a trial to raise an alert for
 their origin. A single such request is barred when it is sent again, without an alert. Starting all
-requests of a route as canaries costs each of them a call's time, and 0.03 to 0.15 of the answers'
-value on a calm day."""
+requests of a route as canaries delays each of them by a call's time, which costs 0.03 to 0.15 of
+the answers' value on a calm day."""
 MIN_RESTART_S = 0.5
 """Shortest restart of a back end, seconds: an answer to a call sent within this time after a loss
 comes from the old process. Observed restarts take seconds until the process listens again."""
--- a/tinrudder/gateway/decisions/admission/queued_scatter.py
+++ b/tinrudder/gateway/decisions/admission/queued_scatter.py
@@ -37,7 +37,7 @@
 
     @property
     def order(self) -> tuple[bool, int, int, bool, float, int]:
-        """Return the sort key; the smallest goes first.
+        """Return the sort key; the smallest is the first in the queue.
 
         Scatters that can no longer meet their objective have little value, and are last regardless
         of priority.
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -9,8 +9,8 @@
 
 Answer: started, waiting, or a refusal with the figures that decided it.
 
-Owns: the scatters of one index that wait at this gateway, in their order; each leaves the queue by
-a start, a refusal or its caller's disconnect.
+Owns: the scatters of one index that wait at this gateway, in their order; each leaves the queue
+when it starts, is refused, or its caller disconnects.
 
 Shown by: log line ``request`` with a detail that begins with overload and names place, wait and
 room; metrics ``tinrudder_gateway_scatters_waiting`` and ``tinrudder_gateway_refused``.
@@ -92,11 +92,11 @@
 
         :param held: room that running scatters hold.
         :param held_by_urgent: the part of ``held`` that belongs to scatters of at least the same
-            urgency; only this part can keep the scatter from starting. ``None``: all of it. Less
-            urgent scatters may have taken all free room, and an urgent one cannot wait until they
-            have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load of a
-            less urgent kind for 6 s, 43 were in time and 23 refused when all room counted, 71 and
-            none with this rule.
+            urgency; only this part can keep the scatter from starting. ``None``: all of it.
+            Otherwise less urgent scatters could hold all room, and an urgent one cannot wait until
+            they have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load
+            of a less urgent kind for 6 s, 43 were in time and 23 refused when all room counted, 71
+            and none with this rule.
         """
         self._prepare(scatter, now)
         if held_by_urgent is not None and not scatter.late:
--- a/tinrudder/gateway/decisions/admission/tenant_turns.py
+++ b/tinrudder/gateway/decisions/admission/tenant_turns.py
@@ -6,7 +6,7 @@
 Inputs: the scatters of one index at one gateway as they arrive, start and leave, with priority and
 tenant.
 
-Answer: the turn of a scatter, an integer: the smaller goes first. A scatter without a tenant gets
+Answer: the turn of a scatter, an integer: the smaller starts first. A scatter without a tenant gets
 the turn currently being served.
 
 Owns: the current turn of each priority and the next turn of each tenant; the number of tenants with
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -2,10 +2,10 @@
 
 In every sliding window all gateways together may send a service a ratio of extra calls (hedges and
 retries) per request, plus a fixed number, although they share no counter. Each gateway spends the
-ratio of its own requests and an equal part of the fixed number. The ratio parts add up by
-themselves. The fixed parts stay within the bound if no gateway underestimates the number of
-gateways, and if a restarted one, which has lost its counts, spends for one window only what its
-earlier incarnations leave unused.
+ratio of its own requests and an equal part of the fixed number. The ratio needs no coordination,
+since requests add up over the gateways. The fixed parts stay within the bound if no gateway
+underestimates the number of gateways, and if a restarted gateway, which has lost its counts, spends
+for one window only the part that its earlier incarnation left unused.
 
 Inputs: the bounds of the deployment (ratio of extra calls to requests, fixed number of calls,
 window in seconds), the requests and extra calls of this gateway, and the number of parts into which
--- a/tinrudder/gateway/decisions/placement/cold_start_rate.py
+++ b/tinrudder/gateway/decisions/placement/cold_start_rate.py
@@ -7,7 +7,7 @@
 sends its calls to other replicas.
 
 Inputs: the rate of the deployment (calls a second from all gateways), the gateways that call the
-back end as this one sees them, and the calls it has sent in the last second.
+back end in this gateway's view, and the calls it has sent in the last second.
 
 Answer: whether a call may be sent now.
 
@@ -37,7 +37,7 @@
 
 
 class Callers(Struct, frozen=True):
-    """The gateways that call the back ends of a service, as one of them sees them.
+    """The gateways that call the back ends of a service, in the view of one of them.
 
     :param names: names of the known ones.
     :param count: estimated number of callers; just after a start it exceeds the known ones.
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -181,6 +181,8 @@
     :param body_bytes: size of a body that counts against the limit of body bytes in transit to the
         back end; 0: too small to count.
     :param sent_at: monotonic time at which bytes were sent, ``None`` before.
+    :param finished: whether the outcome was reported, or will not be.
+    :param carrier: the pool in which the call waits, or the connection over which it was sent.
     """
 
     make_bytes: Callable[[], bytes | None]
--- a/tinrudder/gateway/quotas/bucket_owner.py
+++ b/tinrudder/gateway/quotas/bucket_owner.py
@@ -28,8 +28,8 @@
 BROADCAST_NUMBER = 0
 """Report number of a broadcast verdict, which answers no report."""
 MAX_ISOLATED_SHARE = 0.49
-"""Maximum share of the fleet assumed by a gateway that no owner answers: a share above half would
-grant the whole rate."""
+"""Maximum share of the fleet that a gateway without an answer from any owner assumes for itself:
+with more than half it would grant the whole rate."""
 
 
 class BucketOwner:
--- a/tinrudder/gateway/quotas/quotas.py
+++ b/tinrudder/gateway/quotas/quotas.py
@@ -45,9 +45,9 @@
 has acknowledged them: a client's first few run at once, and the margin above a limit covers
 them."""
 UNACKNOWLEDGED_S = 0.05
-"""The same in seconds of the tenant's rate, where that is more: two reports and their answers.
-Without this limit, a process that resumed after a pause admitted all requests sent meanwhile at
-once: 21 in 0.03 s, where 50 are allowed in 5 s."""
+"""The same limit as a time at the tenant's rate, seconds; the larger of the two applies. Covers two
+reports and their answers. Without this limit, a process that resumed after a pause admitted all
+requests sent meanwhile at once: 21 in 0.03 s, where 50 are allowed in 5 s."""
 LOCAL_REPORT_NUMBER = 1
 """Report number of a gateway's reports to itself, which are answered synchronously."""
 
--- a/tinrudder/gateway/runs/run_outcome.py
+++ b/tinrudder/gateway/runs/run_outcome.py
@@ -23,14 +23,15 @@
 from tinrudder.gateway.scatters.record_merge import merge_top_records
 
 RETRY_AFTER_S = 0.1
-"""Least Retry-After of a refusal that another replica or a free slot may resolve, seconds.  Long
-enough for a slot to become free, and short compared with the deadlines of clients."""
+"""Minimum Retry-After of a refusal after which another replica or a free slot may serve a retry,
+seconds.  Long enough for a slot to become free, and short compared with the deadlines of
+clients."""
 RETRY_AFTER_BACKEND_DOWN_S = 0.5
 """Retry-After when the back ends of a shard refuse connections, seconds.  Processes take seconds to
-start, and clients come back within a third of their deadline of 0.8 to 8 s at the latest."""
+start, and clients retry within a third of their deadline of 0.8 to 8 s at the latest."""
 
 RefusalMaker = Callable[[str, float], NotRun]
-"""Builds the refusal of a request that has not run, from the reason and least Retry-After (s)."""
+"""Builds the refusal of a request that has not run, from the reason and minimum Retry-After (s)."""
 
 
 def answer_of(
