--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -70,7 +70,7 @@
     _nonempty_since: float = 0.0
     _overload_until: float = 0.0
     _turns: TenantTurns = field(default_factory=TenantTurns)
-    _count: int = 0
+    _arrivals: int = 0
 
     def __len__(self) -> int:
         """Return the number of waiting scatters."""
@@ -179,8 +179,8 @@
         scatter.refusable_until = now + early_s
         if scatter.latest_start_at <= now:
             self._defer(scatter, now)
-        self._count += 1
-        scatter.number = self._count
+        self._arrivals += 1
+        scatter.number = self._arrivals
         scatter.turn = self._turns.next_turn(scatter)
 
     def _refusal_on_arrival(
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -78,33 +78,33 @@
         self._current_slice(now).requests += 1
         self._requests += 1
 
-    def may_repeat(self, now: float, nodes: float, *, hedge: bool) -> bool:
+    def may_repeat(self, now: float, parts: float, *, hedge: bool) -> bool:
         """Count one more call if the budget has room for it; return whether it has.
 
-        :param nodes: number of equal parts, one per gateway, into which the fixed number is
+        :param parts: number of equal parts, one per gateway, into which the fixed number is
             divided.
         """
-        if self.remaining(now, nodes, hedge=hedge) < 1.0:
+        if self.remaining(now, parts, hedge=hedge) < 1.0:
             return False
         self._current_slice(now).repeats += 1
         self._repeats += 1
         return True
 
-    def remaining(self, now: float, nodes: float, *, hedge: bool = False) -> float:
+    def remaining(self, now: float, parts: float, *, hedge: bool = False) -> float:
         """Return how many more calls the budget allows."""
-        allowed = self._allowed(now, nodes)
+        allowed = self._allowed(now, parts)
         if hedge:
             allowed *= 1.0 - RETRY_RESERVE
         return allowed - self._repeats
 
-    def fill(self, now: float, nodes: float) -> float:
+    def fill(self, now: float, parts: float) -> float:
         """Return how much of the allowance for hedges is left, 0 to 1."""
-        allowed = self._allowed(now, nodes) * (1.0 - RETRY_RESERVE)
+        allowed = self._allowed(now, parts) * (1.0 - RETRY_RESERVE)
         if allowed < 1.0:
             return 0.0
         return min(1.0, max(0.0, (allowed - self._repeats) / allowed))
 
-    def _allowed(self, now: float, nodes: float) -> float:
+    def _allowed(self, now: float, parts: float) -> float:
         """Return the allowance of the window that ends now."""
         self._drop_expired(now)
         oldest = self._slice_index(now - self._window_s)
@@ -112,7 +112,7 @@
         if self._slices and self._slices[0].index == oldest:
             requests -= self._slices[0].requests
         share = SAFETY_FACTOR if now >= self._extra_from else FIRST_WINDOW_SHARE
-        return self._ratio * requests + share * self._extra / max(1, nodes)
+        return self._ratio * requests + share * self._extra / max(1, parts)
 
     def _slice_index(self, now: float) -> int:
         """Return the slice that contains a time."""
