--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -57,10 +57,11 @@
 class ScatterQueue(Struct):
     """The scatters of one index that wait at one gateway.
 
-    Ordered by priority; then by tenants in turn, so that a tenant that sends many waits behind
-    those that send few; then new callers before retrying ones, for which an answer has lost half of
-    its value: with retrying callers first, 1,732 of 4,414 were served in time in a burst of six
-    seconds, with new callers first 2,457; then by the earliest objective.
+    Ordered by priority; then by the tenants' turns, so that a tenant that sends many waits behind
+    those that send few; then new callers before retrying ones; then by the earliest objective. For
+    a retrying caller an answer has lost half of its value: of 4,414 scatters in a burst of six
+    seconds, 1,732 were served in time with retrying callers first, and 2,457 with new callers
+    first.
 
     :param concurrency: the concurrency limit.
     """
@@ -92,8 +93,8 @@
 
         :param held: room that running scatters hold.
         :param held_by_urgent: the part of ``held`` that belongs to scatters of at least the same
-            urgency; only this part can keep the scatter from starting. ``None``: all of it.
-            Otherwise less urgent scatters could hold all room, and an urgent one cannot wait until
+            urgency; only this part can keep the scatter from starting. ``None``: all of it. If all
+            room counted, less urgent scatters could hold it, and an urgent one cannot wait until
             they have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load
             of a less urgent kind for 6 s, 43 were in time and 23 refused when all room counted, 71
             and none with this rule.
--- a/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
+++ b/tinrudder/gateway/decisions/attempts/fleet_retry_budget.py
@@ -38,7 +38,7 @@
 rest covers gateways that start and those that underestimate the number of gateways."""
 FIRST_WINDOW_SHARE = 1.0 - SAFETY_FACTOR
 """Part of the fixed number that a gateway may spend in its first window, since its earlier
-incarnation left it unused. If it were 0, after a restart of all 76 gateways of a deployment, a
+incarnation left it unused. Without it, after a restart of all 76 gateways of a deployment, a
 scatter over 135 shards repeated 1.2 calls instead of the usual 9 and lacked 6.5 shards instead of
 0.8, averaged over two seconds of their logs."""
 RETRY_RESERVE = 0.25
@@ -81,8 +81,8 @@
     def may_repeat(self, now: float, parts: float, *, hedge: bool) -> bool:
         """Count one more call if the budget has room for it; return whether it has.
 
-        :param parts: number of equal parts, one per gateway, into which the fixed number is
-            divided.
+        :param parts: number of equal parts into which the fixed number is divided; this gateway
+            spends one.
         """
         if self.remaining(now, parts, hedge=hedge) < 1.0:
             return False
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -81,7 +81,7 @@
     """Return whether delegated calls are in time about as often as calls sent from this gateway.
 
     Matters for urgent scatters, and where gateways are busy or have little processor time: the
-    round trip to such a gateway uses up time that the calls beside the replicas need.
+    round trip to such a gateway takes time that its calls to the replicas need.
 
     :param latency: latencies of the route's calls from this gateway.
     :param left_s: time until the answer must be sent.
