--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -144,7 +144,7 @@
             ReportedLoad(number, 14, 0, 1.0, 0.1),
             ReportedLoad(number, 14, 2, 0.0, 0.1),
             ReportedLoad(number, 14, 2, 1.0, 0.9),
-            ReportedLoad(number, 14, 2, 1.0, 0.1, work_s=10_000.0),
+            ReportedLoad(number, 14, 2, 1.0, 0.1, service_time_s=10_000.0),
         ]
         before = known.observations.reported_at
         sender.fleet.datagrams.send(LoadNews(tuple(invalid)), receiver.settings.peers)
