--- a/tests/unit/gateway/test_backend_starts.py
+++ b/tests/unit/gateway/test_backend_starts.py
@@ -25,7 +25,7 @@
 )
 from tinrudder.gateway.decisions.placement.cold_start_rate import Callers
 from tinrudder.gateway.model.configuration import ColdBounds
-from tinrudder.gateway.model.http_messages import CallOutcome, CancelledUnsent, UpstreamCall
+from tinrudder.gateway.model.http_messages import CallOutcome, UpstreamCall, Withdrawn
 from tinrudder.gateway.store.backend_entries import OLDER_START_S, EntryStatus
 from tinrudder.gateway.store.shared_state import SharedState
 from tinrudder.gateway.store.stored_values import Reading, StoredValue, Topic
@@ -296,7 +296,7 @@
         )
         first.pool.start(call)
         gateway_state.receive(entry_value(2, 200, addr=f"127.0.0.1:{port}"))
-        assert isinstance(await ended, CancelledUnsent)
+        assert isinstance(await ended, Withdrawn)
         await asyncio.sleep(0.05)
         assert first.pool.connections == 0
         assert arrived in ([], [b""])
--- a/tests/unit/gateway/test_shard_calls_machine.py
+++ b/tests/unit/gateway/test_shard_calls_machine.py
@@ -22,12 +22,12 @@
 from tinrudder.gateway.model.http_messages import (
     Answered,
     Broken,
-    CancelledUnsent,
     HttpAnswer,
     HttpRequest,
     NotSent,
     Rejected,
     UpstreamCall,
+    Withdrawn,
 )
 from tinrudder.gateway.runs.call_context import CallContext
 from tinrudder.gateway.runs.request_bytes import RequestBytes
@@ -78,7 +78,7 @@
 
     def send(self, call: UpstreamCall) -> None:
         if call.make_bytes() is None:
-            call.finish(CancelledUnsent())
+            call.finish(Withdrawn())
             return
         self.arrivals += 1
         self.sent.append(call)
--- a/tests/unit/gateway/test_upstream_connection.py
+++ b/tests/unit/gateway/test_upstream_connection.py
@@ -194,7 +194,7 @@
         harness.connection.connection_lost(ConnectionResetError("reset by peer"))
         [outcome] = harness.outcomes
         assert isinstance(outcome, Broken)
-        assert outcome.gateway_paused
+        assert outcome.stood_still
         assert not outcome.unanswered
 
     in_loop(check)
--- a/tinrudder/gateway/backends/upstream_connection.py
+++ b/tinrudder/gateway/backends/upstream_connection.py
@@ -173,7 +173,7 @@
         """
         assert self._call is not None and self._call.sent_at is not None
         if self._was_paused(self._call.sent_at):
-            return Broken(detail, gateway_paused=True)
+            return Broken(detail, stood_still=True)
         begun = self._reader is not None and self._reader.begun
         unanswered = not begun and not self._unsent_bytes and not isinstance(exc, TimeoutError)
         return Broken(detail, unanswered)
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -21,9 +21,9 @@
 from tinrudder.gateway.clients.held_bytes import HeldBytes
 from tinrudder.gateway.model.http_messages import (
     CallOutcome,
-    CancelledUnsent,
     NotSent,
     UpstreamCall,
+    Withdrawn,
 )
 
 CONNECT_TIMEOUT_S = 0.4
@@ -188,7 +188,7 @@
     def _send(self, connection: UpstreamConnection, call: UpstreamCall) -> None:
         """Send a call on a free connection, which stays free if the call was withdrawn."""
         if not connection.send(call):
-            call.finish(CancelledUnsent())
+            call.finish(Withdrawn())
             self._on_free(connection)
 
     def _on_free(self, connection: UpstreamConnection) -> None:
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -136,7 +136,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class CancelledUnsent:
+class Withdrawn:
     """The caller cancelled the call before any byte was sent; no evidence about the back end."""
 
 
@@ -146,16 +146,16 @@
 
     :param unanswered: the whole request was sent, and the connection ended before the first byte of
         the answer, as it does when the back end's process ends.
-    :param gateway_paused: this gateway was paused for so long that the back end may have closed the
+    :param stood_still: this gateway was paused for so long that the back end may have closed the
         connection for that reason; no evidence about the back end or the request.
     """
 
     detail: str = ""
     unanswered: bool = False
-    gateway_paused: bool = False
+    stood_still: bool = False
 
 
-CallOutcome = Answered | Rejected | NotSent | CancelledUnsent | Broken
+CallOutcome = Answered | Rejected | NotSent | Withdrawn | Broken
 AnswerListener = Callable[[CallOutcome], None]
 
 
--- a/tinrudder/gateway/runs/call_observation.py
+++ b/tinrudder/gateway/runs/call_observation.py
@@ -53,7 +53,7 @@
                 _observe_shed(call_context, route, backend, load, now)
         case NotSent():
             observations.failed(running, now)
-        case Broken(gateway_paused=True):
+        case Broken(stood_still=True):
             call_context.counters.broken += 1
             if running is not None:
                 observations.drop_call(running)
--- a/tinrudder/gateway/runs/shard_calls.py
+++ b/tinrudder/gateway/runs/shard_calls.py
@@ -24,11 +24,11 @@
     Answered,
     Broken,
     CallOutcome,
-    CancelledUnsent,
     HttpAnswer,
     NotSent,
     Rejected,
     UpstreamCall,
+    Withdrawn,
 )
 from tinrudder.gateway.runs.call_observation import SERVER_ERROR, record_call_end
 from tinrudder.gateway.runs.hedge_timing import HedgeTimes, hedge_times
@@ -344,7 +344,7 @@
                 if refused:
                     self._replicas.note_connection_refused(backend)
                 self._on_failure(detail, now, at_once=True, connection_refused=refused)
-            case CancelledUnsent():
+            case Withdrawn():
                 self._on_failure("withdrawn", now, at_once=True)
             case Broken(detail=detail):
                 self._on_failure(detail, now, at_once=True)
