--- a/bench/shared_service.py
+++ b/bench/shared_service.py
@@ -27,12 +27,12 @@
     draw_candidates,
     extra_cost,
     has_room,
-    mean_work_s,
-    min_work_s,
+    mean_service_time_s,
+    min_service_time_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import MINIMUM_OBSERVATIONS, typical_latency_s
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BATCH_DELAY_S,
     DATAGRAM_BYTES,
     LOAD_BYTES,
@@ -148,7 +148,7 @@
         if len(self.unloaded_latencies) >= MINIMUM_OBSERVATIONS:
             return self.unloaded_latencies.quantile(0.5)
         prior_s = typical_latency_s(LatencyWindow(), self.fleet.objective_s)
-        return mean_work_s(self.observations) or prior_s
+        return mean_service_time_s(self.observations) or prior_s
 
     def decide_admission(
         self, now: float, left_s: float, *, returning: bool, late: bool
@@ -174,7 +174,7 @@
         )
         extra = {index: 0.0 for index in candidates}
         if len(candidates) == 2:
-            least_s = min_work_s(self.observations)
+            least_s = min_service_time_s(self.observations)
             extra = {
                 index: extra_cost(self.observations[index], least_s, now) for index in candidates
             }
--- a/tests/functional/gateway/test_shared_service.py
+++ b/tests/functional/gateway/test_shared_service.py
@@ -13,7 +13,7 @@
 import pytest
 
 from tinrudder.gateway.backends.load_report_exchange import instance_hash_of
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BURST_BYTES,
     BYTES_PER_S,
     DATAGRAM_BYTES,
@@ -144,7 +144,7 @@
             ReportedLoad(number, 14, 0, 1.0, 0.1),
             ReportedLoad(number, 14, 2, 0.0, 0.1),
             ReportedLoad(number, 14, 2, 1.0, 0.9),
-            ReportedLoad(number, 14, 2, 1.0, 0.1, work_s=10_000.0),
+            ReportedLoad(number, 14, 2, 1.0, 0.1, service_time_s=10_000.0),
         ]
         before = known.observations.reported_at
         sender.fleet.datagrams.send(LoadNews(tuple(invalid)), receiver.settings.peers)
--- a/tests/unit/gateway/decisions/test_load_news.py
+++ b/tests/unit/gateway/decisions/test_load_news.py
@@ -8,7 +8,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from tinrudder.gateway.decisions.fleet.load_news import (
+from tinrudder.gateway.decisions.fleet.peer_load_reports import (
     BURST_BYTES,
     BYTES_PER_S,
     DATAGRAM_BYTES,
@@ -43,7 +43,7 @@
     slowdown=st.integers(1, 500).map(lambda percent: percent / 100),
     age_s=eighths,
     shed=st.booleans(),
-    work_s=eighths,
+    service_time_s=eighths,
 )
 
 
--- a/tinrudder/gateway/backends/upstream_pool.py
+++ b/tinrudder/gateway/backends/upstream_pool.py
@@ -19,7 +19,12 @@
     never_paused,
 )
 from tinrudder.gateway.clients.held_bytes import HeldBytes
-from tinrudder.gateway.model.http_messages import CallOutcome, NotSent, UpstreamCall, Withdrawn
+from tinrudder.gateway.model.http_messages import (
+    CallOutcome,
+    NotSent,
+    UpstreamCall,
+    Withdrawn,
+)
 
 CONNECT_TIMEOUT_S = 0.4
 """Connect timeout, seconds: a hundred times the latency between zones, and less than the 1 s after
--- a/tinrudder/gateway/decisions/admission/crash_evidence.py
+++ b/tinrudder/gateway/decisions/admission/crash_evidence.py
@@ -1,14 +1,14 @@
-"""Which crashes count against a request, and how long does it stay barred?
+"""Which crashes count against a request, and how long is it barred?
 
 Merging evidence is commutative, associative and idempotent, so gateways agree whatever the order or
 number of reports. Gateways exchange timestamps as ages, and network delay makes an age too small on
 arrival. Therefore clearing is ordered by a counter instead of by time, and of two timestamps for
-one event the earlier one wins. If the later one won, cleared evidence would return wherever its
-path is slower than that of the answer, and would keep itself alive: one request that lost a call
-and was answered 0.15 s later made each of 113 gateways, with datagram delays of 0.05 to 0.5 s, send
-32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5 s. With the counter and the earlier
-timestamp, 40 gateways each send 14 datagrams for such a request, and then only the periodic repeats
-(virtual time).
+one event the earlier one wins. If the later one won, cleared evidence would return wherever reports
+of crashes are slower than the report of the answer, and would then circulate without end: one
+request that lost a call and was answered 0.15 s later made each of 113 gateways, with datagram
+delays of 0.05 to 0.5 s, send 32, 565 and 11,900 datagrams a second after 1.5, 2 and 2.5 s. With the
+counter and the earlier timestamp, 40 gateways each send 14 datagrams for such a request, and then
+only the periodic repeats (virtual time).
 
 Inputs: the back ends lost while running the request, each with the time of the loss (monotonic
 seconds of this gateway), how often answers cleared the request, and trials; observed here and
@@ -38,7 +38,8 @@
 """Time of an event that has not happened, monotonic seconds."""
 FIRST_BAR_S = 20.0
 """How long a request is barred after its first failed trial, seconds. Short, so that an innocent
-request is soon free again if a failing rack took down its back ends and that of its trial."""
+request is soon allowed again if a rack failure took down its back ends, including that of its
+trial."""
 BAR_GROWTH = 6.0
 """Factor by which each further failed trial lengthens the bar. With :data:`FIRST_BAR_S` and
 :data:`MAX_BAR_S` a poison request costs one more back end at 20, 140 and 860 s, then one an
@@ -105,19 +106,19 @@
     trial_at: float = NEVER
 
     @property
-    def held(self) -> tuple[Crash, ...]:
+    def counted_crashes(self) -> tuple[Crash, ...]:
         """Return the crashes that count against the request."""
         return tuple(crash for crash in self.crashes if not crash.survived)
 
     @property
     def last_crash_at(self) -> float:
         """Return when the latest counted crash happened."""
-        return max((crash.at for crash in self.held), default=NEVER)
+        return max((crash.at for crash in self.counted_crashes), default=NEVER)
 
     @property
     def failed_trials(self) -> int:
         """Count the trials that lost a back end once enough crashes had been recorded."""
-        in_order = sorted(self.held, key=lambda crash: (crash.at, crash.backend))
+        in_order = sorted(self.counted_crashes, key=lambda crash: (crash.at, crash.backend))
         return sum(crash.trial for crash in in_order[CRASH_LIMIT - 1 :])
 
     @property
@@ -132,13 +133,13 @@
     @property
     def alert_until(self) -> float:
         """Return until when other requests of the same origin begin as canaries."""
-        in_trials = [crash.at for crash in self.held if crash.trial]
+        in_trials = [crash.at for crash in self.counted_crashes if crash.trial]
         return max(in_trials) + ALERT_S if in_trials else NEVER
 
     @property
     def kept_until(self) -> float:
         """Return when this evidence can be discarded."""
-        if not self.held:
+        if not self.counted_crashes:
             latest = max((crash.at for crash in self.crashes), default=NEVER)
             return max(self.cleared_at, latest) + CLEARED_RETENTION_S
         return max(self.last_crash_at, self.barred_until) + EVIDENCE_RETENTION_S
--- a/tinrudder/gateway/decisions/admission/poison_requests.py
+++ b/tinrudder/gateway/decisions/admission/poison_requests.py
@@ -1,10 +1,10 @@
 """May this request be sent, or has it crashed the back ends that ran it?
 
 When a call is lost with its connection, either the back end or the request may be at fault. If the
-back end crashed by itself, every request running there looks guilty. An answer tells them apart: a
-poison request gets none from any back end, while an innocent one gets an answer from the next.
-Requests with lost calls are therefore tried on one back end at a time, as canaries; an answer
-clears them, and only a request whose trial also loses a back end is barred.
+back end crashed for a reason of its own, every request that it was running becomes suspect. An
+answer distinguishes them: no back end answers a poison request, while the next back end answers an
+innocent one. Requests with lost calls are therefore tried on one back end at a time, as canaries;
+an answer clears them, and only a request whose trial also loses a back end is barred.
 
 Inputs: the request's fingerprint and its origin (route and caller), the current time (monotonic
 seconds), and the evidence of this and other gateways, which report changes at once and repeat them.
@@ -41,19 +41,19 @@
 tens of milliseconds; after this time the gateway that began the trial is presumed dead."""
 MIN_REMAINING_RETENTION_S = 60.0
 """Minimum remaining retention, in seconds, for evidence on an unknown request to be accepted from
-another gateway. Each gateway expires evidence by its own clock, and would accept and forward again
-what others are about to expire. Twice a pause of 30 s in which reports are not read. Without this,
-ten requests that lost a call and were never answered made each of 113 gateways, with datagram
-delays of 0.05 to 0.5 s, send 24 datagrams a second, the limit of its token bucket, from 600 s on
-and without end (virtual time)."""
+another gateway. Each gateway expires evidence by its own clock; without a minimum, it would accept
+and forward evidence that others are about to expire. Twice a pause of 30 s in which reports are not
+read. Without this, ten requests that lost a call and were never answered made each of 113 gateways,
+with datagram delays of 0.05 to 0.5 s, send 24 datagrams a second, the limit of its token bucket,
+from 600 s on and without end (virtual time)."""
 MIN_ALERT_REQUESTS = 2
 """Number of different requests that must have lost a back end in a trial to raise an alert for
-their origin. A single request is barred by itself if it returns. Starting all requests of a route
-as canaries costs each of them a call's time, and 0.03 to 0.15 of the answers' worth on a calm
-day."""
+their origin. A single such request is barred when it is sent again, without an alert. Starting all
+requests of a route as canaries delays each of them by a call's time, which costs 0.03 to 0.15 of
+the answers' value on a calm day."""
 MIN_RESTART_S = 0.5
-"""An answer to a call sent within this time after a loss, seconds, comes from the old process:
-observed restarts take seconds until the process listens again."""
+"""Shortest restart of a back end, seconds: an answer to a call sent within this time after a loss
+comes from the old process. Observed restarts take seconds until the process listens again."""
 RESTART_DETECTION_S = 4.0
 """Time after which a restart is visible through the entry that the new process writes, seconds:
 three of its heartbeats of 1.2 s, and the propagation through the store."""
@@ -144,11 +144,11 @@
             two different ones have lost a back end in a trial.
         """
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or not evidence.held:
+        if evidence is None or not evidence.counted_crashes:
             return SUSPECT if self.is_alert(origin, now) and evidence is None else FREE
         if now < evidence.barred_until:
             return RequestStanding(Standing.BARRED, evidence.barred_until - now)
-        if len(evidence.held) < CRASH_LIMIT:
+        if len(evidence.counted_crashes) < CRASH_LIMIT:
             return SUSPECT
         trial_running = evidence.trial_at > evidence.last_crash_at
         return ON_TRIAL if trial_running and now - evidence.trial_at < TRIAL_TIMEOUT_S else SUSPECT
@@ -177,7 +177,7 @@
         evicted.
         """
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or not evidence.held:
+        if evidence is None or not evidence.counted_crashes:
             return False
         cleared = evidence.cleared + 1
         self.merge(fingerprint, Evidence(evidence.origin, (), cleared, at, evidence.trial_at))
@@ -188,7 +188,7 @@
         evidence = self._evidence.get(fingerprint)
         if evidence is None:
             return False
-        crash = next((one for one in evidence.held if one.backend == backend), None)
+        crash = next((one for one in evidence.counted_crashes if one.backend == backend), None)
         if crash is None:
             return False
         self.merge(fingerprint, replace(evidence, crashes=(replace(crash, survived=True),)))
@@ -210,14 +210,14 @@
         return tuple(
             fingerprint
             for fingerprint in self._requests_by_backend.get(backend, ())
-            for crash in self._evidence[fingerprint].held
+            for crash in self._evidence[fingerprint].counted_crashes
             if crash.backend == backend and _shows_same_process(crash.at, sent_at, starts_known_at)
         )
 
     def begin_trial(self, fingerprint: bytes, now: float) -> bool:
         """Record that a trial begins here; return whether other gateways must wait for its end."""
         evidence = self._evidence.get(fingerprint)
-        if evidence is None or len(evidence.held) < CRASH_LIMIT:
+        if evidence is None or len(evidence.counted_crashes) < CRASH_LIMIT:
             return False
         self.merge(fingerprint, replace(evidence, trial_at=now))
         return True
@@ -228,7 +228,7 @@
         Crashes of an unknown request are accepted only if they will be kept for
         :data:`MIN_REMAINING_RETENTION_S`.
         """
-        if fingerprint in self._evidence or not reported.held:
+        if fingerprint in self._evidence or not reported.counted_crashes:
             return True
         return reported.kept_until - now >= MIN_REMAINING_RETENTION_S
 
@@ -248,12 +248,12 @@
         self, fingerprint: bytes, known: Evidence | None, evidence: Evidence | None
     ) -> None:
         """Update the index from back ends to the requests that their crashes count against."""
-        for crash in known.held if known is not None else ():
+        for crash in known.counted_crashes if known is not None else ():
             requests = self._requests_by_backend.get(crash.backend, set())
             requests.discard(fingerprint)
             if not requests:
                 self._requests_by_backend.pop(crash.backend, None)
-        for crash in evidence.held if evidence is not None else ():
+        for crash in evidence.counted_crashes if evidence is not None else ():
             self._requests_by_backend.setdefault(crash.backend, set()).add(fingerprint)
 
     def _note_alert(self, fingerprint: bytes, evidence: Evidence) -> None:
@@ -276,7 +276,7 @@
         self._update_index(fingerprint, evidence, None)
         self._withdraw_alert(fingerprint, evidence.origin)
 
-    def forget(self, now: float) -> None:
+    def evict_expired(self, now: float) -> None:
         """Evict expired evidence."""
         ended = [one for one, evidence in self._evidence.items() if evidence.kept_until <= now]
         for fingerprint in ended:
--- a/tinrudder/gateway/decisions/admission/queued_scatter.py
+++ b/tinrudder/gateway/decisions/admission/queued_scatter.py
@@ -10,10 +10,10 @@
 
 
 class QueuedScatter(Struct, eq=False):
-    """One scatter, with everything that determines its position in the queue.
+    """One scatter, with all values that determine its position in the queue.
 
     :param priority: 0 is the most urgent.
-    :param usual_s: how long such a scatter typically takes without waiting.
+    :param typical_time_s: how long such a scatter typically takes without waiting.
     :param returning: its caller was refused before.
     :param tenant: the tenant it runs for; empty for none.
     :param late: it can no longer meet its objective.
@@ -26,7 +26,7 @@
     priority: int
     objective_at: float
     deadline_at: float
-    usual_s: float
+    typical_time_s: float
     returning: bool = False
     tenant: str = ""
     late: bool = False
@@ -37,10 +37,10 @@
 
     @property
     def order(self) -> tuple[bool, int, int, bool, float, int]:
-        """Return the sort key; the smallest goes first.
+        """Return the sort key; the smallest is the first in the queue.
 
-        Scatters that can no longer meet their objective are worth little and go last, whatever
-        their priority.
+        Scatters that can no longer meet their objective have little value, and are last regardless
+        of priority.
         """
         return (
             self.late,
--- a/tinrudder/gateway/decisions/admission/scatter_queue.py
+++ b/tinrudder/gateway/decisions/admission/scatter_queue.py
@@ -1,4 +1,4 @@
-"""Does a scatter start now, wait, or is it refused?
+"""Does a scatter start now, wait, or get refused?
 
 A scatter waits as a whole before any of its calls is sent, so a refusal guarantees that nothing has
 run. Calls that wait in the back ends' queues would delay all scatters together, and calls shed
@@ -9,8 +9,8 @@
 
 Answer: started, waiting, or a refusal with the figures that decided it.
 
-Owns: the scatters of one index that wait at this gateway, in their order; each leaves the queue by
-a start, a refusal or its caller's disconnect.
+Owns: the scatters of one index that wait at this gateway, in their order; each leaves the queue
+when it starts, is refused, or its caller disconnects.
 
 Shown by: log line ``request`` with a detail that begins with overload and names place, wait and
 room; metrics ``tinrudder_gateway_scatters_waiting`` and ``tinrudder_gateway_refused``.
@@ -45,7 +45,7 @@
 serves no more requests, and serves all of them later."""
 MAX_OVERTAKEN_WAIT = 1.5 * MAX_OVERLOAD_WAIT
 """The same as :data:`MAX_OVERLOAD_WAIT` for a scatter that others have overtaken, in typical
-scatter times: waiting longer would make the queue as long again."""
+scatter times: accepting longer waits would let the queue grow again."""
 LATE_WAIT_SHARE = 0.5
 """Fraction of its remaining time that a scatter waits after it can no longer meet its objective;
 the other half is left for another try."""
@@ -57,20 +57,21 @@
 class ScatterQueue(Struct):
     """The scatters of one index that wait at one gateway.
 
-    Ordered by priority; then by tenants in turn, so that a tenant that sends many waits behind
-    those that send few; then new callers before retrying ones, for which an answer has lost half of
-    its worth: with retrying callers first, 1,732 of 4,414 were served in time in a burst of six
-    seconds, with new callers first 2,457; then by the earliest objective.
+    Ordered by priority; then by the tenants' turns, so that a tenant that sends many waits behind
+    those that send few; then new callers before retrying ones; then by the earliest objective. For
+    a retrying caller an answer has lost half of its value: of 4,414 scatters in a burst of six
+    seconds, 1,732 were served in time with retrying callers first, and 2,457 with new callers
+    first.
 
-    :param room: the concurrency limit.
+    :param concurrency: the concurrency limit.
     """
 
-    room: ScatterConcurrency = field(default_factory=ScatterConcurrency)
+    concurrency: ScatterConcurrency = field(default_factory=ScatterConcurrency)
     _waiting: list[QueuedScatter] = field(default_factory=list)
     _nonempty_since: float = 0.0
     _overload_until: float = 0.0
     _turns: TenantTurns = field(default_factory=TenantTurns)
-    _count: int = 0
+    _arrivals: int = 0
 
     def __len__(self) -> int:
         """Return the number of waiting scatters."""
@@ -92,17 +93,17 @@
 
         :param held: room that running scatters hold.
         :param held_by_urgent: the part of ``held`` that belongs to scatters of at least the same
-            urgency; only this part can keep the scatter from starting. ``None``: all of it. Less
-            urgent scatters may have taken all free room, and an urgent one cannot wait until they
-            have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load of a
-            less urgent kind for 6 s, 43 were in time and 23 refused when all room counted, 71 and
-            none with this rule.
+            urgency; only this part can keep the scatter from starting. ``None``: all of it. If all
+            room counted, less urgent scatters could hold it, and an urgent one cannot wait until
+            they have ended. Of 89 urgent ones with 48 ms each, beside sixteen times the usual load
+            of a less urgent kind for 6 s, 43 were in time and 23 refused when all room counted, 71
+            and none with this rule.
         """
         self._prepare(scatter, now)
         if held_by_urgent is not None and not scatter.late:
             held = held_by_urgent
         ahead = bisect.bisect(self._waiting, scatter.order, key=_order)
-        if not ahead and self.room.has_room_for_another(held):
+        if not ahead and self.concurrency.has_room_for_another(held):
             self._turns.take(scatter, self._waiting)
             self._turns.start(scatter)
             return True
@@ -129,7 +130,7 @@
 
         :param held: room held by running scatters that take precedence over the first waiting one.
         """
-        if not self._waiting or not self.room.has_room_for_another(held):
+        if not self._waiting or not self.concurrency.has_room_for_another(held):
             return None
         scatter = self._waiting.pop(0)
         self._turns.start(scatter)
@@ -174,13 +175,13 @@
 
     def _prepare(self, scatter: QueuedScatter, now: float) -> None:
         """Set a scatter's latest useful start and its sort key."""
-        scatter.latest_start_at = scatter.objective_at - scatter.usual_s
+        scatter.latest_start_at = scatter.objective_at - scatter.typical_time_s
         early_s = 0.0 if scatter.returning else EARLY_REFUSAL_SHARE * (scatter.objective_at - now)
         scatter.refusable_until = now + early_s
         if scatter.latest_start_at <= now:
             self._defer(scatter, now)
-        self._count += 1
-        scatter.number = self._count
+        self._arrivals += 1
+        scatter.number = self._arrivals
         scatter.turn = self._turns.next_turn(scatter)
 
     def _refusal_on_arrival(
@@ -188,12 +189,12 @@
     ) -> ScatterRefusal | None:
         """Return a refusal for a new scatter that would wait too long."""
         max_wait_s = ACCEPTABLE_WAIT_SHARE * (scatter.latest_start_at - now)
-        overload_wait_s = min(max_wait_s, MAX_OVERLOAD_WAIT * scatter.usual_s)
+        overload_wait_s = min(max_wait_s, MAX_OVERLOAD_WAIT * scatter.typical_time_s)
         if (
             not scatter.late
             and ahead
             and self._is_overloaded(now)
-            and self.room.wait_s(held, ahead) > overload_wait_s
+            and self.concurrency.wait_s(held, ahead) > overload_wait_s
         ):
             self._overload_until = now + OVERLOAD_HOLD_S
             max_wait_s = overload_wait_s
@@ -216,14 +217,14 @@
         if max_wait_s > 0.0 and not ahead:
             return None
         if now < self._overload_until and not scatter.late:
-            max_wait_s = min(max_wait_s, MAX_OVERTAKEN_WAIT * scatter.usual_s)
+            max_wait_s = min(max_wait_s, MAX_OVERTAKEN_WAIT * scatter.typical_time_s)
         return self._refusal(scatter, ahead, held, max_wait_s)
 
     def _refusal(
         self, scatter: QueuedScatter, ahead: int, held: float, max_wait_s: float
     ) -> ScatterRefusal | None:
         """Return a refusal if the expected wait exceeds the acceptable one."""
-        expected_s = self.room.wait_s(held, ahead)
+        expected_s = self.concurrency.wait_s(held, ahead)
         if max_wait_s > 0.0 and expected_s <= max_wait_s:
             return None
         return ScatterRefusal(
@@ -232,7 +233,7 @@
             expected_s,
             max(0.0, max_wait_s),
             held,
-            self.room.limit,
+            self.concurrency.limit,
             len(self._waiting),
         )
 
--- a/tinrudder/gateway/decisions/admission/shared_service.py
+++ b/tinrudder/gateway/decisions/admission/shared_service.py
@@ -2,11 +2,11 @@
 
 A gateway sees only a few answers of such a service in the time in which its queues fill, and
 hundreds of gateways react to one report. Admission therefore uses the mean wait over the back ends,
-weighted by the freshness of each report: the minimum would be that of the back end with the least
-information. A call goes to the better of two random back ends: if every gateway took the best one
-by a report, it would get all calls until the next report. The figures below come from a simulation
-of 113 gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and an
-objective of 0.9 s.
+weighted by the freshness of each report: the minimum would come from the back end about which least
+is known. A call goes to the better of two random back ends: if every gateway chose the best one,
+that one would get all calls until its next report. The figures below come from a simulation of 113
+gateways and four back ends of four slots and 12 queue places, calls of 0.25 s and an objective of
+0.9 s.
 
 Inputs: the observations of each back end (reports at most 0.8 s old, with a weight that falls with
 age), the typical time of a call and the time left until the objective, both in seconds; the number
@@ -17,8 +17,7 @@
 
 Owns: nothing; it is a function of its inputs.
 
-Shown by: as the forecast: log line ``request`` with wait, share and time left; metric
-``tinrudder_gateway_refused``.
+Shown by: log line ``request`` with wait, share and time left; metric ``tinrudder_gateway_refused``.
 
 When an input is missing or old: a back end without a fresh report counts as free, with less weight
 if it recently had a queue; while no queue is known all requests are admitted.
@@ -55,8 +54,8 @@
 """Calls after which the time that one back end holds a slot counts as known. Until then it may be
 wrong by half, and the mean of the whole service is used."""
 LATE_FACTOR = 1.5
-"""Divisor of the time left for a caller whose objective passed while it was refused. Its answer is
-worth less, so it only gets capacity that callers still in time leave free. At four times the load
+"""Divisor of the time left for a caller whose objective passed while it was refused. Its answer has
+less value, so it only gets capacity that callers still in time leave free. At four times the load
 52 a second were served in time, with 1 instead of this 32."""
 
 
@@ -79,33 +78,35 @@
     min_weight: float
 
 
-def mean_work_s(backends: Sequence[BackendObservations]) -> float:
+def mean_service_time_s(backends: Sequence[BackendObservations]) -> float:
     """Return the mean time for which calls hold a slot of a service, seconds; 0: not known."""
-    known = [one.work_s for one in backends if one.service_time_count]
+    known = [one.service_time_s for one in backends if one.service_time_count]
     return sum(known) / len(known) if known else 0.0
 
 
-def expected_wait_s(backends: Sequence[BackendObservations], now: float, usual_s: float) -> float:
+def expected_wait_s(
+    backends: Sequence[BackendObservations], now: float, typical_time_s: float
+) -> float:
     """Return the wait for a slot of a service, seconds.
 
     It is the expected wait of a call that takes the better of two random back ends. With one slow
     back end of four that has a queue, a plain mean would refuse requests that the others can serve.
     """
-    work_s = mean_work_s(backends) or usual_s
-    known = sorted(_queue(one, now, work_s) for one in backends)
+    service_time_s = mean_service_time_s(backends) or typical_time_s
+    known = sorted(_queue(one, now, service_time_s) for one in backends)
     total = 0.0
     weights = 0.0
     for place, queue in enumerate(known):
-        chance = 2 * (len(known) - place) - 1
-        total += chance * queue.weight * queue.wait_s
-        weights += chance * max(queue.weight, queue.min_weight)
+        selection_weight = 2 * (len(known) - place) - 1
+        total += selection_weight * queue.weight * queue.wait_s
+        weights += selection_weight * max(queue.weight, queue.min_weight)
     return total / weights if weights else 0.0
 
 
 def decide_admission(
     backends: Sequence[BackendObservations],
     now: float,
-    usual_s: float,
+    typical_time_s: float,
     left_s: float,
     *,
     priority_steps: int,
@@ -114,7 +115,7 @@
 ) -> AdmittedShare:
     """Return the share of requests to admit that any of these back ends may run.
 
-    :param usual_s: how long a call of the route takes without waiting.
+    :param typical_time_s: how long a call of the route takes without waiting.
     :param left_s: time until the objective.
     :param priority_steps: number of more urgent priorities that the back ends also serve.
     :param returning: the caller was refused before and is retrying.
@@ -123,10 +124,10 @@
     # Shortcut: queues are rare, and the computation below costs ten times as much.
     if not any(one.wait_s(now, 1.0) for one in backends):
         return AdmittedShare(1.0, 0.0)
-    wait_s = expected_wait_s(backends, now, usual_s)
+    wait_s = expected_wait_s(backends, now, typical_time_s)
     share = admission_share(
         wait_s,
-        usual_s,
+        typical_time_s,
         left_s / LATE_FACTOR if late else left_s,
         priority_steps=priority_steps,
         returning=returning and not late,
@@ -135,17 +136,17 @@
 
 
 def has_room(
-    backends: Sequence[BackendObservations], now: float, usual_s: float, left_s: float
+    backends: Sequence[BackendObservations], now: float, typical_time_s: float, left_s: float
 ) -> bool:
     """Return whether some back end would answer a call in time, given its known queue.
 
     A back end without a queue has room, however long calls of the route take: answers are also
     delivered late, and draining back ends reject calls as well.
     """
-    work_s = mean_work_s(backends) or usual_s
+    service_time_s = mean_service_time_s(backends) or typical_time_s
     return any(
-        not (wait_s := one.wait_s(now, _work_s(one, work_s)))
-        or wait_s + max(usual_s, _work_s(one, 0.0)) <= left_s
+        not (wait_s := one.wait_s(now, _service_time_s(one, service_time_s)))
+        or wait_s + max(typical_time_s, _service_time_s(one, 0.0)) <= left_s
         for one in backends
     )
 
@@ -165,34 +166,34 @@
     return random_source.sample(list(candidates), 2)
 
 
-def extra_cost(one: BackendObservations, min_work_s: float, now: float) -> float:
-    """Return what slow calls add to :meth:`BackendObservations.cost`, in typical calls.
+def extra_cost(one: BackendObservations, min_service_time_s: float, now: float) -> float:
+    """Return the extra cost of a slow back end, added to :meth:`BackendObservations.cost`.
 
     A gateway that calls a back end only once in several seconds cannot learn from its own calls
     that it is slow; reports from others tell it earlier.
     """
-    work_s = _work_s(one, min_work_s)
-    if not min_work_s or work_s <= min_work_s:
+    service_time_s = _service_time_s(one, min_service_time_s)
+    if not min_service_time_s or service_time_s <= min_service_time_s:
         return 0.0
-    return (work_s / min_work_s - 1.0) * (1.0 + one.wait_s(now, 1.0))
+    return (service_time_s / min_service_time_s - 1.0) * (1.0 + one.wait_s(now, 1.0))
 
 
-def min_work_s(backends: Sequence[BackendObservations]) -> float:
+def min_service_time_s(backends: Sequence[BackendObservations]) -> float:
     """Return how long calls hold a slot at the fastest back end, seconds; 0: not known."""
     return min(
-        (one.work_s for one in backends if one.service_time_count >= MIN_OBSERVED_CALLS),
+        (one.service_time_s for one in backends if one.service_time_count >= MIN_OBSERVED_CALLS),
         default=0.0,
     )
 
 
-def _work_s(one: BackendObservations, usual_s: float) -> float:
-    """Return how long calls hold a slot of one back end, ``usual_s`` while not known."""
-    return one.work_s if one.service_time_count >= MIN_OBSERVED_CALLS else usual_s
+def _service_time_s(one: BackendObservations, typical_time_s: float) -> float:
+    """Return how long calls hold a slot of one back end, ``typical_time_s`` while not known."""
+    return one.service_time_s if one.service_time_count >= MIN_OBSERVED_CALLS else typical_time_s
 
 
-def _queue(one: BackendObservations, now: float, work_s: float) -> _Queue:
+def _queue(one: BackendObservations, now: float, service_time_s: float) -> _Queue:
     """Return the queue of one back end by its newest report."""
-    wait_s = _relative_wait(one) * _work_s(one, work_s)
+    wait_s = _relative_wait(one) * _service_time_s(one, service_time_s)
     return _Queue(wait_s, _report_weight(now - one.reported_at), _min_weight(one, now))
 
 
--- a/tinrudder/gateway/decisions/fleet/load_news.py
+++ b/tinrudder/gateway/decisions/fleet/peer_load_reports.py
@@ -1,9 +1,9 @@
 """Which back-end queues does a gateway report to its peers, and which peer reports does it use?
 
-Meant for services with few back ends that every gateway calls: each gateway gets only a few answers
-a second from them, too few to know which back end is full. Only the gateway that received a load
-report from the back end sends it to peers; peers do not forward it. Its age does not include time
-in transit, so each hop would make it look younger.
+Used for services with few back ends that every gateway calls: each gateway gets too few answers a
+second from them to know which back end is full. Only the gateway that received a load report from
+the back end sends it to peers; peers do not forward it. Its age does not include time in transit,
+so each hop would make it look younger.
 
 Inputs: load reports of back ends with their age in seconds, and the number of peers.
 
@@ -28,8 +28,8 @@
 
 REPORTED_QUEUE_PER_SLOT = 1.0
 """Waiting calls per slot from which a queue is reported to peers: a call waits there at least as
-long as calls take.  With half of it no fewer calls were shed, and random short queues were reported
-as well."""
+long as calls take.  With half of this value, no fewer calls were shed, and random short queues were
+reported as well."""
 BYTES_PER_S = 900.0
 """Bytes a second that one gateway sends to all peers together, headers included: a third of what
 all its messages may take in a fleet of 730."""
@@ -51,7 +51,7 @@
 MAX_REPORT_AGE_S = 0.8
 """Age from which a report is too old to use, seconds; equals ``BACKLOG_LIFETIME_S`` of the
 back-end observations."""
-MAX_WORK_S = 600.0
+MAX_SERVICE_TIME_S = 600.0
 """Maximum plausible service time, seconds: longer than any call timeout, so a larger figure is
 invalid."""
 MAX_CALLS = 100_000
@@ -68,7 +68,8 @@
     :param calls: calls that run or wait there.
     :param age_s: age of the report at the gateway that received it from the back end.
     :param shed: whether the back end shed a call at that time.
-    :param work_s: mean time that a call holds a slot there, observed by the sender; 0: unknown.
+    :param service_time_s: mean time that a call holds a slot there, observed by the sender; 0:
+        unknown.
     """
 
     backend: int
@@ -77,7 +78,7 @@
     slowdown: float
     age_s: float
     shed: bool = False
-    work_s: float = 0.0
+    service_time_s: float = 0.0
 
     @property
     def is_credible(self) -> bool:
@@ -87,7 +88,7 @@
             and 0 < self.slots <= MAX_CALLS
             and 0.0 < self.slowdown <= MAX_SLOWDOWN
             and 0.0 <= self.age_s < MAX_REPORT_AGE_S
-            and 0.0 <= self.work_s <= MAX_WORK_S
+            and 0.0 <= self.service_time_s <= MAX_SERVICE_TIME_S
         )
 
     @property
@@ -99,13 +100,13 @@
 class PendingReport(Struct, frozen=True):
     """A back end whose load is to be reported to peers, see :class:`ReportedLoad`.
 
-    :param heard_at: time of the load report that this gateway received with an answer.
+    :param received_at: time of the load report that this gateway received with an answer.
     """
 
     backend: int
     shed: bool
-    work_s: float
-    heard_at: float
+    service_time_s: float
+    received_at: float
 
 
 def is_long(waiting: int, slots: int) -> bool:
@@ -125,7 +126,7 @@
     The newer one is not forwarded: its age does not include time in transit, so each hop would make
     it look younger.
     """
-    if observations.reported_at != pending.heard_at:
+    if observations.reported_at != pending.received_at:
         return None
     return ReportedLoad(
         pending.backend,
@@ -134,7 +135,7 @@
         observations.reported_slowdown,
         now - observations.reported_at,
         pending.shed,
-        pending.work_s,
+        pending.service_time_s,
     )
 
 
@@ -151,8 +152,8 @@
             report.slowdown,
             report.age_s,
         )
-    if newer and report.work_s:
-        observations.record_service_time(report.work_s)
+    if newer and report.service_time_s:
+        observations.record_service_time(report.service_time_s)
     return newer
 
 
--- a/tinrudder/gateway/decisions/fleet/zone_paths.py
+++ b/tinrudder/gateway/decisions/fleet/zone_paths.py
@@ -1,6 +1,6 @@
 """Can this gateway reach a zone?
 
-A zone that is cut off is silent: calls to it hang until they time out. A call without an answer
+A zone that is cut off sends nothing: calls to it hang until they time out. A call without an answer
 makes the path suspect if nothing else from the zone was answered since the call was sent. Probes to
 gateways of the zone then decide for all calls within a fraction of a second. A single slow back end
 does not close the path, since other back ends of its zone answer meanwhile. This is a circuit
@@ -29,7 +29,7 @@
 
 SILENCE_TIMEOUT_S = 1.5
 """Time without any message from other zones after which their paths become suspect, seconds: where
-each gateway sends one digest to another zone every 0.5 s, such a silence arises by chance once in
+each gateway sends one digest to another zone every 0.5 s, such a silence occurs by chance once in
 twenty times."""
 CLOSE_AFTER_S = 0.25
 """Time for which all probes must stay unanswered before a path is closed, seconds: 80 round trips
@@ -42,8 +42,8 @@
 """Time that a path stays closed before calls may try it, seconds: where a zone has lost all its
 gateways but not its back ends, probes get no answers, but calls do."""
 MAX_CLOSED_S = 40.0
-"""Upper bound of that time, seconds; it doubles with each trial that fails.  Bounds how long a zone
-without gateways stays unused."""
+"""Upper bound of :data:`FIRST_CLOSED_S`, seconds; the time doubles with each trial that fails.
+Bounds how long a zone without gateways stays unused."""
 
 
 class PathState(enum.Enum):
@@ -67,7 +67,7 @@
     :param since: when it entered its state.
     :param suspected_at: when it last became suspect.
     :param reported_by_peer: it is suspect only because other gateways reported doubts.
-    :param heard_at: when any message last came from the zone, requested or not.
+    :param last_message_at: when any message last came from the zone, requested or not.
     :param answered_at: when the zone last answered something that was sent there.
     :param rounds: rounds of probes sent since it entered its state.
     :param trial_at: when calls may try it, while it is closed.
@@ -78,7 +78,7 @@
     since: float = 0.0
     suspected_at: float = float("-inf")
     reported_by_peer: bool = False
-    heard_at: float = float("-inf")
+    last_message_at: float = float("-inf")
     answered_at: float = float("-inf")
     rounds: int = 0
     trial_at: float = 0.0
@@ -118,7 +118,7 @@
     def own_suspicions(self) -> tuple[str, ...]:
         """Return the suspect zones to report to peers: those that this gateway itself suspects.
 
-        Doubts received from peers are not forwarded: they would keep each other alive wherever an
+        Doubts received from peers are not forwarded: they would circulate without end wherever an
         answer takes longer than the interval between two digests.  Six forwarded doubts in a
         simulated fleet of 113 gateways whose datagrams took 0.1 to 0.3 s still made each gateway
         send 11 probes a second 8 s later.
@@ -127,12 +127,12 @@
 
     def record_message(self, zone: str, now: float) -> None:
         """Record a message from a zone; it does not show that the zone receives messages."""
-        self.path(zone).heard_at = now
+        self.path(zone).last_message_at = now
 
     def answered(self, zone: str, now: float) -> bool:
         """Record an answer from a zone; return whether the zone was unreachable until now."""
         path = self.path(zone)
-        path.heard_at = now
+        path.last_message_at = now
         path.answered_at = now
         path.closed_s = FIRST_CLOSED_S
         was_unreachable = path.state in UNREACHABLE_STATES
@@ -167,7 +167,7 @@
     def suspect_silent_zones(self, others: tuple[str, ...], now: float) -> bool:
         """Make all open paths suspect if no zone sent anything; return whether any changed."""
         paths = [self.path(zone) for zone in others]
-        if not paths or max(path.heard_at for path in paths) > now - SILENCE_TIMEOUT_S:
+        if not paths or max(path.last_message_at for path in paths) > now - SILENCE_TIMEOUT_S:
             return False
         changed = False
         for path in paths:
--- a/tinrudder/gateway/decisions/placement/shard_placement.py
+++ b/tinrudder/gateway/decisions/placement/shard_placement.py
@@ -1,13 +1,13 @@
 """Which shards of a scatter are delegated to a gateway in the zone of their replicas?
 
-Traffic between zones is paid for. A gateway that asks shards without a replica in its own zone
+Traffic between zones costs money. A gateway that calls shards without a replica in its own zone
 fetches each shard's answer from another zone. If it delegates these shards to a gateway in the
 replicas' zone, only one request and one merged answer cross.
 
 Inputs: the zones of each shard's replicas, the observed sizes of shard answers and merged answers
 (bytes), the route's latencies, the time left and the round trip to the other gateway (seconds).
 
-Answer: groups of shards, each with the zones that serve it equally well; this gateway asks the
+Answer: groups of shards, each with the zones that serve it equally well; this gateway calls the
 remaining shards itself.
 
 Owns: nothing; it is a function of its inputs.
@@ -77,25 +77,25 @@
     return direct_bytes >= MIN_BYTES_REDUCTION * delegated_bytes
 
 
-def delegation_meets_deadline(latency: LatencyWindow, left_s: float, path_s: float) -> bool:
+def delegation_meets_deadline(latency: LatencyWindow, left_s: float, round_trip_s: float) -> bool:
     """Return whether delegated calls are in time about as often as calls sent from this gateway.
 
     Matters for urgent scatters, and where gateways are busy or have little processor time: the
-    round trip to such a gateway uses up time that the calls beside the replicas need.
+    round trip to such a gateway takes time that its calls to the replicas need.
 
     :param latency: latencies of the route's calls from this gateway.
     :param left_s: time until the answer must be sent.
-    :param path_s: the part of that time taken by the round trip to the other gateway.
+    :param round_trip_s: the part of that time taken by the round trip to the other gateway.
 
     >>> window = LatencyWindow()
     >>> for latency_ms in range(100):
     ...     window.observe(latency_ms / 1000)
-    >>> delegation_meets_deadline(window, left_s=0.5, path_s=0.1)
+    >>> delegation_meets_deadline(window, left_s=0.5, round_trip_s=0.1)
     True
-    >>> delegation_meets_deadline(window, left_s=0.1, path_s=0.04)
+    >>> delegation_meets_deadline(window, left_s=0.1, round_trip_s=0.04)
     False
     """
-    late_delegated, late_direct = latency.fractions_above([left_s - path_s, left_s])
+    late_delegated, late_direct = latency.fractions_above([left_s - round_trip_s, left_s])
     return late_delegated - late_direct <= MAX_EXTRA_LATE_SHARE
 
 
@@ -105,10 +105,10 @@
     replica_zones: Mapping[str, Collection[str]],
     sizes: ScatterSizes,
 ) -> tuple[ShardGroup, ...]:
-    """Return the groups of shards to delegate; this gateway asks the remaining shards itself.
+    """Return the groups of shards to delegate; this gateway calls the remaining shards itself.
 
-    The zone with replicas of the most remote shards comes first, grouped with all zones that have
-    replicas of exactly the same shards.
+    Starts with the zone that has replicas of the largest number of shards; all zones with replicas
+    of exactly the same shards share its group.
 
     :param zones: zones with gateways that accept delegated shards.
     :param replica_zones: the zones of each shard's replicas.
--- a/tinrudder/gateway/model/http_messages.py
+++ b/tinrudder/gateway/model/http_messages.py
@@ -163,8 +163,8 @@
     """Ignore the outcome: the call has ended."""
 
 
-def _withdraw() -> bytes | None:
-    """Withdraw a call that has ended."""
+def _no_bytes() -> bytes | None:
+    """Return no bytes: the call has ended."""
     return None
 
 
@@ -172,7 +172,7 @@
     """One call to a back end, queued or in flight.
 
     :param make_bytes: returns the request's bytes when they are sent, since the remaining time that
-        they carry shrinks; ``None`` withdraws the call.
+        they carry shrinks; ``None`` cancels the call.
     :param listener: called once with the outcome.
     :param deadline: monotonic time after which the answer is of no use.
     :param body_expected: whether an answer may have a body.
@@ -181,6 +181,8 @@
     :param body_bytes: size of a body that counts against the limit of body bytes in transit to the
         back end; 0: too small to count.
     :param sent_at: monotonic time at which bytes were sent, ``None`` before.
+    :param finished: whether the outcome was reported, or will not be.
+    :param carrier: the pool in which the call waits, or the connection over which it was sent.
     """
 
     make_bytes: Callable[[], bytes | None]
@@ -207,4 +209,4 @@
         self.finished = True
         self.carrier = None
         self.listener = _ignore_outcome
-        self.make_bytes = _withdraw
+        self.make_bytes = _no_bytes
--- a/tinrudder/gateway/requests/refusals.py
+++ b/tinrudder/gateway/requests/refusals.py
@@ -2,9 +2,9 @@
 
 :data:`RULES` is the complete list, and the text of each refusal goes into the log line of the
 request.  The first rule that refuses ends the request; a rule may store a result (route, tenant,
-service) for the rules after it.  The order matters: a malformed request learns nothing about
-routes, a caller without a key learns nothing about back ends, and the most expensive rules come
-last.
+service) for the rules after it.  The order matters: the refusal of a malformed request reveals
+nothing about routes, that of a caller without a key nothing about back ends, and the most expensive
+rules come last.
 
 Owns no state.  Depends on the components that are grouped in :class:`RequestChecks`, each of which
 keeps its own state.  After these rules, a scatter can still be refused by the gateway that runs it
@@ -185,7 +185,7 @@
     memory = checks.call_context.memory
     if not memory.may_be_near:
         return None
-    return memory.refusal(request.steps_below_urgent)
+    return memory.refusal(request.priority_steps)
 
 
 def _check_poison(checks: RequestChecks, request: AuthorizedRequest) -> NotRun | None:
@@ -201,7 +201,7 @@
         route,
         request.service,
         request.deadlines,
-        request.steps_below_urgent,
+        request.priority_steps,
         request.authenticated.tenant_name,
     )
 
--- a/tinrudder/gateway/requests/routes_in_force.py
+++ b/tinrudder/gateway/requests/routes_in_force.py
@@ -17,9 +17,9 @@
 from tinrudder.gateway.requests.api_keys import KeyIndex
 
 INITIAL_TURNS = 240
-"""Number of turns from which a rotation's first is drawn at random.  A number with many divisors
-holds whole rounds of most weights.  Gateways start at different turns, so that the shares of
-traffic hold over the fleet although each gateway sees few requests."""
+"""Upper bound of the random number of turns that a new rotation skips.  It has many divisors, so
+that it covers whole rounds for most weights.  Gateways start at different turns, so that the shares
+of traffic hold over the fleet although each gateway receives few requests."""
 
 
 class RoutesInForce(Struct):
@@ -59,7 +59,7 @@
             name = name.partition(":")[0]
         return self.table.find(name, request.path.decode("latin-1"))
 
-    def steps_below_urgent(self, priority: int) -> int:
+    def priority_steps(self, priority: int) -> int:
         """Return how many configured priorities are more urgent than ``priority``."""
         return sum(1 for other in self.priorities if other < priority)
 
--- a/tinrudder/gateway/runs/call_context.py
+++ b/tinrudder/gateway/runs/call_context.py
@@ -20,7 +20,7 @@
 from tinrudder.gateway.clients.memory_account import MemoryAccount
 from tinrudder.gateway.decisions.admission.shared_service import (
     has_room,
-    mean_work_s,
+    mean_service_time_s,
 )
 from tinrudder.gateway.decisions.attempts.fleet_retry_budget import FleetRetryBudget
 from tinrudder.gateway.decisions.attempts.hedge_delay import (
@@ -45,11 +45,12 @@
     """Counters since the start of the process; each is exported as a metric with its own help text.
 
     :param repeats_denied: hedges and retries that the retry budget denied.
-    :param relayed: scatters handed to a coordinator.
-    :param relays_failed: hand-overs that the coordinator did not serve.
+    :param relayed: scatters that this gateway asked a coordinator to run.
+    :param relays_failed: delegated scatters or groups of shards that the other gateway did not
+        serve.
     :param relays_run_here: scatters run by this gateway because no coordinator served them.
     :param coordinated: scatters merged for other gateways.
-    :param delegated: groups of shards delegated to another gateway.
+    :param delegated: groups of shards that this gateway asked another one to call.
     :param delegations_run_here: delegated groups that this gateway called after all.
     """
 
@@ -72,7 +73,7 @@
 
 
 class ZoneAdvantage(Struct, frozen=True):
-    """By how much a back end of another zone must be faster, in usual latencies of the route.
+    """By how much a back end of another zone must be faster, in typical latencies of the route.
 
     :param at: when it was computed, by the loop's clock; it holds for this route and time only.
     """
@@ -85,18 +86,18 @@
 class LoadListener(Protocol):
     """Receives the load reports of back ends that many gateways call."""
 
-    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, service_time_s: float) -> None:
         """Handle an answer or a shed call, after the back end's observations were updated.
 
         :param shed: the back end rejected the call because its queue was full.
-        :param work_s: median time of calls that did not queue, seconds.
+        :param service_time_s: median time of calls that did not queue, seconds.
         """
 
 
 class NoLoadListener:
     """Ignores load reports, for a gateway without peers."""
 
-    def on_load(self, backend: Backend, *, shed: bool, work_s: float) -> None:
+    def on_load(self, backend: Backend, *, shed: bool, service_time_s: float) -> None:
         """Do nothing."""
 
 
@@ -215,22 +216,24 @@
         """Return the observations of the back ends of a service that accept new calls."""
         return [backend.observations for backend in self.directory.usable(service)]
 
-    def usual_s(self, route: Route, backends: Sequence[BackendObservations]) -> float:
+    def typical_time_s(self, route: Route, backends: Sequence[BackendObservations]) -> float:
         """Return how long a call of a route takes without queueing, seconds.
 
-        Until this gateway has seen enough calls, the work times that other gateways reported are
+        Until this gateway has seen enough calls, the service times that other gateways reported are
         used.  A gateway with one call in twenty seconds would otherwise need minutes to learn the
         latency, and admit everything until then.
         """
         unloaded = self.unloaded_latency(route)
         if len(unloaded) >= MINIMUM_OBSERVATIONS:
             return unloaded.quantile(MEDIAN_QUANTILE)
-        return mean_work_s(backends) or typical_latency_s(self.latency(route), route.objective_s)
+        return mean_service_time_s(backends) or typical_latency_s(
+            self.latency(route), route.objective_s
+        )
 
     def has_room(self, service: str, route: Route, left_s: float, now: float) -> bool:
         """Return whether some back end of a service is expected to answer within ``left_s``."""
         backends = self.observations(service)
-        return has_room(backends, now, self.usual_s(route, backends), left_s)
+        return has_room(backends, now, self.typical_time_s(route, backends), left_s)
 
 
 def _moving_average(average: float, value: float) -> float:
--- a/tinrudder/gateway/runs/replica_choice.py
+++ b/tinrudder/gateway/runs/replica_choice.py
@@ -1,11 +1,11 @@
 """Chooses the back end for a call.
 
-The inputs are the expected cost of each back end in usual latencies (observed latency, plus queues
-that it or other gateways reported), the zone of this gateway, and the usual latency of the route in
-seconds.  Back ends of the own zone are preferred as far as the latency objective allows
+The inputs are the expected cost of each back end in typical latencies (observed latency, plus
+queues that it or other gateways reported), the zone of this gateway, and the typical latency of the
+route in seconds.  Back ends of the own zone are preferred as far as the latency objective allows
 (:mod:`tinrudder.gateway.decisions.placement.zone_preference`), since traffic between zones costs
-money.  For a single service, which many gateways call a few times each, two back ends are sampled
-and the cheaper one is taken
+money.  For a single service, to which each of many gateways sends few calls, two back ends are
+sampled and the one with the lower expected cost is taken
 (:func:`tinrudder.gateway.decisions.admission.shared_service.draw_candidates`).
 
 Owns no state: the advantage of the own zone is cached in the call context, since it is the same for
@@ -21,7 +21,7 @@
 from tinrudder.gateway.decisions.admission.shared_service import (
     draw_candidates,
     extra_cost,
-    min_work_s,
+    min_service_time_s,
 )
 from tinrudder.gateway.decisions.attempts.hedge_delay import hedge_delay_s, typical_latency_s
 from tinrudder.gateway.decisions.placement.zone_preference import (
@@ -56,22 +56,22 @@
 def _choose_single(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> Backend:
-    """Return a back end of a service that many gateways call a few times each.
+    """Return a back end of a service to which each of many gateways sends few calls.
 
     Most gateways have no observations of any back end.  If ties went to the first back end, it
-    would get the calls of all gateways: at half of the capacity of four back ends, 0.02 of the
-    arrivals were shed.
+    would get the calls of all gateways: at half the capacity of four back ends, a share of 0.02 of
+    the arrivals was shed.
     """
     advantage = _zone_advantage(call_context, candidates, route, now)
     sampled = draw_candidates(candidates, lambda one: one.observations, now, call_context.random)
-    least_s = 0.0
+    fastest_s = 0.0
     if sampled is not candidates:
-        least_s = min_work_s([one.observations for one in candidates])
+        fastest_s = min_service_time_s([one.observations for one in candidates])
 
     def cost(backend: Backend) -> tuple[float, int]:
         local = backend.entry.zone == call_context.zone
         cost = backend.observations.cost(now) + (0.0 if local else advantage)
-        cost += extra_cost(backend.observations, least_s, now)
+        cost += extra_cost(backend.observations, fastest_s, now)
         return cost, -rendezvous_score(call_context.own_name, backend.backend_id)
 
     return min(sampled, key=cost)
@@ -80,7 +80,7 @@
 def _zone_advantage(
     call_context: CallContext, candidates: Sequence[Backend], route: Route, now: float
 ) -> float:
-    """Return by how much a back end of another zone must be faster, in usual latencies."""
+    """Return by how much a back end of another zone must be faster, in typical latencies."""
     for backend in candidates:
         local = backend.entry.zone == call_context.zone
         if local and is_slow(backend.observations.expected_relative_latency(now)):
@@ -88,9 +88,9 @@
     latest = call_context.latest_advantage
     if latest is None or latest.at != now or latest.route is not route:
         latency = call_context.latency(route)
-        usual_s = typical_latency_s(latency, route.objective_s)
+        typical_time_s = typical_latency_s(latency, route.objective_s)
         hedged_s = hedge_delay_s(latency, route.objective_s, budget_fill=1.0)
-        advantage = zone_advantage(usual_s, hedged_s, route.objective_s)
+        advantage = zone_advantage(typical_time_s, hedged_s, route.objective_s)
         latest = ZoneAdvantage(route, now, advantage)
         call_context.latest_advantage = latest
     return latest.advantage
--- a/tinrudder/gateway/scatters/delegation_service.py
+++ b/tinrudder/gateway/scatters/delegation_service.py
@@ -106,12 +106,12 @@
             return Declined("no scatter by the configuration here")
         if not set(scatter.shards) <= set(route.shards):
             return Declined("other shards by the configuration here")
-        if self._call_context.memory.refusal(routes.steps_below_urgent(scatter.priority)):
+        if self._call_context.memory.refusal(routes.priority_steps(scatter.priority)):
             return Declined("no room in memory")
         return routes, route
 
     def _is_older_than(self, scatter: ScatterRequest) -> bool:
-        """Tell whether the configuration here is older than the delegating gateway's.
+        """Return whether the configuration here is older than the delegating gateway's.
 
         Compares the operator's versions, as revisions may go back with the store.  Gateways with
         older software send only a revision.
